--- a/crates/lab/src/days.rs
+++ b/crates/lab/src/days.rs
@@ -3,12 +3,13 @@
 use crate::LabError;
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::days::{self, Day, Size};
+use beamhinge_sim::fingerprint::days as fingerprints;
 use beamhinge_sim::meetings;
 use beamhinge_sim::scenario::{self, Outcome};
 use clap::Args;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 use std::time::Instant;
@@ -45,6 +46,18 @@
     /// Days that are played at the same time
     #[arg(long, default_value_t = 6)]
     jobs: usize,
+    /// Play the fixed days instead and compare what their controllers sent with this record
+    #[arg(
+        long,
+        value_name = "FILE",
+        num_args = 0..=1,
+        default_missing_value = "crates/sim/tests/fingerprint.txt",
+        conflicts_with_all = ["days", "day", "file", "meetings", "ageing"]
+    )]
+    fingerprint: Option<PathBuf>,
+    /// Write the fingerprints to the record instead
+    #[arg(long, requires = "fingerprint")]
+    record: bool,
 }
 
 fn faults(name: &str) -> Result<Faults, String> {
@@ -56,6 +69,9 @@
 pub fn run(seed: u64, quick: bool, o: &Options) -> Result<Value, LabError> {
     let size = if quick { days::SMALL } else { days::FULL };
     let faults = o.without.unwrap_or_default();
+    if let Some(record) = &o.fingerprint {
+        return fingerprint(record, faults, o);
+    }
     let mut plan = plan(seed, size, o)?;
     if o.ageing {
         let line = "ageing on=yes best_effort_s=30 standard_s=15\n";
@@ -165,6 +181,28 @@
     }))
 }
 
+/// Plays the fixed days, and compares their fingerprints with the record or writes it.
+fn fingerprint(record: &Path, faults: Faults, o: &Options) -> Result<Value, LabError> {
+    let began = Instant::now();
+    let played = fingerprints::play(&fingerprints::fixed(), faults, o.jobs)
+        .map_err(|e| LabError::Other(e.to_string()))?;
+    print!("{}", fingerprints::write(&played));
+    if o.record {
+        std::fs::write(record, fingerprints::write(&played))?;
+    }
+    let recorded = fingerprints::read(&std::fs::read_to_string(record)?)
+        .map_err(|e| LabError::Other(e.to_string()))?;
+    let differ = fingerprints::differences(&recorded, &played);
+    Ok(json!({
+        "ok": differ.is_empty(),
+        "experiment": "fingerprint",
+        "days": played.len(),
+        "differ": differ,
+        "recorded": o.record,
+        "real_s": began.elapsed().as_secs_f64().round(),
+    }))
+}
+
 fn plan(seed: u64, size: Size, o: &Options) -> Result<Vec<Day>, LabError> {
     let numbers: Vec<u64> = o.day.map_or_else(|| (0..o.days).collect(), |d| vec![d]);
     if o.meetings {
--- a/crates/sim/src/cluster.rs
+++ b/crates/sim/src/cluster.rs
@@ -7,6 +7,7 @@
 mod links;
 mod users;
 
+use crate::fingerprint::Fingerprinter;
 use crate::limits_in_force::LimitsInForce;
 use crate::rules::{OnMachines, Place};
 use crate::stopped::{self, Stops};
@@ -280,6 +281,8 @@
     /// Who had it last, and how often another came to have it.
     led_by: Option<usize>,
     pub moves: u64,
+    /// Of all that controllers sent.
+    pub fingerprinter: Fingerprinter,
 }
 
 /// When a copy of what is sent now arrives, if one is made: its part, the latest, and
@@ -353,6 +356,7 @@
             leaderless: 0,
             led_by: None,
             moves: 0,
+            fingerprinter: Fingerprinter::default(),
             settings,
             faults,
             owned: 0,
@@ -518,6 +522,7 @@
             f(node, now, wall, &mut out);
         }
         for o in out {
+            self.fingerprinter.sent(self.now, i, &o);
             self.act(i, o);
         }
     }
--- /dev/null
+++ b/crates/sim/src/fingerprint.rs
@@ -0,0 +1,127 @@
+//! A fingerprint of all that the controllers of a simulated cluster sent: one running
+//! hash over each message in the order in which it was sent. Two programs that decide
+//! alike have the same fingerprint of the same day, whatever their code looks like.
+//!
+//! Only simulated time, numbers and encoded bytes are hashed, never the names of Rust
+//! types or variants, so renaming and splitting code leaves a fingerprint as it is.
+
+pub mod days;
+
+use beamhinge_vocab::http::Content;
+use beamhinge_vocab::messages::{Dest, Out};
+use beamhinge_vocab::types::RequestId;
+use std::fmt;
+use std::num::ParseIntError;
+use std::str::FromStr;
+use xxhash_rust::xxh3::Xxh3;
+
+/// The 128-bit hash of a day's messages; written as 32 hexadecimal digits.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Fingerprint(u128);
+
+impl fmt::Display for Fingerprint {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:032x}", self.0)
+    }
+}
+
+impl FromStr for Fingerprint {
+    type Err = ParseIntError;
+
+    fn from_str(text: &str) -> Result<Fingerprint, ParseIntError> {
+        u128::from_str_radix(text, 16).map(Fingerprint)
+    }
+}
+
+/// The running hash. Every field is of fixed length or preceded by its length, so that
+/// different messages are never the same input.
+#[derive(Clone, Default)]
+pub struct Fingerprinter {
+    hash: Xxh3,
+}
+
+impl Fingerprinter {
+    /// Adds a message that controller number `sender` sent at `now`, in microseconds of
+    /// simulated time.
+    pub fn sent(&mut self, now: u64, sender: usize, message: &Out) {
+        self.number(now);
+        self.number(sender as u64);
+        match message {
+            Out::Call { id, dest, method, path, body, timeout_s } => {
+                self.tag(0);
+                self.number(id.0);
+                self.dest(dest);
+                self.bytes(method.name().as_bytes());
+                self.bytes(path.as_bytes());
+                self.bytes(body);
+                self.number(timeout_s.to_bits());
+            }
+            Out::Answer { to, status, retry_after, body } => {
+                self.tag(1);
+                self.answer(*to, *status, *retry_after);
+                self.bytes(body);
+            }
+            Out::OperatorAnswer { to, status, retry_after, content, body } => {
+                self.tag(2);
+                self.answer(*to, *status, *retry_after);
+                self.tag(match content {
+                    Content::Cbor => 0,
+                    Content::Json => 1,
+                    Content::Text => 2,
+                });
+                self.bytes(body);
+            }
+            Out::Tell { to, frame } => {
+                self.tag(3);
+                self.tag(u8::from(to.is_some()));
+                self.bytes(to.as_deref().unwrap_or_default().as_bytes());
+                self.bytes(frame);
+            }
+        }
+    }
+
+    /// The fingerprint of all that was added so far.
+    pub fn fingerprint(&self) -> Fingerprint {
+        Fingerprint(self.hash.digest128())
+    }
+
+    fn dest(&mut self, dest: &Dest) {
+        match dest {
+            Dest::State => self.tag(0),
+            Dest::Cloud => self.tag(1),
+            Dest::Worker(address) => {
+                self.tag(2);
+                self.bytes(address.to_string().as_bytes());
+            }
+            Dest::Node { address, caller } => {
+                self.tag(3);
+                self.bytes(address.to_string().as_bytes());
+                self.number(*caller);
+            }
+        }
+    }
+
+    fn answer(&mut self, to: RequestId, status: u16, retry_after: Option<u32>) {
+        self.number(to.slot as u64);
+        self.number(to.generation);
+        self.number(u64::from(status));
+        self.tag(u8::from(retry_after.is_some()));
+        self.number(u64::from(retry_after.unwrap_or_default()));
+    }
+
+    fn tag(&mut self, tag: u8) {
+        self.hash.update(&[tag]);
+    }
+
+    fn number(&mut self, number: u64) {
+        self.hash.update(&number.to_le_bytes());
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        self.hash.update(bytes);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/sim/src/fingerprint/days.rs
@@ -0,0 +1,137 @@
+//! The fixed days whose fingerprints are recorded, and the record they are compared with.
+//!
+//! The record is a text file with a line `NAME FINGERPRINT` for each day. A change that
+//! is to leave all decisions as they are must leave it as it is; one that changes a
+//! decision, a stored record, a message or the package version (operators are told it)
+//! records it anew with `beamhinge-lab days --fingerprint --record`.
+
+use super::Fingerprint;
+use crate::days::{self, Day};
+use crate::meetings;
+use crate::scenario::{self, Wrong};
+use beamhinge_controller::faults::Faults;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Mutex;
+
+/// Seeds and numbers of the drawn days.
+const DRAWN: [(u64, u64); 4] = [(1, 0), (1, 1), (31, 2), (77, 3)];
+/// Seeds and numbers of the days on which troubles meet.
+const MEETINGS: [(u64, u64); 3] = [(1, 0), (4, 57), (31, 14)];
+/// Fewest and most machines of the days on which troubles meet.
+const MEETING_MACHINES: (f64, f64) = (6.0, 40.0);
+
+/// A scenario of the controller, by the name of its file.
+macro_rules! scenario {
+    ($name:literal) => {
+        ($name, include_str!(concat!("../../../controller/tests/scenarios/", $name, ".txt")))
+    };
+}
+
+/// Ends of a leader, outages of the state service, changes of the configuration, and the
+/// decisions that the drawn days meet seldom.
+const SCENARIOS: [(&str, &str); 9] = [
+    scenario!("ageing_service"),
+    scenario!("cancel_in_pairs"),
+    scenario!("config_leader_ends"),
+    scenario!("config_many_at_once"),
+    scenario!("drain_leader"),
+    scenario!("long_state_outage"),
+    scenario!("room_two_claims"),
+    scenario!("six_teams"),
+    scenario!("spot_notice_saves"),
+];
+
+/// A line of a record that isn't a name and a fingerprint.
+#[derive(Debug, thiserror::Error)]
+#[error("line {line} of the record of fingerprints is not NAME FINGERPRINT")]
+pub struct BadRecord {
+    /// Counted from one.
+    pub line: usize,
+}
+
+/// Why the fingerprint of a day could not be taken.
+#[derive(Debug, thiserror::Error)]
+#[error("{day}: {wrong}")]
+pub struct NotPlayed {
+    /// The day's name.
+    pub day: String,
+    /// What is wrong with its text.
+    pub wrong: Wrong,
+}
+
+/// Fingerprints by the names of their days.
+pub type Record = BTreeMap<String, Fingerprint>;
+
+/// The fixed days.
+pub fn fixed() -> Vec<Day> {
+    let drawn = DRAWN.map(|(seed, number)| days::draw(seed, number, days::SMALL));
+    let meetings = MEETINGS.map(|(seed, number)| meetings::draw(seed, number, MEETING_MACHINES));
+    let scenarios = SCENARIOS.map(|(name, text)| Day {
+        name: name.to_string(),
+        text: text.to_string(),
+        machines: 0,
+        troubles: BTreeMap::new(),
+    });
+    drawn.into_iter().chain(meetings).chain(scenarios).collect()
+}
+
+/// Plays all days, some at the same time, and takes their fingerprints; `faults` puts
+/// faults of old back.
+///
+/// # Errors
+/// When a day's text cannot be understood.
+pub fn play(days: &[Day], faults: Faults, threads: usize) -> Result<Record, NotPlayed> {
+    let (next, played) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+    std::thread::scope(|scope| {
+        for _ in 0..threads.clamp(1, days.len().max(1)) {
+            scope.spawn(|| {
+                while let Some(day) = days.get(next.fetch_add(1, Ordering::Relaxed)) {
+                    let taken = take(day, faults);
+                    if let Ok(mut played) = played.lock() {
+                        played.push(taken);
+                    }
+                }
+            });
+        }
+    });
+    played.into_inner().unwrap_or_default().into_iter().collect()
+}
+
+fn take(day: &Day, faults: Faults) -> Result<(String, Fingerprint), NotPlayed> {
+    match scenario::play(&day.text, faults) {
+        Ok(outcome) => Ok((day.name.clone(), outcome.fingerprint)),
+        Err(wrong) => Err(NotPlayed { day: day.name.clone(), wrong }),
+    }
+}
+
+/// The record as text, one line for each day.
+pub fn write(record: &Record) -> String {
+    let mut text = String::new();
+    for (name, fingerprint) in record {
+        // Writing to a string cannot fail.
+        let _ = writeln!(text, "{name} {fingerprint}");
+    }
+    text
+}
+
+/// Reads a record.
+///
+/// # Errors
+/// When a line isn't a name and a fingerprint.
+pub fn read(text: &str) -> Result<Record, BadRecord> {
+    let entry = |line: &str| {
+        let (name, fingerprint) = line.split_once(' ')?;
+        Some((name.to_string(), fingerprint.parse().ok()?))
+    };
+    let lines = text.lines().enumerate();
+    lines.map(|(n, line)| entry(line).ok_or(BadRecord { line: n + 1 })).collect()
+}
+
+/// The names of days that only one of the two records has, or whose fingerprints differ.
+pub fn differences(recorded: &Record, played: &Record) -> Vec<String> {
+    let names: BTreeSet<&String> = recorded.keys().chain(played.keys()).collect();
+    let differs = |name: &&String| recorded.get(*name) != played.get(*name);
+    names.into_iter().filter(differs).cloned().collect()
+}
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -4,6 +4,7 @@
 
 pub mod cluster;
 pub mod days;
+pub mod fingerprint;
 pub mod limits_in_force;
 pub mod meetings;
 pub mod rules;
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -18,6 +18,7 @@
 use words::{number, seconds};
 
 use crate::cluster::{Due, Event, Sim, Tally};
+use crate::fingerprint::Fingerprint;
 use beamhinge_controller::faults::Faults;
 use beamhinge_standins::cloud::Kind;
 use beamhinge_standins::{Us, SECOND};
@@ -94,6 +95,8 @@
     /// The class or team served least some time after the last trouble, and how
     /// much of its work was done by then.
     pub least: Option<(String, f64)>,
+    /// Of all that controllers sent, until everything was given back.
+    pub fingerprint: Fingerprint,
 }
 
 /// How long a job waited.
@@ -319,6 +322,7 @@
     (outcome.stopped, outcome.in_vain) = (sim.stops.stopped, sim.stops.in_vain);
     outcome.waits =
         sim.first_starts.iter().filter_map(|(job, at)| waited(&sim, job, *at)).collect();
+    outcome.fingerprint = sim.fingerprinter.fingerprint();
     Ok(outcome)
 }
 
