--- a/crates/controller/src/blocks/tests.rs
+++ b/crates/controller/src/blocks/tests.rs
@@ -46,3 +46,38 @@
         assert_eq!(newest_rows(order.into_iter()), [rows[1]]);
     }
 }
+
+#[test]
+fn pages_keep_their_form() {
+    let mut golden = crate::golden::Golden::new("tests/golden/pages.hex");
+    let mut pages = Pages::new(Token(41));
+    golden.text("prefixes", &format!("{PAGE_PREFIX} {PROGRESS_PREFIX}"));
+    golden.text("first key", &pages.fresh_key());
+    golden.text("second key", &pages.fresh_key());
+    let rows = [
+        row("n-000231", "job-000412/3", (41 << 20) + 7),
+        row("n-000231", "job-000412/4", (41 << 20) + 300),
+        row("n-000231", "job-9/0", (41 << 20) + 9),
+        row("n-7", "job-000412/70000", (41 << 20) + 8),
+    ];
+    let page = encode_page(&rows);
+    assert_eq!(decode_page(&page).expect("sound"), rows);
+    golden.stored("page", &wire::from_value::<PageRecord>(&page).expect("sound"));
+    assert_eq!(wire::to_value(&wire::from_value::<PageRecord>(&page).expect("sound")), page);
+    golden.stored("empty page", &wire::from_value::<PageRecord>(&encode_page(&[])).expect("sound"));
+    golden.check();
+}
+
+/// Pages as the bytes that are stored: of this version, and of the one before.
+#[test]
+fn pages_of_both_versions_are_read() {
+    let rows = vec![row("n-000231", "job-000412/3", 107), row("n-000231", "job-000412/4", 109)];
+    let machines = |first: u64, second: u64| serde_json::json!({"n-000231": {"job-000412": [[3, first], [4, second]]}});
+    for stored in [
+        serde_json::json!({"v": 2, "a": 100, "m": machines(7, 9)}),
+        serde_json::json!({"v": 1, "m": machines(107, 109)}),
+    ] {
+        let value: Value = wire::decode(&wire::encode(&stored)).expect("CBOR");
+        assert_eq!(decode_page(&value).expect("a page"), rows, "{stored}");
+    }
+}
--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -99,3 +99,36 @@
     let off = Configuration::new(&settings, false, 7);
     assert!(off.condition().is_none() && off.runs_until().is_none() && off.ready());
 }
+
+#[test]
+fn stored_configuration_keeps_its_form() {
+    let mut golden = crate::golden::Golden::new("tests/golden/configuration.hex");
+    let keys = [HEAD.into(), chunk_key(7), record_key(41, 2), member_key("north-1")];
+    golden.text("keys", &format!("{PREFIX} {}", keys.join(" ")));
+    golden
+        .text("chunks of teams", &format!("{CHUNKS} {:?}", ["one", "two", "vision"].map(chunk_of)));
+    let author = |restores| Author {
+        id: "a1b2".into(),
+        at_ms: 1_700_000_000_123,
+        by: "alice".into(),
+        why: "more cards".into(),
+        restores,
+    };
+    let state = |removed| TeamState {
+        quota: Quota { cpus: 16.5, cpus_max: 32.5, gpus: 1.5, gpus_max: 2.5 },
+        removed,
+    };
+    let unknown = [("later".to_string(), wire::to_value(&"kept"))];
+    let head = Head { v: FORM, version: Version(41), author: author(None), unknown: [].into() };
+    golden.stored("head", &head);
+    let restored = Head { author: author(Some(Version(39))), unknown: unknown.into(), ..head };
+    golden.stored("head that restores", &restored);
+    let teams = [("one".to_string(), state(false)), ("two".to_string(), state(true))];
+    golden.stored("chunk", &Chunk { v: FORM, teams: teams.into() });
+    let before = [("one".to_string(), Some(state(true))), ("two".to_string(), None)];
+    let part = RecordPart { v: FORM, author: author(None), parts: 3, before: before.into() };
+    golden.stored("part of a record", &part);
+    let member = Member { v: FORM, version: Version(41), nonce: 70_000, at_ms: 1_700_000_000_456 };
+    golden.stored("member", &member);
+    golden.check();
+}
--- a/crates/controller/src/directives/tests.rs
+++ b/crates/controller/src/directives/tests.rs
@@ -75,3 +75,45 @@
     assert_eq!(target("o/planet/mars"), None);
     assert_eq!(Target::parse("zone", "a b"), None);
 }
+
+#[test]
+fn stored_directives_keep_their_form() {
+    let mut golden = crate::golden::Golden::new("tests/golden/directives.hex");
+    let targets = ["machine", "shape", "zone", "node", "team", "class"];
+    for (i, kind) in targets.into_iter().enumerate() {
+        let target = Target::parse(kind, &format!("name-{i}")).expect(kind);
+        golden.text(&format!("key of a {kind}"), &key(&target));
+        assert_eq!(super::target(&key(&target)), Some(target.clone()));
+        let directive = Directive {
+            since_ms: 1_700_000_000_000 + i as u64,
+            within_s: (i > 0).then_some(30.5),
+            afterwards: if i % 2 == 0 { Afterwards::Return } else { Afterwards::Keep },
+            by: "alice".into(),
+            note: "new fans".into(),
+            ..drain(target)
+        };
+        golden.stored(kind, &Record { v: VERSION, directive: Some(directive) });
+    }
+    golden.stored("lifted", &Record { v: VERSION, directive: None });
+    golden.check();
+}
+
+/// What may be left out is left out.
+#[test]
+fn a_stored_directive_is_read_field_by_field() {
+    let stored = serde_json::json!({"v": 1, "directive": {"target": {"zone": "a"}, "since_ms": 9}});
+    let read: Record = wire::decode(&wire::encode(&stored)).expect("a record");
+    assert_eq!(read.directive, Some(Directive { since_ms: 9, ..drain(Target::Zone("a".into())) }));
+    let stored = serde_json::json!({"v": 1, "directive": {"target": {"machine": "n-1"},
+        "since_ms": 9, "within_s": 2.5, "afterwards": "keep", "by": "bob", "note": "why"}});
+    let read: Record = wire::decode(&wire::encode(&stored)).expect("a record");
+    let directive = Directive {
+        since_ms: 9,
+        within_s: Some(2.5),
+        afterwards: Afterwards::Keep,
+        by: "bob".into(),
+        note: "why".into(),
+        ..drain(Target::Machine("n-1".into()))
+    };
+    assert_eq!(read.directive, Some(directive));
+}
--- a/crates/controller/src/leader/tests.rs
+++ b/crates/controller/src/leader/tests.rs
@@ -62,3 +62,15 @@
         }
     }
 }
+
+/// `lead/now` and `block/0` hold the same value.
+#[test]
+fn the_leadership_keys_keep_their_form() {
+    let mut golden = crate::golden::Golden::new("tests/golden/leadership.hex");
+    golden.text("keys", &format!("{LEAD} {LEAD_PREFIX} {BLOCK} {BLOCK_PREFIX}"));
+    let text = beamhinge_vocab::settings::SAMPLE;
+    let settings = Settings::parse("t", text).expect("the sample is sound");
+    golden.stored("name of a new leader", &Leader::new(&settings, 70_000).me);
+    golden.stored("name", &Name { v: 1, label: "north-1".into(), nonce: u64::MAX - 5 });
+    golden.check();
+}
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -24,3 +24,7 @@
 pub mod placement;
 pub mod progress;
 pub mod split;
+
+#[cfg(test)]
+#[path = "../../vocab/tests/support/golden.rs"]
+mod golden;
--- a/crates/controller/src/market/tests.rs
+++ b/crates/controller/src/market/tests.rs
@@ -94,3 +94,36 @@
     assert_eq!(shortfall(&Pool::new(), &mut [queued(2, Some(10.0))]), 0.0);
     assert_eq!(shortfall(&Pool::new(), &mut [queued(2, None)]), 0.0);
 }
+
+fn stored_record() -> Record {
+    let load = Load { widest: 12.0, gap_s: 7.25, size: (4.5, 1.5, 16.5), spot: true };
+    Record {
+        v: 1,
+        weights: vec![0.25, 0.75],
+        splits: [("job-000412".to_string(), (3, 2.5))].into(),
+        runs: [("train".to_string(), 1.125)].into(),
+        loads: [("prompt".to_string(), load)].into(),
+    }
+}
+
+#[test]
+fn the_stored_split_keeps_its_form() {
+    let mut golden = crate::golden::Golden::new("tests/golden/split.hex");
+    golden.text("keys", &format!("{KEY} {PREFIX}"));
+    golden.stored("split", &stored_record());
+    golden.check();
+}
+
+/// Versions before stored no loads.
+#[test]
+fn a_stored_split_is_read_field_by_field() {
+    let mut stored = serde_json::json!({"v": 1, "weights": [0.25, 0.75],
+        "splits": {"job-000412": [3, 2.5]}, "runs": {"train": 1.125},
+        "loads": {"prompt": {"widest": 12.0, "gap_s": 7.25, "size": [4.5, 1.5, 16.5],
+            "spot": true}}});
+    let read: Record = wire::decode(&wire::encode(&stored)).expect("a record");
+    assert_eq!(wire::to_value(&read), wire::to_value(&stored_record()));
+    stored.as_object_mut().expect("a map").remove("loads");
+    let read: Record = wire::decode(&wire::encode(&stored)).expect("a record");
+    assert!(read.loads.is_empty() && read.splits.len() == 1);
+}
--- a/crates/controller/src/progress/tests.rs
+++ b/crates/controller/src/progress/tests.rs
@@ -108,3 +108,45 @@
         assert!(shelves.read(key, Stamp(1), &value, &mut jobs).is_err(), "{key}");
     }
 }
+
+#[test]
+fn shelves_keep_their_form() {
+    let mut golden = crate::golden::Golden::new("tests/golden/shelves.hex");
+    golden.text("keys", &[0, 17, 12_345].map(shelf_key).join(" "));
+    let sizes = [64, 512, 1_024, 8 * 1024].map(|limit| chunk_size(limit).to_string());
+    golden.text("tasks of a chunk by limit", &sizes.join(" "));
+    let mut ours = Jobs { tasks: 20_000, ..Jobs::default() };
+    let mut shelves = Shelves::new(8 * 1024);
+    for (n, index) in [(1, 0), (1, 9), (1, 8_193), (2, 4), (2, 7)] {
+        ours.of(n).set(index);
+        shelves.touch(job(n), index, ours.tasks);
+    }
+    let due: Vec<usize> = shelves.due().collect();
+    for shelf in due {
+        let mut sent = Shelved::default();
+        let value = shelves.send(shelf, &mut sent, &mut ours).expect("something to write");
+        let record: ShelfRecord = wire::from_value(&value).expect("sound");
+        assert_eq!(wire::to_value(&record), value);
+        golden.stored(&shelf_key(shelf), &record);
+    }
+    golden.check();
+}
+
+/// Shelves, and the keys of the form before, as the bytes that are stored.
+#[test]
+fn progress_of_both_forms_is_read() {
+    let mut ours = Jobs { tasks: 16, ..Jobs::default() };
+    ours.of(1);
+    let mut shelves = Shelves::new(8 * 1024);
+    for (key, stored) in [
+        ("d/s0003", serde_json::json!({"v": 2, "s": {"job-000001/0": "0102"}})),
+        ("d/job-000001/0", serde_json::json!({"v": 1, "b": "80"})),
+    ] {
+        let value: Value = wire::decode(&wire::encode(&stored)).expect("CBOR");
+        shelves.read(key, Stamp(5), &value, &mut ours).expect(key);
+    }
+    let done: Vec<u32> = (0..16).filter(|index| ours.of(1).has(*index)).collect();
+    assert_eq!(done, [0, 7, 9]);
+    assert_eq!(shelves.stamp(3), Stamp(5));
+    assert_eq!(shelves.outdated(&|_| false).count(), 1);
+}
