--- a/crates/controller/src/desk/tests.rs
+++ b/crates/controller/src/desk/tests.rs
@@ -79,3 +79,50 @@
     let (_, peers) = d.overdue(now, false);
     assert_eq!(peers, vec![("b".to_string(), 2)], "no holder any more: told at once");
 }
+
+/// Every path of the operators' interface: which route it is, and its name on the metrics page.
+#[test]
+fn routes_keep_their_paths_and_names() {
+    let post = |path: &str, body: &str| {
+        let body = body.as_bytes().to_vec();
+        Request { method: Method::Post, body, ..get(path) }
+    };
+    let change = r#"{"seen": 3, "teams": {"one": "remove"}}"#;
+    for (request, name) in [
+        (get("/v1/hello"), "op_hello"),
+        (get("/metrics"), "op_metrics"),
+        (get("/v1/jobs"), "op_jobs"),
+        (get("/v1/jobs/job-1"), "op_job"),
+        (get("/v1/jobs/job-1/explain"), "op_explain"),
+        (post("/v1/jobs", r#"{"job": "job-1", "team": "one"}"#), "op_submit"),
+        (post("/v1/jobs/job-1/cancel", ""), "op_cancel"),
+        (get("/v1/nodes"), "op_nodes"),
+        (get("/v1/directives"), "op_directives"),
+        (post("/v1/directives", r#"{"target": {"zone": "a"}, "set": true}"#), "op_direct"),
+        (get("/v1/configuration"), "op_configuration"),
+        (post("/v1/configuration", change), "op_configure"),
+        (get("/v1/machines"), "op_holder"),
+        (get("/v1/teams"), "op_holder"),
+        (get("/v1/splits"), "op_holder"),
+        (get("/v1/summary"), "op_holder"),
+        (get("/v1/decisions"), "op_holder"),
+    ] {
+        let route = Route::parse(&request).expect(name);
+        assert_eq!(route.name(), name, "{} {}", request.method.name(), request.path);
+    }
+    let machines = get("/v1/machines?shape=g8&zone=a&after=n-1&limit=7");
+    let Ok(Route::Holder(query)) = Route::parse(&machines) else { panic!("machines") };
+    let (shape, zone) = (Some("g8".into()), Some("a".into()));
+    assert_eq!(query, Query::Machines { shape, zone, after: Some("n-1".into()), limit: 7 });
+    let decisions = get("/v1/decisions?token=41&after=9&limit=5");
+    let Ok(Route::Holder(query)) = Route::parse(&decisions) else { panic!("decisions") };
+    assert_eq!(query, Query::Decisions { token: 41, after: 9, limit: 5 });
+    let path = "/v1/jobs?state=pending,running,done,cancelled&team=t&class=c&urgency=high\
+        &older_s=1.5&younger_s=2.5&after=job-1&limit=3";
+    let Ok(Route::Jobs(filter)) = Route::parse(&get(path)) else { panic!("jobs") };
+    assert_eq!(filter.states, [State::Pending, State::Running, State::Done, State::Cancelled]);
+    assert_eq!((filter.team.as_deref(), filter.class.as_deref()), (Some("t"), Some("c")));
+    assert_eq!((filter.urgency, filter.limit), (Some(Urgency::High), 3));
+    assert_eq!((filter.older_s, filter.younger_s), (Some(1.5), Some(2.5)));
+    assert_eq!(filter.after.as_deref(), Some("job-1"));
+}
--- a/crates/controller/src/intake/tests.rs
+++ b/crates/controller/src/intake/tests.rs
@@ -247,3 +247,66 @@
     intake.tick(at(1.1 + POLL_PATIENCE_S), &copy.book, &mut ledger, &mut out);
     assert_eq!(told(&mut out), [(503, String::new())]);
 }
+
+/// Each field goes to the field that it belongs to, under its name of the platform.
+#[test]
+fn a_submission_is_read_field_by_field() {
+    let mut body = submission();
+    body["yard"] = json!("a");
+    body["cards"] = json!(1.25);
+    let (id, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("sound");
+    let wanted = JobSpec {
+        class: "train".into(),
+        team: "one".into(),
+        kind: JobKind::Batch,
+        urgency: Urgency::High,
+        tasks: 16,
+        cpus: 2.0,
+        gpus: 1.25,
+        memory_gb: 4.0,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        shapes: Some(vec!["c8".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: true,
+        expect_s: 240.0,
+        checkpoint_s: 30.0,
+        save_s: 4.0,
+        due_s: Some(900.0),
+        submitted: 77,
+        command: None,
+    };
+    assert_eq!((id.to_string().as_str(), spec), ("job-000412", wanted));
+    for (urgency, name) in [
+        (Urgency::BestEffort, "best_effort"),
+        (Urgency::Standard, "standard"),
+        (Urgency::High, "high"),
+        (Urgency::Critical, "critical"),
+    ] {
+        body["urgency"] = json!(name);
+        body["jobKind"] = json!("standing");
+        let (_, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect(name);
+        assert_eq!((spec.urgency, spec.kind), (urgency, JobKind::Standing));
+    }
+    body["oneZone"] = json!(false);
+    body["apart"] = json!(true);
+    body["loaners"] = json!(false);
+    let (_, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("sound");
+    assert_eq!((spec.one_zone, spec.spread, spec.spot), (false, true, false));
+}
+
+#[test]
+fn answers_to_users_keep_their_form() {
+    let mut golden = crate::golden::Golden::new("tests/golden/answers-to-users.hex");
+    let mut add = |name: &str, status, done, running| {
+        let name_id = "job-000412".to_string();
+        golden.bytes(name, &wire::encode(&StatusBody { name_id, status, done, running }));
+    };
+    add("pending", "pending", None, None);
+    add("running", "running", Some(3), Some(13));
+    add("done", DONE, Some(16), Some(0));
+    add("cancelled", CANCELLED, None, None);
+    golden.check();
+}
--- a/crates/controller/src/ledger/tests.rs
+++ b/crates/controller/src/ledger/tests.rs
@@ -52,3 +52,62 @@
     assert!(ledger.on_reply(CallId(1), Some((200, vec![]))).is_some());
     assert!(ledger.on_reply(CallId(1), Some((200, vec![]))).is_none());
 }
+
+/// Every call to the state service: method, path and body.
+#[test]
+fn calls_to_the_state_service_keep_their_form() {
+    let mut golden = crate::golden::Golden::new("tests/golden/calls-to-state.hex");
+    let settings = Settings::parse("t", beamhinge_vocab::settings::SAMPLE).expect("sound");
+    let mut ledger: Ledger<u32> = Ledger::new(&settings);
+    let now = Time::from_micros(5_000_000);
+    let mut txn = ledger.txn();
+    txn.when("block/0", beamhinge_vocab::types::Stamp(41)).expect("room");
+    let value = wire::to_value(&serde_json::json!({"a": 1.5}));
+    txn.write("lead/now", beamhinge_vocab::types::Stamp(0), value, Some(7)).expect("room");
+    txn.write("p/41-1", beamhinge_vocab::types::Stamp(9), Value::Null, None).expect("room");
+    txn.delete("p/41-2", beamhinge_vocab::types::Stamp(10)).expect("room");
+    let mut check = ledger.txn();
+    check.when("block/0", beamhinge_vocab::types::Stamp(41)).expect("room");
+    ledger.commit(now, Priority::Lease, 1, txn);
+    ledger.commit(now, Priority::Lease, 2, check);
+    ledger.lease(now, 3, 5.25);
+    ledger.renew(now, 4, 70_000);
+    ledger.end_lease(now, 5, 70_000);
+    ledger.scan(now, Priority::Lease, 6, "c/", None);
+    ledger.scan(now, Priority::Lease, 7, "c/", Some("c/t/7"));
+    ledger.watch(now, Priority::Lease, 8, "j/", 431, 2.5);
+    let (mut calls, mut out) = (0, Vec::new());
+    ledger.pump(now, &mut calls, &mut out);
+    assert_eq!(out.len(), 8);
+    for call in out {
+        let Out::Call { dest: Dest::State, method, path, body, .. } = call else {
+            panic!("{call:?}")
+        };
+        golden.bytes(&format!("{} {path}", method.name()), &body);
+    }
+    golden.check();
+}
+
+#[test]
+fn answers_of_the_state_service_are_read_field_by_field() {
+    fn read<T: serde::de::DeserializeOwned>(body: serde_json::Value) -> T {
+        wire::decode(&wire::encode(&body)).expect("an answer")
+    }
+    let scan: Scan = read(serde_json::json!({"pairs": [{"path": "a/b", "value": "kept",
+        "stamp": 412, "permit": 7}], "more": true, "ledgerRev": 431}));
+    let item = &scan.pairs[0];
+    assert_eq!((scan.rev, scan.more, item.path.as_str(), item.stamp), (431, true, "a/b", 412));
+    assert_eq!(item.value.as_text(), Some("kept"));
+    let news: News = read(serde_json::json!({"ledgerRev": 433, "news": [
+        {"write": "c/9", "value": "new", "stamp": 433}, {"delete": "c/d", "stamp": 432}]}));
+    let (write, delete) = (&news.news[0], &news.news[1]);
+    assert_eq!((news.rev, write.write.as_deref(), write.stamp), (433, Some("c/9"), 433));
+    assert_eq!(write.value.as_ref().and_then(Value::as_text), Some("new"));
+    assert_eq!((delete.delete.as_deref(), delete.stamp, &delete.write), (Some("c/d"), 432, &None));
+    assert_eq!(read::<Permit>(serde_json::json!({"permit": 7})).permit, 7);
+    assert_eq!(read::<Committed>(serde_json::json!({"ledgerRev": 432})).rev, 432);
+    let failed: Failed = read(serde_json::json!({"failed": ["a/b"], "ledgerRev": 431}));
+    assert_eq!(failed.failed, ["a/b"]);
+    let failed: Failed = read(serde_json::json!({"error": "no such lease"}));
+    assert_eq!(failed.error.as_deref(), Some("no such lease"));
+}
--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -19,3 +19,44 @@
     }
     assert!(page.contains("quantile=\"0.5\"} 0.25"), "within a hundredth:\n{page}");
 }
+
+/// Every name, label and type on the page, with one value of each.
+#[test]
+fn the_page_keeps_its_form() {
+    let mut m = Metrics::new(true);
+    let at = |s: f64| Time::from_micros(1_000_000).plus(s);
+    let id = RequestId { slot: 1, generation: 2 };
+    m.asked(at(0.0), id, "jobs");
+    m.sent(at(0.5), &[Out::Answer { to: id, status: 200, retry_after: None, body: Vec::new() }]);
+    let worker = "127.0.0.1:9000".parse().expect("an address");
+    let calls = [
+        (Dest::State, Method::Post, "/commit"),
+        (Dest::State, Method::Get, "/watch?under=c/&since=1&waitMs=0"),
+        (Dest::State, Method::Get, "/watch?under=c/&since=1&waitMs=5"),
+        (Dest::State, Method::Post, "/holds/7/renew"),
+        (Dest::State, Method::Get, "/store?under=c/"),
+        (Dest::Cloud, Method::Post, "/hosts"),
+        (Dest::Cloud, Method::Post, "/hosts/release"),
+        (Dest::Cloud, Method::Get, "/hosts?most=500"),
+        (Dest::Worker(worker), Method::Post, "/do"),
+        (Dest::Node { address: worker, caller: 1 }, Method::Get, "/up"),
+    ];
+    for (i, (dest, method, path)) in calls.into_iter().enumerate() {
+        for (id, answered) in [(CallId(i as u64), true), (CallId(100 + i as u64), false)] {
+            let (path, body) = (path.to_string(), Vec::new());
+            m.sent(at(0.0), &[Out::Call { id, dest, method, path, body, timeout_s: 1.0 }]);
+            m.replied(at(0.25), id, answered);
+        }
+    }
+    m.took(at(0.0));
+    m.loaded(at(1.0));
+    m.waiting(2.0);
+    m.placed(&[3.0]);
+    let kinds = crate::event_log::KIND_NAMES.into_iter().zip(1..);
+    let page = m.render(&[("holder", 1.0), ("cpus", 2.5)], kinds);
+    let mut golden = crate::golden::Golden::new("tests/golden/metrics.txt");
+    for (i, line) in page.lines().enumerate() {
+        golden.text(&format!("{:03}", i + 1), line);
+    }
+    golden.check();
+}
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -231,3 +231,6 @@
             && now.since(self.leader.checked()) < self.settings.leader_lease_s() + 2.0
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/controller/src/node/requests/tests.rs
@@ -0,0 +1,51 @@
+use super::*;
+use crate::golden::Golden;
+
+/// What a worker is told: its orders, or where to report instead.
+#[test]
+fn answers_to_workers_keep_their_form() {
+    let mut golden = Golden::new("tests/golden/answers-to-workers.hex");
+    let order = |verb, attempt, wind_down_s| Order {
+        verb,
+        piece: "job-000412/4".into(),
+        attempt,
+        wind_down_s,
+    };
+    let orders = vec![order("run", 70_000, None), order("kill", 2, Some(10.5))];
+    golden.bytes("orders", &wire::encode(&WorkerAnswer { baton: 41, orders }));
+    golden.bytes("no orders", &wire::encode(&WorkerAnswer { baton: 41, orders: Vec::new() }));
+    golden.bytes("elsewhere", &wire::encode(&Elsewhere { foreman: Some("north-1") }));
+    golden.bytes("elsewhere, unknown", &wire::encode(&Elsewhere { foreman: None }));
+    golden.check();
+}
+
+/// Each field of a report goes to the field that it belongs to.
+#[test]
+fn a_report_is_read_field_by_field() {
+    let body = serde_json::json!({"host": "n-000231", "endpoint": "10.1.0.232:9000", "shape": "g8",
+        "yard": "a", "loaners": true, "tenure": 1, "tick": 88, "baton": 41, "reclaimInS": 12.5,
+        "unknown": {}, "pieces": [{"piece": "job-000412/3", "try": 2, "status": "running"},
+        {"piece": "job-000398/0", "try": 7, "status": "exited", "cause": "done", "saved": true}]});
+    let r: Report = wire::decode(&wire::encode(&body)).expect("a report");
+    assert_eq!((r.host.as_str(), r.endpoint.as_str()), ("n-000231", "10.1.0.232:9000"));
+    assert_eq!((r.shape.as_str(), r.yard.as_str(), r.loaners), ("g8", "a", true));
+    assert_eq!((r.tenure, r.tick, r.baton, r.reclaim_in_s), (1, 88, 41, Some(12.5)));
+    let pieces: Vec<_> = r
+        .pieces
+        .iter()
+        .map(|p| (p.piece.as_str(), p.attempt, p.status.as_str(), p.cause.as_deref()))
+        .collect();
+    let first = ("job-000412/3", 2, "running", None);
+    assert_eq!(pieces, [first, ("job-000398/0", 7, "exited", Some("done"))]);
+}
+
+#[test]
+fn routes_keep_their_names() {
+    let route = |method, path| users_route(method, path);
+    assert_eq!(route(Method::Get, "/up"), "up");
+    assert_eq!(route(Method::Post, "/hello"), "report");
+    assert_eq!(route(Method::Post, "/api/jobs"), "submit");
+    assert_eq!(route(Method::Get, "/api/jobs/job-1"), "poll");
+    assert_eq!(route(Method::Post, "/api/jobs/job-1/cancel"), "cancel");
+    assert_eq!(route(Method::Post, "/other"), "other");
+}
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -305,3 +305,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/operators/tests/golden.rs
@@ -0,0 +1,435 @@
+//! The operators' interface as JSON: what the client sends, what controllers answer, and
+//! what `beamhinge --output json` therefore prints.
+
+#[path = "../../vocab/tests/support/golden.rs"]
+mod golden;
+
+use beamhinge_configuration::stored::Author;
+use beamhinge_configuration::{Change as ConfigurationChange, Quota, TeamChange, Version};
+use beamhinge_operators::auth::{Key, Role, Signed};
+use beamhinge_operators::directives::{Afterwards, Change, Changed, Directive, Target};
+use beamhinge_operators::messages::*;
+use beamhinge_operators::reasons::{Near, Reason, Tally};
+use beamhinge_vocab::job::{JobKind, JobSpec, Urgency};
+use golden::Golden;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+/// Adds a value as JSON; it must come back as it was.
+fn add<T: Serialize + DeserializeOwned>(golden: &mut Golden, name: &str, value: &T) {
+    let text = serde_json::to_string(value).expect(name);
+    let back: T = serde_json::from_str(&text).expect(name);
+    assert_eq!(serde_json::to_string(&back).expect(name), text, "{name}");
+    golden.text(name, &text);
+}
+
+fn full_request() -> JobRequest {
+    JobRequest {
+        class: "train".into(),
+        kind: JobKind::Standing,
+        urgency: Urgency::High,
+        tasks: 16,
+        cpus: 8.5,
+        gpus: 1.25,
+        memory_gb: 64.5,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        shapes: Some(vec!["g8".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: true,
+        spot: false,
+        expect_s: 240.5,
+        checkpoint_s: 30.5,
+        save_s: 4.5,
+        due_s: Some(900.5),
+        command: Some("echo hello".into()),
+        ..JobRequest::new("job-000412", "vision")
+    }
+}
+
+fn row(state: State) -> JobRow {
+    JobRow {
+        job: "job-000412".into(),
+        state,
+        tasks: 16,
+        done: 3,
+        running: 13,
+        team: Some("vision".into()),
+        class: Some("train".into()),
+        urgency: Some(Urgency::BestEffort),
+        age_s: Some(61.5),
+    }
+}
+
+fn empty_row() -> JobRow {
+    JobRow { team: None, class: None, urgency: None, age_s: None, ..row(State::Pending) }
+}
+
+fn author(restores: Option<Version>) -> Author {
+    Author { id: "a1".into(), at_ms: 9, by: "alice".into(), why: "more".into(), restores }
+}
+
+const QUOTA: Quota = Quota { cpus: 16.5, cpus_max: 32.5, gpus: 1.5, gpus_max: 2.5 };
+
+/// One of each kind, each field with a value of its own.
+fn reasons() -> Vec<Reason> {
+    let tally = Tally {
+        full: 1,
+        silent: 2,
+        unsynced: 3,
+        refusing: 4,
+        taken: 5,
+        leaving: 6,
+        drained: 7,
+        sick: 8,
+        slow: 9,
+        spot: 10,
+        other_shape: 11,
+        other_zone: 12,
+    };
+    let near =
+        Near { machine: "n-1".into(), lacks_cpus: 1.5, lacks_gpus: 2.5, lacks_memory_gb: 3.5 };
+    let (target, by) = (|| "zone a".to_string(), || "alice".to_string());
+    let (shape, zone) = (|| "g8".to_string(), || "a".to_string());
+    let ageing = |rises_in_s, kept| Reason::Ageing {
+        priority: 1.5,
+        age_s: 2.5,
+        rises_in_s,
+        ahead: 3,
+        lane_cpus: 4.5,
+        held_cpus: 5.5,
+        kept,
+    };
+    vec![
+        Reason::Frozen { target: target(), since_s: 1.5, by: by() },
+        Reason::Failures { failures: 1, machines: 2, retry_s: 3.5 },
+        Reason::TeamLimit {
+            team: "vision".into(),
+            resource: "CPUs".into(),
+            used: 1.5,
+            wanted: 2.5,
+            limit: 3.5,
+        },
+        Reason::NoRoom { tally, near: vec![near] },
+        Reason::Booting { shape: shape(), zone: zone(), spot: true, machines: 2, expected_s: 3.5 },
+        Reason::Renting { shape: shape(), zone: zone(), spot: false, machines: 2 },
+        Reason::MarketRefused { shape: shape(), zone: zone(), spot: true, again_s: 1.5 },
+        Reason::Drained { target: target(), since_s: 1.5, by: by() },
+        Reason::Behind { jobs: 1, tasks: 2, first: vec!["job-1".into()] },
+        ageing(Some(6.5), Some("n-1".into())),
+        ageing(None, None),
+        Reason::Fetching { tasks: 1, image: "img".into(), image_gb: 2.5, longest_s: 3.5 },
+        Reason::Starting { tasks: 1 },
+        Reason::Ahead { tasks: 2 },
+        Reason::Inherited { tasks: 3, until_s: 4.5 },
+        Reason::Split {
+            beta0: 0.25,
+            beta: 0.5,
+            owned: 1.5,
+            spot: 2.5,
+            ordinary: 3.5,
+            slack: Some(4.5),
+            nu: Some(5.5),
+            tail: 6.5,
+        },
+        Reason::Split {
+            beta0: 0.25,
+            beta: 0.5,
+            owned: 1.5,
+            spot: 2.5,
+            ordinary: 3.5,
+            slack: None,
+            nu: None,
+            tail: 6.5,
+        },
+        Reason::Undecided,
+    ]
+}
+
+#[test]
+fn requests_keep_their_form() {
+    let mut golden = Golden::new("tests/golden/requests.json.txt");
+    let g = &mut golden;
+    add(g, "smallest job", &JobRequest::new("job-1", "vision"));
+    add(g, "job", &full_request());
+    for (name, afterwards) in [("return", Afterwards::Return), ("keep", Afterwards::Keep)] {
+        let (target, note) = (Target::Machine("n-1".into()), "fans".into());
+        add(g, name, &Change { target, set: true, within_s: Some(1.5), afterwards, note });
+    }
+    let change = |name: &str, change| {
+        let teams = [(name.to_string(), change)].into();
+        ConfigurationChange { seen: Version(41), teams, restore_version: None, why: "more".into() }
+    };
+    add(g, "set a quota", &change("vision", TeamChange::Set(QUOTA)));
+    add(g, "add a team", &change("vision", TeamChange::Add(QUOTA)));
+    add(g, "remove a team", &change("vision", TeamChange::Remove));
+    add(g, "restore a team", &change("vision", TeamChange::Restore));
+    let back = ConfigurationChange {
+        teams: Default::default(),
+        restore_version: Some(Version(39)),
+        ..change("vision", TeamChange::Remove)
+    };
+    add(g, "restore a version", &back);
+    golden.check();
+}
+
+#[test]
+fn what_a_request_leaves_out_has_its_default() {
+    let text = r#"{"job": "job-1", "team": "vision"}"#;
+    let read: JobRequest = serde_json::from_str(text).expect("a job");
+    assert_eq!(read, JobRequest::new("job-1", "vision"));
+    let text = r#"{"target": {"team": "vision"}, "set": false}"#;
+    let read: Change = serde_json::from_str(text).expect("a change");
+    let (target, afterwards) = (Target::Team("vision".into()), Afterwards::Return);
+    let wanted = Change { target, set: false, within_s: None, afterwards, note: String::new() };
+    assert_eq!(read, wanted);
+}
+
+#[test]
+fn answers_about_jobs_keep_their_form() {
+    let mut golden = Golden::new("tests/golden/jobs.json.txt");
+    let g = &mut golden;
+    add(g, "told", &JobTold { job: "job-1".into(), state: State::Cancelled });
+    for state in [State::Pending, State::Running, State::Done, State::Cancelled] {
+        add(g, &format!("row {state}"), &row(state));
+    }
+    for urgency in [Urgency::BestEffort, Urgency::Standard, Urgency::High, Urgency::Critical] {
+        add(g, "urgency", &urgency);
+    }
+    let next = Some("job-000412".to_string());
+    add(g, "page", &JobPage { jobs: vec![row(State::Running), empty_row()], next });
+    add(g, "last page", &JobPage { jobs: Vec::new(), next: None });
+    let spec: JobSpec = full_request().spec(1_700_000_000_123);
+    let task = TaskRow {
+        task: "job-000412/3".into(),
+        machine: "n-000231".into(),
+        state: "running".into(),
+        running_s: Some(1.5),
+        stopping: true,
+    };
+    let (tasks, reasons_of_one) = (vec![task], vec![Reason::Undecided]);
+    let placed = Placed { done: 1, running: 2, waiting: 3, tasks, reasons: reasons_of_one };
+    add(g, "placed", &placed);
+    let detail = JobDetail {
+        row: row(State::Running),
+        spec: Some(SpecView::from(&spec)),
+        placed: Some(placed),
+    };
+    add(g, "detail", &detail);
+    add(g, "empty detail", &JobDetail { row: empty_row(), spec: None, placed: None });
+    let explanation = Explanation {
+        job: "job-1".into(),
+        state: State::Pending,
+        waiting: 4,
+        reasons: Vec::new(),
+        text: vec!["words".into()],
+    };
+    add(g, "explanation", &explanation);
+    for reason in reasons() {
+        add(g, reason.name(), &reason);
+        golden_words(g, reason.name(), &reason.to_string());
+    }
+    golden.check();
+}
+
+fn golden_words(golden: &mut Golden, name: &str, words: &str) {
+    golden.text(&format!("{name} in words"), words);
+}
+
+#[test]
+fn answers_about_the_cluster_keep_their_form() {
+    let mut golden = Golden::new("tests/golden/cluster.json.txt");
+    let g = &mut golden;
+    let machine = MachineRow {
+        machine: "n-000231".into(),
+        shape: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        owned: false,
+        state: "up".into(),
+        tasks: 3,
+        cpus: 96.5,
+        free_cpus: 4.5,
+        free_memory_gb: 5.5,
+        heard_s: Some(1.5),
+        age_s: Some(2.5),
+    };
+    let silent =
+        MachineRow { spot: false, owned: true, heard_s: None, age_s: None, ..machine.clone() };
+    let next = Some("n-000231".into());
+    add(g, "machines", &MachinePage { machines: vec![machine, silent], next });
+    add(g, "last machines", &MachinePage { machines: Vec::new(), next: None });
+    let team = TeamRow {
+        team: "vision".into(),
+        cpus_used: 1.5,
+        cpus_guaranteed: 2.5,
+        cpus_limit: 3.5,
+        gpus_used: 4.5,
+        gpus_guaranteed: 5.5,
+        gpus_limit: 6.5,
+        jobs_open: 7,
+        tasks_waiting: 8,
+        frozen: true,
+    };
+    add(g, "teams", &vec![team.clone()]);
+    let node = NodeRow {
+        label: "north-1".into(),
+        answering: true,
+        holder: false,
+        token: Some(41),
+        ledger_age_s: Some(1.5),
+        heard_s: Some(2.5),
+        ready: true,
+        drained: false,
+        stuck_ago_s: Some(3.5),
+    };
+    let away = NodeRow {
+        answering: false,
+        holder: true,
+        token: None,
+        ledger_age_s: None,
+        heard_s: None,
+        ready: false,
+        drained: true,
+        stuck_ago_s: None,
+        ..node.clone()
+    };
+    add(g, "nodes", &vec![node, away]);
+    let pair = PairRow { beta0: 0.25, beta: 0.5, weight: 0.75, jobs: 9 };
+    add(g, "splits", &Splits { update_s: 15.5, pairs: vec![pair] });
+    let summary = Summary {
+        holder: "north-1".into(),
+        token: 41,
+        jobs_open: 1,
+        jobs_running: 2,
+        tasks_running: 3,
+        tasks_waiting: 4,
+        oldest_wait_s: 5.5,
+        machines_up: 6,
+        machines_starting: 7,
+        machines_silent: 8,
+        cpus: 9.5,
+        cpus_used: 8.5,
+        teams: vec![team],
+        directives: 10,
+    };
+    add(g, "summary", &summary);
+    let (task, machine) = (|| "job-1/2".to_string(), || "n-1".to_string());
+    let (shape, zone, why) = (|| "g8".to_string(), || "a".to_string(), || "it is sick".to_string());
+    let whats = [
+        What::Placed { task: task(), machine: machine(), ahead: true },
+        What::Stopped { task: task(), machine: machine(), why: why() },
+        What::Ended { task: task(), machine: machine(), why: why() },
+        What::Rented { shape: shape(), zone: zone(), spot: true, asked: 12, got: 7 },
+        What::Refused { shape: shape(), zone: zone(), spot: false },
+        What::Returned { machine: machine(), why: why() },
+        What::SetAside { machine: machine(), why: why() },
+        What::Done { job: "job-1".into() },
+        What::Took { token: 41 },
+    ];
+    for what in &whats {
+        golden_words(g, "decision", &what.to_string());
+    }
+    let decisions = whats
+        .into_iter()
+        .enumerate()
+        .map(|(i, what)| Decision { serial: i as u64 + 1, at_ms: 99, what })
+        .collect();
+    add(g, "decisions", &Decisions { token: 41, decisions, missed: 5 });
+    add(
+        g,
+        "hello",
+        &Hello {
+            label: "north-1".into(),
+            instance: "i1".into(),
+            version: "0.2.0".into(),
+            time_ms: 99,
+        },
+    );
+    golden.check();
+}
+
+#[test]
+fn directives_configuration_and_problems_keep_their_form() {
+    let mut golden = Golden::new("tests/golden/directives.json.txt");
+    let g = &mut golden;
+    let targets = ["machine", "shape", "zone", "node", "team", "class"]
+        .map(|kind| Target::parse(kind, "name").expect(kind));
+    for target in &targets {
+        golden_words(g, "target", &target.to_string());
+    }
+    let directives = targets.into_iter().map(|target| Directive {
+        target,
+        since_ms: 99,
+        within_s: Some(1.5),
+        afterwards: Afterwards::Keep,
+        by: "alice".into(),
+        note: "fans".into(),
+    });
+    add(g, "directives", &Directives { directives: directives.collect() });
+    let target = Target::Zone("a".into());
+    add(g, "changed", &Changed { target, set: true, changed: false });
+    let team = |removed| QuotaRow { team: "vision".into(), quota: QUOTA, removed };
+    let behind = |version| BehindRow { label: "north-1".into(), version };
+    let view = ConfigurationView {
+        on: true,
+        version: Version(41),
+        author: Some(author(Some(Version(39)))),
+        in_force_everywhere_since_ms: Some(98),
+        behind: vec![behind(Some(Version(40))), behind(None)],
+        unknown_fields: vec!["later".into()],
+        teams: vec![team(false), team(true)],
+    };
+    add(g, "configuration", &view);
+    let bare = ConfigurationView {
+        on: false,
+        author: None,
+        in_force_everywhere_since_ms: None,
+        unknown_fields: Vec::new(),
+        ..view
+    };
+    add(g, "bare configuration", &bare);
+    let made = |warning| ConfigurationMade { version: Version(42), warning };
+    add(g, "made", &made(Some("mind".into())));
+    add(g, "made without warning", &made(None));
+    let codes = [
+        Code::Unauthenticated,
+        Code::Clock,
+        Code::Replayed,
+        Code::OtherInstance,
+        Code::Forbidden,
+        Code::NotFound,
+        Code::Malformed,
+        Code::TooLarge,
+        Code::Refused,
+        Code::Busy,
+    ];
+    for code in codes {
+        let ahead_ms = (code == Code::Clock).then_some(-700);
+        add(g, "problem", &Problem { code, error: "why".into(), ahead_ms });
+    }
+    golden.check();
+}
+
+/// What a client sends in `Authorization`, and the key file that it signs with.
+#[test]
+fn signatures_and_key_files_keep_their_form() {
+    let file = "[alice]\nrole = operator\nsecret = 000102030405060708090a0b0c0d0e0f\n\n\
+        [bob]\nrole = viewer\nsecret = 101112131415161718191a1b1c1d1e1f\n";
+    let keys = Key::parse_all("keys", file).expect("a key file");
+    assert_eq!(keys.iter().map(|k| k.role).collect::<Vec<_>>(), [Role::Operator, Role::Viewer]);
+    let mut golden = Golden::new("tests/golden/signatures.txt");
+    let signed = Signed {
+        method: "POST",
+        path: "/v1/jobs?limit=7",
+        body: b"{\"job\":\"job-1\"}",
+        time_ms: 1_700_000_000_123,
+        nonce: "n0",
+        instance: "i1",
+    };
+    for key in &keys {
+        golden.text(&key.name, &key.sign(&signed));
+    }
+    golden.check();
+}
