--- a/crates/vocab/tests/golden.rs
+++ b/crates/vocab/tests/golden.rs
@@ -3,11 +3,13 @@
 #[path = "support/golden.rs"]
 mod golden;
 
+use beamhinge_vocab::http::{write_request, write_response, Content, Method, RequestHead};
 use beamhinge_vocab::job::{
     cancelled_record, done_record, key, open_record, JobKind, JobSpec, JobState, Record, Urgency,
     RECORD_VERSION,
 };
 use beamhinge_vocab::peers::{encode, take, Frame};
+use beamhinge_vocab::settings::{Operator, Settings, SAMPLE};
 use beamhinge_vocab::types::JobId;
 use beamhinge_vocab::wire;
 use golden::Golden;
@@ -144,3 +146,110 @@
     golden.bytes("problem", &wire::problem("no such job"));
     golden.check();
 }
+
+#[test]
+fn heads_of_requests_and_answers_keep_their_form() {
+    let mut golden = Golden::new("tests/golden/http.txt");
+    let mut line = |name: &str, bytes: &[u8]| {
+        golden.text(name, &String::from_utf8_lossy(bytes).replace("\r\n", "\\r\\n"));
+    };
+    let contents = [Content::Cbor, Content::Json, Content::Text];
+    let methods = [Method::Get, Method::Post, Method::Delete];
+    for (method, content) in methods.into_iter().zip(contents) {
+        let authorization = (method == Method::Post).then_some("BH1 key=alice");
+        let head = RequestHead { method, path: "/up?a=b", host: "a:1", content, authorization };
+        let mut out = Vec::new();
+        write_request(&mut out, &head, b"body");
+        line("request", &out);
+    }
+    for status in [200, 201, 202, 400, 401, 403, 404, 405, 409, 413, 421, 422, 429, 503, 599] {
+        let mut out = Vec::new();
+        write_response(&mut out, status, None, false, Content::Cbor, b"");
+        line("answer", &out);
+    }
+    let mut out = Vec::new();
+    write_response(&mut out, 503, Some(7), true, Content::Json, b"{}");
+    line("last answer", &out);
+    golden.check();
+}
+
+/// Every field of the platform's file, under its name there.
+fn settings_lines(s: &Settings) -> String {
+    let p = &s.params;
+    let members: Vec<_> =
+        s.members.iter().map(|m| json!([m.label, m.area, m.addr.to_string()])).collect();
+    let teams: Vec<_> =
+        p.teams.iter().map(|t| json!([t.name, t.cpus, t.cpus_max, t.gpus, t.gpus_max])).collect();
+    let objectives: Vec<_> =
+        p.objectives.iter().map(|o| json!([o.kind, o.class, o.within_s, o.share])).collect();
+    let (w, l) = (&p.workers, &p.machine_limits);
+    json!([
+        [s.label, s.area, s.public_addr.to_string(), s.peer_bind.to_string(), members],
+        [s.external.cloud.to_string(), s.external.state.to_string()],
+        [p.zones, p.skew_ms, teams, objectives],
+        [w.report_s, w.lease_s, w.cancel_s],
+        [p.state.rps, p.state.write_rps, p.state.value_kb, p.state.txn_ops],
+        [p.cloud.rps, p.cloud.list_lag_s],
+        [l.cpu_share, l.ram_mb, l.max_connections]
+    ])
+    .to_string()
+}
+
+const FULL_SETTINGS: &str = r#"
+label = "north-1"
+area = "north"
+public_addr = "127.0.0.1:1"
+peer_bind = "127.0.0.1:2"
+members = [{ label = "south-1", area = "south", addr = "127.0.0.1:3" }]
+external = { cloud = "127.0.0.1:4", state = "127.0.0.1:5" }
+[params]
+zones = ["a", "b"]
+skew_ms = 1.5
+teams = [{ name = "vision", cpus = 2.5, cpus_max = 3.5, gpus = 4.5, gpus_max = 5.5 }]
+objectives = [{ kind = "wait", class = "prompt", within_s = 6.5, share = 0.25 }]
+workers = { report_s = 1.25, lease_s = 10.5, cancel_s = 30.5 }
+state = { rps = 100.5, write_rps = 30.25, value_kb = 8.5, txn_ops = 17 }
+cloud = { rps = 5.25, list_lag_s = 2.5 }
+machine_limits = { cpu_share = 0.125, ram_mb = 64.5, max_connections = 501 }
+"#;
+
+fn operator_lines(o: &Operator) -> String {
+    let door = o.door.as_ref().map(|d| {
+        let keys = d.keys.as_ref().map(|k| k.display().to_string());
+        json!([d.listen.to_string(), keys, d.connections, d.waiting, d.rps, d.clock_s])
+    });
+    let a = &o.ageing;
+    json!([
+        [o.idle_s, o.update_s, o.seed, o.block_lease_s, o.configuration, door],
+        [a.on, a.best_effort_s, a.standard_s, a.ceiling, a.share, a.stops, a.spared_s]
+    ])
+    .to_string()
+}
+
+const FULL_OPERATOR: &str = "[fleet]\nidle_s = 21\n[split]\nupdate_s = 16\nseed = 5\n\
+    [blocks]\nlease_s = 61\n[operators]\nlisten = 0.0.0.0:7911\nkeys = /k.ini\nconnections = 17\n\
+    waiting = 65\nrps = 51\nclock_s = 31\n[ageing]\non = yes\nbest_effort_s = 2701\n\
+    standard_s = 901\nceiling = critical\nshare = 0.06\nstops = 4\nspared_s = 601\n\
+    [configuration]\non = yes\n";
+
+#[test]
+fn settings_files_are_read_as_they_were() {
+    let mut golden = Golden::new("tests/golden/settings.txt");
+    for (name, text) in [("sample.toml", SAMPLE), ("all fields", FULL_SETTINGS)] {
+        let settings = Settings::parse(name, text).expect(name);
+        golden.text(name, &settings_lines(&settings));
+    }
+    for (name, text) in [
+        ("no file", ""),
+        ("all keys", FULL_OPERATOR),
+        ("ageing.ini", include_str!("../../../deploy/ageing.ini")),
+        ("configuration.ini", include_str!("../../../deploy/configuration.ini")),
+        ("operators.ini", include_str!("../../../deploy/operators.ini")),
+    ] {
+        golden.text(name, &operator_lines(&Operator::parse(name, text).expect(name)));
+    }
+    let service: toml::Table =
+        include_str!("../../../deploy/service.toml").parse().expect("service.toml");
+    golden.text("service.toml", &serde_json::to_string(&service).expect("plain data"));
+    golden.check();
+}
