--- a/crates/controller/src/intake.rs
+++ b/crates/controller/src/intake.rs
@@ -37,6 +37,9 @@
 /// Jobs of which it is remembered that peers know their end: more do not end within
 /// the seconds in which a question waits.
 const WORDS_KNOWN: usize = 512;
+/// Jobs whose progress is kept before those that are over are dropped, which looks at all of
+/// them. The holder's own list replaces it each second; two jobs for each of 8,192 machines.
+const MAX_SHOWN: usize = 16_384;
 /// A poll's client waits two seconds: no answer of ours takes longer.
 const POLL_PATIENCE_S: f64 = 1.4;
 const SUBMIT_PATIENCE_S: f64 = 3.0;
@@ -556,7 +559,7 @@
                 }
             }
         }
-        if self.shown.len() > 4_096 {
+        if self.shown.len() > MAX_SHOWN {
             self.shown.retain(|id, _| book.get(*id).is_some_and(|e| e.state == JobState::Open));
         }
     }
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -163,8 +163,8 @@
         let words = self.intake.take_words();
         if !words.is_empty() && !broken!(self.faults, no_word) {
             // Before the answers themselves.
-            let jobs = words.iter().take(Frame::MOST_NAMES).map(|j| j.to_string()).collect();
-            out.insert(before, Out::Tell { to: None, frame: encode(&Frame::Ended { jobs }) });
+            let tell = |frame| Out::Tell { to: None, frame: encode(&frame) };
+            out.splice(before..before, Frame::ended(&words).into_iter().map(tell));
         }
         let new = &mut out[before..];
         self.translate(new);
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -207,12 +207,9 @@
                 self.told_by_holder(serial, status, body, out);
             }
             Frame::Progress(rows) => {
-                self.intake.shown = rows
-                    .into_iter()
-                    .filter_map(|(id, done, running)| {
-                        Some((JobId::parse(&id)?, Counts { done, running }))
-                    })
-                    .collect();
+                if let Some(list) = self.peers.progress.came(rows) {
+                    self.intake.shown = list;
+                }
             }
             Frame::Hears { machines, .. } => {
                 let machines = machines.iter().filter_map(|m| MachineId::parse(m));
@@ -225,7 +222,7 @@
                 }
             }
             Frame::Ended { jobs } => {
-                let jobs = jobs.iter().take(Frame::MOST_NAMES).filter_map(|j| JobId::parse(j));
+                let jobs = jobs.iter().filter_map(|j| JobId::parse(j));
                 self.intake.heard_ended(now, jobs);
             }
             Frame::Holds { label, token } => {
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -56,10 +56,9 @@
                 out.push(Out::Tell { to: None, frame: encode(&ready) });
             }
             if let Some(place) = self.place.as_ref().filter(|p| p.loaded()) {
-                out.push(Out::Tell {
-                    to: None,
-                    frame: encode(&peers::progress(place.all_counts())),
-                });
+                for frame in peers::progress(place.all_counts()) {
+                    out.push(Out::Tell { to: None, frame: encode(&frame) });
+                }
             }
         }
         if now.since(self.told_visitors) >= 0.5 {
@@ -125,9 +124,9 @@
             return;
         }
         let Some(holder) = self.peers.holder(now).or(self.leader.other_leader()) else { return };
-        let machines = machines.iter().take(Frame::MOST_NAMES).map(|m| m.to_string()).collect();
-        let hears = Frame::Hears { label: self.settings.label.clone(), machines };
-        out.push(Out::Tell { to: Some(holder.to_string()), frame: encode(&hears) });
+        for hears in Frame::hears(&self.settings.label, &machines) {
+            out.push(Out::Tell { to: Some(holder.to_string()), frame: encode(&hears) });
+        }
     }
 
     /// A holder that reaches the state service and yet commits nothing while
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -3,6 +3,7 @@
 use beamhinge_vocab::messages::Counts;
 use beamhinge_vocab::peers::Frame;
 use beamhinge_vocab::types::{JobId, Time, Token};
+use std::collections::BTreeMap;
 
 /// After so long without a word a token counts no more, seconds: longer than a former
 /// holder goes on answering.
@@ -15,6 +16,8 @@
     /// Label, when it said so, whether it could take over, whether drained.
     ready: Vec<(String, Time, bool, bool)>,
     pub sent: Time,
+    /// The progress of jobs, as far as its frames are here.
+    pub progress: ProgressList,
     /// Who last said that it holds the block, with which token, and when.
     holder: Option<(String, Token, Time)>,
 }
@@ -82,14 +85,46 @@
     }
 }
 
-pub fn progress(counts: impl Iterator<Item = (JobId, Counts)>) -> Frame {
-    Frame::Progress(
-        counts
-            .filter(|(_, c)| c.done > 0 || c.running > 0)
-            .take(4_000)
-            .map(|(id, c)| (id.to_string(), c.done, c.running))
-            .collect(),
-    )
+/// Frames that tell the progress of jobs with tasks done or running.
+pub fn progress(counts: impl Iterator<Item = (JobId, Counts)>) -> Vec<Frame> {
+    let moving = counts.filter(|(_, c)| c.done > 0 || c.running > 0);
+    Frame::progress(moving.map(|(id, c)| (id.to_string(), c.done, c.running)).collect())
+}
+
+/// The holder's list of progress, put together from the frames that carry it.
+#[derive(Default)]
+pub struct ProgressList {
+    /// What came of a list whose last frame is still on its way.
+    begun: BTreeMap<JobId, Counts>,
+}
+
+impl ProgressList {
+    /// Jobs of one list that are kept: four for each of 8,192 machines. What is beyond it is
+    /// not displayed, and a warning says so.
+    const MAX_JOBS: usize = 32_768;
+
+    /// Takes a frame's rows. Returns the whole list once its last frame is here.
+    pub fn came(&mut self, rows: Vec<(String, u32, u32)>) -> Option<BTreeMap<JobId, Counts>> {
+        let last = rows.len() < Frame::MAX_ROWS;
+        let parsed = rows
+            .into_iter()
+            .filter_map(|(id, done, running)| Some((JobId::parse(&id)?, Counts { done, running })));
+        let part: BTreeMap<JobId, Counts> = parsed.collect();
+        // Ids rise through a list: one that falls begins another, the last one's end is lost.
+        let follows = self.begun.keys().next_back() < part.keys().next();
+        if !part.is_empty() && !follows {
+            self.begun.clear();
+        }
+        self.begun.extend(part);
+        if self.begun.len() > Self::MAX_JOBS {
+            let count = self.begun.len();
+            tracing::warn!("progress of {count} jobs: {} of them are kept", Self::MAX_JOBS);
+            while self.begun.len() > Self::MAX_JOBS {
+                self.begun.pop_last();
+            }
+        }
+        last.then(|| std::mem::take(&mut self.begun))
+    }
 }
 
 #[cfg(test)]
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -40,3 +40,49 @@
     }
     golden.check();
 }
+
+fn counts(jobs: std::ops::Range<u32>, done: u32) -> Vec<(JobId, Counts)> {
+    let id = |n| JobId::parse(&format!("job-{n}")).expect("an id");
+    jobs.map(|n| (id(n), Counts { done, running: 1 })).collect()
+}
+
+/// What a peer knows after these frames, taken one after the other.
+fn shown(list: &mut ProgressList, frames: Vec<Frame>) -> Option<BTreeMap<JobId, Counts>> {
+    let mut whole = None;
+    for frame in frames {
+        let Frame::Progress(rows) = frame else { panic!("another frame") };
+        whole = list.came(rows).or(whole);
+    }
+    whole
+}
+
+/// Beyond 4,000 jobs the others' progress was cut off without a word.
+#[test]
+fn the_progress_of_more_jobs_than_a_frame_holds_comes_whole() {
+    for count in [0, 1, 3_999, 4_000, 4_001, 8_000, 12_345] {
+        let told = counts(0..count, 7);
+        let got = shown(&mut ProgressList::default(), progress(told.iter().copied()));
+        assert_eq!(got, Some(told.into_iter().collect()));
+    }
+}
+
+#[test]
+fn each_list_replaces_the_one_before_also_when_a_last_frame_was_lost() {
+    let mut list = ProgressList::default();
+    let mut broken = progress(counts(0..9_000, 1).into_iter());
+    broken.pop();
+    assert_eq!(shown(&mut list, broken), None);
+    let told = counts(0..5_000, 2);
+    let got = shown(&mut list, progress(told.iter().copied()));
+    assert_eq!(got, Some(told.into_iter().collect()));
+    let few = counts(7..9, 3);
+    assert_eq!(shown(&mut list, progress(few.iter().copied())), Some(few.into_iter().collect()));
+}
+
+#[test]
+fn memory_for_a_list_is_bounded() {
+    let mut list = ProgressList::default();
+    let frames = progress(counts(0..100_000, 1).into_iter());
+    let got = shown(&mut list, frames).expect("the list");
+    assert_eq!(got.len(), ProgressList::MAX_JOBS);
+}
--- a/crates/vocab/src/peers.rs
+++ b/crates/vocab/src/peers.rs
@@ -5,6 +5,7 @@
 //! last exchange with the state service lets a node that alone is cut off from
 //! it step out of the users' way.
 
+use crate::types::{JobId, MachineId};
 use serde::{Deserialize, Serialize};
 
 /// Longest frame taken from a peer; guards memory.
@@ -37,8 +38,49 @@
 }
 
 impl Frame {
-    /// Names that a frame holds: bounded, so that no frame exceeds its limit.
-    pub const MOST_NAMES: usize = 4_000;
+    /// Names of machines or jobs in one [`Frame::Hears`] or [`Frame::Ended`]. A longer list
+    /// goes out as several frames. 8,192 of the longest names are 184 KB, which leaves a
+    /// quarter of [`FRAME_LIMIT`] for the label.
+    pub const MAX_NAMES: usize = 8_192;
+
+    /// Rows in one [`Frame::Progress`]; a longer list goes out as several frames, see
+    /// [`Frame::progress`]. The longest row takes 33 bytes, so 4,000 rows are 129 KB.
+    pub const MAX_ROWS: usize = 4_000;
+
+    /// The machines that report to `label` in place of the holder: as many frames as their
+    /// names need. The receiver adds them up.
+    pub fn hears(label: &str, machines: &[MachineId]) -> Vec<Frame> {
+        let frame = |part: &[MachineId]| Frame::Hears {
+            label: label.to_string(),
+            machines: part.iter().map(MachineId::to_string).collect(),
+        };
+        machines.chunks(Frame::MAX_NAMES).map(frame).collect()
+    }
+
+    /// Jobs whose end a user was told: as many frames as their names need.
+    pub fn ended(jobs: &[JobId]) -> Vec<Frame> {
+        let frame =
+            |part: &[JobId]| Frame::Ended { jobs: part.iter().map(JobId::to_string).collect() };
+        jobs.chunks(Frame::MAX_NAMES).map(frame).collect()
+    }
+
+    /// The progress of jobs, in rising order of their ids: as many frames as the rows need.
+    ///
+    /// The list replaces the one before it, so its end must be known: a frame of
+    /// [`Frame::MAX_ROWS`] rows is continued by the next, and the last one has fewer rows
+    /// (none, if the others took all).
+    pub fn progress(rows: Vec<(String, u32, u32)>) -> Vec<Frame> {
+        let mut frames = Vec::new();
+        let mut rows = rows.into_iter();
+        loop {
+            let part: Vec<_> = rows.by_ref().take(Frame::MAX_ROWS).collect();
+            let last = part.len() < Frame::MAX_ROWS;
+            frames.push(Frame::Progress(part));
+            if last {
+                return frames;
+            }
+        }
+    }
 }
 
 pub fn encode(frame: &Frame) -> Vec<u8> {
