--- a/crates/net/src/connections.rs
+++ b/crates/net/src/connections.rs
@@ -46,6 +46,7 @@
             inbuf: Vec::new(),
             outbuf: Vec::new(),
             writing: connecting,
+            overfull: false,
             active: self.now(),
         };
         if slot == self.conns.len() {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -51,6 +51,8 @@
     inbuf: Vec<u8>,
     outbuf: Vec<u8>,
     writing: bool,
+    /// To a peer: it does not read, and the last frame for it was dropped.
+    overfull: bool,
     active: Time,
 }
 
--- a/crates/net/src/output.rs
+++ b/crates/net/src/output.rs
@@ -15,6 +15,10 @@
 pub(crate) const CLOUD_CONNS: usize = 8;
 pub(crate) const WORKER_CONNS: usize = 64;
 
+/// Bytes that wait for one peer to read them before further frames to it are dropped: two of
+/// the longest, since a list of more than 8,192 machines is sent as two.
+const MAX_UNREAD_BYTES: usize = 2 * peers::FRAME_LIMIT;
+
 impl<S: Service> Net<S> {
     pub(crate) fn act(&mut self, out: Vec<Out>) {
         for o in out {
@@ -60,8 +64,14 @@
                 continue;
             }
             // A peer that does not read gets no more to store.
-            if c.outbuf.len() < 2 * peers::FRAME_LIMIT {
+            if c.outbuf.len() < MAX_UNREAD_BYTES {
                 c.outbuf.extend_from_slice(frame);
+                c.overfull = false;
+            } else if !c.overfull {
+                c.overfull = true;
+                let label = &self.wiring.members[member].label;
+                let waits = c.outbuf.len();
+                tracing::warn!("{label} does not read: {waits} bytes wait, frames are dropped");
             }
             self.flush(slot);
         }
