--- a/crates/suspicion/src/peer_observations.rs
+++ b/crates/suspicion/src/peer_observations.rs
@@ -3,8 +3,10 @@
 use beamhinge_vocab::types::{MachineId, Time};
 use std::collections::BTreeMap;
 
-/// Machines that are remembered at most; guards memory and frames.
-const MOST: usize = 4_096;
+/// Machines that are remembered at once. Twice the 8,192 machines that a controller is
+/// built for, since those of a fleet that is being replaced are remembered for some seconds
+/// beside the new ones.
+const MAX_MACHINES: usize = 16_384;
 
 /// Machines that tried a controller which does not hold them.
 #[derive(Debug, Default)]
@@ -19,7 +21,7 @@
     pub fn came(&mut self, now: Time, id: MachineId, within_s: f64) -> bool {
         let known = self.came.get(&id).copied();
         let again = known.is_some_and(|(at, sent)| sent && now.since(at) <= within_s);
-        if self.came.len() < MOST || known.is_some() {
+        if self.came.len() < MAX_MACHINES || known.is_some() {
             self.came.insert(id, (now, false));
         }
         again
@@ -53,8 +55,8 @@
 impl PeerObservations {
     /// A peer says that it hears these.
     pub fn told(&mut self, now: Time, machines: impl Iterator<Item = MachineId>) {
-        for id in machines.take(MOST) {
-            if self.heard.len() < MOST || self.heard.contains_key(&id) {
+        for id in machines.take(MAX_MACHINES) {
+            if self.heard.len() < MAX_MACHINES || self.heard.contains_key(&id) {
                 self.heard.insert(id, now);
             }
         }
@@ -96,17 +98,35 @@
         v.sent_on(id(1));
         v.holder_changed();
         assert!(!v.came(at(30.5), id(1), 12.0), "the new holder may answer it");
-        for n in 0..10_000 {
+        for n in 0..MAX_MACHINES as u32 + 5_000 {
             v.came(at(31.0), id(n), 12.0);
         }
         let all = v.lately(at(31.0), 6.0);
-        assert_eq!(all.len(), MOST);
+        assert_eq!(all.len(), MAX_MACHINES);
         let mut e = PeerObservations::default();
         e.told(at(31.0), all.iter().copied());
-        e.told(at(31.0), (0..20_000).map(id));
-        assert_eq!(e.len(), MOST);
+        e.told(at(31.0), (0..40_000).map(id));
+        assert_eq!(e.len(), MAX_MACHINES);
         assert!(e.since(at(33.0), id(3)).is_some_and(|s| (s - 2.0).abs() < 1e-6));
         e.forget(at(40.0), 6.0);
         assert!(e.is_empty());
     }
+
+    /// With more machines than 4,096, those of the highest numbers were never named to the
+    /// holder, which took them for dead.
+    #[test]
+    fn all_machines_of_a_large_fleet_are_known() {
+        let id = |n: u32| MachineId::parse(&format!("n-{n:06}")).expect("a name");
+        let at = |s: f64| Time::default().plus(10.0 + s);
+        let (mut visitors, mut heard) = (Visitors::default(), PeerObservations::default());
+        for n in 0..8_192 {
+            visitors.came(at(0.0), id(n), 12.0);
+            visitors.sent_on(id(n));
+        }
+        assert!((0..8_192).all(|n| visitors.came(at(1.0), id(n), 12.0)));
+        let all = visitors.lately(at(1.0), 6.0);
+        assert_eq!(all.len(), 8_192);
+        heard.told(at(1.0), all.into_iter());
+        assert!((0..8_192).all(|n| heard.since(at(2.0), id(n)).is_some()));
+    }
 }
