--- a/crates/controller/src/jobs.rs
+++ b/crates/controller/src/jobs.rs
@@ -18,8 +18,10 @@
 use std::ops::Bound;
 use std::rc::Rc;
 
-/// Names that are kept once.
-const MOST_SHARED: usize = 4_096;
+/// Different names of teams, classes and images that are kept once however many jobs have
+/// them; further ones are kept by each of their jobs. 16,384 allow each of 8,192 machines to
+/// run an image of its own, beside as many names of teams and classes.
+const MAX_SHARED_NAMES: usize = 16_384;
 
 #[derive(Clone, Debug)]
 pub struct Entry {
@@ -141,7 +143,7 @@
             match self.shared.get(name) {
                 Some(known) => *name = known.clone(),
                 // A flood of names is kept by its jobs alone.
-                None if self.shared.len() < MOST_SHARED => {
+                None if self.shared.len() < MAX_SHARED_NAMES => {
                     self.shared.insert(name.clone());
                 }
                 None => {}
@@ -215,3 +217,6 @@
         self.changed.push(id);
     }
 }
+
+#[cfg(test)]
+mod tests;
