--- a/crates/controller/src/event_log.rs
+++ b/crates/controller/src/event_log.rs
@@ -5,8 +5,12 @@
 use beamhinge_vocab::types::WallMs;
 use std::collections::VecDeque;
 
-/// Decisions that are remembered.
-const MOST: usize = 1_024;
+/// Decisions that are remembered; who asks for older ones is told how many are forgotten.
+const MAX_DECISIONS: usize = 1_024;
+/// Ages of placed tasks that are kept until they are counted, once a second; further ones are
+/// not counted. The lead's first placement may start a task on each of 8,192 machines at once,
+/// and more than one on some; 16,384 ages are 128 KB.
+const MAX_WAITS: usize = 16_384;
 
 #[derive(Default)]
 pub struct EventLog {
@@ -57,7 +61,7 @@
         let what = what();
         self.counts[kind(&what)] += 1;
         self.next += 1;
-        if self.ring.len() >= MOST {
+        if self.ring.len() >= MAX_DECISIONS {
             self.ring.pop_front();
         }
         self.ring.push_back(Decision { serial: self.next, at_ms: self.wall.0, what });
@@ -65,7 +69,7 @@
 
     /// A task of a job submitted at this time of day was placed.
     pub fn placed(&mut self, submitted_ms: u64) {
-        if self.on && self.waits.len() < MOST {
+        if self.on && self.waits.len() < MAX_WAITS {
             self.waits.push((self.wall.0 as f64 - submitted_ms as f64).max(0.0) / 1e3);
         }
     }
