--- a/crates/controller/src/placement/mod.rs
+++ b/crates/controller/src/placement/mod.rs
@@ -56,9 +56,11 @@
 /// Direct calls to workers that go out together.
 const MOST_STOPS: usize = 16;
 
-/// Machines that are gone and remembered: more are not given back within minutes,
-/// and a copy comes no later.
-const GONE_KNOWN: usize = 4_096;
+/// Machines that are gone and remembered, so that a late copy of a report in the name of one
+/// changes nothing; beyond it the lowest number is forgotten. A copy comes within minutes, and
+/// in that time a whole fleet of 8,192 machines may be replaced once and its successors be
+/// given back.
+const MAX_GONE_MACHINES: usize = 16_384;
 /// Classes whose largest job is known; guards memory, names are the users'.
 const CLASSES_KNOWN: usize = 256;
 /// Tasks whose stops are remembered.
--- a/crates/controller/src/placement/reports.rs
+++ b/crates/controller/src/placement/reports.rs
@@ -621,7 +621,7 @@
 
     /// The cloud has confirmed that the machine and all on it are gone.
     pub fn machine_gone(&mut self, now: Time, id: MachineId) {
-        if self.gone.len() >= GONE_KNOWN {
+        if self.gone.len() >= MAX_GONE_MACHINES {
             // Names are given in order: the lowest has been gone longest, or nearly.
             self.gone.pop_first();
         }
--- a/crates/controller/src/placement/reports/tests.rs
+++ b/crates/controller/src/placement/reports/tests.rs
@@ -390,3 +390,16 @@
     place.rest_on(None, Some(now.plus(7.0)));
     assert!(place.may_run(now.plus(6.9)) && !place.may_run(now.plus(7.0)));
 }
+
+/// A fleet of 8,192 machines that is replaced as a whole: late copies in the name of any of
+/// them are known as such. Beyond 4,096 those of the lowest numbers were not.
+#[test]
+fn a_large_fleet_that_is_gone_is_remembered_and_memory_is_bounded() {
+    let (_, mut place) = cancelled("job-1");
+    let id = |n: usize| MachineId::parse(&format!("n-{n:06}")).expect("a name");
+    (0..8_192).for_each(|n| place.machine_gone(at(NOW), id(n)));
+    assert!((0..8_192).all(|n| place.gone.contains(&id(n))));
+    (0..MAX_GONE_MACHINES + 100).for_each(|n| place.machine_gone(at(NOW), id(n)));
+    assert_eq!(place.gone.len(), MAX_GONE_MACHINES);
+    assert!(place.gone.contains(&id(MAX_GONE_MACHINES + 99)));
+}
