--- a/crates/controller/src/placement/mod.rs
+++ b/crates/controller/src/placement/mod.rs
@@ -63,8 +63,9 @@
 const MAX_GONE_MACHINES: usize = 16_384;
 /// Classes whose largest job is known; guards memory, names are the users'.
 const CLASSES_KNOWN: usize = 256;
-/// Tasks whose stops are remembered.
-const STOPS_KNOWN: usize = 4_096;
+/// Tasks whose stops are remembered; beyond it the one that was stopped least is forgotten.
+/// Two for each of 8,192 machines.
+const MAX_STOPPED_TASKS: usize = 16_384;
 
 pub struct Placement {
     token: Token,
@@ -174,7 +175,7 @@
             margin_s: settings.margin_s(),
             ageing,
             reserved: Reservations::default(),
-            made_room: Stops::new(STOPS_KNOWN),
+            made_room: Stops::new(MAX_STOPPED_TASKS),
             blame: Blame::default(),
             places: Places::default(),
             largest: BTreeMap::new(),
