--- a/crates/suspicion/src/blame.rs
+++ b/crates/suspicion/src/blame.rs
@@ -21,10 +21,13 @@
 const FAILURES: u32 = 24;
 /// How long it does not return to where it failed, seconds.
 const BARRED_S: f64 = 20.0;
-/// Jobs that one machine remembers failures of, and jobs and machines that are
-/// remembered at all; guards memory.
-const MOST_OF_ONE: usize = 16;
-const MOST: usize = 8_192;
+/// Jobs whose failures one machine remembers, and machines that one job remembers; the
+/// judgement needs [`UNKNOWN`] and [`MACHINES`] of them.
+const MAX_CHARGES: usize = 16;
+/// Machines, and jobs, with failures since their last success that are remembered at once.
+/// A fleet of 8,192 machines may fail as a whole; further failures are not judged. Machines
+/// that are gone and jobs that are over are forgotten.
+const MAX_REMEMBERED: usize = 8_192;
 /// Longest pause between two tries of a job at fault, seconds.
 const LONGEST_S: f64 = 60.0;
 
@@ -137,20 +140,20 @@
         report_s: f64,
     ) -> Verdict {
         let mut verdict = Verdict::default();
-        if self.jobs.len() >= MOST && !self.jobs.contains_key(&job) {
+        if self.jobs.len() >= MAX_REMEMBERED && !self.jobs.contains_key(&job) {
             return verdict;
         }
         let case = self.jobs.entry(job).or_default();
         case.failures = case.failures.saturating_add(1);
         case.last = now;
         case.sound |= sound;
-        if case.failed_on.insert(machine.number()) && case.machines.len() < MOST_OF_ONE {
+        if case.failed_on.insert(machine.number()) && case.machines.len() < MAX_CHARGES {
             case.machines.push(machine);
         }
         let was = case.fault;
-        if self.machines.len() < MOST || self.machines.contains_key(&machine) {
+        if self.machines.len() < MAX_REMEMBERED || self.machines.contains_key(&machine) {
             let (charges, _) = self.machines.entry(machine).or_default();
-            if charges.len() < MOST_OF_ONE || charges.contains_key(&job) {
+            if charges.len() < MAX_CHARGES || charges.contains_key(&job) {
                 let n = charges.entry(job).or_insert(0);
                 *n = n.saturating_add(1);
             }
@@ -347,11 +350,11 @@
     #[test]
     fn memory_is_bounded() {
         let mut b = Blame::default();
-        for n in 0..(MOST as u32 + 50) {
+        for n in 0..(MAX_REMEMBERED as u32 + 50) {
             b.failed(at(0.0), machine(n), (job(n), false), 1.0);
             b.failed(at(0.0), machine(0), (job(n), false), 1.0);
         }
-        assert!(b.jobs.len() <= MOST && b.machines.len() <= MOST);
-        assert!(b.machines[&machine(0)].0.len() <= MOST_OF_ONE);
+        assert_eq!((b.jobs.len(), b.machines.len()), (MAX_REMEMBERED, MAX_REMEMBERED));
+        assert!(b.machines[&machine(0)].0.len() <= MAX_CHARGES);
     }
 }
