--- a/crates/lab/src/scale/layout/tests.rs
+++ b/crates/lab/src/scale/layout/tests.rs
@@ -21,6 +21,23 @@
     assert!((0..4).all(|m| layout.process_of(m) == 0), "real ones are by themselves");
 }
 
+#[test]
+fn a_large_fleet_has_its_addresses_and_its_sockets() {
+    for workers in [4_000, 8_192, 12_000] {
+        let size = Size { workers, ..Size::parse("t", OPERATORS_TABLE).expect("sound") };
+        let layout = Layout::new(size, 20_000, 4);
+        let mut seen = BTreeSet::new();
+        for process in 0..layout.worker_processes() {
+            let addresses = layout.worker_addresses(process);
+            // The sockets of a child don't depend on the fleet's size.
+            assert!(addresses.len() < 1_000 && addresses.iter().all(|a| a.ip().is_loopback()));
+            seen.extend(addresses);
+        }
+        assert!(seen.len() > workers);
+        assert!(layout.connections() > workers);
+    }
+}
+
 #[test]
 fn controllers_and_zones_are_spread_over_the_regions() {
     let layout = layout();
--- a/crates/lab/src/scale/role/mod.rs
+++ b/crates/lab/src/scale/role/mod.rs
@@ -23,8 +23,11 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Sockets that a child may have open.
-pub const MOST_CONNECTIONS: usize = 18_000;
+/// Sockets that a child may have open. A process of workers has some hundred workers whatever
+/// the size of the fleet, and the stand-ins of the state service and of the cloud serve the
+/// controllers alone, so this does not grow with the workers. What does are a controller's
+/// sockets, and those are set by the layout.
+pub const MAX_CONNECTIONS: usize = 18_000;
 /// How often a child tells its counts, seconds.
 const COUNTS_S: f64 = 1.0;
 
@@ -198,6 +201,6 @@
         peers: None,
         members: Vec::new(),
         external: External { cloud: nowhere, state: nowhere },
-        max_connections: MOST_CONNECTIONS,
+        max_connections: MAX_CONNECTIONS,
     }
 }
--- a/crates/lab/src/scale/run.rs
+++ b/crates/lab/src/scale/run.rs
@@ -9,7 +9,7 @@
 use super::measure::Measurement;
 use super::messages::{wall_us, Command, MachinePlan, Record, RolePlan, StateLimits};
 use super::relay::{Direction, Relays};
-use super::role::MOST_CONNECTIONS;
+use super::role::MAX_CONNECTIONS;
 use super::size::Size;
 use super::usage;
 use super::workload::Workload;
@@ -105,7 +105,7 @@
 
 /// Checks that this machine can play it; what to do where it cannot.
 fn check_machine(layout: &Layout) -> Result<(), LabError> {
-    let needed = layout.connections().max(MOST_CONNECTIONS) as u64 + 200;
+    let needed = layout.connections().max(MAX_CONNECTIONS) as u64 + 200;
     if usage::file_limit().is_some_and(|limit| limit < needed) {
         return Err(LabError::Other(format!(
             "a process may open {} files here, and {needed} are needed: \
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -9,8 +9,10 @@
 
 /// Controllers are named by single letters.
 const MOST_CONTROLLERS: usize = 26;
-/// Workers that one machine's memory and sockets bear.
-const MOST_WORKERS: usize = 6_000;
+/// Workers of one run. A controller has a socket for each and half as many again; 12,000 need
+/// 19,200 open files in a process, and more are beyond what a usual machine allows. The run
+/// itself checks what this machine allows, before it starts.
+const MAX_WORKERS: usize = 12_000;
 const MOST_TEAMS: usize = 2_000;
 const MOST_STARTS_PER_S: f64 = 2_000.0;
 
@@ -117,7 +119,7 @@
     /// Whether it can be played at all.
     pub fn check(&self) -> Result<(), SizeError> {
         let counts = [
-            ("workers", self.workers, MOST_WORKERS),
+            ("workers", self.workers, MAX_WORKERS),
             ("controllers", self.controllers, MOST_CONTROLLERS),
             ("teams", self.teams, MOST_TEAMS),
             ("regions", self.regions, MOST_CONTROLLERS),
--- a/crates/lab/src/scale/size/tests.rs
+++ b/crates/lab/src/scale/size/tests.rs
@@ -25,8 +25,9 @@
 
 #[test]
 fn what_cannot_be_played_is_refused_by_its_name() {
-    let cases: [(&str, Change); 6] = [
+    let cases: [(&str, Change); 7] = [
         ("workers", |s| s.workers = 0),
+        ("workers", |s| s.workers = MAX_WORKERS + 1),
         ("zones", |s| s.zones = s.workers + 1),
         ("zones", |s| s.zones = 2),
         ("running", |s| s.running = 100),
@@ -40,3 +41,11 @@
         assert!(error.starts_with(field), "{error}");
     }
 }
+
+#[test]
+fn fleets_of_4000_and_8192_and_of_the_most_workers_can_be_played() {
+    for workers in [4_000, 8_192, MAX_WORKERS] {
+        let size = Size { workers, ..table() };
+        size.check().expect("sound");
+    }
+}
