--- a/crates/sim/src/fingerprint/days.rs
+++ b/crates/sim/src/fingerprint/days.rs
@@ -31,13 +31,15 @@
 
 /// Ends of a leader, outages of the state service, changes of the configuration, and the
 /// decisions that the drawn days meet seldom.
-const SCENARIOS: [(&str, &str); 9] = [
+const SCENARIOS: [(&str, &str); 11] = [
     scenario!("ageing_service"),
     scenario!("cancel_in_pairs"),
     scenario!("config_leader_ends"),
     scenario!("config_many_at_once"),
     scenario!("drain_leader"),
+    scenario!("explain_split"),
     scenario!("long_state_outage"),
+    scenario!("quiet_day"),
     scenario!("room_two_claims"),
     scenario!("six_teams"),
     scenario!("spot_notice_saves"),
