--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -665,3 +665,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/controller/src/node/operators/tests.rs
@@ -0,0 +1,42 @@
+use super::*;
+use crate::calls::{MirrorCall, PlaceCall, Tag};
+use crate::event_log::EventLog;
+use crate::ledger::{Outcome, Reply};
+use crate::placement::Placement;
+use beamhinge_ageing::Policy;
+use beamhinge_vocab::settings::{Operator, Settings, SAMPLE};
+use beamhinge_vocab::types::Token;
+
+/// Names and types of all figures on the page of a controller that leads.
+#[test]
+fn figures_keep_their_names() {
+    let now = Time::from_micros(1_000_000);
+    let settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
+    let operator = Operator::parse("t", "[operators]\nlisten = 127.0.0.1:1\n").expect("sound");
+    let policy = Policy::new(Default::default());
+    let log = EventLog::new(true);
+    let mut place = Placement::new(&settings, Token(9), Default::default(), log, policy, now);
+    let mut node = Node::new(settings, operator, Vec::new(), 7, now);
+    // Nothing is stored: the copy of the jobs, the pages and the shelves are read as empty.
+    let empty = |tag: Tag| {
+        let body = serde_json::json!({"pairs": [], "ledgerRev": 9});
+        Reply { tag, outcome: Outcome::Ok(beamhinge_vocab::wire::encode(&body)), sent: now }
+    };
+    node.book.tick(now, true, true, &mut node.ledger);
+    node.book.on_reply(now, MirrorCall::Scan, empty(Tag::Job(MirrorCall::Scan)));
+    place.tick(now, WallMs(1), true, &node.settings, &[], &node.book, &mut node.ledger);
+    for call in [PlaceCall::Pages, PlaceCall::Progress] {
+        place.on_reply(now, call, empty(Tag::Place(call)), &mut node.book);
+    }
+    assert!(place.loaded());
+    node.place = Some(place);
+    let mut golden = crate::golden::Golden::new("tests/golden/figures.txt");
+    for line in node.metrics_page(now, WallMs(1)).lines() {
+        match line.strip_prefix("# TYPE ") {
+            Some(kind) => golden.text("type", kind),
+            None if line.contains("decisions_total{") => golden.text("counter", line),
+            None => {}
+        }
+    }
+    golden.check();
+}
--- /dev/null
+++ b/crates/daemon/tests/flags.rs
@@ -0,0 +1,18 @@
+//! The daemon's flags, as the shipped files name them.
+
+use std::process::Command;
+
+#[test]
+fn the_daemon_takes_its_flags() {
+    let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
+    for form in ["text", "json"] {
+        let done = Command::new(env!("CARGO_BIN_EXE_beamhinged"))
+            .args(["--check", "--log-format", form])
+            .args(["--config", &format!("{root}/crates/vocab/sample.toml")])
+            .args(["--operator", &format!("{root}/deploy/operators.ini")])
+            .output()
+            .expect("the daemon runs");
+        assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
+        assert_eq!(String::from_utf8_lossy(&done.stdout), "settings are sound\n");
+    }
+}
