--- a/crates/controller/src/placement/reports/tests.rs
+++ b/crates/controller/src/placement/reports/tests.rs
@@ -403,3 +403,27 @@
     assert_eq!(place.gone.len(), MAX_GONE_MACHINES);
     assert!(place.gone.contains(&id(MAX_GONE_MACHINES + 99)));
 }
+
+/// Each verb that a worker knows, as its orders are encoded.
+#[test]
+fn orders_keep_their_form() {
+    let (mut book, mut place) = cancelled("job-1");
+    let spec = book.get(job("job-1")).and_then(|e| e.spec.clone());
+    book.wrote(job("job-2"), Stamp(6), JobState::Open, spec);
+    place.sync_job(at(NOW), job("job-2"), &book);
+    place.loaded = true;
+    place.report(at(NOW), &report(1, 9, &[]), &[], &book);
+    let task = TaskId { job: job("job-2"), index: 0 };
+    let known = place.machines.get_mut(&machine()).expect("known");
+    known.entries.insert(task, entry(State::Committed));
+    let mut said = report(2, 9, &["job-1/0", "job-3/0"]);
+    said.pieces[1].status = "exited".into();
+    said.pieces[1].cause = Some("stopped".into());
+    let mut golden = crate::golden::Golden::new("tests/golden/orders.hex");
+    let orders = place.report(at(NOW + 1.0), &said, &[], &book);
+    assert_eq!(orders.iter().map(|o| o.verb).collect::<Vec<_>>(), ["kill", "clear", "run"]);
+    for order in orders {
+        golden.bytes(order.verb, &beamhinge_vocab::wire::encode(&order));
+    }
+    golden.check();
+}
