--- a/crates/operators/src/messages.rs
+++ b/crates/admin-api/src/messages.rs
@@ -4,7 +4,7 @@
 use crate::reasons::Reason;
 use beamhinge_configuration::stored::Author;
 use beamhinge_configuration::{Quota, Version};
-use beamhinge_vocab::job::{JobKind, JobSpec, Urgency};
+use beamhinge_core::job::{JobKind, JobSpec, Urgency};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/crates/operators/tests/golden.rs
+++ b/crates/admin-api/tests/golden.rs
@@ -1,16 +1,16 @@
 //! The operators' interface as JSON: what the client sends, what controllers answer, and
 //! what `beamhinge --output json` therefore prints.
 
-#[path = "../../vocab/tests/support/golden.rs"]
+#[path = "../../core/tests/support/golden.rs"]
 mod golden;
 
+use beamhinge_admin_api::auth::{Key, Role, Signed};
+use beamhinge_admin_api::directives::{Afterwards, Change, Changed, Directive, Target};
+use beamhinge_admin_api::messages::*;
+use beamhinge_admin_api::reasons::{Near, Reason, Tally};
 use beamhinge_configuration::stored::Author;
 use beamhinge_configuration::{Change as ConfigurationChange, Quota, TeamChange, Version};
-use beamhinge_operators::auth::{Key, Role, Signed};
-use beamhinge_operators::directives::{Afterwards, Change, Changed, Directive, Target};
-use beamhinge_operators::messages::*;
-use beamhinge_operators::reasons::{Near, Reason, Tally};
-use beamhinge_vocab::job::{JobKind, JobSpec, Urgency};
+use beamhinge_core::job::{JobKind, JobSpec, Urgency};
 use golden::Golden;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -2,10 +2,10 @@
 
 use crate::arguments::Output;
 use crate::Failure;
-use beamhinge_client::config::{self, Context, Overrides};
-use beamhinge_operators::messages::{
+use beamhinge_admin_api::messages::{
     ConfigurationView, JobDetail, JobRow, MachineRow, NodeRow, Summary, TeamRow,
 };
+use beamhinge_client::config::{self, Context, Overrides};
 use comfy_table::{presets, CellAlignment, ContentArrangement, Table};
 use serde::Serialize;
 use std::io::{self, Write};
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -3,8 +3,8 @@
 
 use crate::arguments::UpOptions;
 use beamhinge_client::{Client, Patience};
-use beamhinge_local::{Cluster, ClusterError, ClusterPlan};
-use beamhinge_standins::Doubles;
+use beamhinge_dev_cluster::{Cluster, ClusterError, ClusterPlan};
+use beamhinge_emulator::Doubles;
 use rustix::process::{getpgrp, kill_process_group, set_parent_process_death_signal, Signal};
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
--- a/crates/cli/src/verbs.rs
+++ b/crates/cli/src/verbs.rs
@@ -4,11 +4,11 @@
     DrainKind, FreezeKind, JobsOptions, Output, SetQuotasOptions, SubmitOptions, Verb,
 };
 use crate::{show, Failure};
+use beamhinge_admin_api::directives::{Afterwards, Change, Target};
+use beamhinge_admin_api::messages::{JobPage, JobRequest, MachinePage, State};
 use beamhinge_client::{draw_job_id, Client, ClientError};
 use beamhinge_configuration::{Change as ConfigurationChange, Version};
-use beamhinge_operators::directives::{Afterwards, Change, Target};
-use beamhinge_operators::messages::{JobPage, JobRequest, MachinePage, State};
-use beamhinge_vocab::job::JobKind;
+use beamhinge_core::job::JobKind;
 use serde::Serialize;
 use std::io::{self, IsTerminal, Write};
 use std::time::Duration;
@@ -352,7 +352,7 @@
 fn wait(
     client: &mut Client,
     job: &str,
-) -> Result<beamhinge_operators::messages::JobDetail, Failure> {
+) -> Result<beamhinge_admin_api::messages::JobDetail, Failure> {
     let live = io::stderr().is_terminal();
     let mut said = String::new();
     loop {
@@ -395,7 +395,7 @@
 struct EventLine<'a> {
     token: u64,
     #[serde(flatten)]
-    decision: &'a beamhinge_operators::messages::Decision,
+    decision: &'a beamhinge_admin_api::messages::Decision,
 }
 
 fn clock(ms: u64) -> String {
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -1,7 +1,7 @@
 //! What `beamhinge` sends and prints, byte for byte: each verb runs against a listener
 //! that answers from a table and writes down what it was asked.
 
-#[path = "../../vocab/tests/support/golden.rs"]
+#[path = "../../core/tests/support/golden.rs"]
 mod golden;
 
 use golden::Golden;
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -3,7 +3,7 @@
 //! An INI file holds named contexts; environment variables override it, flags
 //! override both. Without any, the addresses are those of `beamhinge up`.
 
-use beamhinge_operators::auth::{Key, KeyError};
+use beamhinge_admin_api::auth::{Key, KeyError};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -7,15 +7,15 @@
 pub mod routing;
 pub mod wire;
 
-use beamhinge_configuration::Change as ConfigurationChange;
-use beamhinge_operators::auth::{Key, Signed};
-use beamhinge_operators::directives::{Change, Changed};
-use beamhinge_operators::messages::{
+use beamhinge_admin_api::auth::{Key, Signed};
+use beamhinge_admin_api::directives::{Change, Changed};
+use beamhinge_admin_api::messages::{
     Code, ConfigurationMade, ConfigurationView, Decisions, Directives, Explanation, Hello,
     JobDetail, JobPage, JobRequest, JobTold, MachinePage, NodeRow, Problem, Splits, Summary,
     TeamRow,
 };
-use beamhinge_vocab::http::Method;
+use beamhinge_configuration::Change as ConfigurationChange;
+use beamhinge_core::http::Method;
 use rand::Rng;
 use routing::{Next, Outcome, Routing};
 use serde::de::DeserializeOwned;
--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -1,6 +1,6 @@
 //! One request and its answer over one connection, with a deadline on all of it.
 
-use beamhinge_vocab::http::{self, Content, Method, Response};
+use beamhinge_core::http::{self, Content, Method, Response};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -4,7 +4,7 @@
 use crate::stored::{
     chunk_of, effective, Author, Chunk, Head, RecordPart, Snapshot, TeamState, Version, FORM, KEPT,
 };
-use beamhinge_vocab::settings;
+use beamhinge_core::settings;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use validator::Validate;
--- a/crates/configuration/src/change/tests.rs
+++ b/crates/configuration/src/change/tests.rs
@@ -144,8 +144,8 @@
     let head = now.head.as_mut().expect("made");
     head.unknown.insert("later".into(), ciborium::Value::from(7));
     let now = apply(now, &change(1, &[("two", TeamChange::Remove)]));
-    let value = beamhinge_vocab::wire::to_value(&now.head.expect("made"));
-    let read: Head = beamhinge_vocab::wire::from_value(&value).expect("read");
+    let value = beamhinge_core::wire::to_value(&now.head.expect("made"));
+    let read: Head = beamhinge_core::wire::from_value(&value).expect("read");
     assert_eq!(read.unknown.get("later"), Some(&ciborium::Value::from(7)));
 }
 
--- a/crates/configuration/src/quota.rs
+++ b/crates/configuration/src/quota.rs
@@ -1,6 +1,6 @@
 //! What a team is guaranteed and may use.
 
-use beamhinge_vocab::settings;
+use beamhinge_core::settings;
 use serde::{Deserialize, Serialize};
 use validator::{Validate, ValidationError};
 
--- a/crates/configuration/src/stored.rs
+++ b/crates/configuration/src/stored.rs
@@ -5,7 +5,7 @@
 //! why, and what was before it.
 
 use crate::quota::{EffectiveTeam, Quota};
-use beamhinge_vocab::settings;
+use beamhinge_core::settings;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/controller/src/blocks.rs
+++ b/crates/controller/src/blocks.rs
@@ -7,8 +7,8 @@
 //! condition on the block's key: whoever lost the block can no longer place
 //! anything, however late a transaction is applied.
 
-use beamhinge_vocab::types::{Attempt, JobId, MachineId, Stamp, TaskId, Token};
-use beamhinge_vocab::wire::{self, BadBody};
+use beamhinge_core::types::{Attempt, JobId, MachineId, Stamp, TaskId, Token};
+use beamhinge_core::wire::{self, BadBody};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -2,7 +2,7 @@
 //!
 //! Below all slices, so that none needs to know another to send a request.
 
-use beamhinge_vocab::types::JobId;
+use beamhinge_core::types::JobId;
 
 /// For a copy of a prefix: `mirror`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -15,10 +15,10 @@
     Author, Chunk, Head, Record, RecordPart, Snapshot, CHUNKS, FORM,
 };
 use beamhinge_configuration::{EffectiveTeam, Version};
-use beamhinge_limits::{Full, Txn};
-use beamhinge_vocab::settings::{Settings, Team};
-use beamhinge_vocab::types::{RequestId, Stamp, Time, WallMs};
-use beamhinge_vocab::wire;
+use beamhinge_core::settings::{Settings, Team};
+use beamhinge_core::types::{RequestId, Stamp, Time, WallMs};
+use beamhinge_core::wire;
+use beamhinge_rate_limit::{Full, Txn};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use beamhinge_configuration::stored::{chunk_of, TeamState};
 use beamhinge_configuration::Quota;
-use beamhinge_vocab::settings;
+use beamhinge_core::settings;
 use serde::Serialize;
 
 fn configuration() -> Configuration {
--- a/crates/controller/src/desk.rs
+++ b/crates/controller/src/desk.rs
@@ -6,17 +6,17 @@
 //! question, so that one who was replaced cannot tell an older state. All that
 //! waits here is bounded in number and time; the rest is told to come back.
 
-use beamhinge_configuration::Change as ConfigurationChange;
-use beamhinge_operators::auth::{Caller, Denied, Guard, Role};
-use beamhinge_operators::directives::Change;
-use beamhinge_operators::messages::{
+use beamhinge_admin_api::auth::{Caller, Denied, Guard, Role};
+use beamhinge_admin_api::directives::Change;
+use beamhinge_admin_api::messages::{
     Code, JobFilter, JobRequest, JobRow, Problem, Query, SpecView, State, BODY_LIMIT, MOST_ROWS,
     PAGE_ROWS,
 };
-use beamhinge_vocab::http::{Content, Method, Request};
-use beamhinge_vocab::job::Urgency;
-use beamhinge_vocab::messages::Out;
-use beamhinge_vocab::types::{JobId, RequestId, Time, WallMs};
+use beamhinge_configuration::Change as ConfigurationChange;
+use beamhinge_core::http::{Content, Method, Request};
+use beamhinge_core::job::Urgency;
+use beamhinge_core::messages::Out;
+use beamhinge_core::types::{JobId, RequestId, Time, WallMs};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -244,7 +244,7 @@
 fn change(body: &[u8]) -> Result<Change, Refusal> {
     let change: Change = json(body)?;
     let t = &change.target;
-    if beamhinge_operators::directives::Target::parse(t.kind(), t.name()).as_ref() != Some(t) {
+    if beamhinge_admin_api::directives::Target::parse(t.kind(), t.name()).as_ref() != Some(t) {
         return Err(malformed(format!(
             "{} name '{}': letters, digits, - _ . : and at most 120 of them",
             t.kind(),
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -8,9 +8,9 @@
 use crate::calls::{MirrorCall, Tag};
 use crate::ledger::{Committed, Ledger, Outcome, Priority, Reply};
 use crate::mirror::{Freshness, Keeping, Mirror};
-use beamhinge_operators::directives::{Change, Changed, Directive, Target, VERSION};
-use beamhinge_vocab::types::{MachineId, RequestId, Stamp, Time, WallMs};
-use beamhinge_vocab::wire;
+use beamhinge_admin_api::directives::{Change, Changed, Directive, Target, VERSION};
+use beamhinge_core::types::{MachineId, RequestId, Stamp, Time, WallMs};
+use beamhinge_core::wire;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
--- a/crates/controller/src/directives/tests.rs
+++ b/crates/controller/src/directives/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use beamhinge_operators::directives::Afterwards;
+use beamhinge_admin_api::directives::Afterwards;
 
 fn drain(target: Target) -> Directive {
     Directive {
@@ -29,8 +29,8 @@
 /// set again and lifted, once would have set it a second time.
 #[test]
 fn a_lifted_directive_keeps_its_key_and_version() {
-    use beamhinge_vocab::messages::Out;
-    use beamhinge_vocab::settings::{Settings, SAMPLE};
+    use beamhinge_core::messages::Out;
+    use beamhinge_core::settings::{Settings, SAMPLE};
     let settings = Settings::parse("t", SAMPLE).expect("sound");
     let mut ledger: Ledger<Tag> = Ledger::new(&settings);
     let mut d = Directives::default();
--- a/crates/controller/src/event_log.rs
+++ b/crates/controller/src/event_log.rs
@@ -1,8 +1,8 @@
 //! The holder's recent decisions, for operators: bounded, and kept only where
 //! an operators' address is set.
 
-use beamhinge_operators::messages::{Decision, What};
-use beamhinge_vocab::types::WallMs;
+use beamhinge_admin_api::messages::{Decision, What};
+use beamhinge_core::types::WallMs;
 use std::collections::VecDeque;
 
 /// Decisions that are remembered; who asks for older ones is told how many are forgotten.
--- a/crates/controller/src/fleet/machines.rs
+++ b/crates/controller/src/fleet/machines.rs
@@ -8,12 +8,12 @@
 
 /// The fault of old: silent is dead, as long as more are heard than silent.
 #[cfg(feature = "faults")]
-fn hastily(seen: &[Seen], limit_s: f64) -> beamhinge_suspicion::Look {
+fn hastily(seen: &[Seen], limit_s: f64) -> beamhinge_failure_detection::Look {
     let silent = |s: &&Seen| s.quiet_s > limit_s;
     let few = seen.iter().filter(silent).count() * 2 < seen.len();
     let find = |s: &Seen| if few && silent(&s) { Finding::Silent } else { Finding::Heard };
     let findings = seen.iter().map(|s| (s.id, find(s))).collect();
-    beamhinge_suspicion::Look { findings, ..Default::default() }
+    beamhinge_failure_detection::Look { findings, ..Default::default() }
 }
 
 /// Names in a row, first and last of each.
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -12,17 +12,17 @@
 use crate::market::Splits;
 use crate::placement::{Machine, Placement};
 use crate::split::Shape;
-use beamhinge_limits::{Course, Next};
-use beamhinge_operators::directives::Directive;
-use beamhinge_operators::messages::What;
-use beamhinge_suspicion::{
+use beamhinge_admin_api::directives::Directive;
+use beamhinge_admin_api::messages::What;
+use beamhinge_core::http::Method;
+use beamhinge_core::messages::{Dest, Out};
+use beamhinge_core::settings::{Operator, Settings};
+use beamhinge_core::types::{CallId, MachineId, Stamp, Time, Token, WallMs};
+use beamhinge_core::wire;
+use beamhinge_failure_detection::{
     Bounds, Finding, Group, Link, PeerObservations, Presence, Seen, Suspicion,
 };
-use beamhinge_vocab::http::Method;
-use beamhinge_vocab::messages::{Dest, Out};
-use beamhinge_vocab::settings::{Operator, Settings};
-use beamhinge_vocab::types::{CallId, MachineId, Stamp, Time, Token, WallMs};
-use beamhinge_vocab::wire;
+use beamhinge_rate_limit::{Course, Next};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
--- a/crates/controller/src/fleet/outlook.rs
+++ b/crates/controller/src/fleet/outlook.rs
@@ -3,9 +3,9 @@
 
 use super::*;
 use crate::split::{self, Demand};
-use beamhinge_operators::messages::{MachinePage, MachineRow, PairRow, Splits as SplitsTold};
-use beamhinge_operators::reasons::Reason;
-use beamhinge_vocab::job::JobSpec;
+use beamhinge_admin_api::messages::{MachinePage, MachineRow, PairRow, Splits as SplitsTold};
+use beamhinge_admin_api::reasons::Reason;
+use beamhinge_core::job::JobSpec;
 
 /// Whether a machine of this market could ever serve the job.
 fn serves(spec: &JobSpec, need: &split::Need, shape: &Shape, zone: &str, spot: bool) -> bool {
--- a/crates/controller/src/fleet/wanted.rs
+++ b/crates/controller/src/fleet/wanted.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::market::{Pool, Want};
 use crate::split::{Class, Market};
-use beamhinge_operators::directives::Afterwards;
+use beamhinge_admin_api::directives::Afterwards;
 
 impl Term {
     #[allow(clippy::too_many_arguments)]
--- a/crates/controller/src/intake/tests.rs
+++ b/crates/controller/src/intake/tests.rs
@@ -2,7 +2,7 @@
 use crate::calls::MirrorCall;
 use crate::split::tests::c8;
 use beamhinge_configuration::Snapshot;
-use beamhinge_vocab::settings::SAMPLE;
+use beamhinge_core::settings::SAMPLE;
 use serde_json::{json, Value as Json};
 
 fn at(s: f64) -> Time {
@@ -154,7 +154,7 @@
         copy
     }
 
-    fn ask(&mut self, now: Time) -> beamhinge_vocab::types::CallId {
+    fn ask(&mut self, now: Time) -> beamhinge_core::types::CallId {
         self.book.tick(now, true, false, &mut self.ledger);
         let mut out = Vec::new();
         self.ledger.pump(now, &mut self.calls, &mut out);
@@ -167,7 +167,7 @@
     fn take(
         &mut self,
         now: Time,
-        id: beamhinge_vocab::types::CallId,
+        id: beamhinge_core::types::CallId,
         call: MirrorCall,
         body: Json,
     ) -> Freshness {
--- a/crates/controller/src/jobs.rs
+++ b/crates/controller/src/jobs.rs
@@ -6,13 +6,13 @@
 use crate::calls::{MirrorCall, Tag};
 use crate::ledger::{Ledger, Priority, Reply};
 use crate::mirror::{Freshness, Keeping, Mirror};
-use beamhinge_vocab::job::Brief;
-pub use beamhinge_vocab::job::{
+use beamhinge_core::job::Brief;
+pub use beamhinge_core::job::{
     cancelled_record, done_record, key, open_record, JobKind, JobSpec, JobState, Record, Urgency,
     PREFIX, RECORD_VERSION,
 };
-use beamhinge_vocab::types::{JobId, Stamp, Time};
-use beamhinge_vocab::wire;
+use beamhinge_core::types::{JobId, Stamp, Time};
+use beamhinge_core::wire;
 use ciborium::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
--- a/crates/controller/src/leader.rs
+++ b/crates/controller/src/leader.rs
@@ -9,9 +9,9 @@
 use crate::calls::{LeadCall, Tag};
 use crate::faults::{broken, Faults};
 use crate::ledger::{Committed, Full, Ledger, News, Outcome, Permit, Priority, Reply, Scan};
-use beamhinge_vocab::settings::Settings;
-use beamhinge_vocab::types::{Stamp, Time, Token};
-use beamhinge_vocab::wire;
+use beamhinge_core::settings::Settings;
+use beamhinge_core::types::{Stamp, Time, Token};
+use beamhinge_core::wire;
 use serde::{Deserialize, Serialize};
 
 const LEAD: &str = "lead/now";
--- a/crates/controller/src/leader/tests.rs
+++ b/crates/controller/src/leader/tests.rs
@@ -4,7 +4,7 @@
 /// a term.
 #[test]
 fn a_token_that_was_never_given_ends_one_term_and_no_more() {
-    let text = beamhinge_vocab::settings::SAMPLE;
+    let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
     let mut leader = Leader::new(&settings, 7);
     let now = Time::from_micros(10_000_000);
@@ -35,7 +35,7 @@
 #[test]
 fn a_term_that_is_over_is_not_taken_up_again() {
     for broken in [false, true] {
-        let text = beamhinge_vocab::settings::SAMPLE;
+        let text = beamhinge_core::settings::SAMPLE;
         let settings = Settings::parse("t", text).expect("the sample is sound");
         let mut leader = Leader::new(&settings, 7);
         leader.faults.old_term = broken;
@@ -68,7 +68,7 @@
 fn the_leadership_keys_keep_their_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/leadership.hex");
     golden.text("keys", &format!("{LEAD} {LEAD_PREFIX} {BLOCK} {BLOCK_PREFIX}"));
-    let text = beamhinge_vocab::settings::SAMPLE;
+    let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
     golden.stored("name of a new leader", &Leader::new(&settings, 70_000).me);
     golden.stored("name", &Name { v: 1, label: "north-1".into(), nonce: u64::MAX - 5 });
--- a/crates/controller/src/ledger.rs
+++ b/crates/controller/src/ledger.rs
@@ -4,13 +4,13 @@
 //! either changes nothing or does what was meant. A reply that never came is
 //! reported as [`Outcome::Lost`]; its caller reads again and assumes nothing.
 
-use beamhinge_limits::Limits;
-pub use beamhinge_limits::{Full, Txn};
-use beamhinge_vocab::http::Method;
-use beamhinge_vocab::messages::{Dest, Out};
-use beamhinge_vocab::settings::Settings;
-use beamhinge_vocab::types::{CallId, Time};
-use beamhinge_vocab::wire;
+use beamhinge_core::http::Method;
+use beamhinge_core::messages::{Dest, Out};
+use beamhinge_core::settings::Settings;
+use beamhinge_core::types::{CallId, Time};
+use beamhinge_core::wire;
+use beamhinge_rate_limit::Limits;
+pub use beamhinge_rate_limit::{Full, Txn};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/controller/src/ledger/tests.rs
+++ b/crates/controller/src/ledger/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_renewal_overtakes_polls_and_a_full_bucket_is_not_exceeded() {
-    let settings = beamhinge_vocab::settings::SAMPLE;
+    let settings = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", settings).expect("sound");
     let mut ledger: Ledger<u32> = Ledger::new(&settings);
     ledger.set_share(0.1, 1.0);
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_lost_reply_is_not_taken_for_a_refusal() {
-    let settings = Settings::parse("t", beamhinge_vocab::settings::SAMPLE).expect("sound");
+    let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
     let mut ledger: Ledger<u32> = Ledger::new(&settings);
     let (mut calls, mut out) = (0, Vec::new());
     let now = Time::from_micros(5_000_000);
@@ -40,7 +40,7 @@
 /// it is handed to no slice, and counts as no exchange.
 #[test]
 fn a_reply_that_nobody_waits_for_is_dropped() {
-    let settings = Settings::parse("t", beamhinge_vocab::settings::SAMPLE).expect("sound");
+    let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
     let mut ledger: Ledger<u32> = Ledger::new(&settings);
     let (mut calls, mut out) = (0, Vec::new());
     ledger.renew(Time::from_micros(5_000_000), 1, 1);
@@ -57,17 +57,17 @@
 #[test]
 fn calls_to_the_state_service_keep_their_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/calls-to-state.hex");
-    let settings = Settings::parse("t", beamhinge_vocab::settings::SAMPLE).expect("sound");
+    let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
     let mut ledger: Ledger<u32> = Ledger::new(&settings);
     let now = Time::from_micros(5_000_000);
     let mut txn = ledger.txn();
-    txn.when("block/0", beamhinge_vocab::types::Stamp(41)).expect("room");
+    txn.when("block/0", beamhinge_core::types::Stamp(41)).expect("room");
     let value = wire::to_value(&serde_json::json!({"a": 1.5}));
-    txn.write("lead/now", beamhinge_vocab::types::Stamp(0), value, Some(7)).expect("room");
-    txn.write("p/41-1", beamhinge_vocab::types::Stamp(9), Value::Null, None).expect("room");
-    txn.delete("p/41-2", beamhinge_vocab::types::Stamp(10)).expect("room");
+    txn.write("lead/now", beamhinge_core::types::Stamp(0), value, Some(7)).expect("room");
+    txn.write("p/41-1", beamhinge_core::types::Stamp(9), Value::Null, None).expect("room");
+    txn.delete("p/41-2", beamhinge_core::types::Stamp(10)).expect("room");
     let mut check = ledger.txn();
-    check.when("block/0", beamhinge_vocab::types::Stamp(41)).expect("room");
+    check.when("block/0", beamhinge_core::types::Stamp(41)).expect("room");
     ledger.commit(now, Priority::Lease, 1, txn);
     ledger.commit(now, Priority::Lease, 2, check);
     ledger.lease(now, 3, 5.25);
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each module is a slice by duty. Slices do no input or output of their own:
 //! events and the time go in, messages come out. That lets tests run whole
-//! clusters in simulated time, and keeps every socket in `beamhinge-net`.
+//! clusters in simulated time, and keeps every socket in `beamhinge-transport`.
 
 pub mod blocks;
 pub mod calls;
@@ -26,5 +26,5 @@
 pub mod split;
 
 #[cfg(test)]
-#[path = "../../vocab/tests/support/golden.rs"]
+#[path = "../../core/tests/support/golden.rs"]
 mod golden;
--- a/crates/controller/src/market.rs
+++ b/crates/controller/src/market.rs
@@ -10,10 +10,10 @@
 use crate::calls::{FleetCall, Tag};
 use crate::ledger::{Committed, Ledger, Outcome, Priority, Reply, Scan};
 use crate::split::{self, Demand, Learner, Market, Need, Past, Shape};
-use beamhinge_operators::reasons::Reason;
-use beamhinge_vocab::settings::{Operator, Settings};
-use beamhinge_vocab::types::{JobId, Stamp, Time, Token};
-use beamhinge_vocab::wire;
+use beamhinge_admin_api::reasons::Reason;
+use beamhinge_core::settings::{Operator, Settings};
+use beamhinge_core::types::{JobId, Stamp, Time, Token};
+use beamhinge_core::wire;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
--- a/crates/controller/src/market/tests.rs
+++ b/crates/controller/src/market/tests.rs
@@ -58,7 +58,7 @@
         boot_s: 30.0,
         zones: vec!["north".into()],
     };
-    let text = beamhinge_vocab::settings::SAMPLE;
+    let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("the sample", text).expect("it is sound");
     let mut ready = |s: f64| {
         let wants =
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -3,9 +3,9 @@
 //! Kept only where an operators' address is set; without one, nothing is
 //! counted and nothing is held.
 
-use beamhinge_vocab::http::Method;
-use beamhinge_vocab::messages::{Dest, Out};
-use beamhinge_vocab::types::{CallId, RequestId, Time};
+use beamhinge_core::http::Method;
+use beamhinge_core::messages::{Dest, Out};
+use beamhinge_core::types::{CallId, RequestId, Time};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/crates/controller/src/mirror.rs
+++ b/crates/controller/src/mirror.rs
@@ -8,9 +8,9 @@
 
 use crate::calls::{MirrorCall, Tag};
 use crate::ledger::{Ledger, News, Outcome, Priority, Reply, Scan};
-use beamhinge_limits::Course;
-use beamhinge_vocab::types::Time;
-use beamhinge_vocab::wire;
+use beamhinge_core::types::Time;
+use beamhinge_core::wire;
+use beamhinge_rate_limit::Course;
 use ciborium::Value;
 
 /// What a reply meant for those who wait for a fresh copy.
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -16,14 +16,14 @@
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::placement::Placement;
-use beamhinge_operators::auth::{Guard, Key};
+use beamhinge_admin_api::auth::{Guard, Key};
+use beamhinge_core::http::Request;
+use beamhinge_core::messages::{Out, Service};
+use beamhinge_core::peers::{encode, Frame};
+use beamhinge_core::settings::{Operator, Settings};
+use beamhinge_core::types::{CallId, MachineId, RequestId, Time, WallMs};
+use beamhinge_failure_detection::{PeerObservations, Presence, Stall, Visitors};
 use beamhinge_standby::FailureDetector;
-use beamhinge_suspicion::{PeerObservations, Presence, Stall, Visitors};
-use beamhinge_vocab::http::Request;
-use beamhinge_vocab::messages::{Out, Service};
-use beamhinge_vocab::peers::{encode, Frame};
-use beamhinge_vocab::settings::{Operator, Settings};
-use beamhinge_vocab::types::{CallId, MachineId, RequestId, Time, WallMs};
 use std::collections::BTreeMap;
 
 /// Nonces that are remembered: each is kept for twice the allowed difference
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -9,17 +9,17 @@
 use crate::directives::Told;
 use crate::intake;
 use crate::jobs::{Entry, JobState};
-use beamhinge_configuration::{Change, EffectiveTeam};
-use beamhinge_operators::auth::Caller;
-use beamhinge_operators::messages::{
+use beamhinge_admin_api::auth::Caller;
+use beamhinge_admin_api::messages::{
     BehindRow, Code, ConfigurationMade, ConfigurationView, Decisions, Directives, Explanation,
     Hello, JobDetail, JobFilter, JobPage, JobRequest, JobRow, JobTold, NodeRow, Placed, Query,
     QuotaRow, SpecView, State, Summary,
 };
-use beamhinge_vocab::http::{Content, Request};
-use beamhinge_vocab::messages::Out;
-use beamhinge_vocab::peers::{encode, Frame};
-use beamhinge_vocab::types::{JobId, MachineId, RequestId, Time, WallMs};
+use beamhinge_configuration::{Change, EffectiveTeam};
+use beamhinge_core::http::{Content, Request};
+use beamhinge_core::messages::Out;
+use beamhinge_core::peers::{encode, Frame};
+use beamhinge_core::types::{JobId, MachineId, RequestId, Time, WallMs};
 use serde::{Deserialize, Serialize};
 
 /// What the users' interface answers, to be put into the operators' form.
@@ -639,7 +639,7 @@
             if !desk.take_elsewhere(*to) {
                 continue;
             }
-            let answer = beamhinge_vocab::wire::decode::<UsersAnswer>(body).ok();
+            let answer = beamhinge_core::wire::decode::<UsersAnswer>(body).ok();
             let mut written = Vec::new();
             let state = answer.as_ref().and_then(|a| State::parse(a.status.as_deref()?));
             match (state, answer.as_ref().and_then(|a| a.job.clone())) {
--- a/crates/controller/src/node/operators/tests.rs
+++ b/crates/controller/src/node/operators/tests.rs
@@ -3,9 +3,9 @@
 use crate::event_log::EventLog;
 use crate::ledger::{Outcome, Reply};
 use crate::placement::Placement;
-use beamhinge_ageing::Policy;
-use beamhinge_vocab::settings::{Operator, Settings, SAMPLE};
-use beamhinge_vocab::types::Token;
+use beamhinge_core::settings::{Operator, Settings, SAMPLE};
+use beamhinge_core::types::Token;
+use beamhinge_priority_aging::Policy;
 
 /// Names and types of all figures on the page of a controller that leads.
 #[test]
@@ -20,7 +20,7 @@
     // Nothing is stored: the copy of the jobs, the pages and the shelves are read as empty.
     let empty = |tag: Tag| {
         let body = serde_json::json!({"pairs": [], "ledgerRev": 9});
-        Reply { tag, outcome: Outcome::Ok(beamhinge_vocab::wire::encode(&body)), sent: now }
+        Reply { tag, outcome: Outcome::Ok(beamhinge_core::wire::encode(&body)), sent: now }
     };
     node.book.tick(now, true, true, &mut node.ledger);
     node.book.on_reply(now, MirrorCall::Scan, empty(Tag::Job(MirrorCall::Scan)));
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -7,13 +7,13 @@
 use crate::leader::Standing;
 use crate::ledger::Reply;
 use crate::placement::{Placement, Report, Verdict};
-use beamhinge_ageing::Policy;
-use beamhinge_operators::messages::What;
-use beamhinge_suspicion::PeerObservations;
-use beamhinge_vocab::messages::{Counts, Out};
-use beamhinge_vocab::peers::Frame;
-use beamhinge_vocab::types::{CallId, JobId, MachineId, Time, Token, WallMs};
-use beamhinge_vocab::wire;
+use beamhinge_admin_api::messages::What;
+use beamhinge_core::messages::{Counts, Out};
+use beamhinge_core::peers::Frame;
+use beamhinge_core::types::{CallId, JobId, MachineId, Time, Token, WallMs};
+use beamhinge_core::wire;
+use beamhinge_failure_detection::PeerObservations;
+use beamhinge_priority_aging::Policy;
 
 struct Own<'a>(Option<&'a Placement>);
 
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -5,10 +5,10 @@
 use crate::intake;
 use crate::jobs::JobSpec;
 use crate::placement::{Order, Report};
-use beamhinge_vocab::http::{Method, Request};
-use beamhinge_vocab::messages::Out;
-use beamhinge_vocab::types::{JobId, MachineId, RequestId, Time, Token, WallMs};
-use beamhinge_vocab::wire;
+use beamhinge_core::http::{Method, Request};
+use beamhinge_core::messages::Out;
+use beamhinge_core::types::{JobId, MachineId, RequestId, Time, Token, WallMs};
+use beamhinge_core::wire;
 use serde::Serialize;
 
 #[derive(Serialize)]
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,8 +1,8 @@
 //! What this controller heard from its peers.
 
-use beamhinge_vocab::messages::Counts;
-use beamhinge_vocab::peers::Frame;
-use beamhinge_vocab::types::{JobId, Time, Token};
+use beamhinge_core::messages::Counts;
+use beamhinge_core::peers::Frame;
+use beamhinge_core::types::{JobId, Time, Token};
 use std::collections::BTreeMap;
 
 /// After so long without a word a token counts no more, seconds: longer than a former
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -14,10 +14,10 @@
     assert_eq!(peers.holder(at(3.0 + LAPSED_S)), Some("a"));
 }
 
-/// What travels inside of [`beamhinge_vocab::peers::Frame::Ask`].
+/// What travels inside of [`beamhinge_core::peers::Frame::Ask`].
 #[test]
 fn queries_to_the_holder_keep_their_form() {
-    use beamhinge_operators::messages::Query;
+    use beamhinge_admin_api::messages::Query;
     let mut golden = crate::golden::Golden::new("tests/golden/queries.hex");
     let machines = |all: bool| Query::Machines {
         shape: all.then(|| "g8".into()),
--- a/crates/controller/src/placement/ageing.rs
+++ b/crates/controller/src/placement/ageing.rs
@@ -1,5 +1,5 @@
 //! Jobs that have waited long enough: their lane, their reservations, and what
-//! may be stopped for others. The rules are those of `beamhinge_ageing`; here
+//! may be stopped for others. The rules are those of `beamhinge_priority_aging`; here
 //! they meet the books.
 //!
 //! All that decides is in the books already: when a job was submitted, and what
@@ -8,8 +8,8 @@
 
 use super::plan::{allows, Pass, Round};
 use super::*;
-use beamhinge_ageing::{soonest, Held, Lane, Running};
-use beamhinge_operators::reasons::Reason;
+use beamhinge_admin_api::reasons::Reason;
+use beamhinge_priority_aging::{soonest, Held, Lane, Running};
 
 impl Need {
     pub(super) fn sizes(&self) -> [f64; 3] {
--- a/crates/controller/src/placement/books.rs
+++ b/crates/controller/src/placement/books.rs
@@ -236,7 +236,7 @@
         }
         let limits = ledger.limits().part(self.course.part());
         let limits = match broken!(self.faults, unbounded) {
-            true => beamhinge_limits::Limits { conditions: limits.conditions * 2, ..limits },
+            true => beamhinge_rate_limit::Limits { conditions: limits.conditions * 2, ..limits },
             false => limits,
         };
         let mut txn = Txn::new(limits);
--- a/crates/controller/src/placement/books/tests.rs
+++ b/crates/controller/src/placement/books/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::ledger::Ledger;
-use beamhinge_limits::Limits;
-use beamhinge_vocab::messages::Out;
+use beamhinge_core::messages::Out;
+use beamhinge_rate_limit::Limits;
 use proptest::prelude::*;
 use serde_json::json;
 
@@ -137,7 +137,7 @@
     faults: Faults,
 ) -> Result<u32, String> {
     let mut settings =
-        Settings::parse("t", beamhinge_vocab::settings::SAMPLE).expect("the sample is sound");
+        Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("the sample is sound");
     settings.params.state.txn_ops = txn_ops;
     settings.params.state.value_kb = value_kb;
     let limits = Limits::of(&settings.params.state);
--- a/crates/controller/src/placement/explain.rs
+++ b/crates/controller/src/placement/explain.rs
@@ -3,8 +3,8 @@
 
 use super::plan::{misfit, zone_barred, Hindrance, Misfit, Pause};
 use super::*;
-use beamhinge_operators::messages::{MachineRow, Placed, TaskRow, TeamRow, MOST_ROWS};
-use beamhinge_operators::reasons::{Near, Reason, Tally};
+use beamhinge_admin_api::messages::{MachineRow, Placed, TaskRow, TeamRow, MOST_ROWS};
+use beamhinge_admin_api::reasons::{Near, Reason, Tally};
 
 /// Machines named as nearly enough.
 const MOST_NEAR: usize = 3;
--- a/crates/controller/src/placement/reports.rs
+++ b/crates/controller/src/placement/reports.rs
@@ -1,7 +1,7 @@
 //! What workers report, what that proves, and what they are told.
 
 use super::*;
-use beamhinge_suspicion::Verdict;
+use beamhinge_failure_detection::Verdict;
 use std::cmp::Reverse;
 
 /// Orders of one answer: it may hold 64 KiB. What is left out is still wanted, and
--- a/crates/controller/src/placement/reports/tests.rs
+++ b/crates/controller/src/placement/reports/tests.rs
@@ -19,7 +19,7 @@
     let spec: Rc<JobSpec> = Rc::new(serde_json::from_value(body).expect("a description"));
     let mut book = JobBook::default();
     book.wrote(job(id), Stamp(5), JobState::Open, Some(spec.clone()));
-    let text = beamhinge_vocab::settings::SAMPLE;
+    let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
     let policy = Policy::new(Default::default());
     let event_log = EventLog::new(false);
@@ -293,7 +293,7 @@
 /// gone, also when its job is over and its record has lost its description.
 #[test]
 fn an_orphan_of_a_job_that_is_over_counts_until_it_is_gone() {
-    let text = beamhinge_vocab::settings::SAMPLE;
+    let text = beamhinge_core::settings::SAMPLE;
     let mut settings = Settings::parse("t", text).expect("the sample is sound");
     settings.params.teams[0].name = "one".into();
     let (mut book, mut place) = cancelled("job-1");
@@ -423,7 +423,7 @@
     let orders = place.report(at(NOW + 1.0), &said, &[], &book);
     assert_eq!(orders.iter().map(|o| o.verb).collect::<Vec<_>>(), ["kill", "clear", "run"]);
     for order in orders {
-        golden.bytes(order.verb, &beamhinge_vocab::wire::encode(&order));
+        golden.bytes(order.verb, &beamhinge_core::wire::encode(&order));
     }
     golden.check();
 }
--- a/crates/controller/src/placement/room.rs
+++ b/crates/controller/src/placement/room.rs
@@ -1,13 +1,13 @@
 //! Making room: the one place where tasks are stopped for others.
 //!
-//! The rules are those of `beamhinge_room`; here they meet the books. A place is
+//! The rules are those of `beamhinge_preemption`; here they meet the books. A place is
 //! an entry like any other: planned for one machine, committed before `run`, and
 //! counted against its team's limit from the start. Nothing is sent before the
 //! room is there, so all guards of placing hold for it.
 
 use super::plan::{allows, Round, Waiting};
 use super::*;
-use beamhinge_room::{End, Keep, Offer, Party, Resident, Site, Sites};
+use beamhinge_preemption::{End, Keep, Offer, Party, Resident, Site, Sites};
 
 /// Part of its run time up to which a task counts as hardly begun.
 pub(super) const YOUNG: f64 = 0.15;
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -5,8 +5,8 @@
 //! in which fifty tasks end costs one or two writes rather than one per job.
 
 use crate::blocks::PROGRESS_PREFIX;
-use beamhinge_vocab::types::{JobId, Stamp};
-use beamhinge_vocab::wire::{self, BadBody};
+use beamhinge_core::types::{JobId, Stamp};
+use beamhinge_core::wire::{self, BadBody};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/controller/src/split.rs
+++ b/crates/controller/src/split.rs
@@ -2,7 +2,7 @@
 //!
 //! Pure functions: demand, types and prices in, wanted counts out.
 
-use beamhinge_vocab::types::JobId;
+use beamhinge_core::types::JobId;
 use std::rc::Rc;
 
 /// A machine type as the cloud publishes it.
--- a/crates/vocab/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -3,15 +3,15 @@
 #[path = "support/golden.rs"]
 mod golden;
 
-use beamhinge_vocab::http::{write_request, write_response, Content, Method, RequestHead};
-use beamhinge_vocab::job::{
+use beamhinge_core::http::{write_request, write_response, Content, Method, RequestHead};
+use beamhinge_core::job::{
     cancelled_record, done_record, key, open_record, JobKind, JobSpec, JobState, Record, Urgency,
     RECORD_VERSION,
 };
-use beamhinge_vocab::peers::{encode, take, Frame};
-use beamhinge_vocab::settings::{Operator, Settings, SAMPLE};
-use beamhinge_vocab::types::JobId;
-use beamhinge_vocab::wire;
+use beamhinge_core::peers::{encode, take, Frame};
+use beamhinge_core::settings::{Operator, Settings, SAMPLE};
+use beamhinge_core::types::JobId;
+use beamhinge_core::wire;
 use golden::Golden;
 use serde_json::json;
 
--- a/crates/vocab/tests/support/golden.rs
+++ b/crates/core/tests/support/golden.rs
@@ -7,7 +7,7 @@
 //! Packages include this file by its path; none of them needs all of it.
 #![allow(dead_code)]
 
-use beamhinge_vocab::wire;
+use beamhinge_core::wire;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Write;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,10 +1,10 @@
 //! The daemon as a library: what `beamhinged` runs, and what the client starts
 //! for a newcomer's own cluster.
 
+use beamhinge_admin_api::auth::{Key, KeyError};
 use beamhinge_controller::node::Node;
-use beamhinge_net::{Net, NetError, Wiring};
-use beamhinge_operators::auth::{Key, KeyError};
-use beamhinge_vocab::settings::{Operator, Settings, SettingsError};
+use beamhinge_core::settings::{Operator, Settings, SettingsError};
+use beamhinge_transport::{Net, NetError, Wiring};
 use clap::{Args, ValueEnum};
 use rand::Rng;
 use std::path::PathBuf;
--- a/crates/daemon/tests/flags.rs
+++ b/crates/daemon/tests/flags.rs
@@ -8,7 +8,7 @@
     for form in ["text", "json"] {
         let done = Command::new(env!("CARGO_BIN_EXE_beamhinged"))
             .args(["--check", "--log-format", form])
-            .args(["--config", &format!("{root}/crates/vocab/sample.toml")])
+            .args(["--config", &format!("{root}/crates/core/sample.toml")])
             .args(["--operator", &format!("{root}/deploy/operators.ini")])
             .output()
             .expect("the daemon runs");
--- a/crates/local/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -7,12 +7,12 @@
 
 use crate::controllers::{ControllerProgram, Controllers};
 use crate::deployment::{Deployment, Links, NodePlace, PlatformLimits, TeamPlan};
-use beamhinge_net::{Door, DoorKind, Net, NetError, Wiring};
-use beamhinge_standins::cloud::Kind;
-use beamhinge_standins::platform::{Plan, Platform, Trouble, Watcher};
-use beamhinge_standins::processes::Processes;
-use beamhinge_standins::Doubles;
-use beamhinge_vocab::settings;
+use beamhinge_core::settings;
+use beamhinge_emulator::cloud::Kind;
+use beamhinge_emulator::platform::{Plan, Platform, Trouble, Watcher};
+use beamhinge_emulator::processes::Processes;
+use beamhinge_emulator::Doubles;
+use beamhinge_transport::{Door, DoorKind, Net, NetError, Wiring};
 use std::io;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
--- a/crates/standins/src/cloud.rs
+++ b/crates/emulator/src/cloud.rs
@@ -1,8 +1,8 @@
 //! Stand-in for the cloud: capacity, boots, a list that lags and steps back.
 
 use crate::{decode, Us, SECOND};
-use beamhinge_vocab::http::Method;
-use beamhinge_vocab::wire;
+use beamhinge_core::http::Method;
+use beamhinge_core::wire;
 use rand::rngs::StdRng;
 use rand::Rng;
 use serde_json::{json, Value};
--- a/crates/standins/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -2,9 +2,9 @@
 //! the workers, written from the published protocol. Sans-IO, so that the same
 //! models serve simulated time and real processes.
 
-use beamhinge_vocab::messages::Out;
-use beamhinge_vocab::types::{RequestId, Time};
-use beamhinge_vocab::wire;
+use beamhinge_core::messages::Out;
+use beamhinge_core::types::{RequestId, Time};
+use beamhinge_core::wire;
 use serde_json::{json, Value};
 
 pub mod cloud;
--- a/crates/standins/src/platform/tests.rs
+++ b/crates/emulator/src/platform/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::decode;
-use beamhinge_vocab::http::Method;
+use beamhinge_core::http::Method;
 use serde_json::Value;
 use std::io::Write;
 use std::path::Path;
--- a/crates/standins/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -1,9 +1,9 @@
 //! Stand-in for the state service: limits, leases, watches, outages.
 
 use crate::{decode, Us, SECOND};
-use beamhinge_vocab::http::Method;
-use beamhinge_vocab::types::CallId;
-use beamhinge_vocab::wire;
+use beamhinge_core::http::Method;
+use beamhinge_core::types::CallId;
+use beamhinge_core::wire;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/standins/src/state_server.rs
+++ b/crates/emulator/src/state_server.rs
@@ -3,11 +3,11 @@
 
 use crate::state::State;
 use crate::{micros, refuse, Us};
-use beamhinge_vocab::http::Request;
-use beamhinge_vocab::messages::Out;
-use beamhinge_vocab::settings;
-use beamhinge_vocab::types::{CallId, RequestId, Time};
-use beamhinge_vocab::wire;
+use beamhinge_core::http::Request;
+use beamhinge_core::messages::Out;
+use beamhinge_core::settings;
+use beamhinge_core::types::{CallId, RequestId, Time};
+use beamhinge_core::wire;
 use serde_json::{json, Value};
 use std::fs::{File, OpenOptions};
 use std::io::{self, BufRead, BufReader, Write};
--- a/crates/standins/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -2,8 +2,8 @@
 
 use crate::cloud::{Host, Kind};
 use crate::{decode, Doubles, JobPlan, Us, SECOND};
-use beamhinge_vocab::settings;
-use beamhinge_vocab::wire;
+use beamhinge_core::settings;
+use beamhinge_core::wire;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/suspicion/src/blame.rs
+++ b/crates/failure-detection/src/blame.rs
@@ -7,7 +7,7 @@
 //! the job. Charges that a job brought against machines are dropped once it is
 //! found at fault.
 
-use beamhinge_vocab::types::{JobId, MachineId, Time};
+use beamhinge_core::types::{JobId, MachineId, Time};
 use roaring::RoaringTreemap;
 use std::collections::BTreeMap;
 
--- a/crates/suspicion/src/groups.rs
+++ b/crates/failure-detection/src/groups.rs
@@ -1,6 +1,6 @@
 //! Silence judged for machines together.
 
-use beamhinge_vocab::types::{MachineId, Time};
+use beamhinge_core::types::{MachineId, Time};
 use std::collections::BTreeMap;
 
 /// What a group is: machines that one broken link would silence together.
--- a/crates/suspicion/src/heed.rs
+++ b/crates/failure-detection/src/heed.rs
@@ -4,7 +4,7 @@
 //! a machine looks empty and sound, and would be given one task after the other,
 //! each of which nobody ever starts.
 
-use beamhinge_vocab::types::Time;
+use beamhinge_core::types::Time;
 
 /// The first pause, seconds; each further one is twice as long.
 const PAUSE_S: f64 = 8.0;
--- a/crates/suspicion/src/peer_observations.rs
+++ b/crates/failure-detection/src/peer_observations.rs
@@ -1,6 +1,6 @@
 //! What controllers tell each other of the machines that try them.
 
-use beamhinge_vocab::types::{MachineId, Time};
+use beamhinge_core::types::{MachineId, Time};
 use std::collections::BTreeMap;
 
 /// Machines that are remembered at once. Twice the 8,192 machines that a controller is
--- a/crates/suspicion/src/presence.rs
+++ b/crates/failure-detection/src/presence.rs
@@ -1,6 +1,6 @@
 //! One's own absence.
 
-use beamhinge_vocab::types::Time;
+use beamhinge_core::types::Time;
 
 /// Knows when this process itself stood still, by the gaps between its events.
 ///
--- a/crates/suspicion/src/stall.rs
+++ b/crates/failure-detection/src/stall.rs
@@ -1,6 +1,6 @@
 //! Being stuck: work is there, the state service answers, and nothing moves.
 
-use beamhinge_vocab::types::Time;
+use beamhinge_core::types::Time;
 
 /// Longest patience, seconds.
 const LONGEST_S: f64 = 300.0;
--- a/crates/room/src/budget.rs
+++ b/crates/preemption/src/budget.rs
@@ -1,6 +1,6 @@
 //! How many places may be open at once.
 
-use beamhinge_vocab::types::Time;
+use beamhinge_core::types::Time;
 
 /// Fewest: one that brings nothing still shows when starts come again.
 const LEAST: f64 = 4.0;
--- a/crates/room/src/offer.rs
+++ b/crates/preemption/src/offer.rs
@@ -1,6 +1,6 @@
 //! What one machine can offer to a waiting task, and which machine offers best.
 
-use beamhinge_vocab::types::{MachineId, TaskId};
+use beamhinge_core::types::{MachineId, TaskId};
 
 /// CPUs, GPUs and gigabytes of memory.
 pub type Size = [f64; 3];
@@ -225,7 +225,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beamhinge_vocab::types::JobId;
+    use beamhinge_core::types::JobId;
     use proptest::prelude::*;
 
     fn task(index: u32) -> TaskId {
--- a/crates/room/src/places.rs
+++ b/crates/preemption/src/places.rs
@@ -1,7 +1,7 @@
 //! Places that are kept for waiting tasks.
 
 use crate::{Budget, Offer};
-use beamhinge_vocab::types::{Attempt, MachineId, TaskId, Time};
+use beamhinge_core::types::{Attempt, MachineId, TaskId, Time};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
@@ -145,7 +145,7 @@
 mod tests {
     use super::*;
     use crate::Resident;
-    use beamhinge_vocab::types::JobId;
+    use beamhinge_core::types::JobId;
 
     #[test]
     fn a_place_ends_once_in_a_start_or_in_vain() {
--- a/crates/room/src/stops.rs
+++ b/crates/preemption/src/stops.rs
@@ -1,6 +1,6 @@
 //! Tasks that were stopped for others, and when they are spared.
 
-use beamhinge_vocab::types::TaskId;
+use beamhinge_core::types::TaskId;
 use std::collections::BTreeMap;
 
 /// How often each unfinished task was stopped to make room.
@@ -45,7 +45,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beamhinge_vocab::types::JobId;
+    use beamhinge_core::types::JobId;
 
     #[test]
     fn after_some_stops_it_runs_its_time_and_memory_is_bounded() {
--- a/crates/ageing/src/bound.rs
+++ b/crates/priority-aging/src/bound.rs
@@ -14,7 +14,7 @@
 //! after it `2 S` until the room is there.
 
 use crate::policy::Policy;
-use beamhinge_vocab::job::Urgency;
+use beamhinge_core::job::Urgency;
 
 /// What rises: no more than `burst + per_s * t` tasks in any `t` seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -115,7 +115,7 @@
 mod tests {
     use super::*;
     use crate::Lane;
-    use beamhinge_vocab::settings::Ageing;
+    use beamhinge_core::settings::Ageing;
     use proptest::prelude::*;
 
     fn policy() -> Policy {
--- a/crates/ageing/src/policy.rs
+++ b/crates/priority-aging/src/policy.rs
@@ -1,8 +1,8 @@
 //! When a waiting job rises.
 
-use beamhinge_vocab::job::Urgency;
-use beamhinge_vocab::settings::Ageing;
-use beamhinge_vocab::types::WallMs;
+use beamhinge_core::job::Urgency;
+use beamhinge_core::settings::Ageing;
+use beamhinge_core::types::WallMs;
 
 /// How waiting jobs rise, from the operators' settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/ageing/src/reserve.rs
+++ b/crates/priority-aging/src/reserve.rs
@@ -5,7 +5,7 @@
 //! room first. Until the time at which that was expected, what would end in time
 //! goes on filling it; after that nothing does.
 
-use beamhinge_vocab::types::{JobId, MachineId, Time};
+use beamhinge_core::types::{JobId, MachineId, Time};
 use std::collections::BTreeMap;
 
 /// A machine that one job's next task waits for.
--- a/crates/limits/src/course.rs
+++ b/crates/rate-limit/src/course.rs
@@ -1,6 +1,6 @@
 //! What to do after a refusal: never the same again, for ever.
 
-use beamhinge_vocab::types::Time;
+use beamhinge_core::types::Time;
 
 /// Refusals after which the part that was refused is set aside.
 const ASIDE: u32 = 6;
--- a/crates/limits/src/txn.rs
+++ b/crates/rate-limit/src/txn.rs
@@ -1,8 +1,8 @@
 //! A transaction being put together.
 
-use beamhinge_vocab::settings;
-use beamhinge_vocab::types::Stamp;
-use beamhinge_vocab::wire;
+use beamhinge_core::settings;
+use beamhinge_core::types::Stamp;
+use beamhinge_core::wire;
 use ciborium::Value;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/crates/shares/src/hold.rs
+++ b/crates/sharding/src/hold.rs
@@ -1,7 +1,7 @@
 //! Which slots this controller holds, and by which token.
 
 use crate::slots::{Slot, Slots};
-use beamhinge_vocab::types::{Stamp, Token};
+use beamhinge_core::types::{Stamp, Token};
 
 /// A controller's process: a label that stays, and a number that does not.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -227,7 +227,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beamhinge_limits::Limits;
+    use beamhinge_rate_limit::Limits;
 
     const SLOT: Slot = Slot(0);
 
--- a/crates/shares/src/slots.rs
+++ b/crates/sharding/src/slots.rs
@@ -1,7 +1,7 @@
 //! Slots: fixed sets of machines.
 
-use beamhinge_limits::Limits;
-use beamhinge_vocab::types::MachineId;
+use beamhinge_core::types::MachineId;
+use beamhinge_rate_limit::Limits;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// More than this many moves nothing finer, and each costs keys to follow.
@@ -45,7 +45,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beamhinge_vocab::settings::{Settings, SAMPLE};
+    use beamhinge_core::settings::{Settings, SAMPLE};
 
     #[test]
     fn one_transaction_takes_all_slots_and_machines_spread_over_them() {
--- a/crates/shares/src/wanted.rs
+++ b/crates/sharding/src/wanted.rs
@@ -1,7 +1,7 @@
 //! Who should hold what: few moves, paced, and not to who comes and goes.
 
 use crate::slots::{Slot, Slots};
-use beamhinge_vocab::types::Time;
+use beamhinge_core::types::Time;
 use std::collections::BTreeMap;
 
 /// Times and sizes of moves, from the settings of the platform.
@@ -137,7 +137,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beamhinge_limits::Limits;
+    use beamhinge_rate_limit::Limits;
 
     const BOUNDS: Bounds = Bounds { settled_s: 15.0, pace_s: 2.0, memory_s: 300.0 };
 
--- a/crates/shares/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -3,9 +3,9 @@
 //! late or not at all, replies and answers that are lost, copies of reports, ends,
 //! takes from a holder that lives. The shares are the package's own.
 
-use beamhinge_limits::Limits;
-use beamhinge_shares::{Entry, Name, Outcome, Shares, Slot, Slots, Write};
-use beamhinge_vocab::types::Stamp;
+use beamhinge_core::types::Stamp;
+use beamhinge_rate_limit::Limits;
+use beamhinge_sharding::{Entry, Name, Outcome, Shares, Slot, Slots, Write};
 use std::collections::{HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
--- a/crates/sim/src/fingerprint.rs
+++ b/crates/sim/src/fingerprint.rs
@@ -7,9 +7,9 @@
 
 pub mod days;
 
-use beamhinge_vocab::http::Content;
-use beamhinge_vocab::messages::{Dest, Out};
-use beamhinge_vocab::types::RequestId;
+use beamhinge_core::http::Content;
+use beamhinge_core::messages::{Dest, Out};
+use beamhinge_core::types::RequestId;
 use std::fmt;
 use std::num::ParseIntError;
 use std::str::FromStr;
--- a/crates/sim/src/fingerprint/days.rs
+++ b/crates/sim/src/fingerprint/days.rs
@@ -3,7 +3,7 @@
 //! The record is a text file with a line `NAME FINGERPRINT` for each day. A change that
 //! is to leave all decisions as they are must leave it as it is; one that changes a
 //! decision, a stored record, a message or the package version (operators are told it)
-//! records it anew with `beamhinge-lab days --fingerprint --record`.
+//! records it anew with `beamhinge-testbed days --fingerprint --record`.
 
 use super::Fingerprint;
 use crate::days::{self, Day};
--- a/crates/sim/src/limits_in_force.rs
+++ b/crates/sim/src/limits_in_force.rs
@@ -1,8 +1,8 @@
 //! Limits of teams as they really are: by what the state service holds, at every moment.
 
-use beamhinge_standins::state::State;
-use beamhinge_standins::{Us, SECOND};
-use beamhinge_vocab::settings::Team;
+use beamhinge_core::settings::Team;
+use beamhinge_emulator::state::State;
+use beamhinge_emulator::{Us, SECOND};
 use std::collections::BTreeMap;
 
 /// A limit that was lowered counts for every start from then on, seconds.
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -1,7 +1,7 @@
 //! The protocol's rules about what is on machines, kept up with each change.
 
-use beamhinge_standins::worker::Worker;
-use beamhinge_standins::JobPlan;
+use beamhinge_emulator::worker::Worker;
+use beamhinge_emulator::JobPlan;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -20,9 +20,9 @@
 use crate::cluster::{Due, Event, Sim, Tally};
 use crate::fingerprint::Fingerprint;
 use beamhinge_controller::faults::Faults;
-use beamhinge_standins::cloud::Kind;
-use beamhinge_standins::{Us, SECOND};
-use beamhinge_vocab::settings::{Operator, Settings, Team};
+use beamhinge_core::settings::{Operator, Settings, Team};
+use beamhinge_emulator::cloud::Kind;
+use beamhinge_emulator::{Us, SECOND};
 use serde_json::json;
 
 /// Longest time from the end of the last trouble until all that fits is done.
@@ -115,7 +115,7 @@
 const ZONES: [&str; 2] = ["north", "south"];
 
 fn settings(nodes: usize, team_max: f64) -> Vec<Settings> {
-    let text = beamhinge_vocab::settings::SAMPLE;
+    let text = beamhinge_core::settings::SAMPLE;
     let base = Settings::parse("the sample", text).expect("the sample is sound");
     (0..nodes)
         .map(|i| {
--- a/crates/sim/src/scenario/actions.rs
+++ b/crates/sim/src/scenario/actions.rs
@@ -3,9 +3,9 @@
 use super::words::{number, option, seconds};
 use super::Wrong;
 use crate::cluster::{Event, Question, Sim};
-use beamhinge_standins::user::What;
-use beamhinge_standins::{JobPlan, Us, SECOND};
-use beamhinge_vocab::http::Method;
+use beamhinge_core::http::Method;
+use beamhinge_emulator::user::What;
+use beamhinge_emulator::{JobPlan, Us, SECOND};
 use rand::Rng;
 use serde_json::json;
 
--- a/crates/sim/src/scenario/judging.rs
+++ b/crates/sim/src/scenario/judging.rs
@@ -3,7 +3,7 @@
 use super::{Outcome, Wait, IDLE_S, SERVED_S, START};
 use crate::cluster::Sim;
 use crate::waiting::WAITS_S;
-use beamhinge_standins::{Us, SECOND};
+use beamhinge_emulator::{Us, SECOND};
 
 /// Liveness: once all troubles have ended, everything that fits is done within a
 /// stated time, and no money goes on being spent on nothing.
--- a/crates/sim/src/scenario/words.rs
+++ b/crates/sim/src/scenario/words.rs
@@ -1,7 +1,7 @@
 //! Words of a scenario's lines: times, options and numbers.
 
 use super::Wrong;
-use beamhinge_standins::Us;
+use beamhinge_emulator::Us;
 
 pub(super) fn seconds(text: &str) -> Result<Us, Wrong> {
     let s: f64 = text.parse().map_err(|_| format!("'{text}' is no time"))?;
--- a/crates/sim/src/stopped.rs
+++ b/crates/sim/src/stopped.rs
@@ -1,8 +1,8 @@
 //! What was stopped for others, and whether anybody started in its place; what
 //! each class and team was served. Judged by what really happened on machines.
 
-use beamhinge_standins::worker::{Event, Happened};
-use beamhinge_standins::{JobPlan, Us, SECOND};
+use beamhinge_emulator::worker::{Event, Happened};
+use beamhinge_emulator::{JobPlan, Us, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A start later than this is not in the stopped task's place.
--- a/crates/sim/src/troubles.rs
+++ b/crates/sim/src/troubles.rs
@@ -3,8 +3,8 @@
 //! the very end or just now.
 
 use crate::cluster::{Event, Sim};
-use beamhinge_standins::user::What;
-use beamhinge_standins::{Us, SECOND};
+use beamhinge_emulator::user::What;
+use beamhinge_emulator::{Us, SECOND};
 use rand::Rng;
 use std::collections::BTreeMap;
 
--- a/crates/sim/src/waiting.rs
+++ b/crates/sim/src/waiting.rs
@@ -4,8 +4,8 @@
 
 use crate::cluster::Sim;
 use crate::rules::Place;
-use beamhinge_standins::worker::Worker;
-use beamhinge_standins::{JobPlan, Us, SECOND};
+use beamhinge_emulator::worker::Worker;
+use beamhinge_emulator::{JobPlan, Us, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// So long a job may wait beside room that fits, seconds.
--- a/crates/sim/tests/fingerprint.rs
+++ b/crates/sim/tests/fingerprint.rs
@@ -1,5 +1,5 @@
 //! The controllers decide on the fixed days as recorded in `fingerprint.txt`. When a
-//! decision is changed on purpose: `beamhinge-lab days --fingerprint --record`.
+//! decision is changed on purpose: `beamhinge-testbed days --fingerprint --record`.
 
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::fingerprint::days;
--- a/crates/sim/tests/found.rs
+++ b/crates/sim/tests/found.rs
@@ -69,7 +69,7 @@
     fails_only_with(faults, include_str!("found/blind_return.txt"));
 }
 
-/// A fixed few of the drawn meetings; `beamhinge-lab days --meetings` draws more.
+/// A fixed few of the drawn meetings; `beamhinge-testbed days --meetings` draws more.
 #[test]
 fn drawn_meetings_keep_the_rules() {
     let days: Vec<_> = (0..24).map(|n| meetings::draw(4, n, (6.0, 30.0))).collect();
--- a/crates/standby/src/failure_detector.rs
+++ b/crates/standby/src/failure_detector.rs
@@ -1,7 +1,7 @@
 //! The failure detector of a controller that does not lead: by missing heartbeats and
 //! by workers that abandon the holder.
 
-use beamhinge_vocab::types::{MachineId, Time, Token};
+use beamhinge_core::types::{MachineId, Time, Token};
 use std::collections::{BTreeSet, VecDeque};
 
 /// How often a holder tells its peers that it holds the block, seconds.
--- a/crates/lab/src/ageing.rs
+++ b/crates/testbed/src/ageing.rs
@@ -2,11 +2,11 @@
 //! waits behind it, with ageing and without.
 
 use crate::LabError;
-use beamhinge_ageing::{carried_per_s, longest_wait_s, Crowd, Flow, Policy, Room};
 use beamhinge_controller::faults::Faults;
+use beamhinge_core::job::Urgency;
+use beamhinge_core::settings::Ageing;
+use beamhinge_priority_aging::{carried_per_s, longest_wait_s, Crowd, Flow, Policy, Room};
 use beamhinge_sim::scenario::{self, Outcome, Wait};
-use beamhinge_vocab::job::Urgency;
-use beamhinge_vocab::settings::Ageing;
 use clap::Args;
 use serde_json::{json, Value};
 use std::fmt::Write as _;
--- a/crates/lab/src/doors.rs
+++ b/crates/testbed/src/doors.rs
@@ -3,11 +3,11 @@
 
 use crate::place::{self, Folder, Lab};
 use crate::LabError;
+use beamhinge_admin_api::auth::{Key, Role, Signed};
+use beamhinge_admin_api::messages::{Hello, JobRequest, Problem};
 use beamhinge_client::wire::Connection;
 use beamhinge_client::{wall_ms, Client, ClientError, Patience};
-use beamhinge_operators::auth::{Key, Role, Signed};
-use beamhinge_operators::messages::{Hello, JobRequest, Problem};
-use beamhinge_vocab::http::Method;
+use beamhinge_core::http::Method;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddrV4, TcpStream};
@@ -63,7 +63,7 @@
     let mut plan = place::plan(lab, &folder.0);
     plan.nodes = 2;
     plan.operators = format!("keys = {}\nconnections = 6\n", keys.display());
-    let mut cluster = beamhinge_local::Cluster::start(plan, Box::new(|_| {}))?;
+    let mut cluster = beamhinge_dev_cluster::Cluster::start(plan, Box::new(|_| {}))?;
     let doors = place::doors(&cluster);
     let new = |name, role, b| Key::new(name, role, vec![b; 32]);
     let (Some(night), Some(wall)) = (new("night", Role::Operator, 7), new("wall", Role::Viewer, 8))
--- a/crates/lab/src/explain.rs
+++ b/crates/testbed/src/explain.rs
@@ -3,12 +3,12 @@
 
 use crate::place::{self, Folder, Lab};
 use crate::LabError;
+use beamhinge_admin_api::directives::{Afterwards, Change, Target};
+use beamhinge_admin_api::messages::{JobRequest, State};
+use beamhinge_admin_api::reasons::Reason;
 use beamhinge_client::Client;
-use beamhinge_local::{Cluster, ClusterPlan};
-use beamhinge_operators::directives::{Afterwards, Change, Target};
-use beamhinge_operators::messages::{JobRequest, State};
-use beamhinge_operators::reasons::Reason;
-use beamhinge_standins::platform::Trouble;
+use beamhinge_dev_cluster::{Cluster, ClusterPlan};
+use beamhinge_emulator::platform::Trouble;
 use serde_json::{json, Value};
 use std::path::Path;
 use std::time::Duration;
@@ -181,7 +181,7 @@
     let (mut s, first) = filled(lab, dir)?;
     let other = s.job(|j| {
         j.cpus = 3.0;
-        j.urgency = beamhinge_vocab::job::Urgency::High;
+        j.urgency = beamhinge_core::job::Urgency::High;
     })?;
     let job = s.job(|j| j.cpus = 3.0)?;
     let told = s.sees(&job, "behind", &other);
--- a/crates/lab/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -3,9 +3,9 @@
 //! Kept by those who ask and by the platform, never by a controller: a
 //! controller that is wrong cannot hide it here.
 
-use beamhinge_operators::messages::State;
-use beamhinge_standins::platform::Seen;
-use beamhinge_standins::worker::Happened;
+use beamhinge_admin_api::messages::State;
+use beamhinge_emulator::platform::Seen;
+use beamhinge_emulator::worker::Happened;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An answer about one job; times in seconds of the experiment.
--- a/crates/lab/src/history/tests.rs
+++ b/crates/testbed/src/history/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use beamhinge_standins::worker::Event;
+use beamhinge_emulator::worker::Event;
 
 fn answer(asked: f64, got: f64, what: Said) -> Answer {
     Answer { asked, got, what, by: "a".into() }
--- a/crates/lab/src/list.rs
+++ b/crates/testbed/src/list.rs
@@ -3,10 +3,10 @@
 
 use crate::place::{self, Folder, Lab};
 use crate::LabError;
-use beamhinge_operators::directives::{Afterwards, Directive, Target, VERSION};
-use beamhinge_operators::messages::JobRequest;
-use beamhinge_vocab::job::{done_record, open_record, JobSpec};
-use beamhinge_vocab::wire;
+use beamhinge_admin_api::directives::{Afterwards, Directive, Target, VERSION};
+use beamhinge_admin_api::messages::JobRequest;
+use beamhinge_core::job::{done_record, open_record, JobSpec};
+use beamhinge_core::wire;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::fmt::Write;
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -12,7 +12,7 @@
 mod restart;
 mod scale;
 
-use beamhinge_standins::Doubles;
+use beamhinge_emulator::Doubles;
 use clap::{Parser, Subcommand, ValueEnum};
 use serde_json::Value;
 use std::path::PathBuf;
@@ -20,10 +20,10 @@
 
 #[derive(Parser)]
 #[command(
-    name = "beamhinge-lab",
+    name = "beamhinge-testbed",
     version,
     about = "Experiments on real beamhinge processes on loopback",
-    after_help = "Example:\n  beamhinge-lab restart --seed 7 --quick"
+    after_help = "Example:\n  beamhinge-testbed restart --seed 7 --quick"
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -86,7 +86,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
     #[error(transparent)]
-    Cluster(#[from] beamhinge_local::ClusterError),
+    Cluster(#[from] beamhinge_dev_cluster::ClusterError),
     #[error(transparent)]
     Client(#[from] beamhinge_client::ClientError),
     #[error("{0}")]
@@ -127,7 +127,7 @@
         Experiment::Role | Experiment::Controller(_) => return ExitCode::FAILURE,
     };
     let figures = result.unwrap_or_else(|e| {
-        eprintln!("beamhinge-lab: {e}");
+        eprintln!("beamhinge-testbed: {e}");
         serde_json::json!({"ok": false, "error": e.to_string()})
     });
     println!("{figures}");
--- a/crates/lab/src/place.rs
+++ b/crates/testbed/src/place.rs
@@ -2,9 +2,9 @@
 
 use crate::LabError;
 use beamhinge_client::{Client, Patience};
-use beamhinge_local::{Cluster, ClusterPlan};
-use beamhinge_standins::platform::Watcher;
-use beamhinge_standins::Doubles;
+use beamhinge_dev_cluster::{Cluster, ClusterPlan};
+use beamhinge_emulator::platform::Watcher;
+use beamhinge_emulator::Doubles;
 use std::net::{SocketAddrV4, TcpListener};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 
 /// The named program, else `beamhinged` beside this one, else this one itself.
 pub fn controller(named: &Option<PathBuf>) -> (PathBuf, Vec<String>) {
-    let own = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("beamhinge-lab"));
+    let own = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("beamhinge-testbed"));
     let beside = own.with_file_name("beamhinged");
     match named {
         Some(path) if path.as_os_str() == "self" => (own, vec!["controller".into()]),
@@ -31,7 +31,8 @@
 
 impl Folder {
     pub fn new(name: &str) -> Result<Folder, LabError> {
-        let dir = std::env::temp_dir().join(format!("beamhinge-lab-{name}-{}", std::process::id()));
+        let dir =
+            std::env::temp_dir().join(format!("beamhinge-testbed-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
         Ok(Folder(dir))
     }
--- a/crates/lab/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -5,13 +5,13 @@
 use crate::history::{wrong, Answer, JobHistory, Machines, Said};
 use crate::place::{self, Folder, Lab};
 use crate::LabError;
+use beamhinge_admin_api::messages::{JobRequest, State};
 use beamhinge_client::wire::Connection;
 use beamhinge_client::{Client, ClientError};
-use beamhinge_local::Cluster;
-use beamhinge_operators::messages::{JobRequest, State};
-use beamhinge_standins::Doubles;
-use beamhinge_vocab::http::{Content, Method};
-use beamhinge_vocab::wire;
+use beamhinge_core::http::{Content, Method};
+use beamhinge_core::wire;
+use beamhinge_dev_cluster::Cluster;
+use beamhinge_emulator::Doubles;
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/lab/src/scale/children.rs
+++ b/crates/testbed/src/scale/children.rs
@@ -43,7 +43,8 @@
         plan: &RolePlan,
         records: Sender<(RoleId, Record)>,
     ) -> Result<RoleChild, LabError> {
-        let program = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("beamhinge-lab"));
+        let program =
+            std::env::current_exe().unwrap_or_else(|_| PathBuf::from("beamhinge-testbed"));
         let mut child = std::process::Command::new(program)
             .arg("role")
             .stdin(Stdio::piped())
--- a/crates/lab/src/scale/flows.rs
+++ b/crates/testbed/src/scale/flows.rs
@@ -1,8 +1,8 @@
 //! Counting what a child sends and receives.
 
 use super::messages::{Flow, Flows};
-use beamhinge_vocab::http::{self, Content, Method};
-use beamhinge_vocab::types::RequestId;
+use beamhinge_core::http::{self, Content, Method};
+use beamhinge_core::types::RequestId;
 use std::collections::BTreeMap;
 
 /// Requests under way whose kind is remembered; guards memory.
--- a/crates/lab/src/scale/layout.rs
+++ b/crates/testbed/src/scale/layout.rs
@@ -3,7 +3,7 @@
 
 use super::size::Size;
 use super::workload::team_name;
-use beamhinge_local::deployment::{Deployment, Links, NodePlace, PlatformLimits, TeamPlan};
+use beamhinge_dev_cluster::deployment::{Deployment, Links, NodePlace, PlatformLimits, TeamPlan};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 
 /// Workers of one process; more are too many for one thread.
--- a/crates/lab/src/scale/layout/tests.rs
+++ b/crates/testbed/src/scale/layout/tests.rs
@@ -53,7 +53,7 @@
     let deployment = layout.deployment();
     for node in 0..7 {
         let text = deployment.settings(node, &layout.links(node));
-        let settings = beamhinge_vocab::settings::Settings::parse("t", &text).expect("sound");
+        let settings = beamhinge_core::settings::Settings::parse("t", &text).expect("sound");
         assert_eq!((settings.members.len(), settings.params.teams.len()), (6, 240));
     }
 }
--- a/crates/lab/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -3,7 +3,7 @@
 //! records on its standard output.
 
 use super::workload::Workload;
-use beamhinge_standins::worker::Happened;
+use beamhinge_emulator::worker::Happened;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
--- a/crates/lab/src/scale/role/cloud.rs
+++ b/crates/testbed/src/scale/role/cloud.rs
@@ -3,11 +3,11 @@
 use super::{HeldControllers, Links};
 use crate::scale::flows::FlowCounter;
 use crate::scale::messages::{Command, MachinePlan, Record};
-use beamhinge_standins::cloud::{Cloud, Kind};
-use beamhinge_standins::{micros, Us, SECOND};
-use beamhinge_vocab::http::{Method, Request};
-use beamhinge_vocab::messages::{Out, Service};
-use beamhinge_vocab::types::{RequestId, Time, WallMs};
+use beamhinge_core::http::{Method, Request};
+use beamhinge_core::messages::{Out, Service};
+use beamhinge_core::types::{RequestId, Time, WallMs};
+use beamhinge_emulator::cloud::{Cloud, Kind};
+use beamhinge_emulator::{micros, Us, SECOND};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use std::collections::BTreeMap;
--- a/crates/lab/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -10,11 +10,11 @@
 mod workers;
 
 use super::messages::{Command, Flows, Record, RolePlan};
-use beamhinge_net::{Door, DoorKind, Net, NetError, Wiring};
-use beamhinge_standins::Us;
-use beamhinge_vocab::messages::Service;
-use beamhinge_vocab::settings::External;
-use beamhinge_vocab::types::Time;
+use beamhinge_core::messages::Service;
+use beamhinge_core::settings::External;
+use beamhinge_core::types::Time;
+use beamhinge_emulator::Us;
+use beamhinge_transport::{Door, DoorKind, Net, NetError, Wiring};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Stdout, Write};
 use std::net::SocketAddrV4;
@@ -33,7 +33,7 @@
 
 #[derive(Debug, thiserror::Error)]
 pub enum RoleError {
-    #[error("no plan on standard input: this is for `beamhinge-lab scale` alone")]
+    #[error("no plan on standard input: this is for `beamhinge-testbed scale` alone")]
     NoPlan,
     #[error("the plan is not understood: {0}")]
     Plan(#[from] serde_json::Error),
@@ -115,7 +115,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("beamhinge-lab role: {e}");
+            eprintln!("beamhinge-testbed role: {e}");
             ExitCode::FAILURE
         }
     }
@@ -164,7 +164,7 @@
             workload,
             real,
         } => {
-            let settings = beamhinge_vocab::settings::Workers { report_s, lease_s, cancel_s };
+            let settings = beamhinge_core::settings::Workers { report_s, lease_s, cancel_s };
             let wiring = wiring(&addresses);
             run_service(wiring, &go, links, |links, _| {
                 workers::WorkersRole::new(controllers, addresses, settings, workload, real, links)
--- a/crates/lab/src/scale/role/state.rs
+++ b/crates/testbed/src/scale/role/state.rs
@@ -3,12 +3,12 @@
 use super::{HeldControllers, Links};
 use crate::scale::flows::FlowCounter;
 use crate::scale::messages::{wall_us, Command, Record, StateLimits};
-use beamhinge_standins::state_server::StateServer;
-use beamhinge_standins::{micros, Us};
-use beamhinge_vocab::http::{Method, Request};
-use beamhinge_vocab::messages::{Out, Service};
-use beamhinge_vocab::settings;
-use beamhinge_vocab::types::{RequestId, Time, WallMs};
+use beamhinge_core::http::{Method, Request};
+use beamhinge_core::messages::{Out, Service};
+use beamhinge_core::settings;
+use beamhinge_core::types::{RequestId, Time, WallMs};
+use beamhinge_emulator::state_server::StateServer;
+use beamhinge_emulator::{micros, Us};
 use std::collections::VecDeque;
 
 /// The key that says who leads.
--- a/crates/lab/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -15,7 +15,7 @@
 use super::workload::Workload;
 use crate::place::{Folder, Lab};
 use crate::LabError;
-use beamhinge_local::controllers::{ControllerProgram, Controllers};
+use beamhinge_dev_cluster::controllers::{ControllerProgram, Controllers};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
--- a/crates/lab/src/scale/workload.rs
+++ b/crates/testbed/src/scale/workload.rs
@@ -2,7 +2,7 @@
 //! workers know the same of each without telling each other.
 
 use super::size::Size;
-use beamhinge_standins::JobPlan;
+use beamhinge_emulator::JobPlan;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
--- a/crates/lab/tests/real.rs
+++ b/crates/testbed/tests/real.rs
@@ -4,7 +4,7 @@
 
 /// Exit code and last line of one experiment.
 fn lab(words: &[&str]) -> (Option<i32>, serde_json::Value) {
-    let output = Command::new(env!("CARGO_BIN_EXE_beamhinge-lab"))
+    let output = Command::new(env!("CARGO_BIN_EXE_beamhinge-testbed"))
         .args(words)
         // Another build of the daemon may lie beside a test's.
         .args(["--controller", "self"])
--- a/crates/net/src/connections.rs
+++ b/crates/transport/src/connections.rs
@@ -3,8 +3,8 @@
 use crate::output::{CLOUD_CONNS, STATE_CONNS};
 use crate::wiring::{connect, open_door, DoorKind};
 use crate::{Conn, Kind, Net};
-use beamhinge_vocab::messages::Service;
-use beamhinge_vocab::types::Time;
+use beamhinge_core::messages::Service;
+use beamhinge_core::types::Time;
 use polling::{Event, PollMode};
 use std::io;
 use std::net::{TcpListener, TcpStream};
--- a/crates/net/src/input.rs
+++ b/crates/transport/src/input.rs
@@ -1,11 +1,11 @@
 //! What comes in: requests, responses and frames, as far as they are whole.
 
 use crate::{wall, Kind, Net};
-use beamhinge_vocab::http::{self, Content, HttpError};
-use beamhinge_vocab::messages::{Dest, Out, Service};
-use beamhinge_vocab::peers;
-use beamhinge_vocab::types::RequestId;
-use beamhinge_vocab::wire::{self, BODY_LIMIT};
+use beamhinge_core::http::{self, Content, HttpError};
+use beamhinge_core::messages::{Dest, Out, Service};
+use beamhinge_core::peers;
+use beamhinge_core::types::RequestId;
+use beamhinge_core::wire::{self, BODY_LIMIT};
 use std::io::{self, Read};
 
 /// Answers of the state service may be large; beyond this we give up on one.
--- a/crates/net/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -11,8 +11,8 @@
 
 pub use wiring::{Door, DoorKind, Wiring};
 
-use beamhinge_vocab::messages::{Dest, Service};
-use beamhinge_vocab::types::{CallId, Time, WallMs};
+use beamhinge_core::messages::{Dest, Service};
+use beamhinge_core::types::{CallId, Time, WallMs};
 use polling::{Event, PollMode, Poller};
 use std::collections::VecDeque;
 use std::convert::Infallible;
--- a/crates/net/src/output.rs
+++ b/crates/transport/src/output.rs
@@ -2,10 +2,10 @@
 
 use crate::wiring::connect;
 use crate::{Conn, Kind, Net};
-use beamhinge_vocab::http::{self, Content};
-use beamhinge_vocab::messages::{Dest, Out, Service};
-use beamhinge_vocab::peers;
-use beamhinge_vocab::types::RequestId;
+use beamhinge_core::http::{self, Content};
+use beamhinge_core::messages::{Dest, Out, Service};
+use beamhinge_core::peers;
+use beamhinge_core::types::RequestId;
 use polling::{Event, PollMode};
 use std::io::{self, Write};
 use std::net::SocketAddrV4;
--- a/crates/net/src/tests.rs
+++ b/crates/transport/src/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::connections::REOPEN_S;
-use beamhinge_vocab::http::{Content, Request};
-use beamhinge_vocab::messages::Out;
-use beamhinge_vocab::settings::External;
-use beamhinge_vocab::types::RequestId;
+use beamhinge_core::http::{Content, Request};
+use beamhinge_core::messages::Out;
+use beamhinge_core::settings::External;
+use beamhinge_core::types::RequestId;
 use std::io::{Read, Write};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
--- a/crates/net/src/wiring.rs
+++ b/crates/transport/src/wiring.rs
@@ -1,7 +1,7 @@
 //! The addresses that a process listens on and calls, and how they are opened.
 
 use crate::{NetError, DOORS};
-use beamhinge_vocab::settings::{External, Member, Settings};
+use beamhinge_core::settings::{External, Member, Settings};
 use polling::{Event, PollMode, Poller};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
