--- a/crates/controller/src/fleet/machines.rs
+++ b/crates/controller/src/fleet/machines.rs
@@ -67,7 +67,7 @@
             }
             let mut txn = ledger.txn();
             let built = txn
-                .when(crate::leader::BLOCK, Stamp(self.token.0))
+                .when(crate::leader_election::BLOCK_KEY, Stamp(self.token.0))
                 .and_then(|()| txn.write(RENTALS_KEY, stamp, wire::to_value(&record), None));
             match built {
                 Ok(()) => {
--- a/crates/controller/src/leader.rs
+++ b/crates/controller/src/leader_election.rs
@@ -14,19 +14,19 @@
 use beamhinge_core::wire;
 use serde::{Deserialize, Serialize};
 
-const LEAD: &str = "lead/now";
-const LEAD_PREFIX: &str = "lead/";
+const LEADERSHIP_KEY: &str = "lead/now";
+const LEADERSHIP_PREFIX: &str = "lead/";
 /// How long a leader that stepped back leaves the lead to others.
-const STAND_BACK_S: f64 = 8.0;
+const YIELD_S: f64 = 8.0;
 /// After a take that the state service calls malformed; others may do better.
-const MALFORMED_S: f64 = 5.0;
+const MALFORMED_RETRY_S: f64 = 5.0;
 /// No store comes so far in a thousand years of a hundred changes a second.
-const MOST_TOKEN: u64 = 1 << 43;
-pub const BLOCK: &str = "block/0";
+const MAX_TOKEN: u64 = 1 << 43;
+pub const BLOCK_KEY: &str = "block/0";
 const BLOCK_PREFIX: &str = "block/";
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Name {
+struct ProcessIdentity {
     v: u32,
     label: String,
     nonce: u64,
@@ -34,79 +34,79 @@
 
 /// Changes of standing that the node has to act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    Same,
-    Took { token: Token },
+pub enum LeadershipChange {
+    Unchanged,
+    Acquired { token: Token },
     Lost,
 }
 
-pub struct Leader {
-    me: Name,
-    life_s: f64,
-    permit: Option<u64>,
-    permit_sent: Time,
-    lease_flying: bool,
-    renew_flying: bool,
-    lead: Option<(Name, Stamp)>,
-    lead_rev: Option<u64>,
-    lead_flying: bool,
-    block: Option<(Option<Name>, Stamp)>,
-    block_flying: bool,
-    taking: bool,
+pub struct LeaderElection {
+    identity: ProcessIdentity,
+    lease_duration_s: f64,
+    lease_id: Option<u64>,
+    lease_renewed_at: Time,
+    lease_grant_in_flight: bool,
+    lease_renewal_in_flight: bool,
+    leadership: Option<(ProcessIdentity, Stamp)>,
+    leadership_revision: Option<u64>,
+    leadership_read_in_flight: bool,
+    block: Option<(Option<ProcessIdentity>, Stamp)>,
+    block_read_in_flight: bool,
+    acquiring: bool,
     token: Option<Token>,
     /// The last token we held: its term is over for good.
-    last: Token,
-    check_flying: bool,
-    checked: Time,
-    check_sent: Time,
+    last_token: Token,
+    block_check_in_flight: bool,
+    block_confirmed_at: Time,
+    block_check_sent_at: Time,
     retry_at: Time,
     /// After stepping back: how long others have to take over.
-    stand_back: Time,
+    yield_until: Time,
     /// The lead as it was when its holder was found gone: it may be taken.
-    presumed: Option<Stamp>,
+    presumed_dead: Option<Stamp>,
     /// The lead, in our name, after which we last read the block.
-    looked: Stamp,
+    block_read_for: Stamp,
     /// The highest token that others were said to have seen, when it ended our term.
-    claimed: u64,
+    highest_claimed_token: u64,
     /// No token is as high as this.
-    nonsense: u64,
+    never_issued_from: u64,
     /// What tests put in.
     pub faults: Faults,
 }
 
-impl Leader {
-    pub fn new(settings: &Settings, nonce: u64) -> Leader {
-        Leader {
-            me: Name { v: 1, label: settings.label.clone(), nonce },
-            life_s: settings.leader_lease_s(),
-            permit: None,
-            permit_sent: Time::default(),
-            lease_flying: false,
-            renew_flying: false,
-            lead: None,
-            lead_rev: None,
-            lead_flying: false,
+impl LeaderElection {
+    pub fn new(settings: &Settings, nonce: u64) -> LeaderElection {
+        LeaderElection {
+            identity: ProcessIdentity { v: 1, label: settings.label.clone(), nonce },
+            lease_duration_s: settings.leader_lease_s(),
+            lease_id: None,
+            lease_renewed_at: Time::default(),
+            lease_grant_in_flight: false,
+            lease_renewal_in_flight: false,
+            leadership: None,
+            leadership_revision: None,
+            leadership_read_in_flight: false,
             block: None,
-            block_flying: false,
-            taking: false,
+            block_read_in_flight: false,
+            acquiring: false,
             token: None,
-            last: Token(0),
-            check_flying: false,
-            checked: Time::default(),
-            check_sent: Time::default(),
+            last_token: Token(0),
+            block_check_in_flight: false,
+            block_confirmed_at: Time::default(),
+            block_check_sent_at: Time::default(),
             retry_at: Time::default(),
-            stand_back: Time::default(),
-            presumed: None,
-            looked: Stamp(0),
-            claimed: 0,
-            nonsense: u64::MAX,
+            yield_until: Time::default(),
+            presumed_dead: None,
+            block_read_for: Stamp(0),
+            highest_claimed_token: 0,
+            never_issued_from: u64::MAX,
             faults: Faults::default(),
         }
     }
 
     /// The lease of the state service that this controller keeps, if it has one.
-    pub fn permit(&self) -> Option<u64> {
-        self.permit
+    pub fn lease_id(&self) -> Option<u64> {
+        self.lease_id
     }
 
     pub fn token(&self) -> Option<Token> {
@@ -115,30 +115,33 @@
 
     /// When the state service last confirmed that we hold the block, by the
     /// time its request was sent.
-    pub fn checked(&self) -> Time {
-        self.checked
+    pub fn block_confirmed_at(&self) -> Time {
+        self.block_confirmed_at
     }
 
     /// A committed placement rests on the block key: it confirms it as well.
-    pub fn confirmed(&mut self, sent: Time) {
-        self.checked = self.checked.max(sent);
+    pub fn confirm_block(&mut self, sent: Time) {
+        self.block_confirmed_at = self.block_confirmed_at.max(sent);
     }
 
     /// The leader that others should be sent to, as far as known.
     pub fn other_leader(&self) -> Option<&str> {
-        self.lead.as_ref().map(|(n, _)| n.label.as_str()).filter(|l| *l != self.me.label)
+        self.leadership
+            .as_ref()
+            .map(|(n, _)| n.label.as_str())
+            .filter(|l| *l != self.identity.label)
     }
 
     /// A worker has seen a higher token, or a condition on the block failed:
     /// somebody took over. Guard 1: from here on we answer no worker with 200.
-    pub fn deposed(&mut self, now: Time) -> Standing {
-        let Some(token) = self.token.take() else { return Standing::Same };
-        self.last = token;
+    pub fn step_down_deposed(&mut self, now: Time) -> LeadershipChange {
+        let Some(token) = self.token.take() else { return LeadershipChange::Unchanged };
+        self.last_token = token;
         tracing::info!("this controller no longer leads");
         self.block = None;
-        self.lead_rev = None;
+        self.leadership_revision = None;
         self.retry_at = now.plus(0.2);
-        Standing::Lost
+        LeadershipChange::Lost
     }
 
     /// Somebody says that a token has been seen. A higher one ends our term, unless it
@@ -146,58 +149,59 @@
     /// at a lower revision was never given out. A single worker that made one up ended
     /// each term a second after it began. (That we go on breaks nothing: whoever has
     /// really seen a higher token drops what we say.)
-    pub fn claims(&mut self, now: Time, token: u64) -> Standing {
-        if self.token.is_none_or(|ours| token <= ours.0) || token >= self.nonsense {
-            return Standing::Same;
+    pub fn on_token_claim(&mut self, now: Time, token: u64) -> LeadershipChange {
+        if self.token.is_none_or(|ours| token <= ours.0) || token >= self.never_issued_from {
+            return LeadershipChange::Unchanged;
         }
-        self.claimed = token;
-        self.deposed(now)
+        self.highest_claimed_token = token;
+        self.step_down_deposed(now)
     }
 
     /// Gives the lead up because others can do more with it: the lease ends at
     /// once, and we hold back long enough for another to take over.
-    pub fn step_back(&mut self, now: Time, ledger: &mut Ledger<Tag>) -> Standing {
+    pub fn step_down(&mut self, now: Time, ledger: &mut Ledger<Tag>) -> LeadershipChange {
         if self.token.is_none() {
-            return Standing::Same;
+            return LeadershipChange::Unchanged;
         }
-        if let Some(permit) = self.permit.take() {
-            ledger.end_lease(now, Tag::Lead(LeadCall::End), permit);
+        if let Some(lease_id) = self.lease_id.take() {
+            ledger.end_lease(now, Tag::Lead(LeadCall::End), lease_id);
         }
-        self.stand_back = now.plus(STAND_BACK_S);
-        self.deposed(now)
+        self.yield_until = now.plus(YIELD_S);
+        self.step_down_deposed(now)
     }
 
     /// Gives the lead up in an orderly way: the lease ends so that another takes
     /// over at once, and until it has, we go on with the token we hold. The
     /// transaction that takes the block ends our term as any other does.
-    pub fn hand_over(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
-        if self.token.is_none() || now < self.stand_back {
+    pub fn transfer(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
+        if self.token.is_none() || now < self.yield_until {
             return;
         }
-        if let Some(permit) = self.permit.take() {
-            ledger.end_lease(now, Tag::Lead(LeadCall::End), permit);
+        if let Some(lease_id) = self.lease_id.take() {
+            ledger.end_lease(now, Tag::Lead(LeadCall::End), lease_id);
         }
-        self.stand_back = now.plus(STAND_BACK_S);
+        self.yield_until = now.plus(YIELD_S);
     }
 
     /// The holder of this label is gone, by other witnesses than its lease. The
     /// take rests on the lead being as it is now: if the holder, or another, wrote
     /// it meanwhile, nothing is taken.
-    pub fn presume_gone(&mut self, holder: &str) {
-        self.presumed = self.lead.as_ref().filter(|(n, _)| n.label == holder).map(|(_, s)| *s);
+    pub fn presume_dead(&mut self, holder: &str) {
+        self.presumed_dead =
+            self.leadership.as_ref().filter(|(n, _)| n.label == holder).map(|(_, s)| *s);
     }
 
     /// Leaves the lead to others for a while longer.
-    pub fn hold_back(&mut self, now: Time) {
+    pub fn defer(&mut self, now: Time) {
         if self.token.is_none() {
-            self.stand_back = self.stand_back.max(now.plus(2.0));
+            self.yield_until = self.yield_until.max(now.plus(2.0));
         }
     }
 
     /// Wants the hold on the block confirmed without waiting for the next turn.
-    pub fn want_check(&mut self, now: Time) {
-        if now.since(self.check_sent) > 0.1 {
-            self.check_sent = self.check_sent.minus(1.0);
+    pub fn request_block_check(&mut self, now: Time) {
+        if now.since(self.block_check_sent_at) > 0.1 {
+            self.block_check_sent_at = self.block_check_sent_at.minus(1.0);
         }
     }
 
@@ -205,76 +209,81 @@
         if now < self.retry_at {
             return;
         }
-        match self.permit {
-            None if !self.lease_flying => {
-                self.lease_flying = true;
-                ledger.lease(now, Tag::Lead(LeadCall::Lease), self.life_s);
+        match self.lease_id {
+            None if !self.lease_grant_in_flight => {
+                self.lease_grant_in_flight = true;
+                ledger.lease(now, Tag::Lead(LeadCall::Lease), self.lease_duration_s);
             }
-            Some(permit)
-                if !self.renew_flying && now.since(self.permit_sent) > self.life_s * 0.25 =>
+            Some(lease_id)
+                if !self.lease_renewal_in_flight
+                    && now.since(self.lease_renewed_at) > self.lease_duration_s * 0.25 =>
             {
-                self.renew_flying = true;
-                ledger.renew(now, Tag::Lead(LeadCall::Renew), permit);
+                self.lease_renewal_in_flight = true;
+                ledger.renew(now, Tag::Lead(LeadCall::Renew), lease_id);
             }
             _ => {}
         }
-        if !self.lead_flying {
-            self.lead_flying = true;
-            match self.lead_rev {
+        if !self.leadership_read_in_flight {
+            self.leadership_read_in_flight = true;
+            match self.leadership_revision {
                 None => ledger.scan(
                     now,
                     Priority::Lease,
                     Tag::Lead(LeadCall::ReadLead),
-                    LEAD_PREFIX,
+                    LEADERSHIP_PREFIX,
                     None,
                 ),
                 Some(rev) => ledger.watch(
                     now,
                     Priority::Lease,
                     Tag::Lead(LeadCall::WatchLead),
-                    LEAD_PREFIX,
+                    LEADERSHIP_PREFIX,
                     rev,
                     3.0,
                 ),
             }
         }
-        if self.token.is_some() && !self.check_flying && now.since(self.check_sent) > 1.0 {
-            self.check_flying = true;
-            self.check_sent = now;
+        if self.token.is_some()
+            && !self.block_check_in_flight
+            && now.since(self.block_check_sent_at) > 1.0
+        {
+            self.block_check_in_flight = true;
+            self.block_check_sent_at = now;
             let mut txn = ledger.txn();
-            if txn.when(BLOCK, self.block_stamp()).is_ok() {
+            if txn.when(BLOCK_KEY, self.block_revision()).is_ok() {
                 ledger.commit(now, Priority::Lease, Tag::Lead(LeadCall::Check), txn);
             }
         }
-        self.try_take(now, ledger);
+        self.try_acquire(now, ledger);
     }
 
-    fn block_stamp(&self) -> Stamp {
+    fn block_revision(&self) -> Stamp {
         self.token.map_or(Stamp(0), |t| Stamp(t.0))
     }
 
-    fn try_take(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
-        if self.lead_rev.is_none() || self.taking || now < self.stand_back {
+    fn try_acquire(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
+        if self.leadership_revision.is_none() || self.acquiring || now < self.yield_until {
             return;
         }
         // Our own label with another nonce is a process of ours that ended:
         // waiting for its lease to lapse would only cost time. That it waits until its
         // jobs are read was tried: after an end of all, workers learned the token later.
-        let (free, stamp) = match &self.lead {
+        let (free, stamp) = match &self.leadership {
             None => (true, Stamp(0)),
             Some((name, stamp)) => {
-                let ours = name.label == self.me.label && name.nonce != self.me.nonce;
-                (ours || self.presumed == Some(*stamp), *stamp)
+                let ours = name.label == self.identity.label && name.nonce != self.identity.nonce;
+                (ours || self.presumed_dead == Some(*stamp), *stamp)
             }
         };
-        let Some(permit) = self.permit else { return };
+        let Some(lease_id) = self.lease_id else { return };
         if !free {
             // Guard 1: our own name without a token is a take of ours whose answer was
             // lost, carried out late. Nobody else takes the lead while we renew its
             // lease, and we took it for somebody's: nobody led for as long as we lived.
             // What we knew of the block is from before; it is read once for each lead.
-            let ours = self.lead.as_ref().is_some_and(|(n, _)| *n == self.me);
-            let unknown = self.token.is_none() && self.looked != stamp && !self.block_flying;
+            let ours = self.leadership.as_ref().is_some_and(|(n, _)| *n == self.identity);
+            let unknown =
+                self.token.is_none() && self.block_read_for != stamp && !self.block_read_in_flight;
             if ours && unknown && !broken!(self.faults, own_lead) {
                 self.read_block(now, ledger);
             }
@@ -282,29 +291,29 @@
         }
         if let Some(token) = self.token {
             // Our lease lapsed but nobody took the block: hang the key up again.
-            self.taking = true;
+            self.acquiring = true;
             let mut txn = ledger.txn();
-            let built = txn
-                .when(BLOCK, Stamp(token.0))
-                .and_then(|()| txn.write(LEAD, stamp, wire::to_value(&self.me), Some(permit)));
+            let built = txn.when(BLOCK_KEY, Stamp(token.0)).and_then(|()| {
+                txn.write(LEADERSHIP_KEY, stamp, wire::to_value(&self.identity), Some(lease_id))
+            });
             match built {
                 Ok(()) => ledger.commit(now, Priority::Lease, Tag::Lead(LeadCall::Reclaim), txn),
-                Err(full) => self.unbuildable(now, full),
+                Err(full) => self.on_unwritable(now, full),
             }
             return;
         }
         match &self.block {
-            None if !self.block_flying => self.read_block(now, ledger),
-            Some((_, block_stamp)) => {
-                self.taking = true;
+            None if !self.block_read_in_flight => self.read_block(now, ledger),
+            Some((_, block_revision)) => {
+                self.acquiring = true;
                 let mut txn = ledger.txn();
-                let me = wire::to_value(&self.me);
+                let identity = wire::to_value(&self.identity);
                 let built = txn
-                    .write(LEAD, stamp, me.clone(), Some(permit))
-                    .and_then(|()| txn.write(BLOCK, *block_stamp, me, None));
+                    .write(LEADERSHIP_KEY, stamp, identity.clone(), Some(lease_id))
+                    .and_then(|()| txn.write(BLOCK_KEY, *block_revision, identity, None));
                 match built {
                     Ok(()) => ledger.commit(now, Priority::Lease, Tag::Lead(LeadCall::Take), txn),
-                    Err(full) => self.unbuildable(now, full),
+                    Err(full) => self.on_unwritable(now, full),
                 }
             }
             None => {}
@@ -312,7 +321,7 @@
     }
 
     fn read_block(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
-        self.block_flying = true;
+        self.block_read_in_flight = true;
         let tag = Tag::Lead(LeadCall::ReadBlock);
         ledger.scan(now, Priority::Lease, tag, BLOCK_PREFIX, None);
     }
@@ -323,43 +332,44 @@
         call: LeadCall,
         reply: Reply<Tag>,
         ledger: &mut Ledger<Tag>,
-    ) -> Standing {
+    ) -> LeadershipChange {
         let standing = self.apply(now, call, reply);
         self.tick(now, ledger);
         standing
     }
 
-    fn apply(&mut self, now: Time, call: LeadCall, reply: Reply<Tag>) -> Standing {
+    fn apply(&mut self, now: Time, call: LeadCall, reply: Reply<Tag>) -> LeadershipChange {
         match call {
             LeadCall::Lease => {
-                self.lease_flying = false;
+                self.lease_grant_in_flight = false;
                 match reply.outcome {
                     Outcome::Ok(body) => {
                         if let Ok(p) = wire::decode::<Permit>(&body) {
-                            self.permit = Some(p.permit);
-                            self.permit_sent = reply.sent;
+                            self.lease_id = Some(p.permit);
+                            self.lease_renewed_at = reply.sent;
                         }
                     }
                     _ => self.retry_at = now.plus(0.2),
                 }
             }
             LeadCall::Renew => {
-                self.renew_flying = false;
+                self.lease_renewal_in_flight = false;
                 match reply.outcome {
-                    Outcome::Ok(_) => self.permit_sent = reply.sent,
-                    Outcome::Missing => self.permit = None,
+                    Outcome::Ok(_) => self.lease_renewed_at = reply.sent,
+                    Outcome::Missing => self.lease_id = None,
                     _ => self.retry_at = now.plus(0.1),
                 }
             }
             LeadCall::ReadLead => {
-                self.lead_flying = false;
+                self.leadership_read_in_flight = false;
                 match reply.outcome {
                     Outcome::Ok(body) => match wire::decode::<Scan>(&body) {
                         Ok(scan) => {
-                            self.lead = scan.pairs.iter().find(|p| p.path == LEAD).and_then(|p| {
-                                Some((wire::from_value(&p.value).ok()?, Stamp(p.stamp)))
-                            });
-                            self.lead_rev = Some(scan.rev);
+                            self.leadership =
+                                scan.pairs.iter().find(|p| p.path == LEADERSHIP_KEY).and_then(
+                                    |p| Some((wire::from_value(&p.value).ok()?, Stamp(p.stamp))),
+                                );
+                            self.leadership_revision = Some(scan.rev);
                         }
                         Err(_) => self.retry_at = now.plus(0.5),
                     },
@@ -367,17 +377,18 @@
                 }
             }
             LeadCall::WatchLead => {
-                self.lead_flying = false;
+                self.leadership_read_in_flight = false;
                 match reply.outcome {
                     Outcome::Ok(body) => match wire::decode::<News>(&body) {
                         Ok(news) => {
                             for change in &news.news {
                                 // News from before our own take is old.
-                                if self.lead.as_ref().is_some_and(|(_, s)| s.0 > change.stamp) {
+                                if self.leadership.as_ref().is_some_and(|(_, s)| s.0 > change.stamp)
+                                {
                                     continue;
                                 }
-                                self.lead = match (&change.write, &change.value) {
-                                    (Some(path), Some(value)) if path == LEAD => {
+                                self.leadership = match (&change.write, &change.value) {
+                                    (Some(path), Some(value)) if path == LEADERSHIP_KEY => {
                                         wire::from_value(value)
                                             .ok()
                                             .map(|n| (n, Stamp(change.stamp)))
@@ -385,43 +396,47 @@
                                     _ => None,
                                 };
                             }
-                            self.lead_rev = Some(news.rev);
+                            self.leadership_revision = Some(news.rev);
                         }
-                        Err(_) => self.lead_rev = None,
+                        Err(_) => self.leadership_revision = None,
                     },
-                    Outcome::Gone => self.lead_rev = None,
+                    Outcome::Gone => self.leadership_revision = None,
                     _ => self.retry_at = now.plus(0.2),
                 }
                 let other = self
-                    .lead
+                    .leadership
                     .as_ref()
-                    .is_some_and(|(n, _)| *n != self.me && n.label != self.me.label);
+                    .is_some_and(|(n, _)| *n != self.identity && n.label != self.identity.label);
                 if other && self.token.is_some() {
-                    return self.deposed(now);
+                    return self.step_down_deposed(now);
                 }
             }
             LeadCall::ReadBlock => {
-                self.block_flying = false;
+                self.block_read_in_flight = false;
                 match reply.outcome {
                     Outcome::Ok(body) => match wire::decode::<Scan>(&body) {
                         Ok(scan) => {
-                            if let Some((_, at)) = self.lead.as_ref().filter(|l| l.0 == self.me) {
+                            if let Some((_, at)) =
+                                self.leadership.as_ref().filter(|l| l.0 == self.identity)
+                            {
                                 // A block from before that lead says nothing of it.
-                                self.looked = if scan.rev >= at.0 { *at } else { self.looked };
+                                self.block_read_for =
+                                    if scan.rev >= at.0 { *at } else { self.block_read_for };
                             }
-                            let found = scan.pairs.iter().find(|p| p.path == BLOCK);
-                            let name = found.and_then(|p| wire::from_value::<Name>(&p.value).ok());
+                            let found = scan.pairs.iter().find(|p| p.path == BLOCK_KEY);
+                            let name = found
+                                .and_then(|p| wire::from_value::<ProcessIdentity>(&p.value).ok());
                             let stamp = Stamp(found.map_or(0, |p| p.stamp));
                             // A reply to our own take that was lost: the nonce
                             // shows that its transaction was applied, and its
                             // revision is our token. A token whose term we
                             // ended is never taken up again: transactions of
                             // that term may still be on their way.
-                            if name.as_ref() == Some(&self.me)
+                            if name.as_ref() == Some(&self.identity)
                                 && self.token.is_none()
-                                && (stamp.0 > self.last.0 || broken!(self.faults, old_term))
+                                && (stamp.0 > self.last_token.0 || broken!(self.faults, old_term))
                             {
-                                return self.took(stamp, reply.sent);
+                                return self.acquired(stamp, reply.sent);
                             }
                             self.block = Some((name, stamp));
                         }
@@ -431,89 +446,92 @@
                 }
             }
             LeadCall::Take => {
-                self.taking = false;
+                self.acquiring = false;
                 match reply.outcome {
                     Outcome::Ok(body) => {
                         if let Ok(c) = wire::decode::<Committed>(&body) {
-                            self.lead = Some((self.me.clone(), Stamp(c.rev)));
-                            return self.took(Stamp(c.rev), reply.sent);
+                            self.leadership = Some((self.identity.clone(), Stamp(c.rev)));
+                            return self.acquired(Stamp(c.rev), reply.sent);
                         }
-                        self.reread(now);
+                        self.reload(now);
                     }
-                    Outcome::NoLease => self.permit = None,
+                    Outcome::NoLease => self.lease_id = None,
                     Outcome::Malformed => {
-                        self.reread(now);
-                        self.retry_at = now.plus(MALFORMED_S);
+                        self.reload(now);
+                        self.retry_at = now.plus(MALFORMED_RETRY_S);
                     }
-                    _ => self.reread(now),
+                    _ => self.reload(now),
                 }
             }
             LeadCall::Reclaim => {
-                self.taking = false;
+                self.acquiring = false;
                 match reply.outcome {
                     Outcome::Ok(body) => {
                         if let Ok(c) = wire::decode::<Committed>(&body) {
-                            self.lead = Some((self.me.clone(), Stamp(c.rev)));
-                            self.confirmed(reply.sent);
+                            self.leadership = Some((self.identity.clone(), Stamp(c.rev)));
+                            self.confirm_block(reply.sent);
                         }
                     }
-                    Outcome::NoLease => self.permit = None,
-                    Outcome::Conflict(failed) if failed.iter().any(|k| k == BLOCK) => {
-                        return self.deposed(now);
+                    Outcome::NoLease => self.lease_id = None,
+                    Outcome::Conflict(failed) if failed.iter().any(|k| k == BLOCK_KEY) => {
+                        return self.step_down_deposed(now);
                     }
-                    _ => self.reread(now),
+                    _ => self.reload(now),
                 }
             }
             LeadCall::End => {}
             LeadCall::Check => {
-                self.check_flying = false;
+                self.block_check_in_flight = false;
                 match reply.outcome {
-                    Outcome::Ok(_) => self.confirmed(reply.sent),
-                    Outcome::Conflict(_) => return self.deposed(now),
+                    Outcome::Ok(_) => self.confirm_block(reply.sent),
+                    Outcome::Conflict(_) => return self.step_down_deposed(now),
                     _ => {}
                 }
             }
         }
-        Standing::Same
+        LeadershipChange::Unchanged
     }
 
     /// A label too long for any value: nothing can be led with it.
-    fn unbuildable(&mut self, now: Time, full: Full) {
+    fn on_unwritable(&mut self, now: Time, full: Full) {
         tracing::error!("the lead cannot be written: {full}");
-        self.taking = false;
+        self.acquiring = false;
         self.retry_at = now.plus(10.0);
     }
 
-    fn reread(&mut self, now: Time) {
-        self.lead_rev = None;
+    fn reload(&mut self, now: Time) {
+        self.leadership_revision = None;
         if self.token.is_none() {
             self.block = None;
         }
         self.retry_at = now.plus(0.1);
     }
 
-    fn took(&mut self, stamp: Stamp, sent: Time) -> Standing {
+    fn acquired(&mut self, stamp: Stamp, sent: Time) -> LeadershipChange {
         let token = Token(stamp.0);
         // Attempts count from the token shifted: beyond this they would come again.
-        if token.0 >= MOST_TOKEN {
+        if token.0 >= MAX_TOKEN {
             tracing::error!("the state service's revision {} is too high to lead with", token.0);
-            self.retry_at = sent.plus(MALFORMED_S);
-            return Standing::Same;
+            self.retry_at = sent.plus(MALFORMED_RETRY_S);
+            return LeadershipChange::Unchanged;
         }
-        if self.claimed > token.0 {
-            tracing::error!("token {} was claimed, and none is so high", self.claimed);
-            self.nonsense = self.nonsense.min(self.claimed);
+        if self.highest_claimed_token > token.0 {
+            tracing::error!(
+                "token {} was claimed, and none is so high",
+                self.highest_claimed_token
+            );
+            self.never_issued_from = self.never_issued_from.min(self.highest_claimed_token);
         }
-        if token.0 >= self.nonsense {
+        if token.0 >= self.never_issued_from {
             // Revisions have come so far by now.
-            self.nonsense = u64::MAX;
+            self.never_issued_from = u64::MAX;
         }
-        self.claimed = 0;
+        self.highest_claimed_token = 0;
         self.token = Some(token);
-        self.checked = sent;
+        self.block_confirmed_at = sent;
         self.block = None;
         tracing::info!("took the block with token {}", token.0);
-        Standing::Took { token }
+        LeadershipChange::Acquired { token }
     }
 }
 
--- a/crates/controller/src/leader/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -6,27 +6,30 @@
 fn a_token_that_was_never_given_ends_one_term_and_no_more() {
     let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
-    let mut leader = Leader::new(&settings, 7);
+    let mut leader = LeaderElection::new(&settings, 7);
     let now = Time::from_micros(10_000_000);
-    leader.took(Stamp(8), now);
-    assert_eq!(leader.claims(now, 8), Standing::Same);
-    assert_eq!(leader.claims(now, u64::MAX - 1), Standing::Lost);
-    leader.took(Stamp(12), now);
-    assert_eq!(leader.claims(now, u64::MAX - 1), Standing::Same);
-    assert_eq!(leader.claims(now, u64::MAX), Standing::Same);
+    leader.acquired(Stamp(8), now);
+    assert_eq!(leader.on_token_claim(now, 8), LeadershipChange::Unchanged);
+    assert_eq!(leader.on_token_claim(now, u64::MAX - 1), LeadershipChange::Lost);
+    leader.acquired(Stamp(12), now);
+    assert_eq!(leader.on_token_claim(now, u64::MAX - 1), LeadershipChange::Unchanged);
+    assert_eq!(leader.on_token_claim(now, u64::MAX), LeadershipChange::Unchanged);
     // A token that may be one ends the term still.
-    assert_eq!(leader.claims(now, 15), Standing::Lost);
-    assert_eq!(leader.took(Stamp(u64::MAX - 3), now), Standing::Same);
+    assert_eq!(leader.on_token_claim(now, 15), LeadershipChange::Lost);
+    assert_eq!(leader.acquired(Stamp(u64::MAX - 3), now), LeadershipChange::Unchanged);
     assert_eq!(leader.token(), None, "its attempts would come again");
-    leader.took(Stamp(17), now);
-    assert_eq!((leader.claims(now, 15), leader.token()), (Standing::Same, Some(Token(17))));
-    assert_eq!(leader.claims(now, 19), Standing::Lost);
+    leader.acquired(Stamp(17), now);
+    assert_eq!(
+        (leader.on_token_claim(now, 15), leader.token()),
+        (LeadershipChange::Unchanged, Some(Token(17)))
+    );
+    assert_eq!(leader.on_token_claim(now, 19), LeadershipChange::Lost);
     // One that is not far off is none only until revisions have come so far.
-    leader.took(Stamp(18), now);
-    assert_eq!(leader.claims(now, 20), Standing::Same);
-    leader.deposed(now);
-    leader.took(Stamp(23), now);
-    assert_eq!(leader.claims(now, 25), Standing::Lost);
+    leader.acquired(Stamp(18), now);
+    assert_eq!(leader.on_token_claim(now, 20), LeadershipChange::Unchanged);
+    leader.step_down_deposed(now);
+    leader.acquired(Stamp(23), now);
+    assert_eq!(leader.on_token_claim(now, 25), LeadershipChange::Lost);
 }
 
 /// Controllers hand over and back within a second: who handed over, and finds the
@@ -37,14 +40,14 @@
     for broken in [false, true] {
         let text = beamhinge_core::settings::SAMPLE;
         let settings = Settings::parse("t", text).expect("the sample is sound");
-        let mut leader = Leader::new(&settings, 7);
+        let mut leader = LeaderElection::new(&settings, 7);
         leader.faults.old_term = broken;
         let now = Time::from_micros(10_000_000);
-        leader.took(Stamp(8), now);
+        leader.acquired(Stamp(8), now);
         let mut ledger = Ledger::new(&settings);
-        assert_eq!(leader.step_back(now, &mut ledger), Standing::Lost);
-        let read = |leader: &mut Leader, stamp: u64| {
-            let value = wire::to_value(&leader.me);
+        assert_eq!(leader.step_down(now, &mut ledger), LeadershipChange::Lost);
+        let read = |leader: &mut LeaderElection, stamp: u64| {
+            let value = wire::to_value(&leader.identity);
             let pair = [("path", "block/0".into()), ("value", value), ("stamp", stamp.into())];
             let pair = pair.map(|(k, v)| (ciborium::Value::from(k), v)).to_vec();
             let pairs = ciborium::Value::Array(vec![ciborium::Value::Map(pair)]);
@@ -55,10 +58,10 @@
             leader.apply(now, LeadCall::ReadBlock, Reply { tag, outcome, sent: now })
         };
         let again = read(&mut leader, 8);
-        assert_eq!(again == Standing::Took { token: Token(8) }, broken);
+        assert_eq!(again == LeadershipChange::Acquired { token: Token(8) }, broken);
         // A take of ours that came late, after it, is a new term.
         if !broken {
-            assert_eq!(read(&mut leader, 12), Standing::Took { token: Token(12) });
+            assert_eq!(read(&mut leader, 12), LeadershipChange::Acquired { token: Token(12) });
         }
     }
 }
@@ -67,10 +70,11 @@
 #[test]
 fn the_leadership_keys_keep_their_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/leadership.hex");
-    golden.text("keys", &format!("{LEAD} {LEAD_PREFIX} {BLOCK} {BLOCK_PREFIX}"));
+    golden
+        .text("keys", &format!("{LEADERSHIP_KEY} {LEADERSHIP_PREFIX} {BLOCK_KEY} {BLOCK_PREFIX}"));
     let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
-    golden.stored("name of a new leader", &Leader::new(&settings, 70_000).me);
-    golden.stored("name", &Name { v: 1, label: "north-1".into(), nonce: u64::MAX - 5 });
+    golden.stored("name of a new leader", &LeaderElection::new(&settings, 70_000).identity);
+    golden.stored("name", &ProcessIdentity { v: 1, label: "north-1".into(), nonce: u64::MAX - 5 });
     golden.check();
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod fleet;
 pub mod intake;
 pub mod jobs;
-pub mod leader;
+pub mod leader_election;
 pub mod ledger;
 pub mod market;
 pub mod metrics;
--- a/crates/controller/src/market.rs
+++ b/crates/controller/src/market.rs
@@ -555,7 +555,7 @@
             };
             let mut txn = ledger.txn();
             let built = txn
-                .when(crate::leader::BLOCK, Stamp(token.0))
+                .when(crate::leader_election::BLOCK_KEY, Stamp(token.0))
                 .and_then(|()| txn.write(KEY, stamp, wire::to_value(&record), None));
             if built.is_ok() {
                 ledger.commit(now, Priority::Rest, Tag::Fleet(FleetCall::WriteSplit), txn);
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -11,7 +11,7 @@
 use crate::fleet::{Fleet, Senses};
 use crate::intake::Intake;
 use crate::jobs::JobBook;
-use crate::leader::Leader;
+use crate::leader_election::LeaderElection;
 use crate::ledger::Ledger;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
@@ -36,7 +36,7 @@
     ledger: Ledger<Tag>,
     book: JobBook,
     intake: Intake,
-    leader: Leader,
+    election: LeaderElection,
     place: Option<Placement>,
     fleet: Fleet,
     peers: Peers,
@@ -98,7 +98,7 @@
             ledger,
             book: JobBook::default(),
             intake: Intake::default(),
-            leader: Leader::new(&settings, nonce),
+            election: LeaderElection::new(&settings, nonce),
             place: None,
             fleet: Fleet::new(&settings),
             peers: Peers::default(),
@@ -134,7 +134,7 @@
     pub fn put_back(&mut self, faults: Faults) {
         self.faults = faults;
         self.fleet.put_back(faults);
-        self.leader.faults = faults;
+        self.election.faults = faults;
         self.intake.faults = faults;
         self.configuration.half_applied = faults.half_applied;
     }
@@ -173,7 +173,7 @@
 
     fn tick_configuration(&mut self, now: Time, wall: WallMs, out: &mut Vec<Out>) {
         let asked = self.desk.as_ref().is_some_and(Desk::asks_configuration);
-        let permit = self.leader.permit();
+        let permit = self.election.lease_id();
         let mut told = Vec::new();
         self.configuration.tick(now, wall, (asked, permit), &mut self.ledger, &mut told);
         self.answer_configured(told, out);
@@ -182,7 +182,7 @@
     /// All loops, until nothing more follows from what is known.
     fn run(&mut self, now: Time, wall: WallMs, out: &mut Vec<Out>) {
         for _ in 0..4 {
-            self.leader.tick(now, &mut self.ledger);
+            self.election.tick(now, &mut self.ledger);
             let follow = self.place.is_some();
             let asks = self.desk.as_ref().is_some_and(Desk::asks_book);
             self.book.tick(now, self.intake.asks() || asks, follow, &mut self.ledger);
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -166,7 +166,7 @@
         if self.place.is_some() {
             return desk.ask_here(now, Asker::Own { request, merge }, query);
         }
-        let holder = self.peers.holder(now).or(self.leader.other_leader()).map(str::to_string);
+        let holder = self.peers.holder(now).or(self.election.other_leader()).map(str::to_string);
         let (Some(to), Ok(query)) = (holder, postcard::to_stdvec(&query)) else {
             return desk::busy(
                 out,
@@ -265,7 +265,7 @@
             return;
         }
         if desk.asks_hold() && self.place.is_some() {
-            self.leader.want_check(now);
+            self.election.request_block_check(now);
         }
         let copies = Copies {
             jobs: self.book.fresh(),
@@ -278,7 +278,7 @@
         let entitled = self.entitled(now);
         let loaded = self.place.as_ref().is_some_and(|p| p.loaded());
         let Some(desk) = &mut self.desk else { return };
-        let seen = self.book.fresh().map(|f| f.min(self.leader.checked()));
+        let seen = self.book.fresh().map(|f| f.min(self.election.block_confirmed_at()));
         let ready = if entitled && loaded { desk.ready_asked(seen) } else { Vec::new() };
         for Asked { asker, query, .. } in ready {
             let (status, body) = self.answer_query(now, wall, &query);
@@ -417,14 +417,14 @@
     }
 
     fn tell_nodes(&self, now: Time) -> Vec<NodeRow> {
-        let leader = self.peers.holder(now).or(self.leader.other_leader());
+        let leader = self.peers.holder(now).or(self.election.other_leader());
         let own = &self.settings.label;
         let ledger = self.ledger.last_ok().map(|t| now.since(t));
         let me = NodeRow {
             label: own.clone(),
             answering: true,
             holder: self.place.is_some(),
-            token: self.leader.token().map(|t| t.0),
+            token: self.election.token().map(|t| t.0),
             ledger_age_s: ledger,
             heard_s: Some(0.0),
             ready: self.book.loaded(),
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -4,7 +4,7 @@
 use crate::calls::Tag;
 use crate::event_log::EventLog;
 use crate::intake::Context;
-use crate::leader::Standing;
+use crate::leader_election::LeadershipChange;
 use crate::ledger::Reply;
 use crate::placement::{Placement, Report, Verdict};
 use beamhinge_admin_api::messages::What;
@@ -53,8 +53,8 @@
     /// What a worker says in the answer to a direct command.
     pub(super) fn direct_answer(&mut self, now: Time, report: &Report) {
         // Guard 1: as with its reports.
-        let standing = self.leader.claims(now, report.baton);
-        self.on_standing(now, standing);
+        let change = self.election.on_token_claim(now, report.baton);
+        self.on_leadership_change(now, change);
         if let Some(place) = &mut self.place {
             place.direct_answer(now, report, &self.book);
         }
@@ -87,22 +87,22 @@
                 self.intake.on_fresh(now, freshness, &self.book, &Own(self.place.as_ref()), out);
             }
             Tag::Lead(call) => {
-                let standing = self.leader.on_reply(now, call, reply, &mut self.ledger);
-                self.on_standing(now, standing);
+                let change = self.election.on_reply(now, call, reply, &mut self.ledger);
+                self.on_leadership_change(now, change);
             }
             Tag::Place(call) => {
                 let Some(place) = &mut self.place else { return };
                 match place.on_reply(now, call, reply, &mut self.book) {
                     Verdict::Fine => {}
-                    Verdict::Confirmed(sent) => self.leader.confirmed(sent),
+                    Verdict::Confirmed(sent) => self.election.confirm_block(sent),
                     Verdict::RefreshJobs => self.book.want_refresh(),
                     Verdict::RefreshConfiguration => {
                         self.configuration.want_refresh();
                         self.book.want_refresh();
                     }
                     Verdict::Deposed => {
-                        let standing = self.leader.deposed(now);
-                        self.on_standing(now, standing);
+                        let change = self.election.step_down_deposed(now);
+                        self.on_leadership_change(now, change);
                     }
                 }
                 self.spread_changes(now);
@@ -146,15 +146,15 @@
         }
     }
 
-    pub(super) fn on_standing(&mut self, now: Time, standing: Standing) {
-        match standing {
-            Standing::Same => {}
-            Standing::Lost => {
+    pub(super) fn on_leadership_change(&mut self, now: Time, change: LeadershipChange) {
+        match change {
+            LeadershipChange::Unchanged => {}
+            LeadershipChange::Lost => {
                 self.place = None;
                 self.fleet.end_term();
                 self.ledger.set_share(follower_share(&self.settings), 1.0);
             }
-            Standing::Took { token } => {
+            LeadershipChange::Acquired { token } => {
                 let mut event_log = EventLog::new(self.desk.is_some());
                 event_log.at(self.wall);
                 event_log.note(|| What::Took { token: token.0 });
@@ -232,8 +232,8 @@
                 self.holder_detector.heartbeat(now, &label, Token(token));
                 self.peers.holds(now, &label, Token(token));
                 // Guard 1: a higher token was taken, so ours is over.
-                let standing = self.leader.claims(now, token);
-                self.on_standing(now, standing);
+                let change = self.election.on_token_claim(now, token);
+                self.on_leadership_change(now, change);
             }
         }
     }
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -169,9 +169,9 @@
         };
         // Guard 1: a worker that has seen a higher token answers to somebody
         // else; we are no longer entitled.
-        let standing = self.leader.claims(now, report.baton);
-        self.on_standing(now, standing);
-        if self.leader.token().is_some_and(|t| report.baton > t.0) {
+        let change = self.election.on_token_claim(now, report.baton);
+        self.on_leadership_change(now, change);
+        if self.election.token().is_some_and(|t| report.baton > t.0) {
             return refuse(out, id, 503, "a token that was never given");
         }
         let entitled = self.entitled(now);
@@ -192,7 +192,7 @@
                 let deaf = machine.is_some_and(|m| self.visitors.came(now, m, DEAF_S));
                 let seen = Token(report.baton);
                 machine.into_iter().for_each(|m| self.holder_detector.reported_here(now, m, seen));
-                let holder = self.peers.holder(now).or(self.leader.other_leader());
+                let holder = self.peers.holder(now).or(self.election.other_leader());
                 // Sent to the holder a moment ago and back again: it is not
                 // answered there, and would wait for its time-out once more. Nor is
                 // it named where nothing is heard of it any more.
@@ -218,17 +218,17 @@
             return self.place.is_some();
         }
         if broken!(self.faults, h_by_hold) {
-            return self.place.is_some() && now.since(self.leader.checked()) < limit;
+            return self.place.is_some() && now.since(self.election.block_confirmed_at()) < limit;
         }
         let seen = self.book.fresh().is_some_and(|jobs| now.since(jobs) < limit);
-        self.place.is_some() && seen && now.since(self.leader.checked()) < limit
+        self.place.is_some() && seen && now.since(self.election.block_confirmed_at()) < limit
     }
 
     /// Sure enough to hold the block to rent and give back: confirmed within the
     /// time in which nobody else can have taken it unnoticed for long.
     pub(super) fn acting(&self, now: Time) -> bool {
         self.place.is_some()
-            && now.since(self.leader.checked()) < self.settings.leader_lease_s() + 2.0
+            && now.since(self.election.block_confirmed_at()) < self.settings.leader_lease_s() + 2.0
     }
 }
 
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -111,9 +111,9 @@
             return;
         }
         if self.place.is_some() {
-            self.leader.hand_over(now, &mut self.ledger);
+            self.election.transfer(now, &mut self.ledger);
         } else {
-            self.leader.hold_back(now);
+            self.election.defer(now);
         }
     }
 
@@ -123,7 +123,7 @@
         if machines.is_empty() || self.place.is_some() {
             return;
         }
-        let Some(holder) = self.peers.holder(now).or(self.leader.other_leader()) else { return };
+        let Some(holder) = self.peers.holder(now).or(self.election.other_leader()) else { return };
         for hears in Frame::hears(&self.settings.label, &machines) {
             out.push(Out::Tell { to: Some(holder.to_string()), frame: encode(&hears) });
         }
@@ -153,8 +153,8 @@
         self.stall.handed_over();
         let stuck = Frame::Stuck { label: self.settings.label.clone() };
         out.push(Out::Tell { to: None, frame: encode(&stuck) });
-        let standing = self.leader.step_back(now, &mut self.ledger);
-        self.on_standing(now, standing);
+        let change = self.election.step_down(now, &mut self.ledger);
+        self.on_leadership_change(now, change);
     }
 
     /// A leader that cannot hear most of its workers would watch their leases
@@ -179,8 +179,8 @@
                 link.heard,
                 link.elsewhere
             );
-            let standing = self.leader.step_back(now, &mut self.ledger);
-            return self.on_standing(now, standing);
+            let change = self.election.step_down(now, &mut self.ledger);
+            return self.on_leadership_change(now, change);
         }
         // Machines that are gone are silent to every controller. Who has stepped
         // back already, and leads again, stays until silence is proof; else the
@@ -196,7 +196,7 @@
             // until somebody has, we go on: a holder that stood back for nobody
             // left a whole fleet to its leases.
             tracing::info!("most workers are silent here; the lead is free for others");
-            self.leader.hand_over(now, &mut self.ledger);
+            self.election.transfer(now, &mut self.ledger);
         }
     }
 
@@ -207,7 +207,7 @@
             return;
         }
         let members = self.settings.members.iter().map(|m| m.label.as_str());
-        let holder = self.leader.other_leader().unwrap_or("").to_string();
+        let holder = self.election.other_leader().unwrap_or("").to_string();
         let own = Observer {
             ledger_age_s: self.ledger_age(now),
             // What changed since is read after the take, before anything is placed.
@@ -218,8 +218,8 @@
         if let Some(gone) = self.holder_detector.suspected(now, own).filter(|gone| *gone == holder)
         {
             tracing::info!("{gone} is not heard and its workers come here: taking the lead");
-            self.leader.presume_gone(gone);
-            self.leader.tick(now, &mut self.ledger);
+            self.election.presume_dead(gone);
+            self.election.tick(now, &mut self.ledger);
         }
     }
 
--- a/crates/controller/src/placement/books.rs
+++ b/crates/controller/src/placement/books.rs
@@ -241,7 +241,8 @@
         };
         let mut txn = Txn::new(limits);
         // Guard 1: whoever lost the block can commit nothing.
-        let rests = broken!(self.faults, no_block) || txn.when(BLOCK, Stamp(self.token.0)).is_ok();
+        let rests =
+            broken!(self.faults, no_block) || txn.when(BLOCK_KEY, Stamp(self.token.0)).is_ok();
         if !rests {
             return;
         }
@@ -522,7 +523,7 @@
             }
             Outcome::Conflict(failed) => {
                 self.not_committed(now, flying);
-                if failed.iter().any(|k| k == BLOCK) {
+                if failed.iter().any(|k| k == BLOCK_KEY) {
                     return Verdict::Deposed;
                 }
                 let configuration = |k: &String| k.starts_with(configuration::PREFIX);
--- a/crates/controller/src/placement/books/tests.rs
+++ b/crates/controller/src/placement/books/tests.rs
@@ -102,7 +102,7 @@
     let list = |name: &str| txn[name].as_array().cloned().unwrap_or_default();
     let when = list("when");
     let on = |key: &serde_json::Value| when.iter().find(|w| w["path"] == *key);
-    if on(&json!(BLOCK)).is_none_or(|w| w["stamp"] != 9) {
+    if on(&json!(BLOCK_KEY)).is_none_or(|w| w["stamp"] != 9) {
         return Err("does not rest on the block".into());
     }
     let keys = list("then").into_iter().map(|t| match t["write"].is_null() {
--- a/crates/controller/src/placement/mod.rs
+++ b/crates/controller/src/placement/mod.rs
@@ -12,7 +12,7 @@
 use crate::event_log::EventLog;
 use crate::faults::{broken, Faults};
 use crate::jobs::{self, JobBook, JobKind, JobSpec, JobState, Urgency};
-use crate::leader::BLOCK;
+use crate::leader_election::BLOCK_KEY;
 use crate::ledger::{Committed, Full, Item, Ledger, Outcome, Priority, Reply, Scan, Txn};
 use crate::progress::{self, Open, Progress, Shelved, Shelves};
 use crate::split::{Demand, Need, Shape, EPSILON};
