--- a/crates/admin-api/src/messages.rs
+++ b/crates/admin-api/src/messages.rs
@@ -415,7 +415,8 @@
     pub token: Option<u64>,
     /// Seconds since its last exchange with the state service; absent when it
     /// was never heard.
-    pub ledger_age_s: Option<f64>,
+    #[serde(rename = "ledger_age_s")]
+    pub store_age_s: Option<f64>,
     /// Seconds since it was last heard by the controller that answers.
     pub heard_s: Option<f64>,
     /// Its copy of the jobs is whole: it could take over.
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -251,7 +251,7 @@
                 n.label.clone(),
                 if n.holder { "leads".into() } else { String::new() },
                 n.token.map_or("-".into(), |t| t.to_string()),
-                age(n.ledger_age_s),
+                age(n.store_age_s),
                 age(n.heard_s),
                 state.join(", "),
             ]
--- a/crates/controller/src/blocks.rs
+++ b/crates/controller/src/blocks.rs
@@ -7,8 +7,8 @@
 //! condition on the block's key: whoever lost the block can no longer place
 //! anything, however late a transaction is applied.
 
-use beamhinge_core::types::{Attempt, JobId, MachineId, Stamp, TaskId, Token};
-use beamhinge_core::wire::{self, BadBody};
+use beamhinge_core::types::{Attempt, FencingToken, JobId, MachineId, Revision, TaskId};
+use beamhinge_core::wire::{self, DecodeError};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,21 +33,21 @@
 #[derive(Debug)]
 struct Page {
     key: String,
-    stamp: Stamp,
+    revision: Revision,
     /// Entries in our books that rest on this page.
     live: u32,
 }
 
 /// The pages that the state service holds.
 pub struct Pages {
-    token: Token,
+    token: FencingToken,
     next: u64,
     pages: BTreeMap<PageNo, Page>,
     dead: BTreeSet<PageNo>,
 }
 
 impl Pages {
-    pub fn new(token: Token) -> Pages {
+    pub fn new(token: FencingToken) -> Pages {
         Pages { token, next: 0, pages: BTreeMap::new(), dead: BTreeSet::new() }
     }
 
@@ -62,9 +62,9 @@
         format!("{PAGE_PREFIX}{}-{n}", self.token.0)
     }
 
-    pub fn add(&mut self, key: String, stamp: Stamp) -> PageNo {
+    pub fn add(&mut self, key: String, revision: Revision) -> PageNo {
         let no = self.number();
-        self.pages.insert(no, Page { key, stamp, live: 0 });
+        self.pages.insert(no, Page { key, revision, live: 0 });
         self.dead.insert(no);
         no
     }
@@ -86,8 +86,8 @@
     }
 
     /// Pages all of whose tasks have ended.
-    pub fn dead(&self) -> impl Iterator<Item = (PageNo, &str, Stamp)> {
-        let page = |no: &PageNo| self.pages.get(no).map(|p| (*no, p.key.as_str(), p.stamp));
+    pub fn dead(&self) -> impl Iterator<Item = (PageNo, &str, Revision)> {
+        let page = |no: &PageNo| self.pages.get(no).map(|p| (*no, p.key.as_str(), p.revision));
         self.dead.iter().filter_map(page)
     }
 
@@ -137,23 +137,23 @@
 
 /// A page of an unknown version is refused whole: a guess at what runs where
 /// could start a task twice. The version before differs only in its attempts.
-pub fn decode_page(value: &Value) -> Result<Vec<Row>, BadBody> {
+pub fn decode_page(value: &Value) -> Result<Vec<Row>, DecodeError> {
     let record: PageRecord = wire::from_value(value)?;
     let base = match record.v {
         1 => 0,
         PAGE_VERSION => record.a,
-        _ => return Err(BadBody),
+        _ => return Err(DecodeError),
     };
     let mut rows = Vec::new();
     for (machine, jobs) in record.m {
-        let machine = MachineId::parse(&machine).ok_or(BadBody)?;
+        let machine = MachineId::parse(&machine).ok_or(DecodeError)?;
         for (job, tasks) in jobs {
-            let job = JobId::parse(&job).ok_or(BadBody)?;
+            let job = JobId::parse(&job).ok_or(DecodeError)?;
             for (index, attempt) in tasks {
                 rows.push(Row {
                     machine,
                     task: TaskId { job, index },
-                    attempt: Attempt(base.checked_add(attempt).ok_or(BadBody)?),
+                    attempt: Attempt(base.checked_add(attempt).ok_or(DecodeError)?),
                 });
             }
         }
--- a/crates/controller/src/blocks/tests.rs
+++ b/crates/controller/src/blocks/tests.rs
@@ -33,10 +33,10 @@
 
 #[test]
 fn a_page_is_dead_once_nothing_rests_on_it_and_only_the_newest_row_counts() {
-    let mut pages = Pages::new(Token(5));
+    let mut pages = Pages::new(FencingToken(5));
     let (first, second) = (pages.fresh_key(), pages.fresh_key());
     assert_ne!(first, second);
-    let (a, b) = (pages.add(first, Stamp(1)), pages.add(second, Stamp(2)));
+    let (a, b) = (pages.add(first, Revision(1)), pages.add(second, Revision(2)));
     pages.hold(a);
     pages.hold(b);
     pages.release(a);
@@ -50,7 +50,7 @@
 #[test]
 fn pages_keep_their_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/pages.hex");
-    let mut pages = Pages::new(Token(41));
+    let mut pages = Pages::new(FencingToken(41));
     golden.text("prefixes", &format!("{PAGE_PREFIX} {PROGRESS_PREFIX}"));
     golden.text("first key", &pages.fresh_key());
     golden.text("second key", &pages.fresh_key());
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -6,29 +6,29 @@
 
 /// For a copy of a prefix: `mirror`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MirrorCall {
+pub enum ReplicaCall {
     /// A watch that returns at once.
-    Now,
+    Refresh,
     /// A watch that waits for a change.
-    Wait,
+    Watch,
     Scan,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeadCall {
-    Lease,
-    Renew,
-    ReadLead,
-    WatchLead,
+pub enum ElectionCall {
+    GrantLease,
+    RenewLease,
+    ReadLeadership,
+    WatchLeadership,
     ReadBlock,
-    Take,
+    Acquire,
     Reclaim,
-    Check,
-    End,
+    CheckBlock,
+    RevokeLease,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlaceCall {
+pub enum PlacementCall {
     Pages,
     Progress,
     Commit,
@@ -42,8 +42,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetCall {
-    Read,
-    Write,
+    ReadRentals,
+    WriteRentals,
     ReadSplit,
     WriteSplit,
 }
@@ -51,17 +51,17 @@
 /// Which slice waits for a reply of the state service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Tag {
-    Job(MirrorCall),
-    Directives(MirrorCall),
+    Job(ReplicaCall),
+    Directives(ReplicaCall),
     /// A change of a directive, by its place among those that wait.
-    Direct(u64),
-    Configuration(MirrorCall),
+    DirectiveChange(u64),
+    Configuration(ReplicaCall),
     /// This controller's own key of the version that it serves by.
     ConfigurationMember,
     /// A change of configuration, by its place among those that wait.
     ConfigurationChange(u64),
-    Lead(LeadCall),
-    Place(PlaceCall),
+    Election(ElectionCall),
+    Placement(PlacementCall),
     Intake(IntakeCall),
     Fleet(FleetCall),
 }
--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -7,18 +7,18 @@
 //! a change rests on all of these keys, and is in force everywhere once all of them say
 //! so.
 
-use crate::calls::{MirrorCall, Tag};
-use crate::ledger::{Committed, Ledger, Outcome, Priority, Reply};
-use crate::mirror::{Change as Changed, Freshness, Keeping, Mirror};
+use crate::calls::{ReplicaCall, Tag};
+use crate::replica::{Change as Changed, Freshness, ReplicaCache, ReplicaConfig};
+use crate::store::{Committed, Outcome, Priority, Reply, StoreClient};
 use beamhinge_configuration::change::{Change, Plan, Refusal};
 use beamhinge_configuration::stored::{
     Author, Chunk, Head, Record, RecordPart, Snapshot, CHUNKS, FORM,
 };
 use beamhinge_configuration::{EffectiveTeam, Version};
 use beamhinge_core::settings::{Settings, Team};
-use beamhinge_core::types::{RequestId, Stamp, Time, WallMs};
+use beamhinge_core::types::{RequestId, Revision, Time, WallMs};
 use beamhinge_core::wire;
-use beamhinge_rate_limit::{Full, Txn};
+use beamhinge_rate_limit::{Full, Transaction};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -91,7 +91,7 @@
     began: Time,
     /// The copy must be newer than this to decide on.
     since: Time,
-    flying: bool,
+    in_flight: bool,
     /// CPUs of the fleet as the holder knows it, to warn by.
     fleet_cpus: Option<f64>,
 }
@@ -103,11 +103,11 @@
     base: Vec<Team>,
     /// All controllers of the settings.
     labels: Vec<String>,
-    mirror: Mirror,
-    head: Option<(Stamp, Head)>,
-    chunks: BTreeMap<usize, (Stamp, Chunk)>,
-    records: BTreeMap<(u64, u32), (Stamp, RecordPart)>,
-    members: BTreeMap<String, (Stamp, Member)>,
+    replica: ReplicaCache,
+    head: Option<(Revision, Head)>,
+    chunks: BTreeMap<usize, (Revision, Chunk)>,
+    records: BTreeMap<(u64, u32), (Revision, RecordPart)>,
+    members: BTreeMap<String, (Revision, Member)>,
     /// Paths that the running scan has shown.
     seen: BTreeSet<String>,
     /// A value of a form that this program does not know: nothing is decided on it.
@@ -146,11 +146,11 @@
             nonce,
             base,
             labels: others.chain([settings.label.clone()]).collect(),
-            mirror: Mirror::new(Keeping {
+            replica: ReplicaCache::new(ReplicaConfig {
                 prefix: PREFIX,
                 tag: Tag::Configuration,
                 wait_s: 10.0,
-                wait_priority: Priority::Poll,
+                wait_priority: Priority::Read,
                 stale_s: STALE_S,
             }),
             head: None,
@@ -180,21 +180,21 @@
 
     /// Whether decisions may rest on it: it is read, and all of it understood.
     pub fn ready(&self) -> bool {
-        !self.on || self.mirror.loaded() && !self.unreadable
+        !self.on || self.replica.loaded() && !self.unreadable
     }
 
     /// The copy holds all that was committed before this moment.
     pub fn fresh(&self) -> Option<Time> {
-        self.mirror.fresh().filter(|_| !self.unreadable)
+        self.replica.fresh().filter(|_| !self.unreadable)
     }
 
-    pub fn want_refresh(&mut self) {
-        self.mirror.want_refresh();
+    pub fn request_refresh(&mut self) {
+        self.replica.request_refresh();
     }
 
     /// The key and stamp that placements rest on: none made by an older version commits.
-    pub fn condition(&self) -> Option<(&'static str, Stamp)> {
-        self.on.then(|| (HEAD, self.head.as_ref().map_or(Stamp(0), |(stamp, _)| *stamp)))
+    pub fn condition(&self) -> Option<(&'static str, Revision)> {
+        self.on.then(|| (HEAD, self.head.as_ref().map_or(Revision(0), |(revision, _)| *revision)))
     }
 
     /// Until when a holder may send `run`; none: as long as it is entitled.
@@ -231,7 +231,7 @@
             by,
             began: now,
             since: now,
-            flying: false,
+            in_flight: false,
             fleet_cpus,
         });
         true
@@ -242,22 +242,28 @@
         &mut self,
         now: Time,
         wall: WallMs,
-        (ask, permit): (bool, Option<u64>),
-        ledger: &mut Ledger<Tag>,
+        (ask, lease_id): (bool, Option<u64>),
+        store: &mut StoreClient<Tag>,
         told: &mut Vec<(RequestId, Told)>,
     ) {
         if !self.on {
             return;
         }
-        self.register(now, wall, permit, ledger);
-        self.push_changes(now, wall, ledger, told);
-        let waits = self.pending.iter().any(|p| !p.flying);
-        self.mirror.tick(now, ask || waits, true, ledger);
+        self.register(now, wall, lease_id, store);
+        self.push_changes(now, wall, store, told);
+        let waits = self.pending.iter().any(|p| !p.in_flight);
+        self.replica.tick(now, ask || waits, true, store);
     }
 
     /// Keeps our own key as it should be: our process, and the version we serve by.
-    fn register(&mut self, now: Time, wall: WallMs, permit: Option<u64>, ledger: &mut Ledger<Tag>) {
-        let Some(permit) = permit.filter(|_| self.mirror.loaded() && !self.unreadable) else {
+    fn register(
+        &mut self,
+        now: Time,
+        wall: WallMs,
+        lease_id: Option<u64>,
+        store: &mut StoreClient<Tag>,
+    ) {
+        let Some(lease_id) = lease_id.filter(|_| self.replica.loaded() && !self.unreadable) else {
             return;
         };
         if self.registering || now.since(self.registered_at) < REGISTER_S {
@@ -268,40 +274,42 @@
         if own.is_some_and(|(_, m)| m.nonce == self.nonce && m.version == version) {
             return;
         }
-        let stamp = own.map_or(Stamp(0), |(stamp, _)| *stamp);
+        let revision = own.map_or(Revision(0), |(revision, _)| *revision);
         let member = Member { v: FORM, version, nonce: self.nonce, at_ms: wall.0 };
-        let mut txn = ledger.txn();
-        if txn.write(member_key(&self.label), stamp, wire::to_value(&member), Some(permit)).is_ok()
+        let mut transaction = store.transaction();
+        if transaction
+            .write(member_key(&self.label), revision, wire::to_value(&member), Some(lease_id))
+            .is_ok()
         {
             self.registering = true;
             self.registered_at = now;
-            ledger.commit(now, Priority::Rest, Tag::ConfigurationMember, txn);
+            store.commit(now, Priority::Background, Tag::ConfigurationMember, transaction);
         }
     }
 
     /// Our own key was written, or not: the copy tells.
     pub fn on_registered(&mut self) {
         self.registering = false;
-        self.mirror.want_refresh();
+        self.replica.request_refresh();
     }
 
     fn push_changes(
         &mut self,
         now: Time,
         wall: WallMs,
-        ledger: &mut Ledger<Tag>,
+        store: &mut StoreClient<Tag>,
         told: &mut Vec<(RequestId, Told)>,
     ) {
         // One at a time: each rests on the version that the one before it made.
-        if self.pending.iter().any(|p| p.flying) {
+        if self.pending.iter().any(|p| p.in_flight) {
             return;
         }
         let fresh = self.fresh();
         let mut left = VecDeque::new();
         while let Some(mut pending) = self.pending.pop_front() {
-            let flying = left.iter().any(|p: &Pending| p.flying);
+            let in_flight = left.iter().any(|p: &Pending| p.in_flight);
             let decidable = fresh.is_some_and(|f| f >= pending.since);
-            if flying || !decidable {
+            if in_flight || !decidable {
                 if now.since(pending.began) > PATIENCE_S {
                     let why = "the state service does not answer, or other changes go first";
                     told.push((pending.request, Told::Busy(why.into())));
@@ -310,7 +318,7 @@
                 }
                 continue;
             }
-            match self.decide(now, wall, &mut pending, ledger) {
+            match self.decide(now, wall, &mut pending, store) {
                 None => left.push_back(pending),
                 Some(answer) => told.push((pending.request, answer)),
             }
@@ -324,7 +332,7 @@
         now: Time,
         wall: WallMs,
         pending: &mut Pending,
-        ledger: &mut Ledger<Tag>,
+        store: &mut StoreClient<Tag>,
     ) -> Option<Told> {
         // An answer of ours that was lost: the change is there under its id.
         let made = self.snapshot.records.iter().find(|(_, r)| r.author.id == pending.id);
@@ -358,10 +366,15 @@
             Ok(plan) => plan,
             Err(refusal) => return Some(Told::Refused(refusal)),
         };
-        match self.transaction(&plan, ledger.whole_txn()) {
-            Ok(txn) => {
-                pending.flying = true;
-                ledger.commit(now, Priority::Accept, Tag::ConfigurationChange(pending.serial), txn);
+        match self.transaction(&plan, store.unpaced_transaction()) {
+            Ok(transaction) => {
+                pending.in_flight = true;
+                store.commit(
+                    now,
+                    Priority::Admission,
+                    Tag::ConfigurationChange(pending.serial),
+                    transaction,
+                );
                 None
             }
             Err(full) => {
@@ -373,29 +386,30 @@
     }
 
     /// Every write is conditional; and all controllers must still know of configuration.
-    fn transaction(&self, plan: &Plan, mut txn: Txn) -> Result<Txn, Full> {
-        let stamp = self.head.as_ref().map_or(Stamp(0), |(stamp, _)| *stamp);
-        txn.write(HEAD, stamp, wire::to_value(&plan.head), None)?;
+    fn transaction(&self, plan: &Plan, mut transaction: Transaction) -> Result<Transaction, Full> {
+        let revision = self.head.as_ref().map_or(Revision(0), |(revision, _)| *revision);
+        transaction.write(HEAD, revision, wire::to_value(&plan.head), None)?;
         for label in &self.labels {
-            let stamp = self.members.get(label).map_or(Stamp(0), |(stamp, _)| *stamp);
-            txn.when(member_key(label), stamp)?;
+            let revision = self.members.get(label).map_or(Revision(0), |(revision, _)| *revision);
+            transaction.when(member_key(label), revision)?;
         }
         for (n, chunk) in &plan.chunks {
-            let stamp = self.chunks.get(n).map_or(Stamp(0), |(stamp, _)| *stamp);
-            txn.write(chunk_key(*n), stamp, wire::to_value(chunk), None)?;
+            let revision = self.chunks.get(n).map_or(Revision(0), |(revision, _)| *revision);
+            transaction.write(chunk_key(*n), revision, wire::to_value(chunk), None)?;
         }
         let version = plan.head.version.0;
         for (part, record) in plan.record.iter().enumerate() {
             let key = record_key(version, part as u32);
-            txn.write(key, Stamp(0), wire::to_value(record), None)?;
+            transaction.write(key, Revision(0), wire::to_value(record), None)?;
         }
         if let Some(old) = plan.forget {
-            for ((version, part), (stamp, _)) in self.records.range((old.0, 0)..=(old.0, u32::MAX))
+            for ((version, part), (revision, _)) in
+                self.records.range((old.0, 0)..=(old.0, u32::MAX))
             {
-                txn.delete(record_key(*version, *part), *stamp)?;
+                transaction.delete(record_key(*version, *part), *revision)?;
             }
         }
-        Ok(txn)
+        Ok(transaction)
     }
 
     /// Guarantees above the fleet are told to whoever made them.
@@ -414,7 +428,7 @@
         told: &mut Vec<(RequestId, Told)>,
     ) {
         let Some(at) = self.pending.iter().position(|p| p.serial == serial) else { return };
-        self.mirror.want_refresh();
+        self.replica.request_refresh();
         let busy = |why: &str| Told::Busy(why.into());
         let answer = match reply.outcome {
             Outcome::Ok(body) if wire::decode::<Committed>(&body).is_ok() => {
@@ -435,16 +449,16 @@
             }
             None => {
                 if let Some(pending) = self.pending.get_mut(at) {
-                    pending.flying = false;
+                    pending.in_flight = false;
                     pending.since = now;
                 }
             }
         }
     }
 
-    pub fn on_reply(&mut self, now: Time, call: MirrorCall, reply: Reply<Tag>) -> Freshness {
-        let update = self.mirror.on_reply(now, call, reply);
-        let scanning = call == MirrorCall::Scan;
+    pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Freshness {
+        let update = self.replica.on_reply(now, call, reply);
+        let scanning = call == ReplicaCall::Scan;
         for change in update.changes {
             if scanning {
                 self.seen.insert(change.path.clone());
@@ -453,10 +467,10 @@
         }
         if let Some(rev) = update.scanned {
             let seen = std::mem::take(&mut self.seen);
-            let stays = |path: String, stamp: Stamp| stamp.0 > rev || seen.contains(&path);
-            self.chunks.retain(|n, (stamp, _)| stays(chunk_key(*n), *stamp));
-            self.records.retain(|(v, p), (stamp, _)| stays(record_key(*v, *p), *stamp));
-            self.members.retain(|label, (stamp, _)| stays(member_key(label), *stamp));
+            let stays = |path: String, revision: Revision| revision.0 > rev || seen.contains(&path);
+            self.chunks.retain(|n, (revision, _)| stays(chunk_key(*n), *revision));
+            self.records.retain(|(v, p), (revision, _)| stays(record_key(*v, *p), *revision));
+            self.members.retain(|label, (revision, _)| stays(member_key(label), *revision));
         } else if scanning && update.freshness == Freshness::Failed {
             self.seen.clear();
         }
@@ -467,27 +481,28 @@
     /// Takes one key as a reply showed it.
     fn take(&mut self, change: Changed) {
         let Some(rest) = change.path.strip_prefix(PREFIX) else { return };
-        let stamp = Stamp(change.stamp);
+        let revision = Revision(change.revision);
         let value = change.value.as_ref();
         let parts: Vec<&str> = rest.split('/').collect();
-        let known =
-            match parts.as_slice() {
-                ["head"] => take_value(&mut self.head, stamp, value, |h: &Head| h.v),
-                ["t", n] => n.parse().ok().filter(|n| *n < CHUNKS).is_some_and(|n| {
-                    take_entry(&mut self.chunks, n, stamp, value, |c: &Chunk| c.v)
-                }),
-                ["h", version, part] => {
-                    let key = version.parse().ok().zip(part.parse().ok());
-                    key.is_some_and(|key| {
-                        take_entry(&mut self.records, key, stamp, value, |r: &RecordPart| r.v)
-                    })
-                }
-                ["m", label] => {
-                    take_entry(&mut self.members, label.to_string(), stamp, value, |m: &Member| m.v)
-                }
-                // Something of a newer program beside what we know.
-                _ => true,
-            };
+        let known = match parts.as_slice() {
+            ["head"] => take_value(&mut self.head, revision, value, |h: &Head| h.v),
+            ["t", n] => {
+                n.parse().ok().filter(|n| *n < CHUNKS).is_some_and(|n| {
+                    take_entry(&mut self.chunks, n, revision, value, |c: &Chunk| c.v)
+                })
+            }
+            ["h", version, part] => {
+                let key = version.parse().ok().zip(part.parse().ok());
+                key.is_some_and(|key| {
+                    take_entry(&mut self.records, key, revision, value, |r: &RecordPart| r.v)
+                })
+            }
+            ["m", label] => {
+                take_entry(&mut self.members, label.to_string(), revision, value, |m: &Member| m.v)
+            }
+            // Something of a newer program beside what we know.
+            _ => true,
+        };
         if !known {
             tracing::error!("{} has a form that this program does not know", change.path);
             self.unreadable = true;
@@ -496,8 +511,9 @@
 
     /// Puts the parts together, if they are of one moment.
     fn settle(&mut self) {
-        let head = self.head.as_ref().map_or(Stamp(0), |(stamp, _)| *stamp);
-        let newest = self.chunks.values().map(|(stamp, _)| *stamp).max().unwrap_or(Stamp(0));
+        let head = self.head.as_ref().map_or(Revision(0), |(revision, _)| *revision);
+        let newest =
+            self.chunks.values().map(|(revision, _)| *revision).max().unwrap_or(Revision(0));
         if newest > head && !self.half_applied {
             return;
         }
@@ -555,13 +571,13 @@
 
 /// Takes a value if it is newer; false where its form is not known.
 fn take_value<T: for<'a> Deserialize<'a>>(
-    kept: &mut Option<(Stamp, T)>,
-    stamp: Stamp,
+    kept: &mut Option<(Revision, T)>,
+    revision: Revision,
     value: Option<&ciborium::Value>,
     form: impl Fn(&T) -> u32,
 ) -> bool {
     // A reply that overtook another must not take us back.
-    if kept.as_ref().is_some_and(|(known, _)| *known >= stamp) {
+    if kept.as_ref().is_some_and(|(known, _)| *known >= revision) {
         return true;
     }
     let Some(value) = value else {
@@ -570,7 +586,7 @@
     };
     match wire::from_value::<T>(value) {
         Ok(read) if form(&read) == FORM => {
-            *kept = Some((stamp, read));
+            *kept = Some((revision, read));
             true
         }
         _ => false,
@@ -578,14 +594,14 @@
 }
 
 fn take_entry<K: Ord, T: for<'a> Deserialize<'a>>(
-    kept: &mut BTreeMap<K, (Stamp, T)>,
+    kept: &mut BTreeMap<K, (Revision, T)>,
     key: K,
-    stamp: Stamp,
+    revision: Revision,
     value: Option<&ciborium::Value>,
     form: impl Fn(&T) -> u32,
 ) -> bool {
     let mut entry = kept.remove(&key);
-    let known = take_value(&mut entry, stamp, value, form);
+    let known = take_value(&mut entry, revision, value, form);
     if let Some(entry) = entry {
         kept.insert(key, entry);
     }
--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -12,8 +12,8 @@
     configuration
 }
 
-fn changed<T: Serialize>(path: &str, stamp: u64, value: &T) -> Changed {
-    Changed { path: path.into(), stamp, value: Some(wire::to_value(value)) }
+fn changed<T: Serialize>(path: &str, revision: u64, value: &T) -> Changed {
+    Changed { path: path.into(), revision, value: Some(wire::to_value(value)) }
 }
 
 fn head(version: u64) -> Head {
@@ -83,17 +83,17 @@
     let last = 200 + labels.len() as u64 - 1;
     assert_eq!(c.in_force().everywhere_since_ms, Some(last));
     // One whose lease ended is named.
-    c.take(Changed { path: member_key(&labels[0]), stamp: 8, value: None });
+    c.take(Changed { path: member_key(&labels[0]), revision: 8, value: None });
     assert_eq!(c.in_force().behind, [(labels[0].clone(), None)]);
 }
 
 #[test]
 fn placements_rest_on_the_head_where_configuration_is_on() {
     let mut c = configuration();
-    assert_eq!(c.condition(), Some((HEAD, Stamp(0))), "also before the first change");
+    assert_eq!(c.condition(), Some((HEAD, Revision(0))), "also before the first change");
     c.take(changed(HEAD, 5, &head(1)));
     c.settle();
-    assert_eq!(c.condition(), Some((HEAD, Stamp(5))));
+    assert_eq!(c.condition(), Some((HEAD, Revision(5))));
     assert_eq!(c.runs_until(), Some(Time::default()), "never read as a whole");
     let settings = Settings::parse("t", settings::SAMPLE).expect("sound");
     let off = Configuration::new(&settings, false, 7);
--- a/crates/controller/src/desk.rs
+++ b/crates/controller/src/desk.rs
@@ -15,7 +15,7 @@
 use beamhinge_configuration::Change as ConfigurationChange;
 use beamhinge_core::http::{Content, Method, Request};
 use beamhinge_core::job::Urgency;
-use beamhinge_core::messages::Out;
+use beamhinge_core::messages::Effect;
 use beamhinge_core::types::{JobId, RequestId, Time, WallMs};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -534,18 +534,18 @@
 
 // ---- answers ----
 
-pub fn say<T: Serialize>(out: &mut Vec<Out>, to: RequestId, status: u16, value: &T) {
+pub fn say<T: Serialize>(out: &mut Vec<Effect>, to: RequestId, status: u16, value: &T) {
     let body = serde_json::to_vec(value).unwrap_or_default();
     // Whoever is told to come back is told when.
     let retry_after = matches!(status, 429 | 503).then_some(1);
-    out.push(Out::OperatorAnswer { to, status, retry_after, content: Content::Json, body });
+    out.push(Effect::OperatorAnswer { to, status, retry_after, content: Content::Json, body });
 }
 
-pub fn refuse(out: &mut Vec<Out>, to: RequestId, status: u16, code: Code, error: &str) {
+pub fn refuse(out: &mut Vec<Effect>, to: RequestId, status: u16, code: Code, error: &str) {
     say(out, to, status, &Problem { code, error: error.to_string(), ahead_ms: None });
 }
 
-pub fn busy(out: &mut Vec<Out>, to: RequestId, error: &str) {
+pub fn busy(out: &mut Vec<Effect>, to: RequestId, error: &str) {
     refuse(out, to, 503, Code::Busy, error);
 }
 
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -5,11 +5,11 @@
 //! that the copy is read again, and the change is tried anew only if it is not
 //! there. The loops that work out wanted against actual take it from here.
 
-use crate::calls::{MirrorCall, Tag};
-use crate::ledger::{Committed, Ledger, Outcome, Priority, Reply};
-use crate::mirror::{Freshness, Keeping, Mirror};
+use crate::calls::{ReplicaCall, Tag};
+use crate::replica::{Freshness, ReplicaCache, ReplicaConfig};
+use crate::store::{Committed, Outcome, Priority, Reply, StoreClient};
 use beamhinge_admin_api::directives::{Change, Changed, Directive, Target, VERSION};
-use beamhinge_core::types::{MachineId, RequestId, Stamp, Time, WallMs};
+use beamhinge_core::types::{MachineId, RequestId, Revision, Time, WallMs};
 use beamhinge_core::wire;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -115,14 +115,14 @@
     began: Time,
     /// The copy must be newer than this to decide on.
     since: Time,
-    flying: bool,
+    in_flight: bool,
     /// A transaction of ours may have made it.
     sent: bool,
 }
 
 pub struct Directives {
-    mirror: Mirror,
-    entries: BTreeMap<Target, (Stamp, Option<Rc<Directive>>)>,
+    replica: ReplicaCache,
+    entries: BTreeMap<Target, (Revision, Option<Rc<Directive>>)>,
     /// Targets that the running scan has shown.
     seen: BTreeSet<Target>,
     standing: Rc<Standing>,
@@ -134,13 +134,13 @@
 impl Default for Directives {
     fn default() -> Directives {
         Directives {
-            mirror: Mirror::new(Keeping {
+            replica: ReplicaCache::new(ReplicaConfig {
                 prefix: PREFIX,
                 tag: Tag::Directives,
                 // A change ends the wait at once; a longer one costs fewer
                 // requests of the shared limit.
                 wait_s: 10.0,
-                wait_priority: Priority::Poll,
+                wait_priority: Priority::Read,
                 stale_s: 30.0,
             }),
             entries: BTreeMap::new(),
@@ -167,10 +167,10 @@
         &self.standing
     }
     pub fn fresh(&self) -> Option<Time> {
-        self.mirror.fresh()
+        self.replica.fresh()
     }
-    pub fn want_refresh(&mut self) {
-        self.mirror.want_refresh();
+    pub fn request_refresh(&mut self) {
+        self.replica.request_refresh();
     }
     /// Whether something stands otherwise than when last asked.
     pub fn take_changed(&mut self) -> bool {
@@ -191,7 +191,7 @@
             by,
             began: now,
             since: now,
-            flying: false,
+            in_flight: false,
             sent: false,
         });
         true
@@ -202,17 +202,17 @@
         now: Time,
         wall: WallMs,
         ask: bool,
-        ledger: &mut Ledger<Tag>,
+        store: &mut StoreClient<Tag>,
         told: &mut Vec<(RequestId, Told)>,
     ) {
         let fresh = self.fresh();
-        let decidable = |p: &Pending| fresh.is_some_and(|f| f >= p.since) && !p.flying;
-        let waits = self.pending.iter().any(|p| !p.flying && !decidable(p));
+        let decidable = |p: &Pending| fresh.is_some_and(|f| f >= p.since) && !p.in_flight;
+        let waits = self.pending.iter().any(|p| !p.in_flight && !decidable(p));
         let mut left = VecDeque::new();
         while let Some(mut p) = self.pending.pop_front() {
             let late = now.since(p.began) > PATIENCE_S;
-            if p.flying || !decidable(&p) {
-                if late && !p.flying {
+            if p.in_flight || !decidable(&p) {
+                if late && !p.in_flight {
                     told.push((p.request, Told::Busy("the state service does not answer")));
                 } else {
                     left.push_back(p);
@@ -237,8 +237,8 @@
             } else if p.change.set && found.is_none() && self.standing.len() >= MOST {
                 told.push((p.request, Told::Full));
             } else {
-                let stamp = kept.map_or(Stamp(0), |(s, _)| *s);
-                let mut txn = ledger.txn();
+                let revision = kept.map_or(Revision(0), |(s, _)| *s);
+                let mut transaction = store.transaction();
                 // A drain that is changed counts its time anew.
                 let directive = p.change.set.then(|| Directive {
                     target: p.change.target.clone(),
@@ -249,26 +249,26 @@
                     note: p.change.note.clone(),
                 });
                 let value = wire::to_value(&Record { v: VERSION, directive });
-                if let Err(full) = txn.write(key(&p.change.target), stamp, value, None) {
+                if let Err(full) = transaction.write(key(&p.change.target), revision, value, None) {
                     tracing::error!("{:?} cannot be kept: {full}", p.change.target);
                     told.push((p.request, Told::Busy("it is longer than can be kept")));
                     continue;
                 }
                 if kept.is_none() && self.entries.len() >= MOST_KEPT {
                     let lifted = self.entries.iter().filter(|(_, (_, d))| d.is_none());
-                    if let Some((target, (stamp, _))) = lifted.min_by_key(|(_, (s, _))| *s) {
+                    if let Some((target, (revision, _))) = lifted.min_by_key(|(_, (s, _))| *s) {
                         // Where it does not fit, the oldest goes next time.
-                        let _ = txn.delete(key(target), *stamp);
+                        let _ = transaction.delete(key(target), *revision);
                     }
                 }
-                p.flying = true;
+                p.in_flight = true;
                 p.sent = true;
-                ledger.commit(now, Priority::Accept, Tag::Direct(p.serial), txn);
+                store.commit(now, Priority::Admission, Tag::DirectiveChange(p.serial), transaction);
                 left.push_back(p);
             }
         }
         self.pending = left;
-        self.mirror.tick(now, ask || waits, true, ledger);
+        self.replica.tick(now, ask || waits, true, store);
     }
 
     pub fn on_written(
@@ -295,7 +295,7 @@
             }
             _ => false,
         };
-        self.mirror.want_refresh();
+        self.replica.request_refresh();
         if committed {
             if let Some(p) = self.pending.remove(at) {
                 let (target, set) = (p.change.target, p.change.set);
@@ -304,14 +304,14 @@
             return;
         }
         if let Some(p) = self.pending.get_mut(at) {
-            p.flying = false;
+            p.in_flight = false;
             p.since = now;
         }
     }
 
-    pub fn on_reply(&mut self, now: Time, call: MirrorCall, reply: Reply<Tag>) -> Freshness {
-        let update = self.mirror.on_reply(now, call, reply);
-        let scanning = call == MirrorCall::Scan;
+    pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Freshness {
+        let update = self.replica.on_reply(now, call, reply);
+        let scanning = call == ReplicaCall::Scan;
         for change in update.changes {
             let Some(target) = target(&change.path) else {
                 tracing::error!("{} is no directive this program knows", change.path);
@@ -321,7 +321,7 @@
                 self.seen.insert(target.clone());
             }
             // A reply that overtook another must not take us back.
-            if self.entries.get(&target).is_some_and(|(s, _)| s.0 >= change.stamp) {
+            if self.entries.get(&target).is_some_and(|(s, _)| s.0 >= change.revision) {
                 continue;
             }
             match change.value.as_ref().map(wire::from_value::<Record>) {
@@ -333,7 +333,7 @@
                         && r.directive.as_ref().is_none_or(|d| d.target == target) =>
                 {
                     let directive = r.directive.map(Rc::new);
-                    self.entries.insert(target, (Stamp(change.stamp), directive));
+                    self.entries.insert(target, (Revision(change.revision), directive));
                 }
                 // Unknown forms lift nothing: what stood goes on standing.
                 Some(_) => tracing::error!(
@@ -344,7 +344,7 @@
         }
         if let Some(rev) = update.scanned {
             let seen = std::mem::take(&mut self.seen);
-            self.entries.retain(|t, (stamp, _)| seen.contains(t) || stamp.0 > rev);
+            self.entries.retain(|t, (revision, _)| seen.contains(t) || revision.0 > rev);
         } else if scanning && update.freshness == Freshness::Failed {
             self.seen.clear();
         }
--- a/crates/controller/src/directives/tests.rs
+++ b/crates/controller/src/directives/tests.rs
@@ -29,21 +29,21 @@
 /// set again and lifted, once would have set it a second time.
 #[test]
 fn a_lifted_directive_keeps_its_key_and_version() {
-    use beamhinge_core::messages::Out;
+    use beamhinge_core::messages::Effect;
     use beamhinge_core::settings::{Settings, SAMPLE};
     let settings = Settings::parse("t", SAMPLE).expect("sound");
-    let mut ledger: Ledger<Tag> = Ledger::new(&settings);
+    let mut store: StoreClient<Tag> = StoreClient::new(&settings);
     let mut d = Directives::default();
     let target = Target::Team("one".into());
     let standing = Rc::new(drain(target.clone()));
-    d.entries.insert(target.clone(), (Stamp(7), Some(standing)));
+    d.entries.insert(target.clone(), (Revision(7), Some(standing)));
     let at = Time::from_micros(100_000_000);
     let body = wire::encode(&serde_json::json!({"pairs": [], "ledgerRev": 7}));
-    d.mirror.tick(at, false, false, &mut ledger);
-    let tag = Tag::Directives(MirrorCall::Scan);
+    d.replica.tick(at, false, false, &mut store);
+    let tag = Tag::Directives(ReplicaCall::Scan);
     let kept = d.entries.clone();
     let reply = Reply { tag, outcome: Outcome::Ok(body), sent: at.plus(1.0) };
-    d.on_reply(at.plus(1.0), MirrorCall::Scan, reply);
+    d.on_reply(at.plus(1.0), ReplicaCall::Scan, reply);
     d.entries = kept;
     let change = Change {
         target,
@@ -54,11 +54,11 @@
     };
     assert!(d.change(at, RequestId { slot: 0, generation: 1 }, change, "night".into()));
     let mut told = Vec::new();
-    d.tick(at.plus(1.0), WallMs(1), false, &mut ledger, &mut told);
+    d.tick(at.plus(1.0), WallMs(1), false, &mut store, &mut told);
     let (mut calls, mut out) = (0, Vec::new());
-    ledger.pump(at.plus(2.0), &mut calls, &mut out);
+    store.flush(at.plus(2.0), &mut calls, &mut out);
     let commit = out.iter().find_map(|o| match o {
-        Out::Call { path, body, .. } if path == "/commit" => Some(body),
+        Effect::Call { path, body, .. } if path == "/commit" => Some(body),
         _ => None,
     });
     let commit: serde_json::Value = wire::decode(commit.expect("sent")).expect("CBOR");
--- a/crates/controller/src/fleet/machines.rs
+++ b/crates/controller/src/fleet/machines.rs
@@ -33,13 +33,19 @@
 impl Term {
     /// Rental names are recorded before they are used. They begin with our
     /// token, so nobody else can ever use the same name.
-    pub(super) fn keep_record(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
-        if self.record_flying || now < self.retry_at || !self.course.due(now) {
+    pub(super) fn keep_record(&mut self, now: Time, store: &mut StoreClient<Tag>) {
+        if self.record_in_flight || now < self.retry_at || !self.backoff.due(now) {
             return;
         }
-        let Some(stamp) = self.record else {
-            self.record_flying = true;
-            ledger.scan(now, Priority::Rest, Tag::Fleet(FleetCall::Read), RENTALS_PREFIX, None);
+        let Some(revision) = self.record else {
+            self.record_in_flight = true;
+            store.scan(
+                now,
+                Priority::Background,
+                Tag::Fleet(FleetCall::ReadRentals),
+                RENTALS_PREFIX,
+                None,
+            );
             return;
         };
         let unrecorded = self.rentals.iter().any(|r| !r.recorded);
@@ -50,7 +56,7 @@
         // many as fit. The rest waits, and is not rented under until it is there.
         let (kept, new): (Vec<&Rental>, Vec<&Rental>) =
             self.rentals.iter().partition(|r| r.recorded);
-        let mut take = (new.len() / self.course.part()).max(1);
+        let mut take = (new.len() / self.backoff.part()).max(1);
         let mut listed = true;
         loop {
             let fresh = new.iter().take(take).map(|r| r.row.clone());
@@ -65,16 +71,18 @@
             } else {
                 record.spans = spans(owned);
             }
-            let mut txn = ledger.txn();
-            let built = txn
-                .when(crate::leader_election::BLOCK_KEY, Stamp(self.token.0))
-                .and_then(|()| txn.write(RENTALS_KEY, stamp, wire::to_value(&record), None));
+            let mut transaction = store.transaction();
+            let built = transaction
+                .when(crate::leader_election::BLOCK_KEY, Revision(self.token.0))
+                .and_then(|()| {
+                    transaction.write(RENTALS_KEY, revision, wire::to_value(&record), None)
+                });
             match built {
                 Ok(()) => {
                     self.written = written;
-                    self.record_flying = true;
-                    let tag = Tag::Fleet(FleetCall::Write);
-                    return ledger.commit(now, Priority::Place, tag, txn);
+                    self.record_in_flight = true;
+                    let tag = Tag::Fleet(FleetCall::WriteRentals);
+                    return store.commit(now, Priority::Placement, tag, transaction);
                 }
                 Err(_) if listed => listed = false,
                 Err(_) if take > 1 => take /= 2,
@@ -93,7 +101,7 @@
         self.rentals.retain(|r| r.recorded);
         let dropped = before - self.rentals.len();
         tracing::error!("{dropped} rentals could not be recorded and are given up");
-        self.course.succeeded();
+        self.backoff.succeeded();
         self.retry_at = now.plus(RECORD_PAUSE_S);
     }
 
@@ -136,7 +144,7 @@
             self.list_at = now;
             // Before the first rental ever, all that is listed is the
             // operators' own.
-            if self.owned.is_none() && self.record == Some(Stamp(0)) {
+            if self.owned.is_none() && self.record == Some(Revision(0)) {
                 self.owned = Some(self.instances.keys().copied().collect());
             }
             for id in self.owned.iter().flatten() {
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -8,21 +8,21 @@
 
 use crate::calls::{FleetCall, Tag};
 use crate::directives::Standing;
-use crate::ledger::{Committed, Ledger, Outcome, Priority, Reply, Scan};
 use crate::market::Splits;
 use crate::placement::{Machine, Placement};
 use crate::split::Shape;
+use crate::store::{Committed, Outcome, Priority, Reply, Scan, StoreClient};
 use beamhinge_admin_api::directives::Directive;
 use beamhinge_admin_api::messages::What;
 use beamhinge_core::http::Method;
-use beamhinge_core::messages::{Dest, Out};
+use beamhinge_core::messages::{Destination, Effect};
 use beamhinge_core::settings::{Operator, Settings};
-use beamhinge_core::types::{CallId, MachineId, Stamp, Time, Token, WallMs};
+use beamhinge_core::types::{CallId, FencingToken, MachineId, Revision, Time, WallMs};
 use beamhinge_core::wire;
 use beamhinge_failure_detection::{
     Bounds, Finding, Group, Link, PeerObservations, Presence, Seen, Suspicion,
 };
-use beamhinge_rate_limit::{Course, Next};
+use beamhinge_rate_limit::{AdaptiveBackoff, Next};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -185,7 +185,7 @@
     /// Not yet asked for; `Silent` is taken back if the machine reports again.
     Wanted,
     Silent,
-    Flying,
+    InFlight,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -224,7 +224,7 @@
     row: RentalRow,
     shape: usize,
     recorded: bool,
-    flying: bool,
+    in_flight: bool,
     tried: bool,
     retry_at: Time,
 }
@@ -239,16 +239,16 @@
 
 /// What the leader keeps for one term.
 struct Term {
-    token: Token,
+    token: FencingToken,
     began: Time,
     instances: BTreeMap<MachineId, Instance>,
     rentals: Vec<Rental>,
     next_rental: u64,
     refused: BTreeMap<(usize, String, bool), Time>,
-    record: Option<Stamp>,
-    record_flying: bool,
+    record: Option<Revision>,
+    record_in_flight: bool,
     written: Vec<String>,
-    list_flying: bool,
+    list_in_flight: bool,
     list_at: Time,
     list_after: Option<String>,
     /// When the pass over the list began that is under way.
@@ -257,9 +257,9 @@
     released: BTreeMap<MachineId, Time>,
     retry_at: Time,
     /// How the record of rentals is tried again.
-    course: Course,
+    backoff: AdaptiveBackoff,
     /// How releases are.
-    releases: Course,
+    releases: AdaptiveBackoff,
     decided: Time,
     /// When machines to return were last looked for.
     returned: Time,
@@ -285,7 +285,7 @@
     filled: Time,
     lag_s: f64,
     shapes: Vec<Shape>,
-    flavors_flying: bool,
+    flavors_in_flight: bool,
     flavors_at: Option<Time>,
     flavors_retry: Time,
     calls: BTreeMap<CallId, CloudCall>,
@@ -303,7 +303,7 @@
             filled: Time::default(),
             lag_s: settings.params.cloud.list_lag_s,
             shapes: Vec::new(),
-            flavors_flying: false,
+            flavors_in_flight: false,
             flavors_at: None,
             flavors_retry: Time::default(),
             calls: BTreeMap::new(),
@@ -336,7 +336,7 @@
     pub fn begin_term(
         &mut self,
         now: Time,
-        token: Token,
+        token: FencingToken,
         operator: &Operator,
         settings: &Settings,
     ) {
@@ -349,17 +349,17 @@
             next_rental: 0,
             refused: BTreeMap::new(),
             record: None,
-            record_flying: false,
+            record_in_flight: false,
             written: Vec::new(),
-            list_flying: false,
+            list_in_flight: false,
             list_at: Time::default(),
             list_after: None,
             pass_began: Time::default(),
             lists: 0,
             released: BTreeMap::new(),
             retry_at: Time::default(),
-            course: Course::new(0.2, 5.0),
-            releases: Course::new(1.0, 8.0),
+            backoff: AdaptiveBackoff::new(0.2, 5.0),
+            releases: AdaptiveBackoff::new(1.0, 8.0),
             decided: Time::default(),
             returned: Time::default(),
             owned: None,
@@ -380,7 +380,7 @@
         self.queue.clear();
     }
 
-    pub fn is_ours(&self, id: CallId) -> bool {
+    pub fn owns_call(&self, id: CallId) -> bool {
         self.calls.contains_key(&id)
     }
 
@@ -403,24 +403,24 @@
         settings: &Settings,
         senses: &Senses,
         place: Option<&mut Placement>,
-        ledger: &mut Ledger<Tag>,
+        store: &mut StoreClient<Tag>,
     ) {
         let stale = self
             .flavors_at
             .is_none_or(|t| now.since(t) > if place.is_some() { 30.0 } else { 120.0 });
-        if stale && !self.flavors_flying && now >= self.flavors_retry {
-            self.flavors_flying = true;
+        if stale && !self.flavors_in_flight && now >= self.flavors_retry {
+            self.flavors_in_flight = true;
             self.queue.push_front(CloudCall::Flavors);
         }
         let (Some(place), Some(term)) = (place, self.term.as_mut()) else { return };
-        if !term.list_flying && now.since(term.list_at) > 1.5 && !self.shapes.is_empty() {
-            term.list_flying = true;
+        if !term.list_in_flight && now.since(term.list_at) > 1.5 && !self.shapes.is_empty() {
+            term.list_in_flight = true;
             if term.list_after.is_none() {
                 term.pass_began = now;
             }
             self.queue.push_back(CloudCall::List);
         }
-        term.keep_record(now, ledger);
+        term.keep_record(now, store);
         // Who is not sure to hold the block rents and returns nothing: a holder
         // that stood still, or is cut off, would act on what others decided anew.
         if term.record.is_none() || !place.loaded() || !senses.acting {
@@ -434,11 +434,11 @@
             term.watch_machines(now, &self.shapes, settings, senses, place);
             term.decide(now, wall, self.lag_s, &self.shapes, operator, settings, place);
         }
-        term.splits.keep(now, term.token, place.runs(), settings.value_limit(), ledger);
+        term.splits.keep(now, term.token, place.runs(), settings.value_limit(), store);
         let ready =
-            term.rentals.iter_mut().filter(|r| r.recorded && !r.flying && now >= r.retry_at);
+            term.rentals.iter_mut().filter(|r| r.recorded && !r.in_flight && now >= r.retry_at);
         for r in ready {
-            r.flying = true;
+            r.in_flight = true;
             self.queue.push_back(CloudCall::Rent(r.row.name.clone()));
         }
         let mut batch = Vec::new();
@@ -451,7 +451,7 @@
                 .filter(|(_, i)| matches!(i.release, Release::Wanted | Release::Silent));
             let most = (MOST_PER_RELEASE / term.releases.part()).max(1);
             for (id, i) in wanted.take(most) {
-                i.release = Release::Flying;
+                i.release = Release::InFlight;
                 batch.push(*id);
             }
         }
@@ -460,7 +460,7 @@
         }
     }
 
-    pub fn pump(&mut self, now: Time, next_call: &mut u64, out: &mut Vec<Out>) {
+    pub fn flush(&mut self, now: Time, next_call: &mut u64, out: &mut Vec<Effect>) {
         self.level = (self.level + now.since(self.filled) * self.rate).min(self.rate);
         self.filled = now;
         while self.level >= 1.0 {
@@ -505,7 +505,14 @@
             *next_call += 1;
             let id = CallId(*next_call);
             self.calls.insert(id, call);
-            out.push(Out::Call { id, dest: Dest::Cloud, method, path, body, timeout_s: 4.0 });
+            out.push(Effect::Call {
+                id,
+                destination: Destination::Cloud,
+                method,
+                path,
+                body,
+                timeout_s: 4.0,
+            });
         }
     }
 
@@ -525,7 +532,7 @@
         };
         match call {
             CloudCall::Flavors => {
-                self.flavors_flying = false;
+                self.flavors_in_flight = false;
                 match ok.and_then(|b| wire::decode::<Flavors>(b).ok()) {
                     Some(f) => self.take_flavors(now, f),
                     None => self.flavors_retry = now.plus(1.0),
@@ -533,7 +540,7 @@
             }
             CloudCall::List => {
                 let Some(term) = &mut self.term else { return };
-                term.list_flying = false;
+                term.list_in_flight = false;
                 match ok.and_then(|b| wire::decode::<HostList>(b).ok()) {
                     Some(list) => term.take_list(now, self.lag_s, list, &self.shapes),
                     None => {
@@ -592,7 +599,7 @@
                     }
                     Some((503, body)) => {
                         let r = &mut term.rentals[at];
-                        r.flying = false;
+                        r.in_flight = false;
                         #[derive(Deserialize)]
                         struct Error {
                             #[serde(default)]
@@ -631,7 +638,7 @@
                     }
                     Some((429, _)) => {
                         let r = &mut term.rentals[at];
-                        r.flying = false;
+                        r.in_flight = false;
                         r.retry_at = now.plus(0.5);
                         self.level = self.level.min(0.0);
                     }
@@ -646,7 +653,7 @@
                     // A lost reply: the same name again rents nothing twice.
                     _ => {
                         let r = &mut term.rentals[at];
-                        r.flying = false;
+                        r.in_flight = false;
                         r.tried = true;
                         r.retry_at = now.plus(1.0);
                         #[cfg(feature = "faults")]
@@ -724,19 +731,19 @@
         }
     }
 
-    pub fn on_ledger(&mut self, now: Time, call: FleetCall, reply: Reply<Tag>) {
+    pub fn on_store_reply(&mut self, now: Time, call: FleetCall, reply: Reply<Tag>) {
         let Some(term) = &mut self.term else { return };
         match call {
             FleetCall::ReadSplit => return term.splits.on_read(now, reply),
             FleetCall::WriteSplit => return term.splits.on_written(now, reply),
-            FleetCall::Read | FleetCall::Write => {}
+            FleetCall::ReadRentals | FleetCall::WriteRentals => {}
         }
-        term.record_flying = false;
+        term.record_in_flight = false;
         match (call, reply.outcome) {
-            (FleetCall::Read, Outcome::Ok(body)) => {
+            (FleetCall::ReadRentals, Outcome::Ok(body)) => {
                 let Ok(scan) = wire::decode::<Scan>(&body) else { return };
                 let found = scan.pairs.iter().find(|p| p.path == RENTALS_KEY);
-                term.record = Some(Stamp(found.map_or(0, |p| p.stamp)));
+                term.record = Some(Revision(found.map_or(0, |p| p.revision)));
                 term.written.clear();
                 if let Some(p) = found {
                     match wire::from_value::<RentalRecord>(&p.value) {
@@ -764,29 +771,31 @@
                     }
                 }
             }
-            (FleetCall::Write, Outcome::Ok(body)) => match wire::decode::<Committed>(&body) {
-                Ok(c) => {
-                    term.course.succeeded();
-                    term.record = Some(Stamp(c.rev));
-                    for r in &mut term.rentals {
-                        if term.written.contains(&r.row.name) {
-                            r.recorded = true;
+            (FleetCall::WriteRentals, Outcome::Ok(body)) => {
+                match wire::decode::<Committed>(&body) {
+                    Ok(c) => {
+                        term.backoff.succeeded();
+                        term.record = Some(Revision(c.rev));
+                        for r in &mut term.rentals {
+                            if term.written.contains(&r.row.name) {
+                                r.recorded = true;
+                            }
                         }
                     }
+                    Err(_) => term.record = None,
                 }
-                Err(_) => term.record = None,
-            },
-            (FleetCall::Write, Outcome::Refused) => {
-                term.course.busy(now);
+            }
+            (FleetCall::WriteRentals, Outcome::Refused) => {
+                term.backoff.busy(now);
                 term.retry_at = now.plus(0.2);
             }
             // Half of what is new goes into the next; in the end none of it.
-            (FleetCall::Write, Outcome::Malformed) => {
-                if term.course.malformed(now) == Next::Aside {
+            (FleetCall::WriteRentals, Outcome::Malformed) => {
+                if term.backoff.malformed(now) == Next::Aside {
                     term.give_up_rentals(now);
                 }
             }
-            (FleetCall::Write, _) => {
+            (FleetCall::WriteRentals, _) => {
                 term.record = None;
                 term.retry_at = now.plus(0.2);
             }
--- a/crates/controller/src/fleet/wanted.rs
+++ b/crates/controller/src/fleet/wanted.rs
@@ -173,7 +173,7 @@
                 },
                 shape: class.shape,
                 recorded: false,
-                flying: false,
+                in_flight: false,
                 tried: false,
                 retry_at: now,
             });
--- a/crates/controller/src/intake.rs
+++ b/crates/controller/src/intake.rs
@@ -6,14 +6,14 @@
 
 use crate::calls::{IntakeCall, Tag};
 use crate::faults::{broken, Faults};
-use crate::jobs::{self, JobBook, JobKind, JobSpec, JobState, Urgency};
-use crate::ledger::{Committed, Full, Ledger, Outcome, Priority, Reply};
-use crate::mirror::Freshness;
+use crate::job_store::{self, JobKind, JobSpec, JobState, JobStore, Urgency};
+use crate::replica::Freshness;
 use crate::split::{self, Need, Shape};
+use crate::store::{Committed, Full, Outcome, Priority, Reply, StoreClient};
 use beamhinge_configuration::EffectiveTeam;
-use beamhinge_core::messages::{Counts, Out};
+use beamhinge_core::messages::{Effect, TaskCounts};
 use beamhinge_core::settings::Settings;
-use beamhinge_core::types::{JobId, RequestId, Stamp, Time, WallMs};
+use beamhinge_core::types::{JobId, RequestId, Revision, Time, WallMs};
 use beamhinge_core::wire::{self, problem};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
 /// When their users come back, seconds: at once again they would only ask more.
 const PATIENT_AFTER_S: u32 = 4;
 /// Transactions that take jobs in, at the same time.
-const MOST_FLYING: usize = 3;
+const MAX_IN_FLIGHT: usize = 3;
 /// Jobs that one transaction accepts.
 const MOST_ACCEPTS: usize = 8;
 /// Jobs of which it is remembered that peers know their end: more do not end within
@@ -178,7 +178,7 @@
     }
     // What no value can hold can never be accepted. A tenth stays free for the
     // records that follow: a job must always be able to end.
-    if wire::json_len(&jobs::open_record(spec)) > settings.value_limit() {
+    if wire::json_len(&job_store::open_record(spec)) > settings.value_limit() {
         return Verdict::Never("the description is longer than the state service takes");
     }
     if shapes.is_empty() {
@@ -216,13 +216,13 @@
     spec: Rc<JobSpec>,
     requests: Vec<RequestId>,
     since: Time,
-    flying: bool,
+    in_flight: bool,
 }
 
 struct Cancel {
     requests: Vec<RequestId>,
     since: Time,
-    flying: bool,
+    in_flight: bool,
     retry_at: Time,
 }
 
@@ -232,33 +232,33 @@
     accepts: BTreeMap<JobId, Accept>,
     order: VecDeque<JobId>,
     cancels: BTreeMap<JobId, Cancel>,
-    accepts_flying: usize,
+    accepts_in_flight: usize,
     /// Jobs whose end a user of ours was told, and no peer yet.
     words: Vec<JobId>,
     /// Those of which peers were told, the latest last.
     spread: VecDeque<JobId>,
     /// What the holder last told us of jobs' progress; for display only.
-    pub shown: BTreeMap<JobId, Counts>,
+    pub shown: BTreeMap<JobId, TaskCounts>,
     /// What tests put in.
     pub faults: Faults,
 }
 
 pub trait Context {
-    fn counts(&self, id: JobId) -> Option<Counts>;
+    fn counts(&self, id: JobId) -> Option<TaskCounts>;
 }
 
 impl Intake {
     /// Somebody waits for a fresh copy of the jobs.
     pub fn asks(&self) -> bool {
-        !self.waiters.is_empty() || self.cancels.values().any(|c| !c.flying)
+        !self.waiters.is_empty() || self.cancels.values().any(|c| !c.in_flight)
     }
 
     fn waiting(&self) -> usize {
         self.waiters.len() + self.accepts.len() + self.cancels.len()
     }
 
-    pub fn busy(out: &mut Vec<Out>, to: RequestId, why: &str) {
-        out.push(Out::Answer {
+    pub fn busy(out: &mut Vec<Effect>, to: RequestId, why: &str) {
+        out.push(Effect::Answer {
             to,
             status: 503,
             retry_after: Some(RETRY_AFTER_S),
@@ -268,12 +268,12 @@
 
     fn answer(
         &mut self,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
         to: RequestId,
         status: u16,
         id: JobId,
         state: &'static str,
-        counts: Option<Counts>,
+        counts: Option<TaskCounts>,
     ) {
         if matches!(state, DONE | CANCELLED) {
             self.ended(id);
@@ -284,19 +284,19 @@
             done: counts.map(|c| c.done),
             running: counts.map(|c| c.running),
         });
-        out.push(Out::Answer { to, status, retry_after: None, body });
+        out.push(Effect::Answer { to, status, retry_after: None, body });
     }
 
     fn tell(
         &mut self,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
         to: RequestId,
         id: JobId,
-        entry: &jobs::Entry,
-        own: Option<Counts>,
+        entry: &job_store::Entry,
+        own: Option<TaskCounts>,
     ) {
         let counts = match entry.state {
-            JobState::Done => Counts { done: entry.tasks, running: 0 },
+            JobState::Done => TaskCounts { done: entry.tasks, running: 0 },
             _ => own.or_else(|| self.shown.get(&id).copied()).unwrap_or_default(),
         };
         let state = match entry.state {
@@ -314,10 +314,10 @@
         &mut self,
         to: RequestId,
         id: JobId,
-        book: &JobBook,
-        out: &mut Vec<Out>,
+        job_store: &JobStore,
+        out: &mut Vec<Effect>,
     ) -> bool {
-        if let Some(entry) = book.get(id).filter(|e| e.state != JobState::Open) {
+        if let Some(entry) = job_store.get(id).filter(|e| e.state != JobState::Open) {
             self.tell(out, to, id, entry, None);
         } else if self.waiting() >= WAITING_LIMIT {
             Self::busy(out, to, "too many requests wait");
@@ -333,10 +333,10 @@
         to: RequestId,
         (id, spec): (JobId, JobSpec),
         verdict: Verdict,
-        book: &JobBook,
-        out: &mut Vec<Out>,
+        job_store: &JobStore,
+        out: &mut Vec<Effect>,
     ) {
-        if self.answered_at_once(to, id, book, out) {
+        if self.answered_at_once(to, id, job_store, out) {
             return;
         }
         let ask = match verdict {
@@ -344,7 +344,7 @@
             // A job that was accepted once is not refused when types or limits
             // have changed since: look first.
             Verdict::Never(why) => Ask::Known { refuse: Some(why) },
-            Verdict::Possible if book.get(id).is_some() => Ask::Known { refuse: None },
+            Verdict::Possible if job_store.get(id).is_some() => Ask::Known { refuse: None },
             Verdict::Possible => {
                 match self.accepts.get_mut(&id) {
                     Some(a) => a.requests.push(to),
@@ -353,7 +353,7 @@
                     {
                         let body = problem("too many best-effort submissions wait");
                         let retry_after = Some(PATIENT_AFTER_S);
-                        return out.push(Out::Answer { to, status: 503, retry_after, body });
+                        return out.push(Effect::Answer { to, status: 503, retry_after, body });
                     }
                     None => {
                         // The more urgent first: thousands of guests' jobs must not keep
@@ -369,7 +369,7 @@
                                 spec: Rc::new(spec),
                                 requests: vec![to],
                                 since: now,
-                                flying: false,
+                                in_flight: false,
                             },
                         );
                     }
@@ -416,10 +416,10 @@
         now: Time,
         to: RequestId,
         id: JobId,
-        book: &JobBook,
-        out: &mut Vec<Out>,
+        job_store: &JobStore,
+        out: &mut Vec<Effect>,
     ) {
-        self.ask(now, to, id, Ask::Poll, book, out);
+        self.ask(now, to, id, Ask::Poll, job_store, out);
     }
 
     pub fn cancel(
@@ -427,10 +427,10 @@
         now: Time,
         to: RequestId,
         id: JobId,
-        book: &JobBook,
-        out: &mut Vec<Out>,
+        job_store: &JobStore,
+        out: &mut Vec<Effect>,
     ) {
-        self.ask(now, to, id, Ask::Cancel, book, out);
+        self.ask(now, to, id, Ask::Cancel, job_store, out);
     }
 
     /// Waits for a copy of the jobs that is newer than the question.
@@ -440,10 +440,10 @@
         to: RequestId,
         id: JobId,
         ask: Ask,
-        book: &JobBook,
-        out: &mut Vec<Out>,
+        job_store: &JobStore,
+        out: &mut Vec<Effect>,
     ) {
-        if !self.answered_at_once(to, id, book, out) {
+        if !self.answered_at_once(to, id, job_store, out) {
             self.wait(now, to, id, ask);
         }
     }
@@ -453,14 +453,14 @@
         &mut self,
         now: Time,
         freshness: Freshness,
-        book: &JobBook,
+        job_store: &JobStore,
         own: &dyn Context,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         if freshness == Freshness::Unchanged {
             return;
         }
-        let fresh = book.fresh();
+        let fresh = job_store.fresh();
         let mut left = VecDeque::new();
         while let Some(w) = self.waiters.pop_front() {
             // Only a copy read after the question came can answer it.
@@ -473,18 +473,18 @@
                 }
                 continue;
             }
-            match (w.ask, book.get(w.job)) {
+            match (w.ask, job_store.get(w.job)) {
                 (Ask::Poll | Ask::Known { .. }, Some(entry)) => {
                     let counts = own.counts(w.job);
                     self.tell(out, w.request, w.job, entry, counts);
                 }
-                (Ask::Poll, None) | (Ask::Cancel, None) => out.push(Out::Answer {
+                (Ask::Poll, None) | (Ask::Cancel, None) => out.push(Effect::Answer {
                     to: w.request,
                     status: 404,
                     retry_after: None,
                     body: problem("no such job"),
                 }),
-                (Ask::Known { refuse: Some(why) }, None) => out.push(Out::Answer {
+                (Ask::Known { refuse: Some(why) }, None) => out.push(Effect::Answer {
                     to: w.request,
                     status: 422,
                     retry_after: None,
@@ -498,7 +498,7 @@
                         let c = self.cancels.entry(w.job).or_insert(Cancel {
                             requests: Vec::new(),
                             since: now,
-                            flying: false,
+                            in_flight: false,
                             retry_at: now,
                         });
                         c.requests.push(w.request);
@@ -512,9 +512,9 @@
     pub fn tick(
         &mut self,
         now: Time,
-        book: &JobBook,
-        ledger: &mut Ledger<Tag>,
-        out: &mut Vec<Out>,
+        job_store: &JobStore,
+        store: &mut StoreClient<Tag>,
+        out: &mut Vec<Effect>,
     ) {
         while let Some(w) = self.waiters.front() {
             if now.since(w.since) <= POLL_PATIENCE_S {
@@ -525,25 +525,31 @@
             }
         }
         self.tell_the_late(now, out);
-        self.send_accepts(now, ledger, out);
+        self.send_accepts(now, store, out);
         let mut over = Vec::new();
         for (id, c) in &mut self.cancels {
-            if c.flying || now < c.retry_at {
+            if c.in_flight || now < c.retry_at {
                 continue;
             }
-            let entry = book.get(*id);
+            let entry = job_store.get(*id);
             match entry.map(|e| (e.state, e.spec.as_ref())) {
                 Some((JobState::Open, Some(spec))) if now.since(c.since) < SUBMIT_PATIENCE_S => {
-                    let mut txn = ledger.txn();
-                    let stamp = entry.map_or(Stamp(0), |e| e.stamp);
-                    let value = jobs::cancelled_record(spec);
-                    if let Err(full) = txn.write(jobs::key(*id), stamp, value, None) {
+                    let mut transaction = store.transaction();
+                    let revision = entry.map_or(Revision(0), |e| e.revision);
+                    let value = job_store::cancelled_record(spec);
+                    if let Err(full) = transaction.write(job_store::key(*id), revision, value, None)
+                    {
                         tracing::error!("the cancellation of {id} cannot be written: {full}");
                         over.push((*id, None));
                         continue;
                     }
-                    c.flying = true;
-                    ledger.commit(now, Priority::Accept, Tag::Intake(IntakeCall::Cancel(*id)), txn);
+                    c.in_flight = true;
+                    store.commit(
+                        now,
+                        Priority::Admission,
+                        Tag::Intake(IntakeCall::Cancel(*id)),
+                        transaction,
+                    );
                 }
                 Some((JobState::Done, _)) => over.push((*id, Some(DONE))),
                 Some((JobState::Cancelled, _)) => over.push((*id, Some(CANCELLED))),
@@ -560,7 +566,8 @@
             }
         }
         if self.shown.len() > MAX_SHOWN {
-            self.shown.retain(|id, _| book.get(*id).is_some_and(|e| e.state == JobState::Open));
+            self.shown
+                .retain(|id, _| job_store.get(*id).is_some_and(|e| e.state == JobState::Open));
         }
     }
 
@@ -569,50 +576,51 @@
     /// behind them waited for longer than its user did. Whoever has waited for
     /// so long is told to come again; what flies is followed to its end, and the
     /// user's next try finds it.
-    fn tell_the_late(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn tell_the_late(&mut self, now: Time, out: &mut Vec<Effect>) {
         let why = "the state service does not answer";
         let late = |since: Time| now.since(since) > SUBMIT_PATIENCE_S;
         self.accepts.retain(|_, a| {
             if late(a.since) {
                 a.requests.drain(..).for_each(|to| Self::busy(out, to, why));
             }
-            a.flying || !a.requests.is_empty()
+            a.in_flight || !a.requests.is_empty()
         });
         // An id whose job went, and came again, is in the order twice.
         if self.order.len() > self.accepts.len() {
             self.order.retain(|id| self.accepts.contains_key(id));
         }
-        for c in self.cancels.values_mut().filter(|c| c.flying && late(c.since)) {
+        for c in self.cancels.values_mut().filter(|c| c.in_flight && late(c.since)) {
             c.requests.drain(..).for_each(|to| Self::busy(out, to, why));
         }
     }
 
-    fn send_accepts(&mut self, now: Time, ledger: &mut Ledger<Tag>, out: &mut Vec<Out>) {
-        while self.accepts_flying < MOST_FLYING {
-            let mut txn = ledger.txn();
+    fn send_accepts(&mut self, now: Time, store: &mut StoreClient<Tag>, out: &mut Vec<Effect>) {
+        while self.accepts_in_flight < MAX_IN_FLIGHT {
+            let mut transaction = store.transaction();
             let mut ids = Vec::new();
             // Best effort goes alone and in small steps, so that what is more urgent
             // never waits behind more than one of them.
-            let front = self.order.iter().find_map(|id| self.accepts.get(id).filter(|a| !a.flying));
+            let front =
+                self.order.iter().find_map(|id| self.accepts.get(id).filter(|a| !a.in_flight));
             let patient = front.is_some_and(|a| a.spec.urgency == Urgency::BestEffort);
-            if patient && self.accepts_flying > 0 {
+            if patient && self.accepts_in_flight > 0 {
                 return;
             }
             let most = if patient { MOST_ACCEPTS / 2 } else { MOST_ACCEPTS };
             while let Some(id) = self.order.front().copied() {
-                let Some(a) = self.accepts.get_mut(&id).filter(|a| !a.flying) else {
+                let Some(a) = self.accepts.get_mut(&id).filter(|a| !a.in_flight) else {
                     self.order.pop_front();
                     continue;
                 };
                 // One that is refused takes the others with it: few at a time.
                 let other = patient != (a.spec.urgency == Urgency::BestEffort);
-                if txn.writes() >= most || other {
+                if transaction.writes() >= most || other {
                     break;
                 }
-                let value = jobs::open_record(&a.spec);
-                match txn.write(jobs::key(id), Stamp(0), value, None) {
+                let value = job_store::open_record(&a.spec);
+                match transaction.write(job_store::key(id), Revision(0), value, None) {
                     Ok(()) => {
-                        a.flying = true;
+                        a.in_flight = true;
                         ids.push(id);
                     }
                     Err(Full::Now) => break,
@@ -630,8 +638,13 @@
             if ids.is_empty() {
                 return;
             }
-            self.accepts_flying += 1;
-            ledger.commit(now, Priority::Accept, Tag::Intake(IntakeCall::Accept(ids)), txn);
+            self.accepts_in_flight += 1;
+            store.commit(
+                now,
+                Priority::Admission,
+                Tag::Intake(IntakeCall::Accept(ids)),
+                transaction,
+            );
         }
     }
 
@@ -640,19 +653,19 @@
         now: Time,
         call: IntakeCall,
         reply: Reply<Tag>,
-        book: &mut JobBook,
-        out: &mut Vec<Out>,
+        job_store: &mut JobStore,
+        out: &mut Vec<Effect>,
     ) {
         match call {
             IntakeCall::Accept(ids) => {
-                self.accepts_flying = self.accepts_flying.saturating_sub(1);
+                self.accepts_in_flight = self.accepts_in_flight.saturating_sub(1);
                 match reply.outcome {
                     Outcome::Ok(body) => {
                         let rev = wire::decode::<Committed>(&body).map(|c| c.rev).unwrap_or(0);
                         for id in ids {
                             let Some(a) = self.accepts.remove(&id) else { continue };
                             if rev > 0 {
-                                book.wrote(id, Stamp(rev), JobState::Open, Some(a.spec));
+                                job_store.wrote(id, Revision(rev), JobState::Open, Some(a.spec));
                             }
                             let mut status = 201;
                             for to in a.requests {
@@ -663,11 +676,11 @@
                     }
                     Outcome::Conflict(failed) => {
                         for id in ids {
-                            let exists = failed.contains(&jobs::key(id));
+                            let exists = failed.contains(&job_store::key(id));
                             if !exists && !failed.is_empty() {
                                 if let Some(a) = self.accepts.get_mut(&id) {
                                     if now.since(a.since) < SUBMIT_PATIENCE_S {
-                                        a.flying = false;
+                                        a.in_flight = false;
                                         self.order.push_front(id);
                                         continue;
                                     }
@@ -694,9 +707,9 @@
             }
             IntakeCall::Cancel(id) => match reply.outcome {
                 Outcome::Ok(body) => {
-                    let spec = book.get(id).and_then(|e| e.spec.clone());
+                    let spec = job_store.get(id).and_then(|e| e.spec.clone());
                     if let Ok(c) = wire::decode::<Committed>(&body) {
-                        book.wrote(id, Stamp(c.rev), JobState::Cancelled, spec);
+                        job_store.wrote(id, Revision(c.rev), JobState::Cancelled, spec);
                     }
                     if let Some(c) = self.cancels.remove(&id) {
                         for to in c.requests {
@@ -707,7 +720,7 @@
                 Outcome::Conflict(_) => {
                     // It changed: the next refresh tells how.
                     if let Some(c) = self.cancels.get_mut(&id) {
-                        c.flying = false;
+                        c.in_flight = false;
                         c.retry_at = now.plus(0.05);
                     }
                 }
--- a/crates/controller/src/intake/tests.rs
+++ b/crates/controller/src/intake/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::calls::MirrorCall;
+use crate::calls::ReplicaCall;
 use crate::split::tests::c8;
 use beamhinge_configuration::Snapshot;
 use beamhinge_core::settings::SAMPLE;
@@ -133,33 +133,39 @@
 struct Nobody;
 
 impl Context for Nobody {
-    fn counts(&self, _: JobId) -> Option<Counts> {
+    fn counts(&self, _: JobId) -> Option<TaskCounts> {
         None
     }
 }
 
 /// A copy of the jobs, kept by exchanges with the state service that are played here.
 struct Copy {
-    book: JobBook,
-    ledger: Ledger<Tag>,
+    job_store: JobStore,
+    store: StoreClient<Tag>,
     calls: u64,
 }
 
 impl Copy {
     fn new(now: Time) -> Copy {
         let settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
-        let mut copy = Copy { book: JobBook::default(), ledger: Ledger::new(&settings), calls: 0 };
+        let mut copy =
+            Copy { job_store: JobStore::default(), store: StoreClient::new(&settings), calls: 0 };
         let sent = copy.ask(now);
-        copy.take(now, sent, MirrorCall::Scan, json!({"pairs": [], "more": false, "ledgerRev": 3}));
+        copy.take(
+            now,
+            sent,
+            ReplicaCall::Scan,
+            json!({"pairs": [], "more": false, "ledgerRev": 3}),
+        );
         copy
     }
 
     fn ask(&mut self, now: Time) -> beamhinge_core::types::CallId {
-        self.book.tick(now, true, false, &mut self.ledger);
+        self.job_store.tick(now, true, false, &mut self.store);
         let mut out = Vec::new();
-        self.ledger.pump(now, &mut self.calls, &mut out);
+        self.store.flush(now, &mut self.calls, &mut out);
         match out.pop() {
-            Some(Out::Call { id, .. }) => id,
+            Some(Effect::Call { id, .. }) => id,
             other => panic!("{other:?}"),
         }
     }
@@ -168,17 +174,17 @@
         &mut self,
         now: Time,
         id: beamhinge_core::types::CallId,
-        call: MirrorCall,
+        call: ReplicaCall,
         body: Json,
     ) -> Freshness {
-        let reply = self.ledger.on_reply(id, Some((200, wire::encode(&body)))).expect("ours");
-        self.book.on_reply(now, call, reply)
+        let reply = self.store.on_reply(id, Some((200, wire::encode(&body)))).expect("ours");
+        self.job_store.on_reply(now, call, reply)
     }
 }
 
-fn told(out: &mut Vec<Out>) -> Vec<(u16, String)> {
+fn told(out: &mut Vec<Effect>) -> Vec<(u16, String)> {
     let answers = out.drain(..).filter_map(|o| match o {
-        Out::Answer { status, body, .. } => {
+        Effect::Answer { status, body, .. } => {
             let body: ciborium::Value = wire::decode(&body).expect("CBOR");
             let body: Json = body.deserialized().expect("as JSON");
             Some((status, body["status"].as_str().unwrap_or("").to_string()))
@@ -197,16 +203,17 @@
     let (_, spec) = read_submission(&wire::encode(&submission()), WallMs(1)).expect("sound");
     for word in [false, true] {
         let (mut copy, mut intake, mut out) = (Copy::new(at(0.0)), Intake::default(), Vec::new());
-        copy.book.wrote(id, Stamp(4), JobState::Open, Some(Rc::new(spec.clone())));
+        copy.job_store.wrote(id, Revision(4), JobState::Open, Some(Rc::new(spec.clone())));
         let request = |generation| RequestId { slot: 0, generation };
-        intake.poll(at(1.0), request(1), id, &copy.book, &mut out);
+        intake.poll(at(1.0), request(1), id, &copy.job_store, &mut out);
         let sent = copy.ask(at(1.0));
         if word {
             let other = JobId::parse("job-9").expect("a job");
             intake.heard_ended(at(1.2), [other, id].into_iter());
         }
-        let fresh = copy.take(at(1.4), sent, MirrorCall::Now, json!({"ledgerRev": 4, "news": []}));
-        intake.on_fresh(at(1.4), fresh, &copy.book, &Nobody, &mut out);
+        let fresh =
+            copy.take(at(1.4), sent, ReplicaCall::Refresh, json!({"ledgerRev": 4, "news": []}));
+        intake.on_fresh(at(1.4), fresh, &copy.job_store, &Nobody, &mut out);
         let expected: &[(u16, String)] = &[(200, "pending".into())];
         assert_eq!(told(&mut out), if word { &[] } else { expected });
         assert!(intake.take_words().is_empty());
@@ -216,13 +223,13 @@
         // The next copy is newer, and says what the user knows.
         assert!(intake.asks());
         let sent = copy.ask(at(1.5));
-        let cancelled = json!({"ledgerRev": 5, "news": [{"write": jobs::key(id), "stamp": 5,
-            "value": jobs::cancelled_record(&spec)}]});
-        let fresh = copy.take(at(1.6), sent, MirrorCall::Now, cancelled);
-        intake.on_fresh(at(1.6), fresh, &copy.book, &Nobody, &mut out);
+        let cancelled = json!({"ledgerRev": 5, "news": [{"write": job_store::key(id), "stamp": 5,
+            "value": job_store::cancelled_record(&spec)}]});
+        let fresh = copy.take(at(1.6), sent, ReplicaCall::Refresh, cancelled);
+        intake.on_fresh(at(1.6), fresh, &copy.job_store, &Nobody, &mut out);
         assert_eq!(told(&mut out), [(200, "cancelled".into())]);
         assert_eq!(intake.take_words(), [id], "and the peers are told");
-        intake.poll(at(2.0), request(2), id, &copy.book, &mut out);
+        intake.poll(at(2.0), request(2), id, &copy.job_store, &mut out);
         assert_eq!(told(&mut out), [(200, "cancelled".into())]);
         assert!(intake.take_words().is_empty(), "once");
     }
@@ -234,17 +241,17 @@
     let (copy, mut intake, mut out) = (Copy::new(at(0.0)), Intake::default(), Vec::new());
     let id = |n: usize| JobId::parse(&format!("job-{n}")).expect("a job");
     intake.heard_ended(at(0.1), (0..10_000).map(id));
-    assert!(!intake.asks() && copy.book.get(id(1)).is_none());
+    assert!(!intake.asks() && copy.job_store.get(id(1)).is_none());
     for n in 0..WORDS_KNOWN * 3 {
         intake.ended(id(n));
     }
     assert_eq!(intake.take_words().len(), WORDS_KNOWN * 3);
     assert_eq!(intake.spread.len(), WORDS_KNOWN);
     // A poll whose patience is over is told so, whatever word came.
-    intake.poll(at(1.0), RequestId { slot: 0, generation: 1 }, id(1), &copy.book, &mut out);
-    let mut ledger = Ledger::new(&Settings::parse("t", SAMPLE).expect("sound"));
+    intake.poll(at(1.0), RequestId { slot: 0, generation: 1 }, id(1), &copy.job_store, &mut out);
+    let mut store = StoreClient::new(&Settings::parse("t", SAMPLE).expect("sound"));
     intake.heard_ended(at(1.0 + POLL_PATIENCE_S), std::iter::once(id(1)));
-    intake.tick(at(1.1 + POLL_PATIENCE_S), &copy.book, &mut ledger, &mut out);
+    intake.tick(at(1.1 + POLL_PATIENCE_S), &copy.job_store, &mut store, &mut out);
     assert_eq!(told(&mut out), [(503, String::new())]);
 }
 
--- a/crates/controller/src/jobs.rs
+++ b/crates/controller/src/job_store.rs
@@ -3,15 +3,15 @@
 //! A job's key is created when the job is accepted and changes only when it is
 //! cancelled or done, so its stamp is a condition that a placement can rest on.
 
-use crate::calls::{MirrorCall, Tag};
-use crate::ledger::{Ledger, Priority, Reply};
-use crate::mirror::{Freshness, Keeping, Mirror};
-use beamhinge_core::job::Brief;
+use crate::calls::{ReplicaCall, Tag};
+use crate::replica::{Freshness, ReplicaCache, ReplicaConfig};
+use crate::store::{Priority, Reply, StoreClient};
+use beamhinge_core::job::JobSummary;
 pub use beamhinge_core::job::{
     cancelled_record, done_record, key, open_record, JobKind, JobSpec, JobState, Record, Urgency,
     PREFIX, RECORD_VERSION,
 };
-use beamhinge_core::types::{JobId, Stamp, Time};
+use beamhinge_core::types::{JobId, Revision, Time};
 use beamhinge_core::wire;
 use ciborium::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,27 +25,27 @@
 
 #[derive(Clone, Debug)]
 pub struct Entry {
-    pub stamp: Stamp,
+    pub revision: Revision,
     pub state: JobState,
     pub spec: Option<Rc<JobSpec>>,
     /// How many tasks it has, also when it is over.
     pub tasks: u32,
     /// Whose it was, once it is over: names by their place in the book's list.
-    brief: Option<ShortBrief>,
+    summary: Option<CompactSummary>,
 }
 
 /// Sixteen bytes instead of two names: the book holds every job there ever was.
 #[derive(Clone, Copy, Debug)]
-struct ShortBrief {
+struct CompactSummary {
     team: u16,
     class: u16,
     urgency: Urgency,
     submitted: u64,
 }
 
-pub struct JobBook {
+pub struct JobStore {
     entries: BTreeMap<JobId, Entry>,
-    mirror: Mirror,
+    replica: ReplicaCache,
     /// A record of a version we don't know: answers about jobs would be guesses.
     unreadable: bool,
     changed: Vec<JobId>,
@@ -54,15 +54,15 @@
     shared: BTreeSet<Rc<str>>,
 }
 
-impl Default for JobBook {
-    fn default() -> JobBook {
-        JobBook {
+impl Default for JobStore {
+    fn default() -> JobStore {
+        JobStore {
             entries: BTreeMap::new(),
-            mirror: Mirror::new(Keeping {
+            replica: ReplicaCache::new(ReplicaConfig {
                 prefix: PREFIX,
                 tag: Tag::Job,
                 wait_s: 2.0,
-                wait_priority: Priority::Accept,
+                wait_priority: Priority::Admission,
                 stale_s: 15.0,
             }),
             unreadable: false,
@@ -73,7 +73,7 @@
     }
 }
 
-impl JobBook {
+impl JobStore {
     pub fn get(&self, id: JobId) -> Option<&Entry> {
         self.entries.get(&id)
     }
@@ -87,13 +87,13 @@
         self.entries.range((start, Bound::Unbounded))
     }
     /// Whose a job is or was, as far as its record tells.
-    pub fn brief(&self, entry: &Entry) -> Option<Brief> {
+    pub fn summary(&self, entry: &Entry) -> Option<JobSummary> {
         if let Some(spec) = &entry.spec {
-            return Some(Brief::of(spec));
+            return Some(JobSummary::of(spec));
         }
-        let b = entry.brief?;
+        let b = entry.summary?;
         let name = |i: u16| self.names.get(usize::from(i)).map(|n| n.to_string());
-        Some(Brief {
+        Some(JobSummary {
             team: name(b.team)?,
             class: name(b.class)?,
             urgency: b.urgency,
@@ -101,28 +101,28 @@
         })
     }
     pub fn loaded(&self) -> bool {
-        self.mirror.loaded() && !self.unreadable
+        self.replica.loaded() && !self.unreadable
     }
     /// The copy holds all that was committed before this moment.
     pub fn fresh(&self) -> Option<Time> {
         if self.unreadable {
             return None;
         }
-        self.mirror.fresh()
+        self.replica.fresh()
     }
     pub fn take_changed(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.changed)
     }
 
     /// Something else showed that our copy is old.
-    pub fn want_refresh(&mut self) {
-        self.mirror.want_refresh();
+    pub fn request_refresh(&mut self) {
+        self.replica.request_refresh();
     }
 
     /// Keeps the copy as fresh as wanted: `ask` when somebody waits for an
     /// answer, `follow` on the holder.
-    pub fn tick(&mut self, now: Time, ask: bool, follow: bool, ledger: &mut Ledger<Tag>) {
-        self.mirror.tick(now, ask, follow, ledger);
+    pub fn tick(&mut self, now: Time, ask: bool, follow: bool, store: &mut StoreClient<Tag>) {
+        self.replica.tick(now, ask, follow, store);
     }
 
     fn name(&mut self, name: &str) -> Option<u16> {
@@ -152,32 +152,32 @@
         spec
     }
 
-    fn shorten(&mut self, brief: &Brief) -> Option<ShortBrief> {
-        let (team, class) = (self.name(&brief.team)?, self.name(&brief.class)?);
-        Some(ShortBrief { team, class, urgency: brief.urgency, submitted: brief.submitted })
+    fn shorten(&mut self, summary: &JobSummary) -> Option<CompactSummary> {
+        let (team, class) = (self.name(&summary.team)?, self.name(&summary.class)?);
+        Some(CompactSummary { team, class, urgency: summary.urgency, submitted: summary.submitted })
     }
 
-    fn put(&mut self, path: &str, stamp: u64, value: &Value) {
+    fn put(&mut self, path: &str, revision: u64, value: &Value) {
         let Some(id) = path.strip_prefix(PREFIX).and_then(JobId::parse) else {
             tracing::error!("a key under {PREFIX} is no job: {path}");
             return;
         };
         // A reply that overtook another must not take us back.
-        if self.entries.get(&id).is_some_and(|e| e.stamp.0 >= stamp) {
+        if self.entries.get(&id).is_some_and(|e| e.revision.0 >= revision) {
             return;
         }
         match wire::from_value::<Record>(value) {
             Ok(r) if r.v == RECORD_VERSION => {
-                let brief = r.brief.as_ref().and_then(|b| self.shorten(b));
+                let summary = r.summary.as_ref().and_then(|b| self.shorten(b));
                 let spec = r.spec.map(|s| Rc::new(self.share(s)));
                 self.entries.insert(
                     id,
                     Entry {
-                        stamp: Stamp(stamp),
+                        revision: Revision(revision),
                         state: r.st,
                         tasks: r.n.or(spec.as_ref().map(|s| s.tasks)).unwrap_or(0),
                         spec,
-                        brief,
+                        summary,
                     },
                 );
                 self.changed.push(id);
@@ -189,20 +189,26 @@
         }
     }
 
-    pub fn on_reply(&mut self, now: Time, call: MirrorCall, reply: Reply<Tag>) -> Freshness {
-        let update = self.mirror.on_reply(now, call, reply);
+    pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Freshness {
+        let update = self.replica.on_reply(now, call, reply);
         for change in &update.changes {
             // A job's key is never deleted: that one is missing proves nothing.
             if let Some(value) = &change.value {
-                self.put(&change.path, change.stamp, value);
+                self.put(&change.path, change.revision, value);
             }
         }
         update.freshness
     }
 
     /// What our own committed transaction wrote, known before any watch.
-    pub fn wrote(&mut self, id: JobId, stamp: Stamp, state: JobState, spec: Option<Rc<JobSpec>>) {
-        if self.entries.get(&id).is_some_and(|e| e.stamp >= stamp) {
+    pub fn wrote(
+        &mut self,
+        id: JobId,
+        revision: Revision,
+        state: JobState,
+        spec: Option<Rc<JobSpec>>,
+    ) {
+        if self.entries.get(&id).is_some_and(|e| e.revision >= revision) {
             return;
         }
         let spec = spec.map(|s| match Rc::try_unwrap(s) {
@@ -211,9 +217,9 @@
         });
         let known = self.entries.get(&id);
         let tasks = spec.as_ref().map(|s| s.tasks).or(known.map(|e| e.tasks)).unwrap_or(0);
-        let brief = known.and_then(|e| e.spec.as_deref()).map(Brief::of);
-        let brief = if spec.is_some() { None } else { brief.and_then(|b| self.shorten(&b)) };
-        self.entries.insert(id, Entry { stamp, state, spec, tasks, brief });
+        let summary = known.and_then(|e| e.spec.as_deref()).map(JobSummary::of);
+        let summary = if spec.is_some() { None } else { summary.and_then(|b| self.shorten(&b)) };
+        self.entries.insert(id, Entry { revision, state, spec, tasks, summary });
         self.changed.push(id);
     }
 }
--- a/crates/controller/src/jobs/tests.rs
+++ b/crates/controller/src/job_store/tests.rs
@@ -10,14 +10,14 @@
 /// Beyond 4,096 names each job kept its own copies.
 #[test]
 fn a_large_fleets_names_are_shared_and_their_memory_is_bounded() {
-    let mut book = JobBook::default();
+    let mut job_store = JobStore::default();
     let images = 8_192;
-    (0..images).for_each(|image| drop(book.share(spec(image))));
+    (0..images).for_each(|image| drop(job_store.share(spec(image))));
     for image in [0, 4_096, images - 1] {
-        let (one, other) = (book.share(spec(image)), book.share(spec(image)));
+        let (one, other) = (job_store.share(spec(image)), job_store.share(spec(image)));
         assert!(Rc::ptr_eq(&one.image, &other.image), "image {image} is kept twice");
         assert!(Rc::ptr_eq(&one.team, &other.team) && Rc::ptr_eq(&one.class, &other.class));
     }
-    (0..MAX_SHARED_NAMES + 100).for_each(|image| drop(book.share(spec(image))));
-    assert_eq!(book.shared.len(), MAX_SHARED_NAMES);
+    (0..MAX_SHARED_NAMES + 100).for_each(|image| drop(job_store.share(spec(image))));
+    assert_eq!(job_store.shared.len(), MAX_SHARED_NAMES);
 }
--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -6,11 +6,13 @@
 //! lapses, so a leader that was merely slow keeps its token until somebody
 //! else really takes over.
 
-use crate::calls::{LeadCall, Tag};
+use crate::calls::{ElectionCall, Tag};
 use crate::faults::{broken, Faults};
-use crate::ledger::{Committed, Full, Ledger, News, Outcome, Permit, Priority, Reply, Scan};
+use crate::store::{
+    Committed, Full, LeaseGrant, News, Outcome, Priority, Reply, Scan, StoreClient,
+};
 use beamhinge_core::settings::Settings;
-use beamhinge_core::types::{Stamp, Time, Token};
+use beamhinge_core::types::{FencingToken, Revision, Time};
 use beamhinge_core::wire;
 use serde::{Deserialize, Serialize};
 
@@ -36,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeadershipChange {
     Unchanged,
-    Acquired { token: Token },
+    Acquired { token: FencingToken },
     Lost,
 }
 
@@ -47,15 +49,15 @@
     lease_renewed_at: Time,
     lease_grant_in_flight: bool,
     lease_renewal_in_flight: bool,
-    leadership: Option<(ProcessIdentity, Stamp)>,
+    leadership: Option<(ProcessIdentity, Revision)>,
     leadership_revision: Option<u64>,
     leadership_read_in_flight: bool,
-    block: Option<(Option<ProcessIdentity>, Stamp)>,
+    block: Option<(Option<ProcessIdentity>, Revision)>,
     block_read_in_flight: bool,
     acquiring: bool,
-    token: Option<Token>,
+    token: Option<FencingToken>,
     /// The last token we held: its term is over for good.
-    last_token: Token,
+    last_token: FencingToken,
     block_check_in_flight: bool,
     block_confirmed_at: Time,
     block_check_sent_at: Time,
@@ -63,9 +65,9 @@
     /// After stepping back: how long others have to take over.
     yield_until: Time,
     /// The lead as it was when its holder was found gone: it may be taken.
-    presumed_dead: Option<Stamp>,
+    presumed_dead: Option<Revision>,
     /// The lead, in our name, after which we last read the block.
-    block_read_for: Stamp,
+    block_read_for: Revision,
     /// The highest token that others were said to have seen, when it ended our term.
     highest_claimed_token: u64,
     /// No token is as high as this.
@@ -90,14 +92,14 @@
             block_read_in_flight: false,
             acquiring: false,
             token: None,
-            last_token: Token(0),
+            last_token: FencingToken(0),
             block_check_in_flight: false,
             block_confirmed_at: Time::default(),
             block_check_sent_at: Time::default(),
             retry_at: Time::default(),
             yield_until: Time::default(),
             presumed_dead: None,
-            block_read_for: Stamp(0),
+            block_read_for: Revision(0),
             highest_claimed_token: 0,
             never_issued_from: u64::MAX,
             faults: Faults::default(),
@@ -109,7 +111,7 @@
         self.lease_id
     }
 
-    pub fn token(&self) -> Option<Token> {
+    pub fn token(&self) -> Option<FencingToken> {
         self.token
     }
 
@@ -159,12 +161,12 @@
 
     /// Gives the lead up because others can do more with it: the lease ends at
     /// once, and we hold back long enough for another to take over.
-    pub fn step_down(&mut self, now: Time, ledger: &mut Ledger<Tag>) -> LeadershipChange {
+    pub fn step_down(&mut self, now: Time, store: &mut StoreClient<Tag>) -> LeadershipChange {
         if self.token.is_none() {
             return LeadershipChange::Unchanged;
         }
         if let Some(lease_id) = self.lease_id.take() {
-            ledger.end_lease(now, Tag::Lead(LeadCall::End), lease_id);
+            store.revoke_lease(now, Tag::Election(ElectionCall::RevokeLease), lease_id);
         }
         self.yield_until = now.plus(YIELD_S);
         self.step_down_deposed(now)
@@ -173,12 +175,12 @@
     /// Gives the lead up in an orderly way: the lease ends so that another takes
     /// over at once, and until it has, we go on with the token we hold. The
     /// transaction that takes the block ends our term as any other does.
-    pub fn transfer(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
+    pub fn transfer(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if self.token.is_none() || now < self.yield_until {
             return;
         }
         if let Some(lease_id) = self.lease_id.take() {
-            ledger.end_lease(now, Tag::Lead(LeadCall::End), lease_id);
+            store.revoke_lease(now, Tag::Election(ElectionCall::RevokeLease), lease_id);
         }
         self.yield_until = now.plus(YIELD_S);
     }
@@ -205,38 +207,38 @@
         }
     }
 
-    pub fn tick(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
+    pub fn tick(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if now < self.retry_at {
             return;
         }
         match self.lease_id {
             None if !self.lease_grant_in_flight => {
                 self.lease_grant_in_flight = true;
-                ledger.lease(now, Tag::Lead(LeadCall::Lease), self.lease_duration_s);
+                store.lease(now, Tag::Election(ElectionCall::GrantLease), self.lease_duration_s);
             }
             Some(lease_id)
                 if !self.lease_renewal_in_flight
                     && now.since(self.lease_renewed_at) > self.lease_duration_s * 0.25 =>
             {
                 self.lease_renewal_in_flight = true;
-                ledger.renew(now, Tag::Lead(LeadCall::Renew), lease_id);
+                store.renew(now, Tag::Election(ElectionCall::RenewLease), lease_id);
             }
             _ => {}
         }
         if !self.leadership_read_in_flight {
             self.leadership_read_in_flight = true;
             match self.leadership_revision {
-                None => ledger.scan(
+                None => store.scan(
                     now,
                     Priority::Lease,
-                    Tag::Lead(LeadCall::ReadLead),
+                    Tag::Election(ElectionCall::ReadLeadership),
                     LEADERSHIP_PREFIX,
                     None,
                 ),
-                Some(rev) => ledger.watch(
+                Some(rev) => store.watch(
                     now,
                     Priority::Lease,
-                    Tag::Lead(LeadCall::WatchLead),
+                    Tag::Election(ElectionCall::WatchLeadership),
                     LEADERSHIP_PREFIX,
                     rev,
                     3.0,
@@ -249,30 +251,35 @@
         {
             self.block_check_in_flight = true;
             self.block_check_sent_at = now;
-            let mut txn = ledger.txn();
-            if txn.when(BLOCK_KEY, self.block_revision()).is_ok() {
-                ledger.commit(now, Priority::Lease, Tag::Lead(LeadCall::Check), txn);
+            let mut transaction = store.transaction();
+            if transaction.when(BLOCK_KEY, self.block_revision()).is_ok() {
+                store.commit(
+                    now,
+                    Priority::Lease,
+                    Tag::Election(ElectionCall::CheckBlock),
+                    transaction,
+                );
             }
         }
-        self.try_acquire(now, ledger);
+        self.try_acquire(now, store);
     }
 
-    fn block_revision(&self) -> Stamp {
-        self.token.map_or(Stamp(0), |t| Stamp(t.0))
+    fn block_revision(&self) -> Revision {
+        self.token.map_or(Revision(0), |t| Revision(t.0))
     }
 
-    fn try_acquire(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
+    fn try_acquire(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if self.leadership_revision.is_none() || self.acquiring || now < self.yield_until {
             return;
         }
         // Our own label with another nonce is a process of ours that ended:
         // waiting for its lease to lapse would only cost time. That it waits until its
         // jobs are read was tried: after an end of all, workers learned the token later.
-        let (free, stamp) = match &self.leadership {
-            None => (true, Stamp(0)),
-            Some((name, stamp)) => {
+        let (free, revision) = match &self.leadership {
+            None => (true, Revision(0)),
+            Some((name, revision)) => {
                 let ours = name.label == self.identity.label && name.nonce != self.identity.nonce;
-                (ours || self.presumed_dead == Some(*stamp), *stamp)
+                (ours || self.presumed_dead == Some(*revision), *revision)
             }
         };
         let Some(lease_id) = self.lease_id else { return };
@@ -282,37 +289,53 @@
             // lease, and we took it for somebody's: nobody led for as long as we lived.
             // What we knew of the block is from before; it is read once for each lead.
             let ours = self.leadership.as_ref().is_some_and(|(n, _)| *n == self.identity);
-            let unknown =
-                self.token.is_none() && self.block_read_for != stamp && !self.block_read_in_flight;
+            let unknown = self.token.is_none()
+                && self.block_read_for != revision
+                && !self.block_read_in_flight;
             if ours && unknown && !broken!(self.faults, own_lead) {
-                self.read_block(now, ledger);
+                self.read_block(now, store);
             }
             return;
         }
         if let Some(token) = self.token {
             // Our lease lapsed but nobody took the block: hang the key up again.
             self.acquiring = true;
-            let mut txn = ledger.txn();
-            let built = txn.when(BLOCK_KEY, Stamp(token.0)).and_then(|()| {
-                txn.write(LEADERSHIP_KEY, stamp, wire::to_value(&self.identity), Some(lease_id))
+            let mut transaction = store.transaction();
+            let built = transaction.when(BLOCK_KEY, Revision(token.0)).and_then(|()| {
+                transaction.write(
+                    LEADERSHIP_KEY,
+                    revision,
+                    wire::to_value(&self.identity),
+                    Some(lease_id),
+                )
             });
             match built {
-                Ok(()) => ledger.commit(now, Priority::Lease, Tag::Lead(LeadCall::Reclaim), txn),
+                Ok(()) => store.commit(
+                    now,
+                    Priority::Lease,
+                    Tag::Election(ElectionCall::Reclaim),
+                    transaction,
+                ),
                 Err(full) => self.on_unwritable(now, full),
             }
             return;
         }
         match &self.block {
-            None if !self.block_read_in_flight => self.read_block(now, ledger),
+            None if !self.block_read_in_flight => self.read_block(now, store),
             Some((_, block_revision)) => {
                 self.acquiring = true;
-                let mut txn = ledger.txn();
+                let mut transaction = store.transaction();
                 let identity = wire::to_value(&self.identity);
-                let built = txn
-                    .write(LEADERSHIP_KEY, stamp, identity.clone(), Some(lease_id))
-                    .and_then(|()| txn.write(BLOCK_KEY, *block_revision, identity, None));
+                let built = transaction
+                    .write(LEADERSHIP_KEY, revision, identity.clone(), Some(lease_id))
+                    .and_then(|()| transaction.write(BLOCK_KEY, *block_revision, identity, None));
                 match built {
-                    Ok(()) => ledger.commit(now, Priority::Lease, Tag::Lead(LeadCall::Take), txn),
+                    Ok(()) => store.commit(
+                        now,
+                        Priority::Lease,
+                        Tag::Election(ElectionCall::Acquire),
+                        transaction,
+                    ),
                     Err(full) => self.on_unwritable(now, full),
                 }
             }
@@ -320,39 +343,39 @@
         }
     }
 
-    fn read_block(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
+    fn read_block(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         self.block_read_in_flight = true;
-        let tag = Tag::Lead(LeadCall::ReadBlock);
-        ledger.scan(now, Priority::Lease, tag, BLOCK_PREFIX, None);
+        let tag = Tag::Election(ElectionCall::ReadBlock);
+        store.scan(now, Priority::Lease, tag, BLOCK_PREFIX, None);
     }
 
     pub fn on_reply(
         &mut self,
         now: Time,
-        call: LeadCall,
+        call: ElectionCall,
         reply: Reply<Tag>,
-        ledger: &mut Ledger<Tag>,
+        store: &mut StoreClient<Tag>,
     ) -> LeadershipChange {
         let standing = self.apply(now, call, reply);
-        self.tick(now, ledger);
+        self.tick(now, store);
         standing
     }
 
-    fn apply(&mut self, now: Time, call: LeadCall, reply: Reply<Tag>) -> LeadershipChange {
+    fn apply(&mut self, now: Time, call: ElectionCall, reply: Reply<Tag>) -> LeadershipChange {
         match call {
-            LeadCall::Lease => {
+            ElectionCall::GrantLease => {
                 self.lease_grant_in_flight = false;
                 match reply.outcome {
                     Outcome::Ok(body) => {
-                        if let Ok(p) = wire::decode::<Permit>(&body) {
-                            self.lease_id = Some(p.permit);
+                        if let Ok(p) = wire::decode::<LeaseGrant>(&body) {
+                            self.lease_id = Some(p.lease_id);
                             self.lease_renewed_at = reply.sent;
                         }
                     }
                     _ => self.retry_at = now.plus(0.2),
                 }
             }
-            LeadCall::Renew => {
+            ElectionCall::RenewLease => {
                 self.lease_renewal_in_flight = false;
                 match reply.outcome {
                     Outcome::Ok(_) => self.lease_renewed_at = reply.sent,
@@ -360,15 +383,18 @@
                     _ => self.retry_at = now.plus(0.1),
                 }
             }
-            LeadCall::ReadLead => {
+            ElectionCall::ReadLeadership => {
                 self.leadership_read_in_flight = false;
                 match reply.outcome {
                     Outcome::Ok(body) => match wire::decode::<Scan>(&body) {
                         Ok(scan) => {
-                            self.leadership =
-                                scan.pairs.iter().find(|p| p.path == LEADERSHIP_KEY).and_then(
-                                    |p| Some((wire::from_value(&p.value).ok()?, Stamp(p.stamp))),
-                                );
+                            self.leadership = scan
+                                .pairs
+                                .iter()
+                                .find(|p| p.path == LEADERSHIP_KEY)
+                                .and_then(|p| {
+                                    Some((wire::from_value(&p.value).ok()?, Revision(p.revision)))
+                                });
                             self.leadership_revision = Some(scan.rev);
                         }
                         Err(_) => self.retry_at = now.plus(0.5),
@@ -376,14 +402,17 @@
                     _ => self.retry_at = now.plus(0.2),
                 }
             }
-            LeadCall::WatchLead => {
+            ElectionCall::WatchLeadership => {
                 self.leadership_read_in_flight = false;
                 match reply.outcome {
                     Outcome::Ok(body) => match wire::decode::<News>(&body) {
                         Ok(news) => {
                             for change in &news.news {
                                 // News from before our own take is old.
-                                if self.leadership.as_ref().is_some_and(|(_, s)| s.0 > change.stamp)
+                                if self
+                                    .leadership
+                                    .as_ref()
+                                    .is_some_and(|(_, s)| s.0 > change.revision)
                                 {
                                     continue;
                                 }
@@ -391,7 +420,7 @@
                                     (Some(path), Some(value)) if path == LEADERSHIP_KEY => {
                                         wire::from_value(value)
                                             .ok()
-                                            .map(|n| (n, Stamp(change.stamp)))
+                                            .map(|n| (n, Revision(change.revision)))
                                     }
                                     _ => None,
                                 };
@@ -411,7 +440,7 @@
                     return self.step_down_deposed(now);
                 }
             }
-            LeadCall::ReadBlock => {
+            ElectionCall::ReadBlock => {
                 self.block_read_in_flight = false;
                 match reply.outcome {
                     Outcome::Ok(body) => match wire::decode::<Scan>(&body) {
@@ -426,7 +455,7 @@
                             let found = scan.pairs.iter().find(|p| p.path == BLOCK_KEY);
                             let name = found
                                 .and_then(|p| wire::from_value::<ProcessIdentity>(&p.value).ok());
-                            let stamp = Stamp(found.map_or(0, |p| p.stamp));
+                            let revision = Revision(found.map_or(0, |p| p.revision));
                             // A reply to our own take that was lost: the nonce
                             // shows that its transaction was applied, and its
                             // revision is our token. A token whose term we
@@ -434,24 +463,25 @@
                             // that term may still be on their way.
                             if name.as_ref() == Some(&self.identity)
                                 && self.token.is_none()
-                                && (stamp.0 > self.last_token.0 || broken!(self.faults, old_term))
+                                && (revision.0 > self.last_token.0
+                                    || broken!(self.faults, old_term))
                             {
-                                return self.acquired(stamp, reply.sent);
+                                return self.acquired(revision, reply.sent);
                             }
-                            self.block = Some((name, stamp));
+                            self.block = Some((name, revision));
                         }
                         Err(_) => self.retry_at = now.plus(0.5),
                     },
                     _ => self.retry_at = now.plus(0.2),
                 }
             }
-            LeadCall::Take => {
+            ElectionCall::Acquire => {
                 self.acquiring = false;
                 match reply.outcome {
                     Outcome::Ok(body) => {
                         if let Ok(c) = wire::decode::<Committed>(&body) {
-                            self.leadership = Some((self.identity.clone(), Stamp(c.rev)));
-                            return self.acquired(Stamp(c.rev), reply.sent);
+                            self.leadership = Some((self.identity.clone(), Revision(c.rev)));
+                            return self.acquired(Revision(c.rev), reply.sent);
                         }
                         self.reload(now);
                     }
@@ -463,12 +493,12 @@
                     _ => self.reload(now),
                 }
             }
-            LeadCall::Reclaim => {
+            ElectionCall::Reclaim => {
                 self.acquiring = false;
                 match reply.outcome {
                     Outcome::Ok(body) => {
                         if let Ok(c) = wire::decode::<Committed>(&body) {
-                            self.leadership = Some((self.identity.clone(), Stamp(c.rev)));
+                            self.leadership = Some((self.identity.clone(), Revision(c.rev)));
                             self.confirm_block(reply.sent);
                         }
                     }
@@ -479,8 +509,8 @@
                     _ => self.reload(now),
                 }
             }
-            LeadCall::End => {}
-            LeadCall::Check => {
+            ElectionCall::RevokeLease => {}
+            ElectionCall::CheckBlock => {
                 self.block_check_in_flight = false;
                 match reply.outcome {
                     Outcome::Ok(_) => self.confirm_block(reply.sent),
@@ -507,8 +537,8 @@
         self.retry_at = now.plus(0.1);
     }
 
-    fn acquired(&mut self, stamp: Stamp, sent: Time) -> LeadershipChange {
-        let token = Token(stamp.0);
+    fn acquired(&mut self, revision: Revision, sent: Time) -> LeadershipChange {
+        let token = FencingToken(revision.0);
         // Attempts count from the token shifted: beyond this they would come again.
         if token.0 >= MAX_TOKEN {
             tracing::error!("the state service's revision {} is too high to lead with", token.0);
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -8,27 +8,27 @@
     let settings = Settings::parse("t", text).expect("the sample is sound");
     let mut leader = LeaderElection::new(&settings, 7);
     let now = Time::from_micros(10_000_000);
-    leader.acquired(Stamp(8), now);
+    leader.acquired(Revision(8), now);
     assert_eq!(leader.on_token_claim(now, 8), LeadershipChange::Unchanged);
     assert_eq!(leader.on_token_claim(now, u64::MAX - 1), LeadershipChange::Lost);
-    leader.acquired(Stamp(12), now);
+    leader.acquired(Revision(12), now);
     assert_eq!(leader.on_token_claim(now, u64::MAX - 1), LeadershipChange::Unchanged);
     assert_eq!(leader.on_token_claim(now, u64::MAX), LeadershipChange::Unchanged);
     // A token that may be one ends the term still.
     assert_eq!(leader.on_token_claim(now, 15), LeadershipChange::Lost);
-    assert_eq!(leader.acquired(Stamp(u64::MAX - 3), now), LeadershipChange::Unchanged);
+    assert_eq!(leader.acquired(Revision(u64::MAX - 3), now), LeadershipChange::Unchanged);
     assert_eq!(leader.token(), None, "its attempts would come again");
-    leader.acquired(Stamp(17), now);
+    leader.acquired(Revision(17), now);
     assert_eq!(
         (leader.on_token_claim(now, 15), leader.token()),
-        (LeadershipChange::Unchanged, Some(Token(17)))
+        (LeadershipChange::Unchanged, Some(FencingToken(17)))
     );
     assert_eq!(leader.on_token_claim(now, 19), LeadershipChange::Lost);
     // One that is not far off is none only until revisions have come so far.
-    leader.acquired(Stamp(18), now);
+    leader.acquired(Revision(18), now);
     assert_eq!(leader.on_token_claim(now, 20), LeadershipChange::Unchanged);
     leader.step_down_deposed(now);
-    leader.acquired(Stamp(23), now);
+    leader.acquired(Revision(23), now);
     assert_eq!(leader.on_token_claim(now, 25), LeadershipChange::Lost);
 }
 
@@ -43,25 +43,28 @@
         let mut leader = LeaderElection::new(&settings, 7);
         leader.faults.old_term = broken;
         let now = Time::from_micros(10_000_000);
-        leader.acquired(Stamp(8), now);
-        let mut ledger = Ledger::new(&settings);
-        assert_eq!(leader.step_down(now, &mut ledger), LeadershipChange::Lost);
-        let read = |leader: &mut LeaderElection, stamp: u64| {
+        leader.acquired(Revision(8), now);
+        let mut store = StoreClient::new(&settings);
+        assert_eq!(leader.step_down(now, &mut store), LeadershipChange::Lost);
+        let read = |leader: &mut LeaderElection, revision: u64| {
             let value = wire::to_value(&leader.identity);
-            let pair = [("path", "block/0".into()), ("value", value), ("stamp", stamp.into())];
+            let pair = [("path", "block/0".into()), ("value", value), ("stamp", revision.into())];
             let pair = pair.map(|(k, v)| (ciborium::Value::from(k), v)).to_vec();
             let pairs = ciborium::Value::Array(vec![ciborium::Value::Map(pair)]);
             let scan = [("pairs", pairs), ("ledgerRev", 20u64.into())];
             let scan = scan.map(|(k, v)| (ciborium::Value::from(k), v)).to_vec();
             let outcome = Outcome::Ok(wire::encode(&ciborium::Value::Map(scan)));
-            let tag = Tag::Lead(LeadCall::ReadBlock);
-            leader.apply(now, LeadCall::ReadBlock, Reply { tag, outcome, sent: now })
+            let tag = Tag::Election(ElectionCall::ReadBlock);
+            leader.apply(now, ElectionCall::ReadBlock, Reply { tag, outcome, sent: now })
         };
         let again = read(&mut leader, 8);
-        assert_eq!(again == LeadershipChange::Acquired { token: Token(8) }, broken);
+        assert_eq!(again == LeadershipChange::Acquired { token: FencingToken(8) }, broken);
         // A take of ours that came late, after it, is a new term.
         if !broken {
-            assert_eq!(read(&mut leader, 12), LeadershipChange::Acquired { token: Token(12) });
+            assert_eq!(
+                read(&mut leader, 12),
+                LeadershipChange::Acquired { token: FencingToken(12) }
+            );
         }
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -13,17 +13,17 @@
 pub mod faults;
 pub mod fleet;
 pub mod intake;
-pub mod jobs;
+pub mod job_store;
 pub mod leader_election;
-pub mod ledger;
 pub mod market;
 pub mod metrics;
-pub mod mirror;
 pub mod node;
 pub mod peers;
 pub mod placement;
 pub mod progress;
+pub mod replica;
 pub mod split;
+pub mod store;
 
 #[cfg(test)]
 #[path = "../../core/tests/support/golden.rs"]
--- a/crates/controller/src/market.rs
+++ b/crates/controller/src/market.rs
@@ -8,11 +8,11 @@
 //! a boot costs as much as a task.
 
 use crate::calls::{FleetCall, Tag};
-use crate::ledger::{Committed, Ledger, Outcome, Priority, Reply, Scan};
 use crate::split::{self, Demand, Learner, Market, Need, Past, Shape};
+use crate::store::{Committed, Outcome, Priority, Reply, Scan, StoreClient};
 use beamhinge_admin_api::reasons::Reason;
 use beamhinge_core::settings::{Operator, Settings};
-use beamhinge_core::types::{JobId, Stamp, Time, Token};
+use beamhinge_core::types::{FencingToken, JobId, Revision, Time};
 use beamhinge_core::wire;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -256,8 +256,8 @@
     updated: Time,
     began: Time,
     longest: f64,
-    record: Option<Stamp>,
-    flying: bool,
+    record: Option<Revision>,
+    in_flight: bool,
     dirty: bool,
     retry_at: Time,
     waiting: BTreeMap<Rc<str>, Arrivals>,
@@ -269,7 +269,7 @@
 }
 
 impl Splits {
-    pub fn new(operator: &Operator, token: Token, now: Time) -> Splits {
+    pub fn new(operator: &Operator, token: FencingToken, now: Time) -> Splits {
         let seed = if operator.seed == 0 { rand::random() } else { operator.seed ^ token.0 };
         Splits {
             learner: Learner::default(),
@@ -282,7 +282,7 @@
             began: now,
             longest: 0.0,
             record: None,
-            flying: false,
+            in_flight: false,
             dirty: false,
             retry_at: Time::default(),
             waiting: BTreeMap::new(),
@@ -511,24 +511,24 @@
     pub fn keep(
         &mut self,
         now: Time,
-        token: Token,
+        token: FencingToken,
         runs: &BTreeMap<String, f64>,
         limit: usize,
-        ledger: &mut Ledger<Tag>,
+        store: &mut StoreClient<Tag>,
     ) {
-        if self.flying || now < self.retry_at {
+        if self.in_flight || now < self.retry_at {
             return;
         }
-        let Some(stamp) = self.record else {
-            self.flying = true;
-            ledger.scan(now, Priority::Rest, Tag::Fleet(FleetCall::ReadSplit), PREFIX, None);
+        let Some(revision) = self.record else {
+            self.in_flight = true;
+            store.scan(now, Priority::Background, Tag::Fleet(FleetCall::ReadSplit), PREFIX, None);
             return;
         };
         if !self.dirty {
             return;
         }
         self.dirty = false;
-        self.flying = true;
+        self.in_flight = true;
         self.retry_at = now.plus(self.update_s);
         // Thirty bytes a job: beyond the limit the rest draw anew after a
         // change of leader.
@@ -553,17 +553,22 @@
                 runs: runs.iter().take(classes).map(|(c, f)| (c.clone(), round(*f))).collect(),
                 loads: loads.iter().take(classes).cloned().collect(),
             };
-            let mut txn = ledger.txn();
-            let built = txn
-                .when(crate::leader_election::BLOCK_KEY, Stamp(token.0))
-                .and_then(|()| txn.write(KEY, stamp, wire::to_value(&record), None));
+            let mut transaction = store.transaction();
+            let built = transaction
+                .when(crate::leader_election::BLOCK_KEY, Revision(token.0))
+                .and_then(|()| transaction.write(KEY, revision, wire::to_value(&record), None));
             if built.is_ok() {
-                ledger.commit(now, Priority::Rest, Tag::Fleet(FleetCall::WriteSplit), txn);
+                store.commit(
+                    now,
+                    Priority::Background,
+                    Tag::Fleet(FleetCall::WriteSplit),
+                    transaction,
+                );
                 return;
             }
             if most == 0 && classes == 0 {
                 tracing::error!("{KEY} cannot be kept: {built:?}");
-                self.flying = false;
+                self.in_flight = false;
                 return;
             }
             (most, classes) = (most / 2, classes / 2);
@@ -571,14 +576,14 @@
     }
 
     pub fn on_read(&mut self, now: Time, reply: Reply<Tag>) {
-        self.flying = false;
+        self.in_flight = false;
         let Outcome::Ok(body) = reply.outcome else {
             self.retry_at = now.plus(0.5);
             return;
         };
         let Ok(scan) = wire::decode::<Scan>(&body) else { return };
         let found = scan.pairs.iter().find(|p| p.path == KEY);
-        self.record = Some(Stamp(found.map_or(0, |p| p.stamp)));
+        self.record = Some(Revision(found.map_or(0, |p| p.revision)));
         let Some(found) = found else { return };
         match wire::from_value::<Record>(&found.value) {
             Ok(r) if r.v == 1 => {
@@ -627,10 +632,10 @@
     }
 
     pub fn on_written(&mut self, now: Time, reply: Reply<Tag>) {
-        self.flying = false;
+        self.in_flight = false;
         match reply.outcome {
             Outcome::Ok(body) => {
-                self.record = wire::decode::<Committed>(&body).ok().map(|c| Stamp(c.rev))
+                self.record = wire::decode::<Committed>(&body).ok().map(|c| Revision(c.rev))
             }
             Outcome::Refused => {
                 self.dirty = true;
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -4,7 +4,7 @@
 //! counted and nothing is held.
 
 use beamhinge_core::http::Method;
-use beamhinge_core::messages::{Dest, Out};
+use beamhinge_core::messages::{Destination, Effect};
 use beamhinge_core::types::{CallId, RequestId, Time};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -71,24 +71,24 @@
 }
 
 /// What a call is for, by where it goes.
-fn call_kind(dest: &Dest, method: Method, path: &str) -> Option<&'static str> {
-    Some(match dest {
-        Dest::State if path == "/commit" => "state_commit",
+fn call_kind(destination: &Destination, method: Method, path: &str) -> Option<&'static str> {
+    Some(match destination {
+        Destination::State if path == "/commit" => "state_commit",
         // How long a watch takes is the store's choice, not its speed.
-        Dest::State if path.starts_with("/watch") => {
+        Destination::State if path.starts_with("/watch") => {
             if path.ends_with("waitMs=0") {
                 "state_refresh"
             } else {
                 return None;
             }
         }
-        Dest::State if path.starts_with("/holds") => "state_lease",
-        Dest::State => "state_scan",
-        Dest::Cloud if method == Method::Post && path == "/hosts" => "cloud_rent",
-        Dest::Cloud if method == Method::Post => "cloud_release",
-        Dest::Cloud => "cloud_list",
-        Dest::Worker(_) => "worker_do",
-        Dest::Node { .. } => "node",
+        Destination::State if path.starts_with("/holds") => "state_lease",
+        Destination::State => "state_scan",
+        Destination::Cloud if method == Method::Post && path == "/hosts" => "cloud_rent",
+        Destination::Cloud if method == Method::Post => "cloud_release",
+        Destination::Cloud => "cloud_list",
+        Destination::Worker(_) => "worker_do",
+        Destination::Node { .. } => "node",
     })
 }
 
@@ -104,25 +104,25 @@
     }
 
     /// Takes note of what a step of the node sent out.
-    pub fn sent(&mut self, now: Time, out: &[Out]) {
+    pub fn sent(&mut self, now: Time, out: &[Effect]) {
         if !self.on {
             return;
         }
         for o in out {
             match o {
-                Out::Answer { to, status, .. } | Out::OperatorAnswer { to, status, .. } => {
+                Effect::Answer { to, status, .. } | Effect::OperatorAnswer { to, status, .. } => {
                     if let Some((since, route)) = self.open.remove(to) {
                         self.answers.entry(route).or_default().took(now.since(since));
                         *self.statuses.entry((route, *status)).or_default() += 1;
                     }
                 }
-                Out::Call { id, dest, method, path, .. } => {
-                    let kind = call_kind(dest, *method, path);
+                Effect::Call { id, destination, method, path, .. } => {
+                    let kind = call_kind(destination, *method, path);
                     if let Some(kind) = kind.filter(|_| self.calls.len() < MAX_OPEN) {
                         self.calls.insert(*id, (now, kind));
                     }
                 }
-                Out::Tell { .. } => {}
+                Effect::SendFrame { .. } => {}
             }
         }
     }
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -10,15 +10,15 @@
 use crate::faults::{broken, Faults};
 use crate::fleet::{Fleet, Senses};
 use crate::intake::Intake;
-use crate::jobs::JobBook;
+use crate::job_store::JobStore;
 use crate::leader_election::LeaderElection;
-use crate::ledger::Ledger;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::placement::Placement;
+use crate::store::StoreClient;
 use beamhinge_admin_api::auth::{Guard, Key};
 use beamhinge_core::http::Request;
-use beamhinge_core::messages::{Out, Service};
+use beamhinge_core::messages::{Effect, Service};
 use beamhinge_core::peers::{encode, Frame};
 use beamhinge_core::settings::{Operator, Settings};
 use beamhinge_core::types::{CallId, MachineId, RequestId, Time, WallMs};
@@ -33,8 +33,8 @@
 pub struct Node {
     settings: Settings,
     operator: Operator,
-    ledger: Ledger<Tag>,
-    book: JobBook,
+    store: StoreClient<Tag>,
+    job_store: JobStore,
     intake: Intake,
     election: LeaderElection,
     place: Option<Placement>,
@@ -92,11 +92,11 @@
             let guard = Guard::new(keys, format!("{nonce:x}"), d.clock_s, MOST_NONCES);
             Desk::new(guard, Limits { waiting: d.waiting, rps: d.rps })
         });
-        let mut ledger = Ledger::new(&settings);
-        ledger.set_share(follower_share(&settings), 1.0);
+        let mut store = StoreClient::new(&settings);
+        store.set_rate_share(follower_share(&settings), 1.0);
         Node {
-            ledger,
-            book: JobBook::default(),
+            store,
+            job_store: JobStore::default(),
             intake: Intake::default(),
             election: LeaderElection::new(&settings, nonce),
             place: None,
@@ -159,11 +159,11 @@
     }
 
     /// What a step sent out, as operators see it.
-    fn finish(&mut self, now: Time, before: usize, out: &mut Vec<Out>) {
+    fn finish(&mut self, now: Time, before: usize, out: &mut Vec<Effect>) {
         let words = self.intake.take_words();
         if !words.is_empty() && !broken!(self.faults, no_word) {
             // Before the answers themselves.
-            let tell = |frame| Out::Tell { to: None, frame: encode(&frame) };
+            let tell = |frame| Effect::SendFrame { to: None, frame: encode(&frame) };
             out.splice(before..before, Frame::ended(&words).into_iter().map(tell));
         }
         let new = &mut out[before..];
@@ -171,27 +171,27 @@
         self.metrics.sent(now, new);
     }
 
-    fn tick_configuration(&mut self, now: Time, wall: WallMs, out: &mut Vec<Out>) {
+    fn tick_configuration(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
         let asked = self.desk.as_ref().is_some_and(Desk::asks_configuration);
-        let permit = self.election.lease_id();
+        let lease_id = self.election.lease_id();
         let mut told = Vec::new();
-        self.configuration.tick(now, wall, (asked, permit), &mut self.ledger, &mut told);
+        self.configuration.tick(now, wall, (asked, lease_id), &mut self.store, &mut told);
         self.answer_configured(told, out);
     }
 
     /// All loops, until nothing more follows from what is known.
-    fn run(&mut self, now: Time, wall: WallMs, out: &mut Vec<Out>) {
+    fn run(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
         for _ in 0..4 {
-            self.election.tick(now, &mut self.ledger);
+            self.election.tick(now, &mut self.store);
             let follow = self.place.is_some();
             let asks = self.desk.as_ref().is_some_and(Desk::asks_book);
-            self.book.tick(now, self.intake.asks() || asks, follow, &mut self.ledger);
+            self.job_store.tick(now, self.intake.asks() || asks, follow, &mut self.store);
             let mut told = Vec::new();
             let asks = self.desk.as_ref().is_some_and(Desk::asks_directives);
-            self.directives.tick(now, wall, asks, &mut self.ledger, &mut told);
+            self.directives.tick(now, wall, asks, &mut self.store, &mut told);
             self.answer_changes(told, out);
             self.tick_configuration(now, wall, out);
-            self.intake.tick(now, &self.book, &mut self.ledger, out);
+            self.intake.tick(now, &self.job_store, &mut self.store, out);
             let may_place = self.entitled(now);
             let directed = self.directives.fresh();
             if let Some(place) = &mut self.place {
@@ -207,8 +207,8 @@
                     may_place,
                     &self.settings,
                     self.fleet.shapes(),
-                    &self.book,
-                    &mut self.ledger,
+                    &self.job_store,
+                    &mut self.store,
                 );
                 if place.loaded() {
                     self.metrics.loaded(now);
@@ -226,13 +226,13 @@
                 &self.settings,
                 &senses,
                 self.place.as_mut(),
-                &mut self.ledger,
+                &mut self.store,
             );
             self.stop_tasks(now, out);
-            self.ledger.pump(now, &mut self.next_call, out);
-            self.fleet.pump(now, &mut self.next_call, out);
+            self.store.flush(now, &mut self.next_call, out);
+            self.fleet.flush(now, &mut self.next_call, out);
             self.run_desk(now, wall, out);
-            let refused = self.ledger.take_refused();
+            let refused = self.store.drain_refused();
             if refused.is_empty() {
                 break;
             }
@@ -251,7 +251,7 @@
         door: usize,
         id: RequestId,
         request: Request,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         self.awake(now, wall);
         let before = out.len();
@@ -270,7 +270,7 @@
         wall: WallMs,
         id: CallId,
         result: Option<(u16, Vec<u8>)>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         self.awake(now, wall);
         let before = out.len();
@@ -278,14 +278,14 @@
         self.finish(now, before, out);
     }
 
-    fn on_frame(&mut self, now: Time, wall: WallMs, frame: Frame, out: &mut Vec<Out>) {
+    fn on_frame(&mut self, now: Time, wall: WallMs, frame: Frame, out: &mut Vec<Effect>) {
         self.awake(now, wall);
         let before = out.len();
         self.take_frame(now, frame, out);
         self.finish(now, before, out);
     }
 
-    fn on_tick(&mut self, now: Time, wall: WallMs, out: &mut Vec<Out>) {
+    fn on_tick(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
         self.awake(now, wall);
         let before = out.len();
         self.take_tick(now, wall, out);
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -8,7 +8,7 @@
 };
 use crate::directives::Told;
 use crate::intake;
-use crate::jobs::{Entry, JobState};
+use crate::job_store::{Entry, JobState};
 use beamhinge_admin_api::auth::Caller;
 use beamhinge_admin_api::messages::{
     BehindRow, Code, ConfigurationMade, ConfigurationView, Decisions, Directives, Explanation,
@@ -17,7 +17,7 @@
 };
 use beamhinge_configuration::{Change, EffectiveTeam};
 use beamhinge_core::http::{Content, Request};
-use beamhinge_core::messages::Out;
+use beamhinge_core::messages::Effect;
 use beamhinge_core::peers::{encode, Frame};
 use beamhinge_core::types::{JobId, MachineId, RequestId, Time, WallMs};
 use serde::{Deserialize, Serialize};
@@ -45,7 +45,7 @@
         wall: WallMs,
         id: RequestId,
         request: &Request,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         let Some(desk) = &mut self.desk else { return };
         match desk.receive(now, wall, request) {
@@ -70,7 +70,7 @@
         id: RequestId,
         caller: Caller,
         route: Route,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         let Some(desk) = &mut self.desk else { return };
         match route {
@@ -86,7 +86,7 @@
             Route::Metrics => {
                 let body = self.metrics_page(now, wall).into_bytes();
                 let content = Content::Text;
-                out.push(Out::OperatorAnswer {
+                out.push(Effect::OperatorAnswer {
                     to: id,
                     status: 200,
                     retry_after: None,
@@ -123,7 +123,7 @@
             Route::Cancel(job) => {
                 tracing::info!(by = %caller.name, %job, "cancel");
                 desk.leave_to_others(id);
-                self.intake.cancel(now, id, job, &self.book, out);
+                self.intake.cancel(now, id, job, &self.job_store, out);
             }
             Route::Holder(query) => self.ask_holder(now, id, query, Merge::Plain, out),
         }
@@ -135,7 +135,7 @@
         wall: WallMs,
         id: RequestId,
         job: JobRequest,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         let Some(job_id) = JobId::parse(&job.job) else {
             let why = "job is not of the form job-000412";
@@ -149,7 +149,7 @@
         if let Some(desk) = &mut self.desk {
             desk.leave_to_others(id);
         }
-        self.intake.submit(now, id, (job_id, spec), verdict, &self.book, out);
+        self.intake.submit(now, id, (job_id, spec), verdict, &self.job_store, out);
     }
 
     /// Sends a question to whoever holds the block; without one, or when that
@@ -160,7 +160,7 @@
         request: RequestId,
         query: Query,
         merge: Merge,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         let Some(desk) = &mut self.desk else { return };
         if self.place.is_some() {
@@ -176,7 +176,10 @@
         };
         let serial = desk.forward(now, request, merge);
         let from = self.settings.label.clone();
-        out.push(Out::Tell { to: Some(to), frame: encode(&Frame::Ask { from, serial, query }) });
+        out.push(Effect::SendFrame {
+            to: Some(to),
+            frame: encode(&Frame::Ask { from, serial, query }),
+        });
     }
 
     pub(super) fn asked_by_peer(
@@ -185,7 +188,7 @@
         from: String,
         serial: u64,
         query: &[u8],
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         // Without a door of its own a controller answers no operators, not even
         // through a peer: whoever runs it has not asked for that.
@@ -197,7 +200,7 @@
         };
         if !taken {
             let told = Frame::Told { serial, status: 503, body: Vec::new() };
-            out.push(Out::Tell { to: Some(from), frame: encode(&told) });
+            out.push(Effect::SendFrame { to: Some(from), frame: encode(&told) });
         }
     }
 
@@ -206,7 +209,7 @@
         serial: u64,
         status: u16,
         body: Vec<u8>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         let Some((request, merge)) = self.desk.as_mut().and_then(|d| d.told(serial)) else {
             return;
@@ -220,13 +223,13 @@
         merge: Merge,
         status: u16,
         body: Vec<u8>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         if status != 200 {
             return desk::busy(out, request, "the holder cannot answer just now");
         }
         match merge {
-            Merge::Plain => out.push(Out::OperatorAnswer {
+            Merge::Plain => out.push(Effect::OperatorAnswer {
                 to: request,
                 status: 200,
                 retry_after: None,
@@ -259,7 +262,7 @@
     }
 
     /// Answers what can be answered by now, and gives up what has waited.
-    pub(super) fn run_desk(&mut self, now: Time, wall: WallMs, out: &mut Vec<Out>) {
+    pub(super) fn run_desk(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
         let Some(desk) = &mut self.desk else { return };
         if desk.idle() {
             return;
@@ -268,7 +271,7 @@
             self.election.request_block_check(now);
         }
         let copies = Copies {
-            jobs: self.book.fresh(),
+            jobs: self.job_store.fresh(),
             directives: self.directives.fresh(),
             configuration: self.configuration.fresh(),
         };
@@ -278,7 +281,7 @@
         let entitled = self.entitled(now);
         let loaded = self.place.as_ref().is_some_and(|p| p.loaded());
         let Some(desk) = &mut self.desk else { return };
-        let seen = self.book.fresh().map(|f| f.min(self.election.block_confirmed_at()));
+        let seen = self.job_store.fresh().map(|f| f.min(self.election.block_confirmed_at()));
         let ready = if entitled && loaded { desk.ready_asked(seen) } else { Vec::new() };
         for Asked { asker, query, .. } in ready {
             let (status, body) = self.answer_query(now, wall, &query);
@@ -286,7 +289,7 @@
                 Asker::Own { request, merge } => self.merge(request, merge, status, body, out),
                 Asker::Peer { label, serial } => {
                     let told = Frame::Told { serial, status, body };
-                    out.push(Out::Tell { to: Some(label), frame: encode(&told) });
+                    out.push(Effect::SendFrame { to: Some(label), frame: encode(&told) });
                 }
             }
         }
@@ -302,11 +305,11 @@
         }
         for (label, serial) in peers {
             let told = Frame::Told { serial, status: 503, body: Vec::new() };
-            out.push(Out::Tell { to: Some(label), frame: encode(&told) });
+            out.push(Effect::SendFrame { to: Some(label), frame: encode(&told) });
         }
     }
 
-    fn answer_local(&mut self, now: Time, wall: WallMs, local: Local, out: &mut Vec<Out>) {
+    fn answer_local(&mut self, now: Time, wall: WallMs, local: Local, out: &mut Vec<Effect>) {
         let to = local.request;
         match local.want {
             Want::Directives => {
@@ -323,7 +326,7 @@
                 desk::say(out, to, 200, &page);
             }
             Want::Job { id, explain } => {
-                let Some(entry) = self.book.get(id) else {
+                let Some(entry) = self.job_store.get(id) else {
                     return desk::refuse(out, to, 404, Code::NotFound, "no such job");
                 };
                 let row = self.row(wall, id, entry);
@@ -361,17 +364,17 @@
             JobState::Open if counts.running > 0 => State::Running,
             JobState::Open => State::Pending,
         };
-        let brief = self.book.brief(entry);
+        let summary = self.job_store.summary(entry);
         JobRow {
             job: id.to_string(),
             state,
             tasks: entry.tasks,
             done: if state == State::Done { entry.tasks } else { counts.done },
             running: counts.running,
-            age_s: brief.as_ref().map(|b| (wall.0 as f64 - b.submitted as f64) / 1e3),
-            urgency: brief.as_ref().map(|b| b.urgency),
-            class: brief.as_ref().map(|b| b.class.clone()),
-            team: brief.map(|b| b.team),
+            age_s: summary.as_ref().map(|b| (wall.0 as f64 - b.submitted as f64) / 1e3),
+            urgency: summary.as_ref().map(|b| b.urgency),
+            class: summary.as_ref().map(|b| b.class.clone()),
+            team: summary.map(|b| b.team),
         }
     }
 
@@ -381,7 +384,7 @@
         let after = filter.after.as_deref().and_then(JobId::parse);
         let mut page = JobPage { jobs: Vec::new(), next: None };
         let mut last = None;
-        for (looked, (id, entry)) in self.book.behind(after).enumerate() {
+        for (looked, (id, entry)) in self.job_store.behind(after).enumerate() {
             if looked >= MOST_LOOKED_AT || page.jobs.len() >= filter.limit {
                 page.next = last.map(|id: JobId| id.to_string());
                 break;
@@ -419,15 +422,15 @@
     fn tell_nodes(&self, now: Time) -> Vec<NodeRow> {
         let leader = self.peers.holder(now).or(self.election.other_leader());
         let own = &self.settings.label;
-        let ledger = self.ledger.last_ok().map(|t| now.since(t));
+        let store = self.store.last_success().map(|t| now.since(t));
         let me = NodeRow {
             label: own.clone(),
             answering: true,
             holder: self.place.is_some(),
             token: self.election.token().map(|t| t.0),
-            ledger_age_s: ledger,
+            store_age_s: store,
             heard_s: Some(0.0),
-            ready: self.book.loaded(),
+            ready: self.job_store.loaded(),
             drained: self.directives.standing().node_drained(own),
             stuck_ago_s: self.stuck.get(own).map(|at| now.since(*at)),
         };
@@ -438,7 +441,7 @@
                 answering: false,
                 holder: self.place.is_none() && leader == Some(m.label.as_str()),
                 token: self.peers.token_of(&m.label).filter(|_| leader == Some(m.label.as_str())),
-                ledger_age_s: told.map(|t| t.1).filter(|age| *age < 1e5),
+                store_age_s: told.map(|t| t.1).filter(|age| *age < 1e5),
                 heard_s: told.map(|t| t.0),
                 ready: told.is_some_and(|(heard, age, ready, _)| {
                     // Said outright only while a controller is drained.
@@ -522,10 +525,10 @@
         let holder = self.place.as_ref().filter(|p| p.loaded());
         let mut gauges = vec![
             ("holder", f64::from(u8::from(self.place.is_some()))),
-            ("jobs_known", self.book.iter().count() as f64),
+            ("jobs_known", self.job_store.iter().count() as f64),
             ("stuck_seconds", self.stall.stuck_s(now).unwrap_or(0.0)),
             ("machines_shielded", self.fleet.shielded() as f64),
-            ("ledger_age_seconds", self.ledger.last_ok().map_or(-1.0, |t| now.since(t))),
+            ("ledger_age_seconds", self.store.last_success().map_or(-1.0, |t| now.since(t))),
         ];
         let mut counters = Vec::new();
         if let Some(place) = holder {
@@ -587,7 +590,7 @@
         id: RequestId,
         change: Change,
         by: String,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         if !self.configuration.is_on() {
             let why = "changes are not turned on here: set `[configuration] on = yes` in the \
@@ -603,7 +606,11 @@
         }
     }
 
-    pub(super) fn answer_configured(&self, told: Vec<(RequestId, Configured)>, out: &mut Vec<Out>) {
+    pub(super) fn answer_configured(
+        &self,
+        told: Vec<(RequestId, Configured)>,
+        out: &mut Vec<Effect>,
+    ) {
         for (request, told) in told {
             match told {
                 Configured::Made { version, warning } => {
@@ -617,7 +624,7 @@
         }
     }
 
-    pub(super) fn answer_changes(&mut self, told: Vec<(RequestId, Told)>, out: &mut Vec<Out>) {
+    pub(super) fn answer_changes(&mut self, told: Vec<(RequestId, Told)>, out: &mut Vec<Effect>) {
         for (request, told) in told {
             match told {
                 Told::Made(changed) => desk::say(out, request, 200, &changed),
@@ -632,10 +639,10 @@
 
     /// Answers that another slice wrote for a user, put into the operators'
     /// form where an operator asked.
-    pub(super) fn translate(&mut self, out: &mut [Out]) {
+    pub(super) fn translate(&mut self, out: &mut [Effect]) {
         let Some(desk) = &mut self.desk else { return };
         for o in out {
-            let Out::Answer { to, status, retry_after, body } = o else { continue };
+            let Effect::Answer { to, status, retry_after, body } = o else { continue };
             if !desk.take_elsewhere(*to) {
                 continue;
             }
@@ -658,9 +665,9 @@
                     desk::refuse(&mut written, *to, *status, code, &why);
                 }
             }
-            if let Some(Out::OperatorAnswer { content, body, .. }) = written.pop() {
+            if let Some(Effect::OperatorAnswer { content, body, .. }) = written.pop() {
                 let (to, status, retry_after) = (*to, *status, *retry_after);
-                *o = Out::OperatorAnswer { to, status, retry_after, content, body };
+                *o = Effect::OperatorAnswer { to, status, retry_after, content, body };
             }
         }
     }
--- a/crates/controller/src/node/operators/tests.rs
+++ b/crates/controller/src/node/operators/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::calls::{MirrorCall, PlaceCall, Tag};
+use crate::calls::{PlacementCall, ReplicaCall, Tag};
 use crate::event_log::EventLog;
-use crate::ledger::{Outcome, Reply};
 use crate::placement::Placement;
+use crate::store::{Outcome, Reply};
 use beamhinge_core::settings::{Operator, Settings, SAMPLE};
-use beamhinge_core::types::Token;
+use beamhinge_core::types::FencingToken;
 use beamhinge_priority_aging::Policy;
 
 /// Names and types of all figures on the page of a controller that leads.
@@ -15,18 +15,19 @@
     let operator = Operator::parse("t", "[operators]\nlisten = 127.0.0.1:1\n").expect("sound");
     let policy = Policy::new(Default::default());
     let log = EventLog::new(true);
-    let mut place = Placement::new(&settings, Token(9), Default::default(), log, policy, now);
+    let mut place =
+        Placement::new(&settings, FencingToken(9), Default::default(), log, policy, now);
     let mut node = Node::new(settings, operator, Vec::new(), 7, now);
     // Nothing is stored: the copy of the jobs, the pages and the shelves are read as empty.
     let empty = |tag: Tag| {
         let body = serde_json::json!({"pairs": [], "ledgerRev": 9});
         Reply { tag, outcome: Outcome::Ok(beamhinge_core::wire::encode(&body)), sent: now }
     };
-    node.book.tick(now, true, true, &mut node.ledger);
-    node.book.on_reply(now, MirrorCall::Scan, empty(Tag::Job(MirrorCall::Scan)));
-    place.tick(now, WallMs(1), true, &node.settings, &[], &node.book, &mut node.ledger);
-    for call in [PlaceCall::Pages, PlaceCall::Progress] {
-        place.on_reply(now, call, empty(Tag::Place(call)), &mut node.book);
+    node.job_store.tick(now, true, true, &mut node.store);
+    node.job_store.on_reply(now, ReplicaCall::Scan, empty(Tag::Job(ReplicaCall::Scan)));
+    place.tick(now, WallMs(1), true, &node.settings, &[], &node.job_store, &mut node.store);
+    for call in [PlacementCall::Pages, PlacementCall::Progress] {
+        place.on_reply(now, call, empty(Tag::Placement(call)), &mut node.job_store);
     }
     assert!(place.loaded());
     node.place = Some(place);
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -5,12 +5,12 @@
 use crate::event_log::EventLog;
 use crate::intake::Context;
 use crate::leader_election::LeadershipChange;
-use crate::ledger::Reply;
 use crate::placement::{Placement, Report, Verdict};
+use crate::store::Reply;
 use beamhinge_admin_api::messages::What;
-use beamhinge_core::messages::{Counts, Out};
+use beamhinge_core::messages::{Effect, TaskCounts};
 use beamhinge_core::peers::Frame;
-use beamhinge_core::types::{CallId, JobId, MachineId, Time, Token, WallMs};
+use beamhinge_core::types::{CallId, FencingToken, JobId, MachineId, Time, WallMs};
 use beamhinge_core::wire;
 use beamhinge_failure_detection::PeerObservations;
 use beamhinge_priority_aging::Policy;
@@ -18,7 +18,7 @@
 struct Own<'a>(Option<&'a Placement>);
 
 impl Context for Own<'_> {
-    fn counts(&self, id: JobId) -> Option<Counts> {
+    fn counts(&self, id: JobId) -> Option<TaskCounts> {
         self.0.and_then(|p| p.counts(id))
     }
 }
@@ -30,15 +30,15 @@
         wall: WallMs,
         id: CallId,
         result: Option<(u16, Vec<u8>)>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         self.metrics.replied(now, id, result.is_some());
         let _span = tracing::debug_span!("reply", call = id.0).entered();
-        if self.ledger.is_ours(id) {
-            if let Some(reply) = self.ledger.on_reply(id, result) {
+        if self.store.owns_call(id) {
+            if let Some(reply) = self.store.on_reply(id, result) {
                 self.route(now, reply, out);
             }
-        } else if self.fleet.is_ours(id) {
+        } else if self.fleet.owns_call(id) {
             self.fleet.on_cloud(now, id, result, self.place.as_mut());
         } else if self.nudges.remove(&id).is_some() {
             // Executed, or refused for its session: either way the body is a report.
@@ -56,17 +56,17 @@
         let change = self.election.on_token_claim(now, report.baton);
         self.on_leadership_change(now, change);
         if let Some(place) = &mut self.place {
-            place.direct_answer(now, report, &self.book);
+            place.direct_answer(now, report, &self.job_store);
         }
     }
 
-    pub(super) fn route(&mut self, now: Time, reply: Reply<Tag>, out: &mut Vec<Out>) {
+    pub(super) fn route(&mut self, now: Time, reply: Reply<Tag>, out: &mut Vec<Effect>) {
         match reply.tag.clone() {
             Tag::Directives(call) => {
                 self.directives.on_reply(now, call, reply);
                 self.spread_directives(now);
             }
-            Tag::Direct(serial) => {
+            Tag::DirectiveChange(serial) => {
                 let mut told = Vec::new();
                 self.directives.on_written(now, serial, reply, &mut told);
                 self.answer_changes(told, out);
@@ -82,23 +82,29 @@
                 self.answer_configured(told, out);
             }
             Tag::Job(call) => {
-                let freshness = self.book.on_reply(now, call, reply);
+                let freshness = self.job_store.on_reply(now, call, reply);
                 self.spread_changes(now);
-                self.intake.on_fresh(now, freshness, &self.book, &Own(self.place.as_ref()), out);
-            }
-            Tag::Lead(call) => {
-                let change = self.election.on_reply(now, call, reply, &mut self.ledger);
+                self.intake.on_fresh(
+                    now,
+                    freshness,
+                    &self.job_store,
+                    &Own(self.place.as_ref()),
+                    out,
+                );
+            }
+            Tag::Election(call) => {
+                let change = self.election.on_reply(now, call, reply, &mut self.store);
                 self.on_leadership_change(now, change);
             }
-            Tag::Place(call) => {
+            Tag::Placement(call) => {
                 let Some(place) = &mut self.place else { return };
-                match place.on_reply(now, call, reply, &mut self.book) {
+                match place.on_reply(now, call, reply, &mut self.job_store) {
                     Verdict::Fine => {}
                     Verdict::Confirmed(sent) => self.election.confirm_block(sent),
-                    Verdict::RefreshJobs => self.book.want_refresh(),
+                    Verdict::RefreshJobs => self.job_store.request_refresh(),
                     Verdict::RefreshConfiguration => {
-                        self.configuration.want_refresh();
-                        self.book.want_refresh();
+                        self.configuration.request_refresh();
+                        self.job_store.request_refresh();
                     }
                     Verdict::Deposed => {
                         let change = self.election.step_down_deposed(now);
@@ -108,18 +114,18 @@
                 self.spread_changes(now);
             }
             Tag::Intake(call) => {
-                self.intake.on_reply(now, call, reply, &mut self.book, out);
+                self.intake.on_reply(now, call, reply, &mut self.job_store, out);
                 self.spread_changes(now);
             }
-            Tag::Fleet(call) => self.fleet.on_ledger(now, call, reply),
+            Tag::Fleet(call) => self.fleet.on_store_reply(now, call, reply),
         }
     }
 
     pub(super) fn spread_changes(&mut self, now: Time) {
-        let changed = self.book.take_changed();
+        let changed = self.job_store.take_changed();
         if let Some(place) = self.place.as_mut().filter(|p| p.loaded()) {
             for id in changed {
-                place.sync_job(now, id, &self.book);
+                place.sync_job(now, id, &self.job_store);
             }
         }
     }
@@ -152,7 +158,7 @@
             LeadershipChange::Lost => {
                 self.place = None;
                 self.fleet.end_term();
-                self.ledger.set_share(follower_share(&self.settings), 1.0);
+                self.store.set_rate_share(follower_share(&self.settings), 1.0);
             }
             LeadershipChange::Acquired { token } => {
                 let mut event_log = EventLog::new(self.desk.is_some());
@@ -160,7 +166,7 @@
                 event_log.note(|| What::Took { token: token.0 });
                 // What stood when the lead was taken must be known before
                 // anything is placed: a drained machine gets nothing new.
-                self.directives.want_refresh();
+                self.directives.request_refresh();
                 let standing = self.directives.standing().clone();
                 self.metrics.took(now);
                 let ageing = Policy::new(self.operator.ageing);
@@ -170,7 +176,7 @@
                     place.faults = self.faults;
                 }
                 if self.configuration.is_on() {
-                    self.configuration.want_refresh();
+                    self.configuration.request_refresh();
                     let effective = self.configuration.effective().clone();
                     if let Some(place) = &mut self.place {
                         place.set_teams(now, &effective);
@@ -183,19 +189,19 @@
                 if let (Some(place), true) = (&mut self.place, stuck) {
                     place.begin_small();
                 }
-                self.ledger.set_share(holder_share(&self.settings), HOLDER_ACCEPTS);
+                self.store.set_rate_share(holder_share(&self.settings), HOLDER_ACCEPTS);
                 self.nudged.clear();
                 self.peers.sent = Time::default();
                 self.heartbeat_sent = Time::default();
-                self.book.want_refresh();
+                self.job_store.request_refresh();
             }
         }
     }
 
-    pub(super) fn take_frame(&mut self, now: Time, frame: Frame, out: &mut Vec<Out>) {
+    pub(super) fn take_frame(&mut self, now: Time, frame: Frame, out: &mut Vec<Effect>) {
         match frame {
-            Frame::Pulse { label, ledger_age_ms, .. } => {
-                self.peers.pulse(now, &label, ledger_age_ms as f64 / 1e3);
+            Frame::Pulse { label, store_age_ms, .. } => {
+                self.peers.pulse(now, &label, store_age_ms as f64 / 1e3);
             }
             Frame::Ready { label, ready, drained } => {
                 self.peers.ready(now, &label, ready, drained);
@@ -229,8 +235,8 @@
                 if self.peers.token_of(&label) != Some(token) {
                     self.visitors.holder_changed();
                 }
-                self.holder_detector.heartbeat(now, &label, Token(token));
-                self.peers.holds(now, &label, Token(token));
+                self.holder_detector.heartbeat(now, &label, FencingToken(token));
+                self.peers.holds(now, &label, FencingToken(token));
                 // Guard 1: a higher token was taken, so ours is over.
                 let change = self.election.on_token_claim(now, token);
                 self.on_leadership_change(now, change);
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -3,11 +3,11 @@
 use super::Node;
 use crate::faults::broken;
 use crate::intake;
-use crate::jobs::JobSpec;
+use crate::job_store::JobSpec;
 use crate::placement::{Order, Report};
 use beamhinge_core::http::{Method, Request};
-use beamhinge_core::messages::Out;
-use beamhinge_core::types::{JobId, MachineId, RequestId, Time, Token, WallMs};
+use beamhinge_core::messages::Effect;
+use beamhinge_core::types::{FencingToken, JobId, MachineId, RequestId, Time, WallMs};
 use beamhinge_core::wire;
 use serde::Serialize;
 
@@ -38,9 +38,9 @@
     }
 }
 
-fn refuse(out: &mut Vec<Out>, to: RequestId, status: u16, why: &str) {
+fn refuse(out: &mut Vec<Effect>, to: RequestId, status: u16, why: &str) {
     let retry_after = (status == 503).then_some(1);
-    out.push(Out::Answer { to, status, retry_after, body: wire::problem(why) });
+    out.push(Effect::Answer { to, status, retry_after, body: wire::problem(why) });
 }
 
 impl Node {
@@ -50,12 +50,12 @@
         wall: WallMs,
         id: RequestId,
         req: Request,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         let path = req.path.split('?').next().unwrap_or("");
         let method = req.method;
         let _span = tracing::debug_span!("request", route = users_route(method, path)).entered();
-        let wrong = |out: &mut Vec<Out>| refuse(out, id, 405, "method not allowed");
+        let wrong = |out: &mut Vec<Effect>| refuse(out, id, 405, "method not allowed");
         self.metrics.asked(now, id, users_route(method, path));
         match path {
             "/up" if method == Method::Get => self.up(now, id, out),
@@ -66,11 +66,11 @@
                 None => refuse(out, id, 404, "no such path"),
                 Some(rest) => match (rest.strip_suffix("/cancel"), method) {
                     (Some(job), Method::Post) => match JobId::parse(job) {
-                        Some(job) => self.intake.cancel(now, id, job, &self.book, out),
+                        Some(job) => self.intake.cancel(now, id, job, &self.job_store, out),
                         None => refuse(out, id, 404, "no such job"),
                     },
                     (None, Method::Get) => match JobId::parse(rest) {
-                        Some(job) => self.intake.poll(now, id, job, &self.book, out),
+                        Some(job) => self.intake.poll(now, id, job, &self.job_store, out),
                         None => refuse(out, id, 404, "no such job"),
                     },
                     _ if rest.contains('/') && !rest.ends_with("/cancel") => {
@@ -83,21 +83,21 @@
         self.run(now, wall, out);
     }
 
-    pub(super) fn up(&mut self, now: Time, id: RequestId, out: &mut Vec<Out>) {
+    pub(super) fn up(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
         // In an outage of the state service all nodes are equally poor, and
         // stepping aside would only prolong it for the users afterwards. But
         // where others still reach it, they serve better than we can.
-        let age = self.ledger_age(now);
+        let age = self.store_age(now);
         if self.drained() && self.peers.successor(now) {
             refuse(out, id, 503, "operators have drained this controller");
-        } else if self.stall.stuck_s(now).is_some() && self.peers.others_reach_ledger(now) {
+        } else if self.stall.stuck_s(now).is_some() && self.peers.peers_reach_store(now) {
             refuse(out, id, 503, "this controller is stuck");
-        } else if age > 2.5 && (self.peers.others_reach_ledger(now) || self.cut_off(now))
-            || !self.book.loaded() && now.since(self.started) < 5.0
+        } else if age > 2.5 && (self.peers.peers_reach_store(now) || self.cut_off(now))
+            || !self.job_store.loaded() && now.since(self.started) < 5.0
         {
             refuse(out, id, 503, "the state service cannot be reached from here");
         } else {
-            out.push(Out::Answer {
+            out.push(Effect::Answer {
                 to: id,
                 status: 200,
                 retry_after: None,
@@ -113,7 +113,7 @@
     /// well, all said so of themselves, and the load balancer was left with none, for
     /// longer than either lasted.
     pub(super) fn cut_off(&self, now: Time) -> bool {
-        let refused = self.ledger.last_answer().is_some_and(|t| now.since(t) < 2.5);
+        let refused = self.store.last_response().is_some_and(|t| now.since(t) < 2.5);
         let refused = refused && !broken!(self.faults, refused_is_cut);
         !refused
             && !self.settings.members.is_empty()
@@ -126,8 +126,8 @@
         self.directives.standing().node_drained(&self.settings.label)
     }
 
-    pub(super) fn ledger_age(&self, now: Time) -> f64 {
-        self.ledger.last_ok().map_or(1e6, |t| now.since(t))
+    pub(super) fn store_age(&self, now: Time) -> f64 {
+        self.store.last_success().map_or(1e6, |t| now.since(t))
     }
 
     pub(super) fn submit(
@@ -136,7 +136,7 @@
         wall: WallMs,
         id: RequestId,
         body: &[u8],
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         if body.len() > wire::BODY_LIMIT
             || wire::decode::<ciborium::Value>(body)
@@ -148,7 +148,7 @@
             Err(why) => refuse(out, id, 400, why),
             Ok((job, spec)) => {
                 let verdict = self.judge(&spec);
-                self.intake.submit(now, id, (job, spec), verdict, &self.book, out);
+                self.intake.submit(now, id, (job, spec), verdict, &self.job_store, out);
             }
         }
     }
@@ -163,7 +163,7 @@
         intake::judge(spec, team, &self.settings, self.fleet.shapes())
     }
 
-    pub(super) fn hello(&mut self, now: Time, id: RequestId, body: &[u8], out: &mut Vec<Out>) {
+    pub(super) fn hello(&mut self, now: Time, id: RequestId, body: &[u8], out: &mut Vec<Effect>) {
         let Ok(report) = wire::decode::<Report>(body) else {
             return refuse(out, id, 400, "the report has an unknown form");
         };
@@ -178,19 +178,19 @@
         match (&mut self.place, entitled) {
             (Some(place), true) => {
                 let token = place.token();
-                let orders = place.report(now, &report, self.fleet.shapes(), &self.book);
+                let orders = place.report(now, &report, self.fleet.shapes(), &self.job_store);
                 if !orders.is_empty() {
                     tracing::debug!("orders to {}: {orders:?}", report.host);
                 }
                 let body = wire::encode(&WorkerAnswer { baton: token.0, orders });
-                out.push(Out::Answer { to: id, status: 200, retry_after: None, body });
+                out.push(Effect::Answer { to: id, status: 200, retry_after: None, body });
             }
             // A holder out of touch names nobody: it may still be the holder.
             (Some(_), false) => refuse(out, id, 503, "out of touch with the state service"),
             (None, _) => {
                 let machine = MachineId::parse(&report.host);
                 let deaf = machine.is_some_and(|m| self.visitors.came(now, m, DEAF_S));
-                let seen = Token(report.baton);
+                let seen = FencingToken(report.baton);
                 machine.into_iter().for_each(|m| self.holder_detector.reported_here(now, m, seen));
                 let holder = self.peers.holder(now).or(self.election.other_leader());
                 // Sent to the holder a moment ago and back again: it is not
@@ -200,7 +200,7 @@
                 if let (Some(m), Some(_)) = (machine, foreman) {
                     self.visitors.sent_on(m);
                 }
-                out.push(Out::Answer {
+                out.push(Effect::Answer {
                     to: id,
                     status: 421,
                     retry_after: None,
@@ -220,7 +220,7 @@
         if broken!(self.faults, h_by_hold) {
             return self.place.is_some() && now.since(self.election.block_confirmed_at()) < limit;
         }
-        let seen = self.book.fresh().is_some_and(|jobs| now.since(jobs) < limit);
+        let seen = self.job_store.fresh().is_some_and(|jobs| now.since(jobs) < limit);
         self.place.is_some() && seen && now.since(self.election.block_confirmed_at()) < limit
     }
 
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -5,9 +5,9 @@
 use crate::peers;
 use crate::placement::Order;
 use beamhinge_core::http::Method;
-use beamhinge_core::messages::{Dest, Out};
+use beamhinge_core::messages::{Destination, Effect};
 use beamhinge_core::peers::{encode, Frame};
-use beamhinge_core::types::{CallId, MachineId, Time, Token, WallMs};
+use beamhinge_core::types::{CallId, FencingToken, MachineId, Time, WallMs};
 use beamhinge_core::wire;
 use beamhinge_failure_detection::Work;
 use beamhinge_standby::{turn_after, Observer, HEARTBEAT_S};
@@ -29,7 +29,7 @@
 const ASK_AGAIN_S: f64 = 3.0;
 
 impl Node {
-    pub(super) fn take_tick(&mut self, now: Time, wall: WallMs, out: &mut Vec<Out>) {
+    pub(super) fn take_tick(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
         if now.since(self.heartbeat_sent) >= HEARTBEAT_S {
             self.heartbeat_sent = now;
             self.send_heartbeat(out);
@@ -38,26 +38,26 @@
         self.consider_taking_early(now);
         if now.since(self.peers.sent) >= 1.0 {
             self.peers.sent = now;
-            let age = self.ledger_age(now);
+            let age = self.store_age(now);
             let pulse = Frame::Pulse {
                 label: self.settings.label.clone(),
-                ledger_age_ms: (age * 1e3) as u64,
+                store_age_ms: (age * 1e3) as u64,
                 holder: self.place.is_some(),
             };
-            out.push(Out::Tell { to: None, frame: encode(&pulse) });
+            out.push(Effect::SendFrame { to: None, frame: encode(&pulse) });
             // Only where it matters: the version before this one does not know
             // the frame, and breaks the link at it.
             if self.directives.standing().any_node() {
                 let ready = Frame::Ready {
                     label: self.settings.label.clone(),
-                    ready: self.book.loaded() && age < 3.0,
+                    ready: self.job_store.loaded() && age < 3.0,
                     drained: self.drained(),
                 };
-                out.push(Out::Tell { to: None, frame: encode(&ready) });
+                out.push(Effect::SendFrame { to: None, frame: encode(&ready) });
             }
             if let Some(place) = self.place.as_ref().filter(|p| p.loaded()) {
                 for frame in peers::progress(place.all_counts()) {
-                    out.push(Out::Tell { to: None, frame: encode(&frame) });
+                    out.push(Effect::SendFrame { to: None, frame: encode(&frame) });
                 }
             }
         }
@@ -84,11 +84,11 @@
     /// Tells our token to our peers: they watch over us by it. And a former holder that
     /// is cut off from the state service alone would answer its workers for seconds
     /// more; this ends its term.
-    pub(super) fn send_heartbeat(&self, out: &mut Vec<Out>) {
+    pub(super) fn send_heartbeat(&self, out: &mut Vec<Effect>) {
         let Some(place) = &self.place else { return };
         let label = self.settings.label.clone();
         let holds = Frame::Holds { label, token: place.token().0 };
-        out.push(Out::Tell { to: None, frame: encode(&holds) });
+        out.push(Effect::SendFrame { to: None, frame: encode(&holds) });
     }
 
     /// Figures that are of a moment, taken each second.
@@ -111,30 +111,30 @@
             return;
         }
         if self.place.is_some() {
-            self.election.transfer(now, &mut self.ledger);
+            self.election.transfer(now, &mut self.store);
         } else {
             self.election.defer(now);
         }
     }
 
     /// Tells the holder who comes here instead: they live, whatever it thinks.
-    pub(super) fn tell_visitors(&mut self, now: Time, out: &mut Vec<Out>) {
+    pub(super) fn tell_visitors(&mut self, now: Time, out: &mut Vec<Effect>) {
         let machines = self.visitors.lately(now, WORD_S);
         if machines.is_empty() || self.place.is_some() {
             return;
         }
         let Some(holder) = self.peers.holder(now).or(self.election.other_leader()) else { return };
         for hears in Frame::hears(&self.settings.label, &machines) {
-            out.push(Out::Tell { to: Some(holder.to_string()), frame: encode(&hears) });
+            out.push(Effect::SendFrame { to: Some(holder.to_string()), frame: encode(&hears) });
         }
     }
 
     /// A holder that reaches the state service and yet commits nothing while
     /// there is work is stuck, however healthy it looks: another takes over, and
     /// begins with small steps.
-    pub(super) fn consider_stall(&mut self, now: Time, out: &mut Vec<Out>) {
+    pub(super) fn consider_stall(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(place) = &self.place else { return };
-        let reached = self.ledger_age(now) < 2.5;
+        let reached = self.store_age(now) < 2.5;
         let work = Work { waiting: place.has_work(), moved: place.moved(), reached };
         if !self.stall.look(now, work) {
             return;
@@ -144,7 +144,7 @@
             self.stall.stuck_s(now).unwrap_or_default()
         );
         self.stuck.insert(self.settings.label.clone(), now);
-        if self.settings.members.is_empty() || !self.peers.others_reach_ledger(now) {
+        if self.settings.members.is_empty() || !self.peers.peers_reach_store(now) {
             if let Some(place) = &mut self.place {
                 place.begin_small();
             }
@@ -152,8 +152,8 @@
         }
         self.stall.handed_over();
         let stuck = Frame::Stuck { label: self.settings.label.clone() };
-        out.push(Out::Tell { to: None, frame: encode(&stuck) });
-        let change = self.election.step_down(now, &mut self.ledger);
+        out.push(Effect::SendFrame { to: None, frame: encode(&stuck) });
+        let change = self.election.step_down(now, &mut self.store);
         self.on_leadership_change(now, change);
     }
 
@@ -172,14 +172,14 @@
         // A peer hears more than we do: the lead is of more use there, at once.
         let link = self.fleet.link();
         let lately = self.stepped_back.is_some_and(|at| now.since(at) < w.lease_s);
-        if link.better_elsewhere() && !lately && self.peers.others_reach_ledger(now) {
+        if link.better_elsewhere() && !lately && self.peers.peers_reach_store(now) {
             self.stepped_back = Some(now);
             tracing::warn!(
                 "{} machines are heard here and {} only by peers; stepping back",
                 link.heard,
                 link.elsewhere
             );
-            let change = self.election.step_down(now, &mut self.ledger);
+            let change = self.election.step_down(now, &mut self.store);
             return self.on_leadership_change(now, change);
         }
         // Machines that are gone are silent to every controller. Who has stepped
@@ -196,7 +196,7 @@
             // until somebody has, we go on: a holder that stood back for nobody
             // left a whole fleet to its leases.
             tracing::info!("most workers are silent here; the lead is free for others");
-            self.election.transfer(now, &mut self.ledger);
+            self.election.transfer(now, &mut self.store);
         }
     }
 
@@ -209,9 +209,9 @@
         let members = self.settings.members.iter().map(|m| m.label.as_str());
         let holder = self.election.other_leader().unwrap_or("").to_string();
         let own = Observer {
-            ledger_age_s: self.ledger_age(now),
+            store_age_s: self.store_age(now),
             // What changed since is read after the take, before anything is placed.
-            warm: self.book.loaded(),
+            warm: self.job_store.loaded(),
             back_for_s: self.presence.back_for(now),
             turn: turn_after(&holder, &self.settings.label, members),
         };
@@ -219,13 +219,13 @@
         {
             tracing::info!("{gone} is not heard and its workers come here: taking the lead");
             self.election.presume_dead(gone);
-            self.election.tick(now, &mut self.ledger);
+            self.election.tick(now, &mut self.store);
         }
     }
 
     /// After a takeover, workers that still report elsewhere learn the new
     /// token directly: a report to us follows at once.
-    pub(super) fn nudge(&mut self, now: Time, out: &mut Vec<Out>) {
+    pub(super) fn nudge(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(place) = &self.place else { return };
         if now.since(place.took()) > 60.0
             || now.since(place.took()) < self.settings.params.workers.report_s * 1.5
@@ -253,17 +253,17 @@
         &mut self,
         machine: MachineId,
         endpoint: SocketAddrV4,
-        token: Token,
+        token: FencingToken,
         tenure: u64,
         orders: Vec<Order>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         self.next_call += 1;
         let id = CallId(self.next_call);
         self.nudges.insert(id, machine);
-        out.push(Out::Call {
+        out.push(Effect::Call {
             id,
-            dest: Dest::Worker(endpoint),
+            destination: Destination::Worker(endpoint),
             method: Method::Post,
             path: "/do".into(),
             body: wire::encode(&Direct { baton: token.0, tenure, orders }),
@@ -272,7 +272,7 @@
     }
 
     /// Calls workers that have something to stop.
-    pub(super) fn stop_tasks(&mut self, now: Time, out: &mut Vec<Out>) {
+    pub(super) fn stop_tasks(&mut self, now: Time, out: &mut Vec<Effect>) {
         // Guard 4: only while we are entitled to command.
         if !self.entitled(now) {
             return;
@@ -286,7 +286,7 @@
 
     /// Asks machines that fell silent, a few at a time: those that reach no controller
     /// may still be reached, and say what has ended there.
-    pub(super) fn ask_silent(&mut self, now: Time, out: &mut Vec<Out>) {
+    pub(super) fn ask_silent(&mut self, now: Time, out: &mut Vec<Effect>) {
         // Guard 4: only while we are entitled to command.
         if !self.entitled(now) || self.nudges.len() >= MOST_ASKED {
             return;
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,8 +1,8 @@
 //! What this controller heard from its peers.
 
-use beamhinge_core::messages::Counts;
+use beamhinge_core::messages::TaskCounts;
 use beamhinge_core::peers::Frame;
-use beamhinge_core::types::{JobId, Time, Token};
+use beamhinge_core::types::{FencingToken, JobId, Time};
 use std::collections::BTreeMap;
 
 /// After so long without a word a token counts no more, seconds: longer than a former
@@ -19,13 +19,13 @@
     /// The progress of jobs, as far as its frames are here.
     pub progress: ProgressList,
     /// Who last said that it holds the block, with which token, and when.
-    holder: Option<(String, Token, Time)>,
+    holder: Option<(String, FencingToken, Time)>,
 }
 
 impl Peers {
-    pub fn pulse(&mut self, now: Time, label: &str, ledger_age_s: f64) {
+    pub fn pulse(&mut self, now: Time, label: &str, store_age_s: f64) {
         self.heard.retain(|(l, _, _)| l != label);
-        self.heard.push((label.to_string(), now, ledger_age_s));
+        self.heard.push((label.to_string(), now, store_age_s));
     }
 
     pub fn ready(&mut self, now: Time, label: &str, ready: bool, drained: bool) {
@@ -55,7 +55,7 @@
     /// A word of a lower token than one heard before is a former holder's; but one that
     /// nobody has repeated for so long was none. A token that was made up kept all real
     /// holders from being named.
-    pub fn holds(&mut self, now: Time, label: &str, token: Token) {
+    pub fn holds(&mut self, now: Time, label: &str, token: FencingToken) {
         let lapsed = |at: &Time| now.since(*at) > LAPSED_S;
         if self.holder.as_ref().is_none_or(|(_, t, at)| *t <= token || lapsed(at)) {
             self.holder = Some((label.to_string(), token, now));
@@ -80,13 +80,13 @@
     }
 
     /// Some peer reaches the state service though we may not.
-    pub fn others_reach_ledger(&self, now: Time) -> bool {
+    pub fn peers_reach_store(&self, now: Time) -> bool {
         self.heard.iter().any(|(_, at, age)| now.since(*at) < 4.0 && *age < 3.0)
     }
 }
 
 /// Frames that tell the progress of jobs with tasks done or running.
-pub fn progress(counts: impl Iterator<Item = (JobId, Counts)>) -> Vec<Frame> {
+pub fn progress(counts: impl Iterator<Item = (JobId, TaskCounts)>) -> Vec<Frame> {
     let moving = counts.filter(|(_, c)| c.done > 0 || c.running > 0);
     Frame::progress(moving.map(|(id, c)| (id.to_string(), c.done, c.running)).collect())
 }
@@ -95,7 +95,7 @@
 #[derive(Default)]
 pub struct ProgressList {
     /// What came of a list whose last frame is still on its way.
-    begun: BTreeMap<JobId, Counts>,
+    begun: BTreeMap<JobId, TaskCounts>,
 }
 
 impl ProgressList {
@@ -104,12 +104,12 @@
     const MAX_JOBS: usize = 32_768;
 
     /// Takes a frame's rows. Returns the whole list once its last frame is here.
-    pub fn came(&mut self, rows: Vec<(String, u32, u32)>) -> Option<BTreeMap<JobId, Counts>> {
+    pub fn came(&mut self, rows: Vec<(String, u32, u32)>) -> Option<BTreeMap<JobId, TaskCounts>> {
         let last = rows.len() < Frame::MAX_ROWS;
-        let parsed = rows
-            .into_iter()
-            .filter_map(|(id, done, running)| Some((JobId::parse(&id)?, Counts { done, running })));
-        let part: BTreeMap<JobId, Counts> = parsed.collect();
+        let parsed = rows.into_iter().filter_map(|(id, done, running)| {
+            Some((JobId::parse(&id)?, TaskCounts { done, running }))
+        });
+        let part: BTreeMap<JobId, TaskCounts> = parsed.collect();
         // Ids rise through a list: one that falls begins another, the last one's end is lost.
         let follows = self.begun.keys().next_back() < part.keys().next();
         if !part.is_empty() && !follows {
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -4,13 +4,13 @@
 fn a_token_that_was_made_up_is_forgotten_and_a_former_holder_is_not_named() {
     let mut peers = Peers::default();
     let at = |s: f64| Time::from_micros(1_000_000_000).plus(s);
-    peers.holds(at(0.0), "a", Token(7));
-    peers.holds(at(0.5), "b", Token(5));
+    peers.holds(at(0.0), "a", FencingToken(7));
+    peers.holds(at(0.5), "b", FencingToken(5));
     assert_eq!(peers.holder(at(1.0)), Some("a"));
-    peers.holds(at(2.0), "b", Token(u64::MAX));
-    peers.holds(at(4.0), "a", Token(9));
+    peers.holds(at(2.0), "b", FencingToken(u64::MAX));
+    peers.holds(at(4.0), "a", FencingToken(9));
     assert_eq!(peers.holder(at(6.0)), None);
-    peers.holds(at(2.0 + LAPSED_S + 0.1), "a", Token(9));
+    peers.holds(at(2.0 + LAPSED_S + 0.1), "a", FencingToken(9));
     assert_eq!(peers.holder(at(3.0 + LAPSED_S)), Some("a"));
 }
 
@@ -41,13 +41,13 @@
     golden.check();
 }
 
-fn counts(jobs: std::ops::Range<u32>, done: u32) -> Vec<(JobId, Counts)> {
+fn counts(jobs: std::ops::Range<u32>, done: u32) -> Vec<(JobId, TaskCounts)> {
     let id = |n| JobId::parse(&format!("job-{n}")).expect("an id");
-    jobs.map(|n| (id(n), Counts { done, running: 1 })).collect()
+    jobs.map(|n| (id(n), TaskCounts { done, running: 1 })).collect()
 }
 
 /// What a peer knows after these frames, taken one after the other.
-fn shown(list: &mut ProgressList, frames: Vec<Frame>) -> Option<BTreeMap<JobId, Counts>> {
+fn shown(list: &mut ProgressList, frames: Vec<Frame>) -> Option<BTreeMap<JobId, TaskCounts>> {
     let mut whole = None;
     for frame in frames {
         let Frame::Progress(rows) = frame else { panic!("another frame") };
