--- a/crates/controller/src/placement/books.rs
+++ b/crates/controller/src/placement/books.rs
@@ -35,35 +35,41 @@
             self.load = Some(Load {
                 pages: Vec::new(),
                 progress: Vec::new(),
-                stage: PlaceCall::Pages,
-                flying: false,
+                stage: PlacementCall::Pages,
+                in_flight: false,
                 after: None,
             });
         }
     }
 
-    pub(super) fn drive_load(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
+    pub(super) fn drive_load(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         let Some(load) = &mut self.load else { return };
-        if load.flying || !self.loads.due(now) {
+        if load.in_flight || !self.loads.due(now) {
             return;
         }
-        load.flying = true;
+        load.in_flight = true;
         let prefix = match load.stage {
-            PlaceCall::Pages => blocks::PAGE_PREFIX,
+            PlacementCall::Pages => blocks::PAGE_PREFIX,
             _ => blocks::PROGRESS_PREFIX,
         };
-        ledger.scan(now, Priority::Accept, Tag::Place(load.stage), prefix, load.after.as_deref());
+        store.scan(
+            now,
+            Priority::Admission,
+            Tag::Placement(load.stage),
+            prefix,
+            load.after.as_deref(),
+        );
     }
 
     pub(super) fn on_load(
         &mut self,
         now: Time,
-        call: PlaceCall,
+        call: PlacementCall,
         reply: Reply<Tag>,
-        book: &JobBook,
+        job_store: &JobStore,
     ) {
         let Some(load) = &mut self.load else { return };
-        load.flying = false;
+        load.in_flight = false;
         let Outcome::Ok(body) = reply.outcome else {
             self.loads.busy(now);
             return;
@@ -76,18 +82,18 @@
         self.moved = now;
         load.after = if scan.more { scan.pairs.last().map(|p| p.path.clone()) } else { None };
         match call {
-            PlaceCall::Pages => load.pages.extend(scan.pairs),
+            PlacementCall::Pages => load.pages.extend(scan.pairs),
             _ => load.progress.extend(scan.pairs),
         }
         if load.after.is_some() {
             return;
         }
-        if call == PlaceCall::Pages {
-            load.stage = PlaceCall::Progress;
+        if call == PlacementCall::Pages {
+            load.stage = PlacementCall::Progress;
             return;
         }
         let Some(load) = self.load.take() else { return };
-        self.merge(now, load, book);
+        self.merge(now, load, job_store);
     }
 
     /// A value of a form or version that this program does not know: nothing
@@ -97,16 +103,19 @@
         self.stopped = true;
     }
 
-    pub(super) fn merge(&mut self, now: Time, load: Load, book: &JobBook) {
-        let ids: Vec<JobId> =
-            book.iter().filter(|(_, e)| e.state == JobState::Open).map(|(id, _)| *id).collect();
+    pub(super) fn merge(&mut self, now: Time, load: Load, job_store: &JobStore) {
+        let ids: Vec<JobId> = job_store
+            .iter()
+            .filter(|(_, e)| e.state == JobState::Open)
+            .map(|(id, _)| *id)
+            .collect();
         for id in ids {
-            self.sync_job(now, id, book);
+            self.sync_job(now, id, job_store);
         }
         self.shelves.begin_reading();
         for item in &load.progress {
-            let (path, stamp) = (&item.path, Stamp(item.stamp));
-            if self.shelves.read(path, stamp, &item.value, &mut self.jobs).is_err() {
+            let (path, revision) = (&item.path, Revision(item.revision));
+            if self.shelves.read(path, revision, &item.value, &mut self.jobs).is_err() {
                 return self.unreadable(&item.path);
             }
         }
@@ -124,13 +133,13 @@
             let Ok(page) = blocks::decode_page(&item.value) else {
                 return self.unreadable(&item.path);
             };
-            let no = self.pages.add(item.path.clone(), Stamp(item.stamp));
+            let no = self.pages.add(item.path.clone(), Revision(item.revision));
             rows.extend(page.into_iter().map(|r| (r, no)));
         }
         if self.loaded {
             self.rejoin(now, rows);
         } else {
-            self.inherit(now, rows, book);
+            self.inherit(now, rows, job_store);
         }
         self.loaded = true;
         self.replan = true;
@@ -144,7 +153,7 @@
         for m in self.machines.values_mut() {
             for e in m.entries.values_mut() {
                 e.page = None;
-                e.flying = false;
+                e.in_flight = false;
             }
         }
         for (row, no) in rows {
@@ -176,15 +185,15 @@
     }
 
     /// After a takeover: what earlier holders placed may or may not be there.
-    fn inherit(&mut self, now: Time, rows: Vec<(Row, PageNo)>, book: &JobBook) {
+    fn inherit(&mut self, now: Time, rows: Vec<(Row, PageNo)>, job_store: &JobStore) {
         // Guard 3: a task that is done has exited, and of several rows for one
         // task only the newest can be on a machine.
         let jobs = &self.jobs;
         let done = |t: &TaskId| jobs.get(&t.job).is_some_and(|j| j.progress.has(t.index));
         let rows = blocks::newest_rows(rows.into_iter().filter(|(r, _)| !done(&r.task)));
         for (row, no) in rows {
-            let spec = book.get(row.task.job).and_then(|e| e.spec.clone());
-            let over = book.get(row.task.job).is_none_or(|e| e.state != JobState::Open);
+            let spec = job_store.get(row.task.job).and_then(|e| e.spec.clone());
+            let over = job_store.get(row.task.job).is_none_or(|e| e.state != JobState::Open);
             let over = over && !broken!(self.faults, inherited_runs);
             // Without a description its size is unknown: the machine is full.
             let need = spec.as_ref().map_or(UNKNOWN_NEED, |s| need_of(s));
@@ -198,7 +207,7 @@
                     team,
                     state: State::Inherited,
                     kill: over.then_some(0.0),
-                    flying: false,
+                    in_flight: false,
                     started: None,
                     inherited: true,
                     page: Some(no),
@@ -227,64 +236,67 @@
     ///
     /// What does not fit stays for the next; where few writes fit, the kinds
     /// take turns, so that no backlog of one keeps another waiting for ever.
-    pub(super) fn commit(&mut self, now: Time, ledger: &mut Ledger<Tag>) {
-        if self.flying.is_some() || self.load.is_some() || now < self.retry_at {
+    pub(super) fn commit(&mut self, now: Time, store: &mut StoreClient<Tag>) {
+        if self.in_flight.is_some() || self.load.is_some() || now < self.retry_at {
             return;
         }
-        if !self.course.due(now) {
+        if !self.backoff.due(now) {
             return;
         }
-        let limits = ledger.limits().part(self.course.part());
+        let limits = store.limits().part(self.backoff.part());
         let limits = match broken!(self.faults, unbounded) {
             true => beamhinge_rate_limit::Limits { conditions: limits.conditions * 2, ..limits },
             false => limits,
         };
-        let mut txn = Txn::new(limits);
+        let mut transaction = Transaction::new(limits);
         // Guard 1: whoever lost the block can commit nothing.
-        let rests =
-            broken!(self.faults, no_block) || txn.when(BLOCK_KEY, Stamp(self.token.0)).is_ok();
+        let rests = broken!(self.faults, no_block)
+            || transaction.when(BLOCK_KEY, Revision(self.token.0)).is_ok();
         if !rests {
             return;
         }
         // No placement made by an older version of the teams' limits commits.
-        if let Some((key, stamp)) = self.configuration {
-            if !broken!(self.faults, no_configuration) && txn.when(key, stamp).is_err() {
+        if let Some((key, revision)) = self.configuration {
+            if !broken!(self.faults, no_configuration) && transaction.when(key, revision).is_err() {
                 return;
             }
         }
         self.aside.retain(|_, until| *until > now);
         let few = limits.writes < KINDS.len();
         let first = if few { self.turn } else { 0 };
-        let mut flying = Flying::default();
+        let mut in_flight = InFlight::default();
         for k in 0..KINDS.len() {
             match KINDS[(first + k) % KINDS.len()] {
-                Kind::Finals => self.add_finals(&mut txn, few, &mut flying),
+                Kind::Finals => self.add_finals(&mut transaction, few, &mut in_flight),
                 // One write stays for progress, without which nothing is cleared.
                 Kind::Pages => {
                     let keep = usize::from(!few);
-                    while txn.writes_left() > keep && self.add_page(now, &mut txn, &mut flying) {}
+                    while transaction.writes_left() > keep
+                        && self.add_page(now, &mut transaction, &mut in_flight)
+                    {
+                    }
                 }
-                Kind::Shelves => self.add_shelves(now, &mut txn, &mut flying),
-                Kind::Removals => self.clean_up(now, ledger, &mut txn, &mut flying),
+                Kind::Shelves => self.add_shelves(now, &mut transaction, &mut in_flight),
+                Kind::Removals => self.clean_up(now, store, &mut transaction, &mut in_flight),
             }
         }
-        if txn.writes() == 0 {
+        if transaction.writes() == 0 {
             return;
         }
         self.turn = (self.turn + 1) % KINDS.len();
         tracing::debug!(
-            finals = flying.finals.len(),
-            pages = flying.pages.len(),
-            rows = flying.pages.iter().map(|(_, rows)| rows.len()).sum::<usize>(),
-            shelves = flying.shelved.written_shelves().count(),
-            removals = flying.dead.len(),
+            finals = in_flight.finals.len(),
+            pages = in_flight.pages.len(),
+            rows = in_flight.pages.iter().map(|(_, rows)| rows.len()).sum::<usize>(),
+            shelves = in_flight.shelved.written_shelves().count(),
+            removals = in_flight.dead.len(),
             left = self.plans.len(),
             dead = self.pages.dead_count(),
             "commit"
         );
-        self.flying = Some(flying);
+        self.in_flight = Some(in_flight);
         self.retry_at = now.plus(0.02);
-        ledger.commit(now, Priority::Place, Tag::Place(PlaceCall::Commit), txn);
+        store.commit(now, Priority::Placement, Tag::Placement(PlacementCall::Commit), transaction);
     }
 
     pub(super) fn resting(&self, part: Part) -> bool {
@@ -293,8 +305,8 @@
 
     /// `done` is written only when every task is, and on condition that nobody
     /// cancelled the job meanwhile.
-    fn add_finals(&mut self, txn: &mut Txn, few: bool, flying: &mut Flying) {
-        let most = if few { txn.writes_left() } else { txn.writes_left() / 2 };
+    fn add_finals(&mut self, transaction: &mut Transaction, few: bool, in_flight: &mut InFlight) {
+        let most = if few { transaction.writes_left() } else { transaction.writes_left() / 2 };
         let mut due: Vec<JobId> =
             self.complete.iter().filter(|id| !self.resting(Part::Job(**id))).copied().collect();
         // Where more end than can be written, those are told first whose users wait
@@ -307,44 +319,50 @@
             });
         }
         for id in due {
-            if flying.finals.len() >= most {
+            if in_flight.finals.len() >= most {
                 return;
             }
             if let Some(job) = self.jobs.get(&id).filter(|j| j.state == JobState::Open) {
-                let record = jobs::done_record(&job.spec);
-                if txn.write(jobs::key(id), job.stamp, record, None).is_err() {
+                let record = job_store::done_record(&job.spec);
+                if transaction.write(job_store::key(id), job.revision, record, None).is_err() {
                     return;
                 }
-                flying.finals.push(id);
+                in_flight.finals.push(id);
             }
             self.complete.remove(&id);
         }
     }
 
     /// One more page with the next plans; false when none went in.
-    fn add_page(&mut self, now: Time, txn: &mut Txn, flying: &mut Flying) -> bool {
+    fn add_page(
+        &mut self,
+        now: Time,
+        transaction: &mut Transaction,
+        in_flight: &mut InFlight,
+    ) -> bool {
         let key = self.pages.fresh_key();
-        let most_bytes = txn.value_left(key.len()).min(self.value_limit);
+        let most_bytes = transaction.value_left(key.len()).min(self.value_limit);
         // A condition stays for each write that may follow: a page that took
         // them all left a transaction that was refused as too large, for ever.
-        let keep = txn.writes_left();
+        let keep = transaction.writes_left();
         let mut rows: Vec<Row> = Vec::new();
-        while rows.len() < blocks::rows_per_page(most_bytes) && txn.conditions_left() > keep {
+        while rows.len() < blocks::rows_per_page(most_bytes) && transaction.conditions_left() > keep
+        {
             let Some((machine, task)) = self.plans.pop_front() else { break };
             let Some(job) = self.jobs.get(&task.job) else { continue };
-            let stamp = job.stamp;
+            let revision = job.revision;
             let Some(e) = self.entry(machine, task) else { continue };
-            if e.state != State::Planned || e.flying {
+            if e.state != State::Planned || e.in_flight {
                 continue;
             }
             // Guard 2: a placement rests on its job being neither cancelled
             // nor done.
-            if txn.when(jobs::key(task.job), stamp).is_err() {
+            if transaction.when(job_store::key(task.job), revision).is_err() {
                 self.plans.push_front((machine, task));
                 break;
             }
             if let Some(e) = self.entry(machine, task) {
-                e.flying = true;
+                e.in_flight = true;
                 rows.push(Row { machine, task, attempt: e.attempt });
             }
         }
@@ -358,8 +376,8 @@
             self.not_placed(rest);
             value = blocks::encode_page(&rows);
         }
-        match txn.write(key.clone(), Stamp(0), value, None) {
-            Ok(()) => flying.pages.push((key, rows)),
+        match transaction.write(key.clone(), Revision(0), value, None) {
+            Ok(()) => in_flight.pages.push((key, rows)),
             Err(Full::Never { bytes, limit }) => {
                 tracing::error!("a page of one row takes {bytes} bytes of {limit}");
                 let jobs: BTreeSet<JobId> = rows.iter().map(|r| r.task.job).collect();
@@ -380,7 +398,7 @@
         for row in rows.into_iter().rev() {
             let Some(e) = self.entry(row.machine, row.task) else { continue };
             if e.attempt == row.attempt && e.state == State::Planned {
-                e.flying = false;
+                e.in_flight = false;
                 self.plans.push_front((row.machine, row.task));
             }
         }
@@ -395,7 +413,7 @@
         }
     }
 
-    fn add_shelves(&mut self, now: Time, txn: &mut Txn, flying: &mut Flying) {
+    fn add_shelves(&mut self, now: Time, transaction: &mut Transaction, in_flight: &mut InFlight) {
         if now.since(self.shelved_at) < SHELVE_S {
             return;
         }
@@ -406,15 +424,17 @@
             due.into_iter().partition(|s| *s <= self.last_shelf);
         for shelf in after.into_iter().chain(before) {
             let key = progress::shelf_key(shelf);
-            if txn.writes_left() == 0 || txn.value_left(key.len()) < self.value_limit {
+            if transaction.writes_left() == 0
+                || transaction.value_left(key.len()) < self.value_limit
+            {
                 return;
             }
-            let stamp = self.shelves.stamp(shelf);
+            let revision = self.shelves.revision(shelf);
             let mut one = Shelved::default();
             let Some(value) = self.shelves.send(shelf, &mut one, &mut self.jobs) else { continue };
-            match txn.write(key, stamp, value, None) {
+            match transaction.write(key, revision, value, None) {
                 Ok(()) => {
-                    flying.shelved.append(one);
+                    in_flight.shelved.append(one);
                     (self.shelved_at, self.last_shelf) = (now, shelf);
                 }
                 Err(full) => {
@@ -434,64 +454,65 @@
     fn clean_up(
         &mut self,
         now: Time,
-        ledger: &mut Ledger<Tag>,
-        txn: &mut Txn,
-        flying: &mut Flying,
+        store: &mut StoreClient<Tag>,
+        transaction: &mut Transaction,
+        in_flight: &mut InFlight,
     ) {
-        let (level, rate) = ledger.writes_left(now);
-        let spare = (level - txn.writes() as f64 - rate * 0.4).max(0.0) as usize;
+        let (level, rate) = store.writes_left(now);
+        let spare = (level - transaction.writes() as f64 - rate * 0.4).max(0.0) as usize;
         let due = (now.since(self.cleaned_at) * rate * CROWD_PART).min(rate) as usize;
         let crowded = self.pages.dead_count().saturating_sub(DEAD_PAGES).min(due);
-        let mut room = txn.writes_left().min(spare.max(crowded));
+        let mut room = transaction.writes_left().min(spare.max(crowded));
         let dead = self.pages.dead().filter(|(no, _, _)| !self.resting(Part::Page(*no)));
-        for (no, key, stamp) in dead.take(room) {
-            if txn.delete(key, stamp).is_err() {
+        for (no, key, revision) in dead.take(room) {
+            if transaction.delete(key, revision).is_err() {
                 break;
             }
-            flying.dead.push(no);
+            in_flight.dead.push(no);
         }
-        room = room.saturating_sub(flying.dead.len());
+        room = room.saturating_sub(in_flight.dead.len());
         let empty: Vec<usize> = self.shelves.empty().take(room).collect();
         for shelf in empty {
-            if txn.delete(progress::shelf_key(shelf), self.shelves.stamp(shelf)).is_ok() {
-                flying.shelved.remove(shelf);
+            if transaction.delete(progress::shelf_key(shelf), self.shelves.revision(shelf)).is_ok()
+            {
+                in_flight.shelved.remove(shelf);
                 room -= 1;
             }
         }
         if room > 0 {
             let open = |id: JobId| self.jobs.contains_key(&id);
-            let keys: Vec<(String, Stamp)> =
+            let keys: Vec<(String, Revision)> =
                 self.shelves.outdated(&open).take(room).map(|(k, s)| (k.clone(), s)).collect();
-            for (key, stamp) in keys {
-                if txn.delete(key.clone(), stamp).is_ok() {
-                    flying.shelved.clean(key);
+            for (key, revision) in keys {
+                if transaction.delete(key.clone(), revision).is_ok() {
+                    in_flight.shelved.clean(key);
                 }
             }
         }
-        if !flying.dead.is_empty() {
+        if !in_flight.dead.is_empty() {
             self.cleaned_at = now;
         }
     }
 
     /// What the state service keeps refusing, at the smallest size, rests and
     /// is named, so that the rest goes on.
-    fn set_aside(&mut self, now: Time, flying: &Flying) {
+    fn set_aside(&mut self, now: Time, in_flight: &InFlight) {
         let until = now.plus(ASIDE_S);
-        for id in &flying.finals {
+        for id in &in_flight.finals {
             tracing::error!("the end of {id} is refused as malformed and waits");
             self.aside.insert(Part::Job(*id), until);
         }
         let placed: BTreeSet<JobId> =
-            flying.pages.iter().flat_map(|(_, rows)| rows).map(|r| r.task.job).collect();
+            in_flight.pages.iter().flat_map(|(_, rows)| rows).map(|r| r.task.job).collect();
         for id in placed {
             tracing::error!("placing {id} is refused as malformed; it waits");
             self.rest_job(now, id);
         }
-        for shelf in flying.shelved.written_shelves() {
+        for shelf in in_flight.shelved.written_shelves() {
             tracing::error!("shelf {shelf} is refused as malformed and waits");
             self.aside.insert(Part::Shelf(shelf), until);
         }
-        for no in &flying.dead {
+        for no in &in_flight.dead {
             self.aside.insert(Part::Page(*no), until);
         }
     }
@@ -499,41 +520,42 @@
     pub fn on_reply(
         &mut self,
         now: Time,
-        call: PlaceCall,
+        call: PlacementCall,
         reply: Reply<Tag>,
-        book: &mut JobBook,
+        job_store: &mut JobStore,
     ) -> Verdict {
-        if call != PlaceCall::Commit {
-            self.on_load(now, call, reply, book);
+        if call != PlacementCall::Commit {
+            self.on_load(now, call, reply, job_store);
             return Verdict::Fine;
         }
-        let Some(flying) = self.flying.take() else { return Verdict::Fine };
+        let Some(in_flight) = self.in_flight.take() else { return Verdict::Fine };
         let sent = reply.sent;
         match reply.outcome {
             Outcome::Ok(body) => {
                 let Ok(done) = wire::decode::<Committed>(&body) else {
-                    self.not_committed(now, flying);
+                    self.not_committed(now, in_flight);
                     self.reload();
                     return Verdict::Fine;
                 };
-                self.course.succeeded();
+                self.backoff.succeeded();
                 self.moved = now;
-                self.committed(now, flying, Stamp(done.rev), book);
+                self.committed(now, in_flight, Revision(done.rev), job_store);
                 Verdict::Confirmed(sent)
             }
             Outcome::Conflict(failed) => {
-                self.not_committed(now, flying);
+                self.not_committed(now, in_flight);
                 if failed.iter().any(|k| k == BLOCK_KEY) {
                     return Verdict::Deposed;
                 }
                 let configuration = |k: &String| k.starts_with(configuration::PREFIX);
-                let of_books = |k: &String| !k.starts_with(jobs::PREFIX) && !configuration(k);
+                let of_books = |k: &String| !k.starts_with(job_store::PREFIX) && !configuration(k);
                 if failed.iter().any(of_books) {
                     self.reload();
                 }
                 // Plans for a job that changed are dropped; what it is now,
                 // the book will tell.
-                for id in failed.iter().filter_map(|k| JobId::parse(k.strip_prefix(jobs::PREFIX)?))
+                for id in
+                    failed.iter().filter_map(|k| JobId::parse(k.strip_prefix(job_store::PREFIX)?))
                 {
                     self.unplan_job(now, id);
                     if let Some(j) = self.jobs.get_mut(&id) {
@@ -546,30 +568,30 @@
                 Verdict::RefreshJobs
             }
             Outcome::Refused => {
-                self.not_committed(now, flying);
-                self.course.busy(now);
+                self.not_committed(now, in_flight);
+                self.backoff.busy(now);
                 Verdict::Fine
             }
             // The same again would be refused again: less of it is tried, and
             // in the end what it holds is set aside.
             Outcome::Malformed => {
                 if broken!(self.faults, unbounded) {
-                    self.not_committed(now, flying);
+                    self.not_committed(now, in_flight);
                     return Verdict::Fine;
                 }
-                let aside = self.course.malformed(now) == Next::Aside;
+                let aside = self.backoff.malformed(now) == Next::Aside;
                 if aside {
-                    self.set_aside(now, &flying);
+                    self.set_aside(now, &in_flight);
                 }
-                self.not_committed(now, flying);
+                self.not_committed(now, in_flight);
                 if aside {
-                    self.course.succeeded();
+                    self.backoff.succeeded();
                 }
                 Verdict::Fine
             }
             // Whether it was or will be applied is unknown: read again.
             _ => {
-                self.not_committed(now, flying);
+                self.not_committed(now, in_flight);
                 self.reload();
                 Verdict::RefreshJobs
             }
@@ -586,17 +608,23 @@
         }
     }
 
-    fn committed(&mut self, now: Time, flying: Flying, stamp: Stamp, book: &mut JobBook) {
+    fn committed(
+        &mut self,
+        now: Time,
+        in_flight: InFlight,
+        revision: Revision,
+        job_store: &mut JobStore,
+    ) {
         let mut ended = Vec::new();
-        for (key, rows) in flying.pages {
-            let no = self.pages.add(key, stamp);
+        for (key, rows) in in_flight.pages {
+            let no = self.pages.add(key, revision);
             for row in rows {
                 // What was given up meanwhile never gets its `run`.
                 let Some(e) = self.entry(row.machine, row.task) else { continue };
                 if e.attempt != row.attempt {
                     continue;
                 }
-                e.flying = false;
+                e.in_flight = false;
                 e.state = State::Committed;
                 e.page = Some(no);
                 if e.kill.is_some() {
@@ -608,28 +636,28 @@
         for (machine, task) in ended {
             self.end(now, machine, task, false, 0.0);
         }
-        self.shelves.written(flying.shelved, stamp, &mut self.jobs);
-        for id in flying.finals {
-            book.wrote(id, stamp, JobState::Done, None);
+        self.shelves.written(in_flight.shelved, revision, &mut self.jobs);
+        for id in in_flight.finals {
+            job_store.wrote(id, revision, JobState::Done, None);
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.state = JobState::Done;
-                job.stamp = stamp;
+                job.revision = revision;
                 self.closing.insert(id);
             }
             tracing::debug!("{id} is done");
             self.event_log.note(|| What::Done { job: id.to_string() });
         }
-        for no in flying.dead {
+        for no in in_flight.dead {
             self.pages.removed(no);
         }
     }
 
-    fn not_committed(&mut self, now: Time, flying: Flying) {
-        for (_, rows) in flying.pages.into_iter().rev() {
+    fn not_committed(&mut self, now: Time, in_flight: InFlight) {
+        for (_, rows) in in_flight.pages.into_iter().rev() {
             self.not_placed(rows);
         }
-        self.shelves.unwritten(&flying.shelved, &mut self.jobs);
-        for id in flying.finals {
+        self.shelves.unwritten(&in_flight.shelved, &mut self.jobs);
+        for id in in_flight.finals {
             if self.jobs.get(&id).is_some_and(|j| j.state == JobState::Open) {
                 self.complete.insert(id);
             }
--- a/crates/controller/src/placement/books/tests.rs
+++ b/crates/controller/src/placement/books/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::ledger::Ledger;
-use beamhinge_core::messages::Out;
+use crate::store::StoreClient;
+use beamhinge_core::messages::Effect;
 use beamhinge_rate_limit::Limits;
 use proptest::prelude::*;
 use serde_json::json;
@@ -49,7 +49,7 @@
     };
     for tasks in &b.placed {
         let job = id();
-        place.jobs.insert(job, new_job(spec(*tasks), Stamp(7), chunk, now));
+        place.jobs.insert(job, new_job(spec(*tasks), Revision(7), chunk, now));
         for index in 0..*tasks {
             let name = format!("n-{:0w$}", index * 7 % 50);
             let machine = MachineId::parse(&name).expect("a machine");
@@ -65,26 +65,26 @@
     }
     for tasks in &b.ended {
         let job = id();
-        place.jobs.insert(job, new_job(spec(*tasks), Stamp(7), chunk, now));
+        place.jobs.insert(job, new_job(spec(*tasks), Revision(7), chunk, now));
         for index in 0..*tasks {
             place.mark_done(TaskId { job, index });
         }
     }
     for n in 0..b.dead {
-        place.pages.add(format!("p/1-{n}"), Stamp(3));
+        place.pages.add(format!("p/1-{n}"), Revision(3));
     }
 }
 
 /// Counts a body anew, without the code that built it.
 fn within(body: &[u8], limits: Limits) -> Result<(), String> {
-    let txn: serde_json::Value = wire::decode::<ciborium::Value>(body)
+    let transaction: serde_json::Value = wire::decode::<ciborium::Value>(body)
         .ok()
         .and_then(|v| v.deserialized().ok())
         .ok_or("not CBOR")?;
-    let list = |name: &str| txn[name].as_array().cloned().unwrap_or_default();
+    let list = |name: &str| transaction[name].as_array().cloned().unwrap_or_default();
     let (when, then) = (list("when"), list("then"));
     let longest = then.iter().map(|t| t["value"].to_string().len()).max().unwrap_or(0);
-    let sizes = (then.len(), when.len(), txn.to_string().len(), longest);
+    let sizes = (then.len(), when.len(), transaction.to_string().len(), longest);
     let most = (limits.writes, limits.conditions, limits.bytes, limits.value);
     if sizes.0 > most.0 || sizes.1 > most.1 || sizes.2 > most.2 || sizes.3 > most.3 {
         return Err(format!("{sizes:?} where {most:?} are allowed"));
@@ -95,11 +95,11 @@
 /// Guard 1, and the one condition that every write has: on the block as we took it,
 /// and on each key that it changes.
 fn rests(body: &[u8]) -> Result<(), String> {
-    let txn: serde_json::Value = wire::decode::<ciborium::Value>(body)
+    let transaction: serde_json::Value = wire::decode::<ciborium::Value>(body)
         .ok()
         .and_then(|v| v.deserialized().ok())
         .ok_or("not CBOR")?;
-    let list = |name: &str| txn[name].as_array().cloned().unwrap_or_default();
+    let list = |name: &str| transaction[name].as_array().cloned().unwrap_or_default();
     let when = list("when");
     let on = |key: &serde_json::Value| when.iter().find(|w| w["path"] == *key);
     if on(&json!(BLOCK_KEY)).is_none_or(|w| w["stamp"] != 9) {
@@ -142,11 +142,11 @@
     settings.params.state.value_kb = value_kb;
     let limits = Limits::of(&settings.params.state);
     let mut now = Time::from_micros(1_000_000);
-    let mut ledger: Ledger<Tag> = Ledger::new(&settings);
+    let mut store: StoreClient<Tag> = StoreClient::new(&settings);
     let standing = Rc::default();
     let mut place = Placement::new(
         &settings,
-        Token(9),
+        FencingToken(9),
         standing,
         EventLog::new(false),
         Policy::new(Default::default()),
@@ -155,15 +155,15 @@
     place.loaded = true;
     place.faults = faults;
     fill(&mut place, b, now);
-    let (mut book, mut calls, mut rev) = (JobBook::default(), 0, 100);
+    let (mut job_store, mut calls, mut rev) = (JobStore::default(), 0, 100);
     let mut refuse = b.malformed;
     for round in 0..20_000 {
         now = now.plus(0.3);
-        place.commit(now, &mut ledger);
+        place.commit(now, &mut store);
         let mut out = Vec::new();
-        ledger.pump(now, &mut calls, &mut out);
+        store.flush(now, &mut calls, &mut out);
         for o in out {
-            let Out::Call { id, body, .. } = o else { continue };
+            let Effect::Call { id, body, .. } = o else { continue };
             within(&body, limits)?;
             rests(&body)?;
             rev += 1;
@@ -173,14 +173,14 @@
             } else {
                 (200, wire::encode(&json!({ "ledgerRev": rev })))
             };
-            let reply = ledger.on_reply(id, Some(reply)).ok_or("no such call")?;
-            place.on_reply(now, PlaceCall::Commit, reply, &mut book);
+            let reply = store.on_reply(id, Some(reply)).ok_or("no such call")?;
+            place.on_reply(now, PlacementCall::Commit, reply, &mut job_store);
         }
         let left = place.plans.len()
             + place.complete.len()
             + place.shelves.due().count()
             + place.pages.dead_count().saturating_sub(DEAD_PAGES);
-        if left == 0 && place.flying.is_none() {
+        if left == 0 && place.in_flight.is_none() {
             return Ok(round);
         }
     }
--- a/crates/controller/src/placement/mod.rs
+++ b/crates/controller/src/placement/mod.rs
@@ -6,26 +6,30 @@
 //! guards are those of `docs/safety.md`.
 
 use crate::blocks::{self, PageNo, Pages, Row};
-use crate::calls::{PlaceCall, Tag};
+use crate::calls::{PlacementCall, Tag};
 use crate::configuration;
 use crate::directives::Standing;
 use crate::event_log::EventLog;
 use crate::faults::{broken, Faults};
-use crate::jobs::{self, JobBook, JobKind, JobSpec, JobState, Urgency};
+use crate::job_store::{self, JobKind, JobSpec, JobState, JobStore, Urgency};
 use crate::leader_election::BLOCK_KEY;
-use crate::ledger::{Committed, Full, Item, Ledger, Outcome, Priority, Reply, Scan, Txn};
 use crate::progress::{self, Open, Progress, Shelved, Shelves};
 use crate::split::{Demand, Need, Shape, EPSILON};
+use crate::store::{
+    Committed, Full, Item, Outcome, Priority, Reply, Scan, StoreClient, Transaction,
+};
 use beamhinge_admin_api::directives::Directive;
 use beamhinge_admin_api::messages::What;
-use beamhinge_core::messages::Counts;
+use beamhinge_core::messages::TaskCounts;
 use beamhinge_core::settings::Settings;
-use beamhinge_core::types::{Attempt, JobId, MachineId, Stamp, TaskId, Time, Token, WallMs};
+use beamhinge_core::types::{
+    Attempt, FencingToken, JobId, MachineId, Revision, TaskId, Time, WallMs,
+};
 use beamhinge_core::wire;
 use beamhinge_failure_detection::{Blame, Heed, ReportInterval};
 use beamhinge_preemption::{Figures, Places, Stops};
 use beamhinge_priority_aging::{Policy, Reservations};
-use beamhinge_rate_limit::{Course, Next};
+use beamhinge_rate_limit::{AdaptiveBackoff, Next};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -68,7 +72,7 @@
 const MAX_STOPPED_TASKS: usize = 16_384;
 
 pub struct Placement {
-    token: Token,
+    token: FencingToken,
     took: Time,
     /// Until when an earlier holder's answers may still keep tasks alive.
     inherited_until: Time,
@@ -113,12 +117,12 @@
     load: Option<Load>,
     loaded: bool,
     stopped: bool,
-    flying: Option<Flying>,
+    in_flight: Option<InFlight>,
     retry_at: Time,
     /// How a refused transaction is tried again.
-    course: Course,
+    backoff: AdaptiveBackoff,
     /// How the books are read again.
-    loads: Course,
+    loads: AdaptiveBackoff,
     /// Set aside, and until when.
     aside: BTreeMap<Part, Time>,
     /// Whose turn it is where few writes fit.
@@ -139,7 +143,7 @@
     next_attempt: u64,
     teams: Vec<(f64, f64, f64, f64)>,
     /// The key and stamp of the configuration that the teams are from.
-    configuration: Option<(&'static str, Stamp)>,
+    configuration: Option<(&'static str, Revision)>,
     /// No `run` is sent from then on, until the configuration is read again.
     runs_until: Option<Time>,
     /// Some team uses more than a limit that was lowered.
@@ -154,7 +158,7 @@
 impl Placement {
     pub fn new(
         settings: &Settings,
-        token: Token,
+        token: FencingToken,
         standing: Rc<Standing>,
         event_log: EventLog,
         ageing: Policy,
@@ -196,10 +200,10 @@
             load: None,
             loaded: false,
             stopped: false,
-            flying: None,
+            in_flight: None,
             retry_at: Time::default(),
-            course: Course::new(0.15, 4.0),
-            loads: Course::new(0.2, 2.0),
+            backoff: AdaptiveBackoff::new(0.15, 4.0),
+            loads: AdaptiveBackoff::new(0.2, 2.0),
             aside: BTreeMap::new(),
             turn: 0,
             last_shelf: 0,
@@ -232,7 +236,7 @@
         self.team_names.iter().position(|n| **n == *spec.team)
     }
 
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
     pub fn took(&self) -> Time {
@@ -282,7 +286,7 @@
     pub fn has_work(&self) -> bool {
         !self.loaded
             || self.load.is_some()
-            || self.flying.is_some()
+            || self.in_flight.is_some()
             || !self.plans.is_empty()
             || self.complete.iter().any(|id| !self.resting(Part::Job(*id)))
             || self.stopped
@@ -290,7 +294,7 @@
 
     /// Another holder got nowhere: begin with the smallest transactions.
     pub fn begin_small(&mut self) {
-        self.course.begin_small();
+        self.backoff.begin_small();
     }
 
     /// Silence from which a machine is overdue, seconds.
@@ -314,12 +318,12 @@
         }
     }
 
-    pub fn counts(&self, id: JobId) -> Option<Counts> {
+    pub fn counts(&self, id: JobId) -> Option<TaskCounts> {
         let job = self.jobs.get(&id)?;
-        Some(Counts { done: job.progress.count(), running: job.busy() })
+        Some(TaskCounts { done: job.progress.count(), running: job.busy() })
     }
 
-    pub fn all_counts(&self) -> impl Iterator<Item = (JobId, Counts)> + '_ {
+    pub fn all_counts(&self) -> impl Iterator<Item = (JobId, TaskCounts)> + '_ {
         self.jobs.keys().filter_map(|id| Some((*id, self.counts(*id)?)))
     }
 
@@ -427,12 +431,12 @@
 
     // ---- jobs ----
 
-    pub fn sync_job(&mut self, now: Time, id: JobId, book: &JobBook) {
-        let Some(entry) = book.get(id) else { return };
+    pub fn sync_job(&mut self, now: Time, id: JobId, job_store: &JobStore) {
+        let Some(entry) = job_store.get(id) else { return };
         let _span = tracing::debug_span!("job", %id).entered();
         self.replan = true;
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.stamp = entry.stamp;
+            job.revision = entry.revision;
             if job.state == JobState::Open && entry.state != JobState::Open {
                 job.state = entry.state;
                 self.closing.insert(id);
@@ -450,7 +454,7 @@
                 let known = self.largest.entry(spec.class.to_string()).or_default();
                 *known = known.max(size_of(spec));
             }
-            self.jobs.insert(id, new_job(spec.clone(), entry.stamp, chunk, now));
+            self.jobs.insert(id, new_job(spec.clone(), entry.revision, chunk, now));
         }
     }
 
@@ -527,23 +531,23 @@
         may_place: bool,
         settings: &Settings,
         shapes: &[Shape],
-        book: &JobBook,
-        ledger: &mut Ledger<Tag>,
+        job_store: &JobStore,
+        store: &mut StoreClient<Tag>,
     ) {
         if self.stopped {
             return;
         }
         if !self.loaded {
             // Jobs first: pages mean nothing without them.
-            if book.loaded() && book.fresh().is_some_and(|f| f >= self.took) {
+            if job_store.loaded() && job_store.fresh().is_some_and(|f| f >= self.took) {
                 self.reload();
             }
-            self.drive_load(now, ledger);
+            self.drive_load(now, store);
             return;
         }
-        self.drive_load(now, ledger);
+        self.drive_load(now, store);
         self.event_log.at(wall);
-        self.in_touch = ledger.last_ok().is_some_and(|at| now.since(at) < IN_TOUCH_S);
+        self.in_touch = store.last_success().is_some_and(|at| now.since(at) < IN_TOUCH_S);
         // Silence is a matter of seconds: looking after every report would cost
         // the whole fleet each time.
         if now.since(self.silence_at) >= SILENCE_S {
@@ -560,7 +564,7 @@
             self.plan(now, wall, settings, shapes);
         }
         self.sweep();
-        self.commit(now, ledger);
+        self.commit(now, store);
     }
 
     /// Jobs that are over and have left nothing behind.
@@ -577,10 +581,10 @@
     }
 }
 
-fn new_job(spec: Rc<JobSpec>, stamp: Stamp, chunk: u32, now: Time) -> Job {
+fn new_job(spec: Rc<JobSpec>, revision: Revision, chunk: u32, now: Time) -> Job {
     Job {
         spec,
-        stamp,
+        revision,
         state: JobState::Open,
         progress: Progress::new(chunk),
         next_fresh: 0,
--- a/crates/controller/src/placement/obey.rs
+++ b/crates/controller/src/placement/obey.rs
@@ -39,7 +39,7 @@
     }
 
     /// What placements and starts rest on from here on.
-    pub fn rest_on(&mut self, key: Option<(&'static str, Stamp)>, runs_until: Option<Time>) {
+    pub fn rest_on(&mut self, key: Option<(&'static str, Revision)>, runs_until: Option<Time>) {
         self.configuration = key;
         self.runs_until = runs_until;
     }
@@ -92,7 +92,7 @@
                     break;
                 }
                 // A commit under way is waited for: its page names the task.
-                if self.entry(*machine, *task).is_some_and(|e| e.flying) {
+                if self.entry(*machine, *task).is_some_and(|e| e.in_flight) {
                     waits = true;
                     continue;
                 }
@@ -115,7 +115,7 @@
                 let frozen =
                     spec.is_some_and(|s| self.standing.freeze_of(&s.team, &s.class).is_some());
                 // A commit under way is waited for: its page names the task.
-                if (frozen || m.drain.is_some()) && !e.flying {
+                if (frozen || m.drain.is_some()) && !e.in_flight {
                     over.push((*id, *task));
                 }
             }
--- a/crates/controller/src/placement/reports.rs
+++ b/crates/controller/src/placement/reports.rs
@@ -46,7 +46,7 @@
         now: Time,
         report: &Report,
         shapes: &[Shape],
-        book: &JobBook,
+        job_store: &JobStore,
     ) -> Vec<Order> {
         let Some(id) = MachineId::parse(&report.host) else { return Vec::new() };
         let moment = Moment { tenure: report.tenure, tick: report.tick };
@@ -68,7 +68,7 @@
         // the report itself, if the copy overtook it, renews the lease from when that
         // was sent, which was before the copy came.)
         if m.last.is_some_and(|l| l >= moment) && !broken!(self.faults, old_reports) {
-            return self.stops_at_once(report, book);
+            return self.stops_at_once(report, job_store);
         }
         m.astray = !ours && m.answered.is_some_and(|at| now.since(at) > PATIENCE_S);
         m.answered = Some(now);
@@ -105,22 +105,22 @@
         }
         m.ever_synced |= ours;
         if !self.loaded {
-            return self.stops_at_once(report, book);
+            return self.stops_at_once(report, job_store);
         }
         // A direct command's answer overtook it: its list is the older one, though it is
         // answered, and a sign of life.
         if self.machines.get(&id).is_some_and(|m| m.told.is_some_and(|t| t >= moment)) {
-            return self.stops_at_once(report, book);
+            return self.stops_at_once(report, job_store);
         }
         let timed_out = !away && gap_s > PATIENCE_S.max(self.report_s * 1.4);
         let newer = Newer { moment, tenure: newer_tenure, ours, timed_out, direct: false };
-        self.take_in(now, id, newer, report, book);
+        self.take_in(now, id, newer, report, job_store);
         if !ours {
             // The answer raises the worker's token; other commands wait until a
             // report shows that it has seen it.
-            return self.stops_at_once(report, book);
+            return self.stops_at_once(report, job_store);
         }
-        self.orders(now, id, moment, report, shapes, book)
+        self.orders(now, id, moment, report, shapes, job_store)
     }
 
     /// The body of a direct command's answer, of a machine that is silent: a newer
@@ -128,7 +128,7 @@
     /// way from the worker to us, so that silence goes on; but a machine that reaches
     /// nobody tells so what has ended. (Of one that reports, the next report says the same
     /// in half a second, and is answered.)
-    pub fn direct_answer(&mut self, now: Time, report: &Report, book: &JobBook) {
+    pub fn direct_answer(&mut self, now: Time, report: &Report, job_store: &JobStore) {
         let Some(id) = MachineId::parse(&report.host) else { return };
         let moment = Moment { tenure: report.tenure, tick: report.tick };
         let ours = report.baton == self.token.0;
@@ -153,7 +153,7 @@
         // from which its worker's lease, and so its silence, counts.
         m.told = Some(moment);
         let newer = Newer { moment, tenure: newer_tenure, ours, timed_out: false, direct: true };
-        self.take_in(now, id, newer, report, book);
+        self.take_in(now, id, newer, report, job_store);
     }
 
     /// Guard 4: an answer that renews a lease stops each listed task whose job our
@@ -161,23 +161,31 @@
     /// shown our token: it names one attempt, and frees nothing. Answers without it
     /// renewed the leases of cancelled tasks anew for H and a lease, counted from a
     /// takeover that came after the cancellation.
-    fn stops_at_once(&self, report: &Report, book: &JobBook) -> Vec<Order> {
-        let over = self.over_here(report, book);
+    fn stops_at_once(&self, report: &Report, job_store: &JobStore) -> Vec<Order> {
+        let over = self.over_here(report, job_store);
         over.into_iter().map(|(task, a)| order("kill", task, a, Some(0.0))).collect()
     }
 
     /// What a worker lists as live though its job is over.
-    fn over_here(&self, report: &Report, book: &JobBook) -> Vec<(TaskId, Attempt)> {
+    fn over_here(&self, report: &Report, job_store: &JobStore) -> Vec<(TaskId, Attempt)> {
         if broken!(self.faults, late_stops) {
             return Vec::new();
         }
-        let over = |task: &TaskId| book.get(task.job).is_some_and(|b| b.state != JobState::Open);
+        let over =
+            |task: &TaskId| job_store.get(task.job).is_some_and(|b| b.state != JobState::Open);
         let live = report.pieces.iter().filter(|p| p.status != "exited");
         let tasks = live.filter_map(|p| Some((TaskId::parse(&p.piece)?, Attempt(p.attempt))));
         tasks.filter(|(task, _)| over(task)).take(MOST_ORDERS).collect()
     }
 
-    fn take_in(&mut self, now: Time, id: MachineId, newer: Newer, report: &Report, book: &JobBook) {
+    fn take_in(
+        &mut self,
+        now: Time,
+        id: MachineId,
+        newer: Newer,
+        report: &Report,
+        job_store: &JobStore,
+    ) {
         let Newer { moment, tenure: newer_tenure, ours, timed_out, direct } = newer;
         let pieces: Vec<(TaskId, &Piece)> =
             report.pieces.iter().filter_map(|p| Some((TaskId::parse(&p.piece)?, p))).collect();
@@ -285,7 +293,7 @@
         let orphans: Vec<Orphan> = live
             .into_iter()
             .filter(|(task, attempt)| !known(task, attempt))
-            .map(|(task, attempt)| self.orphan(task, attempt, book))
+            .map(|(task, attempt)| self.orphan(task, attempt, job_store))
             .collect();
         let old = match self.machines.get_mut(&id) {
             Some(m) => std::mem::replace(&mut m.orphans, orphans.clone()),
@@ -309,8 +317,8 @@
 
     /// Guard: its use counts for its team and its machine, also when its job is over:
     /// left out, the room of a cancelled task was given away while it was there.
-    fn orphan(&self, task: TaskId, attempt: Attempt, book: &JobBook) -> Orphan {
-        let spec = book.get(task.job).and_then(|e| e.spec.as_deref());
+    fn orphan(&self, task: TaskId, attempt: Attempt, job_store: &JobStore) -> Orphan {
+        let spec = job_store.get(task.job).and_then(|e| e.spec.as_deref());
         let need = spec.map_or(UNKNOWN_NEED, need_of);
         Orphan { task, attempt, need, team: spec.and_then(|s| self.team(s)) }
     }
@@ -460,10 +468,10 @@
         moment: Moment,
         report: &Report,
         shapes: &[Shape],
-        book: &JobBook,
+        job_store: &JobStore,
     ) -> Vec<Order> {
         // Before all else: guard 4 rests on it.
-        let over = self.over_here(report, book);
+        let over = self.over_here(report, job_store);
         let stop = |(task, attempt): &(TaskId, Attempt)| order("kill", *task, *attempt, Some(0.0));
         let mut orders: Vec<Order> = over.iter().map(stop).collect();
         let Some(m) = self.machines.get_mut(&id) else { return orders };
@@ -530,7 +538,7 @@
             }
             // Guard 2: `run` only after the commit, only while the job is
             // open, and only in this answer, which cannot act late.
-            let open = book.get(task.job).is_some_and(|b| b.state == JobState::Open);
+            let open = job_store.get(task.job).is_some_and(|b| b.state == JobState::Open);
             // What operators stopped does not start; `obey` takes it back.
             let stopped = drained
                 || self.jobs.get(&task.job).is_some_and(|j| {
@@ -676,7 +684,7 @@
             // `run` never went out for these: they can go elsewhere at once.
             if m.heard.is_none_or(|h| now.since(h) > self.report_s * 3.0 + 2.0) {
                 let waiting = m.entries.iter().filter(|(_, e)| {
-                    !e.flying && matches!(e.state, State::Planned | State::Committed)
+                    !e.in_flight && matches!(e.state, State::Planned | State::Committed)
                 });
                 unsent.extend(waiting.map(|(t, _)| (*id, *t)));
             }
--- a/crates/controller/src/placement/reports/tests.rs
+++ b/crates/controller/src/placement/reports/tests.rs
@@ -12,22 +12,23 @@
 }
 
 /// A job that was cancelled, and a placement that holds the block since a moment.
-fn cancelled(id: &str) -> (JobBook, Placement) {
+fn cancelled(id: &str) -> (JobStore, Placement) {
     let body = serde_json::json!({"c": "class", "o": "one", "k": "batch", "u": "standard",
         "n": 4, "cpu": 1.0, "gpu": 0.0, "mem": 1.0, "img": "i", "igb": 1.0, "oz": false,
         "ap": false, "sp": true, "ex": 5.0, "ce": 0.0, "cs": 0.0, "at": 0});
     let spec: Rc<JobSpec> = Rc::new(serde_json::from_value(body).expect("a description"));
-    let mut book = JobBook::default();
-    book.wrote(job(id), Stamp(5), JobState::Open, Some(spec.clone()));
+    let mut job_store = JobStore::default();
+    job_store.wrote(job(id), Revision(5), JobState::Open, Some(spec.clone()));
     let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
     let policy = Policy::new(Default::default());
     let event_log = EventLog::new(false);
     let standing = Rc::default();
-    let mut place = Placement::new(&settings, Token(9), standing, event_log, policy, at(NOW - 1.0));
-    place.sync_job(at(NOW - 1.0), job(id), &book);
-    book.wrote(job(id), Stamp(7), JobState::Cancelled, Some(spec));
-    (book, place)
+    let mut place =
+        Placement::new(&settings, FencingToken(9), standing, event_log, policy, at(NOW - 1.0));
+    place.sync_job(at(NOW - 1.0), job(id), &job_store);
+    job_store.wrote(job(id), Revision(7), JobState::Cancelled, Some(spec));
+    (job_store, place)
 }
 
 fn report(tick: u64, baton: u64, pieces: &[&str]) -> Report {
@@ -61,16 +62,16 @@
 #[test]
 fn an_answer_that_renews_a_lease_stops_what_is_cancelled() {
     for (loaded, baton) in [(false, 4), (false, 9), (true, 4)] {
-        let (book, mut place) = cancelled("job-1");
+        let (job_store, mut place) = cancelled("job-1");
         place.loaded = loaded;
         let said = report(1, baton, &["job-1/0", "job-1/2", "job-2/0"]);
-        let orders = place.report(at(NOW), &said, &[], &book);
+        let orders = place.report(at(NOW), &said, &[], &job_store);
         assert_eq!(killed(&orders), ["job-1/0", "job-1/2"], "{loaded} {baton}");
         // What is not known, or runs still, is left alone.
         assert_eq!(orders.len(), 2);
         place.faults.late_stops = true;
         let said = report(2, baton, &["job-1/0"]);
-        assert!(place.report(at(NOW + 1.0), &said, &[], &book).is_empty());
+        assert!(place.report(at(NOW + 1.0), &said, &[], &job_store).is_empty());
     }
 }
 
@@ -79,19 +80,19 @@
 #[test]
 fn a_stop_whose_run_was_lost_leaves_the_books() {
     for broken in [false, true] {
-        let (book, mut place) = cancelled("job-1");
+        let (job_store, mut place) = cancelled("job-1");
         (place.loaded, place.faults.stuck_stop) = (true, broken);
-        place.report(at(NOW), &report(1, 9, &[]), &[], &book);
+        place.report(at(NOW), &report(1, 9, &[]), &[], &job_store);
         let id = MachineId::parse("n-000001").expect("a machine");
         let task = TaskId { job: job("job-1"), index: 0 };
         let need = Need { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
         let mut entry = Entry::planned(Attempt(3), need, None, at(NOW), None);
         entry.state = State::Sent(Moment { tenure: 1, tick: 1 });
         place.machines.get_mut(&id).expect("known").entries.insert(task, entry);
-        place.sync_job(at(NOW), task.job, &book);
+        place.sync_job(at(NOW), task.job, &job_store);
         let kept = |place: &Placement| place.machine(id).is_some_and(|m| !m.is_empty());
         assert!(kept(&place), "it may have arrived");
-        place.report(at(NOW + 1.0), &report(2, 9, &[]), &[], &book);
+        place.report(at(NOW + 1.0), &report(2, 9, &[]), &[], &job_store);
         assert_eq!(kept(&place), broken);
     }
 }
@@ -107,17 +108,17 @@
     let cases = [((1, 8, 4), false), ((2, 1, 4), false), ((1, 7, 9), false), ((1, 8, 9), true)];
     for (broken, hasty, old) in [(false, false, false), (true, true, false), (true, false, true)] {
         for ((tenure, tick, baton), gone) in cases {
-            let (book, mut place) = cancelled("job-1");
+            let (job_store, mut place) = cancelled("job-1");
             place.loaded = true;
             (place.faults.hasty_proof, place.faults.old_reports) = (hasty, old);
-            place.report(at(NOW), &report(7, 9, &[]), &[], &book);
+            place.report(at(NOW), &report(7, 9, &[]), &[], &job_store);
             let need = Need { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
             let mut entry = Entry::planned(Attempt(3), need, None, at(NOW), None);
             entry.state = State::Inherited;
             place.machines.get_mut(&id).expect("known").entries.insert(task, entry);
             let mut said = report(tick, baton, &[]);
             said.tenure = tenure;
-            place.report(at(NOW + 1.0), &said, &[], &book);
+            place.report(at(NOW + 1.0), &said, &[], &job_store);
             let was = place.machine(id).is_some_and(Machine::is_empty);
             let excused = (hasty && baton == 4) || (old && tick == 7);
             assert_eq!(was, gone || (broken && excused), "{tenure} {tick} {baton} {hasty} {old}");
@@ -129,21 +130,21 @@
 /// and start nothing.
 #[test]
 fn counts_at_their_end_and_nonsense_are_taken_for_what_they_are() {
-    let (book, mut place) = cancelled("job-1");
+    let (job_store, mut place) = cancelled("job-1");
     place.loaded = true;
     let mut last = report(u64::MAX, 9, &["job-1/0", "job-1/4294967295", "nonsense", "job-1/-1"]);
     last.tenure = u64::MAX;
-    assert_eq!(killed(&place.report(at(NOW), &last, &[], &book)).len(), 2);
+    assert_eq!(killed(&place.report(at(NOW), &last, &[], &job_store)).len(), 2);
     for (tenure, tick) in [(u64::MAX, u64::MAX), (u64::MAX, 0), (0, u64::MAX), (0, 0)] {
         let mut old = report(tick, 9, &[]);
         old.tenure = tenure;
-        assert!(place.report(at(NOW + 1.0), &old, &[], &book).is_empty());
+        assert!(place.report(at(NOW + 1.0), &old, &[], &job_store).is_empty());
     }
     let id = MachineId::parse("n-000001").expect("a machine");
     assert_eq!(place.machine(id).expect("known").orphans.len(), 2, "nothing was freed");
     let mut odd = report(1, 9, &[]);
     odd.host = "nobody".into();
-    assert!(place.report(at(NOW), &odd, &[], &book).is_empty());
+    assert!(place.report(at(NOW), &odd, &[], &job_store).is_empty());
     assert_eq!(place.machines.len(), 1);
 }
 
@@ -176,19 +177,19 @@
 fn a_first_word_of_an_earlier_term_is_no_sign_of_life() {
     let heard = |place: &Placement| place.machine(machine()).is_some_and(|m| m.heard.is_some());
     for (loaded, broken) in [(false, false), (true, false), (true, true)] {
-        let (book, mut place) = cancelled("job-1");
+        let (job_store, mut place) = cancelled("job-1");
         (place.loaded, place.faults.first_word) = (loaded, broken);
-        place.report(at(NOW), &report(5, 4, &[]), &[], &book);
+        place.report(at(NOW), &report(5, 4, &[]), &[], &job_store);
         assert_eq!(heard(&place), broken);
         // Several that were kept come at once.
-        place.report(at(NOW + 0.01), &report(6, 4, &[]), &[], &book);
+        place.report(at(NOW + 0.01), &report(6, 4, &[]), &[], &job_store);
         assert_eq!(heard(&place), broken);
         let m = place.machine(machine()).expect("known");
         assert!(m.answered.is_some(), "an answer may have renewed its lease");
-        place.report(at(NOW + 0.5), &report(7, 4, &[]), &[], &book);
+        place.report(at(NOW + 0.5), &report(7, 4, &[]), &[], &job_store);
         assert!(heard(&place), "its own next report");
-        let (book, mut place) = cancelled("job-1");
-        place.report(at(NOW), &report(5, 9, &[]), &[], &book);
+        let (job_store, mut place) = cancelled("job-1");
+        place.report(at(NOW), &report(5, 9, &[]), &[], &job_store);
         assert!(heard(&place), "one that carries our token");
     }
 }
@@ -197,23 +198,23 @@
 /// same: an older report after them, with our token too, ends nothing.
 #[test]
 fn a_report_from_before_the_pages_were_read_makes_older_ones_old() {
-    let (book, mut place) = cancelled("job-1");
-    place.report(at(NOW), &report(8, 9, &[]), &[], &book);
+    let (job_store, mut place) = cancelled("job-1");
+    place.report(at(NOW), &report(8, 9, &[]), &[], &job_store);
     let load = Load {
         pages: Vec::new(),
         progress: Vec::new(),
-        stage: PlaceCall::Progress,
-        flying: false,
+        stage: PlacementCall::Progress,
+        in_flight: false,
         after: None,
     };
-    place.merge(at(NOW), load, &book);
+    place.merge(at(NOW), load, &job_store);
     assert!(place.loaded);
     let task = TaskId { job: job("job-1"), index: 0 };
     let m = place.machines.get_mut(&machine()).expect("known");
     m.entries.insert(task, entry(State::Inherited));
-    place.report(at(NOW + 0.1), &report(7, 9, &[]), &[], &book);
+    place.report(at(NOW + 0.1), &report(7, 9, &[]), &[], &job_store);
     assert!(!place.machine(machine()).expect("known").is_empty());
-    place.report(at(NOW + 1.0), &report(9, 9, &[]), &[], &book);
+    place.report(at(NOW + 1.0), &report(9, 9, &[]), &[], &job_store);
     assert!(place.machine(machine()).expect("known").is_empty());
 }
 
@@ -237,19 +238,19 @@
     ];
     for broken in [false, true] {
         for (state, (tenure, tick, baton), gone) in cases {
-            let (book, mut place) = cancelled("job-1");
+            let (job_store, mut place) = cancelled("job-1");
             (place.loaded, place.faults.direct_absence) = (true, broken);
-            place.report(at(NOW), &report(7, 9, &[]), &[], &book);
+            place.report(at(NOW), &report(7, 9, &[]), &[], &job_store);
             let task = TaskId { job: job("job-1"), index: 0 };
             let m = place.machines.get_mut(&machine()).expect("known");
             m.entries.insert(task, entry(state));
             let mut said = report(tick, baton, &[]);
             said.tenure = tenure;
             // One that reports says so itself, and is answered.
-            place.direct_answer(at(NOW + 0.5), &said, &book);
+            place.direct_answer(at(NOW + 0.5), &said, &job_store);
             assert!(!place.machine(machine()).expect("known").is_empty());
             let silent = at(NOW + place.silent_s() + 1.0);
-            place.direct_answer(silent, &said, &book);
+            place.direct_answer(silent, &said, &job_store);
             let m = place.machine(machine()).expect("known");
             let left = m.entries.get(&task).map(|e| e.state);
             // Left out, it is given up, or taken for one whose `run` was lost, and goes
@@ -262,7 +263,7 @@
             // A report that was sent before is answered still; its list is the older one.
             if gone && tenure == 1 {
                 let late = report(8, 9, &["job-1/0"]);
-                assert_eq!(killed(&place.report(silent, &late, &[], &book)), ["job-1/0"]);
+                assert_eq!(killed(&place.report(silent, &late, &[], &job_store)), ["job-1/0"]);
                 let m = place.machine(machine()).expect("known");
                 assert!(m.is_empty() && m.answered == Some(silent));
             }
@@ -273,9 +274,9 @@
 /// Silent machines with tasks are asked, and told again what is to stop there.
 #[test]
 fn silent_machines_with_tasks_are_asked() {
-    let (book, mut place) = cancelled("job-1");
+    let (job_store, mut place) = cancelled("job-1");
     place.loaded = true;
-    place.report(at(NOW), &report(7, 9, &[]), &[], &book);
+    place.report(at(NOW), &report(7, 9, &[]), &[], &job_store);
     let silent = at(NOW + place.silent_s() + 0.1);
     assert!(place.silent_with_tasks(silent).next().is_none(), "nothing is there");
     let task = TaskId { job: job("job-1"), index: 0 };
@@ -296,21 +297,21 @@
     let text = beamhinge_core::settings::SAMPLE;
     let mut settings = Settings::parse("t", text).expect("the sample is sound");
     settings.params.teams[0].name = "one".into();
-    let (mut book, mut place) = cancelled("job-1");
+    let (mut job_store, mut place) = cancelled("job-1");
     (place.loaded, place.team_names[0]) = (true, "one".into());
     let shapes = [c8()];
     let used = |place: &Placement, now| place.round(now, &settings, &shapes).team_used[0].0;
-    place.report(at(NOW), &report(7, 9, &["job-1/0", "job-1/2"]), &shapes, &book);
+    place.report(at(NOW), &report(7, 9, &["job-1/0", "job-1/2"]), &shapes, &job_store);
     assert_eq!(used(&place, at(NOW)), 2.0);
     let free = |place: &Placement| place.machine(machine()).expect("known").free(&shapes).cpus;
     assert_eq!(free(&place), 6.0);
-    place.report(at(NOW + 1.0), &report(8, 9, &["job-1/2"]), &shapes, &book);
+    place.report(at(NOW + 1.0), &report(8, 9, &["job-1/2"]), &shapes, &job_store);
     assert_eq!((used(&place, at(NOW)), free(&place)), (1.0, 7.0));
     // Of a job that is done only its end is kept: the machine counts as full.
-    book.wrote(job("job-3"), Stamp(8), JobState::Done, None);
-    place.report(at(NOW + 2.0), &report(9, 9, &["job-3/0"]), &shapes, &book);
+    job_store.wrote(job("job-3"), Revision(8), JobState::Done, None);
+    place.report(at(NOW + 2.0), &report(9, 9, &["job-3/0"]), &shapes, &job_store);
     assert!(free(&place) < 0.0);
-    place.report(at(NOW + 3.0), &report(10, 9, &[]), &shapes, &book);
+    place.report(at(NOW + 3.0), &report(10, 9, &[]), &shapes, &job_store);
     assert_eq!((used(&place, at(NOW)), free(&place)), (0.0, 8.0));
 }
 
@@ -319,7 +320,7 @@
 #[test]
 fn cancelled_tasks_that_fetch_or_save_are_ended_at_once() {
     for status in ["pulling", "running", "saving", "a state of a later version"] {
-        let (book, mut place) = cancelled("job-1");
+        let (job_store, mut place) = cancelled("job-1");
         place.loaded = true;
         let mut said = report(7, 9, &["job-1/0"]);
         said.pieces[0].status = status.into();
@@ -333,7 +334,7 @@
                 m.entries.insert(task, there);
             }
             said.tick = tick;
-            let orders = place.report(at(NOW + tick as f64), &said, &[], &book);
+            let orders = place.report(at(NOW + tick as f64), &said, &[], &job_store);
             assert_eq!(killed(&orders), ["job-1/0"], "{status}");
             assert_eq!(orders.len(), 1);
         }
@@ -347,7 +348,7 @@
     for (baton, listed, loaded) in
         [(9, false, true), (9, true, true), (4, false, true), (9, false, false)]
     {
-        let (book, mut place) = cancelled("job-1");
+        let (job_store, mut place) = cancelled("job-1");
         let task = TaskId { job: job("job-1"), index: 0 };
         let mut there = entry(State::Inherited);
         there.kill = Some(0.0);
@@ -360,7 +361,7 @@
             "where it is is not known"
         );
         let said = report(5, baton, if listed { &["job-1/0"] } else { &[] });
-        place.direct_answer(at(NOW), &said, &book);
+        place.direct_answer(at(NOW), &said, &job_store);
         let m = place.machine(machine()).expect("known");
         assert_eq!(m.is_empty(), loaded && baton == 9 && !listed);
         assert!(m.heard.is_none() && m.answered.is_none() && !m.ever_synced, "silence goes on");
@@ -369,7 +370,7 @@
         assert!(asked.iter().all(|(.., orders)| killed(orders) == ["job-1/0"]));
         // What an earlier session or an older message says changes nothing.
         let left = place.machine(machine()).expect("known").entries.len();
-        place.direct_answer(at(NOW), &report(5, 9, &[]), &book);
+        place.direct_answer(at(NOW), &report(5, 9, &[]), &job_store);
         assert_eq!(
             place.machine(machine()).expect("known").entries.len(),
             match loaded {
@@ -407,12 +408,12 @@
 /// Each verb that a worker knows, as its orders are encoded.
 #[test]
 fn orders_keep_their_form() {
-    let (mut book, mut place) = cancelled("job-1");
-    let spec = book.get(job("job-1")).and_then(|e| e.spec.clone());
-    book.wrote(job("job-2"), Stamp(6), JobState::Open, spec);
-    place.sync_job(at(NOW), job("job-2"), &book);
+    let (mut job_store, mut place) = cancelled("job-1");
+    let spec = job_store.get(job("job-1")).and_then(|e| e.spec.clone());
+    job_store.wrote(job("job-2"), Revision(6), JobState::Open, spec);
+    place.sync_job(at(NOW), job("job-2"), &job_store);
     place.loaded = true;
-    place.report(at(NOW), &report(1, 9, &[]), &[], &book);
+    place.report(at(NOW), &report(1, 9, &[]), &[], &job_store);
     let task = TaskId { job: job("job-2"), index: 0 };
     let known = place.machines.get_mut(&machine()).expect("known");
     known.entries.insert(task, entry(State::Committed));
@@ -420,7 +421,7 @@
     said.pieces[1].status = "exited".into();
     said.pieces[1].cause = Some("stopped".into());
     let mut golden = crate::golden::Golden::new("tests/golden/orders.hex");
-    let orders = place.report(at(NOW + 1.0), &said, &[], &book);
+    let orders = place.report(at(NOW + 1.0), &said, &[], &job_store);
     assert_eq!(orders.iter().map(|o| o.verb).collect::<Vec<_>>(), ["kill", "clear", "run"]);
     for order in orders {
         golden.bytes(order.verb, &beamhinge_core::wire::encode(&order));
--- a/crates/controller/src/placement/types.rs
+++ b/crates/controller/src/placement/types.rs
@@ -73,7 +73,7 @@
     pub(super) team: Option<usize>,
     pub(super) state: State,
     pub(super) kill: Option<f64>,
-    pub(super) flying: bool,
+    pub(super) in_flight: bool,
     pub(super) started: Option<Time>,
     /// Started under an earlier holder: how long it has run is unknown.
     pub(super) inherited: bool,
@@ -156,7 +156,7 @@
             team,
             state: State::Planned,
             kill: None,
-            flying: false,
+            in_flight: false,
             started: None,
             inherited: false,
             page: None,
@@ -252,7 +252,7 @@
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) spec: Rc<JobSpec>,
-    pub(super) stamp: Stamp,
+    pub(super) revision: Revision,
     pub(super) state: JobState,
     pub(super) progress: Progress,
     pub(super) next_fresh: u32,
@@ -331,7 +331,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Flying {
+pub(super) struct InFlight {
     /// The new pages with what they place.
     pub(super) pages: Vec<(String, Vec<Row>)>,
     pub(super) shelved: Shelved,
@@ -350,8 +350,8 @@
 pub(super) struct Load {
     pub(super) pages: Vec<Item>,
     pub(super) progress: Vec<Item>,
-    pub(super) stage: PlaceCall,
-    pub(super) flying: bool,
+    pub(super) stage: PlacementCall,
+    pub(super) in_flight: bool,
     pub(super) after: Option<String>,
 }
 
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -5,8 +5,8 @@
 //! in which fifty tasks end costs one or two writes rather than one per job.
 
 use crate::blocks::PROGRESS_PREFIX;
-use beamhinge_core::types::{JobId, Stamp};
-use beamhinge_core::wire::{self, BadBody};
+use beamhinge_core::types::{JobId, Revision};
+use beamhinge_core::wire::{self, DecodeError};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
 struct Chunk {
     bits: Vec<u8>,
     dirty: bool,
-    flying: bool,
+    in_flight: bool,
 }
 
 impl Progress {
@@ -82,7 +82,7 @@
     /// Whether the state service knows that this task is done.
     pub fn durable(&self, index: u32) -> bool {
         self.has(index)
-            && self.chunks.get(&(index / self.size)).is_some_and(|c| !c.dirty && !c.flying)
+            && self.chunks.get(&(index / self.size)).is_some_and(|c| !c.dirty && !c.in_flight)
     }
 
     pub fn dirty(&self) -> impl Iterator<Item = u32> + '_ {
@@ -98,32 +98,32 @@
     /// The chunk is on its way as it is now; what is set later is dirty again.
     fn sent(&mut self, chunk: u32) {
         if let Some(c) = self.chunks.get_mut(&chunk) {
-            c.flying = c.dirty;
+            c.in_flight = c.dirty;
             c.dirty = false;
         }
     }
 
     fn unsent(&mut self, chunk: u32) {
         if let Some(c) = self.chunks.get_mut(&chunk) {
-            c.dirty |= c.flying;
-            c.flying = false;
+            c.dirty |= c.in_flight;
+            c.in_flight = false;
         }
     }
 
     fn written(&mut self, chunk: u32) {
         if let Some(c) = self.chunks.get_mut(&chunk) {
-            c.flying = false;
+            c.in_flight = false;
         }
     }
 
     /// Takes in what the state service holds; what only we know stays dirty.
-    fn merge(&mut self, chunk: u32, digits: &str) -> Result<(), BadBody> {
+    fn merge(&mut self, chunk: u32, digits: &str) -> Result<(), DecodeError> {
         if !digits.len().is_multiple_of(2) || !digits.is_ascii() {
-            return Err(BadBody);
+            return Err(DecodeError);
         }
         let mut stored = Vec::with_capacity(digits.len() / 2);
         for at in (0..digits.len()).step_by(2) {
-            stored.push(u8::from_str_radix(&digits[at..at + 2], 16).map_err(|_| BadBody)?);
+            stored.push(u8::from_str_radix(&digits[at..at + 2], 16).map_err(|_| DecodeError)?);
         }
         // Chunks of another size, from a version before: what lies beyond ours
         // would be counted twice once its own chunk says it, and a job be called
@@ -138,7 +138,7 @@
             *b |= s;
         }
         c.dirty = c.bits != stored;
-        c.flying = false;
+        c.in_flight = false;
         let after: u32 = c.bits.iter().map(|b| b.count_ones()).sum();
         self.count += after - before;
         Ok(())
@@ -163,7 +163,7 @@
 
 #[derive(Default)]
 struct Shelf {
-    stamp: Stamp,
+    revision: Revision,
     items: BTreeMap<Item, usize>,
     bytes: usize,
     dirty: bool,
@@ -183,7 +183,7 @@
     shelves: Vec<Shelf>,
     home: BTreeMap<Item, usize>,
     /// Keys of the form before, to be removed when their job is over.
-    old: BTreeMap<String, (JobId, Stamp)>,
+    old: BTreeMap<String, (JobId, Revision)>,
 }
 
 /// Shelves of one transaction, for its outcome.
@@ -289,7 +289,7 @@
     }
 
     pub fn empty(&self) -> impl Iterator<Item = usize> + '_ {
-        let empty = |s: &Shelf| s.items.is_empty() && s.stamp != Stamp(0);
+        let empty = |s: &Shelf| s.items.is_empty() && s.revision != Revision(0);
         self.shelves.iter().enumerate().filter(move |(_, s)| empty(s)).map(|(n, _)| n)
     }
 
@@ -297,12 +297,12 @@
     pub fn outdated<'a>(
         &'a self,
         open: &'a dyn Fn(JobId) -> bool,
-    ) -> impl Iterator<Item = (&'a String, Stamp)> + 'a {
+    ) -> impl Iterator<Item = (&'a String, Revision)> + 'a {
         self.old.iter().filter(move |(_, (job, _))| !open(*job)).map(|(k, (_, s))| (k, *s))
     }
 
-    pub fn stamp(&self, shelf: usize) -> Stamp {
-        self.shelves.get(shelf).map_or(Stamp(0), |s| s.stamp)
+    pub fn revision(&self, shelf: usize) -> Revision {
+        self.shelves.get(shelf).map_or(Revision(0), |s| s.revision)
     }
 
     /// The shelf as it is now goes out with a transaction.
@@ -328,10 +328,10 @@
         Some(wire::to_value(&record))
     }
 
-    pub fn written(&mut self, sent: Shelved, stamp: Stamp, open: &mut impl Open) {
+    pub fn written(&mut self, sent: Shelved, revision: Revision, open: &mut impl Open) {
         for (shelf, items) in sent.written {
             if let Some(s) = self.shelves.get_mut(shelf) {
-                s.stamp = stamp;
+                s.revision = revision;
             }
             for (job, chunk) in items {
                 if let Some((_, p)) = open.progress(job) {
@@ -341,7 +341,7 @@
         }
         for shelf in sent.removed {
             if let Some(s) = self.shelves.get_mut(shelf) {
-                s.stamp = Stamp(0);
+                s.revision = Revision(0);
             }
         }
         for key in sent.cleaned {
@@ -366,7 +366,7 @@
     pub fn begin_reading(&mut self) {
         self.old.clear();
         for s in &mut self.shelves {
-            s.stamp = Stamp(0);
+            s.revision = Revision(0);
             s.dirty |= !s.items.is_empty();
         }
     }
@@ -375,23 +375,23 @@
     pub fn read(
         &mut self,
         key: &str,
-        stamp: Stamp,
+        revision: Revision,
         value: &Value,
         open: &mut impl Open,
-    ) -> Result<(), BadBody> {
-        let rest = key.strip_prefix(PROGRESS_PREFIX).ok_or(BadBody)?;
+    ) -> Result<(), DecodeError> {
+        let rest = key.strip_prefix(PROGRESS_PREFIX).ok_or(DecodeError)?;
         if let Some(number) = rest.strip_prefix('s') {
-            let shelf: usize = number.parse().map_err(|_| BadBody)?;
+            let shelf: usize = number.parse().map_err(|_| DecodeError)?;
             let record: ShelfRecord = wire::from_value(value)?;
             if record.v != SHELF_VERSION || shelf > 100_000 {
-                return Err(BadBody);
+                return Err(DecodeError);
             }
             if shelf >= self.shelves.len() {
                 self.shelves.resize_with(shelf + 1, Shelf::default);
             }
-            self.shelves[shelf].stamp = stamp;
+            self.shelves[shelf].revision = revision;
             for (name, digits) in &record.s {
-                let item = item_of(name).ok_or(BadBody)?;
+                let item = item_of(name).ok_or(DecodeError)?;
                 let Some((tasks, progress)) = open.progress(item.0) else { continue };
                 progress.merge(item.1, digits)?;
                 if self.home.contains_key(&item) {
@@ -402,12 +402,12 @@
             }
             return Ok(());
         }
-        let item = item_of(rest).ok_or(BadBody)?;
+        let item = item_of(rest).ok_or(DecodeError)?;
         let record: ChunkRecord = wire::from_value(value)?;
         if record.v != 1 {
-            return Err(BadBody);
+            return Err(DecodeError);
         }
-        self.old.insert(key.to_string(), (item.0, stamp));
+        self.old.insert(key.to_string(), (item.0, revision));
         if let Some((_, progress)) = open.progress(item.0) {
             progress.merge(item.1, &record.b)?;
         }
--- a/crates/controller/src/progress/tests.rs
+++ b/crates/controller/src/progress/tests.rs
@@ -39,8 +39,8 @@
         let mut sent = Shelved::default();
         let value = shelves.send(shelf, &mut sent, &mut ours).expect("value");
         assert!(wire::json_len(&value) <= 8 * 1024);
-        copy.read(&shelf_key(shelf), Stamp(5), &value, &mut theirs).expect("sound");
-        shelves.written(sent, Stamp(5), &mut ours);
+        copy.read(&shelf_key(shelf), Revision(5), &value, &mut theirs).expect("sound");
+        shelves.written(sent, Revision(5), &mut ours);
     }
     let (p, q) = (ours.of(1), theirs.of(1));
     assert_eq!((p.count(), q.count()), (50_000, 50_001));
@@ -80,7 +80,7 @@
     // What is set while the write is on its way is not taken for durable.
     all.of(3).set(59);
     shelves.touch(job(3), 59, 60);
-    shelves.written(sent, Stamp(9), &mut all);
+    shelves.written(sent, Revision(9), &mut all);
     assert!(all.of(4).durable(4) && !all.of(3).durable(59));
     assert_eq!(shelves.due().collect::<Vec<_>>(), [0]);
     (0..100).for_each(|n| shelves.forget(job(n)));
@@ -94,7 +94,7 @@
     jobs.of(7);
     let mut shelves = Shelves::new(8 * 1024);
     let old = wire::to_value(&serde_json::json!({"v": 1, "b": "05"}));
-    shelves.read("d/job-000007/0", Stamp(3), &old, &mut jobs).expect("sound");
+    shelves.read("d/job-000007/0", Revision(3), &old, &mut jobs).expect("sound");
     let p = jobs.of(7);
     assert!(p.has(0) && !p.has(1) && p.has(2));
     let open = |_: JobId| false;
@@ -105,7 +105,7 @@
         ("d/else", serde_json::json!({"v": 2})),
     ] {
         let value = wire::to_value(&value);
-        assert!(shelves.read(key, Stamp(1), &value, &mut jobs).is_err(), "{key}");
+        assert!(shelves.read(key, Revision(1), &value, &mut jobs).is_err(), "{key}");
     }
 }
 
@@ -143,10 +143,10 @@
         ("d/job-000001/0", serde_json::json!({"v": 1, "b": "80"})),
     ] {
         let value: Value = wire::decode(&wire::encode(&stored)).expect("CBOR");
-        shelves.read(key, Stamp(5), &value, &mut ours).expect(key);
+        shelves.read(key, Revision(5), &value, &mut ours).expect(key);
     }
     let done: Vec<u32> = (0..16).filter(|index| ours.of(1).has(*index)).collect();
     assert_eq!(done, [0, 7, 9]);
-    assert_eq!(shelves.stamp(3), Stamp(5));
+    assert_eq!(shelves.revision(3), Revision(5));
     assert_eq!(shelves.outdated(&|_| false).count(), 1);
 }
--- a/crates/controller/src/mirror.rs
+++ b/crates/controller/src/replica.rs
@@ -6,11 +6,11 @@
 //! older than its question. Two slices keep such copies: the book of jobs and
 //! the operators' directives.
 
-use crate::calls::{MirrorCall, Tag};
-use crate::ledger::{Ledger, News, Outcome, Priority, Reply, Scan};
+use crate::calls::{ReplicaCall, Tag};
+use crate::store::{News, Outcome, Priority, Reply, Scan, StoreClient};
 use beamhinge_core::types::Time;
 use beamhinge_core::wire;
-use beamhinge_rate_limit::Course;
+use beamhinge_rate_limit::AdaptiveBackoff;
 use ciborium::Value;
 
 /// What a reply meant for those who wait for a fresh copy.
@@ -24,7 +24,7 @@
 /// One key as a reply showed it; no value: it was deleted.
 pub struct Change {
     pub path: String,
-    pub stamp: u64,
+    pub revision: u64,
     pub value: Option<Value>,
 }
 
@@ -44,9 +44,9 @@
 
 /// How a copy is kept.
 #[derive(Clone, Copy)]
-pub struct Keeping {
+pub struct ReplicaConfig {
     pub prefix: &'static str,
-    pub tag: fn(MirrorCall) -> Tag,
+    pub tag: fn(ReplicaCall) -> Tag,
     /// Longest that a watch may wait, seconds.
     pub wait_s: f64,
     pub wait_priority: Priority,
@@ -55,23 +55,23 @@
 }
 
 struct ScanState {
-    flying: bool,
+    in_flight: bool,
     after: Option<String>,
     rev: Option<u64>,
     started: Time,
 }
 
-pub struct Mirror {
-    keeping: Keeping,
+pub struct ReplicaCache {
+    config: ReplicaConfig,
     rev: u64,
     loaded: bool,
     fresh: Option<Time>,
-    now_flying: bool,
-    wait_flying: bool,
+    refresh_in_flight: bool,
+    watch_in_flight: bool,
     scan: Option<ScanState>,
     /// How a reading that failed is tried again: an answer that cannot be read,
     /// or a service that is away, is not asked alike for ever.
-    course: Course,
+    backoff: AdaptiveBackoff,
     wanted: bool,
 }
 
@@ -79,17 +79,17 @@
 /// is what a copy lies behind at most when the service comes back.
 const PAUSES_S: (f64, f64) = (0.2, 1.0);
 
-impl Mirror {
-    pub fn new(keeping: Keeping) -> Mirror {
-        Mirror {
-            keeping,
+impl ReplicaCache {
+    pub fn new(config: ReplicaConfig) -> ReplicaCache {
+        ReplicaCache {
+            config,
             rev: 0,
             loaded: false,
             fresh: None,
-            now_flying: false,
-            wait_flying: false,
+            refresh_in_flight: false,
+            watch_in_flight: false,
             scan: None,
-            course: Course::new(PAUSES_S.0, PAUSES_S.1),
+            backoff: AdaptiveBackoff::new(PAUSES_S.0, PAUSES_S.1),
             wanted: false,
         }
     }
@@ -104,62 +104,62 @@
     }
 
     /// Something else showed that our copy is old.
-    pub fn want_refresh(&mut self) {
+    pub fn request_refresh(&mut self) {
         self.wanted = true;
     }
 
     /// Loops that keep the copy as fresh as wanted: `ask` when somebody waits
     /// for an answer, `follow` where each change is to be seen at once.
-    pub fn tick(&mut self, now: Time, ask: bool, follow: bool, ledger: &mut Ledger<Tag>) {
-        if !self.course.due(now) {
+    pub fn tick(&mut self, now: Time, ask: bool, follow: bool, store: &mut StoreClient<Tag>) {
+        if !self.backoff.due(now) {
             return;
         }
-        let Keeping { prefix, tag, wait_s, wait_priority, stale_s } = self.keeping;
+        let ReplicaConfig { prefix, tag, wait_s, wait_priority, stale_s } = self.config;
         if !self.loaded {
             let scan = self.scan.get_or_insert(ScanState {
-                flying: false,
+                in_flight: false,
                 after: None,
                 rev: None,
                 started: now,
             });
-            if !scan.flying {
-                scan.flying = true;
+            if !scan.in_flight {
+                scan.in_flight = true;
                 let after = scan.after.clone();
-                ledger.scan(now, Priority::Poll, tag(MirrorCall::Scan), prefix, after.as_deref());
+                store.scan(now, Priority::Read, tag(ReplicaCall::Scan), prefix, after.as_deref());
             }
             return;
         }
         let stale = self.fresh.is_none_or(|f| now.since(f) > stale_s);
-        if (ask || stale || self.wanted) && !self.now_flying {
-            self.now_flying = true;
+        if (ask || stale || self.wanted) && !self.refresh_in_flight {
+            self.refresh_in_flight = true;
             self.wanted = false;
-            ledger.watch(now, Priority::Poll, tag(MirrorCall::Now), prefix, self.rev, 0.0);
+            store.watch(now, Priority::Read, tag(ReplicaCall::Refresh), prefix, self.rev, 0.0);
         }
-        if follow && !self.wait_flying {
-            self.wait_flying = true;
-            ledger.watch(now, wait_priority, tag(MirrorCall::Wait), prefix, self.rev, wait_s);
+        if follow && !self.watch_in_flight {
+            self.watch_in_flight = true;
+            store.watch(now, wait_priority, tag(ReplicaCall::Watch), prefix, self.rev, wait_s);
         }
     }
 
-    pub fn on_reply(&mut self, now: Time, call: MirrorCall, reply: Reply<Tag>) -> Update {
+    pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Update {
         match call {
-            MirrorCall::Now => self.now_flying = false,
-            MirrorCall::Wait => self.wait_flying = false,
-            MirrorCall::Scan => {
+            ReplicaCall::Refresh => self.refresh_in_flight = false,
+            ReplicaCall::Watch => self.watch_in_flight = false,
+            ReplicaCall::Scan => {
                 if let Some(s) = &mut self.scan {
-                    s.flying = false;
+                    s.in_flight = false;
                 }
             }
         }
         // A watch from before a scan began anew says nothing of what the scan has
         // shown meanwhile: it starts over from the scan's own revision.
-        if call != MirrorCall::Scan && !self.loaded {
+        if call != ReplicaCall::Scan && !self.loaded {
             return Update::nothing(Freshness::Unchanged);
         }
         match reply.outcome {
-            Outcome::Ok(body) if call == MirrorCall::Scan => {
+            Outcome::Ok(body) if call == ReplicaCall::Scan => {
                 let Ok(page) = wire::decode::<Scan>(&body) else {
-                    self.course.busy(now);
+                    self.backoff.busy(now);
                     return Update::nothing(Freshness::Failed);
                 };
                 // Not yet a success: a watch that is refused after every scan would
@@ -168,17 +168,17 @@
             }
             Outcome::Ok(body) => {
                 let Ok(news) = wire::decode::<News>(&body) else {
-                    self.course.busy(now);
+                    self.backoff.busy(now);
                     return Update::nothing(Freshness::Failed);
                 };
                 // Two watches may be out, and the older answer come last. What is
                 // not newer than the copy is in it; taken once more, it would
                 // bring back a key that was deleted since.
-                self.course.succeeded();
-                let newer = news.news.into_iter().filter(|c| c.stamp > self.rev);
+                self.backoff.succeeded();
+                let newer = news.news.into_iter().filter(|c| c.revision > self.rev);
                 let changes = newer.filter_map(|c| {
                     let value = if c.write.is_some() { Some(c.value?) } else { None };
-                    Some(Change { path: c.write.or(c.delete)?, stamp: c.stamp, value })
+                    Some(Change { path: c.write.or(c.delete)?, revision: c.revision, value })
                 });
                 let changes = changes.collect();
                 self.rev = self.rev.max(news.rev);
@@ -189,18 +189,18 @@
             // revision that the service never gave out: only a new scan leads on.
             Outcome::Gone | Outcome::Malformed => {
                 if matches!(reply.outcome, Outcome::Malformed) {
-                    self.course.busy(now);
+                    self.backoff.busy(now);
                 }
                 self.loaded = false;
                 self.scan = None;
                 Update::nothing(Freshness::Failed)
             }
             _ => {
-                self.course.busy(now);
-                if call == MirrorCall::Scan {
+                self.backoff.busy(now);
+                if call == ReplicaCall::Scan {
                     self.scan = None;
                 }
-                let quiet = call == MirrorCall::Wait;
+                let quiet = call == ReplicaCall::Watch;
                 Update::nothing(if quiet { Freshness::Unchanged } else { Freshness::Failed })
             }
         }
@@ -211,7 +211,7 @@
         let changes = page
             .pairs
             .into_iter()
-            .map(|p| Change { path: p.path, stamp: p.stamp, value: Some(p.value) })
+            .map(|p| Change { path: p.path, revision: p.revision, value: Some(p.value) })
             .collect();
         let mut update = Update { changes, freshness: Freshness::Unchanged, scanned: None };
         let Some(scan) = &mut self.scan else { return update };
--- a/crates/controller/src/mirror/tests.rs
+++ b/crates/controller/src/replica/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 use serde_json::json;
 
-fn mirror() -> Mirror {
-    Mirror::new(Keeping {
+fn replica() -> ReplicaCache {
+    ReplicaCache::new(ReplicaConfig {
         prefix: "o/",
         tag: Tag::Directives,
         wait_s: 10.0,
-        wait_priority: Priority::Poll,
+        wait_priority: Priority::Read,
         stale_s: 30.0,
     })
 }
 
 /// What a reply changes: keys and whether they are there.
-fn take(m: &mut Mirror, call: MirrorCall, body: serde_json::Value) -> Vec<(String, bool)> {
+fn take(m: &mut ReplicaCache, call: ReplicaCall, body: serde_json::Value) -> Vec<(String, bool)> {
     let at = Time::from_micros(1_000_000);
     let outcome = Outcome::Ok(wire::encode(&body));
     let update = m.on_reply(at, call, Reply { tag: Tag::Directives(call), outcome, sent: at });
@@ -22,62 +22,65 @@
 /// A directive that was lifted once stood again in one controller's copy.
 #[test]
 fn an_answer_that_comes_late_brings_nothing_back() {
-    let mut m = mirror();
-    m.scan = Some(ScanState { flying: true, after: None, rev: None, started: Time::default() });
+    let mut m = replica();
+    m.scan = Some(ScanState { in_flight: true, after: None, rev: None, started: Time::default() });
     let page = json!({"pairs": [], "more": false, "ledgerRev": 3});
-    assert!(take(&mut m, MirrorCall::Scan, page).is_empty() && m.loaded());
+    assert!(take(&mut m, ReplicaCall::Scan, page).is_empty() && m.loaded());
     // Written at 4, deleted at 5: the watch that saw both is answered first.
     let deleted = json!({"ledgerRev": 5, "news": [{"delete": "o/zone/a", "stamp": 5}]});
-    assert_eq!(take(&mut m, MirrorCall::Now, deleted), [("o/zone/a".to_string(), false)]);
+    assert_eq!(take(&mut m, ReplicaCall::Refresh, deleted), [("o/zone/a".to_string(), false)]);
     let written = json!({"ledgerRev": 4, "news": [{"write": "o/zone/a", "value": 1, "stamp": 4}]});
-    assert!(take(&mut m, MirrorCall::Wait, written).is_empty());
+    assert!(take(&mut m, ReplicaCall::Watch, written).is_empty());
     let newer = json!({"ledgerRev": 6, "news": [{"write": "o/zone/a", "value": 1, "stamp": 6}]});
-    assert_eq!(take(&mut m, MirrorCall::Wait, newer), [("o/zone/a".to_string(), true)]);
+    assert_eq!(take(&mut m, ReplicaCall::Watch, newer), [("o/zone/a".to_string(), true)]);
 }
 
 /// Guards against a copy that calls itself fresh and takes in nothing: a watch from
 /// a revision that the service never gave out is refused, and the scan's counts.
 #[test]
 fn a_revision_that_was_never_given_out_is_forgotten() {
-    let mut m = mirror();
+    let mut m = replica();
     (m.loaded, m.rev) = (true, u64::MAX - 1);
     let at = Time::from_micros(1_000_000);
     let refused =
-        Reply { tag: Tag::Directives(MirrorCall::Now), outcome: Outcome::Malformed, sent: at };
-    let update = m.on_reply(at, MirrorCall::Now, refused);
+        Reply { tag: Tag::Directives(ReplicaCall::Refresh), outcome: Outcome::Malformed, sent: at };
+    let update = m.on_reply(at, ReplicaCall::Refresh, refused);
     assert!(update.freshness == Freshness::Failed && !m.loaded());
-    m.scan = Some(ScanState { flying: true, after: None, rev: None, started: at });
-    take(&mut m, MirrorCall::Scan, json!({"pairs": [], "more": false, "ledgerRev": 3}));
+    m.scan = Some(ScanState { in_flight: true, after: None, rev: None, started: at });
+    take(&mut m, ReplicaCall::Scan, json!({"pairs": [], "more": false, "ledgerRev": 3}));
     let news = json!({"ledgerRev": 5, "news": [{"write": "o/zone/a", "value": 1, "stamp": 5}]});
-    assert_eq!(take(&mut m, MirrorCall::Now, news), [("o/zone/a".to_string(), true)]);
+    assert_eq!(take(&mut m, ReplicaCall::Refresh, news), [("o/zone/a".to_string(), true)]);
 }
 
 /// A copy that could not be read was asked for five times a second, as long
 /// as the service was away.
 #[test]
 fn a_service_that_is_away_is_asked_less_and_less() {
-    let mut m = mirror();
+    let mut m = replica();
     m.loaded = true;
     let mut now = Time::from_micros(1_000_000);
     let mut gaps = Vec::new();
     for _ in 0..5 {
-        let reply =
-            Reply { tag: Tag::Directives(MirrorCall::Now), outcome: Outcome::Refused, sent: now };
-        m.on_reply(now, MirrorCall::Now, reply);
-        let gap = (1..30).map(|i| f64::from(i) * 0.1).find(|s| m.course.due(now.plus(*s)));
+        let reply = Reply {
+            tag: Tag::Directives(ReplicaCall::Refresh),
+            outcome: Outcome::Refused,
+            sent: now,
+        };
+        m.on_reply(now, ReplicaCall::Refresh, reply);
+        let gap = (1..30).map(|i| f64::from(i) * 0.1).find(|s| m.backoff.due(now.plus(*s)));
         gaps.push(gap.expect("asked again in the end"));
         now = now.plus(3.0);
     }
     assert_eq!(gaps, [0.2, 0.4, 0.8, 1.0, 1.0]);
     let news = json!({"ledgerRev": 1, "news": []});
-    assert!(take(&mut m, MirrorCall::Now, news).is_empty() && m.course.tries() == 0);
+    assert!(take(&mut m, ReplicaCall::Refresh, news).is_empty() && m.backoff.tries() == 0);
 }
 
 #[test]
 fn a_watch_from_before_a_new_scan_is_left_out() {
-    let mut m = mirror();
+    let mut m = replica();
     m.rev = 7;
     let old = json!({"ledgerRev": 9, "news": [{"delete": "o/zone/a", "stamp": 9}]});
-    assert!(take(&mut m, MirrorCall::Wait, old).is_empty());
+    assert!(take(&mut m, ReplicaCall::Watch, old).is_empty());
     assert_eq!(m.rev, 7, "what it covers is read again after the scan");
 }
--- a/crates/controller/src/ledger.rs
+++ b/crates/controller/src/store.rs
@@ -5,12 +5,12 @@
 //! reported as [`Outcome::Lost`]; its caller reads again and assumes nothing.
 
 use beamhinge_core::http::Method;
-use beamhinge_core::messages::{Dest, Out};
+use beamhinge_core::messages::{Destination, Effect};
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{CallId, Time};
 use beamhinge_core::wire;
 use beamhinge_rate_limit::Limits;
-pub use beamhinge_rate_limit::{Full, Txn};
+pub use beamhinge_rate_limit::{Full, Transaction};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -19,10 +19,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     Lease,
-    Accept,
-    Place,
-    Poll,
-    Rest,
+    Admission,
+    Placement,
+    Read,
+    Background,
 }
 
 const PRIORITIES: usize = 5;
@@ -61,7 +61,8 @@
 pub struct Item {
     pub path: String,
     pub value: Value,
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -81,7 +82,8 @@
     pub delete: Option<String>,
     #[serde(default)]
     pub value: Option<Value>,
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -92,8 +94,9 @@
 }
 
 #[derive(Deserialize)]
-pub struct Permit {
-    pub permit: u64,
+pub struct LeaseGrant {
+    #[serde(rename = "permit")]
+    pub lease_id: u64,
 }
 
 #[derive(Deserialize)]
@@ -133,7 +136,7 @@
     }
 }
 
-pub struct Ledger<T> {
+pub struct StoreClient<T> {
     requests: Bucket,
     writes: Bucket,
     /// Writes that take jobs in, while others wait.
@@ -141,26 +144,26 @@
     full: (f64, f64),
     limits: Limits,
     queues: [VecDeque<Queued<T>>; PRIORITIES],
-    flying: BTreeMap<CallId, (T, Time)>,
+    in_flight: BTreeMap<CallId, (T, Time)>,
     refused: Vec<Reply<T>>,
-    last_ok: Option<Time>,
-    last_answer: Option<Time>,
+    last_success: Option<Time>,
+    last_response: Option<Time>,
 }
 
-impl<T> Ledger<T> {
-    pub fn new(settings: &Settings) -> Ledger<T> {
+impl<T> StoreClient<T> {
+    pub fn new(settings: &Settings) -> StoreClient<T> {
         let s = &settings.params.state;
-        Ledger {
+        StoreClient {
             requests: Bucket { rate: s.rps, level: 0.0, at: Time::default() },
             writes: Bucket { rate: s.write_rps, level: 0.0, at: Time::default() },
             accepts: Bucket { rate: s.write_rps, level: 0.0, at: Time::default() },
             full: (s.rps, s.write_rps),
             limits: Limits::of(s),
             queues: Default::default(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             refused: Vec::new(),
-            last_ok: None,
-            last_answer: None,
+            last_success: None,
+            last_response: None,
         }
     }
 
@@ -168,7 +171,7 @@
     /// `accepts`: the part of its writes that taking jobs in may use while others
     /// wait. A holder that took in whatever came wrote nothing else: what had ended
     /// was told minutes later.
-    pub fn set_share(&mut self, share: f64, accepts: f64) {
+    pub fn set_rate_share(&mut self, share: f64, accepts: f64) {
         self.requests.rate = (self.full.0 * share).max(2.0);
         self.writes.rate = (self.full.1 * share).max(2.0);
         self.accepts.rate = (self.writes.rate * accepts).max(1.0);
@@ -180,14 +183,14 @@
     }
 
     /// An empty transaction within these limits.
-    pub fn txn(&self) -> Txn {
-        Txn::new(self.limits())
+    pub fn transaction(&self) -> Transaction {
+        Transaction::new(self.limits())
     }
 
     /// An empty transaction for what is rare and can't be made in parts: it is sent from a
     /// full bucket, which pays it back later.
-    pub fn whole_txn(&self) -> Txn {
-        Txn::new(self.limits)
+    pub fn unpaced_transaction(&self) -> Transaction {
+        Transaction::new(self.limits)
     }
 
     /// Writes that could be sent now, and the rate at which they come back.
@@ -213,9 +216,9 @@
         queue.push_back(Queued { tag, method, path, body, puts, timeout, since: now });
     }
 
-    pub fn commit(&mut self, now: Time, p: Priority, tag: T, txn: Txn) {
-        let puts = txn.writes();
-        self.push(now, p, (tag, Method::Post, "/commit".into(), txn.body()), puts, 2.0);
+    pub fn commit(&mut self, now: Time, p: Priority, tag: T, transaction: Transaction) {
+        let puts = transaction.writes();
+        self.push(now, p, (tag, Method::Post, "/commit".into(), transaction.body()), puts, 2.0);
     }
 
     pub fn watch(&mut self, now: Time, p: Priority, tag: T, under: &str, since: u64, wait_s: f64) {
@@ -241,25 +244,25 @@
         self.push(now, Priority::Lease, (tag, Method::Post, "/holds".into(), body), 0, 1.5);
     }
 
-    pub fn renew(&mut self, now: Time, tag: T, permit: u64) {
-        let path = format!("/holds/{permit}/renew");
+    pub fn renew(&mut self, now: Time, tag: T, lease_id: u64) {
+        let path = format!("/holds/{lease_id}/renew");
         self.push(now, Priority::Lease, (tag, Method::Post, path, Vec::new()), 0, 1.5);
     }
 
-    pub fn end_lease(&mut self, now: Time, tag: T, permit: u64) {
-        let path = format!("/holds/{permit}");
+    pub fn revoke_lease(&mut self, now: Time, tag: T, lease_id: u64) {
+        let path = format!("/holds/{lease_id}");
         self.push(now, Priority::Lease, (tag, Method::Delete, path, Vec::new()), 0, 1.5);
     }
 
     /// Sends what the limits allow, the important first. Each class leaves a
     /// little in the buckets, so that a renewal never waits behind polls.
-    pub fn pump(&mut self, now: Time, next_call: &mut u64, out: &mut Vec<Out>) {
+    pub fn flush(&mut self, now: Time, next_call: &mut u64, out: &mut Vec<Effect>) {
         self.requests.fill(now);
         self.writes.fill(now);
         self.accepts.fill(now);
-        let others_wait = !self.queues[Priority::Place as usize].is_empty();
+        let others_wait = !self.queues[Priority::Placement as usize].is_empty();
         for p in 0..PRIORITIES {
-            let accepting = p == Priority::Accept as usize;
+            let accepting = p == Priority::Admission as usize;
             while let Some(front) = self.queues[p].front() {
                 let waited = now.since(front.since);
                 let reserve = p as f64 * 0.05;
@@ -286,10 +289,10 @@
                 }
                 *next_call += 1;
                 let id = CallId(*next_call);
-                self.flying.insert(id, (op.tag, now));
-                out.push(Out::Call {
+                self.in_flight.insert(id, (op.tag, now));
+                out.push(Effect::Call {
                     id,
-                    dest: Dest::State,
+                    destination: Destination::State,
                     method: op.method,
                     path: op.path,
                     body: op.body,
@@ -300,32 +303,32 @@
     }
 
     /// Requests that were given up here, for their slices to decide anew.
-    pub fn take_refused(&mut self) -> Vec<Reply<T>> {
+    pub fn drain_refused(&mut self) -> Vec<Reply<T>> {
         std::mem::take(&mut self.refused)
     }
 
     /// When the newest request was sent that the service really handled.
-    pub fn last_ok(&self) -> Option<Time> {
-        self.last_ok
+    pub fn last_success(&self) -> Option<Time> {
+        self.last_success
     }
 
     /// When the newest request was sent that the service answered at all, if only to
     /// refuse it.
-    pub fn last_answer(&self) -> Option<Time> {
-        self.last_answer
+    pub fn last_response(&self) -> Option<Time> {
+        self.last_response
     }
 
-    pub fn is_ours(&self, id: CallId) -> bool {
-        self.flying.contains_key(&id)
+    pub fn owns_call(&self, id: CallId) -> bool {
+        self.in_flight.contains_key(&id)
     }
 
     pub fn on_reply(&mut self, id: CallId, result: Option<(u16, Vec<u8>)>) -> Option<Reply<T>> {
-        let (tag, sent) = self.flying.remove(&id)?;
+        let (tag, sent) = self.in_flight.remove(&id)?;
         if matches!(&result, Some((200 | 404 | 409 | 410 | 429, _))) {
-            self.last_ok = self.last_ok.max(Some(sent));
+            self.last_success = self.last_success.max(Some(sent));
         }
         if result.is_some() {
-            self.last_answer = self.last_answer.max(Some(sent));
+            self.last_response = self.last_response.max(Some(sent));
         }
         let outcome = match result {
             None => Outcome::Lost,
--- a/crates/controller/src/ledger/tests.rs
+++ b/crates/controller/src/store/tests.rs
@@ -4,36 +4,36 @@
 fn a_renewal_overtakes_polls_and_a_full_bucket_is_not_exceeded() {
     let settings = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", settings).expect("sound");
-    let mut ledger: Ledger<u32> = Ledger::new(&settings);
-    ledger.set_share(0.1, 1.0);
+    let mut store: StoreClient<u32> = StoreClient::new(&settings);
+    store.set_rate_share(0.1, 1.0);
     let (mut calls, mut out) = (0, Vec::new());
     let start = Time::from_micros(10_000_000);
     for i in 0..30 {
-        ledger.scan(start, Priority::Poll, i, "j/", None);
+        store.scan(start, Priority::Read, i, "j/", None);
     }
-    ledger.renew(start, 99, 7);
-    ledger.pump(start, &mut calls, &mut out);
+    store.renew(start, 99, 7);
+    store.flush(start, &mut calls, &mut out);
     assert!(out.len() <= 10, "one second's worth at the most, not {}", out.len());
-    assert!(matches!(&out[0], Out::Call { path, .. } if path == "/holds/7/renew"));
-    ledger.pump(start.plus(2.0), &mut calls, &mut out);
+    assert!(matches!(&out[0], Effect::Call { path, .. } if path == "/holds/7/renew"));
+    store.flush(start.plus(2.0), &mut calls, &mut out);
     assert!(out.len() <= 20);
-    assert!(!ledger.take_refused().is_empty(), "what waited too long is given back");
+    assert!(!store.drain_refused().is_empty(), "what waited too long is given back");
 }
 
 #[test]
 fn a_lost_reply_is_not_taken_for_a_refusal() {
     let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
-    let mut ledger: Ledger<u32> = Ledger::new(&settings);
+    let mut store: StoreClient<u32> = StoreClient::new(&settings);
     let (mut calls, mut out) = (0, Vec::new());
     let now = Time::from_micros(5_000_000);
     for i in 0..3 {
-        ledger.renew(now, i, 1);
+        store.renew(now, i, 1);
     }
-    ledger.pump(now, &mut calls, &mut out);
-    let outcome = |l: &mut Ledger<u32>, id, r| l.on_reply(CallId(id), r).map(|r| r.outcome);
-    assert!(matches!(outcome(&mut ledger, 1, None), Some(Outcome::Lost)));
-    assert!(matches!(outcome(&mut ledger, 2, Some((503, vec![]))), Some(Outcome::Refused)));
-    assert!(matches!(outcome(&mut ledger, 3, Some((502, vec![]))), Some(Outcome::Lost)));
+    store.flush(now, &mut calls, &mut out);
+    let outcome = |l: &mut StoreClient<u32>, id, r| l.on_reply(CallId(id), r).map(|r| r.outcome);
+    assert!(matches!(outcome(&mut store, 1, None), Some(Outcome::Lost)));
+    assert!(matches!(outcome(&mut store, 2, Some((503, vec![]))), Some(Outcome::Refused)));
+    assert!(matches!(outcome(&mut store, 3, Some((502, vec![]))), Some(Outcome::Lost)));
 }
 
 /// A reply to nothing that flies, of an earlier process or come twice, says nothing:
@@ -41,16 +41,16 @@
 #[test]
 fn a_reply_that_nobody_waits_for_is_dropped() {
     let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
-    let mut ledger: Ledger<u32> = Ledger::new(&settings);
+    let mut store: StoreClient<u32> = StoreClient::new(&settings);
     let (mut calls, mut out) = (0, Vec::new());
-    ledger.renew(Time::from_micros(5_000_000), 1, 1);
-    ledger.pump(Time::from_micros(5_000_000), &mut calls, &mut out);
+    store.renew(Time::from_micros(5_000_000), 1, 1);
+    store.flush(Time::from_micros(5_000_000), &mut calls, &mut out);
     for id in [0, 2, u64::MAX] {
-        assert!(ledger.on_reply(CallId(id), Some((200, vec![]))).is_none());
+        assert!(store.on_reply(CallId(id), Some((200, vec![]))).is_none());
     }
-    assert_eq!((ledger.last_ok(), ledger.last_answer()), (None, None));
-    assert!(ledger.on_reply(CallId(1), Some((200, vec![]))).is_some());
-    assert!(ledger.on_reply(CallId(1), Some((200, vec![]))).is_none());
+    assert_eq!((store.last_success(), store.last_response()), (None, None));
+    assert!(store.on_reply(CallId(1), Some((200, vec![]))).is_some());
+    assert!(store.on_reply(CallId(1), Some((200, vec![]))).is_none());
 }
 
 /// Every call to the state service: method, path and body.
@@ -58,29 +58,33 @@
 fn calls_to_the_state_service_keep_their_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/calls-to-state.hex");
     let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
-    let mut ledger: Ledger<u32> = Ledger::new(&settings);
+    let mut store: StoreClient<u32> = StoreClient::new(&settings);
     let now = Time::from_micros(5_000_000);
-    let mut txn = ledger.txn();
-    txn.when("block/0", beamhinge_core::types::Stamp(41)).expect("room");
+    let mut transaction = store.transaction();
+    transaction.when("block/0", beamhinge_core::types::Revision(41)).expect("room");
     let value = wire::to_value(&serde_json::json!({"a": 1.5}));
-    txn.write("lead/now", beamhinge_core::types::Stamp(0), value, Some(7)).expect("room");
-    txn.write("p/41-1", beamhinge_core::types::Stamp(9), Value::Null, None).expect("room");
-    txn.delete("p/41-2", beamhinge_core::types::Stamp(10)).expect("room");
-    let mut check = ledger.txn();
-    check.when("block/0", beamhinge_core::types::Stamp(41)).expect("room");
-    ledger.commit(now, Priority::Lease, 1, txn);
-    ledger.commit(now, Priority::Lease, 2, check);
-    ledger.lease(now, 3, 5.25);
-    ledger.renew(now, 4, 70_000);
-    ledger.end_lease(now, 5, 70_000);
-    ledger.scan(now, Priority::Lease, 6, "c/", None);
-    ledger.scan(now, Priority::Lease, 7, "c/", Some("c/t/7"));
-    ledger.watch(now, Priority::Lease, 8, "j/", 431, 2.5);
+    transaction
+        .write("lead/now", beamhinge_core::types::Revision(0), value, Some(7))
+        .expect("room");
+    transaction
+        .write("p/41-1", beamhinge_core::types::Revision(9), Value::Null, None)
+        .expect("room");
+    transaction.delete("p/41-2", beamhinge_core::types::Revision(10)).expect("room");
+    let mut check = store.transaction();
+    check.when("block/0", beamhinge_core::types::Revision(41)).expect("room");
+    store.commit(now, Priority::Lease, 1, transaction);
+    store.commit(now, Priority::Lease, 2, check);
+    store.lease(now, 3, 5.25);
+    store.renew(now, 4, 70_000);
+    store.revoke_lease(now, 5, 70_000);
+    store.scan(now, Priority::Lease, 6, "c/", None);
+    store.scan(now, Priority::Lease, 7, "c/", Some("c/t/7"));
+    store.watch(now, Priority::Lease, 8, "j/", 431, 2.5);
     let (mut calls, mut out) = (0, Vec::new());
-    ledger.pump(now, &mut calls, &mut out);
+    store.flush(now, &mut calls, &mut out);
     assert_eq!(out.len(), 8);
     for call in out {
-        let Out::Call { dest: Dest::State, method, path, body, .. } = call else {
+        let Effect::Call { destination: Destination::State, method, path, body, .. } = call else {
             panic!("{call:?}")
         };
         golden.bytes(&format!("{} {path}", method.name()), &body);
@@ -96,15 +100,18 @@
     let scan: Scan = read(serde_json::json!({"pairs": [{"path": "a/b", "value": "kept",
         "stamp": 412, "permit": 7}], "more": true, "ledgerRev": 431}));
     let item = &scan.pairs[0];
-    assert_eq!((scan.rev, scan.more, item.path.as_str(), item.stamp), (431, true, "a/b", 412));
+    assert_eq!((scan.rev, scan.more, item.path.as_str(), item.revision), (431, true, "a/b", 412));
     assert_eq!(item.value.as_text(), Some("kept"));
     let news: News = read(serde_json::json!({"ledgerRev": 433, "news": [
         {"write": "c/9", "value": "new", "stamp": 433}, {"delete": "c/d", "stamp": 432}]}));
     let (write, delete) = (&news.news[0], &news.news[1]);
-    assert_eq!((news.rev, write.write.as_deref(), write.stamp), (433, Some("c/9"), 433));
+    assert_eq!((news.rev, write.write.as_deref(), write.revision), (433, Some("c/9"), 433));
     assert_eq!(write.value.as_ref().and_then(Value::as_text), Some("new"));
-    assert_eq!((delete.delete.as_deref(), delete.stamp, &delete.write), (Some("c/d"), 432, &None));
-    assert_eq!(read::<Permit>(serde_json::json!({"permit": 7})).permit, 7);
+    assert_eq!(
+        (delete.delete.as_deref(), delete.revision, &delete.write),
+        (Some("c/d"), 432, &None)
+    );
+    assert_eq!(read::<LeaseGrant>(serde_json::json!({"permit": 7})).lease_id, 7);
     assert_eq!(read::<Committed>(serde_json::json!({"ledgerRev": 432})).rev, 432);
     let failed: Failed = read(serde_json::json!({"failed": ["a/b"], "ledgerRev": 431}));
     assert_eq!(failed.failed, ["a/b"]);
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -105,12 +105,12 @@
     pub n: Option<u32>,
     /// Of a job that is done: whose it was, for lists.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
-    pub brief: Option<Brief>,
+    pub summary: Option<JobSummary>,
 }
 
 /// Whose a job is: all that a list of finished jobs shows of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Brief {
+pub struct JobSummary {
     #[serde(rename = "o")]
     pub team: String,
     #[serde(rename = "c")]
@@ -121,9 +121,9 @@
     pub submitted: u64,
 }
 
-impl Brief {
-    pub fn of(spec: &JobSpec) -> Brief {
-        Brief {
+impl JobSummary {
+    pub fn of(spec: &JobSpec) -> JobSummary {
+        JobSummary {
             team: spec.team.to_string(),
             class: spec.class.to_string(),
             urgency: spec.urgency,
@@ -138,7 +138,7 @@
         st: JobState::Open,
         spec: Some(spec.clone()),
         n: None,
-        brief: None,
+        summary: None,
     })
 }
 
@@ -149,7 +149,7 @@
         st: JobState::Done,
         spec: None,
         n: Some(spec.tasks),
-        brief: Some(Brief::of(spec)),
+        summary: Some(JobSummary::of(spec)),
     })
 }
 
@@ -160,7 +160,7 @@
         st: JobState::Cancelled,
         spec: Some(spec.clone()),
         n: None,
-        brief: None,
+        summary: None,
     })
 }
 
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Dest {
+pub enum Destination {
     State,
     Cloud,
     Worker(SocketAddrV4),
@@ -20,10 +20,10 @@
 
 /// What a service wants done.
 #[derive(Debug)]
-pub enum Out {
+pub enum Effect {
     Call {
         id: CallId,
-        dest: Dest,
+        destination: Destination,
         method: Method,
         path: String,
         body: Vec<u8>,
@@ -44,7 +44,7 @@
         body: Vec<u8>,
     },
     /// To every peer, or to the one of this label.
-    Tell {
+    SendFrame {
         to: Option<String>,
         frame: Vec<u8>,
     },
@@ -52,7 +52,7 @@
 
 /// How far a job is, for display.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Counts {
+pub struct TaskCounts {
     pub done: u32,
     pub running: u32,
 }
@@ -67,7 +67,7 @@
         door: usize,
         id: RequestId,
         request: Request,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     );
     /// `None`: the connection failed or the time ran out; its fate is unknown. One that
     /// calls nobody is told nothing.
@@ -77,9 +77,9 @@
         _wall: WallMs,
         _id: CallId,
         _result: Option<(u16, Vec<u8>)>,
-        _out: &mut Vec<Out>,
+        _out: &mut Vec<Effect>,
     ) {
     }
-    fn on_frame(&mut self, _now: Time, _wall: WallMs, _frame: Frame, _out: &mut Vec<Out>) {}
-    fn on_tick(&mut self, now: Time, wall: WallMs, out: &mut Vec<Out>);
+    fn on_frame(&mut self, _now: Time, _wall: WallMs, _frame: Frame, _out: &mut Vec<Effect>) {}
+    fn on_tick(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>);
 }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -14,7 +14,12 @@
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// Sent about once a second.
-    Pulse { label: String, ledger_age_ms: u64, holder: bool },
+    Pulse {
+        label: String,
+        #[serde(rename = "ledger_age_ms")]
+        store_age_ms: u64,
+        holder: bool,
+    },
     /// From the holder: jobs with tasks done or running.
     Progress(Vec<(String, u32, u32)>),
     /// From the holder: its token. Nobody with a lower one is entitled.
@@ -92,19 +97,19 @@
 
 #[derive(Debug, thiserror::Error)]
 #[error("a frame over the limit or of unknown form")]
-pub struct BadFrame;
+pub struct InvalidFrame;
 
 /// Takes one whole frame off the front of `buf`.
-pub fn take(buf: &mut Vec<u8>) -> Result<Option<Frame>, BadFrame> {
+pub fn take(buf: &mut Vec<u8>) -> Result<Option<Frame>, InvalidFrame> {
     let Some(head) = buf.get(..4).and_then(|h| <[u8; 4]>::try_from(h).ok()) else {
         return Ok(None);
     };
     let len = u32::from_be_bytes(head) as usize;
     if len > FRAME_LIMIT {
-        return Err(BadFrame);
+        return Err(InvalidFrame);
     }
     let Some(body) = buf.get(4..4 + len) else { return Ok(None) };
-    let frame = postcard::from_bytes(body).map_err(|_| BadFrame)?;
+    let frame = postcard::from_bytes(body).map_err(|_| InvalidFrame)?;
     buf.drain(..4 + len);
     Ok(Some(frame))
 }
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -46,11 +46,11 @@
 
 /// Version of one key of the state service; 0 says that the key is absent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash)]
-pub struct Stamp(pub u64);
+pub struct Revision(pub u64);
 
 /// A holder's token: the revision of the transaction that took the block.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash)]
-pub struct Token(pub u64);
+pub struct FencingToken(pub u64);
 
 /// An id of the form `<prefix>-<digits>`. Digits are kept as written, zeros
 /// included, in a value that is cheap to copy.
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -11,7 +11,7 @@
 
 #[derive(Debug, thiserror::Error)]
 #[error("not a CBOR body of the expected form")]
-pub struct BadBody;
+pub struct DecodeError;
 
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
@@ -23,17 +23,17 @@
     }
 }
 
-pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, BadBody> {
+pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     // The nesting limit guards against bodies made to exhaust the stack.
-    ciborium::de::from_reader_with_recursion_limit(body, 32).map_err(|_| BadBody)
+    ciborium::de::from_reader_with_recursion_limit(body, 32).map_err(|_| DecodeError)
 }
 
 pub fn to_value<T: Serialize>(value: &T) -> Value {
     Value::serialized(value).unwrap_or(Value::Null)
 }
 
-pub fn from_value<T: DeserializeOwned>(value: &Value) -> Result<T, BadBody> {
-    value.deserialized().map_err(|_| BadBody)
+pub fn from_value<T: DeserializeOwned>(value: &Value) -> Result<T, DecodeError> {
+    value.deserialized().map_err(|_| DecodeError)
 }
 
 #[derive(Serialize)]
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -104,7 +104,7 @@
 fn records_of_earlier_forms_are_read() {
     let done: Record =
         wire::decode(&wire::encode(&json!({"v": 1, "st": "done", "n": 16}))).expect("a record");
-    assert_eq!((done.st, done.n, done.brief), (JobState::Done, Some(16), None));
+    assert_eq!((done.st, done.n, done.summary), (JobState::Done, Some(16), None));
     let cancelled = json!({"v": 1, "st": "cancelled", "spec": {"c": "c", "o": "o", "k": "standing",
         "u": "best_effort", "n": 2, "cpu": 1.0, "gpu": 0.0, "mem": 2.0, "img": "i", "igb": 0.0,
         "sh": null, "z": null, "oz": false, "ap": true, "sp": false, "ex": 0.0, "ce": 0.0, "cs": 0.0,
@@ -121,7 +121,7 @@
     let mut golden = Golden::new("tests/golden/peer-frames.hex");
     let label = || "north-1".to_string();
     let frames = [
-        ("pulse", Frame::Pulse { label: label(), ledger_age_ms: 300, holder: true }),
+        ("pulse", Frame::Pulse { label: label(), store_age_ms: 300, holder: true }),
         ("progress", Frame::Progress(vec![("job-000412".into(), 3, 13), ("job-7".into(), 1, 300)])),
         ("holds", Frame::Holds { label: label(), token: 70_000 }),
         ("ready", Frame::Ready { label: label(), ready: true, drained: false }),
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -2,7 +2,7 @@
 //! the workers, written from the published protocol. Sans-IO, so that the same
 //! models serve simulated time and real processes.
 
-use beamhinge_core::messages::Out;
+use beamhinge_core::messages::Effect;
 use beamhinge_core::types::{RequestId, Time};
 use beamhinge_core::wire;
 use serde_json::{json, Value};
@@ -26,8 +26,8 @@
 }
 
 /// Answers a request with a status and nothing else.
-pub fn refuse(out: &mut Vec<Out>, to: RequestId, status: u16) {
-    out.push(Out::Answer { to, status, retry_after: None, body: wire::encode(&json!({})) });
+pub fn refuse(out: &mut Vec<Effect>, to: RequestId, status: u16) {
+    out.push(Effect::Answer { to, status, retry_after: None, body: wire::encode(&json!({})) });
 }
 
 /// A body as JSON; null for what is no CBOR, which no model takes for a request.
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -11,7 +11,7 @@
 use crate::{micros, refuse, Doubles, JobPlan, Us, SECOND};
 use beamhinge_core::http::Request;
 use beamhinge_core::job::{JobKind, Record, PREFIX};
-use beamhinge_core::messages::{Out, Service};
+use beamhinge_core::messages::{Effect, Service};
 use beamhinge_core::settings;
 use beamhinge_core::types::{CallId, RequestId, Time, WallMs};
 use beamhinge_core::wire;
@@ -116,7 +116,7 @@
         Ok(platform)
     }
 
-    fn answer_cloud(&mut self, now: Time, id: RequestId, r: &Request, out: &mut Vec<Out>) {
+    fn answer_cloud(&mut self, now: Time, id: RequestId, r: &Request, out: &mut Vec<Effect>) {
         let us = micros(now);
         let (status, body) = self.cloud.handle(us, r.method, &r.path, &r.body, &mut self.rng);
         self.booting.extend(self.cloud.take_booted());
@@ -124,7 +124,7 @@
             self.remove(us, gone);
         }
         self.state.write_log(self.cloud.next_machine());
-        out.push(Out::Answer { to: id, status, retry_after: None, body });
+        out.push(Effect::Answer { to: id, status, retry_after: None, body });
     }
 
     fn remove(&mut self, now: Us, machine: u64) {
@@ -190,7 +190,7 @@
         door: usize,
         id: RequestId,
         r: Request,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         match door {
             STATE_DOOR => self.state.answer(now, id, &r, out),
@@ -203,7 +203,7 @@
                 }
                 match self.pool.direct(micros(now), machine, &r.body) {
                     Some((status, body)) => {
-                        out.push(Out::Answer { to: id, status, retry_after: None, body });
+                        out.push(Effect::Answer { to: id, status, retry_after: None, body });
                     }
                     None => refuse(out, id, 404),
                 }
@@ -217,13 +217,13 @@
         _wall: WallMs,
         id: CallId,
         result: Option<(u16, Vec<u8>)>,
-        _out: &mut Vec<Out>,
+        _out: &mut Vec<Effect>,
     ) {
         let state = &self.state.state;
         self.pool.on_reply(micros(now), id, result, &mut |job| describe(state, job));
     }
 
-    fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Out>) {
+    fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
         let us = micros(now);
         while let Some(trouble) = self.troubles.as_ref().and_then(|t| t.try_recv().ok()) {
             self.suffer(us, trouble);
--- a/crates/emulator/src/platform/tests.rs
+++ b/crates/emulator/src/platform/tests.rs
@@ -35,18 +35,18 @@
         let r = Request { method, path, body, close: false, authorization: None };
         p.on_request(now, WallMs(0), STATE_DOOR, id, r, &mut out);
         match out.pop() {
-            Some(Out::Answer { status, body, .. }) => (status, decode(&body)),
+            Some(Effect::Answer { status, body, .. }) => (status, decode(&body)),
             other => panic!("{other:?}"),
         }
     };
     let mut p = Platform::new(plan(&path), Box::new(|_| {}), now).expect("made");
-    let permit = ask(&mut p, Method::Post, "/holds", json!({"lifeMs": 5000})).1["permit"].clone();
-    let put = |key: &str, permit: Value| {
+    let lease_id = ask(&mut p, Method::Post, "/holds", json!({"lifeMs": 5000})).1["permit"].clone();
+    let put = |key: &str, lease_id: Value| {
         json!({"when": [{"path": key, "stamp": 0}],
-            "then": [{"write": key, "value": {"x": 1}, "permit": permit}]})
+            "then": [{"write": key, "value": {"x": 1}, "permit": lease_id}]})
     };
     assert_eq!(ask(&mut p, Method::Post, "/commit", put("a/b", Value::Null)).0, 200);
-    assert_eq!(ask(&mut p, Method::Post, "/commit", put("lead/now", permit)).0, 200);
+    assert_eq!(ask(&mut p, Method::Post, "/commit", put("lead/now", lease_id)).0, 200);
     drop(p);
     let torn = std::fs::OpenOptions::new().append(true).open(&path);
     torn.expect("there").write_all(b"{\"rev\": 9, \"ke").expect("written");
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -11,8 +11,8 @@
 
 struct Key {
     value: Value,
-    stamp: u64,
-    permit: Option<u64>,
+    revision: u64,
+    lease_id: Option<u64>,
     since: Us,
 }
 
@@ -96,7 +96,7 @@
             let keys: Vec<String> = self
                 .keys
                 .iter()
-                .filter(|(_, k)| k.permit == Some(id))
+                .filter(|(_, k)| k.lease_id == Some(id))
                 .map(|(n, _)| n.clone())
                 .collect();
             if !keys.is_empty() {
@@ -116,7 +116,7 @@
         self.forgotten = self.rev;
         match value {
             Some(value) => {
-                self.keys.insert(key, Key { value, stamp: rev, permit: None, since: 0 });
+                self.keys.insert(key, Key { value, revision: rev, lease_id: None, since: 0 });
             }
             None => {
                 self.keys.remove(&key);
@@ -126,8 +126,8 @@
 
     /// Everything that is to be kept, for a log that begins anew.
     pub fn all(&self) -> impl Iterator<Item = (u64, &String, &Value)> {
-        let kept = self.keys.iter().filter(|(_, k)| k.permit.is_none());
-        kept.map(|(name, k)| (k.stamp, name, &k.value))
+        let kept = self.keys.iter().filter(|(_, k)| k.lease_id.is_none());
+        kept.map(|(name, k)| (k.revision, name, &k.value))
     }
 
     pub fn rev(&self) -> u64 {
@@ -140,7 +140,7 @@
 
     fn note(&mut self, key: String, value: Option<Value>) {
         if self.keeps {
-            let leased = self.keys.get(&key).is_some_and(|k| k.permit.is_some());
+            let leased = self.keys.get(&key).is_some_and(|k| k.lease_id.is_some());
             let kept = if leased { None } else { value.clone() };
             self.applied.push((self.rev, key.clone(), kept));
         }
@@ -192,14 +192,14 @@
         if now < self.down_until {
             return say(503, json!({}));
         }
-        let txn = if path == "/commit" { decode(body) } else { Value::Null };
-        let then: Vec<Value> = txn["then"].as_array().cloned().unwrap_or_default();
+        let transaction = if path == "/commit" { decode(body) } else { Value::Null };
+        let then: Vec<Value> = transaction["then"].as_array().cloned().unwrap_or_default();
         if !self.spend(now, then.len() as f64) {
             return say(429, json!({}));
         }
         let bare = path.split('?').next().unwrap_or("");
         match (method, bare) {
-            (Method::Post, "/commit") => self.commit(now, &txn, &then),
+            (Method::Post, "/commit") => self.commit(now, &transaction, &then),
             (Method::Post, "/holds") => {
                 let life = decode(body)["lifeMs"].as_u64().unwrap_or(1_000) * 1_000;
                 self.next_lease += 1;
@@ -237,7 +237,7 @@
                 let pairs: Vec<Value> = all
                     .into_iter()
                     .take(most)
-                    .map(|(k, v)| json!({"path": k, "value": v.value, "stamp": v.stamp}))
+                    .map(|(k, v)| json!({"path": k, "value": v.value, "stamp": v.revision}))
                     .collect();
                 say(200, json!({"pairs": pairs, "more": more, "ledgerRev": self.rev}))
             }
@@ -313,12 +313,12 @@
         (ready, next)
     }
 
-    fn commit(&mut self, now: Us, txn: &Value, then: &[Value]) -> Option<(u16, Vec<u8>)> {
+    fn commit(&mut self, now: Us, transaction: &Value, then: &[Value]) -> Option<(u16, Vec<u8>)> {
         let say = |status: u16, v: Value| Some((status, wire::encode(&v)));
-        let when: Vec<Value> = txn["when"].as_array().cloned().unwrap_or_default();
+        let when: Vec<Value> = transaction["when"].as_array().cloned().unwrap_or_default();
         if then.len() > self.txn_ops
             || when.len() > 4 * self.txn_ops
-            || txn.to_string().len() > 64 * 1024
+            || transaction.to_string().len() > 64 * 1024
         {
             self.abused.push(format!(
                 "a transaction of {} writes and {} conditions",
@@ -343,11 +343,11 @@
                 return say(400, json!({"error": "no such lease"}));
             }
         }
-        let stamp = |s: &State, key: &str| s.keys.get(key).map_or(0, |k| k.stamp);
+        let revision = |s: &State, key: &str| s.keys.get(key).map_or(0, |k| k.revision);
         let failed: Vec<&str> = when
             .iter()
             .filter_map(|w| Some((w["path"].as_str()?, w["stamp"].as_u64()?)))
-            .filter(|(k, s)| stamp(self, k) != *s)
+            .filter(|(k, s)| revision(self, k) != *s)
             .map(|(k, _)| k)
             .collect();
         if !failed.is_empty() {
@@ -360,11 +360,11 @@
         for t in then {
             if let Some(key) = t["write"].as_str() {
                 let value = t["value"].clone();
-                let permit = t["permit"].as_u64();
+                let lease_id = t["permit"].as_u64();
                 let since = self.keys.get(key).map_or(now, |k| k.since);
                 self.keys.insert(
                     key.to_string(),
-                    Key { value: value.clone(), stamp: self.rev, permit, since },
+                    Key { value: value.clone(), revision: self.rev, lease_id, since },
                 );
                 self.note(key.to_string(), Some(value));
             } else if let Some(key) = t["delete"].as_str() {
@@ -382,9 +382,11 @@
     /// Puts a value there as another program would have left it.
     pub fn plant(&mut self, key: &str, value: Value) {
         self.rev += 1;
-        let stamp = self.rev;
-        self.keys
-            .insert(key.to_string(), Key { value: value.clone(), stamp, permit: None, since: 0 });
+        let revision = self.rev;
+        self.keys.insert(
+            key.to_string(),
+            Key { value: value.clone(), revision, lease_id: None, since: 0 },
+        );
         self.note(key.to_string(), Some(value));
     }
 }
--- a/crates/emulator/src/state_server.rs
+++ b/crates/emulator/src/state_server.rs
@@ -4,7 +4,7 @@
 use crate::state::State;
 use crate::{micros, refuse, Us};
 use beamhinge_core::http::Request;
-use beamhinge_core::messages::Out;
+use beamhinge_core::messages::Effect;
 use beamhinge_core::settings;
 use beamhinge_core::types::{CallId, RequestId, Time};
 use beamhinge_core::wire;
@@ -67,7 +67,7 @@
     }
 
     /// Answers a request now, or keeps it as an open watch.
-    pub fn answer(&mut self, now: Time, id: RequestId, request: &Request, out: &mut Vec<Out>) {
+    pub fn answer(&mut self, now: Time, id: RequestId, request: &Request, out: &mut Vec<Effect>) {
         if request.path == "/commit" && wire::decode::<ciborium::Value>(&request.body).is_err() {
             return refuse(out, id, 400);
         }
@@ -78,16 +78,16 @@
             return refuse(out, id, 503);
         }
         if let Some((status, body)) = reply {
-            out.push(Out::Answer { to: id, status, retry_after: None, body });
+            out.push(Effect::Answer { to: id, status, retry_after: None, body });
         }
         self.answer_watches(now, out);
     }
 
     /// Answers the watches that have news or whose time is up.
-    pub fn answer_watches(&mut self, now: Time, out: &mut Vec<Out>) {
+    pub fn answer_watches(&mut self, now: Time, out: &mut Vec<Effect>) {
         let (ready, _) = self.state.watches(micros(now), |_, _| false);
         for (to, body) in ready {
-            out.push(Out::Answer { to: called(to), status: 200, retry_after: None, body });
+            out.push(Effect::Answer { to: called(to), status: 200, retry_after: None, body });
         }
         self.write_log(0);
     }
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -49,7 +49,7 @@
     tasks: Vec<Task>,
     images: BTreeSet<String>,
     node: usize,
-    flying: Option<(u64, Us, u64)>,
+    in_flight: Option<(u64, Us, u64)>,
     serial: u64,
     renewed: Us,
     next_report: Us,
@@ -91,7 +91,7 @@
             tasks: Vec::new(),
             images: BTreeSet::new(),
             node: id as usize,
-            flying: None,
+            in_flight: None,
             serial: 0,
             renewed: now,
             next_report: now,
@@ -148,7 +148,7 @@
             }
             self.tenure += 1;
             self.renewed = now;
-            self.flying = None;
+            self.in_flight = None;
         }
     }
 
@@ -195,11 +195,11 @@
             return None;
         }
         self.expire(now);
-        if self.flying.is_some() || now < self.next_report {
+        if self.in_flight.is_some() || now < self.next_report {
             return None;
         }
         self.serial += 1;
-        self.flying = Some((self.serial, now, self.tenure));
+        self.in_flight = Some((self.serial, now, self.tenure));
         self.next_report = now + SECOND / 2;
         let body = self.body(now, doubles);
         Some((self.node, self.serial, body))
@@ -221,11 +221,11 @@
             return None;
         }
         self.expire(now);
-        let (flying, sent, tenure) = self.flying?;
-        if flying != serial {
+        let (in_flight, sent, tenure) = self.in_flight?;
+        if in_flight != serial {
             return None;
         }
-        self.flying = None;
+        self.in_flight = None;
         let value = decode(body);
         match status {
             200 => {
@@ -261,11 +261,11 @@
     }
 
     pub fn timed_out(&mut self, now: Us, serial: u64, nodes: usize) -> Option<Us> {
-        let (flying, _, _) = self.flying?;
-        if flying != serial {
+        let (in_flight, _, _) = self.in_flight?;
+        if in_flight != serial {
             return None;
         }
-        self.flying = None;
+        self.in_flight = None;
         self.next_node(now, nodes)
     }
 
@@ -440,7 +440,7 @@
         self.images.clear();
         self.tenure += 1;
         self.baton = 0;
-        self.flying = None;
+        self.in_flight = None;
         (self.renewed, self.next_report) = (now, now);
     }
 
--- a/crates/emulator/src/worker_pool.rs
+++ b/crates/emulator/src/worker_pool.rs
@@ -9,7 +9,7 @@
 use crate::worker::{Event, Happened, Worker};
 use crate::{decode, Doubles, JobPlan, Us, SECOND};
 use beamhinge_core::http::Method;
-use beamhinge_core::messages::{Dest, Out};
+use beamhinge_core::messages::{Destination, Effect};
 use beamhinge_core::settings;
 use beamhinge_core::types::CallId;
 use beamhinge_core::wire;
@@ -150,7 +150,7 @@
         }
     }
 
-    fn report(&mut self, now: Us, machine: u64, out: &mut Vec<Out>) {
+    fn report(&mut self, now: Us, machine: u64, out: &mut Vec<Effect>) {
         let every = (self.settings.report_s * 1e6) as Us;
         let Some(worker) = self.workers.get_mut(&machine) else { return };
         let Some((node, serial, body)) = worker.send(now, self.doubles) else { return };
@@ -159,9 +159,9 @@
         let id = CallId(self.next_call);
         self.calls.insert(id, (machine, serial));
         let address = self.controllers[node % self.controllers.len()];
-        out.push(Out::Call {
+        out.push(Effect::Call {
             id,
-            dest: Dest::Node { address, caller: machine },
+            destination: Destination::Node { address, caller: machine },
             method: Method::Post,
             path: "/hello".into(),
             body: wire::encode(&body),
@@ -205,7 +205,7 @@
     }
 
     /// Time passes on all machines, and reports that are due go out.
-    pub fn step(&mut self, now: Us, out: &mut Vec<Out>) {
+    pub fn step(&mut self, now: Us, out: &mut Vec<Effect>) {
         let ended = self.processes.as_mut().map(Processes::ended).unwrap_or_default();
         for (piece, attempt, well) in ended {
             for worker in self.workers.values_mut() {
--- a/crates/emulator/src/worker_pool/tests.rs
+++ b/crates/emulator/src/worker_pool/tests.rs
@@ -68,7 +68,7 @@
         let mut out = Vec::new();
         self.pool.step(now, &mut out);
         for call in out {
-            let Out::Call { id, body, .. } = call else { continue };
+            let Effect::Call { id, body, .. } = call else { continue };
             let pieces = decode(&body)["pieces"].to_string();
             if self.reported.last() != Some(&pieces) {
                 self.reported.push(pieces);
--- a/crates/rate-limit/src/course.rs
+++ b/crates/rate-limit/src/backoff.rs
@@ -23,7 +23,7 @@
 /// the smallest size the work itself is to blame and is set aside. Refusals for
 /// lack of rate lengthen the pause only. Any success begins anew.
 #[derive(Clone, Debug)]
-pub struct Course {
+pub struct AdaptiveBackoff {
     /// Shortest and longest pause, seconds.
     pauses: (f64, f64),
     malformed: u32,
@@ -31,11 +31,11 @@
     until: Time,
 }
 
-impl Course {
+impl AdaptiveBackoff {
     /// A course that pauses between `shortest_s` and `longest_s` seconds.
-    pub fn new(shortest_s: f64, longest_s: f64) -> Course {
+    pub fn new(shortest_s: f64, longest_s: f64) -> AdaptiveBackoff {
         let pauses = (shortest_s, longest_s.max(shortest_s));
-        Course { pauses, malformed: 0, refused: 0, until: Time::default() }
+        AdaptiveBackoff { pauses, malformed: 0, refused: 0, until: Time::default() }
     }
 
     /// Whether the pause after the last refusal is over.
@@ -93,29 +93,32 @@
 
     #[test]
     fn what_is_malformed_gets_smaller_later_and_is_set_aside_in_the_end() {
-        let mut course = Course::new(0.1, 2.0);
+        let mut backoff = AdaptiveBackoff::new(0.1, 2.0);
         let mut now = Time::from_micros(1);
         let mut parts = Vec::new();
         for _ in 0..ASIDE {
-            assert_eq!(course.malformed(now), Next::Smaller);
-            assert!(!course.due(now) && course.due(now.plus(2.0)), "never at once, never for ever");
+            assert_eq!(backoff.malformed(now), Next::Smaller);
+            assert!(
+                !backoff.due(now) && backoff.due(now.plus(2.0)),
+                "never at once, never for ever"
+            );
             now = now.plus(2.0);
-            parts.push(course.part());
+            parts.push(backoff.part());
         }
         assert_eq!(parts, [2, 4, 8, 16, 32, 64]);
-        assert_eq!(course.malformed(now), Next::Aside);
-        course.succeeded();
-        assert_eq!((course.part(), course.tries()), (1, 0));
+        assert_eq!(backoff.malformed(now), Next::Aside);
+        backoff.succeeded();
+        assert_eq!((backoff.part(), backoff.tries()), (1, 0));
     }
 
     #[test]
     fn a_busy_service_is_asked_less_often_and_for_as_much() {
-        let mut course = Course::new(0.1, 1.0);
+        let mut backoff = AdaptiveBackoff::new(0.1, 1.0);
         let now = Time::from_micros(1);
         for _ in 0..40 {
-            course.busy(now);
+            backoff.busy(now);
         }
-        assert_eq!((course.part(), course.tries()), (1, 40));
-        assert!(!course.due(now.plus(0.9)) && course.due(now.plus(1.1)));
+        assert_eq!((backoff.part(), backoff.tries()), (1, 40));
+        assert!(!backoff.due(now.plus(0.9)) && backoff.due(now.plus(1.1)));
     }
 }
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -7,8 +7,8 @@
 //! how the same work is tried again after a refusal: smaller each time, later
 //! each time, and in the end not at all by this controller.
 
-mod course;
-mod txn;
+mod backoff;
+mod transaction;
 
-pub use course::{Course, Next};
-pub use txn::{Full, Limits, Txn};
+pub use backoff::{AdaptiveBackoff, Next};
+pub use transaction::{Full, Limits, Transaction};
--- a/crates/rate-limit/src/txn.rs
+++ b/crates/rate-limit/src/transaction.rs
@@ -1,7 +1,7 @@
 //! A transaction being put together.
 
 use beamhinge_core::settings;
-use beamhinge_core::types::Stamp;
+use beamhinge_core::types::Revision;
 use beamhinge_core::wire;
 use ciborium::Value;
 use serde::Serialize;
@@ -84,7 +84,8 @@
 #[derive(Serialize)]
 struct When<'a> {
     path: &'a str,
-    stamp: u64,
+    #[serde(rename = "stamp")]
+    revision: u64,
 }
 
 #[derive(Serialize)]
@@ -94,7 +95,8 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     value: Option<&'a Value>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    permit: Option<u64>,
+    #[serde(rename = "permit")]
+    lease_id: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     delete: Option<&'a str>,
 }
@@ -111,26 +113,26 @@
 /// Every change rests on a condition: there is no way to write a key without
 /// saying which version it must have.
 #[derive(Debug)]
-pub struct Txn {
+pub struct Transaction {
     limits: Limits,
-    when: BTreeMap<String, Stamp>,
+    when: BTreeMap<String, Revision>,
     then: Vec<(String, Option<Value>, Option<u64>)>,
     bytes: usize,
 }
 
-impl Txn {
+impl Transaction {
     /// An empty transaction.
-    pub fn new(limits: Limits) -> Txn {
-        Txn { limits, when: BTreeMap::new(), then: Vec::new(), bytes: FRAME_BYTES }
+    pub fn new(limits: Limits) -> Transaction {
+        Transaction { limits, when: BTreeMap::new(), then: Vec::new(), bytes: FRAME_BYTES }
     }
 
     /// What a condition on `key` would add: conditions and bytes.
-    fn cost(&self, key: &str, stamp: Stamp) -> Result<(usize, usize), Full> {
+    fn cost(&self, key: &str, revision: Revision) -> Result<(usize, usize), Full> {
         if key.len() > MOST_KEY_BYTES {
             return Err(Full::Never { bytes: key.len(), limit: MOST_KEY_BYTES });
         }
         match self.when.get(key) {
-            Some(s) if *s != stamp => Err(Full::Contradiction),
+            Some(s) if *s != revision => Err(Full::Contradiction),
             Some(_) => Ok((0, 0)),
             None => Ok((1, key.len() + CONDITION_BYTES)),
         }
@@ -155,11 +157,11 @@
     ///
     /// # Errors
     /// When it does not fit; nothing is changed then.
-    pub fn when(&mut self, key: impl Into<String>, stamp: Stamp) -> Result<(), Full> {
+    pub fn when(&mut self, key: impl Into<String>, revision: Revision) -> Result<(), Full> {
         let key = key.into();
-        let (conditions, bytes) = self.cost(&key, stamp)?;
+        let (conditions, bytes) = self.cost(&key, revision)?;
         self.spend(0, conditions, bytes)?;
-        self.when.insert(key, stamp);
+        self.when.insert(key, revision);
         Ok(())
     }
 
@@ -170,19 +172,19 @@
     pub fn write(
         &mut self,
         key: impl Into<String>,
-        stamp: Stamp,
+        revision: Revision,
         value: Value,
-        permit: Option<u64>,
+        lease_id: Option<u64>,
     ) -> Result<(), Full> {
         let key = key.into();
         let size = wire::json_len(&value);
         if size > self.limits.value {
             return Err(Full::Never { bytes: size, limit: self.limits.value });
         }
-        let (conditions, bytes) = self.cost(&key, stamp)?;
+        let (conditions, bytes) = self.cost(&key, revision)?;
         self.spend(1, conditions, bytes + key.len() + size + WRITE_BYTES)?;
-        self.when.insert(key.clone(), stamp);
-        self.then.push((key, Some(value), permit));
+        self.when.insert(key.clone(), revision);
+        self.then.push((key, Some(value), lease_id));
         Ok(())
     }
 
@@ -190,11 +192,11 @@
     ///
     /// # Errors
     /// When it does not fit; nothing is changed then.
-    pub fn delete(&mut self, key: impl Into<String>, stamp: Stamp) -> Result<(), Full> {
+    pub fn delete(&mut self, key: impl Into<String>, revision: Revision) -> Result<(), Full> {
         let key = key.into();
-        let (conditions, bytes) = self.cost(&key, stamp)?;
+        let (conditions, bytes) = self.cost(&key, revision)?;
         self.spend(1, conditions, bytes + key.len() + WRITE_BYTES)?;
-        self.when.insert(key.clone(), stamp);
+        self.when.insert(key.clone(), revision);
         self.then.push((key, None, None));
         Ok(())
     }
@@ -223,14 +225,14 @@
     /// The body of the request.
     pub fn body(&self) -> Vec<u8> {
         wire::encode(&Body {
-            when: self.when.iter().map(|(k, s)| When { path: k, stamp: s.0 }).collect(),
+            when: self.when.iter().map(|(k, s)| When { path: k, revision: s.0 }).collect(),
             then: self
                 .then
                 .iter()
-                .map(|(k, v, permit)| Then {
+                .map(|(k, v, lease_id)| Then {
                     write: v.is_some().then_some(k.as_str()),
                     value: v.as_ref(),
-                    permit: *permit,
+                    lease_id: *lease_id,
                     delete: v.is_none().then_some(k.as_str()),
                 })
                 .collect(),
@@ -253,11 +255,12 @@
     fn step() -> impl Strategy<Value = Step> {
         // Few and long keys: repeated ones, and ones that never fit.
         let key = prop_oneof!["[a-c]/[0-9]{1,2}", "[a-z]{180,230}"];
-        let stamp = 0..3u64;
+        let revision = 0..3u64;
         prop_oneof![
-            (key.clone(), stamp.clone()).prop_map(|(k, s)| Step::When(k, s)),
-            (key.clone(), stamp.clone(), 0..20_000usize).prop_map(|(k, s, n)| Step::Write(k, s, n)),
-            (key, stamp).prop_map(|(k, s)| Step::Delete(k, s)),
+            (key.clone(), revision.clone()).prop_map(|(k, s)| Step::When(k, s)),
+            (key.clone(), revision.clone(), 0..20_000usize)
+                .prop_map(|(k, s, n)| Step::Write(k, s, n)),
+            (key, revision).prop_map(|(k, s)| Step::Delete(k, s)),
         ]
     }
 
@@ -277,25 +280,25 @@
             steps in prop::collection::vec(step(), 0..70),
         ) {
             let limits = Limits { writes, conditions: writes * 4, bytes: MOST_BYTES, value };
-            let mut txn = Txn::new(limits);
+            let mut transaction = Transaction::new(limits);
             let mut taken = 0;
             for s in steps {
-                let before = (txn.writes(), txn.conditions_left(), txn.bytes);
+                let before = (transaction.writes(), transaction.conditions_left(), transaction.bytes);
                 let done = match s {
-                    Step::When(k, s) => txn.when(k, Stamp(s)),
+                    Step::When(k, s) => transaction.when(k, Revision(s)),
                     Step::Write(k, s, n) => {
-                        txn.write(k, Stamp(s), Value::Text("x".repeat(n)), Some(7))
+                        transaction.write(k, Revision(s), Value::Text("x".repeat(n)), Some(7))
                     }
-                    Step::Delete(k, s) => txn.delete(k, Stamp(s)),
+                    Step::Delete(k, s) => transaction.delete(k, Revision(s)),
                 };
                 match done {
                     Ok(()) => taken += 1,
                     Err(_) => prop_assert_eq!(
-                        before, (txn.writes(), txn.conditions_left(), txn.bytes)
+                        before, (transaction.writes(), transaction.conditions_left(), transaction.bytes)
                     ),
                 }
             }
-            let body: Value = wire::decode(&txn.body()).expect("sound");
+            let body: Value = wire::decode(&transaction.body()).expect("sound");
             prop_assert!(wire::json_len(&body) <= MOST_BYTES);
             let list = |name: &str| -> Vec<Value> {
                 let Value::Map(fields) = &body else { return Vec::new() };
@@ -311,16 +314,16 @@
     #[test]
     fn what_never_fits_is_told_from_what_fits_later() {
         let limits = Limits { writes: 2, conditions: 8, bytes: MOST_BYTES, value: 1_024 };
-        let mut txn = Txn::new(limits);
+        let mut transaction = Transaction::new(limits);
         let big = Value::Text("x".repeat(2_000));
-        assert!(matches!(txn.write("a", Stamp(0), big, None), Err(Full::Never { .. })));
-        assert!(matches!(txn.when("k".repeat(201), Stamp(0)), Err(Full::Never { .. })));
-        assert_eq!(txn.delete("a", Stamp(1)), Ok(()));
-        assert_eq!(txn.delete("a", Stamp(2)), Err(Full::Contradiction));
-        assert_eq!(txn.delete("b", Stamp(1)), Ok(()));
-        assert_eq!(txn.delete("c", Stamp(1)), Err(Full::Now));
+        assert!(matches!(transaction.write("a", Revision(0), big, None), Err(Full::Never { .. })));
+        assert!(matches!(transaction.when("k".repeat(201), Revision(0)), Err(Full::Never { .. })));
+        assert_eq!(transaction.delete("a", Revision(1)), Ok(()));
+        assert_eq!(transaction.delete("a", Revision(2)), Err(Full::Contradiction));
+        assert_eq!(transaction.delete("b", Revision(1)), Ok(()));
+        assert_eq!(transaction.delete("c", Revision(1)), Err(Full::Now));
         // Compared before: no second condition is counted.
-        assert_eq!(txn.when("b", Stamp(1)), Ok(()));
-        assert_eq!(txn.conditions_left(), 6);
+        assert_eq!(transaction.when("b", Revision(1)), Ok(()));
+        assert_eq!(transaction.conditions_left(), 6);
     }
 }
--- a/crates/sharding/src/hold.rs
+++ b/crates/sharding/src/hold.rs
@@ -1,7 +1,7 @@
 //! Which slots this controller holds, and by which token.
 
 use crate::slots::{Slot, Slots};
-use beamhinge_core::types::{Stamp, Token};
+use beamhinge_core::types::{FencingToken, Revision};
 
 /// A controller's process: a label that stays, and a number that does not.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -15,7 +15,7 @@
 pub struct Entry {
     pub holder: Option<Name>,
     /// 0: nobody ever held it.
-    pub stamp: Stamp,
+    pub revision: Revision,
 }
 
 /// The transaction that makes somebody a slot's holder: on condition that the slot's
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Write {
     pub slot: Slot,
-    pub when: Stamp,
+    pub when: Revision,
     pub holder: Name,
 }
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// Applied, at this revision.
-    Applied(Stamp),
+    Applied(Revision),
     /// Not executed: the rate is spent, or the service is away.
     Refused,
     /// The key has another stamp by now.
@@ -44,9 +44,9 @@
 enum Turn {
     /// It is not ours, or we do not know.
     No,
-    Held(Token),
+    Held(FencingToken),
     /// We wrote it over to another, and do not know yet whether that was applied.
-    Giving(Token),
+    Giving(FencingToken),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -54,7 +54,7 @@
     known: Option<Entry>,
     turn: Turn,
     /// The highest token whose term has ended for us: it is never taken up again.
-    ended: Token,
+    ended: FencingToken,
     /// A write of ours about it is under way.
     flying: bool,
     /// What we know may be old: the key has to be read.
@@ -75,8 +75,13 @@
 
 impl Shares {
     pub fn new(me: Name, slots: Slots) -> Shares {
-        let share =
-            Share { known: None, turn: Turn::No, ended: Token(0), flying: false, stale: true };
+        let share = Share {
+            known: None,
+            turn: Turn::No,
+            ended: FencingToken(0),
+            flying: false,
+            stale: true,
+        };
         Shares { me, of: vec![share; slots.count()] }
     }
 
@@ -86,7 +91,7 @@
 
     /// The token with which we may answer the slot's workers and commit for it; none
     /// while we do not hold it, or are giving it away.
-    pub fn token(&self, slot: Slot) -> Option<Token> {
+    pub fn token(&self, slot: Slot) -> Option<FencingToken> {
         match self.of.get(usize::from(slot.0))?.turn {
             Turn::Held(token) => Some(token),
             Turn::No | Turn::Giving(_) => None,
@@ -94,7 +99,7 @@
     }
 
     /// Slots that we hold.
-    pub fn held(&self) -> impl Iterator<Item = (Slot, Token)> + '_ {
+    pub fn held(&self) -> impl Iterator<Item = (Slot, FencingToken)> + '_ {
         (0..self.of.len() as u16).map(Slot).filter_map(|s| Some((s, self.token(s)?)))
     }
 
@@ -113,15 +118,15 @@
 
     /// The key was read, or its watch told of it. Returns the token if we became the
     /// holder by that.
-    pub fn saw(&mut self, slot: Slot, entry: Entry) -> Option<Token> {
+    pub fn saw(&mut self, slot: Slot, entry: Entry) -> Option<FencingToken> {
         let me = self.me.clone();
         let share = self.share(slot)?;
         share.stale = false;
         // News from before what we know are old.
-        if share.known.as_ref().is_some_and(|k| k.stamp > entry.stamp) {
+        if share.known.as_ref().is_some_and(|k| k.revision > entry.revision) {
             return None;
         }
-        let token = Token(entry.stamp.0);
+        let token = FencingToken(entry.revision.0);
         let ours = entry.holder.as_ref() == Some(&me);
         share.known = Some(entry);
         match share.turn {
@@ -137,7 +142,7 @@
         }
     }
 
-    fn begin(share: &mut Share, ours: bool, token: Token) -> Option<Token> {
+    fn begin(share: &mut Share, ours: bool, token: FencingToken) -> Option<FencingToken> {
         (ours && token > share.ended).then(|| {
             share.turn = Turn::Held(token);
             token
@@ -164,7 +169,7 @@
         if share.turn != Turn::No {
             return None;
         }
-        let write = Write { slot, when: known.stamp, holder: me };
+        let write = Write { slot, when: known.revision, holder: me };
         share.flying = true;
         Some(write)
     }
@@ -179,16 +184,16 @@
         }
         share.turn = Turn::Giving(token);
         share.flying = true;
-        Some(Write { slot, when: Stamp(token.0), holder: to })
+        Some(Write { slot, when: Revision(token.0), holder: to })
     }
 
     /// What became of a take or a gift. Returns the token if we hold the slot by it.
-    pub fn wrote(&mut self, write: &Write, outcome: Outcome) -> Option<Token> {
+    pub fn wrote(&mut self, write: &Write, outcome: Outcome) -> Option<FencingToken> {
         let share = self.share(write.slot)?;
         share.flying = false;
         match outcome {
-            Outcome::Applied(stamp) => {
-                self.saw(write.slot, Entry { holder: Some(write.holder.clone()), stamp })
+            Outcome::Applied(revision) => {
+                self.saw(write.slot, Entry { holder: Some(write.holder.clone()), revision })
             }
             // Certainly not executed, and never will be: as it was.
             Outcome::Refused => {
@@ -220,7 +225,7 @@
             return None;
         }
         share.flying = true;
-        Some(Write { slot, when: Stamp(token.0), holder: me })
+        Some(Write { slot, when: Revision(token.0), holder: me })
     }
 }
 
@@ -240,28 +245,31 @@
         Shares::new(name(label, nonce), Slots::within(&limits))
     }
 
-    fn entry(holder: &Name, stamp: u64) -> Entry {
-        Entry { holder: Some(holder.clone()), stamp: Stamp(stamp) }
+    fn entry(holder: &Name, revision: u64) -> Entry {
+        Entry { holder: Some(holder.clone()), revision: Revision(revision) }
     }
 
-    fn holding(nonce: u64, stamp: u64) -> Shares {
+    fn holding(nonce: u64, revision: u64) -> Shares {
         let mut s = shares("a", nonce);
-        s.saw(SLOT, Entry { holder: None, stamp: Stamp(0) });
+        s.saw(SLOT, Entry { holder: None, revision: Revision(0) });
         let take = s.take(SLOT).expect("nobody holds it");
         assert!(s.take(SLOT).is_none(), "one at a time");
-        assert_eq!(s.wrote(&take, Outcome::Applied(Stamp(stamp))), Some(Token(stamp)));
+        assert_eq!(
+            s.wrote(&take, Outcome::Applied(Revision(revision))),
+            Some(FencingToken(revision))
+        );
         s
     }
 
     #[test]
     fn a_take_whose_reply_is_lost_is_known_by_its_nonce() {
         let mut s = shares("a", 1);
-        s.saw(SLOT, Entry { holder: None, stamp: Stamp(0) });
+        s.saw(SLOT, Entry { holder: None, revision: Revision(0) });
         let take = s.take(SLOT).expect("free");
         assert_eq!(s.wrote(&take, Outcome::Unknown), None);
         assert_eq!(s.to_read().collect::<Vec<_>>(), [SLOT]);
         assert!(s.take(SLOT).is_none(), "read first");
-        assert_eq!(s.saw(SLOT, entry(&name("a", 1), 7)), Some(Token(7)));
+        assert_eq!(s.saw(SLOT, entry(&name("a", 1), 7)), Some(FencingToken(7)));
         // Another process of the same label is another.
         assert_eq!(shares("a", 2).saw(SLOT, entry(&name("a", 1), 7)), None);
     }
@@ -276,8 +284,8 @@
         s.saw(SLOT, entry(&name("a", 1), 7));
         assert_eq!(s.token(SLOT), None, "and may be still");
         let back = s.take_back(SLOT).expect("not shown");
-        assert_eq!(back.when, Stamp(7), "one of the two transactions fails");
-        assert_eq!(s.wrote(&back, Outcome::Applied(Stamp(9))), Some(Token(9)));
+        assert_eq!(back.when, Revision(7), "one of the two transactions fails");
+        assert_eq!(s.wrote(&back, Outcome::Applied(Revision(9))), Some(FencingToken(9)));
         // The gift was applied first.
         let mut s = holding(1, 7);
         let gift = s.give(SLOT, b.clone()).expect("held");
@@ -288,7 +296,7 @@
         let mut s = holding(1, 7);
         let gift = s.give(SLOT, b).expect("held");
         s.wrote(&gift, Outcome::Refused);
-        assert_eq!(s.token(SLOT), Some(Token(7)));
+        assert_eq!(s.token(SLOT), Some(FencingToken(7)));
     }
 
     #[test]
@@ -299,6 +307,6 @@
         assert_eq!(s.saw(SLOT, entry(&name("b", 2), 9)), None);
         assert_eq!(s.saw(SLOT, entry(&name("a", 1), 7)), None);
         assert_eq!(s.holder(SLOT), Some("b"));
-        assert_eq!(s.saw(SLOT, entry(&name("a", 1), 12)), Some(Token(12)), "given back");
+        assert_eq!(s.saw(SLOT, entry(&name("a", 1), 12)), Some(FencingToken(12)), "given back");
     }
 }
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -3,7 +3,7 @@
 //! late or not at all, replies and answers that are lost, copies of reports, ends,
 //! takes from a holder that lives. The shares are the package's own.
 
-use beamhinge_core::types::Stamp;
+use beamhinge_core::types::Revision;
 use beamhinge_rate_limit::Limits;
 use beamhinge_sharding::{Entry, Name, Outcome, Shares, Slot, Slots, Write};
 use std::collections::{HashSet, VecDeque};
@@ -148,7 +148,8 @@
 }
 
 fn start(left: Left) -> World {
-    let entry = |c: usize, stamp: u64| Entry { holder: Some(name(c, 0)), stamp: Stamp(stamp) };
+    let entry =
+        |c: usize, revision: u64| Entry { holder: Some(name(c, 0)), revision: Revision(revision) };
     let slot = [entry(0, 1), entry(1, 2)];
     let ctl = |c: usize| {
         let mut shares = Shares::new(name(c, 0), two_slots());
@@ -217,9 +218,9 @@
     fn apply(&mut self, t: &Txn, defect: Defect) -> Outcome {
         let s = t.slot;
         let held = match t.kind {
-            Kind::Hold(ref w) => self.slot[s].stamp == w.when,
+            Kind::Hold(ref w) => self.slot[s].revision == w.when,
             Kind::Place { .. } if defect == Defect::Unconditional => true,
-            _ => self.slot[s].stamp.0 == t.token,
+            _ => self.slot[s].revision.0 == t.token,
         };
         let ok = held
             && match t.kind {
@@ -242,7 +243,7 @@
         let rev = self.rev;
         match &t.kind {
             Kind::Hold(w) => {
-                self.slot[s] = Entry { holder: Some(w.holder.clone()), stamp: Stamp(rev) }
+                self.slot[s] = Entry { holder: Some(w.holder.clone()), revision: Revision(rev) }
             }
             Kind::Place { task, .. } => self.row[*task] = (Some((s as u8, rev)), rev),
             Kind::End { task, .. } => self.row[*task] = (None, rev),
@@ -258,7 +259,7 @@
             }
             Kind::Touch { .. } => self.part[s].1 = rev,
         }
-        Outcome::Applied(Stamp(rev))
+        Outcome::Applied(Revision(rev))
     }
 
     /// Its sender learns what became of it.
@@ -273,7 +274,7 @@
             return;
         }
         let applied = match outcome {
-            Outcome::Applied(stamp) => Some(stamp.0),
+            Outcome::Applied(revision) => Some(revision.0),
             _ => None,
         };
         let Some(b) = ctl.books[t.slot].as_mut().filter(|b| b.token == t.token) else { return };
--- a/crates/sim/src/cluster.rs
+++ b/crates/sim/src/cluster.rs
@@ -17,7 +17,7 @@
 use beamhinge_controller::faults::Faults;
 use beamhinge_controller::node::Node;
 use beamhinge_core::http::{Method, Request};
-use beamhinge_core::messages::{Dest, Out, Service};
+use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::peers;
 use beamhinge_core::settings::{Operator, Settings};
 use beamhinge_core::types::{CallId, RequestId, Time, WallMs};
@@ -515,7 +515,7 @@
         copied(&mut self.rng, self.now, self.copies)
     }
 
-    fn with_node(&mut self, i: usize, f: impl FnOnce(&mut Node, Time, WallMs, &mut Vec<Out>)) {
+    fn with_node(&mut self, i: usize, f: impl FnOnce(&mut Node, Time, WallMs, &mut Vec<Effect>)) {
         let (now, wall) = (Time::from_micros(self.now), self.wall());
         let mut out = Vec::new();
         if let Some(node) = self.nodes[i].as_mut() {
@@ -527,20 +527,20 @@
         }
     }
 
-    fn act(&mut self, i: usize, out: Out) {
+    fn act(&mut self, i: usize, out: Effect) {
         let life = self.lives[i];
         let drawn_by = match &out {
-            Out::Tell { .. } => &mut self.frame_rng,
+            Effect::SendFrame { .. } => &mut self.frame_rng,
             _ => &mut self.rng,
         };
         let hop = drawn_by.gen_range(1_000..4_000);
         match out {
-            Out::Call { id, dest, method, path, body, timeout_s } => {
+            Effect::Call { id, destination, method, path, body, timeout_s } => {
                 let deadline = self.now + (timeout_s * 1e6) as u64;
                 self.push(deadline, Event::ToNode { node: i, life, call: id, reply: None });
                 let at = self.now + hop;
-                match dest {
-                    Dest::State => {
+                match destination {
+                    Destination::State => {
                         // What is slow is the way there or the way back.
                         let delay = self.state_delay();
                         let back = delay > 0 && self.rng.gen_bool(0.5);
@@ -570,7 +570,7 @@
                         }
                         self.push(at, to_state(path, body, quiet, slow));
                     }
-                    Dest::Cloud => {
+                    Destination::Cloud => {
                         if let Some(then) = self.passes(i, Far::Cloud, at) {
                             let late = then > at;
                             let call = id;
@@ -596,8 +596,8 @@
                             );
                         }
                     }
-                    Dest::Node { .. } => {}
-                    Dest::Worker(addr) => {
+                    Destination::Node { .. } => {}
+                    Destination::Worker(addr) => {
                         let machine = u64::from(addr.port()) - 10_000;
                         let zone = self.worker_zone(machine);
                         if let Some(at) = self.passes(i, Far::Worker(&zone), at) {
@@ -612,7 +612,7 @@
                     }
                 }
             }
-            Out::Answer { to, status, body, .. } => {
+            Effect::Answer { to, status, body, .. } => {
                 match self.callers.remove(&(i, to.generation)) {
                     Some(Caller::User { job, what, since, asked, look }) => {
                         self.user_answered(job, what, (since, asked), look, status, &body)
@@ -630,7 +630,7 @@
                     None => {}
                 }
             }
-            Out::OperatorAnswer { to, status, body, .. } => {
+            Effect::OperatorAnswer { to, status, body, .. } => {
                 if let Some(Caller::Operator(q)) = self.callers.remove(&(i, to.generation)) {
                     if status == 503 && q.tries > 0 {
                         return self.ask_again(q);
@@ -639,7 +639,7 @@
                     self.answers.insert(q.name, (status, body));
                 }
             }
-            Out::Tell { to: label, frame } => {
+            Effect::SendFrame { to: label, frame } => {
                 for to in 0..self.nodes.len() {
                     let meant = label.as_ref().is_none_or(|l| self.settings[to].label == *l);
                     if to == i || !meant {
--- a/crates/sim/src/days.rs
+++ b/crates/sim/src/days.rs
@@ -248,7 +248,7 @@
     let report = d.of(&[1.0, 2.0, 2.5, 4.0, 5.0]);
     d.lease = (report * 5.5).max(10.0);
     let (rps, writes) = (d.of(&[100.0, 200.0, 400.0]), d.of(&[30.0, 40.0, 100.0]));
-    let (value, txn) = (d.of(&[1.0, 8.0, 32.0]), d.of(&[2.0, 4.0, 8.0, 20.0, 24.0]));
+    let (value, transaction) = (d.of(&[1.0, 8.0, 32.0]), d.of(&[2.0, 4.0, 8.0, 20.0, 24.0]));
     let (boot, lag) = (d.between(6.0, 30.0), d.between(1.0, 4.0));
     let lease = d.lease;
     let owned = (machines * d.between(0.02, 0.1)).ceil().max(2.0);
@@ -259,7 +259,7 @@
     let text = format!(
         "seed {}\nteam-max 0\nowned {owned:.0}\nspot {:.0}\nordinary {:.0}\nlarge {:.0}\nboot {boot:.0}\n\
          workers report={report} lease={lease} cancel={}\n\
-         state rps={rps} writes={writes} value={value} txn={txn}\n\
+         state rps={rps} writes={writes} value={value} txn={transaction}\n\
          cloud rps={:.0} lag={lag:.1}\n",
         mix % 1_000_000,
         (spot / 2.0).ceil(),
--- a/crates/sim/src/fingerprint.rs
+++ b/crates/sim/src/fingerprint.rs
@@ -8,7 +8,7 @@
 pub mod days;
 
 use beamhinge_core::http::Content;
-use beamhinge_core::messages::{Dest, Out};
+use beamhinge_core::messages::{Destination, Effect};
 use beamhinge_core::types::RequestId;
 use std::fmt;
 use std::num::ParseIntError;
@@ -43,25 +43,25 @@
 impl Fingerprinter {
     /// Adds a message that controller number `sender` sent at `now`, in microseconds of
     /// simulated time.
-    pub fn sent(&mut self, now: u64, sender: usize, message: &Out) {
+    pub fn sent(&mut self, now: u64, sender: usize, message: &Effect) {
         self.number(now);
         self.number(sender as u64);
         match message {
-            Out::Call { id, dest, method, path, body, timeout_s } => {
+            Effect::Call { id, destination, method, path, body, timeout_s } => {
                 self.tag(0);
                 self.number(id.0);
-                self.dest(dest);
+                self.destination(destination);
                 self.bytes(method.name().as_bytes());
                 self.bytes(path.as_bytes());
                 self.bytes(body);
                 self.number(timeout_s.to_bits());
             }
-            Out::Answer { to, status, retry_after, body } => {
+            Effect::Answer { to, status, retry_after, body } => {
                 self.tag(1);
                 self.answer(*to, *status, *retry_after);
                 self.bytes(body);
             }
-            Out::OperatorAnswer { to, status, retry_after, content, body } => {
+            Effect::OperatorAnswer { to, status, retry_after, content, body } => {
                 self.tag(2);
                 self.answer(*to, *status, *retry_after);
                 self.tag(match content {
@@ -71,7 +71,7 @@
                 });
                 self.bytes(body);
             }
-            Out::Tell { to, frame } => {
+            Effect::SendFrame { to, frame } => {
                 self.tag(3);
                 self.tag(u8::from(to.is_some()));
                 self.bytes(to.as_deref().unwrap_or_default().as_bytes());
@@ -85,15 +85,15 @@
         Fingerprint(self.hash.digest128())
     }
 
-    fn dest(&mut self, dest: &Dest) {
-        match dest {
-            Dest::State => self.tag(0),
-            Dest::Cloud => self.tag(1),
-            Dest::Worker(address) => {
+    fn destination(&mut self, destination: &Destination) {
+        match destination {
+            Destination::State => self.tag(0),
+            Destination::Cloud => self.tag(1),
+            Destination::Worker(address) => {
                 self.tag(2);
                 self.bytes(address.to_string().as_bytes());
             }
-            Dest::Node { address, caller } => {
+            Destination::Node { address, caller } => {
                 self.tag(3);
                 self.bytes(address.to_string().as_bytes());
                 self.number(*caller);
--- a/crates/sim/src/fingerprint/tests.rs
+++ b/crates/sim/src/fingerprint/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-fn frame(to: Option<&str>, frame: &[u8]) -> Out {
-    Out::Tell { to: to.map(String::from), frame: frame.to_vec() }
+fn frame(to: Option<&str>, frame: &[u8]) -> Effect {
+    Effect::SendFrame { to: to.map(String::from), frame: frame.to_vec() }
 }
 
-fn of(sent: &[(u64, usize, Out)]) -> Fingerprint {
+fn of(sent: &[(u64, usize, Effect)]) -> Fingerprint {
     let mut all = Fingerprinter::default();
     sent.iter().for_each(|(now, sender, message)| all.sent(*now, *sender, message));
     all.fingerprint()
--- a/crates/standby/src/failure_detector.rs
+++ b/crates/standby/src/failure_detector.rs
@@ -1,7 +1,7 @@
 //! The failure detector of a controller that does not lead: by missing heartbeats and
 //! by workers that abandon the holder.
 
-use beamhinge_core::types::{MachineId, Time, Token};
+use beamhinge_core::types::{FencingToken, MachineId, Time};
 use std::collections::{BTreeSet, VecDeque};
 
 /// How often a holder tells its peers that it holds the block, seconds.
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Observer {
     /// Seconds since the state service last answered us.
-    pub ledger_age_s: f64,
+    pub store_age_s: f64,
     /// Our jobs are read.
     pub warm: bool,
     /// Seconds since we ourselves stood still, if we did.
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct FailureDetector {
     holder: Option<String>,
-    token: Token,
+    token: FencingToken,
     known_since: Time,
     last_heartbeat: Time,
     /// Seconds between heartbeats, as a moving average.
@@ -85,7 +85,7 @@
     fn default() -> FailureDetector {
         FailureDetector {
             holder: None,
-            token: Token(0),
+            token: FencingToken(0),
             known_since: Time::default(),
             last_heartbeat: Time::default(),
             interval_s: HEARTBEAT_S,
@@ -99,7 +99,7 @@
 
 impl FailureDetector {
     /// The holder said that it holds the block with this token.
-    pub fn heartbeat(&mut self, now: Time, holder: &str, token: Token) {
+    pub fn heartbeat(&mut self, now: Time, holder: &str, token: FencingToken) {
         let first = self.holder.is_none();
         let new = self.holder.as_deref() != Some(holder);
         let gap_s = now.since(self.last_heartbeat);
@@ -134,7 +134,7 @@
     /// A worker reported here, not there; `seen` is the highest token it has seen. One
     /// that the holder has not answered yet witnesses nothing: a new machine begins
     /// with any controller.
-    pub fn reported_here(&mut self, now: Time, machine: MachineId, seen: Token) {
+    pub fn reported_here(&mut self, now: Time, machine: MachineId, seen: FencingToken) {
         if seen != self.token {
             return;
         }
@@ -171,7 +171,7 @@
         let seen = self.first_witness.since(self.last_heartbeat) <= SEEN_S;
         let witnessed = self.witnesses.len() >= WITNESSES && together && seen;
         let rare = self.last_suspicion.is_none_or(|at| now.since(at) > RARE_S);
-        let fit = own.warm && own.ledger_age_s < LEDGER_S && present;
+        let fit = own.warm && own.store_age_s < LEDGER_S && present;
         let due = silent_s > limit_s + TURN_S * f64::from(own.turn);
         if !(known && due && witnessed && fit && rare) {
             return None;
--- a/crates/standby/src/failure_detector/tests.rs
+++ b/crates/standby/src/failure_detector/tests.rs
@@ -8,14 +8,14 @@
     Time::default().plus(100.0 + s)
 }
 
-const OBSERVER: Observer = Observer { ledger_age_s: 0.2, warm: true, back_for_s: None, turn: 0 };
-const TOKEN: Token = Token(7);
+const OBSERVER: Observer = Observer { store_age_s: 0.2, warm: true, back_for_s: None, turn: 0 };
+const TOKEN: FencingToken = FencingToken(7);
 
 /// Heartbeats of one holder, `every` seconds.
 fn beats(
     detector: &mut FailureDetector,
     holder: &str,
-    token: Token,
+    token: FencingToken,
     from: f64,
     to: f64,
     every: f64,
@@ -24,7 +24,12 @@
     (0..=count).for_each(|n| detector.heartbeat(at(from + f64::from(n) * every), holder, token));
 }
 
-fn report(detector: &mut FailureDetector, s: f64, machines: std::ops::Range<u32>, seen: Token) {
+fn report(
+    detector: &mut FailureDetector,
+    s: f64,
+    machines: std::ops::Range<u32>,
+    seen: FencingToken,
+) {
     machines.for_each(|n| detector.reported_here(at(s), machine(n), seen));
 }
 
@@ -82,8 +87,8 @@
 fn workers_that_the_holder_never_answered_witness_nothing() {
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
-    report(&mut detector, 11.1, 0..40, Token(0));
-    report(&mut detector, 11.1, 40..80, Token(6));
+    report(&mut detector, 11.1, 0..40, FencingToken(0));
+    report(&mut detector, 11.1, 40..80, FencingToken(6));
     assert_eq!(detector.suspected(at(11.6), OBSERVER), None);
     report(&mut detector, 11.2, 80..83, TOKEN);
     assert_eq!(detector.suspected(at(11.6), OBSERVER), Some("a"));
@@ -92,7 +97,7 @@
 #[test]
 fn who_is_not_fit_does_not_take() {
     for own in [
-        Observer { ledger_age_s: 4.0, ..OBSERVER },
+        Observer { store_age_s: 4.0, ..OBSERVER },
         Observer { warm: false, ..OBSERVER },
         Observer { back_for_s: Some(1.0), ..OBSERVER },
     ] {
@@ -119,11 +124,11 @@
 fn takes_are_rare() {
     let mut detector = ended();
     assert!(detector.suspected(at(11.6), OBSERVER).is_some());
-    beats(&mut detector, "b", Token(8), 12.0, 22.0, HEARTBEAT_S);
-    report(&mut detector, 23.1, 0..4, Token(8));
+    beats(&mut detector, "b", FencingToken(8), 12.0, 22.0, HEARTBEAT_S);
+    report(&mut detector, 23.1, 0..4, FencingToken(8));
     assert_eq!(detector.suspected(at(23.7), OBSERVER), None, "twelve seconds after the last");
-    beats(&mut detector, "b", Token(8), 24.0, 28.0, HEARTBEAT_S);
-    report(&mut detector, 29.1, 0..4, Token(8));
+    beats(&mut detector, "b", FencingToken(8), 24.0, 28.0, HEARTBEAT_S);
+    report(&mut detector, 29.1, 0..4, FencingToken(8));
     assert_eq!(detector.suspected(at(29.7), OBSERVER), Some("b"));
 }
 
@@ -133,14 +138,14 @@
 fn each_further_change_of_the_holder_adds_to_the_silence_that_counts() {
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
-    beats(&mut detector, "b", Token(8), 12.0, 16.0, HEARTBEAT_S);
-    report(&mut detector, 17.1, 0..4, Token(8));
+    beats(&mut detector, "b", FencingToken(8), 12.0, 16.0, HEARTBEAT_S);
+    report(&mut detector, 17.1, 0..4, FencingToken(8));
     assert_eq!(detector.suspected(at(17.6), OBSERVER), Some("b"), "the first change costs nothing");
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
-    beats(&mut detector, "b", Token(8), 12.0, 16.0, HEARTBEAT_S);
-    beats(&mut detector, "c", Token(9), 18.0, 22.0, HEARTBEAT_S);
-    report(&mut detector, 23.1, 0..4, Token(9));
+    beats(&mut detector, "b", FencingToken(8), 12.0, 16.0, HEARTBEAT_S);
+    beats(&mut detector, "c", FencingToken(9), 18.0, 22.0, HEARTBEAT_S);
+    report(&mut detector, 23.1, 0..4, FencingToken(9));
     assert_eq!(detector.suspected(at(23.7), OBSERVER), None);
     assert_eq!(detector.suspected(at(24.3), OBSERVER), Some("c"));
 }
@@ -149,7 +154,7 @@
 #[test]
 fn a_lower_token_is_no_heartbeat_of_a_holder() {
     let mut detector = ended();
-    detector.heartbeat(at(11.2), "b", Token(6));
+    detector.heartbeat(at(11.2), "b", FencingToken(6));
     assert_eq!(detector.suspected(at(11.6), OBSERVER), Some("a"));
 }
 
--- a/crates/testbed/src/scale/role/cloud.rs
+++ b/crates/testbed/src/scale/role/cloud.rs
@@ -4,7 +4,7 @@
 use crate::scale::flows::FlowCounter;
 use crate::scale::messages::{Command, MachinePlan, Record};
 use beamhinge_core::http::{Method, Request};
-use beamhinge_core::messages::{Out, Service};
+use beamhinge_core::messages::{Effect, Service};
 use beamhinge_core::types::{RequestId, Time, WallMs};
 use beamhinge_emulator::cloud::{Cloud, Kind};
 use beamhinge_emulator::{micros, Us, SECOND};
@@ -115,7 +115,7 @@
         door: usize,
         id: RequestId,
         request: Request,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         let (method, path) = (request.method, request.path.as_str());
         self.flows.request(id, kind(method, path), (method, path), request.body.len());
@@ -126,11 +126,11 @@
         }
         let (status, body) = self.cloud.handle(us, method, path, &request.body, &mut self.rng);
         self.flows.answer(id, status, body.len());
-        out.push(Out::Answer { to: id, status, retry_after: None, body });
+        out.push(Effect::Answer { to: id, status, retry_after: None, body });
         self.tell_machines(us);
     }
 
-    fn on_tick(&mut self, now: Time, _wall: WallMs, _out: &mut Vec<Out>) {
+    fn on_tick(&mut self, now: Time, _wall: WallMs, _out: &mut Vec<Effect>) {
         let us = micros(now);
         while let Some(command) = self.links.command() {
             self.obey(us, command);
--- a/crates/testbed/src/scale/role/state.rs
+++ b/crates/testbed/src/scale/role/state.rs
@@ -4,7 +4,7 @@
 use crate::scale::flows::FlowCounter;
 use crate::scale::messages::{wall_us, Command, Record, StateLimits};
 use beamhinge_core::http::{Method, Request};
-use beamhinge_core::messages::{Out, Service};
+use beamhinge_core::messages::{Effect, Service};
 use beamhinge_core::settings;
 use beamhinge_core::types::{RequestId, Time, WallMs};
 use beamhinge_emulator::state_server::StateServer;
@@ -25,7 +25,7 @@
     held: VecDeque<(usize, RequestId, Request)>,
     /// Answers take so much longer, until when.
     delay: (Us, Us),
-    delayed: VecDeque<(Us, Out)>,
+    delayed: VecDeque<(Us, Effect)>,
 }
 
 impl StateRole {
@@ -58,7 +58,7 @@
     }
 
     /// Requests of controllers whose cut has ended are carried out now: late.
-    fn release_held(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn release_held(&mut self, now: Time, out: &mut Vec<Effect>) {
         let us = micros(now);
         for _ in 0..self.held.len() {
             let Some((controller, id, request)) = self.held.pop_front() else { break };
@@ -71,10 +71,10 @@
     }
 
     /// Counts answers, and holds back those that are to be late.
-    fn pass(&mut self, now: Us, before: usize, out: &mut Vec<Out>) {
+    fn pass(&mut self, now: Us, before: usize, out: &mut Vec<Effect>) {
         let (delay, until) = self.delay;
         for answer in out.split_off(before) {
-            if let Out::Answer { to, status, body, .. } = &answer {
+            if let Effect::Answer { to, status, body, .. } = &answer {
                 self.flows.answer(*to, *status, body.len());
             }
             if now < until {
@@ -111,7 +111,7 @@
         door: usize,
         id: RequestId,
         request: Request,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         let (method, path) = (request.method, request.path.as_str());
         self.flows.request(id, kind(method, path), (method, path), request.body.len());
@@ -127,7 +127,7 @@
         self.note_lead();
     }
 
-    fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Out>) {
+    fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
         let us = micros(now);
         while let Some(command) = self.links.command() {
             self.obey(us, command);
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -6,7 +6,7 @@
 use crate::scale::messages::{wall_us, Command, Record, UserEvent};
 use crate::scale::workload::Workload;
 use beamhinge_core::http::{Method, Request};
-use beamhinge_core::messages::{Dest, Out, Service};
+use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::types::{CallId, RequestId, Time, WallMs};
 use beamhinge_core::wire;
 use beamhinge_emulator::decode;
@@ -73,7 +73,7 @@
     }
 }
 
-struct Flying {
+struct InFlight {
     ask: Ask,
     sent: Us,
 }
@@ -86,7 +86,7 @@
     until: Us,
     next_job: u64,
     queue: BinaryHeap<Reverse<Ask>>,
-    flying: BTreeMap<CallId, Flying>,
+    in_flight: BTreeMap<CallId, InFlight>,
     next_call: u64,
     told: BTreeMap<u64, Told>,
     /// Accepted jobs that are not over, and when their user was last told anything.
@@ -114,7 +114,7 @@
             until: began + (seconds * 1e6) as Us,
             next_job: 0,
             queue: BinaryHeap::new(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next_call: 0,
             told: BTreeMap::new(),
             last_told: BTreeMap::new(),
@@ -145,7 +145,7 @@
         }
     }
 
-    fn send(&mut self, now: Us, ask: Ask, out: &mut Vec<Out>) {
+    fn send(&mut self, now: Us, ask: Ask, out: &mut Vec<Effect>) {
         let job = self.workload.job(ask.job);
         let (method, path, body, timeout_s) = match ask.kind {
             Kind::Submit => {
@@ -160,12 +160,12 @@
         };
         self.next_call += 1;
         let id = CallId(self.next_call);
-        self.flying.insert(id, Flying { ask, sent: now });
+        self.in_flight.insert(id, InFlight { ask, sent: now });
         let address = self.controllers[self.rng.gen_range(0..self.controllers.len())];
         let caller = self.rng.gen_range(0..CALLERS);
         self.flows.call(ask.kind.name(), (method, &path), body.len());
-        let dest = Dest::Node { address, caller };
-        out.push(Out::Call { id, dest, method, path, body, timeout_s });
+        let destination = Destination::Node { address, caller };
+        out.push(Effect::Call { id, destination, method, path, body, timeout_s });
     }
 
     fn note_cancel(&mut self, job: u64) {
@@ -199,7 +199,7 @@
     }
 
     fn take_reply(&mut self, now: Us, id: CallId, result: Option<(u16, Vec<u8>)>) {
-        let Some(Flying { ask, sent }) = self.flying.remove(&id) else { return };
+        let Some(InFlight { ask, sent }) = self.in_flight.remove(&id) else { return };
         let Some((status, body)) = result else {
             let refused = now.saturating_sub(sent) < (REFUSED_S * 1e6) as Us;
             return match refused && ask.refused + 1 < NODES_TRIED {
@@ -286,7 +286,7 @@
         _door: usize,
         _id: RequestId,
         _request: Request,
-        _out: &mut Vec<Out>,
+        _out: &mut Vec<Effect>,
     ) {
     }
 
@@ -296,12 +296,12 @@
         _wall: WallMs,
         id: CallId,
         result: Option<(u16, Vec<u8>)>,
-        _out: &mut Vec<Out>,
+        _out: &mut Vec<Effect>,
     ) {
         self.take_reply(micros(now), id, result);
     }
 
-    fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Out>) {
+    fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
         let us = micros(now);
         while let Some(command) = self.links.command() {
             if matches!(command, Command::StopSubmitting) {
@@ -318,7 +318,7 @@
         let gauges = [
             ("jobs", self.next_job as f64),
             ("open", self.open as f64),
-            ("flying", self.flying.len() as f64),
+            ("flying", self.in_flight.len() as f64),
         ];
         self.links.tell_counts(now, self.flows.flows(), &gauges);
     }
--- a/crates/testbed/src/scale/role/workers.rs
+++ b/crates/testbed/src/scale/role/workers.rs
@@ -6,7 +6,7 @@
 use crate::scale::messages::{wall_us, Command, Record};
 use crate::scale::workload::Workload;
 use beamhinge_core::http::Request;
-use beamhinge_core::messages::{Dest, Out, Service};
+use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::settings;
 use beamhinge_core::types::{CallId, RequestId, Time, WallMs};
 use beamhinge_emulator::cloud::{Host, Kind};
@@ -129,10 +129,10 @@
     }
 
     /// Counts reports, and keeps back those whose way is cut.
-    fn send(&mut self, now: Us, before: usize, out: &mut Vec<Out>) {
+    fn send(&mut self, now: Us, before: usize, out: &mut Vec<Effect>) {
         for call in out.split_off(before) {
-            if let Out::Call { id, dest, method, path, body, timeout_s } = &call {
-                if let Dest::Node { address, caller } = dest {
+            if let Effect::Call { id, destination, method, path, body, timeout_s } = &call {
+                if let Destination::Node { address, caller } = destination {
                     self.reports.insert(*id, Report { machine: *caller, to: *address });
                     if self.is_cut(now, *caller, *address) {
                         self.lost.push_back((now + (timeout_s * 1e6) as Us, *id));
@@ -167,7 +167,7 @@
         door: usize,
         id: RequestId,
         request: Request,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         let us = micros(now);
         let (method, path) = (request.method, request.path.as_str());
@@ -185,7 +185,7 @@
         match self.pool.direct(us, machine, &request.body) {
             Some((status, body)) => {
                 self.flows.answer(id, status, body.len());
-                out.push(Out::Answer { to: id, status, retry_after: None, body });
+                out.push(Effect::Answer { to: id, status, retry_after: None, body });
             }
             None => refuse(out, id, 404),
         }
@@ -197,12 +197,12 @@
         _wall: WallMs,
         id: CallId,
         result: Option<(u16, Vec<u8>)>,
-        _out: &mut Vec<Out>,
+        _out: &mut Vec<Effect>,
     ) {
         self.take_reply(micros(now), id, result);
     }
 
-    fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Out>) {
+    fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
         let us = micros(now);
         while let Some(command) = self.links.command() {
             self.obey(us, command);
--- a/crates/transport/src/input.rs
+++ b/crates/transport/src/input.rs
@@ -2,7 +2,7 @@
 
 use crate::{wall, Kind, Net};
 use beamhinge_core::http::{self, Content, HttpError};
-use beamhinge_core::messages::{Dest, Out, Service};
+use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::peers;
 use beamhinge_core::types::RequestId;
 use beamhinge_core::wire::{self, BODY_LIMIT};
@@ -118,7 +118,7 @@
                         let large = error == HttpError::TooLarge;
                         let code = if large { "too_large" } else { "malformed" };
                         let body = format!("{{\"error\":\"{error}\",\"code\":\"{code}\"}}");
-                        Out::OperatorAnswer {
+                        Effect::OperatorAnswer {
                             to,
                             status,
                             retry_after: None,
@@ -127,7 +127,7 @@
                         }
                     } else {
                         let body = wire::problem(&error.to_string());
-                        Out::Answer { to, status, retry_after: None, body }
+                        Effect::Answer { to, status, retry_after: None, body }
                     };
                     self.act(vec![answer]);
                     return;
@@ -138,9 +138,9 @@
 
     pub(crate) fn response(&mut self, slot: usize) {
         let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else { return };
-        let Kind::Call { dest, current } = &mut conn.kind else { return };
+        let Kind::Call { destination, current } = &mut conn.kind else { return };
         // Thousands of workers are called now and then: none keeps a socket.
-        let once = matches!(dest, Dest::Worker(_));
+        let once = matches!(destination, Destination::Worker(_));
         if current.is_none() {
             // Nothing was asked: whatever this is, the connection is no good.
             if !conn.inbuf.is_empty() {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use wiring::{Door, DoorKind, Wiring};
 
-use beamhinge_core::messages::{Dest, Service};
+use beamhinge_core::messages::{Destination, Service};
 use beamhinge_core::types::{CallId, Time, WallMs};
 use polling::{Event, PollMode, Poller};
 use std::collections::VecDeque;
@@ -39,7 +39,7 @@
 
 enum Kind {
     Public { door: usize, waiting: bool, close: bool, partial: Option<Time>, worker: bool },
-    Call { dest: Dest, current: Option<(CallId, Time)> },
+    Call { destination: Destination, current: Option<(CallId, Time)> },
     PeerIn,
     PeerOut { member: usize },
 }
--- a/crates/transport/src/output.rs
+++ b/crates/transport/src/output.rs
@@ -3,7 +3,7 @@
 use crate::wiring::connect;
 use crate::{Conn, Kind, Net};
 use beamhinge_core::http::{self, Content};
-use beamhinge_core::messages::{Dest, Out, Service};
+use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::peers;
 use beamhinge_core::types::RequestId;
 use polling::{Event, PollMode};
@@ -20,22 +20,22 @@
 const MAX_UNREAD_BYTES: usize = 2 * peers::FRAME_LIMIT;
 
 impl<S: Service> Net<S> {
-    pub(crate) fn act(&mut self, out: Vec<Out>) {
+    pub(crate) fn act(&mut self, out: Vec<Effect>) {
         for o in out {
             match o {
-                Out::Answer { to, status, retry_after, body } => {
+                Effect::Answer { to, status, retry_after, body } => {
                     self.answer(to, status, retry_after, Content::Cbor, &body)
                 }
-                Out::OperatorAnswer { to, status, retry_after, content, body } => {
+                Effect::OperatorAnswer { to, status, retry_after, content, body } => {
                     self.answer(to, status, retry_after, content, &body)
                 }
-                Out::Call { id, dest, method, path, body, timeout_s } => {
+                Effect::Call { id, destination, method, path, body, timeout_s } => {
                     let deadline = self.now().plus(timeout_s);
-                    match self.client(dest) {
+                    match self.client(destination) {
                         Some(slot) => {
-                            let host = self.address(dest).to_string();
+                            let host = self.address(destination).to_string();
                             if let Some(c) = self.conns.get_mut(slot).and_then(Option::as_mut) {
-                                c.kind = Kind::Call { dest, current: Some((id, deadline)) };
+                                c.kind = Kind::Call { destination, current: Some((id, deadline)) };
                                 let head = http::RequestHead {
                                     method,
                                     path: &path,
@@ -50,7 +50,7 @@
                         None => self.failed.push_back(id),
                     }
                 }
-                Out::Tell { to, frame } => self.tell(to.as_deref(), &frame),
+                Effect::SendFrame { to, frame } => self.tell(to.as_deref(), &frame),
             }
         }
     }
@@ -77,24 +77,25 @@
         }
     }
 
-    pub(crate) fn address(&self, dest: Dest) -> SocketAddrV4 {
-        match dest {
-            Dest::State => self.wiring.external.state,
-            Dest::Cloud => self.wiring.external.cloud,
-            Dest::Worker(address) | Dest::Node { address, .. } => address,
+    pub(crate) fn address(&self, destination: Destination) -> SocketAddrV4 {
+        match destination {
+            Destination::State => self.wiring.external.state,
+            Destination::Cloud => self.wiring.external.cloud,
+            Destination::Worker(address) | Destination::Node { address, .. } => address,
         }
     }
 
     /// An idle connection to `dest`, or a new one.
-    pub(crate) fn client(&mut self, dest: Dest) -> Option<usize> {
+    pub(crate) fn client(&mut self, destination: Destination) -> Option<usize> {
         let mut count = 0;
         let mut idle = None;
         for (slot, c) in self.conns.iter().enumerate() {
-            if let Some(Conn { kind: Kind::Call { dest: d, current }, .. }) = c {
+            if let Some(Conn { kind: Kind::Call { destination: d, current }, .. }) = c {
                 // Workers share one limit, whatever their addresses.
-                let both_workers = matches!((d, dest), (Dest::Worker(_), Dest::Worker(_)));
-                count += usize::from(*d == dest || both_workers);
-                if *d == dest && current.is_none() {
+                let both_workers =
+                    matches!((d, destination), (Destination::Worker(_), Destination::Worker(_)));
+                count += usize::from(*d == destination || both_workers);
+                if *d == destination && current.is_none() {
                     idle = Some(slot);
                 }
             }
@@ -102,17 +103,17 @@
         if idle.is_some() {
             return idle;
         }
-        let limit = match dest {
-            Dest::State => STATE_CONNS,
-            Dest::Cloud => CLOUD_CONNS,
-            Dest::Worker(_) => WORKER_CONNS,
-            Dest::Node { .. } => 1,
+        let limit = match destination {
+            Destination::State => STATE_CONNS,
+            Destination::Cloud => CLOUD_CONNS,
+            Destination::Worker(_) => WORKER_CONNS,
+            Destination::Node { .. } => 1,
         };
         if count >= limit {
             return None;
         }
-        let stream = connect(self.address(dest)).ok()?;
-        self.insert(stream, Kind::Call { dest, current: None }, true).ok()
+        let stream = connect(self.address(destination)).ok()?;
+        self.insert(stream, Kind::Call { destination, current: None }, true).ok()
     }
 
     pub(crate) fn answer(
--- a/crates/transport/src/tests.rs
+++ b/crates/transport/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::connections::REOPEN_S;
 use beamhinge_core::http::{Content, Request};
-use beamhinge_core::messages::Out;
+use beamhinge_core::messages::Effect;
 use beamhinge_core::settings::External;
 use beamhinge_core::types::RequestId;
 use std::io::{Read, Write};
@@ -19,11 +19,11 @@
         _: usize,
         to: RequestId,
         _: Request,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Effect>,
     ) {
         self.0.fetch_add(1, Ordering::Relaxed);
         let (content, body) = (Content::Text, vec![b'x'; 512 * 1024]);
-        out.push(Out::OperatorAnswer { to, status: 200, retry_after: None, content, body });
+        out.push(Effect::OperatorAnswer { to, status: 200, retry_after: None, content, body });
     }
     fn on_reply(
         &mut self,
@@ -31,10 +31,10 @@
         _: WallMs,
         _: CallId,
         _: Option<(u16, Vec<u8>)>,
-        _: &mut Vec<Out>,
+        _: &mut Vec<Effect>,
     ) {
     }
-    fn on_tick(&mut self, _: Time, _: WallMs, _: &mut Vec<Out>) {}
+    fn on_tick(&mut self, _: Time, _: WallMs, _: &mut Vec<Effect>) {}
 }
 
 fn free_address() -> SocketAddrV4 {
