--- a/crates/controller/src/market.rs
+++ b/crates/controller/src/market.rs
@@ -120,6 +120,9 @@
     setup_s: f64,
 }
 
+/// Arrivals of one class that are remembered at once; guards memory.
+const MAX_ARRIVALS: usize = 8_192;
+
 /// Arrivals of a class that may not wait, and the load they make.
 #[derive(Debug, Default)]
 struct Arrivals {
@@ -140,7 +143,7 @@
         }
         self.last = Some(now);
         self.jobs.push_back((width, now.plus(run_s)));
-        if self.jobs.len() > 512 {
+        if self.jobs.len() > MAX_ARRIVALS {
             self.jobs.pop_front();
         }
     }
--- a/crates/preemption/src/budget.rs
+++ b/crates/preemption/src/budget.rs
@@ -6,8 +6,9 @@
 const LEAST: f64 = 4.0;
 /// At first, before anything is known.
 const FIRST: f64 = 32.0;
-/// Most; a takeover must be able to forget them all.
-const MOST: f64 = 2_048.0;
+/// Upper bound of the window: two reservations for each of some 4,000 machines; a new leader must
+/// be able to forget them all.
+const MAX_WINDOW: f64 = 8_192.0;
 
 /// A window that follows the starts it brings, as senders follow what arrives:
 /// each place that ends in a start admits one more, and one that lapses halves
@@ -33,7 +34,7 @@
 
     /// A place ended in a start.
     pub fn started(&mut self) {
-        self.window = (self.window + 1.0).min(MOST);
+        self.window = (self.window + 1.0).min(MAX_WINDOW);
     }
 
     /// A place that was asked for at `asked` ended in none.
@@ -68,6 +69,6 @@
         }
         assert_eq!(b.window(), LEAST as usize, "never none at all");
         (0..10_000).for_each(|_| b.started());
-        assert_eq!(b.window(), MOST as usize);
+        assert_eq!(b.window(), MAX_WINDOW as usize);
     }
 }
