--- a/crates/admin-api/src/auth.rs
+++ b/crates/admin-api/src/auth.rs
@@ -45,14 +45,22 @@
     #[error("key file {0}: {1}")]
     Form(String, String),
     #[error("key file {file}, [{section}]: {problem}")]
-    Section { file: String, section: String, problem: &'static str },
+    Section {
+        file: String,
+        section: String,
+        problem: &'static str,
+    },
 }
 
 impl Key {
     pub fn new(name: &str, role: Role, secret: Vec<u8>) -> Option<Key> {
         let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
         let sound = !name.is_empty() && name.bytes().all(plain) && secret.len() >= SHORTEST_SECRET;
-        sound.then(|| Key { name: name.to_string(), role, secret })
+        sound.then(|| Key {
+            name: name.to_string(),
+            role,
+            secret,
+        })
     }
 
     /// A key file: one INI section per key, with `role` and `secret` (hex).
@@ -71,16 +79,24 @@
                 if entries.is_empty() {
                     continue;
                 }
-                return Err(KeyError::Form(file.into(), "a line before the first [key]".into()));
+                return Err(KeyError::Form(
+                    file.into(),
+                    "a line before the first [key]".into(),
+                ));
+            };
+            let wrong = |problem| KeyError::Section {
+                file: file.into(),
+                section: name.into(),
+                problem,
             };
-            let wrong =
-                |problem| KeyError::Section { file: file.into(), section: name.into(), problem };
             let role = match entries.get("role") {
                 Some("viewer") => Role::Viewer,
                 Some("operator") => Role::Operator,
                 _ => return Err(wrong("role is neither viewer nor operator")),
             };
-            let secret = entries.get("secret").and_then(|s| hex::decode(s.trim()).ok());
+            let secret = entries
+                .get("secret")
+                .and_then(|s| hex::decode(s.trim()).ok());
             let secret = secret.ok_or_else(|| wrong("secret is not hex"))?;
             let key = Key::new(name, role, secret)
                 .ok_or_else(|| wrong("its name is not plain, or the secret below 16 bytes"))?;
@@ -193,7 +209,13 @@
     /// Without keys everybody is an operator: only for a door on loopback.
     pub fn new(keys: Vec<Key>, instance: String, allowed_s: f64, most: usize) -> Guard {
         let allowed_ms = (allowed_s.max(1.0) * 1e3) as u64;
-        Guard { keys, instance, allowed_ms, most, seen: BTreeSet::new() }
+        Guard {
+            keys,
+            instance,
+            allowed_ms,
+            most,
+            seen: BTreeSet::new(),
+        }
     }
 
     pub fn instance(&self) -> &str {
@@ -209,27 +231,53 @@
         body: &[u8],
     ) -> Result<Caller, Denied> {
         if self.keys.is_empty() {
-            return Ok(Caller { name: "loopback".into(), role: Role::Operator });
+            return Ok(Caller {
+                name: "loopback".into(),
+                role: Role::Operator,
+            });
         }
-        let fields = authorization.and_then(fields).ok_or(Denied::Unauthenticated)?;
+        let fields = authorization
+            .and_then(fields)
+            .ok_or(Denied::Unauthenticated)?;
         let field = |name: &str| fields.get(name).copied().ok_or(Denied::Unauthenticated);
         let (nonce, instance) = (field("nonce")?, field("instance")?);
-        let time_ms: u64 = field("time")?.parse().map_err(|_| Denied::Unauthenticated)?;
+        let time_ms: u64 = field("time")?
+            .parse()
+            .map_err(|_| Denied::Unauthenticated)?;
         let name = field("key")?;
-        let key = self.keys.iter().find(|k| k.name == name).ok_or(Denied::Unauthenticated)?;
+        let key = self
+            .keys
+            .iter()
+            .find(|k| k.name == name)
+            .ok_or(Denied::Unauthenticated)?;
         let mac = hex::decode(field("mac")?).map_err(|_| Denied::Unauthenticated)?;
         if nonce.len() < 16 || nonce.len() > 64 {
             return Err(Denied::Unauthenticated);
         }
-        let what = Signed { method, path, body, time_ms, nonce, instance };
+        let what = Signed {
+            method,
+            path,
+            body,
+            time_ms,
+            nonce,
+            instance,
+        };
         // `verify_slice` compares in constant time.
-        key.mac(&what).verify_slice(&mac).map_err(|_| Denied::Unauthenticated)?;
-        let caller = Caller { name: key.name.clone(), role: key.role };
+        key.mac(&what)
+            .verify_slice(&mac)
+            .map_err(|_| Denied::Unauthenticated)?;
+        let caller = Caller {
+            name: key.name.clone(),
+            role: key.role,
+        };
         // Only a proven caller is told of clocks and processes.
         let ahead_ms = time_ms as i128 - i128::from(wall_ms);
         if ahead_ms.unsigned_abs() > u128::from(self.allowed_ms) {
             let ahead_ms = ahead_ms.clamp(i128::from(i64::MIN), i128::from(i64::MAX)) as i64;
-            return Err(Denied::Clock { ahead_ms, allowed_s: self.allowed_ms / 1000 });
+            return Err(Denied::Clock {
+                ahead_ms,
+                allowed_s: self.allowed_ms / 1000,
+            });
         }
         if instance != self.instance {
             return Err(Denied::OtherInstance);
@@ -280,7 +328,14 @@
 
     fn signed<'a>(nonce: &'a str, time_ms: u64) -> Signed<'a> {
         let (method, path) = ("POST", "/v1/jobs?x=1");
-        Signed { method, path, body: b"{}", time_ms, nonce, instance: "i1" }
+        Signed {
+            method,
+            path,
+            body: b"{}",
+            time_ms,
+            nonce,
+            instance: "i1",
+        }
     }
 
     fn check(g: &mut Guard, header: &str) -> Result<Caller, Denied> {
@@ -305,18 +360,37 @@
             ("POST", "/v1/jobs?x=2", b"{}"),
             ("POST", "/v1/jobs?x=1", b"{ }"),
         ] {
-            assert_eq!(g.check(NOW, h, method, path, body), Err(Denied::Unauthenticated));
+            assert_eq!(
+                g.check(NOW, h, method, path, body),
+                Err(Denied::Unauthenticated)
+            );
         }
-        for (from, to) in
-            [("time=17", "time=16"), ("nonce=0", "nonce=1"), ("instance=i1", "instance=i2")]
-        {
+        for (from, to) in [
+            ("time=17", "time=16"),
+            ("nonce=0", "nonce=1"),
+            ("instance=i1", "instance=i2"),
+        ] {
             let altered = header.replace(from, to);
-            assert_eq!(check(&mut g, &altered), Err(Denied::Unauthenticated), "{to}");
+            assert_eq!(
+                check(&mut g, &altered),
+                Err(Denied::Unauthenticated),
+                "{to}"
+            );
         }
-        for junk in ["", "BH1", "BH1 key", "BH1 key=night", "BH1 key=night,key=night", "Basic x"] {
+        for junk in [
+            "",
+            "BH1",
+            "BH1 key",
+            "BH1 key=night",
+            "BH1 key=night,key=night",
+            "Basic x",
+        ] {
             assert_eq!(check(&mut g, junk), Err(Denied::Unauthenticated), "{junk}");
         }
-        assert!(check(&mut g, &header).is_ok(), "and the original still passes");
+        assert!(
+            check(&mut g, &header).is_ok(),
+            "and the original still passes"
+        );
     }
 
     #[test]
@@ -359,7 +433,10 @@
             "[a]\nrole=viewer\n",
         ] {
             let error = Key::parse_all("k", bad).expect_err(bad).to_string();
-            assert!(!error.contains("0001") && !error.contains("nothex"), "{error}");
+            assert!(
+                !error.contains("0001") && !error.contains("nothex"),
+                "{error}"
+            );
         }
     }
 }
--- a/crates/admin-api/src/messages.rs
+++ b/crates/admin-api/src/messages.rs
@@ -529,16 +529,38 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let kind = |spot: &bool| if *spot { "spot" } else { "ordinary" };
         match self {
-            What::Placed { task, machine, ahead: false } => write!(f, "{task} placed on {machine}"),
-            What::Placed { task, machine, ahead: true } => {
+            What::Placed {
+                task,
+                machine,
+                ahead: false,
+            } => write!(f, "{task} placed on {machine}"),
+            What::Placed {
+                task,
+                machine,
+                ahead: true,
+            } => {
                 write!(f, "{task} placed on {machine} ahead of an end")
             }
             What::Stopped { task, machine, why } => write!(f, "{task} stopped on {machine}: {why}"),
             What::Ended { task, machine, why } => write!(f, "{task} ended on {machine}: {why}"),
-            What::Rented { machine_type, zone, spot, asked, got } => {
-                write!(f, "rented {got} of {asked} {} {machine_type} in {zone}", kind(spot))
+            What::Rented {
+                machine_type,
+                zone,
+                spot,
+                asked,
+                got,
+            } => {
+                write!(
+                    f,
+                    "rented {got} of {asked} {} {machine_type} in {zone}",
+                    kind(spot)
+                )
             }
-            What::Refused { machine_type, zone, spot } => {
+            What::Refused {
+                machine_type,
+                zone,
+                spot,
+            } => {
                 write!(f, "no {} {machine_type} to be had in {zone}", kind(spot))
             }
             What::Returned { machine, why } => write!(f, "{machine} returned: {why}"),
--- a/crates/admin-api/src/reasons.rs
+++ b/crates/admin-api/src/reasons.rs
@@ -43,11 +43,25 @@
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum Reason {
     /// A freeze of its team or class.
-    Frozen { target: String, since_s: f64, by: String },
+    Frozen {
+        target: String,
+        since_s: f64,
+        by: String,
+    },
     /// Its own tasks failed on several machines: the next try waits.
-    Failures { failures: u32, machines: u32, retry_s: f64 },
+    Failures {
+        failures: u32,
+        machines: u32,
+        retry_s: f64,
+    },
     /// The team's tasks use all it may.
-    TeamLimit { team: String, resource: String, used: f64, wanted: f64, limit: f64 },
+    TeamLimit {
+        team: String,
+        resource: String,
+        used: f64,
+        wanted: f64,
+        limit: f64,
+    },
     /// No machine has room now.
     NoRoom { tally: Tally, near: Vec<Near> },
     /// Machines that would fit are on their way.
@@ -76,9 +90,17 @@
         again_s: f64,
     },
     /// Drained machines, types or zones that it could use otherwise.
-    Drained { target: String, since_s: f64, by: String },
+    Drained {
+        target: String,
+        since_s: f64,
+        by: String,
+    },
     /// Other jobs get the next room.
-    Behind { jobs: u32, tasks: u32, first: Vec<String> },
+    Behind {
+        jobs: u32,
+        tasks: u32,
+        first: Vec<String>,
+    },
     /// How far its wait has raised it, where waiting jobs rise. `rises_in_s` is
     /// not positive for one that has risen, and absent for one that never does;
     /// `kept` is the machine that is kept for its next task.
@@ -96,7 +118,12 @@
         kept: Option<String>,
     },
     /// Placed, but the machine still fetches the image.
-    Fetching { tasks: u32, image: String, image_gb: f64, longest_s: f64 },
+    Fetching {
+        tasks: u32,
+        image: String,
+        image_gb: f64,
+        longest_s: f64,
+    },
     /// Placed; the start goes out with the machine's next report.
     Starting { tasks: u32 },
     /// Placed where another task is about to end.
@@ -168,8 +195,11 @@
             (self.other_shape, "of a type the job does not allow"),
             (self.other_zone, "in a zone the job cannot use"),
         ];
-        let said: Vec<String> =
-            parts.iter().filter(|(n, _)| *n > 0).map(|(n, what)| format!("{n} {what}")).collect();
+        let said: Vec<String> = parts
+            .iter()
+            .filter(|(n, _)| *n > 0)
+            .map(|(n, what)| format!("{n} {what}"))
+            .collect();
         if said.is_empty() {
             f.write_str("there is no machine at all")
         } else {
--- a/crates/admin-api/tests/golden.rs
+++ b/crates/admin-api/tests/golden.rs
@@ -63,14 +63,31 @@
 }
 
 fn empty_row() -> JobRow {
-    JobRow { team: None, class: None, urgency: None, age_s: None, ..row(State::Pending) }
+    JobRow {
+        team: None,
+        class: None,
+        urgency: None,
+        age_s: None,
+        ..row(State::Pending)
+    }
 }
 
 fn author(restores: Option<Version>) -> Author {
-    Author { id: "a1".into(), at_ms: 9, by: "alice".into(), why: "more".into(), restores }
+    Author {
+        id: "a1".into(),
+        at_ms: 9,
+        by: "alice".into(),
+        why: "more".into(),
+        restores,
+    }
 }
 
-const QUOTA: Quota = Quota { cpus: 16.5, cpus_max: 32.5, gpus: 1.5, gpus_max: 2.5 };
+const QUOTA: Quota = Quota {
+    cpus: 16.5,
+    cpus_max: 32.5,
+    gpus: 1.5,
+    gpus_max: 2.5,
+};
 
 /// One of each kind, each field with a value of its own.
 fn reasons() -> Vec<Reason> {
@@ -88,8 +105,12 @@
         other_shape: 11,
         other_zone: 12,
     };
-    let near =
-        Near { machine: "n-1".into(), lacks_cpus: 1.5, lacks_gpus: 2.5, lacks_memory_gb: 3.5 };
+    let near = Near {
+        machine: "n-1".into(),
+        lacks_cpus: 1.5,
+        lacks_gpus: 2.5,
+        lacks_memory_gb: 3.5,
+    };
     let (target, by) = (|| "zone a".to_string(), || "alice".to_string());
     let (machine_type, zone) = (|| "g8".to_string(), || "a".to_string());
     let aging = |rises_in_s, kept| Reason::PriorityAging {
@@ -102,8 +123,16 @@
         kept,
     };
     vec![
-        Reason::Frozen { target: target(), since_s: 1.5, by: by() },
-        Reason::Failures { failures: 1, machines: 2, retry_s: 3.5 },
+        Reason::Frozen {
+            target: target(),
+            since_s: 1.5,
+            by: by(),
+        },
+        Reason::Failures {
+            failures: 1,
+            machines: 2,
+            retry_s: 3.5,
+        },
         Reason::TeamLimit {
             team: "vision".into(),
             resource: "CPUs".into(),
@@ -111,7 +140,10 @@
             wanted: 2.5,
             limit: 3.5,
         },
-        Reason::NoRoom { tally, near: vec![near] },
+        Reason::NoRoom {
+            tally,
+            near: vec![near],
+        },
         Reason::Booting {
             machine_type: machine_type(),
             zone: zone(),
@@ -119,21 +151,42 @@
             machines: 2,
             expected_s: 3.5,
         },
-        Reason::Renting { machine_type: machine_type(), zone: zone(), spot: false, machines: 2 },
+        Reason::Renting {
+            machine_type: machine_type(),
+            zone: zone(),
+            spot: false,
+            machines: 2,
+        },
         Reason::MarketRefused {
             machine_type: machine_type(),
             zone: zone(),
             spot: true,
             again_s: 1.5,
         },
-        Reason::Drained { target: target(), since_s: 1.5, by: by() },
-        Reason::Behind { jobs: 1, tasks: 2, first: vec!["job-1".into()] },
+        Reason::Drained {
+            target: target(),
+            since_s: 1.5,
+            by: by(),
+        },
+        Reason::Behind {
+            jobs: 1,
+            tasks: 2,
+            first: vec!["job-1".into()],
+        },
         aging(Some(6.5), Some("n-1".into())),
         aging(None, None),
-        Reason::Fetching { tasks: 1, image: "img".into(), image_gb: 2.5, longest_s: 3.5 },
+        Reason::Fetching {
+            tasks: 1,
+            image: "img".into(),
+            image_gb: 2.5,
+            longest_s: 3.5,
+        },
         Reason::Starting { tasks: 1 },
         Reason::Ahead { tasks: 2 },
-        Reason::Inherited { tasks: 3, until_s: 4.5 },
+        Reason::Inherited {
+            tasks: 3,
+            until_s: 4.5,
+        },
         Reason::Split {
             beta0: 0.25,
             beta: 0.5,
@@ -166,11 +219,26 @@
     add(g, "job", &full_request());
     for (name, afterwards) in [("return", Afterwards::Return), ("keep", Afterwards::Keep)] {
         let (target, note) = (Target::Machine("n-1".into()), "fans".into());
-        add(g, name, &Change { target, set: true, within_s: Some(1.5), afterwards, note });
+        add(
+            g,
+            name,
+            &Change {
+                target,
+                set: true,
+                within_s: Some(1.5),
+                afterwards,
+                note,
+            },
+        );
     }
     let change = |name: &str, change| {
         let teams = [(name.to_string(), change)].into();
-        ConfigurationChange { seen: Version(41), teams, restore_version: None, why: "more".into() }
+        ConfigurationChange {
+            seen: Version(41),
+            teams,
+            restore_version: None,
+            why: "more".into(),
+        }
     };
     add(g, "set a quota", &change("vision", TeamChange::Set(QUOTA)));
     add(g, "add a team", &change("vision", TeamChange::Add(QUOTA)));
@@ -193,7 +261,13 @@
     let text = r#"{"target": {"team": "vision"}, "set": false}"#;
     let read: Change = serde_json::from_str(text).expect("a change");
     let (target, afterwards) = (Target::Team("vision".into()), Afterwards::Return);
-    let wanted = Change { target, set: false, within_s: None, afterwards, note: String::new() };
+    let wanted = Change {
+        target,
+        set: false,
+        within_s: None,
+        afterwards,
+        note: String::new(),
+    };
     assert_eq!(read, wanted);
 }
 
@@ -201,16 +275,47 @@
 fn answers_about_jobs_keep_their_form() {
     let mut golden = Golden::new("tests/golden/jobs.json.txt");
     let g = &mut golden;
-    add(g, "told", &JobTold { job: "job-1".into(), state: State::Cancelled });
-    for state in [State::Pending, State::Running, State::Done, State::Cancelled] {
+    add(
+        g,
+        "told",
+        &JobTold {
+            job: "job-1".into(),
+            state: State::Cancelled,
+        },
+    );
+    for state in [
+        State::Pending,
+        State::Running,
+        State::Done,
+        State::Cancelled,
+    ] {
         add(g, &format!("row {state}"), &row(state));
     }
-    for urgency in [Urgency::BestEffort, Urgency::Standard, Urgency::High, Urgency::Critical] {
+    for urgency in [
+        Urgency::BestEffort,
+        Urgency::Standard,
+        Urgency::High,
+        Urgency::Critical,
+    ] {
         add(g, "urgency", &urgency);
     }
     let next = Some("job-000412".to_string());
-    add(g, "page", &JobPage { jobs: vec![row(State::Running), empty_row()], next });
-    add(g, "last page", &JobPage { jobs: Vec::new(), next: None });
+    add(
+        g,
+        "page",
+        &JobPage {
+            jobs: vec![row(State::Running), empty_row()],
+            next,
+        },
+    );
+    add(
+        g,
+        "last page",
+        &JobPage {
+            jobs: Vec::new(),
+            next: None,
+        },
+    );
     let spec: JobSpec = full_request().spec(1_700_000_000_123);
     let task = TaskRow {
         task: "job-000412/3".into(),
@@ -220,7 +325,13 @@
         stopping: true,
     };
     let (tasks, reasons_of_one) = (vec![task], vec![Reason::Undecided]);
-    let placed = Placed { done: 1, running: 2, waiting: 3, tasks, reasons: reasons_of_one };
+    let placed = Placed {
+        done: 1,
+        running: 2,
+        waiting: 3,
+        tasks,
+        reasons: reasons_of_one,
+    };
     add(g, "placed", &placed);
     let detail = JobDetail {
         row: row(State::Running),
@@ -228,7 +339,15 @@
         placed: Some(placed),
     };
     add(g, "detail", &detail);
-    add(g, "empty detail", &JobDetail { row: empty_row(), spec: None, placed: None });
+    add(
+        g,
+        "empty detail",
+        &JobDetail {
+            row: empty_row(),
+            spec: None,
+            placed: None,
+        },
+    );
     let explanation = Explanation {
         job: "job-1".into(),
         state: State::Pending,
@@ -266,11 +385,30 @@
         heard_s: Some(1.5),
         age_s: Some(2.5),
     };
-    let silent =
-        MachineRow { spot: false, owned: true, heard_s: None, age_s: None, ..machine.clone() };
+    let silent = MachineRow {
+        spot: false,
+        owned: true,
+        heard_s: None,
+        age_s: None,
+        ..machine.clone()
+    };
     let next = Some("n-000231".into());
-    add(g, "machines", &MachinePage { machines: vec![machine, silent], next });
-    add(g, "last machines", &MachinePage { machines: Vec::new(), next: None });
+    add(
+        g,
+        "machines",
+        &MachinePage {
+            machines: vec![machine, silent],
+            next,
+        },
+    );
+    add(
+        g,
+        "last machines",
+        &MachinePage {
+            machines: Vec::new(),
+            next: None,
+        },
+    );
     let team = TeamRow {
         team: "vision".into(),
         cpus_used: 1.5,
@@ -307,8 +445,20 @@
         ..node.clone()
     };
     add(g, "nodes", &vec![node, away]);
-    let pair = PairRow { beta0: 0.25, beta: 0.5, weight: 0.75, jobs: 9 };
-    add(g, "splits", &Splits { update_s: 15.5, pairs: vec![pair] });
+    let pair = PairRow {
+        beta0: 0.25,
+        beta: 0.5,
+        weight: 0.75,
+        jobs: 9,
+    };
+    add(
+        g,
+        "splits",
+        &Splits {
+            update_s: 15.5,
+            pairs: vec![pair],
+        },
+    );
     let summary = Summary {
         leader: "north-1".into(),
         token: 41,
@@ -327,17 +477,50 @@
     };
     add(g, "summary", &summary);
     let (task, machine) = (|| "job-1/2".to_string(), || "n-1".to_string());
-    let (machine_type, zone, why) =
-        (|| "g8".to_string(), || "a".to_string(), || "it is sick".to_string());
+    let (machine_type, zone, why) = (
+        || "g8".to_string(),
+        || "a".to_string(),
+        || "it is sick".to_string(),
+    );
     let whats = [
-        What::Placed { task: task(), machine: machine(), ahead: true },
-        What::Stopped { task: task(), machine: machine(), why: why() },
-        What::Ended { task: task(), machine: machine(), why: why() },
-        What::Rented { machine_type: machine_type(), zone: zone(), spot: true, asked: 12, got: 7 },
-        What::Refused { machine_type: machine_type(), zone: zone(), spot: false },
-        What::Returned { machine: machine(), why: why() },
-        What::SetAside { machine: machine(), why: why() },
-        What::Done { job: "job-1".into() },
+        What::Placed {
+            task: task(),
+            machine: machine(),
+            ahead: true,
+        },
+        What::Stopped {
+            task: task(),
+            machine: machine(),
+            why: why(),
+        },
+        What::Ended {
+            task: task(),
+            machine: machine(),
+            why: why(),
+        },
+        What::Rented {
+            machine_type: machine_type(),
+            zone: zone(),
+            spot: true,
+            asked: 12,
+            got: 7,
+        },
+        What::Refused {
+            machine_type: machine_type(),
+            zone: zone(),
+            spot: false,
+        },
+        What::Returned {
+            machine: machine(),
+            why: why(),
+        },
+        What::SetAside {
+            machine: machine(),
+            why: why(),
+        },
+        What::Done {
+            job: "job-1".into(),
+        },
         What::Took { token: 41 },
     ];
     for what in &whats {
@@ -346,9 +529,21 @@
     let decisions = whats
         .into_iter()
         .enumerate()
-        .map(|(i, what)| Decision { serial: i as u64 + 1, at_ms: 99, what })
+        .map(|(i, what)| Decision {
+            serial: i as u64 + 1,
+            at_ms: 99,
+            what,
+        })
         .collect();
-    add(g, "decisions", &Decisions { token: 41, decisions, missed: 5 });
+    add(
+        g,
+        "decisions",
+        &Decisions {
+            token: 41,
+            decisions,
+            missed: 5,
+        },
+    );
     add(
         g,
         "hello",
@@ -379,11 +574,32 @@
         by: "alice".into(),
         note: "fans".into(),
     });
-    add(g, "directives", &Directives { directives: directives.collect() });
+    add(
+        g,
+        "directives",
+        &Directives {
+            directives: directives.collect(),
+        },
+    );
     let target = Target::Zone("a".into());
-    add(g, "changed", &Changed { target, set: true, changed: false });
-    let team = |removed| QuotaRow { team: "vision".into(), quota: QUOTA, removed };
-    let behind = |version| BehindRow { label: "north-1".into(), version };
+    add(
+        g,
+        "changed",
+        &Changed {
+            target,
+            set: true,
+            changed: false,
+        },
+    );
+    let team = |removed| QuotaRow {
+        team: "vision".into(),
+        quota: QUOTA,
+        removed,
+    };
+    let behind = |version| BehindRow {
+        label: "north-1".into(),
+        version,
+    };
     let view = ConfigurationView {
         on: true,
         version: Version(41),
@@ -402,7 +618,10 @@
         ..view
     };
     add(g, "bare configuration", &bare);
-    let made = |warning| ConfigurationMade { version: Version(42), warning };
+    let made = |warning| ConfigurationMade {
+        version: Version(42),
+        warning,
+    };
     add(g, "made", &made(Some("mind".into())));
     add(g, "made without warning", &made(None));
     let codes = [
@@ -419,7 +638,15 @@
     ];
     for code in codes {
         let ahead_ms = (code == Code::Clock).then_some(-700);
-        add(g, "problem", &Problem { code, error: "why".into(), ahead_ms });
+        add(
+            g,
+            "problem",
+            &Problem {
+                code,
+                error: "why".into(),
+                ahead_ms,
+            },
+        );
     }
     golden.check();
 }
@@ -430,7 +657,10 @@
     let file = "[alice]\nrole = operator\nsecret = 000102030405060708090a0b0c0d0e0f\n\n\
         [bob]\nrole = viewer\nsecret = 101112131415161718191a1b1c1d1e1f\n";
     let keys = Key::parse_all("keys", file).expect("a key file");
-    assert_eq!(keys.iter().map(|k| k.role).collect::<Vec<_>>(), [Role::Operator, Role::Viewer]);
+    assert_eq!(
+        keys.iter().map(|k| k.role).collect::<Vec<_>>(),
+        [Role::Operator, Role::Viewer]
+    );
     let mut golden = Golden::new("tests/golden/signatures.txt");
     let signed = Signed {
         method: "POST",
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -25,7 +25,12 @@
     #[arg(long, global = true, env = "BEAMHINGE_CONTEXT", value_name = "NAME")]
     pub context: Option<String>,
     /// Operators' addresses, separated by commas, instead of the context's
-    #[arg(long, global = true, env = "BEAMHINGE_CONTROLLERS", value_name = "IP:PORT,...")]
+    #[arg(
+        long,
+        global = true,
+        env = "BEAMHINGE_CONTROLLERS",
+        value_name = "IP:PORT,..."
+    )]
     pub controllers: Option<String>,
     /// Key file
     #[arg(long, global = true, env = "BEAMHINGE_KEY", value_name = "FILE")]
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -95,19 +95,25 @@
     }
     let seconds = arguments.timeout_s;
     if !seconds.is_finite() || seconds <= 0.0 {
-        return Err(Failure::Usage(format!("--timeout-s {seconds} is not above 0")));
+        return Err(Failure::Usage(format!(
+            "--timeout-s {seconds} is not above 0"
+        )));
     }
     let patience = Patience {
         total: Duration::from_secs_f64(seconds),
         one: Duration::from_secs_f64(seconds.min(5.0)),
     };
     let quiet = arguments.quiet;
-    let mut client =
-        Client::new(&context.controllers, context.load_key()?, patience, move |what| {
+    let mut client = Client::new(
+        &context.controllers,
+        context.load_key()?,
+        patience,
+        move |what| {
             if !quiet {
                 eprintln!("beamhinge: {what}");
             }
-        });
+        },
+    );
     verbs::run(&mut client, arguments.verb, arguments.output)?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -31,8 +31,13 @@
 /// A plain table; columns whose names begin with `#` hold numbers.
 pub fn table(heads: &[&str], rows: Vec<Vec<String>>) -> String {
     let mut t = Table::new();
-    t.load_preset(presets::NOTHING).set_content_arrangement(ContentArrangement::Disabled);
-    t.set_header(heads.iter().map(|h| h.trim_start_matches('#').to_uppercase()));
+    t.load_preset(presets::NOTHING)
+        .set_content_arrangement(ContentArrangement::Disabled);
+    t.set_header(
+        heads
+            .iter()
+            .map(|h| h.trim_start_matches('#').to_uppercase()),
+    );
     for (i, head) in heads.iter().enumerate() {
         if let Some(column) = t.column_mut(i) {
             column.set_padding((0, 2));
@@ -67,7 +72,8 @@
 }
 
 fn urgency(row: &JobRow) -> String {
-    row.urgency.map_or("-".into(), |u| format!("{u:?}").to_lowercase())
+    row.urgency
+        .map_or("-".into(), |u| format!("{u:?}").to_lowercase())
 }
 
 pub fn jobs(rows: &[JobRow]) -> String {
@@ -86,7 +92,12 @@
             ]
         })
         .collect();
-    table(&["job", "state", "#done", "#running", "team", "class", "urgency", "#age"], rows)
+    table(
+        &[
+            "job", "state", "#done", "#running", "team", "class", "urgency", "#age",
+        ],
+        rows,
+    )
 }
 
 pub fn job(d: &JobDetail) -> String {
@@ -112,7 +123,9 @@
             s.expect_s,
             s.image,
             s.image_gb,
-            s.command.as_ref().map_or(String::new(), |c| format!(", runs: {c}"))
+            s.command
+                .as_ref()
+                .map_or(String::new(), |c| format!(", runs: {c}"))
         ));
     }
     let Some(p) = &d.placed else { return text };
@@ -121,8 +134,11 @@
             .tasks
             .iter()
             .map(|t| {
-                let state =
-                    if t.stopping { format!("{}, stopping", t.state) } else { t.state.clone() };
+                let state = if t.stopping {
+                    format!("{}, stopping", t.state)
+                } else {
+                    t.state.clone()
+                };
                 vec![t.task.clone(), t.machine.clone(), state, age(t.running_s)]
             })
             .collect();
@@ -179,7 +195,13 @@
 }
 
 pub fn teams(rows: &[TeamRow]) -> String {
-    let none = |v: f64| if v > 0.0 { format!("{v:.0}") } else { "-".into() };
+    let none = |v: f64| {
+        if v > 0.0 {
+            format!("{v:.0}")
+        } else {
+            "-".into()
+        }
+    };
     let rows = rows
         .iter()
         .map(|t| {
@@ -191,38 +213,75 @@
                 format!("{:.1}", t.gpus_used),
                 t.jobs_open.to_string(),
                 t.tasks_waiting.to_string(),
-                if t.frozen { "frozen".into() } else { String::new() },
+                if t.frozen {
+                    "frozen".into()
+                } else {
+                    String::new()
+                },
             ]
         })
         .collect();
-    let heads =
-        ["team", "#cpus", "#guarantee", "#limit", "#gpus", "#open jobs", "#waiting tasks", ""];
+    let heads = [
+        "team",
+        "#cpus",
+        "#guarantee",
+        "#limit",
+        "#gpus",
+        "#open jobs",
+        "#waiting tasks",
+        "",
+    ];
     table(&heads, rows)
 }
 
 /// Teams with their quotas, and whether these are in force everywhere.
 pub fn quotas(view: &ConfigurationView) -> String {
-    let none = |v: f64| if v > 0.0 { format!("{v:.1}") } else { "-".into() };
+    let none = |v: f64| {
+        if v > 0.0 {
+            format!("{v:.1}")
+        } else {
+            "-".into()
+        }
+    };
     let rows = view.teams.iter().map(|t| {
-        let removed = if t.removed { "removed".into() } else { String::new() };
+        let removed = if t.removed {
+            "removed".into()
+        } else {
+            String::new()
+        };
         let q = &t.quota;
         let amounts = [q.cpus, q.cpus_max, q.gpus, q.gpus_max].map(none);
-        std::iter::once(t.team.clone()).chain(amounts).chain([removed]).collect()
+        std::iter::once(t.team.clone())
+            .chain(amounts)
+            .chain([removed])
+            .collect()
     });
     let heads = ["team", "#cpus", "#limit", "#gpus", "#limit", ""];
     let mut text = table(&heads, rows.collect());
-    let author = view.author.as_ref().map(|a| format!(", by {}: {}", a.by, a.why));
-    text.push_str(&format!("\nversion {}{}", view.version, author.unwrap_or_default()));
+    let author = view
+        .author
+        .as_ref()
+        .map(|a| format!(", by {}: {}", a.by, a.why));
+    text.push_str(&format!(
+        "\nversion {}{}",
+        view.version,
+        author.unwrap_or_default()
+    ));
     match (view.on, view.in_force_everywhere_since_ms) {
         (false, _) => text.push_str("; changes are not turned on"),
         (true, Some(since)) => {
             let s = beamhinge_client::wall_ms().saturating_sub(since) as f64 / 1e3;
-            text.push_str(&format!("; in force everywhere for {}", age(Some(s)).trim()));
+            text.push_str(&format!(
+                "; in force everywhere for {}",
+                age(Some(s)).trim()
+            ));
         }
         (true, None) => text.push_str("; not in force everywhere"),
     }
     for behind in &view.behind {
-        let version = behind.version.map_or("none known".to_string(), |v| format!("version {v}"));
+        let version = behind
+            .version
+            .map_or("none known".to_string(), |v| format!("version {v}"));
         text.push_str(&format!("\n  {} serves by {version}", behind.label));
     }
     text
@@ -249,7 +308,11 @@
             }
             vec![
                 n.label.clone(),
-                if n.leader { "leads".into() } else { String::new() },
+                if n.leader {
+                    "leads".into()
+                } else {
+                    String::new()
+                },
                 n.token.map_or("-".into(), |t| t.to_string()),
                 age(n.store_age_s),
                 age(n.heard_s),
@@ -257,7 +320,10 @@
             ]
         })
         .collect();
-    table(&["node", "lead", "#token", "#ledger age", "#heard", "state"], rows)
+    table(
+        &["node", "lead", "#token", "#ledger age", "#heard", "state"],
+        rows,
+    )
 }
 
 /// A line of blocks, as high as the values.
@@ -285,7 +351,11 @@
         s.machines_silent,
         s.directives
     );
-    let used = if s.cpus > 0.0 { s.cpus_used / s.cpus } else { 0.0 };
+    let used = if s.cpus > 0.0 {
+        s.cpus_used / s.cpus
+    } else {
+        0.0
+    };
     let filled = (used * 40.0).round() as usize;
     text.push_str(&format!(
         "CPUs    [{}{}] {:.1} of {:.1}\n",
@@ -294,7 +364,11 @@
         s.cpus_used,
         s.cpus
     ));
-    text.push_str(&format!("running {:>7} tasks  {}\n", s.tasks_running, spark(running)));
+    text.push_str(&format!(
+        "running {:>7} tasks  {}\n",
+        s.tasks_running,
+        spark(running)
+    ));
     text.push_str(&format!(
         "waiting {:>7} tasks  {}  oldest {}\n\n",
         s.tasks_waiting,
@@ -319,14 +393,20 @@
     let shown = ConfigShown {
         file: file.filter(|f| f.exists()).map(|f| f.display().to_string()),
         context: &context.name,
-        controllers: context.controllers.iter().map(ToString::to_string).collect(),
+        controllers: context
+            .controllers
+            .iter()
+            .map(ToString::to_string)
+            .collect(),
         key: context.key.as_ref().map(|k| k.display().to_string()),
         key_name: context.key_name.as_deref(),
     };
     either(output, &shown, |c| {
         format!(
             "file         {}\ncontext      {}\ncontrollers  {}\nkey          {}",
-            c.file.as_deref().unwrap_or("none; the addresses of `beamhinge up`"),
+            c.file
+                .as_deref()
+                .unwrap_or("none; the addresses of `beamhinge up`"),
             c.context,
             c.controllers.join(", "),
             c.key.as_deref().unwrap_or("none; fine on loopback")
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -74,7 +74,10 @@
         match child.try_wait() {
             // Ended by a signal, it has no code: that is no success either.
             Ok(Some(status)) => {
-                let code = status.code().and_then(|c| u8::try_from(c).ok()).unwrap_or(128);
+                let code = status
+                    .code()
+                    .and_then(|c| u8::try_from(c).ok())
+                    .unwrap_or(128);
                 return ExitCode::from(code);
             }
             Ok(None) if !told.load(Ordering::Relaxed) => std::thread::sleep(TASK_LOOK),
@@ -128,10 +131,19 @@
         seed: 1,
     };
     let listeners: Vec<SocketAddrV4> = (0..plan.nodes).map(|n| plan.operators_of(n)).collect();
-    let users: Vec<String> = (0..plan.nodes).map(|n| plan.users_of(n).to_string()).collect();
+    let users: Vec<String> = (0..plan.nodes)
+        .map(|n| plan.users_of(n).to_string())
+        .collect();
     let mut cluster = Cluster::start(plan, Box::new(|_| {}))?;
-    let joined = listeners.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
-    let patience = Patience { total: Duration::from_secs(2), one: Duration::from_secs(2) };
+    let joined = listeners
+        .iter()
+        .map(ToString::to_string)
+        .collect::<Vec<_>>()
+        .join(",");
+    let patience = Patience {
+        total: Duration::from_secs(2),
+        one: Duration::from_secs(2),
+    };
     let mut client = Client::new(&listeners, None, patience, |_| {});
     let began = Instant::now();
     loop {
@@ -146,7 +158,11 @@
         }
     }
     let usual = beamhinge_client::config::UP_PORTS[0] == listeners[0].port();
-    let with = if usual { String::new() } else { format!(" --controllers {joined}") };
+    let with = if usual {
+        String::new()
+    } else {
+        format!(" --controllers {joined}")
+    };
     println!("beamhinge is up, in {:.1} s", began.elapsed().as_secs_f64());
     println!("  operators  {joined}");
     println!("  users      {}", users.join(","));
@@ -155,7 +171,10 @@
     println!("  beamhinge submit{with} --team {TEAM} --wait -- echo hello");
     println!("  beamhinge submit{with} --team {TEAM} --tasks 40 --expect-s 5");
     println!("  beamhinge top{with}");
-    println!("What tasks print is under {}. Ctrl-C ends it all.", dir.join("output").display());
+    println!(
+        "What tasks print is under {}. Ctrl-C ends it all.",
+        dir.join("output").display()
+    );
     watch(&mut cluster, &mut client, &stop, !o.no_events)?;
     println!("ending");
     drop(cluster);
@@ -177,13 +196,19 @@
             eprintln!("beamhinge: a controller ended by itself; its log: {log}. Started again.");
             fallen.push((node, Instant::now()));
         }
-        let due: Vec<usize> =
-            fallen.iter().filter(|(_, at)| at.elapsed() > AGAIN).map(|(n, _)| *n).collect();
+        let due: Vec<usize> = fallen
+            .iter()
+            .filter(|(_, at)| at.elapsed() > AGAIN)
+            .map(|(n, _)| *n)
+            .collect();
         fallen.retain(|(_, at)| at.elapsed() <= AGAIN);
         for node in due {
             cluster.start_node(node)?;
         }
-        let Some(got) = events.then(|| client.decisions(token, after).ok()).flatten() else {
+        let Some(got) = events
+            .then(|| client.decisions(token, after).ok())
+            .flatten()
+        else {
             continue;
         };
         if got.token != token {
--- a/crates/cli/src/verbs.rs
+++ b/crates/cli/src/verbs.rs
@@ -38,9 +38,15 @@
                 text
             })
         }
-        Verb::Machines { shape: machine_type, zone } => {
-            let page =
-                machines(client, machine_type.unwrap_or_default(), zone.unwrap_or_default())?;
+        Verb::Machines {
+            shape: machine_type,
+            zone,
+        } => {
+            let page = machines(
+                client,
+                machine_type.unwrap_or_default(),
+                zone.unwrap_or_default(),
+            )?;
             show::either(output, &page, |p| show::machines(&p.machines))
         }
         Verb::Teams => show::either(output, &client.teams()?, |t| show::teams(t)),
@@ -48,36 +54,74 @@
         Verb::Splits => show::either(output, &client.splits()?, |s| {
             let rows = s.pairs.iter().map(|p| {
                 let bar = "#".repeat((p.weight * 40.0).round() as usize);
-                let cells = [p.beta0.to_string(), p.beta.to_string(), format!("{:.4}", p.weight)];
+                let cells = [
+                    p.beta0.to_string(),
+                    p.beta.to_string(),
+                    format!("{:.4}", p.weight),
+                ];
                 cells.into_iter().chain([p.jobs.to_string(), bar]).collect()
             });
             let heads = ["#beta0", "#beta", "#weight", "#open jobs", ""];
-            format!("update every {} s\n{}", s.update_s, show::table(&heads, rows.collect()))
+            format!(
+                "update every {} s\n{}",
+                s.update_s,
+                show::table(&heads, rows.collect())
+            )
         }),
         Verb::Drain(o) => {
             let target = drain_target(o.kind, &o.name)?;
-            let afterwards = if o.keep { Afterwards::Keep } else { Afterwards::Return };
+            let afterwards = if o.keep {
+                Afterwards::Keep
+            } else {
+                Afterwards::Return
+            };
             let (within_s, note) = (o.within_s, o.note);
-            change(client, Change { target, set: true, within_s, afterwards, note }, output)
+            change(
+                client,
+                Change {
+                    target,
+                    set: true,
+                    within_s,
+                    afterwards,
+                    note,
+                },
+                output,
+            )
         }
         Verb::Undrain { kind, name } => change(client, lift(drain_target(kind, &name)?), output),
         Verb::Freeze { kind, name, note } => {
             let target = freeze_target(kind, &name)?;
-            change(client, Change { set: true, note, ..lift(target) }, output)
+            change(
+                client,
+                Change {
+                    set: true,
+                    note,
+                    ..lift(target)
+                },
+                output,
+            )
         }
         Verb::Thaw { kind, name } => change(client, lift(freeze_target(kind, &name)?), output),
         Verb::Quotas => show::either(output, &client.configuration()?, show::quotas),
         Verb::SetQuotas(options) => {
             let made = client.configure(&quota_change(options)?)?;
             show::either(output, &made, |made| {
-                let warning = made.warning.as_ref().map(|w| format!("; {w}")).unwrap_or_default();
+                let warning = made
+                    .warning
+                    .as_ref()
+                    .map(|w| format!("; {w}"))
+                    .unwrap_or_default();
                 format!("version {} is made{warning}", made.version)
             })
         }
         Verb::Directives => show::either(output, &client.directives()?, |d| {
             let now = beamhinge_client::wall_ms();
             let rows = d.directives.iter().map(|d| {
-                let verb = if d.target.is_drain() { "drain" } else { "freeze" };
+                let verb = if d.target.is_drain() {
+                    "drain"
+                } else {
+                    "freeze"
+                };
                 let since = now.saturating_sub(d.since_ms) as f64 / 1e3;
                 let within = d.within_s.map_or("-".into(), |w| format!("{w:.0}s"));
                 let after = match d.afterwards {
@@ -131,7 +175,9 @@
             why: options.why,
         },
     };
-    change.check_form().map_err(|refusal| Failure::Usage(refusal.to_string()))?;
+    change
+        .check_form()
+        .map_err(|refusal| Failure::Usage(refusal.to_string()))?;
     Ok(change)
 }
 
@@ -155,13 +201,21 @@
 
 fn parse_target(kind: &str, name: &str) -> Result<Target, Failure> {
     Target::parse(kind, name).ok_or_else(|| {
-        Failure::Usage(format!("'{name}' is no name of a {kind}: letters, digits, - _ . : only"))
+        Failure::Usage(format!(
+            "'{name}' is no name of a {kind}: letters, digits, - _ . : only"
+        ))
     })
 }
 
 fn lift(target: Target) -> Change {
     let afterwards = Afterwards::Return;
-    Change { target, set: false, within_s: None, afterwards, note: String::new() }
+    Change {
+        target,
+        set: false,
+        within_s: None,
+        afterwards,
+        note: String::new(),
+    }
 }
 
 fn change(client: &mut Client, change: Change, output: Output) -> Result<(), Failure> {
@@ -181,7 +235,10 @@
 /// All pages up to a number of rows.
 fn jobs(client: &mut Client, o: &JobsOptions, output: Output) -> Result<(), Failure> {
     let number = |n: Option<f64>| n.map_or(String::new(), |n| n.to_string());
-    let mut all = JobPage { jobs: Vec::new(), next: None };
+    let mut all = JobPage {
+        jobs: Vec::new(),
+        next: None,
+    };
     let mut after = o.after.clone();
     loop {
         let left = o.limit.saturating_sub(all.jobs.len()).max(1);
@@ -204,10 +261,9 @@
         }
     }
     show::either(output, &all, |p| {
-        let more = p
-            .next
-            .as_ref()
-            .map_or(String::new(), |n| format!("\nthere may be more: go on with --after {n}"));
+        let more = p.next.as_ref().map_or(String::new(), |n| {
+            format!("\nthere may be more: go on with --after {n}")
+        });
         show::jobs(&p.jobs) + &more
     })
 }
@@ -217,7 +273,10 @@
     machine_type: String,
     zone: String,
 ) -> Result<MachinePage, Failure> {
-    let mut all = MachinePage { machines: Vec::new(), next: None };
+    let mut all = MachinePage {
+        machines: Vec::new(),
+        next: None,
+    };
     let mut after = String::new();
     loop {
         let query = [
@@ -306,22 +365,34 @@
     set("one_zone", o.one_zone.then_some(true.into()));
     set("spread", o.spread.then_some(true.into()));
     set("spot", o.no_spot.then_some(false.into()));
-    set("shapes", (!o.shapes.is_empty()).then(|| o.shapes.clone().into()));
+    set(
+        "shapes",
+        (!o.shapes.is_empty()).then(|| o.shapes.clone().into()),
+    );
     if !o.command.is_empty() {
         // One word is a line for the shell; several are one command.
         let line = match o.command.as_slice() {
             [line] => line.clone(),
-            words => words.iter().map(|w| quoted(w)).collect::<Vec<_>>().join(" "),
+            words => words
+                .iter()
+                .map(|w| quoted(w))
+                .collect::<Vec<_>>()
+                .join(" "),
         };
         set("command", Some(line.into()));
     }
     if !table.contains_key("team") {
-        return Err(Failure::Usage("name the team that it counts for: --team NAME".into()));
+        return Err(Failure::Usage(
+            "name the team that it counts for: --team NAME".into(),
+        ));
     }
     if !table.contains_key("job") {
         table.insert("job".into(), draw_job_id().into());
     }
-    let source = o.file.as_ref().map_or("the flags".into(), |f| f.display().to_string());
+    let source = o
+        .file
+        .as_ref()
+        .map_or("the flags".into(), |f| f.display().to_string());
     toml::Value::Table(table)
         .try_into()
         .map_err(|e: toml::de::Error| Failure::Usage(format!("{source}: {}", e.message())))
@@ -405,7 +476,13 @@
 
 fn clock(ms: u64) -> String {
     let s = ms / 1000 % 86_400;
-    format!("{:02}:{:02}:{:02}.{:03}", s / 3600, s / 60 % 60, s % 60, ms % 1000)
+    format!(
+        "{:02}:{:02}:{:02}.{:03}",
+        s / 3600,
+        s / 60 % 60,
+        s % 60,
+        ms % 1000
+    )
 }
 
 fn events(client: &mut Client, follow: bool, output: Output) -> Result<(), Failure> {
@@ -417,7 +494,10 @@
         }
         let mut out = io::stdout().lock();
         if got.missed > 0 && follow {
-            eprintln!("beamhinge: {} decisions were forgotten before they were read", got.missed);
+            eprintln!(
+                "beamhinge: {} decisions were forgotten before they were read",
+                got.missed
+            );
         }
         for decision in &got.decisions {
             after = after.max(decision.serial);
@@ -470,7 +550,11 @@
         };
         let mut out = io::stdout().lock();
         // Home, each line to its end cleared, then all below.
-        write!(out, "\x1b[H{}\x1b[K\n\x1b[J", text.trim_end().replace('\n', "\x1b[K\n"))?;
+        write!(
+            out,
+            "\x1b[H{}\x1b[K\n\x1b[J",
+            text.trim_end().replace('\n', "\x1b[K\n")
+        )?;
         out.flush()?;
         drop(out);
         std::thread::sleep(Duration::from_secs_f64(every_s.clamp(0.2, 60.0)));
@@ -493,7 +577,16 @@
 
     #[test]
     fn flags_make_a_job_and_keep_words_apart() {
-        let job = parsed(&["--team", "home", "--tasks", "3", "--no-spot", "--", "echo", "a b"]);
+        let job = parsed(&[
+            "--team",
+            "home",
+            "--tasks",
+            "3",
+            "--no-spot",
+            "--",
+            "echo",
+            "a b",
+        ]);
         let job = job.expect("sound");
         assert_eq!((job.tasks, job.spot), (3, false));
         assert_eq!(job.command.as_deref(), Some("echo 'a b'"));
@@ -507,6 +600,9 @@
         assert!(error.contains("--team"), "{error}");
         let words = ["--team", "home", "--urgency", "soon"];
         let error = parsed(&words).expect_err("no such urgency").to_string();
-        assert!(error.contains("soon") && error.contains("best_effort"), "{error}");
+        assert!(
+            error.contains("soon") && error.contains("best_effort"),
+            "{error}"
+        );
     }
 }
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -67,14 +67,20 @@
         let (method, path) = (*words.first()?, *words.get(1)?);
         if path != "/v1/hello" {
             let body = String::from_utf8_lossy(&body);
-            asked.lock().expect("no panic").push(format!("{method} {path} {body}"));
+            asked
+                .lock()
+                .expect("no panic")
+                .push(format!("{method} {path} {body}"));
         }
         let missing = r#"{"code":"not_found","error":"no such thing"}"#.to_string();
         let (status, body) = match body_of(method, path) {
             Some(body) => ("200 OK", body),
             None => ("404 Not Found", missing),
         };
-        let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
+        let head = format!(
+            "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n",
+            body.len()
+        );
         writer.write_all((head + &body).as_bytes()).ok()?;
     }
 }
@@ -102,8 +108,15 @@
     fn run(&self, words: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_beamhinge"));
         // Nothing of the caller's own configuration.
-        command.env_clear().env("HOME", "/nonexistent").env("BEAMHINGE_CONTROLLERS", &self.address);
-        command.args(words).stdin(Stdio::null()).output().expect("the client runs")
+        command
+            .env_clear()
+            .env("HOME", "/nonexistent")
+            .env("BEAMHINGE_CONTROLLERS", &self.address);
+        command
+            .args(words)
+            .stdin(Stdio::null())
+            .output()
+            .expect("the client runs")
     }
 }
 
@@ -161,9 +174,14 @@
             let asked = std::mem::take(&mut *cluster.asked.lock().expect("no panic"));
             // What a table is made from is the same.
             if form == "json" {
-                asked.iter().for_each(|line| golden.text(&format!("{name} asks"), line));
+                asked
+                    .iter()
+                    .for_each(|line| golden.text(&format!("{name} asks"), line));
             }
-            golden.text(&format!("{name} ends"), &format!("{:?}", done.status.code()));
+            golden.text(
+                &format!("{name} ends"),
+                &format!("{:?}", done.status.code()),
+            );
             for line in String::from_utf8_lossy(&done.stdout).lines() {
                 golden.text(&name, line);
             }
@@ -207,8 +225,14 @@
     for count in 0..=variables.len() {
         for form in ["json", "table"] {
             let mut command = Command::new(env!("CARGO_BIN_EXE_beamhinge"));
-            command.env_clear().env("BEAMHINGE_CONFIG", &file).envs(variables[..count].to_vec());
-            let done = command.args(["config", "--output", form]).output().expect("it runs");
+            command
+                .env_clear()
+                .env("BEAMHINGE_CONFIG", &file)
+                .envs(variables[..count].to_vec());
+            let done = command
+                .args(["config", "--output", form])
+                .output()
+                .expect("it runs");
             let shown = String::from_utf8_lossy(&done.stdout).into_owned();
             for line in shown.replace(&file.display().to_string(), "FILE").lines() {
                 golden.text(&format!("{count} variables"), line);
--- a/crates/cli/tests/up.rs
+++ b/crates/cli/tests/up.rs
@@ -22,18 +22,33 @@
 
 fn start(dir: &std::path::Path, port: u16) -> Up {
     let child = Command::new(env!("CARGO_BIN_EXE_beamhinge"))
-        .args(["up", "--nodes", "1", "--no-events", "--port", &port.to_string(), "--dir"])
+        .args([
+            "up",
+            "--nodes",
+            "1",
+            "--no-events",
+            "--port",
+            &port.to_string(),
+            "--dir",
+        ])
         .arg(dir)
         .stdout(Stdio::null())
         .spawn()
         .expect("it starts");
-    Up { child, dir: dir.to_path_buf(), port }
+    Up {
+        child,
+        dir: dir.to_path_buf(),
+        port,
+    }
 }
 
 impl Up {
     fn end(mut self, signal: &str) {
         let pid = self.child.id().to_string();
-        let told = Command::new("kill").args([signal, &pid]).status().expect("kill is there");
+        let told = Command::new("kill")
+            .args([signal, &pid])
+            .status()
+            .expect("kill is there");
         assert!(told.success());
         self.child.wait().expect("it ends");
     }
@@ -73,8 +88,19 @@
     // Below the ports given to callers, and beside those of the lab.
     let port = 8_100 + (std::process::id() % 30) as u16 * 100;
     let up = start(&dir, port);
-    let told =
-        up.says(&["submit", "--team", "home", "--id", "job-1", "--wait", "--", "echo hello"], 0);
+    let told = up.says(
+        &[
+            "submit",
+            "--team",
+            "home",
+            "--id",
+            "job-1",
+            "--wait",
+            "--",
+            "echo hello",
+        ],
+        0,
+    );
     assert!(told.contains("is done"), "{told}");
     let output = std::fs::read_to_string(up.dir.join("output/job-1/0.out")).expect("its output");
     assert_eq!(output, "hello\n");
@@ -92,7 +118,10 @@
     assert!(up.says(&["job", "job-1"], 0).contains("is done"));
     let mark = format!("beamhinge-mark-{}", std::process::id());
     let line = format!("sh -c 'sleep 300; : {mark}' & sleep 300; : {mark}");
-    up.says(&["submit", "--team", "home", "--id", "job-3", "--", &line], 0);
+    up.says(
+        &["submit", "--team", "home", "--id", "job-3", "--", &line],
+        0,
+    );
     let until = Instant::now() + Duration::from_secs(30);
     while with(&mark).len() < 2 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(50));
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -56,8 +56,13 @@
 }
 
 fn addresses(text: &str) -> Result<Vec<SocketAddrV4>, ConfigError> {
-    let words = text.split([',', ' ']).map(str::trim).filter(|w| !w.is_empty());
-    words.map(|w| w.parse().map_err(|_| ConfigError::Address(w.into()))).collect()
+    let words = text
+        .split([',', ' '])
+        .map(str::trim)
+        .filter(|w| !w.is_empty());
+    words
+        .map(|w| w.parse().map_err(|_| ConfigError::Address(w.into())))
+        .collect()
 }
 
 /// All contexts of a file, and the one it calls current.
@@ -77,7 +82,10 @@
                 }
             }
             Some((_, Some(name))) => {
-                let mut context = Context { name: name.trim().into(), ..Context::default() };
+                let mut context = Context {
+                    name: name.trim().into(),
+                    ..Context::default()
+                };
                 for (key, value) in entries.iter() {
                     match key {
                         "controllers" => context.controllers = addresses(value)?,
@@ -95,7 +103,9 @@
             }
             other => {
                 let name = other.map_or("", |(s, _)| s);
-                return Err(form(format!("[{name}] is neither [client] nor [context NAME]")));
+                return Err(form(format!(
+                    "[{name}] is neither [client] nor [context NAME]"
+                )));
             }
         }
     }
@@ -149,9 +159,15 @@
 impl Context {
     /// The key that signs, if the context names a key file.
     pub fn load_key(&self) -> Result<Option<Key>, ConfigError> {
-        let Some(path) = &self.key else { return Ok(None) };
+        let Some(path) = &self.key else {
+            return Ok(None);
+        };
         let mut keys = Key::load_all(path)?;
-        let names = keys.iter().map(|k| k.name.clone()).collect::<Vec<_>>().join(", ");
+        let names = keys
+            .iter()
+            .map(|k| k.name.clone())
+            .collect::<Vec<_>>()
+            .join(", ");
         match &self.key_name {
             Some(name) => match keys.into_iter().find(|k| k.name == *name) {
                 Some(key) => Ok(Some(key)),
@@ -200,8 +216,14 @@
             })
         };
         assert_eq!(with(None, None).expect("current").name, "plant");
-        assert_eq!(with(Some("lab"), None).expect("named").controllers[0].port(), 3);
-        assert_eq!(with(None, Some("127.0.0.1:9")).expect("given").controllers[0].port(), 9);
+        assert_eq!(
+            with(Some("lab"), None).expect("named").controllers[0].port(),
+            3
+        );
+        assert_eq!(
+            with(None, Some("127.0.0.1:9")).expect("given").controllers[0].port(),
+            9
+        );
         let error = with(Some("mars"), None).expect_err("no such").to_string();
         assert!(error.contains("plant, lab"), "{error}");
         std::fs::remove_dir_all(&dir).expect("removed");
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -60,7 +60,10 @@
 
 impl Default for Patience {
     fn default() -> Patience {
-        Patience { total: Duration::from_secs(30), one: Duration::from_secs(5) }
+        Patience {
+            total: Duration::from_secs(30),
+            one: Duration::from_secs(5),
+        }
     }
 }
 
@@ -79,12 +82,17 @@
 
 /// Milliseconds of the time of day.
 pub fn wall_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as u64)
 }
 
 /// A new job's id, of the form that the protocol wants.
 pub fn draw_job_id() -> String {
-    format!("job-{:015}", rand::thread_rng().gen_range(1..1_000_000_000_000_000u64))
+    format!(
+        "job-{:015}",
+        rand::thread_rng().gen_range(1..1_000_000_000_000_000u64)
+    )
 }
 
 impl Client {
@@ -173,7 +181,11 @@
                 return Ok(body);
             }
             let problem = serde_json::from_slice::<Problem>(&body).unwrap_or(Problem {
-                code: if status == 404 { Code::NotFound } else { Code::Busy },
+                code: if status == 404 {
+                    Code::NotFound
+                } else {
+                    Code::Busy
+                },
                 error: format!("status {status}"),
                 ahead_ms: None,
             });
@@ -224,7 +236,14 @@
                 rand::thread_rng().fill(&mut nonce);
                 let nonce: String = nonce.iter().map(|b| format!("{b:02x}")).collect();
                 let (method, time_ms) = (method.name(), wall_ms());
-                Some(key.sign(&Signed { method, path, body, time_ms, nonce: &nonce, instance }))
+                Some(key.sign(&Signed {
+                    method,
+                    path,
+                    body,
+                    time_ms,
+                    nonce: &nonce,
+                    instance,
+                }))
             }
             _ => None,
         };
--- a/crates/client/src/routing.rs
+++ b/crates/client/src/routing.rs
@@ -53,9 +53,18 @@
     pub fn new(addrs: &[SocketAddrV4], seed: u64) -> Routing {
         let endpoints = addrs
             .iter()
-            .map(|addr| Endpoint { addr: *addr, failures: 0, not_before: 0.0, agains: 0 })
+            .map(|addr| Endpoint {
+                addr: *addr,
+                failures: 0,
+                not_before: 0.0,
+                agains: 0,
+            })
             .collect();
-        Routing { endpoints, preferred: 0, rng: SmallRng::seed_from_u64(seed) }
+        Routing {
+            endpoints,
+            preferred: 0,
+            rng: SmallRng::seed_from_u64(seed),
+        }
     }
 
     pub fn addr(&self, at: usize) -> SocketAddrV4 {
@@ -69,12 +78,17 @@
 
     pub fn next(&mut self, now: f64) -> Next {
         let n = self.endpoints.len();
-        let open =
-            (0..n).map(|i| (self.preferred + i) % n).find(|i| self.endpoints[*i].not_before <= now);
+        let open = (0..n)
+            .map(|i| (self.preferred + i) % n)
+            .find(|i| self.endpoints[*i].not_before <= now);
         if let Some(at) = open {
             return Next::Try(at);
         }
-        let soonest = self.endpoints.iter().map(|e| e.not_before).fold(f64::INFINITY, f64::min);
+        let soonest = self
+            .endpoints
+            .iter()
+            .map(|e| e.not_before)
+            .fold(f64::INFINITY, f64::min);
         if soonest.is_finite() {
             // Up to half as long again: whoever waited for the same controller
             // comes spread out.
@@ -86,7 +100,9 @@
     }
 
     pub fn came(&mut self, now: f64, at: usize, outcome: Outcome) {
-        let Some(e) = self.endpoints.get_mut(at) else { return };
+        let Some(e) = self.endpoints.get_mut(at) else {
+            return;
+        };
         let backoff = |failures: u32| (FIRST_S * 2f64.powi(failures.min(10) as i32)).min(LONGEST_S);
         match outcome {
             Outcome::Answered => {
@@ -118,8 +134,9 @@
     use super::*;
 
     fn routing(n: u16) -> Routing {
-        let addrs: Vec<SocketAddrV4> =
-            (0..n).map(|i| SocketAddrV4::new([127, 0, 0, 1].into(), 9_000 + i)).collect();
+        let addrs: Vec<SocketAddrV4> = (0..n)
+            .map(|i| SocketAddrV4::new([127, 0, 0, 1].into(), 9_000 + i))
+            .collect();
         Routing::new(&addrs, 1)
     }
 
@@ -137,7 +154,9 @@
     fn retry_after_is_honoured_and_bounded() {
         let mut r = routing(1);
         r.came(0.0, 0, Outcome::Busy(Some(3)));
-        let Next::Wait(s) = r.next(0.0) else { panic!("it asked to be left alone") };
+        let Next::Wait(s) = r.next(0.0) else {
+            panic!("it asked to be left alone")
+        };
         assert!((3.0..4.6).contains(&s), "{s}");
         r.came(0.0, 0, Outcome::Busy(Some(86_400)));
         assert!(matches!(r.next(MAX_RETRY_AFTER_S + 0.1), Next::Try(0)));
@@ -150,7 +169,9 @@
         let mut now = 0.0;
         for _ in 0..12 {
             r.came(now, 0, Outcome::Failed);
-            let Next::Wait(s) = r.next(now) else { panic!("it failed just now") };
+            let Next::Wait(s) = r.next(now) else {
+                panic!("it failed just now")
+            };
             waits.push(s);
             now += s;
         }
--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -40,7 +40,11 @@
     pub fn open(addr: SocketAddrV4, until: Instant) -> Result<Connection, WireError> {
         let stream = TcpStream::connect_timeout(&SocketAddr::V4(addr), left(until)?)?;
         stream.set_nodelay(true)?;
-        Ok(Connection { stream, host: addr.to_string(), content: Content::Json })
+        Ok(Connection {
+            stream,
+            host: addr.to_string(),
+            content: Content::Json,
+        })
     }
 
     pub fn speaking(mut self, content: Content) -> Connection {
@@ -79,7 +83,10 @@
                 Ok(0) => return Err(WireError::Closed),
                 Ok(n) => buf.extend_from_slice(&chunk[..n]),
                 Err(e)
-                    if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) =>
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                    ) =>
                 {
                     return Err(WireError::TimedOut)
                 }
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -109,7 +109,10 @@
             _ => Vec::new(),
         });
         let problem = all.collect::<Vec<_>>().join("; ");
-        Refusal::Quota { team: team.to_string(), problem }
+        Refusal::Quota {
+            team: team.to_string(),
+            problem,
+        }
     })
 }
 
@@ -144,7 +147,10 @@
         self.check_form()?;
         let current = now.version();
         if self.seen != current {
-            return Err(Refusal::Conflict { seen: self.seen, current });
+            return Err(Refusal::Conflict {
+                seen: self.seen,
+                current,
+            });
         }
         let wanted = match self.restore_version {
             Some(version) => {
@@ -154,8 +160,10 @@
             None => self.apply(now, base)?,
         };
         let teams: BTreeSet<&String> = now.overlay.keys().chain(wanted.keys()).collect();
-        let changed: Vec<&String> =
-            teams.into_iter().filter(|t| now.overlay.get(*t) != wanted.get(*t)).collect();
+        let changed: Vec<&String> = teams
+            .into_iter()
+            .filter(|t| now.overlay.get(*t) != wanted.get(*t))
+            .collect();
         if changed.is_empty() {
             return Err(Refusal::Nothing);
         }
@@ -163,13 +171,29 @@
             return Err(Refusal::TooMany(wanted.len()));
         }
         let version = current.next();
-        let author = Author { restores: self.restore_version, ..author };
-        let unknown = now.head.as_ref().map(|h| h.unknown.clone()).unwrap_or_default();
+        let author = Author {
+            restores: self.restore_version,
+            ..author
+        };
+        let unknown = now
+            .head
+            .as_ref()
+            .map(|h| h.unknown.clone())
+            .unwrap_or_default();
         Ok(Plan {
-            head: Head { v: FORM, version, author: author.clone(), unknown },
+            head: Head {
+                v: FORM,
+                version,
+                author: author.clone(),
+                unknown,
+            },
             chunks: chunks(&wanted, &changed),
             record: record(now, &changed, &author),
-            forget: version.0.checked_sub(KEPT as u64).filter(|v| *v > 0).map(Version),
+            forget: version
+                .0
+                .checked_sub(KEPT as u64)
+                .filter(|v| *v > 0)
+                .map(Version),
         })
     }
 
@@ -218,7 +242,10 @@
 ) -> BTreeMap<String, TeamState> {
     let in_base = |name: &String| base.iter().any(|team| team.name == *name);
     for (name, state) in now.overlay.iter().filter(|(name, _)| !in_base(name)) {
-        let removed = || TeamState { removed: true, ..state.clone() };
+        let removed = || TeamState {
+            removed: true,
+            ..state.clone()
+        };
         wanted.entry(name.clone()).or_insert_with(removed);
     }
     wanted
@@ -227,8 +254,18 @@
 /// The chunks with a changed team, as they are to be.
 fn chunks(wanted: &BTreeMap<String, TeamState>, changed: &[&String]) -> BTreeMap<usize, Chunk> {
     let touched: BTreeSet<usize> = changed.iter().map(|team| chunk_of(team)).collect();
-    let mut chunks: BTreeMap<usize, Chunk> =
-        touched.into_iter().map(|n| (n, Chunk { v: FORM, ..Chunk::default() })).collect();
+    let mut chunks: BTreeMap<usize, Chunk> = touched
+        .into_iter()
+        .map(|n| {
+            (
+                n,
+                Chunk {
+                    v: FORM,
+                    ..Chunk::default()
+                },
+            )
+        })
+        .collect();
     for (team, state) in wanted {
         if let Some(chunk) = chunks.get_mut(&chunk_of(team)) {
             chunk.teams.insert(team.clone(), state.clone());
@@ -242,16 +279,27 @@
     let count = parts.len() as u32;
     parts
         .map(|teams| {
-            let before = teams.iter().map(|t| ((*t).clone(), now.overlay.get(*t).cloned()));
+            let before = teams
+                .iter()
+                .map(|t| ((*t).clone(), now.overlay.get(*t).cloned()));
             let before = before.collect();
-            RecordPart { v: FORM, author: author.clone(), parts: count, before }
+            RecordPart {
+                v: FORM,
+                author: author.clone(),
+                parts: count,
+                before,
+            }
         })
         .collect()
 }
 
 /// Guarantees above what the fleet has can't all be kept; told, not refused.
 pub fn guarantees_above(teams: &[crate::EffectiveTeam], fleet_cpus: f64) -> Option<f64> {
-    let all: f64 = teams.iter().filter(|t| !t.removed).map(|t| t.quota.cpus).sum();
+    let all: f64 = teams
+        .iter()
+        .filter(|t| !t.removed)
+        .map(|t| t.quota.cpus)
+        .sum();
     (all > fleet_cpus).then_some(all)
 }
 
--- a/crates/configuration/src/change/tests.rs
+++ b/crates/configuration/src/change/tests.rs
@@ -13,27 +13,56 @@
 }
 
 fn author(id: &str) -> Author {
-    Author { id: id.into(), at_ms: 5, by: "ops".into(), why: String::new(), restores: None }
+    Author {
+        id: id.into(),
+        at_ms: 5,
+        by: "ops".into(),
+        why: String::new(),
+        restores: None,
+    }
 }
 
 fn quota(cpus: f64, cpus_max: f64) -> Quota {
-    Quota { cpus, cpus_max, ..Quota::default() }
+    Quota {
+        cpus,
+        cpus_max,
+        ..Quota::default()
+    }
 }
 
 fn change(seen: u64, teams: &[(&str, TeamChange)]) -> Change {
-    let teams = teams.iter().map(|(n, c)| (n.to_string(), c.clone())).collect();
-    Change { seen: Version(seen), teams, restore_version: None, why: "quarter".into() }
+    let teams = teams
+        .iter()
+        .map(|(n, c)| (n.to_string(), c.clone()))
+        .collect();
+    Change {
+        seen: Version(seen),
+        teams,
+        restore_version: None,
+        why: "quarter".into(),
+    }
 }
 
 /// What the state service would hold after a plan.
 fn made(mut now: Snapshot, plan: Plan) -> Snapshot {
     let version = plan.head.version;
-    now.overlay.retain(|team, _| !plan.chunks.contains_key(&chunk_of(team)));
+    now.overlay
+        .retain(|team, _| !plan.chunks.contains_key(&chunk_of(team)));
     for chunk in plan.chunks.into_values() {
         now.overlay.extend(chunk.teams);
     }
-    let before = plan.record.into_iter().flat_map(|part| part.before).collect();
-    now.records.insert(version, Record { author: plan.head.author.clone(), before });
+    let before = plan
+        .record
+        .into_iter()
+        .flat_map(|part| part.before)
+        .collect();
+    now.records.insert(
+        version,
+        Record {
+            author: plan.head.author.clone(),
+            before,
+        },
+    );
     if let Some(old) = plan.forget {
         now.records.remove(&old);
     }
@@ -48,7 +77,10 @@
 
 fn limit(now: &Snapshot, team: &str) -> f64 {
     let teams = now.effective(&base());
-    teams.iter().find(|t| t.name == team).map_or(-1.0, |t| t.quota.cpus_max)
+    teams
+        .iter()
+        .find(|t| t.name == team)
+        .map_or(-1.0, |t| t.quota.cpus_max)
 }
 
 #[test]
@@ -67,7 +99,13 @@
     assert_eq!((now.version(), limit(&now, "one")), (Version(1), 20.0));
     let second = change(0, &[("one", TeamChange::Set(quota(5.0, 30.0)))]);
     let refusal = second.plan(&now, &base(), author("y")).expect_err("late");
-    assert_eq!(refusal, Refusal::Conflict { seen: Version(0), current: Version(1) });
+    assert_eq!(
+        refusal,
+        Refusal::Conflict {
+            seen: Version(0),
+            current: Version(1)
+        }
+    );
 }
 
 #[test]
@@ -77,46 +115,109 @@
     let refusal =
         change(0, &[sound.clone(), wrong]).plan(&Snapshot::default(), &base(), author("x"));
     assert_eq!(refusal, Err(Refusal::Unknown("three".into())));
-    let many: Vec<(String, TeamChange)> =
-        (0..240).map(|n| (format!("t-{n}"), TeamChange::Add(quota(1.0, 9.0)))).collect();
+    let many: Vec<(String, TeamChange)> = (0..240)
+        .map(|n| (format!("t-{n}"), TeamChange::Add(quota(1.0, 9.0))))
+        .collect();
     let many: Vec<(&str, TeamChange)> = many.iter().map(|(n, c)| (n.as_str(), c.clone())).collect();
-    let plan = change(0, &many).plan(&Snapshot::default(), &base(), author("x")).expect("sound");
+    let plan = change(0, &many)
+        .plan(&Snapshot::default(), &base(), author("x"))
+        .expect("sound");
     let writes = 1 + plan.chunks.len() + plan.record.len();
-    assert!(writes <= 20, "{writes} writes: a quarter's quotas fit one transaction");
-    assert_eq!(made(Snapshot::default(), plan).effective(&base()).len(), 242);
+    assert!(
+        writes <= 20,
+        "{writes} writes: a quarter's quotas fit one transaction"
+    );
+    assert_eq!(
+        made(Snapshot::default(), plan).effective(&base()).len(),
+        242
+    );
 }
 
 #[test]
 fn each_mistake_is_named_with_what_would_do() {
     let cases: Vec<(Change, &str)> = vec![
         (change(0, &[]), "names no team"),
-        (change(0, &[("three", TeamChange::Remove)]), "`add` makes one"),
-        (change(0, &[("one", TeamChange::Add(quota(0.0, 1.0)))]), "`set` changes it"),
-        (change(0, &[("a b", TeamChange::Add(quota(0.0, 1.0)))]), "no name of a team"),
-        (change(0, &[("one", TeamChange::Set(quota(5.0, 4.0)))]), "raise the limit"),
-        (change(0, &[("one", TeamChange::Set(quota(-1.0, 4.0)))]), "cpus: it must be finite"),
-        (change(0, &[("one", TeamChange::Set(quota(f64::NAN, 4.0)))]), "finite"),
-        (change(0, &[("one", TeamChange::Set(quota(0.0, f64::INFINITY)))]), "cpus_max"),
-        (change(0, &[("three", TeamChange::Restore)]), "there is no team three"),
+        (
+            change(0, &[("three", TeamChange::Remove)]),
+            "`add` makes one",
+        ),
+        (
+            change(0, &[("one", TeamChange::Add(quota(0.0, 1.0)))]),
+            "`set` changes it",
+        ),
+        (
+            change(0, &[("a b", TeamChange::Add(quota(0.0, 1.0)))]),
+            "no name of a team",
+        ),
+        (
+            change(0, &[("one", TeamChange::Set(quota(5.0, 4.0)))]),
+            "raise the limit",
+        ),
+        (
+            change(0, &[("one", TeamChange::Set(quota(-1.0, 4.0)))]),
+            "cpus: it must be finite",
+        ),
+        (
+            change(0, &[("one", TeamChange::Set(quota(f64::NAN, 4.0)))]),
+            "finite",
+        ),
+        (
+            change(0, &[("one", TeamChange::Set(quota(0.0, f64::INFINITY)))]),
+            "cpus_max",
+        ),
+        (
+            change(0, &[("three", TeamChange::Restore)]),
+            "there is no team three",
+        ),
         (change(1, &[("one", TeamChange::Remove)]), "look again"),
-        (change(0, &[("one", TeamChange::Restore)]), "in force already"),
-        (Change { why: "x".repeat(201), ..change(0, &[("one", TeamChange::Remove)]) }, "reason"),
-        (Change { restore_version: Some(Version(3)), ..change(0, &[]) }, "version 3 is not kept"),
+        (
+            change(0, &[("one", TeamChange::Restore)]),
+            "in force already",
+        ),
+        (
+            Change {
+                why: "x".repeat(201),
+                ..change(0, &[("one", TeamChange::Remove)])
+            },
+            "reason",
+        ),
+        (
+            Change {
+                restore_version: Some(Version(3)),
+                ..change(0, &[])
+            },
+            "version 3 is not kept",
+        ),
     ];
     for (change, why) in cases {
-        let refusal = change.plan(&Snapshot::default(), &base(), author("x")).expect_err(why);
+        let refusal = change
+            .plan(&Snapshot::default(), &base(), author("x"))
+            .expect_err(why);
         assert!(refusal.to_string().contains(why), "{refusal}");
     }
 }
 
 #[test]
 fn a_removed_team_keeps_its_quota_for_what_was_accepted_and_can_come_back() {
-    let now = apply(Snapshot::default(), &change(0, &[("one", TeamChange::Remove)]));
-    let one = now.effective(&base()).into_iter().find(|t| t.name == "one").expect("kept");
+    let now = apply(
+        Snapshot::default(),
+        &change(0, &[("one", TeamChange::Remove)]),
+    );
+    let one = now
+        .effective(&base())
+        .into_iter()
+        .find(|t| t.name == "one")
+        .expect("kept");
     assert!(one.removed && one.quota.cpus_max == 40.0);
     let again = change(1, &[("one", TeamChange::Set(quota(1.0, 2.0)))]);
-    assert!(again.plan(&now, &base(), author("x")).is_err(), "it is gone");
-    let now = apply(now, &change(1, &[("one", TeamChange::Add(quota(1.0, 2.0)))]));
+    assert!(
+        again.plan(&now, &base(), author("x")).is_err(),
+        "it is gone"
+    );
+    let now = apply(
+        now,
+        &change(1, &[("one", TeamChange::Add(quota(1.0, 2.0)))]),
+    );
     assert!(!now.effective(&base())[0].removed);
 }
 
@@ -127,10 +228,19 @@
         let teams = [("one", TeamChange::Set(quota(0.0, 100.0 + f64::from(n))))];
         now = apply(now, &change(u64::from(n) - 1, &teams));
     }
-    let back = |to| Change { restore_version: Some(Version(to)), ..change(30, &[]) };
+    let back = |to| Change {
+        restore_version: Some(Version(to)),
+        ..change(30, &[])
+    };
     let restored = apply(now.clone(), &back(20));
-    assert_eq!((restored.version(), limit(&restored, "one")), (Version(31), 120.0));
-    assert_eq!(restored.head.expect("made").author.restores, Some(Version(20)));
+    assert_eq!(
+        (restored.version(), limit(&restored, "one")),
+        (Version(31), 120.0)
+    );
+    assert_eq!(
+        restored.head.expect("made").author.restores,
+        Some(Version(20))
+    );
     let oldest = 30 - KEPT as u64;
     assert!(back(oldest).plan(&now, &base(), author("x")).is_ok());
     let refusal = back(oldest - 1).plan(&now, &base(), author("x"));
@@ -140,9 +250,13 @@
 /// What a newer program wrote beside what we know stays there.
 #[test]
 fn unknown_fields_are_kept() {
-    let mut now = apply(Snapshot::default(), &change(0, &[("one", TeamChange::Remove)]));
+    let mut now = apply(
+        Snapshot::default(),
+        &change(0, &[("one", TeamChange::Remove)]),
+    );
     let head = now.head.as_mut().expect("made");
-    head.unknown.insert("later".into(), ciborium::Value::from(7));
+    head.unknown
+        .insert("later".into(), ciborium::Value::from(7));
     let now = apply(now, &change(1, &[("two", TeamChange::Remove)]));
     let value = beamhinge_core::wire::to_value(&now.head.expect("made"));
     let read: Head = beamhinge_core::wire::from_value(&value).expect("read");
@@ -159,12 +273,28 @@
 /// Going back before a team was added once forgot it, and its open jobs had no limit.
 #[test]
 fn a_team_that_was_added_since_is_removed_and_not_forgotten() {
-    let now = apply(Snapshot::default(), &change(0, &[("new", TeamChange::Add(quota(0.0, 5.0)))]));
-    let back = Change { restore_version: Some(Version(0)), ..change(1, &[]) };
+    let now = apply(
+        Snapshot::default(),
+        &change(0, &[("new", TeamChange::Add(quota(0.0, 5.0)))]),
+    );
+    let back = Change {
+        restore_version: Some(Version(0)),
+        ..change(1, &[])
+    };
     let now = apply(now, &back);
-    let new = now.effective(&base()).into_iter().find(|t| t.name == "new").expect("kept");
+    let new = now
+        .effective(&base())
+        .into_iter()
+        .find(|t| t.name == "new")
+        .expect("kept");
     assert!(new.removed && new.quota.cpus_max == 5.0);
     // Once more there is nothing to go back from.
-    let again = Change { seen: Version(2), ..back };
-    assert_eq!(again.plan(&now, &base(), author("x")), Err(Refusal::Nothing));
+    let again = Change {
+        seen: Version(2),
+        ..back
+    };
+    assert_eq!(
+        again.plan(&now, &base(), author("x")),
+        Err(Refusal::Nothing)
+    );
 }
--- a/crates/configuration/src/quota.rs
+++ b/crates/configuration/src/quota.rs
@@ -45,8 +45,19 @@
 
 impl From<&settings::Team> for Quota {
     fn from(team: &settings::Team) -> Quota {
-        let settings::Team { cpus, cpus_max, gpus, gpus_max, .. } = *team;
-        Quota { cpus, cpus_max, gpus, gpus_max }
+        let settings::Team {
+            cpus,
+            cpus_max,
+            gpus,
+            gpus_max,
+            ..
+        } = *team;
+        Quota {
+            cpus,
+            cpus_max,
+            gpus,
+            gpus_max,
+        }
     }
 }
 
--- a/crates/configuration/src/stored.rs
+++ b/crates/configuration/src/stored.rs
@@ -149,14 +149,25 @@
     base: &[settings::Team],
 ) -> Vec<EffectiveTeam> {
     let of_base = base.iter().map(|team| match overlay.get(&team.name) {
-        Some(TeamState { quota, removed }) => {
-            EffectiveTeam { name: team.name.clone(), quota: *quota, removed: *removed }
-        }
-        None => EffectiveTeam { name: team.name.clone(), quota: Quota::from(team), removed: false },
+        Some(TeamState { quota, removed }) => EffectiveTeam {
+            name: team.name.clone(),
+            quota: *quota,
+            removed: *removed,
+        },
+        None => EffectiveTeam {
+            name: team.name.clone(),
+            quota: Quota::from(team),
+            removed: false,
+        },
     });
     let in_base = |name: &String| base.iter().any(|team| team.name == *name);
-    let added = overlay.iter().filter(|(name, _)| !in_base(name)).map(|(name, state)| {
-        EffectiveTeam { name: name.clone(), quota: state.quota, removed: state.removed }
-    });
+    let added = overlay
+        .iter()
+        .filter(|(name, _)| !in_base(name))
+        .map(|(name, state)| EffectiveTeam {
+            name: name.clone(),
+            quota: state.quota,
+            removed: state.removed,
+        });
     of_base.chain(added).collect()
 }
--- a/crates/controller/src/admin_api.rs
+++ b/crates/controller/src/admin_api.rs
@@ -55,7 +55,11 @@
 }
 
 fn malformed(error: impl Into<String>) -> Refusal {
-    Refusal { status: 400, code: Code::Malformed, error: error.into() }
+    Refusal {
+        status: 400,
+        code: Code::Malformed,
+        error: error.into(),
+    }
 }
 
 fn json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refusal> {
@@ -83,7 +87,9 @@
             None => Ok(None),
             Some(text) => match text.parse::<f64>() {
                 Ok(v) if v.is_finite() && v >= 0.0 => Ok(Some(v)),
-                _ => Err(malformed(format!("{name}: '{text}' is not a number of 0 or more"))),
+                _ => Err(malformed(format!(
+                    "{name}: '{text}' is not a number of 0 or more"
+                ))),
             },
         }
     }
@@ -94,7 +100,9 @@
     /// A misspelt filter would silently show too much.
     fn done(self) -> Result<(), Refusal> {
         match self.0.keys().next() {
-            Some(name) => Err(malformed(format!("'{name}' is not a parameter of this path"))),
+            Some(name) => Err(malformed(format!(
+                "'{name}' is not a parameter of this path"
+            ))),
             None => Ok(()),
         }
     }
@@ -121,10 +129,14 @@
             (Method::Get, ["v1", "hello"]) => Route::Hello,
             (Method::Get, ["metrics"]) => Route::Metrics,
             (Method::Get, ["v1", "jobs"]) => Route::Jobs(filter(&mut words)?),
-            (Method::Get, ["v1", "jobs", id]) => Route::Job { id: job(id)?, explain: false },
-            (Method::Get, ["v1", "jobs", id, "explain"]) => {
-                Route::Job { id: job(id)?, explain: true }
-            }
+            (Method::Get, ["v1", "jobs", id]) => Route::Job {
+                id: job(id)?,
+                explain: false,
+            },
+            (Method::Get, ["v1", "jobs", id, "explain"]) => Route::Job {
+                id: job(id)?,
+                explain: true,
+            },
             (Method::Post, ["v1", "jobs"]) => Route::Submit(Box::new(json(&request.body)?)),
             (Method::Post, ["v1", "jobs", id, "cancel"]) => Route::Cancel(job(id)?),
             (Method::Get, ["v1", "nodes"]) => Route::Nodes,
@@ -133,7 +145,9 @@
             (Method::Get, ["v1", "configuration"]) => Route::Configuration,
             (Method::Post, ["v1", "configuration"]) => {
                 let change: ConfigurationChange = json(&request.body)?;
-                change.check_form().map_err(|refusal| malformed(refusal.to_string()))?;
+                change
+                    .check_form()
+                    .map_err(|refusal| malformed(refusal.to_string()))?;
                 Route::Configure(Box::new(change))
             }
             (Method::Get, ["v1", "machines"]) => Route::Holder(Query::Machines {
@@ -209,20 +223,29 @@
 
 fn filter(words: &mut Words) -> Result<JobFilter, Refusal> {
     let mut states = Vec::new();
-    for text in words.take("state").unwrap_or_default().split(',').filter(|t| !t.is_empty()) {
+    for text in words
+        .take("state")
+        .unwrap_or_default()
+        .split(',')
+        .filter(|t| !t.is_empty())
+    {
         if text == "open" {
             states.extend([State::Pending, State::Running]);
             continue;
         }
         states.push(State::parse(text).ok_or_else(|| {
-            malformed(format!("state: '{text}' is none of open, pending, running, done, cancelled"))
+            malformed(format!(
+                "state: '{text}' is none of open, pending, running, done, cancelled"
+            ))
         })?);
     }
     let urgent = words.take("urgency");
     let urgency = match &urgent {
         None => None,
         Some(text) => Some(urgency(text).ok_or_else(|| {
-            malformed(format!("urgency: '{text}' is none of critical, high, standard, best_effort"))
+            malformed(format!(
+                "urgency: '{text}' is none of critical, high, standard, best_effort"
+            ))
         })?),
     };
     let after = words.take("after");
@@ -251,7 +274,10 @@
             t.name()
         )));
     }
-    if change.within_s.is_some_and(|w| !w.is_finite() || !(0.0..=1e7).contains(&w)) {
+    if change
+        .within_s
+        .is_some_and(|w| !w.is_finite() || !(0.0..=1e7).contains(&w))
+    {
         return Err(malformed("within_s is not between 0 and 10000000"));
     }
     if change.note.len() > 200 {
@@ -373,22 +399,42 @@
         wall: WallMs,
         request: &Request,
     ) -> Result<(Caller, Route), (u16, Problem)> {
-        let refuse =
-            |r: Refusal| (r.status, Problem { code: r.code, error: r.error, ahead_ms: None });
+        let refuse = |r: Refusal| {
+            (
+                r.status,
+                Problem {
+                    code: r.code,
+                    error: r.error,
+                    ahead_ms: None,
+                },
+            )
+        };
         let hello = request.path == "/v1/hello";
         let caller = if hello {
-            Caller { name: String::new(), role: Role::Viewer }
+            Caller {
+                name: String::new(),
+                role: Role::Viewer,
+            }
         } else {
             let h = request.authorization.as_deref();
             let (method, path) = (request.method.name(), request.path.as_str());
-            self.guard.check(wall.0, h, method, path, &request.body).map_err(|d| {
-                let ahead_ms = match d {
-                    Denied::Clock { ahead_ms, .. } => Some(ahead_ms),
-                    _ => None,
-                };
-                let status = if d == Denied::Crowded { 503 } else { 401 };
-                (status, Problem { code: d.code(), error: d.to_string(), ahead_ms })
-            })?
+            self.guard
+                .check(wall.0, h, method, path, &request.body)
+                .map_err(|d| {
+                    let ahead_ms = match d {
+                        Denied::Clock { ahead_ms, .. } => Some(ahead_ms),
+                        _ => None,
+                    };
+                    let status = if d == Denied::Crowded { 503 } else { 401 };
+                    (
+                        status,
+                        Problem {
+                            code: d.code(),
+                            error: d.to_string(),
+                            ahead_ms,
+                        },
+                    )
+                })?
         };
         let route = Route::parse(request).map_err(refuse)?;
         if route.needs() > Some(caller.role) {
@@ -412,7 +458,11 @@
     // ---- what waits ----
 
     pub fn wait(&mut self, now: Time, request: RequestId, want: Want) {
-        self.local.push_back(Local { request, since: now, want });
+        self.local.push_back(Local {
+            request,
+            since: now,
+            want,
+        });
     }
 
     /// Another slice answers this one; its answer is put into JSON on the way.
@@ -426,7 +476,11 @@
 
     /// A question that this controller answers itself if it holds the block.
     pub fn ask_here(&mut self, now: Time, asker: Asker, query: Query) {
-        self.asked.push_back(Asked { since: now, asker, query });
+        self.asked.push_back(Asked {
+            since: now,
+            asker,
+            query,
+        });
     }
 
     /// A peer's question, unless too many wait.
@@ -446,7 +500,9 @@
     }
 
     pub fn told(&mut self, serial: u64) -> Option<(RequestId, Merge)> {
-        self.forwarded.remove(&serial).map(|(_, request, merge)| (request, merge))
+        self.forwarded
+            .remove(&serial)
+            .map(|(_, request, merge)| (request, merge))
     }
 
     /// Nothing waits here; what other slices answer waits there.
@@ -459,11 +515,15 @@
     }
 
     pub fn asks_directives(&self) -> bool {
-        self.local.iter().any(|l| matches!(l.want, Want::Directives))
+        self.local
+            .iter()
+            .any(|l| matches!(l.want, Want::Directives))
     }
 
     pub fn asks_configuration(&self) -> bool {
-        self.local.iter().any(|l| matches!(l.want, Want::Configuration))
+        self.local
+            .iter()
+            .any(|l| matches!(l.want, Want::Configuration))
     }
 
     pub fn asks_hold(&self) -> bool {
@@ -492,7 +552,11 @@
     /// Questions for the holder that an exchange at this time can answer.
     pub fn ready_asked(&mut self, seen: Option<Time>) -> Vec<Asked> {
         let Some(seen) = seen else { return Vec::new() };
-        let at = self.asked.iter().position(|a| a.since > seen).unwrap_or(self.asked.len());
+        let at = self
+            .asked
+            .iter()
+            .position(|a| a.since > seen)
+            .unwrap_or(self.asked.len());
         self.asked.drain(..at).collect()
     }
 
@@ -510,8 +574,11 @@
         });
         let asked = std::mem::take(&mut self.asked);
         for a in asked {
-            let patience =
-                if matches!(a.asker, Asker::Peer { .. }) { PEER_PATIENCE_S } else { PATIENCE_S };
+            let patience = if matches!(a.asker, Asker::Peer { .. }) {
+                PEER_PATIENCE_S
+            } else {
+                PATIENCE_S
+            };
             if leader && !late(a.since, patience) {
                 self.asked.push_back(a);
                 continue;
@@ -527,7 +594,11 @@
             .filter(|(_, (since, ..))| late(*since, PATIENCE_S))
             .map(|(serial, _)| *serial)
             .collect();
-        own.extend(over.into_iter().filter_map(|s| self.told(s)).map(|(request, _)| request));
+        own.extend(
+            over.into_iter()
+                .filter_map(|s| self.told(s))
+                .map(|(request, _)| request),
+        );
         (own, peers)
     }
 }
@@ -538,11 +609,26 @@
     let body = serde_json::to_vec(value).unwrap_or_default();
     // Whoever is told to come back is told when.
     let retry_after = matches!(status, 429 | 503).then_some(1);
-    out.push(Effect::OperatorAnswer { to, status, retry_after, content: Content::Json, body });
+    out.push(Effect::OperatorAnswer {
+        to,
+        status,
+        retry_after,
+        content: Content::Json,
+        body,
+    });
 }
 
 pub fn refuse(out: &mut Vec<Effect>, to: RequestId, status: u16, code: Code, error: &str) {
-    say(out, to, status, &Problem { code, error: error.to_string(), ahead_ms: None });
+    say(
+        out,
+        to,
+        status,
+        &Problem {
+            code,
+            error: error.to_string(),
+            ahead_ms: None,
+        },
+    );
 }
 
 pub fn busy(out: &mut Vec<Effect>, to: RequestId, error: &str) {
--- a/crates/controller/src/admin_api/tests.rs
+++ b/crates/controller/src/admin_api/tests.rs
@@ -12,14 +12,25 @@
 
 fn admin_api(waiting: usize) -> AdminApi {
     let guard = Guard::new(Vec::new(), "i".into(), 30.0, 16);
-    AdminApi::new(guard, Limits { waiting, rps: 100.0 })
+    AdminApi::new(
+        guard,
+        Limits {
+            waiting,
+            rps: 100.0,
+        },
+    )
 }
 
 #[test]
 fn paths_and_filters_are_read_and_misspelt_ones_refused() {
     let route = Route::parse(&get("/v1/jobs?state=open,done&team=a%20b&limit=9999"));
-    let Ok(Route::Jobs(f)) = route else { panic!("{route:?}") };
-    assert_eq!((f.states.len(), f.team.as_deref(), f.limit), (3, Some("a b"), MAX_ROWS));
+    let Ok(Route::Jobs(f)) = route else {
+        panic!("{route:?}")
+    };
+    assert_eq!(
+        (f.states.len(), f.team.as_deref(), f.limit),
+        (3, Some("a b"), MAX_ROWS)
+    );
     for bad in [
         "/v1/jobs?stat=open",
         "/v1/jobs?state=opn",
@@ -29,9 +40,16 @@
         "/v1/jobs/412",
         "/v1/nodes?x=1",
     ] {
-        assert_eq!(Route::parse(&get(bad)).map_err(|r| r.status), Err(400), "{bad}");
+        assert_eq!(
+            Route::parse(&get(bad)).map_err(|r| r.status),
+            Err(400),
+            "{bad}"
+        );
     }
-    assert_eq!(Route::parse(&get("/v2/jobs")).map_err(|r| r.status), Err(404));
+    assert_eq!(
+        Route::parse(&get("/v2/jobs")).map_err(|r| r.status),
+        Err(404)
+    );
     let mut post = get("/v1/nodes");
     post.method = Method::Post;
     assert_eq!(Route::parse(&post).map_err(|r| r.status), Err(405));
@@ -47,12 +65,27 @@
     let wall = WallMs(1);
     for slot in 0..2 {
         assert!(d.receive(now, wall, &get("/v1/teams")).is_ok());
-        let request = RequestId { slot, generation: 1 };
-        d.wait(now, request, Want::Job { id: JobId::parse("job-1").expect("id"), explain: false });
+        let request = RequestId {
+            slot,
+            generation: 1,
+        };
+        d.wait(
+            now,
+            request,
+            Want::Job {
+                id: JobId::parse("job-1").expect("id"),
+                explain: false,
+            },
+        );
     }
-    let refused = d.receive(now, wall, &get("/v1/teams")).map_err(|(s, p)| (s, p.code));
+    let refused = d
+        .receive(now, wall, &get("/v1/teams"))
+        .map_err(|(s, p)| (s, p.code));
     assert_eq!(refused, Err((503, Code::Busy)));
-    assert!(d.receive(now, wall, &get("/v1/hello")).is_ok(), "who is there is always told");
+    assert!(
+        d.receive(now, wall, &get("/v1/hello")).is_ok(),
+        "who is there is always told"
+    );
     assert!(
         d.ready_local(&Copies {
             jobs: Some(now.minus(0.1)),
@@ -71,13 +104,27 @@
 fn the_holder_answers_only_after_a_newer_exchange() {
     let mut d = admin_api(8);
     let now = Time::from_micros(10_000_000);
-    let asker = Asker::Peer { label: "b".into(), serial: 1 };
+    let asker = Asker::Peer {
+        label: "b".into(),
+        serial: 1,
+    };
     d.ask_here(now, asker, Query::Teams);
     assert!(d.ready_asked(Some(now.minus(0.01))).is_empty());
     assert_eq!(d.ready_asked(Some(now)).len(), 1);
-    d.ask_here(now, Asker::Peer { label: "b".into(), serial: 2 }, Query::Teams);
+    d.ask_here(
+        now,
+        Asker::Peer {
+            label: "b".into(),
+            serial: 2,
+        },
+        Query::Teams,
+    );
     let (_, peers) = d.overdue(now, false);
-    assert_eq!(peers, vec![("b".to_string(), 2)], "no holder any more: told at once");
+    assert_eq!(
+        peers,
+        vec![("b".to_string(), 2)],
+        "no holder any more: told at once"
+    );
 }
 
 /// Every path of the operators' interface: which route it is, and its name on the metrics page.
@@ -85,7 +132,11 @@
 fn routes_keep_their_paths_and_names() {
     let post = |path: &str, body: &str| {
         let body = body.as_bytes().to_vec();
-        Request { method: Method::Post, body, ..get(path) }
+        Request {
+            method: Method::Post,
+            body,
+            ..get(path)
+        }
     };
     let change = r#"{"seen": 3, "teams": {"one": "remove"}}"#;
     for (request, name) in [
@@ -94,11 +145,20 @@
         (get("/v1/jobs"), "op_jobs"),
         (get("/v1/jobs/job-1"), "op_job"),
         (get("/v1/jobs/job-1/explain"), "op_explain"),
-        (post("/v1/jobs", r#"{"job": "job-1", "team": "one"}"#), "op_submit"),
+        (
+            post("/v1/jobs", r#"{"job": "job-1", "team": "one"}"#),
+            "op_submit",
+        ),
         (post("/v1/jobs/job-1/cancel", ""), "op_cancel"),
         (get("/v1/nodes"), "op_nodes"),
         (get("/v1/directives"), "op_directives"),
-        (post("/v1/directives", r#"{"target": {"zone": "a"}, "set": true}"#), "op_direct"),
+        (
+            post(
+                "/v1/directives",
+                r#"{"target": {"zone": "a"}, "set": true}"#,
+            ),
+            "op_direct",
+        ),
         (get("/v1/configuration"), "op_configuration"),
         (post("/v1/configuration", change), "op_configure"),
         (get("/v1/machines"), "op_holder"),
@@ -108,20 +168,58 @@
         (get("/v1/decisions"), "op_holder"),
     ] {
         let route = Route::parse(&request).expect(name);
-        assert_eq!(route.name(), name, "{} {}", request.method.name(), request.path);
+        assert_eq!(
+            route.name(),
+            name,
+            "{} {}",
+            request.method.name(),
+            request.path
+        );
     }
     let machines = get("/v1/machines?shape=g8&zone=a&after=n-1&limit=7");
-    let Ok(Route::Holder(query)) = Route::parse(&machines) else { panic!("machines") };
+    let Ok(Route::Holder(query)) = Route::parse(&machines) else {
+        panic!("machines")
+    };
     let (machine_type, zone) = (Some("g8".into()), Some("a".into()));
-    assert_eq!(query, Query::Machines { machine_type, zone, after: Some("n-1".into()), limit: 7 });
+    assert_eq!(
+        query,
+        Query::Machines {
+            machine_type,
+            zone,
+            after: Some("n-1".into()),
+            limit: 7
+        }
+    );
     let decisions = get("/v1/decisions?token=41&after=9&limit=5");
-    let Ok(Route::Holder(query)) = Route::parse(&decisions) else { panic!("decisions") };
-    assert_eq!(query, Query::Decisions { token: 41, after: 9, limit: 5 });
+    let Ok(Route::Holder(query)) = Route::parse(&decisions) else {
+        panic!("decisions")
+    };
+    assert_eq!(
+        query,
+        Query::Decisions {
+            token: 41,
+            after: 9,
+            limit: 5
+        }
+    );
     let path = "/v1/jobs?state=pending,running,done,cancelled&team=t&class=c&urgency=high\
         &older_s=1.5&younger_s=2.5&after=job-1&limit=3";
-    let Ok(Route::Jobs(filter)) = Route::parse(&get(path)) else { panic!("jobs") };
-    assert_eq!(filter.states, [State::Pending, State::Running, State::Done, State::Cancelled]);
-    assert_eq!((filter.team.as_deref(), filter.class.as_deref()), (Some("t"), Some("c")));
+    let Ok(Route::Jobs(filter)) = Route::parse(&get(path)) else {
+        panic!("jobs")
+    };
+    assert_eq!(
+        filter.states,
+        [
+            State::Pending,
+            State::Running,
+            State::Done,
+            State::Cancelled
+        ]
+    );
+    assert_eq!(
+        (filter.team.as_deref(), filter.class.as_deref()),
+        (Some("t"), Some("c"))
+    );
     assert_eq!((filter.urgency, filter.limit), (Some(Urgency::High), 3));
     assert_eq!((filter.older_s, filter.younger_s), (Some(1.5), Some(2.5)));
     assert_eq!(filter.after.as_deref(), Some("job-1"));
--- a/crates/controller/src/blocks.rs
+++ b/crates/controller/src/blocks.rs
@@ -48,7 +48,12 @@
 
 impl Pages {
     pub fn new(token: FencingToken) -> Pages {
-        Pages { token, next: 0, pages: BTreeMap::new(), dead: BTreeSet::new() }
+        Pages {
+            token,
+            next: 0,
+            pages: BTreeMap::new(),
+            dead: BTreeSet::new(),
+        }
     }
 
     fn number(&mut self) -> PageNo {
@@ -64,7 +69,14 @@
 
     pub fn add(&mut self, key: String, revision: Revision) -> PageNo {
         let no = self.number();
-        self.pages.insert(no, Page { key, revision, live: 0 });
+        self.pages.insert(
+            no,
+            Page {
+                key,
+                revision,
+                live: 0,
+            },
+        );
         self.dead.insert(no);
         no
     }
@@ -87,7 +99,11 @@
 
     /// Pages all of whose tasks have ended.
     pub fn dead(&self) -> impl Iterator<Item = (PageNo, &str, Revision)> {
-        let page = |no: &PageNo| self.pages.get(no).map(|p| (*no, p.key.as_str(), p.revision));
+        let page = |no: &PageNo| {
+            self.pages
+                .get(no)
+                .map(|p| (*no, p.key.as_str(), p.revision))
+        };
         self.dead.iter().filter_map(page)
     }
 
@@ -132,7 +148,11 @@
             .or_default()
             .push((row.task.index, row.attempt.0 - base));
     }
-    wire::to_value(&PageRecord { v: PAGE_VERSION, a: base, m })
+    wire::to_value(&PageRecord {
+        v: PAGE_VERSION,
+        a: base,
+        m,
+    })
 }
 
 /// A page of an unknown version is refused whole: a guess at what runs where
--- a/crates/controller/src/blocks/tests.rs
+++ b/crates/controller/src/blocks/tests.rs
@@ -11,7 +11,13 @@
 #[test]
 fn a_page_comes_back_as_written_and_fits_its_bound() {
     let rows: Vec<Row> = (0..160)
-        .map(|i| row(&format!("n-{i:06}"), &format!("job-{:06}/{i}", i % 7), (9_000 << 20) + i))
+        .map(|i| {
+            row(
+                &format!("n-{i:06}"),
+                &format!("job-{:06}/{i}", i % 7),
+                (9_000 << 20) + i,
+            )
+        })
         .collect();
     let value = encode_page(&rows);
     assert!(wire::json_len(&value) <= rows.len() * ROW_BYTES);
@@ -26,8 +32,14 @@
         let m: Rows = [("n-1".into(), [("job-1".into(), vec![(3, 77)])].into())].into();
         wire::to_value(&PageRecord { v, a: 1_000, m })
     };
-    assert_eq!(decode_page(&page(1)).expect("sound"), [row("n-1", "job-1/3", 77)]);
-    assert_eq!(decode_page(&page(2)).expect("sound"), [row("n-1", "job-1/3", 1_077)]);
+    assert_eq!(
+        decode_page(&page(1)).expect("sound"),
+        [row("n-1", "job-1/3", 77)]
+    );
+    assert_eq!(
+        decode_page(&page(2)).expect("sound"),
+        [row("n-1", "job-1/3", 1_077)]
+    );
     assert!(decode_page(&page(3)).is_err());
 }
 
@@ -36,7 +48,10 @@
     let mut pages = Pages::new(FencingToken(5));
     let (first, second) = (pages.fresh_key(), pages.fresh_key());
     assert_ne!(first, second);
-    let (a, b) = (pages.add(first, Revision(1)), pages.add(second, Revision(2)));
+    let (a, b) = (
+        pages.add(first, Revision(1)),
+        pages.add(second, Revision(2)),
+    );
     pages.hold(a);
     pages.hold(b);
     pages.release(a);
@@ -62,16 +77,28 @@
     ];
     let page = encode_page(&rows);
     assert_eq!(decode_page(&page).expect("sound"), rows);
-    golden.stored("page", &wire::from_value::<PageRecord>(&page).expect("sound"));
-    assert_eq!(wire::to_value(&wire::from_value::<PageRecord>(&page).expect("sound")), page);
-    golden.stored("empty page", &wire::from_value::<PageRecord>(&encode_page(&[])).expect("sound"));
+    golden.stored(
+        "page",
+        &wire::from_value::<PageRecord>(&page).expect("sound"),
+    );
+    assert_eq!(
+        wire::to_value(&wire::from_value::<PageRecord>(&page).expect("sound")),
+        page
+    );
+    golden.stored(
+        "empty page",
+        &wire::from_value::<PageRecord>(&encode_page(&[])).expect("sound"),
+    );
     golden.check();
 }
 
 /// Pages as the bytes that are stored: of this version, and of the one before.
 #[test]
 fn pages_of_both_versions_are_read() {
-    let rows = vec![row("n-000231", "job-000412/3", 107), row("n-000231", "job-000412/4", 109)];
+    let rows = vec![
+        row("n-000231", "job-000412/3", 107),
+        row("n-000231", "job-000412/4", 109),
+    ];
     let machines = |first: u64, second: u64| serde_json::json!({"n-000231": {"job-000412": [[3, first], [4, second]]}});
     for stored in [
         serde_json::json!({"v": 2, "a": 100, "m": machines(7, 9)}),
--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -51,7 +51,10 @@
 /// What an author is told.
 #[derive(Debug, PartialEq)]
 pub enum Told {
-    Made { version: Version, warning: Option<String> },
+    Made {
+        version: Version,
+        warning: Option<String>,
+    },
     Refused(Refusal),
     Busy(String),
 }
@@ -160,7 +163,10 @@
             seen: BTreeSet::new(),
             unreadable: false,
             snapshot: Snapshot::default(),
-            effective: Rc::new(Effective { version: Version(0), teams }),
+            effective: Rc::new(Effective {
+                version: Version(0),
+                teams,
+            }),
             changed: false,
             pending: VecDeque::new(),
             next: 0,
@@ -194,13 +200,23 @@
 
     /// The key and stamp that placements rest on: none made by an older version commits.
     pub fn condition(&self) -> Option<(&'static str, Revision)> {
-        self.on.then(|| (HEAD, self.head.as_ref().map_or(Revision(0), |(revision, _)| *revision)))
+        self.on.then(|| {
+            (
+                HEAD,
+                self.head
+                    .as_ref()
+                    .map_or(Revision(0), |(revision, _)| *revision),
+            )
+        })
     }
 
     /// Until when a holder may send `run`; none: as long as it is entitled.
     pub fn runs_until(&self) -> Option<Time> {
         let changed = self.on && self.head.is_some();
-        changed.then(|| self.fresh().map_or(Time::default(), |f| f.plus(RUN_BOUND_S)))
+        changed.then(|| {
+            self.fresh()
+                .map_or(Time::default(), |f| f.plus(RUN_BOUND_S))
+        })
     }
 
     /// Whether the teams are others than when last asked.
@@ -275,15 +291,30 @@
             return;
         }
         let revision = own.map_or(Revision(0), |(revision, _)| *revision);
-        let member = Member { v: FORM, version, nonce: self.nonce, at_ms: wall.0 };
+        let member = Member {
+            v: FORM,
+            version,
+            nonce: self.nonce,
+            at_ms: wall.0,
+        };
         let mut transaction = store.transaction();
         if transaction
-            .write(member_key(&self.label), revision, wire::to_value(&member), Some(lease_id))
+            .write(
+                member_key(&self.label),
+                revision,
+                wire::to_value(&member),
+                Some(lease_id),
+            )
             .is_ok()
         {
             self.registering = true;
             self.registered_at = now;
-            store.commit(now, Priority::Background, Tag::ConfigurationMember, transaction);
+            store.commit(
+                now,
+                Priority::Background,
+                Tag::ConfigurationMember,
+                transaction,
+            );
         }
     }
 
@@ -335,9 +366,16 @@
         store: &mut StoreClient<Tag>,
     ) -> Option<Told> {
         // An answer of ours that was lost: the change is there under its id.
-        let made = self.snapshot.records.iter().find(|(_, r)| r.author.id == pending.id);
+        let made = self
+            .snapshot
+            .records
+            .iter()
+            .find(|(_, r)| r.author.id == pending.id);
         if let Some((version, _)) = made {
-            return Some(Told::Made { version: *version, warning: self.warning(pending) });
+            return Some(Told::Made {
+                version: *version,
+                warning: self.warning(pending),
+            });
         }
         if now.since(pending.began) > PATIENCE_S {
             return Some(Told::Busy("others change it at the same time".into()));
@@ -380,21 +418,33 @@
             Err(full) => {
                 tracing::warn!("a change of configuration does not fit: {full}");
                 let why = format!("the state service takes no change so large ({full}): make two");
-                Some(Told::Refused(Refusal::Quota { team: "all".into(), problem: why }))
+                Some(Told::Refused(Refusal::Quota {
+                    team: "all".into(),
+                    problem: why,
+                }))
             }
         }
     }
 
     /// Every write is conditional; and all controllers must still know of configuration.
     fn transaction(&self, plan: &Plan, mut transaction: Transaction) -> Result<Transaction, Full> {
-        let revision = self.head.as_ref().map_or(Revision(0), |(revision, _)| *revision);
+        let revision = self
+            .head
+            .as_ref()
+            .map_or(Revision(0), |(revision, _)| *revision);
         transaction.write(HEAD, revision, wire::to_value(&plan.head), None)?;
         for label in &self.labels {
-            let revision = self.members.get(label).map_or(Revision(0), |(revision, _)| *revision);
+            let revision = self
+                .members
+                .get(label)
+                .map_or(Revision(0), |(revision, _)| *revision);
             transaction.when(member_key(label), revision)?;
         }
         for (n, chunk) in &plan.chunks {
-            let revision = self.chunks.get(n).map_or(Revision(0), |(revision, _)| *revision);
+            let revision = self
+                .chunks
+                .get(n)
+                .map_or(Revision(0), |(revision, _)| *revision);
             transaction.write(chunk_key(*n), revision, wire::to_value(chunk), None)?;
         }
         let version = plan.head.version.0;
@@ -417,7 +467,9 @@
         let fleet_cpus = pending.fleet_cpus?;
         let above =
             beamhinge_configuration::change::guarantees_above(&self.effective.teams, fleet_cpus)?;
-        Some(format!("{above} CPUs are guaranteed in all, and the fleet has {fleet_cpus}"))
+        Some(format!(
+            "{above} CPUs are guaranteed in all, and the fleet has {fleet_cpus}"
+        ))
     }
 
     pub fn on_changed(
@@ -427,14 +479,19 @@
         reply: Reply<Tag>,
         told: &mut Vec<(RequestId, Told)>,
     ) {
-        let Some(at) = self.pending.iter().position(|p| p.serial == serial) else { return };
+        let Some(at) = self.pending.iter().position(|p| p.serial == serial) else {
+            return;
+        };
         self.replica.request_refresh();
         let busy = |why: &str| Told::Busy(why.into());
         let answer = match reply.outcome {
             Outcome::Ok(body) if wire::decode::<Committed>(&body).is_ok() => {
                 let pending = &self.pending[at];
                 let version = pending.change.seen.next();
-                Some(Told::Made { version, warning: self.warning(pending) })
+                Some(Told::Made {
+                    version,
+                    warning: self.warning(pending),
+                })
             }
             Outcome::Refused => Some(busy("the state service takes nothing just now")),
             Outcome::Malformed => Some(busy("the state service calls it malformed")),
@@ -468,9 +525,12 @@
         if let Some(rev) = update.scanned {
             let seen = std::mem::take(&mut self.seen);
             let stays = |path: String, revision: Revision| revision.0 > rev || seen.contains(&path);
-            self.chunks.retain(|n, (revision, _)| stays(chunk_key(*n), *revision));
-            self.records.retain(|(v, p), (revision, _)| stays(record_key(*v, *p), *revision));
-            self.members.retain(|label, (revision, _)| stays(member_key(label), *revision));
+            self.chunks
+                .retain(|n, (revision, _)| stays(chunk_key(*n), *revision));
+            self.records
+                .retain(|(v, p), (revision, _)| stays(record_key(*v, *p), *revision));
+            self.members
+                .retain(|label, (revision, _)| stays(member_key(label), *revision));
         } else if scanning && update.freshness == Freshness::Failed {
             self.seen.clear();
         }
@@ -480,29 +540,36 @@
 
     /// Takes one key as a reply showed it.
     fn take(&mut self, change: Changed) {
-        let Some(rest) = change.path.strip_prefix(PREFIX) else { return };
+        let Some(rest) = change.path.strip_prefix(PREFIX) else {
+            return;
+        };
         let revision = Revision(change.revision);
         let value = change.value.as_ref();
         let parts: Vec<&str> = rest.split('/').collect();
-        let known = match parts.as_slice() {
-            ["head"] => take_value(&mut self.head, revision, value, |h: &Head| h.v),
-            ["t", n] => {
-                n.parse().ok().filter(|n| *n < CHUNKS).is_some_and(|n| {
+        let known =
+            match parts.as_slice() {
+                ["head"] => take_value(&mut self.head, revision, value, |h: &Head| h.v),
+                ["t", n] => n.parse().ok().filter(|n| *n < CHUNKS).is_some_and(|n| {
                     take_entry(&mut self.chunks, n, revision, value, |c: &Chunk| c.v)
-                })
-            }
-            ["h", version, part] => {
-                let key = version.parse().ok().zip(part.parse().ok());
-                key.is_some_and(|key| {
-                    take_entry(&mut self.records, key, revision, value, |r: &RecordPart| r.v)
-                })
-            }
-            ["m", label] => {
-                take_entry(&mut self.members, label.to_string(), revision, value, |m: &Member| m.v)
-            }
-            // Something of a newer program beside what we know.
-            _ => true,
-        };
+                }),
+                ["h", version, part] => {
+                    let key = version.parse().ok().zip(part.parse().ok());
+                    key.is_some_and(|key| {
+                        take_entry(&mut self.records, key, revision, value, |r: &RecordPart| {
+                            r.v
+                        })
+                    })
+                }
+                ["m", label] => take_entry(
+                    &mut self.members,
+                    label.to_string(),
+                    revision,
+                    value,
+                    |m: &Member| m.v,
+                ),
+                // Something of a newer program beside what we know.
+                _ => true,
+            };
         if !known {
             tracing::error!("{} has a form that this program does not know", change.path);
             self.unreadable = true;
@@ -511,25 +578,42 @@
 
     /// Puts the parts together, if they are of one moment.
     fn settle(&mut self) {
-        let head = self.head.as_ref().map_or(Revision(0), |(revision, _)| *revision);
-        let newest =
-            self.chunks.values().map(|(revision, _)| *revision).max().unwrap_or(Revision(0));
+        let head = self
+            .head
+            .as_ref()
+            .map_or(Revision(0), |(revision, _)| *revision);
+        let newest = self
+            .chunks
+            .values()
+            .map(|(revision, _)| *revision)
+            .max()
+            .unwrap_or(Revision(0));
         if newest > head && !self.half_applied {
             return;
         }
         let mut records: BTreeMap<Version, Record> = BTreeMap::new();
         for ((version, _), (_, part)) in &self.records {
-            let there = self.records.range((*version, 0)..=(*version, u32::MAX)).count();
+            let there = self
+                .records
+                .range((*version, 0)..=(*version, u32::MAX))
+                .count();
             if there == part.parts as usize {
                 let author = part.author.clone();
-                let fresh = || Record { author, before: BTreeMap::new() };
+                let fresh = || Record {
+                    author,
+                    before: BTreeMap::new(),
+                };
                 let record = records.entry(Version(*version)).or_insert_with(fresh);
                 record.before.extend(part.before.clone());
             }
         }
         self.snapshot = Snapshot {
             head: self.head.as_ref().map(|(_, head)| head.clone()),
-            overlay: self.chunks.values().flat_map(|(_, c)| c.teams.clone()).collect(),
+            overlay: self
+                .chunks
+                .values()
+                .flat_map(|(_, c)| c.teams.clone())
+                .collect(),
             records,
         };
         let version = self.snapshot.version();
--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -13,21 +13,44 @@
 }
 
 fn changed<T: Serialize>(path: &str, revision: u64, value: &T) -> Changed {
-    Changed { path: path.into(), revision, value: Some(wire::to_value(value)) }
+    Changed {
+        path: path.into(),
+        revision,
+        value: Some(wire::to_value(value)),
+    }
 }
 
 fn head(version: u64) -> Head {
-    let author =
-        Author { id: "x".into(), at_ms: 1, by: "ops".into(), why: "y".into(), restores: None };
-    Head { v: FORM, version: Version(version), author, unknown: BTreeMap::new() }
+    let author = Author {
+        id: "x".into(),
+        at_ms: 1,
+        by: "ops".into(),
+        why: "y".into(),
+        restores: None,
+    };
+    Head {
+        v: FORM,
+        version: Version(version),
+        author,
+        unknown: BTreeMap::new(),
+    }
 }
 
 /// A chunk that limits the first team.
 fn chunk(configuration: &Configuration, cpus_max: f64) -> (String, Chunk) {
     let team = configuration.base[0].name.clone();
-    let quota = Quota { cpus_max, ..Quota::default() };
+    let quota = Quota {
+        cpus_max,
+        ..Quota::default()
+    };
     let path = chunk_key(chunk_of(&team));
-    let teams = BTreeMap::from([(team, TeamState { quota, removed: false })]);
+    let teams = BTreeMap::from([(
+        team,
+        TeamState {
+            quota,
+            removed: false,
+        },
+    )]);
     (path, Chunk { v: FORM, teams })
 }
 
@@ -56,7 +79,14 @@
 #[test]
 fn what_a_newer_program_wrote_in_another_form_is_not_decided_on() {
     let mut c = configuration();
-    c.take(changed(HEAD, 5, &Head { v: FORM + 1, ..head(3) }));
+    c.take(changed(
+        HEAD,
+        5,
+        &Head {
+            v: FORM + 1,
+            ..head(3)
+        },
+    ));
     c.settle();
     assert!(c.unreadable && c.fresh().is_none() && limit(&c) == 8.0);
     // A key of a kind that we don't know is another program's business.
@@ -70,7 +100,12 @@
     let mut c = configuration();
     c.take(changed(HEAD, 5, &head(2)));
     let labels = c.labels.clone();
-    let member = |version, at_ms| Member { v: FORM, version: Version(version), nonce: 1, at_ms };
+    let member = |version, at_ms| Member {
+        v: FORM,
+        version: Version(version),
+        nonce: 1,
+        at_ms,
+    };
     for label in &labels {
         c.take(changed(&member_key(label), 6, &member(1, 100)));
     }
@@ -83,18 +118,30 @@
     let last = 200 + labels.len() as u64 - 1;
     assert_eq!(c.in_force().everywhere_since_ms, Some(last));
     // One whose lease ended is named.
-    c.take(Changed { path: member_key(&labels[0]), revision: 8, value: None });
+    c.take(Changed {
+        path: member_key(&labels[0]),
+        revision: 8,
+        value: None,
+    });
     assert_eq!(c.in_force().behind, [(labels[0].clone(), None)]);
 }
 
 #[test]
 fn placements_rest_on_the_head_where_configuration_is_on() {
     let mut c = configuration();
-    assert_eq!(c.condition(), Some((HEAD, Revision(0))), "also before the first change");
+    assert_eq!(
+        c.condition(),
+        Some((HEAD, Revision(0))),
+        "also before the first change"
+    );
     c.take(changed(HEAD, 5, &head(1)));
     c.settle();
     assert_eq!(c.condition(), Some((HEAD, Revision(5))));
-    assert_eq!(c.runs_until(), Some(Time::default()), "never read as a whole");
+    assert_eq!(
+        c.runs_until(),
+        Some(Time::default()),
+        "never read as a whole"
+    );
     let settings = Settings::parse("t", settings::SAMPLE).expect("sound");
     let off = Configuration::new(&settings, false, 7);
     assert!(off.condition().is_none() && off.runs_until().is_none() && off.ready());
@@ -103,10 +150,17 @@
 #[test]
 fn stored_configuration_keeps_its_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/configuration.hex");
-    let keys = [HEAD.into(), chunk_key(7), record_key(41, 2), member_key("north-1")];
+    let keys = [
+        HEAD.into(),
+        chunk_key(7),
+        record_key(41, 2),
+        member_key("north-1"),
+    ];
     golden.text("keys", &format!("{PREFIX} {}", keys.join(" ")));
-    golden
-        .text("chunks of teams", &format!("{CHUNKS} {:?}", ["one", "two", "vision"].map(chunk_of)));
+    golden.text(
+        "chunks of teams",
+        &format!("{CHUNKS} {:?}", ["one", "two", "vision"].map(chunk_of)),
+    );
     let author = |restores| Author {
         id: "a1b2".into(),
         at_ms: 1_700_000_000_123,
@@ -115,20 +169,56 @@
         restores,
     };
     let state = |removed| TeamState {
-        quota: Quota { cpus: 16.5, cpus_max: 32.5, gpus: 1.5, gpus_max: 2.5 },
+        quota: Quota {
+            cpus: 16.5,
+            cpus_max: 32.5,
+            gpus: 1.5,
+            gpus_max: 2.5,
+        },
         removed,
     };
     let unknown = [("later".to_string(), wire::to_value(&"kept"))];
-    let head = Head { v: FORM, version: Version(41), author: author(None), unknown: [].into() };
+    let head = Head {
+        v: FORM,
+        version: Version(41),
+        author: author(None),
+        unknown: [].into(),
+    };
     golden.stored("head", &head);
-    let restored = Head { author: author(Some(Version(39))), unknown: unknown.into(), ..head };
+    let restored = Head {
+        author: author(Some(Version(39))),
+        unknown: unknown.into(),
+        ..head
+    };
     golden.stored("head that restores", &restored);
-    let teams = [("one".to_string(), state(false)), ("two".to_string(), state(true))];
-    golden.stored("chunk", &Chunk { v: FORM, teams: teams.into() });
-    let before = [("one".to_string(), Some(state(true))), ("two".to_string(), None)];
-    let part = RecordPart { v: FORM, author: author(None), parts: 3, before: before.into() };
+    let teams = [
+        ("one".to_string(), state(false)),
+        ("two".to_string(), state(true)),
+    ];
+    golden.stored(
+        "chunk",
+        &Chunk {
+            v: FORM,
+            teams: teams.into(),
+        },
+    );
+    let before = [
+        ("one".to_string(), Some(state(true))),
+        ("two".to_string(), None),
+    ];
+    let part = RecordPart {
+        v: FORM,
+        author: author(None),
+        parts: 3,
+        before: before.into(),
+    };
     golden.stored("part of a record", &part);
-    let member = Member { v: FORM, version: Version(41), nonce: 70_000, at_ms: 1_700_000_000_456 };
+    let member = Member {
+        v: FORM,
+        version: Version(41),
+        nonce: 70_000,
+        at_ms: 1_700_000_000_456,
+    };
     golden.stored("member", &member);
     golden.check();
 }
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -66,7 +66,8 @@
         if self.is_empty() {
             return None;
         }
-        self.get(&Target::Machine(machine.to_string())).or_else(|| self.market(machine_type, zone))
+        self.get(&Target::Machine(machine.to_string()))
+            .or_else(|| self.market(machine_type, zone))
     }
 
     /// The drain under which nothing is rented of a type in a zone.
@@ -98,7 +99,10 @@
 
     #[cfg(test)]
     pub fn of(directives: Vec<Directive>) -> ActiveDirectives {
-        let directives = directives.into_iter().map(|d| (d.target.clone(), Rc::new(d))).collect();
+        let directives = directives
+            .into_iter()
+            .map(|d| (d.target.clone(), Rc::new(d)))
+            .collect();
         ActiveDirectives { directives }
     }
 }
@@ -233,8 +237,11 @@
                     d.within_s == p.change.within_s && d.afterwards == p.change.afterwards
                 }
             };
-            let changed =
-                Changed { target: p.change.target.clone(), set: p.change.set, changed: p.sent };
+            let changed = Changed {
+                target: p.change.target.clone(),
+                set: p.change.set,
+                changed: p.sent,
+            };
             if same {
                 told.push((p.request, Told::Made(changed)));
             } else if late {
@@ -253,7 +260,10 @@
                     by: p.by.clone(),
                     note: p.change.note.clone(),
                 });
-                let value = wire::to_value(&Record { v: VERSION, directive });
+                let value = wire::to_value(&Record {
+                    v: VERSION,
+                    directive,
+                });
                 if let Err(full) = transaction.write(key(&p.change.target), revision, value, None) {
                     tracing::error!("{:?} cannot be kept: {full}", p.change.target);
                     told.push((p.request, Told::Busy("it is longer than can be kept")));
@@ -268,7 +278,12 @@
                 }
                 p.in_flight = true;
                 p.sent = true;
-                store.commit(now, Priority::Admission, Tag::DirectiveChange(p.serial), transaction);
+                store.commit(
+                    now,
+                    Priority::Admission,
+                    Tag::DirectiveChange(p.serial),
+                    transaction,
+                );
                 left.push_back(p);
             }
         }
@@ -283,7 +298,9 @@
         reply: Reply<Tag>,
         told: &mut Vec<(RequestId, Told)>,
     ) {
-        let Some(at) = self.pending.iter().position(|p| p.serial == serial) else { return };
+        let Some(at) = self.pending.iter().position(|p| p.serial == serial) else {
+            return;
+        };
         let committed = match reply.outcome {
             Outcome::Ok(body) => wire::decode::<Committed>(&body).is_ok(),
             Outcome::Refused | Outcome::Malformed => {
@@ -304,7 +321,14 @@
         if committed {
             if let Some(p) = self.pending.remove(at) {
                 let (target, set) = (p.change.target, p.change.set);
-                told.push((p.request, Told::Made(Changed { target, set, changed: true })));
+                told.push((
+                    p.request,
+                    Told::Made(Changed {
+                        target,
+                        set,
+                        changed: true,
+                    }),
+                ));
             }
             return;
         }
@@ -326,7 +350,11 @@
                 self.seen.insert(target.clone());
             }
             // A reply that overtook another must not take us back.
-            if self.entries.get(&target).is_some_and(|(s, _)| s.0 >= change.revision) {
+            if self
+                .entries
+                .get(&target)
+                .is_some_and(|(s, _)| s.0 >= change.revision)
+            {
                 continue;
             }
             match change.value.as_ref().map(wire::from_value::<Record>) {
@@ -338,7 +366,8 @@
                         && r.directive.as_ref().is_none_or(|d| d.target == target) =>
                 {
                     let directive = r.directive.map(Rc::new);
-                    self.entries.insert(target, (Revision(change.revision), directive));
+                    self.entries
+                        .insert(target, (Revision(change.revision), directive));
                 }
                 // Unknown forms lift nothing: what stood goes on standing.
                 Some(_) => tracing::error!(
@@ -349,11 +378,15 @@
         }
         if let Some(rev) = update.scanned {
             let seen = std::mem::take(&mut self.seen);
-            self.entries.retain(|t, (revision, _)| seen.contains(t) || revision.0 > rev);
+            self.entries
+                .retain(|t, (revision, _)| seen.contains(t) || revision.0 > rev);
         } else if scanning && update.freshness == Freshness::Failed {
             self.seen.clear();
         }
-        let stands = self.entries.iter().filter_map(|(t, (_, d))| Some((t.clone(), d.clone()?)));
+        let stands = self
+            .entries
+            .iter()
+            .filter_map(|(t, (_, d))| Some((t.clone(), d.clone()?)));
         let directives = stands.collect();
         let active_directives = ActiveDirectives { directives };
         if *self.active_directives != active_directives {
--- a/crates/controller/src/directives/tests.rs
+++ b/crates/controller/src/directives/tests.rs
@@ -18,7 +18,9 @@
     let mut own = drain(Target::Machine("n-000007".into()));
     own.afterwards = Afterwards::Keep;
     let active_directives = ActiveDirectives::of(vec![drain(Target::Zone("north".into())), own]);
-    let found = active_directives.drain_of(id, "c8", "north").map(|d| d.afterwards);
+    let found = active_directives
+        .drain_of(id, "c8", "north")
+        .map(|d| d.afterwards);
     assert_eq!(found, Some(Afterwards::Keep));
     let other = MachineId::parse("n-000008").expect("a name");
     assert!(active_directives.drain_of(other, "c8", "north").is_some());
@@ -36,13 +38,18 @@
     let mut d = Directives::default();
     let target = Target::Team("one".into());
     let active_directives = Rc::new(drain(target.clone()));
-    d.entries.insert(target.clone(), (Revision(7), Some(active_directives)));
+    d.entries
+        .insert(target.clone(), (Revision(7), Some(active_directives)));
     let at = Time::from_micros(100_000_000);
     let body = wire::encode(&serde_json::json!({"pairs": [], "ledgerRev": 7}));
     d.replica.tick(at, false, false, &mut store);
     let tag = Tag::Directives(ReplicaCall::Scan);
     let kept = d.entries.clone();
-    let reply = Reply { tag, outcome: Outcome::Ok(body), sent: at.plus(1.0) };
+    let reply = Reply {
+        tag,
+        outcome: Outcome::Ok(body),
+        sent: at.plus(1.0),
+    };
     d.on_reply(at.plus(1.0), ReplicaCall::Scan, reply);
     d.entries = kept;
     let change = Change {
@@ -52,7 +59,15 @@
         afterwards: Afterwards::Return,
         note: String::new(),
     };
-    assert!(d.change(at, RequestId { slot: 0, generation: 1 }, change, "night".into()));
+    assert!(d.change(
+        at,
+        RequestId {
+            slot: 0,
+            generation: 1
+        },
+        change,
+        "night".into()
+    ));
     let mut told = Vec::new();
     d.tick(at.plus(1.0), WallMs(1), false, &mut store, &mut told);
     let (mut calls, mut out) = (0, Vec::new());
@@ -63,7 +78,10 @@
     });
     let commit: serde_json::Value = wire::decode(commit.expect("sent")).expect("CBOR");
     assert_eq!(commit["when"][0]["stamp"], 7);
-    assert_eq!(commit["then"][0]["write"], "o/team/one", "written, not deleted: {commit}");
+    assert_eq!(
+        commit["then"][0]["write"], "o/team/one",
+        "written, not deleted: {commit}"
+    );
     assert!(commit["then"][0]["value"]["directive"].is_null());
 }
 
@@ -87,14 +105,30 @@
         let directive = Directive {
             since_ms: 1_700_000_000_000 + i as u64,
             within_s: (i > 0).then_some(30.5),
-            afterwards: if i % 2 == 0 { Afterwards::Return } else { Afterwards::Keep },
+            afterwards: if i % 2 == 0 {
+                Afterwards::Return
+            } else {
+                Afterwards::Keep
+            },
             by: "alice".into(),
             note: "new fans".into(),
             ..drain(target)
         };
-        golden.stored(kind, &Record { v: VERSION, directive: Some(directive) });
+        golden.stored(
+            kind,
+            &Record {
+                v: VERSION,
+                directive: Some(directive),
+            },
+        );
     }
-    golden.stored("lifted", &Record { v: VERSION, directive: None });
+    golden.stored(
+        "lifted",
+        &Record {
+            v: VERSION,
+            directive: None,
+        },
+    );
     golden.check();
 }
 
@@ -103,7 +137,13 @@
 fn a_stored_directive_is_read_field_by_field() {
     let stored = serde_json::json!({"v": 1, "directive": {"target": {"zone": "a"}, "since_ms": 9}});
     let read: Record = wire::decode(&wire::encode(&stored)).expect("a record");
-    assert_eq!(read.directive, Some(Directive { since_ms: 9, ..drain(Target::Zone("a".into())) }));
+    assert_eq!(
+        read.directive,
+        Some(Directive {
+            since_ms: 9,
+            ..drain(Target::Zone("a".into()))
+        })
+    );
     let stored = serde_json::json!({"v": 1, "directive": {"target": {"machine": "n-1"},
         "since_ms": 9, "within_s": 2.5, "afterwards": "keep", "by": "bob", "note": "why"}});
     let read: Record = wire::decode(&wire::encode(&stored)).expect("a record");
--- a/crates/controller/src/event_log.rs
+++ b/crates/controller/src/event_log.rs
@@ -41,12 +41,24 @@
 }
 
 /// Their names, in the order of [`kind`].
-pub const KIND_NAMES: [&str; KINDS] =
-    ["placed", "stopped", "ended", "rented", "refused", "returned", "set_aside", "done", "took"];
+pub const KIND_NAMES: [&str; KINDS] = [
+    "placed",
+    "stopped",
+    "ended",
+    "rented",
+    "refused",
+    "returned",
+    "set_aside",
+    "done",
+    "took",
+];
 
 impl EventLog {
     pub fn new(on: bool) -> EventLog {
-        EventLog { on, ..EventLog::default() }
+        EventLog {
+            on,
+            ..EventLog::default()
+        }
     }
 
     pub fn at(&mut self, wall: WallMs) {
@@ -64,13 +76,18 @@
         if self.ring.len() >= MAX_DECISIONS {
             self.ring.pop_front();
         }
-        self.ring.push_back(Decision { serial: self.next, at_ms: self.wall.0, what });
+        self.ring.push_back(Decision {
+            serial: self.next,
+            at_ms: self.wall.0,
+            what,
+        });
     }
 
     /// A task of a job submitted at this time of day was placed.
     pub fn placed(&mut self, submitted_ms: u64) {
         if self.on && self.waits.len() < MAX_WAITS {
-            self.waits.push((self.wall.0 as f64 - submitted_ms as f64).max(0.0) / 1e3);
+            self.waits
+                .push((self.wall.0 as f64 - submitted_ms as f64).max(0.0) / 1e3);
         }
     }
 
@@ -86,7 +103,12 @@
     pub fn after(&self, serial: u64, limit: usize) -> (Vec<Decision>, u64) {
         let first = self.ring.front().map_or(self.next + 1, |d| d.serial);
         let missed = first.saturating_sub(serial + 1);
-        let rows = self.ring.iter().filter(|d| d.serial > serial).take(limit).cloned();
+        let rows = self
+            .ring
+            .iter()
+            .filter(|d| d.serial > serial)
+            .take(limit)
+            .cloned();
         (rows.collect(), missed)
     }
 }
--- a/crates/controller/src/fleet/forecast.rs
+++ b/crates/controller/src/fleet/forecast.rs
@@ -36,7 +36,9 @@
         let shape_of = |i: usize| machine_types.get(i).filter(|s| !s.label.is_empty());
         let mut boots: BTreeMap<(usize, &str, bool), (u32, f64)> = BTreeMap::new();
         for (id, i) in &term.instances {
-            let up = scheduler.machine(*id).is_some_and(|m| m.last_heartbeat.is_some());
+            let up = scheduler
+                .machine(*id)
+                .is_some_and(|m| m.last_heartbeat.is_some());
             let Some(s) = shape_of(i.machine_type).filter(|_| !up && i.release == Release::No)
             else {
                 continue;
@@ -44,14 +46,22 @@
             if i.status != Status::Failed && serves(spec, &demand.resources, s, &i.zone, i.spot) {
                 // Boots vary: by this factor half as long again is expected.
                 let left = (s.boot_s * 1.2 - now.since(i.rented)).max(1.0);
-                let b = boots.entry((i.machine_type, &i.zone, i.spot)).or_insert((0, left));
+                let b = boots
+                    .entry((i.machine_type, &i.zone, i.spot))
+                    .or_insert((0, left));
                 *b = (b.0 + 1, b.1.min(left));
             }
         }
         for ((machine_type, zone, spot), (machines, expected_s)) in boots {
             let machine_type = shape_of(machine_type).map_or(String::new(), |s| s.label.clone());
             let zone = zone.to_string();
-            reasons.push(Reason::Booting { machine_type, zone, spot, machines, expected_s });
+            reasons.push(Reason::Booting {
+                machine_type,
+                zone,
+                spot,
+                machines,
+                expected_s,
+            });
         }
         for r in &term.rentals {
             let fits = shape_of(r.machine_type)
@@ -66,7 +76,9 @@
             }
         }
         for ((machine_type, zone, spot), until) in &term.refused {
-            let Some(s) = shape_of(*machine_type) else { continue };
+            let Some(s) = shape_of(*machine_type) else {
+                continue;
+            };
             if *until > now && serves(spec, &demand.resources, s, zone, *spot) {
                 reasons.push(Reason::MarketRefused {
                     machine_type: s.label.clone(),
@@ -95,7 +107,11 @@
             if hit && d.target.is_drain() {
                 let since_s = (wall.0 as f64 - d.since_ms as f64) / 1e3;
                 let (target, by) = (d.target.to_string(), d.by.clone());
-                reasons.push(Reason::Drained { target, since_s, by });
+                reasons.push(Reason::Drained {
+                    target,
+                    since_s,
+                    by,
+                });
             }
         }
         reasons.extend(term.splits.tell(demand, machine_types, settings));
@@ -111,19 +127,28 @@
         limit: usize,
         scheduler: &Scheduler,
     ) -> MachinePage {
-        let mut page = MachinePage { machines: Vec::new(), next: None };
+        let mut page = MachinePage {
+            machines: Vec::new(),
+            next: None,
+        };
         let Some(term) = &self.term else { return page };
         // Those that report count as well, listed or not.
-        let reporting =
-            scheduler.machines().filter(|(_, m)| m.machine_type().is_some()).map(|(id, _)| *id);
+        let reporting = scheduler
+            .machines()
+            .filter(|(_, m)| m.machine_type().is_some())
+            .map(|(id, _)| *id);
         let mut ids: Vec<MachineId> = term.instances.keys().copied().chain(reporting).collect();
         ids.sort();
         ids.dedup();
         for id in ids.into_iter().filter(|id| after.is_none_or(|a| *id > a)) {
             let i = term.instances.get(&id);
             let m = scheduler.machine(id);
-            let index = i.map(|i| i.machine_type).or(m.and_then(|m| m.machine_type()));
-            let Some(s) = index.and_then(|s| self.machine_types.get(s)) else { continue };
+            let index = i
+                .map(|i| i.machine_type)
+                .or(m.and_then(|m| m.machine_type()));
+            let Some(s) = index.and_then(|s| self.machine_types.get(s)) else {
+                continue;
+            };
             let mut row = MachineRow {
                 machine: id.to_string(),
                 machine_type: s.label.clone(),
@@ -159,10 +184,18 @@
     /// Machines rented that have not reported yet.
     pub fn starting(&self, scheduler: &Scheduler) -> u32 {
         let Some(term) = &self.term else { return 0 };
-        let waits =
-            |id: &MachineId| scheduler.machine(*id).and_then(|m| m.last_heartbeat).is_none();
-        let open = term.instances.iter().filter(|(_, i)| i.release == Release::No);
-        open.filter(|(id, i)| i.status != Status::Failed && waits(id)).count() as u32
+        let waits = |id: &MachineId| {
+            scheduler
+                .machine(*id)
+                .and_then(|m| m.last_heartbeat)
+                .is_none()
+        };
+        let open = term
+            .instances
+            .iter()
+            .filter(|(_, i)| i.release == Release::No);
+        open.filter(|(id, i)| i.status != Status::Failed && waits(id))
+            .count() as u32
     }
 
     pub fn tell_splits(&self) -> SplitsTold {
@@ -172,10 +205,18 @@
                 pairs: term
                     .splits
                     .pairs()
-                    .map(|(beta0, beta, weight, jobs)| PairRow { beta0, beta, weight, jobs })
+                    .map(|(beta0, beta, weight, jobs)| PairRow {
+                        beta0,
+                        beta,
+                        weight,
+                        jobs,
+                    })
                     .collect(),
             },
-            None => SplitsTold { update_s: 0.0, pairs: Vec::new() },
+            None => SplitsTold {
+                update_s: 0.0,
+                pairs: Vec::new(),
+            },
         }
     }
 }
--- a/crates/controller/src/fleet/inventory.rs
+++ b/crates/controller/src/fleet/inventory.rs
@@ -14,10 +14,18 @@
 ) -> beamhinge_failure_detection::SilenceAssessment {
     let silent = |s: &&MachineObservation| s.quiet_s > limit_s;
     let few = seen.iter().filter(silent).count() * 2 < seen.len();
-    let find =
-        |s: &MachineObservation| if few && silent(&s) { Finding::Silent } else { Finding::Heard };
+    let find = |s: &MachineObservation| {
+        if few && silent(&s) {
+            Finding::Silent
+        } else {
+            Finding::Heard
+        }
+    };
     let findings = seen.iter().map(|s| (s.id, find(s))).collect();
-    beamhinge_failure_detection::SilenceAssessment { findings, ..Default::default() }
+    beamhinge_failure_detection::SilenceAssessment {
+        findings,
+        ..Default::default()
+    }
 }
 
 /// Names in a row, first and last of each.
@@ -31,7 +39,9 @@
             _ => rows.push((m, m)),
         }
     }
-    rows.into_iter().map(|(a, b)| (a.to_string(), b.to_string())).collect()
+    rows.into_iter()
+        .map(|(a, b)| (a.to_string(), b.to_string()))
+        .collect()
 }
 
 impl Term {
@@ -68,7 +78,12 @@
             let lately = self.lately.iter().map(|(_, row)| row.clone());
             let rentals: Vec<RentalRow> = used.chain(fresh).chain(lately).collect();
             let written = rentals.iter().map(|r| r.name.clone()).collect();
-            let mut record = RentalRecord { v: 1, rentals, owned: Vec::new(), spans: Vec::new() };
+            let mut record = RentalRecord {
+                v: 1,
+                rentals,
+                owned: Vec::new(),
+                spans: Vec::new(),
+            };
             let owned = self.owned.iter().flatten().copied();
             if listed {
                 record.owned = owned.map(|m| m.to_string()).collect();
@@ -117,11 +132,15 @@
         machine_types: &[MachineType],
     ) {
         for row in &list.hosts {
-            let Some(id) = MachineId::parse(&row.name_id) else { continue };
+            let Some(id) = MachineId::parse(&row.name_id) else {
+                continue;
+            };
             if self.released.contains_key(&id) {
                 continue;
             }
-            let Some(machine_type) = machine_types.iter().position(|s| s.label == row.machine_type)
+            let Some(machine_type) = machine_types
+                .iter()
+                .position(|s| s.label == row.machine_type)
             else {
                 continue;
             };
@@ -150,8 +169,11 @@
             entry.endpoint = endpoint.or(entry.endpoint);
             entry.listed = Some(now);
         }
-        self.list_after =
-            if list.more { list.hosts.last().map(|h| h.name_id.clone()) } else { None };
+        self.list_after = if list.more {
+            list.hosts.last().map(|h| h.name_id.clone())
+        } else {
+            None
+        };
         if self.list_after.is_none() {
             self.lists += 1;
             self.list_at = now;
@@ -219,7 +241,10 @@
             let zones = &settings.params.zones;
             seen.push(MachineObservation {
                 id: *id,
-                zone: zones.iter().position(|z| *z == i.zone).unwrap_or(zones.len()),
+                zone: zones
+                    .iter()
+                    .position(|z| *z == i.zone)
+                    .unwrap_or(zones.len()),
                 kind: i.machine_type,
                 quiet_s,
                 elsewhere_s: liveness.elsewhere.since(now, *id),
@@ -242,9 +267,15 @@
         let lease_s = settings.params.workers.lease_s;
         let report_s = settings.params.workers.report_s;
         let seen = self.seen(now, machine_types, settings, liveness, scheduler);
-        let look = self.silence_detector.look(now, scheduler.overdue_s(), &seen);
+        let look = self
+            .silence_detector
+            .look(now, scheduler.overdue_s(), &seen);
         #[cfg(feature = "faults")]
-        let look = if self.faults.hasty { hastily(&seen, bounds(settings).limit_s) } else { look };
+        let look = if self.faults.hasty {
+            hastily(&seen, bounds(settings).limit_s)
+        } else {
+            look
+        };
         self.link = look.link;
         self.tell_groups(settings, machine_types, look.groups);
         let mut given_up: BTreeMap<MachineId, &'static str> = BTreeMap::new();
@@ -265,8 +296,9 @@
             }
             // It reports and nothing reaches it: like one behind a broken link, it is
             // replaced by and by, and given back when that lasts.
-            if let Some(unacknowledged_for_s) =
-                scheduler.machine(s.id).and_then(|m| m.ack_tracker.unacknowledged_for_s(now))
+            if let Some(unacknowledged_for_s) = scheduler
+                .machine(s.id)
+                .and_then(|m| m.ack_tracker.unacknowledged_for_s(now))
             {
                 if unacknowledged_for_s > lease_s * 4.0
                     && !self.instances.get(id).is_some_and(|i| i.owned)
@@ -306,7 +338,11 @@
                 continue;
             };
             tracing::info!("returning {id}: {why}");
-            i.release = if why == "silent" { Release::Silent } else { Release::Wanted };
+            i.release = if why == "silent" {
+                Release::Silent
+            } else {
+                Release::Wanted
+            };
             out.push((*id, why));
         }
         for (id, why) in out {
@@ -318,10 +354,17 @@
             .filter(|(id, m)| {
                 !self.instances.contains_key(id)
                     && !self.released.contains_key(id)
-                    && m.last_heartbeat.is_some_and(|h| now.since(h) < report_s * 3.0)
+                    && m.last_heartbeat
+                        .is_some_and(|h| now.since(h) < report_s * 3.0)
             })
             .filter_map(|(id, m)| {
-                Some((*id, m.machine_type()?, m.zone().to_string(), m.spot, m.endpoint))
+                Some((
+                    *id,
+                    m.machine_type()?,
+                    m.zone().to_string(),
+                    m.spot,
+                    m.endpoint,
+                ))
             })
             .collect();
         for (id, machine_type, zone, spot, endpoint) in strays {
@@ -353,7 +396,10 @@
         let name = |g: &Group| match g {
             Group::Ours => "our own link".to_string(),
             Group::Zone(z) => {
-                format!("zone {}", settings.params.zones.get(*z).map_or("?", String::as_str))
+                format!(
+                    "zone {}",
+                    settings.params.zones.get(*z).map_or("?", String::as_str)
+                )
             }
             Group::Kind(k) => format!("type {}", machine_types.get(*k).map_or("?", |s| &s.label)),
         };
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -182,7 +182,9 @@
     }
     active_directives.drain_of(
         id,
-        machine_types.get(i.machine_type).map_or("", |s| s.label.as_str()),
+        machine_types
+            .get(i.machine_type)
+            .map_or("", |s| s.label.as_str()),
         &i.zone,
     )
 }
@@ -224,7 +226,11 @@
         let spans = self.spans.iter().filter_map(|(first, last)| {
             Some(MachineId::parse(first)?.row_to(MachineId::parse(last)?))
         });
-        self.owned.iter().filter_map(|m| MachineId::parse(m)).chain(spans.flatten()).collect()
+        self.owned
+            .iter()
+            .filter_map(|m| MachineId::parse(m))
+            .chain(spans.flatten())
+            .collect()
     }
 }
 
@@ -421,7 +427,9 @@
             self.flavors_in_flight = true;
             self.queue.push_front(CloudCall::Flavors);
         }
-        let (Some(scheduler), Some(term)) = (scheduler, self.term.as_mut()) else { return };
+        let (Some(scheduler), Some(term)) = (scheduler, self.term.as_mut()) else {
+            return;
+        };
         if !term.list_in_flight && now.since(term.list_at) > 1.5 && !self.machine_types.is_empty() {
             term.list_in_flight = true;
             if term.list_after.is_none() {
@@ -441,11 +449,27 @@
                 scheduler.restore_runs(runs);
             }
             term.watch_machines(now, &self.machine_types, settings, liveness, scheduler);
-            term.decide(now, wall, self.lag_s, &self.machine_types, operator, settings, scheduler);
+            term.decide(
+                now,
+                wall,
+                self.lag_s,
+                &self.machine_types,
+                operator,
+                settings,
+                scheduler,
+            );
         }
-        term.splits.keep(now, term.token, scheduler.runs(), settings.value_limit(), store);
-        let ready =
-            term.rentals.iter_mut().filter(|r| r.recorded && !r.in_flight && now >= r.retry_at);
+        term.splits.keep(
+            now,
+            term.token,
+            scheduler.runs(),
+            settings.value_limit(),
+            store,
+        );
+        let ready = term
+            .rentals
+            .iter_mut()
+            .filter(|r| r.recorded && !r.in_flight && now >= r.retry_at);
         for r in ready {
             r.in_flight = true;
             self.queue.push_back(CloudCall::Rent(r.row.name.clone()));
@@ -473,7 +497,9 @@
         self.level = (self.level + now.since(self.filled) * self.rate).min(self.rate);
         self.filled = now;
         while self.level >= 1.0 {
-            let Some(call) = self.queue.pop_front() else { break };
+            let Some(call) = self.queue.pop_front() else {
+                break;
+            };
             let (method, path, body) = match &call {
                 CloudCall::Flavors => (Method::Get, "/flavors".to_string(), Vec::new()),
                 CloudCall::List => {
@@ -534,7 +560,9 @@
         result: Option<(u16, Vec<u8>)>,
         scheduler: Option<&mut Scheduler>,
     ) {
-        let Some(call) = self.calls.remove(&id) else { return };
+        let Some(call) = self.calls.remove(&id) else {
+            return;
+        };
         let ok = match &result {
             Some((200, body)) => Some(body.as_slice()),
             _ => None,
@@ -560,11 +588,14 @@
             }
             CloudCall::Rent(name) => {
                 let Some(term) = &mut self.term else { return };
-                let Some(at) = term.rentals.iter().position(|r| r.row.name == name) else { return };
+                let Some(at) = term.rentals.iter().position(|r| r.row.name == name) else {
+                    return;
+                };
                 match result {
                     Some((200, body)) => {
-                        let hosts =
-                            wire::decode::<Rented>(&body).map(|r| r.hosts).unwrap_or_default();
+                        let hosts = wire::decode::<Rented>(&body)
+                            .map(|r| r.hosts)
+                            .unwrap_or_default();
                         let r = term.rentals.remove(at);
                         tracing::info!(
                             "rented {} of {} {} in {} spot={}",
@@ -604,7 +635,10 @@
                             });
                         }
                         if !hosts.is_empty() {
-                            let row = RentalRow { count: hosts.len() as u32, ..r.row };
+                            let row = RentalRow {
+                                count: hosts.len() as u32,
+                                ..r.row
+                            };
                             term.lately.push((now, row));
                         }
                     }
@@ -616,8 +650,9 @@
                             #[serde(default)]
                             error: String,
                         }
-                        let error =
-                            wire::decode::<Error>(&body).map(|e| e.error).unwrap_or_default();
+                        let error = wire::decode::<Error>(&body)
+                            .map(|e| e.error)
+                            .unwrap_or_default();
                         if error == "no capacity" {
                             // Certainly nothing rented under this name: drop
                             // it, and ask this market again a little later.
@@ -752,7 +787,9 @@
         term.record_in_flight = false;
         match (call, reply.outcome) {
             (FleetCall::ReadRentals, Outcome::Ok(body)) => {
-                let Ok(scan) = wire::decode::<Scan>(&body) else { return };
+                let Ok(scan) = wire::decode::<Scan>(&body) else {
+                    return;
+                };
                 let found = scan.pairs.iter().find(|p| p.path == RENTALS_KEY);
                 term.record = Some(Revision(found.map_or(0, |p| p.revision)));
                 term.written.clear();
--- a/crates/controller/src/fleet/scale_plan.rs
+++ b/crates/controller/src/fleet/scale_plan.rs
@@ -39,7 +39,10 @@
             if leaving {
                 continue;
             }
-            let class = Class { machine_type: i.machine_type, spot: i.spot };
+            let class = Class {
+                machine_type: i.machine_type,
+                spot: i.spot,
+            };
             if let (Some(silent_s), Some(s)) =
                 (self.shielded.get(id), machine_types.get(i.machine_type))
             {
@@ -49,7 +52,10 @@
                 if *credit >= 1.0 {
                     *credit -= 1.0;
                     *have.entry(class).or_default() += 1;
-                    pools.entry(i.machine_type).or_default().push((s.boot_s, s.cpus));
+                    pools
+                        .entry(i.machine_type)
+                        .or_default()
+                        .push((s.boot_s, s.cpus));
                 }
                 continue;
             }
@@ -59,7 +65,10 @@
                 *up.entry(class).or_default() += 1;
                 scheduler.room_over_time(now, *id, machine_types, pool);
             } else if let Some(s) = machine_types.get(i.machine_type) {
-                pool.push(((s.boot_s * 1.2 - now.since(i.rented)).max(s.boot_s * 0.2), s.cpus));
+                pool.push((
+                    (s.boot_s * 1.2 - now.since(i.rented)).max(s.boot_s * 0.2),
+                    s.cpus,
+                ));
             }
             if i.owned {
                 let cpus = machine_types.get(i.machine_type).map_or(0.0, |s| s.cpus);
@@ -70,8 +79,12 @@
             }
         }
         for r in &self.rentals {
-            *have.entry(Class { machine_type: r.machine_type, spot: r.row.spot }).or_default() +=
-                r.row.count;
+            *have
+                .entry(Class {
+                    machine_type: r.machine_type,
+                    spot: r.row.spot,
+                })
+                .or_default() += r.row.count;
             if let Some(s) = machine_types.get(r.machine_type) {
                 let pool = pools.entry(r.machine_type).or_default();
                 pool.extend((0..r.row.count).map(|_| (s.boot_s * 1.2, s.cpus)));
@@ -84,15 +97,23 @@
             self.inherited.clear();
         }
         for row in &self.inherited {
-            if let Some(machine_type) =
-                machine_types.iter().position(|s| s.label == row.machine_type)
+            if let Some(machine_type) = machine_types
+                .iter()
+                .position(|s| s.label == row.machine_type)
             {
-                *have.entry(Class { machine_type, spot: row.spot }).or_default() += row.count;
+                *have
+                    .entry(Class {
+                        machine_type,
+                        spot: row.spot,
+                    })
+                    .or_default() += row.count;
             }
         }
         self.lately.retain(|(at, _)| now.since(*at) < lag);
         self.refused.retain(|_, until| *until > now);
-        let wants = self.splits.wants(now, &demands, market, settings, owned_cpus, &pools);
+        let wants = self
+            .splits
+            .wants(now, &demands, market, settings, owned_cpus, &pools);
         let mut wanted: BTreeMap<Class, u32> = BTreeMap::new();
         let (mut spot_wanted, mut spot_up) = (0.0, 0.0);
         let (mut price, mut heaviest) = (1.0, 0.0);
@@ -105,10 +126,24 @@
                 &want,
                 count(&have, true),
                 count(&have, false),
-                s.zones.iter().all(|z| self.refused.contains_key(&(machine_type, z.clone(), true))),
+                s.zones
+                    .iter()
+                    .all(|z| self.refused.contains_key(&(machine_type, z.clone(), true))),
+            );
+            wanted.insert(
+                Class {
+                    machine_type,
+                    spot: true,
+                },
+                spot,
+            );
+            wanted.insert(
+                Class {
+                    machine_type,
+                    spot: false,
+                },
+                ordinary,
             );
-            wanted.insert(Class { machine_type, spot: true }, spot);
-            wanted.insert(Class { machine_type, spot: false }, ordinary);
             let weight = want.pool * s.low_price;
             spot_wanted += want.pool;
             spot_up += count(&up, true).min(want.pool);
@@ -118,7 +153,14 @@
             }
         }
         if spot_wanted > 0.0 {
-            self.splits.observe(now, MarketSlot { price, up: spot_up / spot_wanted, idle_owned });
+            self.splits.observe(
+                now,
+                MarketSlot {
+                    price,
+                    up: spot_up / spot_wanted,
+                    idle_owned,
+                },
+            );
         }
         if self.lists > 0 {
             for (class, want) in &wanted {
@@ -139,7 +181,9 @@
         machine_types: &[MachineType],
         settings: &Settings,
     ) {
-        let Some(machine_type) = machine_types.get(class.machine_type) else { return };
+        let Some(machine_type) = machine_types.get(class.machine_type) else {
+            return;
+        };
         if self
             .rentals
             .iter()
@@ -151,7 +195,11 @@
             .zones
             .iter()
             .filter(|z| settings.params.zones.is_empty() || settings.params.zones.contains(z))
-            .filter(|z| !self.refused.contains_key(&(class.machine_type, (*z).clone(), class.spot)))
+            .filter(|z| {
+                !self
+                    .refused
+                    .contains_key(&(class.machine_type, (*z).clone(), class.spot))
+            })
             .collect();
         if open.is_empty() {
             return;
@@ -236,17 +284,32 @@
                 }
                 continue;
             }
-            let Some(m) = m.filter(|m| m.is_empty()) else { continue };
-            let class = Class { machine_type: i.machine_type, spot: i.spot };
+            let Some(m) = m.filter(|m| m.is_empty()) else {
+                continue;
+            };
+            let class = Class {
+                machine_type: i.machine_type,
+                spot: i.spot,
+            };
             let why = if m.slow {
                 "slow"
             } else {
-                let Some(n) = over.get_mut(&class).filter(|n| **n > 0) else { continue };
+                let Some(n) = over.get_mut(&class).filter(|n| **n > 0) else {
+                    continue;
+                };
                 // A rented machine stays at least as long as it is charged for
                 // anyway, and spot machines a while longer; dear ones do not.
-                let stay = if i.owned { operator.idle_s } else { ORDINARY_IDLE_S };
+                let stay = if i.owned {
+                    operator.idle_s
+                } else {
+                    ORDINARY_IDLE_S
+                };
                 let fresh = !i.owned && now.since(i.rented) < MIN_CHARGE_S - 3.0;
-                let idle = if i.spot { operator.idle_s.max(stay) } else { stay };
+                let idle = if i.spot {
+                    operator.idle_s.max(stay)
+                } else {
+                    stay
+                };
                 if fresh || now.since(m.idle_since) < idle || now.since(self.began) < idle {
                     continue;
                 }
@@ -282,7 +345,8 @@
     let mut open = machine_types.to_vec();
     for s in &mut open {
         let label = s.label.clone();
-        s.zones.retain(|z| active_directives.market(&label, z).is_none());
+        s.zones
+            .retain(|z| active_directives.market(&label, z).is_none());
         if s.zones.is_empty() {
             (s.cpus, s.gpus, s.memory_gb) = (0.0, 0.0, 0.0);
         }
@@ -299,10 +363,16 @@
     let bound = up(want.ordinary);
     let spare = (have_ordinary - bound).max(0.0);
     if refused && want.short > 0.0 {
-        return (up(want.pool + want.ready) as u32, (bound + spare + up(want.short)) as u32);
+        return (
+            up(want.pool + want.ready) as u32,
+            (bound + spare + up(want.short)) as u32,
+        );
     }
     if refused && up(want.timely) > have_spot + spare {
-        return (up(want.pool + want.ready) as u32, (bound + up(want.timely) - have_spot) as u32);
+        return (
+            up(want.pool + want.ready) as u32,
+            (bound + up(want.timely) - have_spot) as u32,
+        );
     }
     // Ordinary machines stay as long as spot ones do not reach.
     let pool = up(want.pool + want.ready);
--- a/crates/controller/src/job_store.rs
+++ b/crates/controller/src/job_store.rs
@@ -154,7 +154,12 @@
 
     fn shorten(&mut self, summary: &JobSummary) -> Option<CompactSummary> {
         let (team, class) = (self.name(&summary.team)?, self.name(&summary.class)?);
-        Some(CompactSummary { team, class, urgency: summary.urgency, submitted: summary.submitted })
+        Some(CompactSummary {
+            team,
+            class,
+            urgency: summary.urgency,
+            submitted: summary.submitted,
+        })
     }
 
     fn put(&mut self, path: &str, revision: u64, value: &Value) {
@@ -163,7 +168,11 @@
             return;
         };
         // A reply that overtook another must not take us back.
-        if self.entries.get(&id).is_some_and(|e| e.revision.0 >= revision) {
+        if self
+            .entries
+            .get(&id)
+            .is_some_and(|e| e.revision.0 >= revision)
+        {
             return;
         }
         match wire::from_value::<Record>(value) {
@@ -208,7 +217,11 @@
         state: JobState,
         spec: Option<Rc<JobSpec>>,
     ) {
-        if self.entries.get(&id).is_some_and(|e| e.revision >= revision) {
+        if self
+            .entries
+            .get(&id)
+            .is_some_and(|e| e.revision >= revision)
+        {
             return;
         }
         let spec = spec.map(|s| match Rc::try_unwrap(s) {
@@ -216,10 +229,27 @@
             Err(held) => held,
         });
         let known = self.entries.get(&id);
-        let tasks = spec.as_ref().map(|s| s.tasks).or(known.map(|e| e.tasks)).unwrap_or(0);
+        let tasks = spec
+            .as_ref()
+            .map(|s| s.tasks)
+            .or(known.map(|e| e.tasks))
+            .unwrap_or(0);
         let summary = known.and_then(|e| e.spec.as_deref()).map(JobSummary::of);
-        let summary = if spec.is_some() { None } else { summary.and_then(|b| self.shorten(&b)) };
-        self.entries.insert(id, Entry { revision, state, spec, tasks, summary });
+        let summary = if spec.is_some() {
+            None
+        } else {
+            summary.and_then(|b| self.shorten(&b))
+        };
+        self.entries.insert(
+            id,
+            Entry {
+                revision,
+                state,
+                spec,
+                tasks,
+                summary,
+            },
+        );
         self.changed.push(id);
     }
 }
--- a/crates/controller/src/job_store/tests.rs
+++ b/crates/controller/src/job_store/tests.rs
@@ -15,7 +15,10 @@
     (0..images).for_each(|image| drop(job_store.share(spec(image))));
     for image in [0, 4_096, images - 1] {
         let (one, other) = (job_store.share(spec(image)), job_store.share(spec(image)));
-        assert!(Rc::ptr_eq(&one.image, &other.image), "image {image} is kept twice");
+        assert!(
+            Rc::ptr_eq(&one.image, &other.image),
+            "image {image} is kept twice"
+        );
         assert!(Rc::ptr_eq(&one.team, &other.team) && Rc::ptr_eq(&one.class, &other.class));
     }
     (0..MAX_SHARED_NAMES + 100).for_each(|image| drop(job_store.share(spec(image))));
--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -79,7 +79,11 @@
 impl LeaderElection {
     pub fn new(settings: &Settings, nonce: u64) -> LeaderElection {
         LeaderElection {
-            identity: ProcessIdentity { v: 1, label: settings.label.clone(), nonce },
+            identity: ProcessIdentity {
+                v: 1,
+                label: settings.label.clone(),
+                nonce,
+            },
             lease_duration_s: settings.leader_lease_s(),
             lease_id: None,
             lease_renewed_at: Time::default(),
@@ -137,7 +141,9 @@
     /// A worker has seen a higher token, or a condition on the block failed:
     /// somebody took over. Guard 1: from here on we answer no worker with 200.
     pub fn step_down_deposed(&mut self, now: Time) -> LeadershipChange {
-        let Some(token) = self.token.take() else { return LeadershipChange::Unchanged };
+        let Some(token) = self.token.take() else {
+            return LeadershipChange::Unchanged;
+        };
         self.last_token = token;
         tracing::info!("this controller no longer leads");
         self.block = None;
@@ -189,8 +195,11 @@
     /// take rests on the lead being as it is now: if the holder, or another, wrote
     /// it meanwhile, nothing is taken.
     pub fn presume_dead(&mut self, leader: &str) {
-        self.presumed_dead =
-            self.leadership.as_ref().filter(|(n, _)| n.label == leader).map(|(_, s)| *s);
+        self.presumed_dead = self
+            .leadership
+            .as_ref()
+            .filter(|(n, _)| n.label == leader)
+            .map(|(_, s)| *s);
     }
 
     /// Leaves the lead to others for a while longer.
@@ -214,7 +223,11 @@
         match self.lease_id {
             None if !self.lease_grant_in_flight => {
                 self.lease_grant_in_flight = true;
-                store.lease(now, Tag::Election(ElectionCall::GrantLease), self.lease_duration_s);
+                store.lease(
+                    now,
+                    Tag::Election(ElectionCall::GrantLease),
+                    self.lease_duration_s,
+                );
             }
             Some(lease_id)
                 if !self.lease_renewal_in_flight
@@ -282,13 +295,18 @@
                 (ours || self.presumed_dead == Some(*revision), *revision)
             }
         };
-        let Some(lease_id) = self.lease_id else { return };
+        let Some(lease_id) = self.lease_id else {
+            return;
+        };
         if !free {
             // Guard 1: our own name without a token is a take of ours whose answer was
             // lost, carried out late. Nobody else takes the lead while we renew its
             // lease, and we took it for somebody's: nobody led for as long as we lived.
             // What we knew of the block is from before; it is read once for each lead.
-            let ours = self.leadership.as_ref().is_some_and(|(n, _)| *n == self.identity);
+            let ours = self
+                .leadership
+                .as_ref()
+                .is_some_and(|(n, _)| *n == self.identity);
             let unknown = self.token.is_none()
                 && self.block_read_for != revision
                 && !self.block_read_in_flight;
@@ -301,14 +319,16 @@
             // Our lease lapsed but nobody took the block: hang the key up again.
             self.acquiring = true;
             let mut transaction = store.transaction();
-            let built = transaction.when(BLOCK_KEY, Revision(token.0)).and_then(|()| {
-                transaction.write(
-                    LEADERSHIP_KEY,
-                    revision,
-                    wire::to_value(&self.identity),
-                    Some(lease_id),
-                )
-            });
+            let built = transaction
+                .when(BLOCK_KEY, Revision(token.0))
+                .and_then(|()| {
+                    transaction.write(
+                        LEADERSHIP_KEY,
+                        revision,
+                        wire::to_value(&self.identity),
+                        Some(lease_id),
+                    )
+                });
             match built {
                 Ok(()) => store.commit(
                     now,
@@ -449,8 +469,11 @@
                                 self.leadership.as_ref().filter(|l| l.0 == self.identity)
                             {
                                 // A block from before that lead says nothing of it.
-                                self.block_read_for =
-                                    if scan.rev >= at.0 { *at } else { self.block_read_for };
+                                self.block_read_for = if scan.rev >= at.0 {
+                                    *at
+                                } else {
+                                    self.block_read_for
+                                };
                             }
                             let found = scan.pairs.iter().find(|p| p.path == BLOCK_KEY);
                             let name = found
@@ -541,7 +564,10 @@
         let token = FencingToken(revision.0);
         // Attempts count from the token shifted: beyond this they would come again.
         if token.0 >= MAX_TOKEN {
-            tracing::error!("the state service's revision {} is too high to lead with", token.0);
+            tracing::error!(
+                "the state service's revision {} is too high to lead with",
+                token.0
+            );
             self.retry_at = sent.plus(MALFORMED_RETRY_S);
             return LeadershipChange::Unchanged;
         }
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -10,13 +10,25 @@
     let now = Time::from_micros(10_000_000);
     leader.acquired(Revision(8), now);
     assert_eq!(leader.on_token_claim(now, 8), LeadershipChange::Unchanged);
-    assert_eq!(leader.on_token_claim(now, u64::MAX - 1), LeadershipChange::Lost);
+    assert_eq!(
+        leader.on_token_claim(now, u64::MAX - 1),
+        LeadershipChange::Lost
+    );
     leader.acquired(Revision(12), now);
-    assert_eq!(leader.on_token_claim(now, u64::MAX - 1), LeadershipChange::Unchanged);
-    assert_eq!(leader.on_token_claim(now, u64::MAX), LeadershipChange::Unchanged);
+    assert_eq!(
+        leader.on_token_claim(now, u64::MAX - 1),
+        LeadershipChange::Unchanged
+    );
+    assert_eq!(
+        leader.on_token_claim(now, u64::MAX),
+        LeadershipChange::Unchanged
+    );
     // A token that may be one ends the term still.
     assert_eq!(leader.on_token_claim(now, 15), LeadershipChange::Lost);
-    assert_eq!(leader.acquired(Revision(u64::MAX - 3), now), LeadershipChange::Unchanged);
+    assert_eq!(
+        leader.acquired(Revision(u64::MAX - 3), now),
+        LeadershipChange::Unchanged
+    );
     assert_eq!(leader.token(), None, "its attempts would come again");
     leader.acquired(Revision(17), now);
     assert_eq!(
@@ -48,22 +60,42 @@
         assert_eq!(leader.step_down(now, &mut store), LeadershipChange::Lost);
         let read = |leader: &mut LeaderElection, revision: u64| {
             let value = wire::to_value(&leader.identity);
-            let pair = [("path", "block/0".into()), ("value", value), ("stamp", revision.into())];
+            let pair = [
+                ("path", "block/0".into()),
+                ("value", value),
+                ("stamp", revision.into()),
+            ];
             let pair = pair.map(|(k, v)| (ciborium::Value::from(k), v)).to_vec();
             let pairs = ciborium::Value::Array(vec![ciborium::Value::Map(pair)]);
             let scan = [("pairs", pairs), ("ledgerRev", 20u64.into())];
             let scan = scan.map(|(k, v)| (ciborium::Value::from(k), v)).to_vec();
             let outcome = Outcome::Ok(wire::encode(&ciborium::Value::Map(scan)));
             let tag = Tag::Election(ElectionCall::ReadBlock);
-            leader.apply(now, ElectionCall::ReadBlock, Reply { tag, outcome, sent: now })
+            leader.apply(
+                now,
+                ElectionCall::ReadBlock,
+                Reply {
+                    tag,
+                    outcome,
+                    sent: now,
+                },
+            )
         };
         let again = read(&mut leader, 8);
-        assert_eq!(again == LeadershipChange::Acquired { token: FencingToken(8) }, broken);
+        assert_eq!(
+            again
+                == LeadershipChange::Acquired {
+                    token: FencingToken(8)
+                },
+            broken
+        );
         // A take of ours that came late, after it, is a new term.
         if !broken {
             assert_eq!(
                 read(&mut leader, 12),
-                LeadershipChange::Acquired { token: FencingToken(12) }
+                LeadershipChange::Acquired {
+                    token: FencingToken(12)
+                }
             );
         }
     }
@@ -73,11 +105,23 @@
 #[test]
 fn the_leadership_keys_keep_their_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/leadership.hex");
-    golden
-        .text("keys", &format!("{LEADERSHIP_KEY} {LEADERSHIP_PREFIX} {BLOCK_KEY} {BLOCK_PREFIX}"));
+    golden.text(
+        "keys",
+        &format!("{LEADERSHIP_KEY} {LEADERSHIP_PREFIX} {BLOCK_KEY} {BLOCK_PREFIX}"),
+    );
     let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
-    golden.stored("name of a new leader", &LeaderElection::new(&settings, 70_000).identity);
-    golden.stored("name", &ProcessIdentity { v: 1, label: "north-1".into(), nonce: u64::MAX - 5 });
+    golden.stored(
+        "name of a new leader",
+        &LeaderElection::new(&settings, 70_000).identity,
+    );
+    golden.stored(
+        "name",
+        &ProcessIdentity {
+            v: 1,
+            label: "north-1".into(),
+            nonce: u64::MAX - 5,
+        },
+    );
     golden.check();
 }
--- a/crates/controller/src/market.rs
+++ b/crates/controller/src/market.rs
@@ -139,7 +139,11 @@
     fn came(&mut self, now: Time, width: f64, run_s: f64) {
         if let Some(last) = self.last {
             let gap = now.since(last);
-            self.gap_s = if self.gap_s > 0.0 { self.gap_s * 0.9 + gap * 0.1 } else { gap };
+            self.gap_s = if self.gap_s > 0.0 {
+                self.gap_s * 0.9 + gap * 0.1
+            } else {
+                gap
+            };
         }
         self.last = Some(now);
         self.jobs.push_back((width, now.plus(run_s)));
@@ -159,10 +163,19 @@
     /// a queue that has built up says nothing of what comes next.
     fn widest(&mut self, now: Time) -> f64 {
         self.jobs.retain(|(_, until)| *until > now);
-        if self.loads.back().is_none_or(|(at, _)| now.since(*at) >= 1.0) {
-            self.loads.push_back((now, self.jobs.iter().map(|(width, _)| width).sum()));
+        if self
+            .loads
+            .back()
+            .is_none_or(|(at, _)| now.since(*at) >= 1.0)
+        {
+            self.loads
+                .push_back((now, self.jobs.iter().map(|(width, _)| width).sum()));
         }
-        while self.loads.front().is_some_and(|(at, _)| now.since(*at) > WATCH_S) {
+        while self
+            .loads
+            .front()
+            .is_some_and(|(at, _)| now.since(*at) > WATCH_S)
+        {
             self.loads.pop_front();
         }
         self.loads.iter().map(|(_, w)| *w).fold(0.0, f64::max)
@@ -170,7 +183,8 @@
 
     /// Nothing has come for several times the usual gap.
     fn dry(&self, now: Time) -> bool {
-        self.last.is_none_or(|at| now.since(at) > (self.gap_s * DRY_GAPS).max(15.0))
+        self.last
+            .is_none_or(|at| now.since(at) > (self.gap_s * DRY_GAPS).max(15.0))
     }
 }
 
@@ -182,8 +196,10 @@
 /// rented now would be up in time.
 fn shortfall(pool: &Pool, queue: &mut [Queued]) -> f64 {
     let ms = |s: f64| (s.max(0.0) * 1e3) as u64;
-    let mut room: BinaryHeap<Reverse<(u64, u64)>> =
-        pool.iter().map(|(at, cpus)| Reverse((ms(*at), ms(*cpus)))).collect();
+    let mut room: BinaryHeap<Reverse<(u64, u64)>> = pool
+        .iter()
+        .map(|(at, cpus)| Reverse((ms(*at), ms(*cpus))))
+        .collect();
     queue.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.left_s.total_cmp(&b.left_s)));
     let (mut short, mut looked) = (0.0, 0);
     for q in queue.iter() {
@@ -240,13 +256,23 @@
 
 fn timing(d: &Demand, s: &MachineType, due: f64, slot_s: f64) -> Timing {
     let window = due - d.age_s;
-    let fetch = if s.fetch_gb_per_s > 0.0 { d.image_gb / s.fetch_gb_per_s } else { 0.0 };
+    let fetch = if s.fetch_gb_per_s > 0.0 {
+        d.image_gb / s.fetch_gb_per_s
+    } else {
+        0.0
+    };
     let setup = s.boot_s * 1.2 + fetch;
     let y = f64::from(d.left) * d.run_s / slot_s;
     // Boots eat the tail: what is not yet on a machine has less time.
     let waiting = d.left.saturating_sub(d.placed) > 0;
     let reach = if waiting { window - setup } else { window };
-    Timing { window, fetch, setup, y, reach: reach / slot_s }
+    Timing {
+        window,
+        fetch,
+        setup,
+        y,
+        reach: reach / slot_s,
+    }
 }
 
 pub struct Splits {
@@ -273,7 +299,11 @@
 
 impl Splits {
     pub fn new(operator: &Operator, token: FencingToken, now: Time) -> Splits {
-        let seed = if operator.seed == 0 { rand::random() } else { operator.seed ^ token.0 };
+        let seed = if operator.seed == 0 {
+            rand::random()
+        } else {
+            operator.seed ^ token.0
+        };
         Splits {
             learner: Learner::default(),
             rng: SmallRng::seed_from_u64(seed),
@@ -315,7 +345,9 @@
             .map(|(id, _)| *id)
             .collect();
         for id in due {
-            let Some(held) = self.jobs.get(&id) else { continue };
+            let Some(held) = self.jobs.get(&id) else {
+                continue;
+            };
             let end = held.began.plus(held.past.d * slot_s);
             let seen: Vec<MarketSlot> = self
                 .market
@@ -333,7 +365,8 @@
                 }
             }
         }
-        self.jobs.retain(|_, h| h.alive || now.since(h.began) / slot_s <= longest);
+        self.jobs
+            .retain(|_, h| h.alive || now.since(h.began) / slot_s <= longest);
         self.dirty = true;
     }
 
@@ -363,7 +396,9 @@
             let Some((machine_type, fit)) = split::cheapest(machine_types, d, &exclusive) else {
                 continue;
             };
-            let Some(s) = machine_types.get(machine_type) else { continue };
+            let Some(s) = machine_types.get(machine_type) else {
+                continue;
+            };
             let want = wants.entry(machine_type).or_default();
             let fit_f = f64::from(fit.max(1));
             let left = f64::from(d.left);
@@ -390,7 +425,13 @@
                 });
                 continue;
             };
-            let Timing { window, fetch, setup, y, reach } = timing(d, s, due, self.slot_s);
+            let Timing {
+                window,
+                fetch,
+                setup,
+                y,
+                reach,
+            } = timing(d, s, due, self.slot_s);
             let late = window < d.run_s * 0.5;
             if wait.is_some() && !self.jobs.contains_key(&d.job) {
                 let load = self.waiting.entry(d.class.clone()).or_default();
@@ -413,9 +454,15 @@
                 want.timely += places / fit_f;
             }
             let waiting = d.left.saturating_sub(d.placed);
-            let must = if late { 0 } else { (parts.ordinary.ceil() as u32).min(waiting) };
-            for (count, latest) in [(must, Some(window - d.run_s - fetch)), (waiting - must, None)]
-            {
+            let must = if late {
+                0
+            } else {
+                (parts.ordinary.ceil() as u32).min(waiting)
+            };
+            for (count, latest) in [
+                (must, Some(window - d.run_s - fetch)),
+                (waiting - must, None),
+            ] {
                 queues.entry(machine_type).or_default().push(Queued {
                     rank: (u8::MAX - d.urgency, late),
                     left_s: window,
@@ -436,7 +483,9 @@
             }
         }
         for (class, arrivals) in &mut self.waiting {
-            let Some(d) = self.typical.get(class) else { continue };
+            let Some(d) = self.typical.get(class) else {
+                continue;
+            };
             let Some((machine_type, fit)) = split::cheapest(machine_types, d, &exclusive) else {
                 continue;
             };
@@ -488,11 +537,19 @@
 
     /// Every pair with its weight and the open jobs that drew it.
     pub fn pairs(&self) -> impl Iterator<Item = (f64, f64, f64, u32)> + '_ {
-        self.learner.weights().into_iter().enumerate().map(|(i, weight)| {
-            let (beta0, beta) = self.learner.pair(i);
-            let jobs = self.jobs.values().filter(|h| h.alive && h.pair == i).count();
-            (beta0, beta, weight, jobs as u32)
-        })
+        self.learner
+            .weights()
+            .into_iter()
+            .enumerate()
+            .map(|(i, weight)| {
+                let (beta0, beta) = self.learner.pair(i);
+                let jobs = self
+                    .jobs
+                    .values()
+                    .filter(|h| h.alive && h.pair == i)
+                    .count();
+                (beta0, beta, weight, jobs as u32)
+            })
     }
 
     /// The job's pair and owned share, drawn on arrival.
@@ -513,13 +570,29 @@
                 } else {
                     0.0
                 };
-                (pair, split::owned_share(f64::from(d.left), z, slots, LEN, beta0, idle))
+                (
+                    pair,
+                    split::owned_share(f64::from(d.left), z, slots, LEN, beta0, idle),
+                )
             }
         };
         *owned_left -= owned * d.resources.cpus;
         self.longest = self.longest.max(slots.min(720.0));
-        let past = Past { delta: f64::from(d.left), z, d: slots };
-        self.jobs.insert(d.job, Held { pair, owned, past, began: now, alive: true });
+        let past = Past {
+            delta: f64::from(d.left),
+            z,
+            d: slots,
+        };
+        self.jobs.insert(
+            d.job,
+            Held {
+                pair,
+                owned,
+                past,
+                began: now,
+                alive: true,
+            },
+        );
         self.dirty = true;
         (pair, owned)
     }
@@ -538,7 +611,13 @@
         }
         let Some(revision) = self.record else {
             self.in_flight = true;
-            store.scan(now, Priority::Background, Tag::Fleet(FleetCall::ReadSplit), PREFIX, None);
+            store.scan(
+                now,
+                Priority::Background,
+                Tag::Fleet(FleetCall::ReadSplit),
+                PREFIX,
+                None,
+            );
             return;
         };
         if !self.dirty {
@@ -566,8 +645,14 @@
             let record = Record {
                 v: 1,
                 weights: self.learner.weights().into_iter().map(round).collect(),
-                splits: alive.map(|(id, h)| (id.to_string(), (h.pair, h.owned))).collect(),
-                runs: runs.iter().take(classes).map(|(c, f)| (c.clone(), round(*f))).collect(),
+                splits: alive
+                    .map(|(id, h)| (id.to_string(), (h.pair, h.owned)))
+                    .collect(),
+                runs: runs
+                    .iter()
+                    .take(classes)
+                    .map(|(c, f)| (c.clone(), round(*f)))
+                    .collect(),
                 loads: loads.iter().take(classes).cloned().collect(),
             };
             let mut transaction = store.transaction();
@@ -598,7 +683,9 @@
             self.retry_at = now.plus(0.5);
             return;
         };
-        let Ok(scan) = wire::decode::<Scan>(&body) else { return };
+        let Ok(scan) = wire::decode::<Scan>(&body) else {
+            return;
+        };
         let found = scan.pairs.iter().find(|p| p.path == KEY);
         self.record = Some(Revision(found.map_or(0, |p| p.revision)));
         let Some(found) = found else { return };
@@ -627,13 +714,22 @@
 
     /// Takes up what an earlier leader knew of a class that may not wait.
     fn resume(&mut self, now: Time, class: Rc<str>, load: &Load) {
-        self.waiting.entry(class.clone()).or_default().resume(now, load);
+        self.waiting
+            .entry(class.clone())
+            .or_default()
+            .resume(now, load);
         let (cpus, gpus, memory_gb) = load.size;
-        let Some(job) = JobId::parse("job-0") else { return };
+        let Some(job) = JobId::parse("job-0") else {
+            return;
+        };
         self.typical.entry(class.clone()).or_insert(Demand {
             job,
             class,
-            resources: Resources { cpus, gpus, memory_gb },
+            resources: Resources {
+                cpus,
+                gpus,
+                memory_gb,
+            },
             left: 0,
             placed: 0,
             run_s: 0.0,
@@ -652,7 +748,9 @@
         self.in_flight = false;
         match reply.outcome {
             Outcome::Ok(body) => {
-                self.record = wire::decode::<Committed>(&body).ok().map(|c| Revision(c.rev))
+                self.record = wire::decode::<Committed>(&body)
+                    .ok()
+                    .map(|c| Revision(c.rev))
             }
             Outcome::Refused => {
                 self.dirty = true;
--- a/crates/controller/src/market/tests.rs
+++ b/crates/controller/src/market/tests.rs
@@ -1,7 +1,15 @@
 use super::*;
 
 fn queued(count: u32, latest: Option<f64>) -> Queued {
-    Queued { rank: (1, false), left_s: 0.0, cpus: 4.0, count, run_s: 20.0, latest, setup_s: 30.0 }
+    Queued {
+        rank: (1, false),
+        left_s: 0.0,
+        cpus: 4.0,
+        count,
+        run_s: 20.0,
+        latest,
+        setup_s: 30.0,
+    }
 }
 
 #[test]
@@ -27,7 +35,11 @@
     let d = Demand {
         job: JobId::parse("job-7").expect("an id"),
         class: "prompt".into(),
-        resources: Resources { cpus: 2.0, gpus: 0.0, memory_gb: 4.0 },
+        resources: Resources {
+            cpus: 2.0,
+            gpus: 0.0,
+            memory_gb: 4.0,
+        },
         left: 10,
         placed: 0,
         run_s: 20.0,
@@ -71,10 +83,20 @@
         );
         wants.get(&0).map_or(0.0, |w| w.ready)
     };
-    assert!((ready(61.0) - 35.0).abs() < 1e-6, "1.4 times 100 tasks, four a machine");
+    assert!(
+        (ready(61.0) - 35.0).abs() < 1e-6,
+        "1.4 times 100 tasks, four a machine"
+    );
     assert_eq!(ready(100.0), 0.0, "nothing came any more");
-    assert!(Load::of(&mut a, &d, at(200.0)).is_none(), "a dry class is not stored");
-    assert!(!Load { widest: f64::NAN, ..load }.sound());
+    assert!(
+        Load::of(&mut a, &d, at(200.0)).is_none(),
+        "a dry class is not stored"
+    );
+    assert!(!Load {
+        widest: f64::NAN,
+        ..load
+    }
+    .sound());
 }
 
 /// A drained burst once made room for 135 machines a minute after the last
@@ -102,7 +124,12 @@
 }
 
 fn stored_record() -> Record {
-    let load = Load { widest: 12.0, gap_s: 7.25, size: (4.5, 1.5, 16.5), spot: true };
+    let load = Load {
+        widest: 12.0,
+        gap_s: 7.25,
+        size: (4.5, 1.5, 16.5),
+        spot: true,
+    };
     Record {
         v: 1,
         weights: vec![0.25, 0.75],
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -29,7 +29,11 @@
 impl Default for Times {
     fn default() -> Times {
         let histogram = Histogram::new_with_bounds(1, LONGEST_US, 2).ok();
-        Times { histogram, sum_s: 0.0, count: 0 }
+        Times {
+            histogram,
+            sum_s: 0.0,
+            count: 0,
+        }
     }
 }
 
@@ -45,11 +49,18 @@
     fn render(&self, out: &mut String, name: &str, labels: &str) {
         let comma = if labels.is_empty() { "" } else { "," };
         for q in QUANTILES {
-            let us = self.histogram.as_ref().map_or(0, |h| h.value_at_quantile(q));
+            let us = self
+                .histogram
+                .as_ref()
+                .map_or(0, |h| h.value_at_quantile(q));
             let s = us as f64 / 1e6;
             let _ = writeln!(out, "{name}{{{labels}{comma}quantile=\"{q}\"}} {s}");
         }
-        let braces = if labels.is_empty() { String::new() } else { format!("{{{labels}}}") };
+        let braces = if labels.is_empty() {
+            String::new()
+        } else {
+            format!("{{{labels}}}")
+        };
         let _ = writeln!(out, "{name}_sum{braces} {:.6}", self.sum_s);
         let _ = writeln!(out, "{name}_count{braces} {}", self.count);
     }
@@ -94,7 +105,10 @@
 
 impl Metrics {
     pub fn new(on: bool) -> Metrics {
-        Metrics { on, ..Metrics::default() }
+        Metrics {
+            on,
+            ..Metrics::default()
+        }
     }
 
     pub fn asked(&mut self, now: Time, id: RequestId, route: &'static str) {
@@ -112,11 +126,20 @@
             match o {
                 Effect::Answer { to, status, .. } | Effect::OperatorAnswer { to, status, .. } => {
                     if let Some((since, route)) = self.open.remove(to) {
-                        self.answers.entry(route).or_default().took(now.since(since));
+                        self.answers
+                            .entry(route)
+                            .or_default()
+                            .took(now.since(since));
                         *self.statuses.entry((route, *status)).or_default() += 1;
                     }
                 }
-                Effect::Call { id, destination, method, path, .. } => {
+                Effect::Call {
+                    id,
+                    destination,
+                    method,
+                    path,
+                    ..
+                } => {
                     let kind = call_kind(destination, *method, path);
                     if let Some(kind) = kind.filter(|_| self.calls.len() < MAX_OPEN) {
                         self.calls.insert(*id, (now, kind));
@@ -128,7 +151,9 @@
     }
 
     pub fn replied(&mut self, now: Time, id: CallId, answered: bool) {
-        let Some((since, kind)) = self.calls.remove(&id) else { return };
+        let Some((since, kind)) = self.calls.remove(&id) else {
+            return;
+        };
         if answered {
             self.outside.entry(kind).or_default().took(now.since(since));
         } else {
@@ -171,7 +196,12 @@
             let _ = writeln!(out, "# HELP {name} {help}\n# TYPE {name} {kind}");
         };
         let name = "beamhinge_answer_seconds";
-        head(&mut out, name, "summary", "Time from a request to its answer, by route.");
+        head(
+            &mut out,
+            name,
+            "summary",
+            "Time from a request to its answer, by route.",
+        );
         for (route, times) in &self.answers {
             times.render(&mut out, name, &format!("route=\"{route}\""));
         }
@@ -181,31 +211,64 @@
             let _ = writeln!(out, "{name}{{route=\"{route}\",status=\"{status}\"}} {n}");
         }
         let name = "beamhinge_call_seconds";
-        head(&mut out, name, "summary", "Time of calls to the outside, by kind; answered ones.");
+        head(
+            &mut out,
+            name,
+            "summary",
+            "Time of calls to the outside, by kind; answered ones.",
+        );
         for (kind, times) in &self.outside {
             times.render(&mut out, name, &format!("kind=\"{kind}\""));
         }
         let name = "beamhinge_calls_lost_total";
-        head(&mut out, name, "counter", "Calls that were never answered, by kind.");
+        head(
+            &mut out,
+            name,
+            "counter",
+            "Calls that were never answered, by kind.",
+        );
         for (kind, n) in &self.lost {
             let _ = writeln!(out, "{name}{{kind=\"{kind}\"}} {n}");
         }
         let name = "beamhinge_takeover_seconds";
-        head(&mut out, name, "summary", "From taking the lead to the books being read.");
+        head(
+            &mut out,
+            name,
+            "summary",
+            "From taking the lead to the books being read.",
+        );
         self.takeovers.render(&mut out, name, "");
         let name = "beamhinge_oldest_wait_seconds";
-        head(&mut out, name, "summary", "Age of the oldest job with a waiting task, each second.");
+        head(
+            &mut out,
+            name,
+            "summary",
+            "Age of the oldest job with a waiting task, each second.",
+        );
         self.oldest_wait.render(&mut out, name, "");
         let name = "beamhinge_placement_age_seconds";
-        head(&mut out, name, "summary", "Age of the job when a task of it is placed.");
+        head(
+            &mut out,
+            name,
+            "summary",
+            "Age of the job when a task of it is placed.",
+        );
         self.placements.render(&mut out, name, "");
         let name = "beamhinge_decisions_total";
-        head(&mut out, name, "counter", "Decisions of this process as holder, by kind.");
+        head(
+            &mut out,
+            name,
+            "counter",
+            "Decisions of this process as holder, by kind.",
+        );
         for (kind, n) in counters {
             let _ = writeln!(out, "{name}{{kind=\"{kind}\"}} {n}");
         }
         for (name, value) in gauges {
-            let _ = writeln!(out, "# TYPE beamhinge_{name} gauge\nbeamhinge_{name} {value}");
+            let _ = writeln!(
+                out,
+                "# TYPE beamhinge_{name} gauge\nbeamhinge_{name} {value}"
+            );
         }
         out
     }
