--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -4,10 +4,21 @@
 fn times_and_counts_stand_on_the_page() {
     let mut m = Metrics::new(true);
     let at = |s: f64| Time::from_micros(1_000_000).plus(s);
-    let id = RequestId { slot: 1, generation: 2 };
+    let id = RequestId {
+        slot: 1,
+        generation: 2,
+    };
     m.asked(at(0.0), id, "jobs");
     let body = Vec::new();
-    m.sent(at(0.25), &[Effect::Answer { to: id, status: 503, retry_after: None, body }]);
+    m.sent(
+        at(0.25),
+        &[Effect::Answer {
+            to: id,
+            status: 503,
+            retry_after: None,
+            body,
+        }],
+    );
     let page = m.render(&[("holder", 1.0)], std::iter::once(("placed", 3)));
     for line in [
         "beamhinge_answer_seconds_count{route=\"jobs\"} 1",
@@ -17,7 +28,10 @@
     ] {
         assert!(page.contains(line), "{line} is missing in\n{page}");
     }
-    assert!(page.contains("quantile=\"0.5\"} 0.25"), "within a hundredth:\n{page}");
+    assert!(
+        page.contains("quantile=\"0.5\"} 0.25"),
+        "within a hundredth:\n{page}"
+    );
 }
 
 /// Every name, label and type on the page, with one value of each.
@@ -25,28 +39,61 @@
 fn the_page_keeps_its_form() {
     let mut m = Metrics::new(true);
     let at = |s: f64| Time::from_micros(1_000_000).plus(s);
-    let id = RequestId { slot: 1, generation: 2 };
+    let id = RequestId {
+        slot: 1,
+        generation: 2,
+    };
     m.asked(at(0.0), id, "jobs");
-    m.sent(at(0.5), &[Effect::Answer { to: id, status: 200, retry_after: None, body: Vec::new() }]);
+    m.sent(
+        at(0.5),
+        &[Effect::Answer {
+            to: id,
+            status: 200,
+            retry_after: None,
+            body: Vec::new(),
+        }],
+    );
     let worker = "127.0.0.1:9000".parse().expect("an address");
     let calls = [
         (Destination::State, Method::Post, "/commit"),
-        (Destination::State, Method::Get, "/watch?under=c/&since=1&waitMs=0"),
-        (Destination::State, Method::Get, "/watch?under=c/&since=1&waitMs=5"),
+        (
+            Destination::State,
+            Method::Get,
+            "/watch?under=c/&since=1&waitMs=0",
+        ),
+        (
+            Destination::State,
+            Method::Get,
+            "/watch?under=c/&since=1&waitMs=5",
+        ),
         (Destination::State, Method::Post, "/holds/7/renew"),
         (Destination::State, Method::Get, "/store?under=c/"),
         (Destination::Cloud, Method::Post, "/hosts"),
         (Destination::Cloud, Method::Post, "/hosts/release"),
         (Destination::Cloud, Method::Get, "/hosts?most=500"),
         (Destination::Worker(worker), Method::Post, "/do"),
-        (Destination::Node { address: worker, caller: 1 }, Method::Get, "/up"),
+        (
+            Destination::Node {
+                address: worker,
+                caller: 1,
+            },
+            Method::Get,
+            "/up",
+        ),
     ];
     for (i, (destination, method, path)) in calls.into_iter().enumerate() {
         for (id, answered) in [(CallId(i as u64), true), (CallId(100 + i as u64), false)] {
             let (path, body) = (path.to_string(), Vec::new());
             m.sent(
                 at(0.0),
-                &[Effect::Call { id, destination, method, path, body, timeout_s: 1.0 }],
+                &[Effect::Call {
+                    id,
+                    destination,
+                    method,
+                    path,
+                    body,
+                    timeout_s: 1.0,
+                }],
             );
             m.replied(at(0.25), id, answered);
         }
@@ -69,10 +116,18 @@
 fn requests_of_a_large_fleet_are_timed_at_once_and_memory_is_bounded() {
     let mut m = Metrics::new(true);
     let at = |s: f64| Time::from_micros(1_000_000).plus(s);
-    let id = |slot: usize| RequestId { slot, generation: 1 };
+    let id = |slot: usize| RequestId {
+        slot,
+        generation: 1,
+    };
     (0..8_192).for_each(|slot| m.asked(at(0.0), id(slot), "reports"));
     for slot in 0..8_192 {
-        let answer = Effect::Answer { to: id(slot), status: 200, retry_after: None, body: vec![] };
+        let answer = Effect::Answer {
+            to: id(slot),
+            status: 200,
+            retry_after: None,
+            body: vec![],
+        };
         m.sent(at(0.1), &[answer]);
     }
     let page = m.render(&[], std::iter::empty());
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -92,7 +92,13 @@
         let listener = operator.listener.as_ref();
         let admin_api = listener.map(|d| {
             let guard = Guard::new(keys, format!("{nonce:x}"), d.clock_s, MAX_NONCES);
-            AdminApi::new(guard, Limits { waiting: d.waiting, rps: d.rps })
+            AdminApi::new(
+                guard,
+                Limits {
+                    waiting: d.waiting,
+                    rps: d.rps,
+                },
+            )
         });
         let mut store = StoreClient::new(&settings);
         store.set_rate_share(follower_share(&settings), 1.0);
@@ -165,7 +171,10 @@
         let words = self.user_api.take_words();
         if !words.is_empty() && !broken!(self.faults, no_word) {
             // Before the answers themselves.
-            let tell = |frame| Effect::SendFrame { to: None, frame: encode(&frame) };
+            let tell = |frame| Effect::SendFrame {
+                to: None,
+                frame: encode(&frame),
+            };
             out.splice(before..before, Frame::ended(&words).into_iter().map(tell));
         }
         let new = &mut out[before..];
@@ -174,10 +183,14 @@
     }
 
     fn tick_configuration(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
-        let asked = self.admin_api.as_ref().is_some_and(AdminApi::asks_configuration);
+        let asked = self
+            .admin_api
+            .as_ref()
+            .is_some_and(AdminApi::asks_configuration);
         let lease_id = self.election.lease_id();
         let mut told = Vec::new();
-        self.configuration.tick(now, wall, (asked, lease_id), &mut self.store, &mut told);
+        self.configuration
+            .tick(now, wall, (asked, lease_id), &mut self.store, &mut told);
         self.answer_configured(told, out);
     }
 
@@ -187,19 +200,28 @@
             self.election.tick(now, &mut self.store);
             let follow = self.scheduler.is_some();
             let asks = self.admin_api.as_ref().is_some_and(AdminApi::asks_book);
-            self.job_store.tick(now, self.user_api.asks() || asks, follow, &mut self.store);
+            self.job_store
+                .tick(now, self.user_api.asks() || asks, follow, &mut self.store);
             let mut told = Vec::new();
-            let asks = self.admin_api.as_ref().is_some_and(AdminApi::asks_directives);
-            self.directives.tick(now, wall, asks, &mut self.store, &mut told);
+            let asks = self
+                .admin_api
+                .as_ref()
+                .is_some_and(AdminApi::asks_directives);
+            self.directives
+                .tick(now, wall, asks, &mut self.store, &mut told);
             self.answer_changes(told, out);
             self.tick_configuration(now, wall, out);
-            self.user_api.tick(now, &self.job_store, &mut self.store, out);
+            self.user_api
+                .tick(now, &self.job_store, &mut self.store, out);
             let may_place = self.entitled(now);
             let directed = self.directives.fresh();
             if let Some(scheduler) = &mut self.scheduler {
                 // Drains as of before the takeover would be forgotten else.
                 let known = !self.configuration.is_on()
-                    || self.configuration.fresh().is_some_and(|f| f >= scheduler.took());
+                    || self
+                        .configuration
+                        .fresh()
+                        .is_some_and(|f| f >= scheduler.took());
                 let may_place =
                     may_place && known && directed.is_some_and(|f| f >= scheduler.took());
                 let runs_until = self.configuration.runs_until();
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -47,7 +47,9 @@
         request: &Request,
         out: &mut Vec<Effect>,
     ) {
-        let Some(admin_api) = &mut self.admin_api else { return };
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
         match admin_api.receive(now, wall, request) {
             Ok((caller, route)) => {
                 let name = route.name();
@@ -72,7 +74,9 @@
         route: Route,
         out: &mut Vec<Effect>,
     ) {
-        let Some(admin_api) = &mut self.admin_api else { return };
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
         match route {
             Route::Hello => {
                 let hello = Hello {
@@ -151,7 +155,8 @@
         if let Some(admin_api) = &mut self.admin_api {
             admin_api.leave_to_others(id);
         }
-        self.user_api.submit(now, id, (job_id, spec), verdict, &self.job_store, out);
+        self.user_api
+            .submit(now, id, (job_id, spec), verdict, &self.job_store, out);
     }
 
     /// Sends a question to whoever holds the block; without one, or when that
@@ -164,11 +169,17 @@
         merge: Merge,
         out: &mut Vec<Effect>,
     ) {
-        let Some(admin_api) = &mut self.admin_api else { return };
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
         if self.scheduler.is_some() {
             return admin_api.ask_here(now, Asker::Own { request, merge }, query);
         }
-        let leader = self.peers.leader(now).or(self.election.other_leader()).map(str::to_string);
+        let leader = self
+            .peers
+            .leader(now)
+            .or(self.election.other_leader())
+            .map(str::to_string);
         let (Some(to), Ok(query)) = (leader, postcard::to_stdvec(&query)) else {
             return admin_api::busy(
                 out,
@@ -180,7 +191,11 @@
         let from = self.settings.label.clone();
         out.push(Effect::SendFrame {
             to: Some(to),
-            frame: encode(&Frame::Ask { from, serial, query }),
+            frame: encode(&Frame::Ask {
+                from,
+                serial,
+                query,
+            }),
         });
     }
 
@@ -201,8 +216,15 @@
             _ => false,
         };
         if !taken {
-            let told = Frame::Told { serial, status: 503, body: Vec::new() };
-            out.push(Effect::SendFrame { to: Some(from), frame: encode(&told) });
+            let told = Frame::Told {
+                serial,
+                status: 503,
+                body: Vec::new(),
+            };
+            out.push(Effect::SendFrame {
+                to: Some(from),
+                frame: encode(&told),
+            });
         }
     }
 
@@ -244,7 +266,11 @@
                 };
                 let mut row = *row;
                 (row.done, row.running) = (placed.done, placed.running);
-                row.state = if placed.running > 0 { State::Running } else { State::Pending };
+                row.state = if placed.running > 0 {
+                    State::Running
+                } else {
+                    State::Pending
+                };
                 if explain {
                     let text = placed.reasons.iter().map(ToString::to_string).collect();
                     let explanation = Explanation {
@@ -256,7 +282,11 @@
                     };
                     admin_api::say(out, request, 200, &explanation);
                 } else {
-                    let detail = JobDetail { row, spec: *spec, placed: Some(placed) };
+                    let detail = JobDetail {
+                        row,
+                        spec: *spec,
+                        placed: Some(placed),
+                    };
                     admin_api::say(out, request, 200, &detail);
                 }
             }
@@ -265,7 +295,9 @@
 
     /// Answers what can be answered by now, and gives up what has waited.
     pub(super) fn run_admin_api(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
-        let Some(admin_api) = &mut self.admin_api else { return };
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
         if admin_api.idle() {
             return;
         }
@@ -282,21 +314,39 @@
         }
         let entitled = self.entitled(now);
         let loaded = self.scheduler.as_ref().is_some_and(|p| p.loaded());
-        let Some(admin_api) = &mut self.admin_api else { return };
-        let seen = self.job_store.fresh().map(|f| f.min(self.election.block_confirmed_at()));
-        let ready = if entitled && loaded { admin_api.ready_asked(seen) } else { Vec::new() };
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
+        let seen = self
+            .job_store
+            .fresh()
+            .map(|f| f.min(self.election.block_confirmed_at()));
+        let ready = if entitled && loaded {
+            admin_api.ready_asked(seen)
+        } else {
+            Vec::new()
+        };
         for Asked { asker, query, .. } in ready {
             let (status, body) = self.answer_query(now, wall, &query);
             match asker {
                 Asker::Own { request, merge } => self.merge(request, merge, status, body, out),
                 Asker::Peer { label, serial } => {
-                    let told = Frame::Told { serial, status, body };
-                    out.push(Effect::SendFrame { to: Some(label), frame: encode(&told) });
+                    let told = Frame::Told {
+                        serial,
+                        status,
+                        body,
+                    };
+                    out.push(Effect::SendFrame {
+                        to: Some(label),
+                        frame: encode(&told),
+                    });
                 }
             }
         }
         let leader = self.scheduler.is_some();
-        let Some(admin_api) = &mut self.admin_api else { return };
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
         let (own, peers) = admin_api.overdue(now, leader);
         for request in own {
             admin_api::busy(
@@ -306,8 +356,15 @@
             );
         }
         for (label, serial) in peers {
-            let told = Frame::Told { serial, status: 503, body: Vec::new() };
-            out.push(Effect::SendFrame { to: Some(label), frame: encode(&told) });
+            let told = Frame::Told {
+                serial,
+                status: 503,
+                body: Vec::new(),
+            };
+            out.push(Effect::SendFrame {
+                to: Some(label),
+                frame: encode(&told),
+            });
         }
     }
 
@@ -335,16 +392,35 @@
                 let spec = entry.spec.as_deref().map(SpecView::from);
                 if entry.state == JobState::Open {
                     let job = id.to_string();
-                    let merge = Merge::Job { row: Box::new(row), spec: Box::new(spec), explain };
+                    let merge = Merge::Job {
+                        row: Box::new(row),
+                        spec: Box::new(spec),
+                        explain,
+                    };
                     return self.query_leader(now, to, Query::Job { job }, merge, out);
                 }
                 if explain {
                     let (job, state) = (row.job, row.state);
                     let text = vec![format!("it is {state}: nothing of it waits")];
-                    let none = Explanation { job, state, waiting: 0, reasons: Vec::new(), text };
+                    let none = Explanation {
+                        job,
+                        state,
+                        waiting: 0,
+                        reasons: Vec::new(),
+                        text,
+                    };
                     admin_api::say(out, to, 200, &none);
                 } else {
-                    admin_api::say(out, to, 200, &JobDetail { row, spec, placed: None });
+                    admin_api::say(
+                        out,
+                        to,
+                        200,
+                        &JobDetail {
+                            row,
+                            spec,
+                            placed: None,
+                        },
+                    );
                 }
             }
         }
@@ -371,9 +447,15 @@
             job: id.to_string(),
             state,
             tasks: entry.tasks,
-            done: if state == State::Done { entry.tasks } else { counts.done },
+            done: if state == State::Done {
+                entry.tasks
+            } else {
+                counts.done
+            },
             running: counts.running,
-            age_s: summary.as_ref().map(|b| (wall.0 as f64 - b.submitted as f64) / 1e3),
+            age_s: summary
+                .as_ref()
+                .map(|b| (wall.0 as f64 - b.submitted as f64) / 1e3),
             urgency: summary.as_ref().map(|b| b.urgency),
             class: summary.as_ref().map(|b| b.class.clone()),
             team: summary.map(|b| b.team),
@@ -384,7 +466,10 @@
     /// first. The cursor is the last job looked at.
     fn list(&self, wall: WallMs, filter: &JobFilter) -> JobPage {
         let after = filter.after.as_deref().and_then(JobId::parse);
-        let mut page = JobPage { jobs: Vec::new(), next: None };
+        let mut page = JobPage {
+            jobs: Vec::new(),
+            next: None,
+        };
         let mut last = None;
         for (looked, (id, entry)) in self.job_store.behind(after).enumerate() {
             if looked >= MAX_LOOKED_AT || page.jobs.len() >= filter.limit {
@@ -442,7 +527,10 @@
                 label: m.label.clone(),
                 answering: false,
                 leader: self.scheduler.is_none() && leader == Some(m.label.as_str()),
-                token: self.peers.token_of(&m.label).filter(|_| leader == Some(m.label.as_str())),
+                token: self
+                    .peers
+                    .token_of(&m.label)
+                    .filter(|_| leader == Some(m.label.as_str())),
                 store_age_s: told.map(|t| t.1).filter(|age| *age < 1e5),
                 heard_s: told.map(|t| t.0),
                 ready: told.is_some_and(|(heard, age, ready, _)| {
@@ -468,9 +556,13 @@
                 let told = id.and_then(|id| {
                     scheduler.tell_job(now, wall, id, &self.settings, machine_types)
                 });
-                let (Some(id), Some(mut placed)) = (id, told) else { return (503, Vec::new()) };
-                let frozen =
-                    placed.reasons.iter().any(|r| matches!(r.name(), "frozen" | "team_limit"));
+                let (Some(id), Some(mut placed)) = (id, told) else {
+                    return (503, Vec::new());
+                };
+                let frozen = placed
+                    .reasons
+                    .iter()
+                    .any(|r| matches!(r.name(), "frozen" | "team_limit"));
                 if placed.waiting > 0 && !frozen {
                     if let Some((demand, spec)) = scheduler.demand_of(wall, id) {
                         self.fleet.outlook(
@@ -485,7 +577,12 @@
                 }
                 encoded(&placed)
             }
-            Query::Machines { machine_type, zone, after, limit } => {
+            Query::Machines {
+                machine_type,
+                zone,
+                after,
+                limit,
+            } => {
                 let after = after.as_deref().and_then(MachineId::parse);
                 let (machine_type, zone) = (machine_type.as_deref(), zone.as_deref());
                 encoded(&self.fleet.tell_machines(
@@ -500,18 +597,28 @@
             Query::Teams => encoded(&scheduler.tell_teams(now, &self.settings, machine_types)),
             Query::Splits => encoded(&self.fleet.tell_splits()),
             Query::Summary => encoded(&self.summary(now, wall)),
-            Query::Decisions { token, after, limit } => {
+            Query::Decisions {
+                token,
+                after,
+                limit,
+            } => {
                 let own = scheduler.token().0;
                 // Another holder's serials say nothing here: begin anew.
                 let after = if *token == own { *after } else { 0 };
                 let (decisions, missed) = scheduler.event_log.after(after, *limit);
-                encoded(&Decisions { token: own, decisions, missed })
+                encoded(&Decisions {
+                    token: own,
+                    decisions,
+                    missed,
+                })
             }
         }
     }
 
     fn summary(&self, now: Time, wall: WallMs) -> Summary {
-        let Some(scheduler) = &self.scheduler else { return Summary::default() };
+        let Some(scheduler) = &self.scheduler else {
+            return Summary::default();
+        };
         let machine_types = self.fleet.machine_types();
         let t = scheduler.totals(now, wall, machine_types);
         Summary {
@@ -537,9 +644,15 @@
         let mut gauges = vec![
             ("holder", f64::from(u8::from(self.scheduler.is_some()))),
             ("jobs_known", self.job_store.iter().count() as f64),
-            ("stuck_seconds", self.stall_detector.stuck_s(now).unwrap_or(0.0)),
+            (
+                "stuck_seconds",
+                self.stall_detector.stuck_s(now).unwrap_or(0.0),
+            ),
             ("machines_shielded", self.fleet.shielded() as f64),
-            ("ledger_age_seconds", self.store.last_success().map_or(-1.0, |t| now.since(t))),
+            (
+                "ledger_age_seconds",
+                self.store.last_success().map_or(-1.0, |t| now.since(t)),
+            ),
         ];
         let mut counters = Vec::new();
         if let Some(scheduler) = leader {
@@ -589,7 +702,12 @@
             version: effective.version,
             author: in_force.author,
             in_force_everywhere_since_ms: in_force.everywhere_since_ms.filter(|_| on),
-            behind: in_force.behind.into_iter().filter(|_| on).map(behind).collect(),
+            behind: in_force
+                .behind
+                .into_iter()
+                .filter(|_| on)
+                .map(behind)
+                .collect(),
             unknown_fields: in_force.unknown_fields,
             teams: effective.teams.iter().map(row).collect(),
         }
@@ -652,15 +770,27 @@
     /// Answers that another slice wrote for a user, put into the operators'
     /// form where an operator asked.
     pub(super) fn translate(&mut self, out: &mut [Effect]) {
-        let Some(admin_api) = &mut self.admin_api else { return };
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
         for o in out {
-            let Effect::Answer { to, status, retry_after, body } = o else { continue };
+            let Effect::Answer {
+                to,
+                status,
+                retry_after,
+                body,
+            } = o
+            else {
+                continue;
+            };
             if !admin_api.take_elsewhere(*to) {
                 continue;
             }
             let answer = beamhinge_core::wire::decode::<UsersAnswer>(body).ok();
             let mut written = Vec::new();
-            let state = answer.as_ref().and_then(|a| State::parse(a.status.as_deref()?));
+            let state = answer
+                .as_ref()
+                .and_then(|a| State::parse(a.status.as_deref()?));
             match (state, answer.as_ref().and_then(|a| a.job.clone())) {
                 (Some(state), Some(job)) if *status < 300 => {
                     admin_api::say(&mut written, *to, *status, &JobTold { job, state });
@@ -679,7 +809,13 @@
             }
             if let Some(Effect::OperatorAnswer { content, body, .. }) = written.pop() {
                 let (to, status, retry_after) = (*to, *status, *retry_after);
-                *o = Effect::OperatorAnswer { to, status, retry_after, content, body };
+                *o = Effect::OperatorAnswer {
+                    to,
+                    status,
+                    retry_after,
+                    content,
+                    body,
+                };
             }
         }
     }
--- a/crates/controller/src/node/operators/tests.rs
+++ b/crates/controller/src/node/operators/tests.rs
@@ -15,17 +15,36 @@
     let operator = Operator::parse("t", "[operators]\nlisten = 127.0.0.1:1\n").expect("sound");
     let policy = Policy::new(Default::default());
     let log = EventLog::new(true);
-    let mut scheduler =
-        Scheduler::new(&settings, FencingToken(9), Default::default(), log, policy, now);
+    let mut scheduler = Scheduler::new(
+        &settings,
+        FencingToken(9),
+        Default::default(),
+        log,
+        policy,
+        now,
+    );
     let mut node = Node::new(settings, operator, Vec::new(), 7, now);
     // Nothing is stored: the copy of the jobs, the pages and the shelves are read as empty.
     let empty = |tag: Tag| {
         let body = serde_json::json!({"pairs": [], "ledgerRev": 9});
-        Reply { tag, outcome: Outcome::Ok(beamhinge_core::wire::encode(&body)), sent: now }
+        Reply {
+            tag,
+            outcome: Outcome::Ok(beamhinge_core::wire::encode(&body)),
+            sent: now,
+        }
     };
     node.job_store.tick(now, true, true, &mut node.store);
-    node.job_store.on_reply(now, ReplicaCall::Scan, empty(Tag::Job(ReplicaCall::Scan)));
-    scheduler.tick(now, WallMs(1), true, &node.settings, &[], &node.job_store, &mut node.store);
+    node.job_store
+        .on_reply(now, ReplicaCall::Scan, empty(Tag::Job(ReplicaCall::Scan)));
+    scheduler.tick(
+        now,
+        WallMs(1),
+        true,
+        &node.settings,
+        &[],
+        &node.job_store,
+        &mut node.store,
+    );
     for call in [PlacementCall::Pages, PlacementCall::Progress] {
         scheduler.on_reply(now, call, empty(Tag::Scheduler(call)), &mut node.job_store);
     }
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -39,10 +39,13 @@
                 self.route(now, reply, out);
             }
         } else if self.fleet.owns_call(id) {
-            self.fleet.on_cloud(now, id, result, self.scheduler.as_mut());
+            self.fleet
+                .on_cloud(now, id, result, self.scheduler.as_mut());
         } else if self.nudges.remove(&id).is_some() {
             // Executed, or refused for its session: either way the body is a report.
-            let body = result.filter(|(status, _)| matches!(status, 200 | 409)).map(|(_, b)| b);
+            let body = result
+                .filter(|(status, _)| matches!(status, 200 | 409))
+                .map(|(_, b)| b);
             if let Some(report) = body.and_then(|b| wire::decode::<WorkerReport>(&b).ok()) {
                 self.direct_answer(now, &report);
             }
@@ -97,7 +100,9 @@
                 self.on_leadership_change(now, change);
             }
             Tag::Scheduler(call) => {
-                let Some(scheduler) = &mut self.scheduler else { return };
+                let Some(scheduler) = &mut self.scheduler else {
+                    return;
+                };
                 match scheduler.on_reply(now, call, reply, &mut self.job_store) {
                     CommitOutcome::Unchanged => {}
                     CommitOutcome::Confirmed(sent) => self.election.confirm_block(sent),
@@ -114,7 +119,8 @@
                 self.spread_changes(now);
             }
             Tag::UserApi(call) => {
-                self.user_api.on_reply(now, call, reply, &mut self.job_store, out);
+                self.user_api
+                    .on_reply(now, call, reply, &mut self.job_store, out);
                 self.spread_changes(now);
             }
             Tag::Fleet(call) => self.fleet.on_store_reply(now, call, reply),
@@ -158,7 +164,8 @@
             LeadershipChange::Lost => {
                 self.scheduler = None;
                 self.fleet.end_term();
-                self.store.set_rate_share(follower_share(&self.settings), 1.0);
+                self.store
+                    .set_rate_share(follower_share(&self.settings), 1.0);
             }
             LeadershipChange::Acquired { token } => {
                 let mut event_log = EventLog::new(self.admin_api.is_some());
@@ -170,8 +177,14 @@
                 let active_directives = self.directives.active_directives().clone();
                 self.metrics.took(now);
                 let aging = Policy::new(self.operator.aging);
-                let scheduler =
-                    Scheduler::new(&self.settings, token, active_directives, event_log, aging, now);
+                let scheduler = Scheduler::new(
+                    &self.settings,
+                    token,
+                    active_directives,
+                    event_log,
+                    aging,
+                    now,
+                );
                 self.scheduler = Some(scheduler);
                 if let Some(scheduler) = &mut self.scheduler {
                     scheduler.faults = self.faults;
@@ -183,14 +196,16 @@
                         scheduler.set_teams(now, &effective);
                     }
                 }
-                self.fleet.begin_term(now, token, &self.operator, &self.settings);
+                self.fleet
+                    .begin_term(now, token, &self.operator, &self.settings);
                 self.peer_observations = PeerObservations::default();
                 let long = stuck_after_s(&self.settings) * 6.0;
                 let stuck = self.stuck.values().any(|at| now.since(*at) < long);
                 if let (Some(scheduler), true) = (&mut self.scheduler, stuck) {
                     scheduler.begin_small();
                 }
-                self.store.set_rate_share(leader_share(&self.settings), LEADER_ADMISSION_SHARE);
+                self.store
+                    .set_rate_share(leader_share(&self.settings), LEADER_ADMISSION_SHARE);
                 self.nudged.clear();
                 self.peers.sent = Time::default();
                 self.heartbeat_sent = Time::default();
@@ -201,16 +216,32 @@
 
     pub(super) fn take_frame(&mut self, now: Time, frame: Frame, out: &mut Vec<Effect>) {
         match frame {
-            Frame::Pulse { label, store_age_ms, .. } => {
+            Frame::Pulse {
+                label,
+                store_age_ms,
+                ..
+            } => {
                 self.peers.pulse(now, &label, store_age_ms as f64 / 1e3);
             }
-            Frame::Ready { label, ready, drained } => {
+            Frame::Ready {
+                label,
+                ready,
+                drained,
+            } => {
                 self.peers.ready(now, &label, ready, drained);
             }
-            Frame::Ask { from, serial, query } => {
+            Frame::Ask {
+                from,
+                serial,
+                query,
+            } => {
                 self.asked_by_peer(now, from, serial, &query, out);
             }
-            Frame::Told { serial, status, body } => {
+            Frame::Told {
+                serial,
+                status,
+                body,
+            } => {
                 self.on_leader_response(serial, status, body, out);
             }
             Frame::Progress(rows) => {
@@ -236,7 +267,8 @@
                 if self.peers.token_of(&label) != Some(token) {
                     self.misrouted_workers.leader_changed();
                 }
-                self.leader_detector.heartbeat(now, &label, FencingToken(token));
+                self.leader_detector
+                    .heartbeat(now, &label, FencingToken(token));
                 self.peers.holds(now, &label, FencingToken(token));
                 // Guard 1: a higher token was taken, so ours is over.
                 let change = self.election.on_token_claim(now, token);
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -43,7 +43,12 @@
 
 fn refuse(out: &mut Vec<Effect>, to: RequestId, status: u16, why: &str) {
     let retry_after = (status == 503).then_some(1);
-    out.push(Effect::Answer { to, status, retry_after, body: wire::problem(why) });
+    out.push(Effect::Answer {
+        to,
+        status,
+        retry_after,
+        body: wire::problem(why),
+    });
 }
 
 impl Node {
@@ -98,7 +103,12 @@
         } else if age > 2.5 && (self.peers.peers_reach_store(now) || self.cut_off(now))
             || !self.job_store.loaded() && now.since(self.started) < 5.0
         {
-            refuse(out, id, 503, "the state service cannot be reached from here");
+            refuse(
+                out,
+                id,
+                503,
+                "the state service cannot be reached from here",
+            );
         } else {
             out.push(Effect::Answer {
                 to: id,
@@ -116,7 +126,10 @@
     /// well, all said so of themselves, and the load balancer was left with none, for
     /// longer than either lasted.
     pub(super) fn cut_off(&self, now: Time) -> bool {
-        let refused = self.store.last_response().is_some_and(|t| now.since(t) < 2.5);
+        let refused = self
+            .store
+            .last_response()
+            .is_some_and(|t| now.since(t) < 2.5);
         let refused = refused && !broken!(self.faults, refused_is_cut);
         !refused
             && !self.settings.members.is_empty()
@@ -126,7 +139,9 @@
 
     /// Operators want this controller out of the way.
     pub(super) fn drained(&self) -> bool {
-        self.directives.active_directives().node_drained(&self.settings.label)
+        self.directives
+            .active_directives()
+            .node_drained(&self.settings.label)
     }
 
     pub(super) fn store_age(&self, now: Time) -> f64 {
@@ -151,7 +166,8 @@
             Err(why) => refuse(out, id, 400, why),
             Ok((job, spec)) => {
                 let verdict = self.judge(&spec);
-                self.user_api.submit(now, id, (job, spec), verdict, &self.job_store, out);
+                self.user_api
+                    .submit(now, id, (job, spec), verdict, &self.job_store, out);
             }
         }
     }
@@ -174,7 +190,11 @@
         // else; we are no longer entitled.
         let change = self.election.on_token_claim(now, report.fencing_token);
         self.on_leadership_change(now, change);
-        if self.election.token().is_some_and(|t| report.fencing_token > t.0) {
+        if self
+            .election
+            .token()
+            .is_some_and(|t| report.fencing_token > t.0)
+        {
             return refuse(out, id, 503, "a token that was never given");
         }
         let entitled = self.entitled(now);
@@ -186,8 +206,16 @@
                 if !commands.is_empty() {
                     tracing::debug!("orders to {}: {commands:?}", report.host);
                 }
-                let body = wire::encode(&WorkerAnswer { fencing_token: token.0, commands });
-                out.push(Effect::Answer { to: id, status: 200, retry_after: None, body });
+                let body = wire::encode(&WorkerAnswer {
+                    fencing_token: token.0,
+                    commands,
+                });
+                out.push(Effect::Answer {
+                    to: id,
+                    status: 200,
+                    retry_after: None,
+                    body,
+                });
             }
             // A holder out of touch names nobody: it may still be the holder.
             (Some(_), false) => refuse(out, id, 503, "out of touch with the state service"),
@@ -195,7 +223,9 @@
                 let machine = MachineId::parse(&report.host);
                 let deaf = machine.is_some_and(|m| self.misrouted_workers.came(now, m, DEAF_S));
                 let seen = FencingToken(report.fencing_token);
-                machine.into_iter().for_each(|m| self.leader_detector.reported_here(now, m, seen));
+                machine
+                    .into_iter()
+                    .for_each(|m| self.leader_detector.reported_here(now, m, seen));
                 let leader = self.peers.leader(now).or(self.election.other_leader());
                 // Sent to the holder a moment ago and back again: it is not
                 // answered there, and would wait for its time-out once more. Nor is
@@ -225,7 +255,10 @@
             return self.scheduler.is_some()
                 && now.since(self.election.block_confirmed_at()) < limit;
         }
-        let seen = self.job_store.fresh().is_some_and(|jobs| now.since(jobs) < limit);
+        let seen = self
+            .job_store
+            .fresh()
+            .is_some_and(|jobs| now.since(jobs) < limit);
         self.scheduler.is_some() && seen && now.since(self.election.block_confirmed_at()) < limit
     }
 
--- a/crates/controller/src/node/requests/tests.rs
+++ b/crates/controller/src/node/requests/tests.rs
@@ -12,13 +12,30 @@
         grace_period_s,
     };
     let commands = vec![order("run", 70_000, None), order("kill", 2, Some(10.5))];
-    golden.bytes("orders", &wire::encode(&WorkerAnswer { fencing_token: 41, commands }));
+    golden.bytes(
+        "orders",
+        &wire::encode(&WorkerAnswer {
+            fencing_token: 41,
+            commands,
+        }),
+    );
     golden.bytes(
         "no orders",
-        &wire::encode(&WorkerAnswer { fencing_token: 41, commands: Vec::new() }),
+        &wire::encode(&WorkerAnswer {
+            fencing_token: 41,
+            commands: Vec::new(),
+        }),
+    );
+    golden.bytes(
+        "elsewhere",
+        &wire::encode(&Elsewhere {
+            leader: Some("north-1"),
+        }),
+    );
+    golden.bytes(
+        "elsewhere, unknown",
+        &wire::encode(&Elsewhere { leader: None }),
     );
-    golden.bytes("elsewhere", &wire::encode(&Elsewhere { leader: Some("north-1") }));
-    golden.bytes("elsewhere, unknown", &wire::encode(&Elsewhere { leader: None }));
     golden.check();
 }
 
@@ -30,8 +47,14 @@
         "unknown": {}, "pieces": [{"piece": "job-000412/3", "try": 2, "status": "running"},
         {"piece": "job-000398/0", "try": 7, "status": "exited", "cause": "done", "saved": true}]});
     let r: WorkerReport = wire::decode(&wire::encode(&body)).expect("a report");
-    assert_eq!((r.host.as_str(), r.endpoint.as_str()), ("n-000231", "10.1.0.232:9000"));
-    assert_eq!((r.machine_type.as_str(), r.zone.as_str(), r.spot), ("g8", "a", true));
+    assert_eq!(
+        (r.host.as_str(), r.endpoint.as_str()),
+        ("n-000231", "10.1.0.232:9000")
+    );
+    assert_eq!(
+        (r.machine_type.as_str(), r.zone.as_str(), r.spot),
+        ("g8", "a", true)
+    );
     assert_eq!(
         (r.incarnation, r.sequence, r.fencing_token, r.reclaim_in_s),
         (1, 88, 41, Some(12.5))
@@ -39,7 +62,14 @@
     let pieces: Vec<_> = r
         .reported_tasks
         .iter()
-        .map(|p| (p.task.as_str(), p.attempt, p.status.as_str(), p.cause.as_deref()))
+        .map(|p| {
+            (
+                p.task.as_str(),
+                p.attempt,
+                p.status.as_str(),
+                p.cause.as_deref(),
+            )
+        })
         .collect();
     let first = ("job-000412/3", 2, "running", None);
     assert_eq!(pieces, [first, ("job-000398/0", 7, "exited", Some("done"))]);
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -47,7 +47,10 @@
                 store_age_ms: (age * 1e3) as u64,
                 leader: self.scheduler.is_some(),
             };
-            out.push(Effect::SendFrame { to: None, frame: encode(&pulse) });
+            out.push(Effect::SendFrame {
+                to: None,
+                frame: encode(&pulse),
+            });
             // Only where it matters: the version before this one does not know
             // the frame, and breaks the link at it.
             if self.directives.active_directives().any_node() {
@@ -56,11 +59,17 @@
                     ready: self.job_store.loaded() && age < 3.0,
                     drained: self.drained(),
                 };
-                out.push(Effect::SendFrame { to: None, frame: encode(&ready) });
+                out.push(Effect::SendFrame {
+                    to: None,
+                    frame: encode(&ready),
+                });
             }
             if let Some(scheduler) = self.scheduler.as_ref().filter(|p| p.loaded()) {
                 for frame in peers::progress(scheduler.all_counts()) {
-                    out.push(Effect::SendFrame { to: None, frame: encode(&frame) });
+                    out.push(Effect::SendFrame {
+                        to: None,
+                        frame: encode(&frame),
+                    });
                 }
             }
         }
@@ -88,10 +97,18 @@
     /// is cut off from the state service alone would answer its workers for seconds
     /// more; this ends its term.
     pub(super) fn send_heartbeat(&self, out: &mut Vec<Effect>) {
-        let Some(scheduler) = &self.scheduler else { return };
+        let Some(scheduler) = &self.scheduler else {
+            return;
+        };
         let label = self.settings.label.clone();
-        let holds = Frame::Holds { label, token: scheduler.token().0 };
-        out.push(Effect::SendFrame { to: None, frame: encode(&holds) });
+        let holds = Frame::Holds {
+            label,
+            token: scheduler.token().0,
+        };
+        out.push(Effect::SendFrame {
+            to: None,
+            frame: encode(&holds),
+        });
     }
 
     /// Figures that are of a moment, taken each second.
@@ -126,9 +143,14 @@
         if machines.is_empty() || self.scheduler.is_some() {
             return;
         }
-        let Some(leader) = self.peers.leader(now).or(self.election.other_leader()) else { return };
+        let Some(leader) = self.peers.leader(now).or(self.election.other_leader()) else {
+            return;
+        };
         for hears in Frame::hears(&self.settings.label, &machines) {
-            out.push(Effect::SendFrame { to: Some(leader.to_string()), frame: encode(&hears) });
+            out.push(Effect::SendFrame {
+                to: Some(leader.to_string()),
+                frame: encode(&hears),
+            });
         }
     }
 
@@ -136,9 +158,15 @@
     /// there is work is stuck, however healthy it looks: another takes over, and
     /// begins with small steps.
     pub(super) fn consider_stall(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let Some(scheduler) = &self.scheduler else { return };
+        let Some(scheduler) = &self.scheduler else {
+            return;
+        };
         let reached = self.store_age(now) < 2.5;
-        let work = Work { waiting: scheduler.has_work(), moved: scheduler.moved(), reached };
+        let work = Work {
+            waiting: scheduler.has_work(),
+            moved: scheduler.moved(),
+            reached,
+        };
         if !self.stall_detector.look(now, work) {
             return;
         }
@@ -154,8 +182,13 @@
             return;
         }
         self.stall_detector.handed_over();
-        let stuck = Frame::Stuck { label: self.settings.label.clone() };
-        out.push(Effect::SendFrame { to: None, frame: encode(&stuck) });
+        let stuck = Frame::Stuck {
+            label: self.settings.label.clone(),
+        };
+        out.push(Effect::SendFrame {
+            to: None,
+            frame: encode(&stuck),
+        });
         let change = self.election.step_down(now, &mut self.store);
         self.on_leadership_change(now, change);
     }
@@ -163,19 +196,27 @@
     /// A leader that cannot hear most of its workers would watch their leases
     /// run out. If it is the one cut off, another controller hears them.
     pub(super) fn consider_stepping_back(&mut self, now: Time) {
-        let Some(scheduler) = self.scheduler.as_ref().filter(|p| p.loaded()) else { return };
+        let Some(scheduler) = self.scheduler.as_ref().filter(|p| p.loaded()) else {
+            return;
+        };
         let w = &self.settings.params.workers;
         if self.settings.members.is_empty() || now.since(scheduler.took()) < w.report_s * 3.0 + 3.0
         {
             return;
         }
         // Nothing is concluded from our own absence.
-        if self.pause_detector.back_for(now).is_some_and(|s| s < w.report_s * 2.5 + 2.0) {
+        if self
+            .pause_detector
+            .back_for(now)
+            .is_some_and(|s| s < w.report_s * 2.5 + 2.0)
+        {
             return;
         }
         // A peer hears more than we do: the lead is of more use there, at once.
         let link = self.fleet.link();
-        let lately = self.stepped_back.is_some_and(|at| now.since(at) < w.lease_s);
+        let lately = self
+            .stepped_back
+            .is_some_and(|at| now.since(at) < w.lease_s);
         if link.better_elsewhere() && !lately && self.peers.peers_reach_store(now) {
             self.stepped_back = Some(now);
             tracing::warn!(
@@ -190,7 +231,10 @@
         // back already, and leads again, stays until silence is proof; else the
         // lead goes round for ever and nothing is ever proven.
         let proof_s = self.settings.serving_deadline_s() + w.lease_s;
-        if self.stepped_back.is_some_and(|at| now.since(at) < proof_s * 3.0 + 30.0) {
+        if self
+            .stepped_back
+            .is_some_and(|at| now.since(at) < proof_s * 3.0 + 30.0)
+        {
             return;
         }
         let (heard, silent) = scheduler.hearing(now);
@@ -219,7 +263,10 @@
             back_for_s: self.pause_detector.back_for(now),
             turn: turn_after(&leader, &self.settings.label, members),
         };
-        if let Some(gone) = self.leader_detector.suspected(now, own).filter(|gone| *gone == leader)
+        if let Some(gone) = self
+            .leader_detector
+            .suspected(now, own)
+            .filter(|gone| *gone == leader)
         {
             tracing::info!("{gone} is not heard and its workers come here: taking the lead");
             self.election.presume_dead(gone);
@@ -230,7 +277,9 @@
     /// After a takeover, workers that still report elsewhere learn the new
     /// token directly: a report to us follows at once.
     pub(super) fn nudge(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let Some(scheduler) = &self.scheduler else { return };
+        let Some(scheduler) = &self.scheduler else {
+            return;
+        };
         if now.since(scheduler.took()) > 60.0
             || now.since(scheduler.took()) < self.settings.params.workers.report_s * 1.5
         {
@@ -240,7 +289,12 @@
         let targets: Vec<(MachineId, SocketAddrV4)> = self
             .fleet
             .endpoints()
-            .filter(|(id, _)| scheduler.machine(*id).and_then(|m| m.last_heartbeat).is_none())
+            .filter(|(id, _)| {
+                scheduler
+                    .machine(*id)
+                    .and_then(|m| m.last_heartbeat)
+                    .is_none()
+            })
             .filter(|(id, _)| self.nudged.get(id).is_none_or(|t| now.since(*t) > 3.0))
             .take(8)
             .collect();
@@ -270,7 +324,11 @@
             destination: Destination::Worker(endpoint),
             method: Method::Post,
             path: "/do".into(),
-            body: wire::encode(&Direct { fencing_token: token.0, incarnation, commands }),
+            body: wire::encode(&Direct {
+                fencing_token: token.0,
+                incarnation,
+                commands,
+            }),
             timeout_s: 2.0,
         });
     }
@@ -281,7 +339,9 @@
         if !self.entitled(now) {
             return;
         }
-        let Some(scheduler) = &mut self.scheduler else { return };
+        let Some(scheduler) = &mut self.scheduler else {
+            return;
+        };
         let token = scheduler.token();
         for (machine, endpoint, incarnation, commands) in scheduler.take_stops() {
             self.call_worker(machine, endpoint, token, incarnation, commands, out);
@@ -295,11 +355,18 @@
         if !self.entitled(now) || self.nudges.len() >= MAX_ASKED {
             return;
         }
-        let Some(scheduler) = &self.scheduler else { return };
+        let Some(scheduler) = &self.scheduler else {
+            return;
+        };
         let (token, room) = (scheduler.token(), MAX_ASKED - self.nudges.len());
-        let asked =
-            |id: &MachineId| self.asked.get(id).is_some_and(|t| now.since(*t) < ASK_AGAIN_S);
-        let silent = scheduler.silent_with_tasks(now).filter(|(id, ..)| !asked(id));
+        let asked = |id: &MachineId| {
+            self.asked
+                .get(id)
+                .is_some_and(|t| now.since(*t) < ASK_AGAIN_S)
+        };
+        let silent = scheduler
+            .silent_with_tasks(now)
+            .filter(|(id, ..)| !asked(id));
         let silent: Vec<_> = silent.take(room).collect();
         self.asked.retain(|_, t| now.since(*t) < ASK_AGAIN_S);
         for (machine, endpoint, incarnation, commands) in silent {
--- a/crates/controller/src/node/timers/tests.rs
+++ b/crates/controller/src/node/timers/tests.rs
@@ -3,9 +3,17 @@
 #[test]
 fn direct_commands_keep_their_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/direct-commands.hex");
-    let order =
-        WorkerCommand { verb: "clear", task: "job-9/0".into(), attempt: 3, grace_period_s: None };
-    let direct = Direct { fencing_token: 41, incarnation: 7, commands: vec![order] };
+    let order = WorkerCommand {
+        verb: "clear",
+        task: "job-9/0".into(),
+        attempt: 3,
+        grace_period_s: None,
+    };
+    let direct = Direct {
+        fencing_token: 41,
+        incarnation: 7,
+        commands: vec![order],
+    };
     golden.bytes("direct", &beamhinge_core::wire::encode(&direct));
     golden.check();
 }
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -36,7 +36,9 @@
     /// Some peer could take over at once, and operators have not drained it.
     pub fn successor(&self, now: Time) -> bool {
         let reaches = |label: &str| {
-            self.heard.iter().any(|(l, at, age)| l == label && now.since(*at) < 3.0 && *age < 3.0)
+            self.heard
+                .iter()
+                .any(|(l, at, age)| l == label && now.since(*at) < 3.0 && *age < 3.0)
         };
         self.ready.iter().any(|(l, at, ready, drained)| {
             *ready && !*drained && now.since(*at) < 3.0 && reaches(l)
@@ -57,7 +59,11 @@
     /// holders from being named.
     pub fn holds(&mut self, now: Time, label: &str, token: FencingToken) {
         let lapsed = |at: &Time| now.since(*at) > LAPSED_S;
-        if self.leader.as_ref().is_none_or(|(_, t, at)| *t <= token || lapsed(at)) {
+        if self
+            .leader
+            .as_ref()
+            .is_none_or(|(_, t, at)| *t <= token || lapsed(at))
+        {
             self.leader = Some((label.to_string(), token, now));
         }
     }
@@ -65,30 +71,45 @@
     /// The holder by its own word, for a node that cannot read it in the state
     /// service; a word that was not repeated has lapsed.
     pub fn leader(&self, now: Time) -> Option<&str> {
-        let lately = self.leader.as_ref().filter(|(_, _, at)| now.since(*at) < 3.0);
+        let lately = self
+            .leader
+            .as_ref()
+            .filter(|(_, _, at)| now.since(*at) < 3.0);
         lately.map(|(label, _, _)| label.as_str())
     }
 
     /// The token that the holder last told.
     pub fn token_of(&self, label: &str) -> Option<u64> {
-        self.leader.as_ref().filter(|(l, ..)| l == label).map(|(_, t, _)| t.0)
+        self.leader
+            .as_ref()
+            .filter(|(l, ..)| l == label)
+            .map(|(_, t, _)| t.0)
     }
 
     /// Seconds since any peer was last heard; none if none ever was.
     pub fn silent_s(&self, now: Time) -> Option<f64> {
-        self.heard.iter().map(|(_, at, _)| now.since(*at)).min_by(f64::total_cmp)
+        self.heard
+            .iter()
+            .map(|(_, at, _)| now.since(*at))
+            .min_by(f64::total_cmp)
     }
 
     /// Some peer reaches the state service though we may not.
     pub fn peers_reach_store(&self, now: Time) -> bool {
-        self.heard.iter().any(|(_, at, age)| now.since(*at) < 4.0 && *age < 3.0)
+        self.heard
+            .iter()
+            .any(|(_, at, age)| now.since(*at) < 4.0 && *age < 3.0)
     }
 }
 
 /// Frames that tell the progress of jobs with tasks done or running.
 pub fn progress(counts: impl Iterator<Item = (JobId, TaskCounts)>) -> Vec<Frame> {
     let moving = counts.filter(|(_, c)| c.done > 0 || c.running > 0);
-    Frame::progress(moving.map(|(id, c)| (id.to_string(), c.done, c.running)).collect())
+    Frame::progress(
+        moving
+            .map(|(id, c)| (id.to_string(), c.done, c.running))
+            .collect(),
+    )
 }
 
 /// The holder's list of progress, put together from the frames that carry it.
@@ -118,7 +139,10 @@
         self.begun.extend(part);
         if self.begun.len() > Self::MAX_JOBS {
             let count = self.begun.len();
-            tracing::warn!("progress of {count} jobs: {} of them are kept", Self::MAX_JOBS);
+            tracing::warn!(
+                "progress of {count} jobs: {} of them are kept",
+                Self::MAX_JOBS
+            );
             while self.begun.len() > Self::MAX_JOBS {
                 self.begun.pop_last();
             }
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -26,13 +26,25 @@
         limit: 150,
     };
     for (name, query) in [
-        ("job", Query::Job { job: "job-000412".into() }),
+        (
+            "job",
+            Query::Job {
+                job: "job-000412".into(),
+            },
+        ),
         ("machines", machines(true)),
         ("all machines", machines(false)),
         ("teams", Query::Teams),
         ("splits", Query::Splits),
         ("summary", Query::Summary),
-        ("decisions", Query::Decisions { token: 41, after: 70_000, limit: 99 }),
+        (
+            "decisions",
+            Query::Decisions {
+                token: 41,
+                after: 70_000,
+                limit: 99,
+            },
+        ),
     ] {
         let bytes = postcard::to_stdvec(&query).expect(name);
         assert_eq!(postcard::from_bytes::<Query>(&bytes).expect(name), query);
@@ -43,14 +55,17 @@
 
 fn counts(jobs: std::ops::Range<u32>, done: u32) -> Vec<(JobId, TaskCounts)> {
     let id = |n| JobId::parse(&format!("job-{n}")).expect("an id");
-    jobs.map(|n| (id(n), TaskCounts { done, running: 1 })).collect()
+    jobs.map(|n| (id(n), TaskCounts { done, running: 1 }))
+        .collect()
 }
 
 /// What a peer knows after these frames, taken one after the other.
 fn shown(list: &mut ProgressList, frames: Vec<Frame>) -> Option<BTreeMap<JobId, TaskCounts>> {
     let mut whole = None;
     for frame in frames {
-        let Frame::Progress(rows) = frame else { panic!("another frame") };
+        let Frame::Progress(rows) = frame else {
+            panic!("another frame")
+        };
         whole = list.came(rows).or(whole);
     }
     whole
@@ -76,7 +91,10 @@
     let got = shown(&mut list, progress(told.iter().copied()));
     assert_eq!(got, Some(told.into_iter().collect()));
     let few = counts(7..9, 3);
-    assert_eq!(shown(&mut list, progress(few.iter().copied())), Some(few.into_iter().collect()));
+    assert_eq!(
+        shown(&mut list, progress(few.iter().copied())),
+        Some(few.into_iter().collect())
+    );
 }
 
 #[test]
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -45,7 +45,11 @@
 
 impl Progress {
     pub fn new(size: u32) -> Progress {
-        Progress { size, chunks: BTreeMap::new(), count: 0 }
+        Progress {
+            size,
+            chunks: BTreeMap::new(),
+            count: 0,
+        }
     }
 
     /// The first task of a chunk.
@@ -59,7 +63,10 @@
 
     pub fn has(&self, index: u32) -> bool {
         let (chunk, at) = (index / self.size, index % self.size);
-        let byte = self.chunks.get(&chunk).and_then(|c| c.bits.get((at / 8) as usize));
+        let byte = self
+            .chunks
+            .get(&chunk)
+            .and_then(|c| c.bits.get((at / 8) as usize));
         byte.is_some_and(|b| b & (1 << (at % 8)) != 0)
     }
 
@@ -82,7 +89,10 @@
     /// Whether the state service knows that this task is done.
     pub fn durable(&self, index: u32) -> bool {
         self.has(index)
-            && self.chunks.get(&(index / self.size)).is_some_and(|c| !c.dirty && !c.in_flight)
+            && self
+                .chunks
+                .get(&(index / self.size))
+                .is_some_and(|c| !c.dirty && !c.in_flight)
     }
 
     pub fn dirty(&self) -> impl Iterator<Item = u32> + '_ {
@@ -92,7 +102,12 @@
     fn digits(&self, chunk: u32) -> Option<String> {
         let c = self.chunks.get(&chunk)?;
         let digit = |n: u8| char::from_digit(u32::from(n), 16).unwrap_or('0');
-        Some(c.bits.iter().flat_map(|b| [digit(b >> 4), digit(b & 15)]).collect())
+        Some(
+            c.bits
+                .iter()
+                .flat_map(|b| [digit(b >> 4), digit(b & 15)])
+                .collect(),
+        )
     }
 
     /// The chunk is on its way as it is now; what is set later is dirty again.
@@ -270,10 +285,16 @@
 
     /// The job is over: what is known of its tasks is needed no more.
     pub fn forget(&mut self, job: JobId) {
-        let items: Vec<Item> =
-            self.home.range((job, 0)..=(job, u32::MAX)).map(|(i, _)| *i).collect();
+        let items: Vec<Item> = self
+            .home
+            .range((job, 0)..=(job, u32::MAX))
+            .map(|(i, _)| *i)
+            .collect();
         for item in items {
-            let Some(s) = self.home.remove(&item).and_then(|s| self.progress_pages.get_mut(s))
+            let Some(s) = self
+                .home
+                .remove(&item)
+                .and_then(|s| self.progress_pages.get_mut(s))
             else {
                 continue;
             };
@@ -286,12 +307,20 @@
     /// Shelves to write, and empty ones to remove.
     pub fn due(&self) -> impl Iterator<Item = usize> + '_ {
         let due = |s: &ProgressPage| s.dirty && !s.items.is_empty();
-        self.progress_pages.iter().enumerate().filter(move |(_, s)| due(s)).map(|(n, _)| n)
+        self.progress_pages
+            .iter()
+            .enumerate()
+            .filter(move |(_, s)| due(s))
+            .map(|(n, _)| n)
     }
 
     pub fn empty(&self) -> impl Iterator<Item = usize> + '_ {
         let empty = |s: &ProgressPage| s.items.is_empty() && s.revision != Revision(0);
-        self.progress_pages.iter().enumerate().filter(move |(_, s)| empty(s)).map(|(n, _)| n)
+        self.progress_pages
+            .iter()
+            .enumerate()
+            .filter(move |(_, s)| empty(s))
+            .map(|(n, _)| n)
     }
 
     /// Old keys whose job is over.
@@ -299,11 +328,16 @@
         &'a self,
         open: &'a dyn Fn(JobId) -> bool,
     ) -> impl Iterator<Item = (&'a String, Revision)> + 'a {
-        self.old.iter().filter(move |(_, (job, _))| !open(*job)).map(|(k, (_, s))| (k, *s))
+        self.old
+            .iter()
+            .filter(move |(_, (job, _))| !open(*job))
+            .map(|(k, (_, s))| (k, *s))
     }
 
     pub fn revision(&self, progress_page: usize) -> Revision {
-        self.progress_pages.get(progress_page).map_or(Revision(0), |s| s.revision)
+        self.progress_pages
+            .get(progress_page)
+            .map_or(Revision(0), |s| s.revision)
     }
 
     /// The shelf as it is now goes out with a transaction.
@@ -315,10 +349,15 @@
     ) -> Option<Value> {
         let s = self.progress_pages.get_mut(progress_page)?;
         s.dirty = false;
-        let mut record = ProgressPageRecord { v: SHELF_VERSION, s: BTreeMap::new() };
+        let mut record = ProgressPageRecord {
+            v: SHELF_VERSION,
+            s: BTreeMap::new(),
+        };
         let mut items = Vec::new();
         for (job, chunk) in s.items.keys() {
-            let Some((_, p)) = open.progress(*job) else { continue };
+            let Some((_, p)) = open.progress(*job) else {
+                continue;
+            };
             if let Some(digits) = p.digits(*chunk) {
                 record.s.insert(format!("{job}/{chunk}"), digits);
                 p.sent(*chunk);
@@ -388,12 +427,15 @@
                 return Err(DecodeError);
             }
             if progress_page >= self.progress_pages.len() {
-                self.progress_pages.resize_with(progress_page + 1, ProgressPage::default);
+                self.progress_pages
+                    .resize_with(progress_page + 1, ProgressPage::default);
             }
             self.progress_pages[progress_page].revision = revision;
             for (name, digits) in &record.s {
                 let item = item_of(name).ok_or(DecodeError)?;
-                let Some((tasks, progress)) = open.progress(item.0) else { continue };
+                let Some((tasks, progress)) = open.progress(item.0) else {
+                    continue;
+                };
                 progress.merge(item.1, digits)?;
                 if self.home.contains_key(&item) {
                     continue;
--- a/crates/controller/src/progress/tests.rs
+++ b/crates/controller/src/progress/tests.rs
@@ -8,7 +8,9 @@
 
 impl Jobs {
     fn of(&mut self, n: u32) -> &mut Progress {
-        self.jobs.entry(job(n)).or_insert_with(|| Progress::new(CHUNK))
+        self.jobs
+            .entry(job(n))
+            .or_insert_with(|| Progress::new(CHUNK))
     }
 }
 
@@ -24,29 +26,45 @@
 
 #[test]
 fn progress_of_a_huge_job_stays_within_small_values() {
-    let mut ours = Jobs { tasks: 100_000, ..Jobs::default() };
+    let mut ours = Jobs {
+        tasks: 100_000,
+        ..Jobs::default()
+    };
     let mut progress_pages = ProgressPages::new(8 * 1024);
     for i in (0..100_000).step_by(2) {
         ours.of(1).set(i);
         progress_pages.touch(job(1), i, 100_000);
     }
-    let mut theirs = Jobs { tasks: 100_000, ..Jobs::default() };
+    let mut theirs = Jobs {
+        tasks: 100_000,
+        ..Jobs::default()
+    };
     theirs.of(1).set(1);
     let mut copy = ProgressPages::new(8 * 1024);
     let due: Vec<usize> = progress_pages.due().collect();
     assert_eq!(due.len(), 4, "three chunks of 2,048 digits fit one shelf");
     for progress_page in due {
         let mut sent = ProgressWrite::default();
-        let value = progress_pages.send(progress_page, &mut sent, &mut ours).expect("value");
+        let value = progress_pages
+            .send(progress_page, &mut sent, &mut ours)
+            .expect("value");
         assert!(wire::json_len(&value) <= 8 * 1024);
-        copy.read(&progress_page_key(progress_page), Revision(5), &value, &mut theirs)
-            .expect("sound");
+        copy.read(
+            &progress_page_key(progress_page),
+            Revision(5),
+            &value,
+            &mut theirs,
+        )
+        .expect("sound");
         progress_pages.written(sent, Revision(5), &mut ours);
     }
     let (p, q) = (ours.of(1), theirs.of(1));
     assert_eq!((p.count(), q.count()), (50_000, 50_001));
     assert!(p.durable(8_192 * 2));
-    assert!(q.durable(8_192 * 2) && !q.durable(1), "what only we know is not durable");
+    assert!(
+        q.durable(8_192 * 2) && !q.durable(1),
+        "what only we know is not durable"
+    );
 }
 
 #[test]
@@ -68,7 +86,10 @@
 
 #[test]
 fn many_small_jobs_share_a_shelf_and_leave_it_empty() {
-    let mut all = Jobs { tasks: 60, ..Jobs::default() };
+    let mut all = Jobs {
+        tasks: 60,
+        ..Jobs::default()
+    };
     let mut progress_pages = ProgressPages::new(8 * 1024);
     for n in 0..100 {
         all.of(n).set(n % 60);
@@ -91,22 +112,36 @@
 
 #[test]
 fn the_form_before_is_read_and_others_are_refused() {
-    let mut jobs = Jobs { tasks: 4, ..Jobs::default() };
+    let mut jobs = Jobs {
+        tasks: 4,
+        ..Jobs::default()
+    };
     jobs.of(7);
     let mut progress_pages = ProgressPages::new(8 * 1024);
     let old = wire::to_value(&serde_json::json!({"v": 1, "b": "05"}));
-    progress_pages.read("d/job-000007/0", Revision(3), &old, &mut jobs).expect("sound");
+    progress_pages
+        .read("d/job-000007/0", Revision(3), &old, &mut jobs)
+        .expect("sound");
     let p = jobs.of(7);
     assert!(p.has(0) && !p.has(1) && p.has(2));
     let open = |_: JobId| false;
-    assert_eq!(progress_pages.outdated(&open).count(), 1, "removed once the job is over");
+    assert_eq!(
+        progress_pages.outdated(&open).count(),
+        1,
+        "removed once the job is over"
+    );
     for (key, value) in [
         ("d/s0000", serde_json::json!({"v": 9, "s": {}})),
         ("d/job-000007/0", serde_json::json!({"v": 3, "b": ""})),
         ("d/else", serde_json::json!({"v": 2})),
     ] {
         let value = wire::to_value(&value);
-        assert!(progress_pages.read(key, Revision(1), &value, &mut jobs).is_err(), "{key}");
+        assert!(
+            progress_pages
+                .read(key, Revision(1), &value, &mut jobs)
+                .is_err(),
+            "{key}"
+        );
     }
 }
 
@@ -116,7 +151,10 @@
     golden.text("keys", &[0, 17, 12_345].map(progress_page_key).join(" "));
     let sizes = [64, 512, 1_024, 8 * 1024].map(|limit| chunk_size(limit).to_string());
     golden.text("tasks of a chunk by limit", &sizes.join(" "));
-    let mut ours = Jobs { tasks: 20_000, ..Jobs::default() };
+    let mut ours = Jobs {
+        tasks: 20_000,
+        ..Jobs::default()
+    };
     let mut progress_pages = ProgressPages::new(8 * 1024);
     for (n, index) in [(1, 0), (1, 9), (1, 8_193), (2, 4), (2, 7)] {
         ours.of(n).set(index);
@@ -125,8 +163,9 @@
     let due: Vec<usize> = progress_pages.due().collect();
     for progress_page in due {
         let mut sent = ProgressWrite::default();
-        let value =
-            progress_pages.send(progress_page, &mut sent, &mut ours).expect("something to write");
+        let value = progress_pages
+            .send(progress_page, &mut sent, &mut ours)
+            .expect("something to write");
         let record: ProgressPageRecord = wire::from_value(&value).expect("sound");
         assert_eq!(wire::to_value(&record), value);
         golden.stored(&progress_page_key(progress_page), &record);
@@ -137,15 +176,23 @@
 /// Shelves, and the keys of the form before, as the bytes that are stored.
 #[test]
 fn progress_of_both_forms_is_read() {
-    let mut ours = Jobs { tasks: 16, ..Jobs::default() };
+    let mut ours = Jobs {
+        tasks: 16,
+        ..Jobs::default()
+    };
     ours.of(1);
     let mut progress_pages = ProgressPages::new(8 * 1024);
     for (key, stored) in [
-        ("d/s0003", serde_json::json!({"v": 2, "s": {"job-000001/0": "0102"}})),
+        (
+            "d/s0003",
+            serde_json::json!({"v": 2, "s": {"job-000001/0": "0102"}}),
+        ),
         ("d/job-000001/0", serde_json::json!({"v": 1, "b": "80"})),
     ] {
         let value: Value = wire::decode(&wire::encode(&stored)).expect("CBOR");
-        progress_pages.read(key, Revision(5), &value, &mut ours).expect(key);
+        progress_pages
+            .read(key, Revision(5), &value, &mut ours)
+            .expect(key);
     }
     let done: Vec<u32> = (0..16).filter(|index| ours.of(1).has(*index)).collect();
     assert_eq!(done, [0, 7, 9]);
--- a/crates/controller/src/replica.rs
+++ b/crates/controller/src/replica.rs
@@ -38,7 +38,11 @@
 
 impl Update {
     fn nothing(freshness: Freshness) -> Update {
-        Update { changes: Vec::new(), freshness, scanned: None }
+        Update {
+            changes: Vec::new(),
+            freshness,
+            scanned: None,
+        }
     }
 }
 
@@ -114,7 +118,13 @@
         if !self.backoff.due(now) {
             return;
         }
-        let ReplicaConfig { prefix, tag, wait_s, wait_priority, stale_s } = self.config;
+        let ReplicaConfig {
+            prefix,
+            tag,
+            wait_s,
+            wait_priority,
+            stale_s,
+        } = self.config;
         if !self.loaded {
             let scan = self.scan.get_or_insert(ScanState {
                 in_flight: false,
@@ -125,7 +135,13 @@
             if !scan.in_flight {
                 scan.in_flight = true;
                 let after = scan.after.clone();
-                store.scan(now, Priority::Read, tag(ReplicaCall::Scan), prefix, after.as_deref());
+                store.scan(
+                    now,
+                    Priority::Read,
+                    tag(ReplicaCall::Scan),
+                    prefix,
+                    after.as_deref(),
+                );
             }
             return;
         }
@@ -133,11 +149,25 @@
         if (ask || stale || self.wanted) && !self.refresh_in_flight {
             self.refresh_in_flight = true;
             self.wanted = false;
-            store.watch(now, Priority::Read, tag(ReplicaCall::Refresh), prefix, self.rev, 0.0);
+            store.watch(
+                now,
+                Priority::Read,
+                tag(ReplicaCall::Refresh),
+                prefix,
+                self.rev,
+                0.0,
+            );
         }
         if follow && !self.watch_in_flight {
             self.watch_in_flight = true;
-            store.watch(now, wait_priority, tag(ReplicaCall::Watch), prefix, self.rev, wait_s);
+            store.watch(
+                now,
+                wait_priority,
+                tag(ReplicaCall::Watch),
+                prefix,
+                self.rev,
+                wait_s,
+            );
         }
     }
 
@@ -177,13 +207,25 @@
                 self.backoff.succeeded();
                 let newer = news.news.into_iter().filter(|c| c.revision > self.rev);
                 let changes = newer.filter_map(|c| {
-                    let value = if c.write.is_some() { Some(c.value?) } else { None };
-                    Some(Change { path: c.write.or(c.delete)?, revision: c.revision, value })
+                    let value = if c.write.is_some() {
+                        Some(c.value?)
+                    } else {
+                        None
+                    };
+                    Some(Change {
+                        path: c.write.or(c.delete)?,
+                        revision: c.revision,
+                        value,
+                    })
                 });
                 let changes = changes.collect();
                 self.rev = self.rev.max(news.rev);
                 self.fresh = self.fresh.max(Some(reply.sent));
-                Update { changes, freshness: Freshness::Fresh, scanned: None }
+                Update {
+                    changes,
+                    freshness: Freshness::Fresh,
+                    scanned: None,
+                }
             }
             // Changes from before the kept ones are not to be had, nor those after a
             // revision that the service never gave out: only a new scan leads on.
@@ -201,7 +243,11 @@
                     self.scan = None;
                 }
                 let quiet = call == ReplicaCall::Watch;
-                Update::nothing(if quiet { Freshness::Unchanged } else { Freshness::Failed })
+                Update::nothing(if quiet {
+                    Freshness::Unchanged
+                } else {
+                    Freshness::Failed
+                })
             }
         }
     }
@@ -211,10 +257,20 @@
         let changes = page
             .pairs
             .into_iter()
-            .map(|p| Change { path: p.path, revision: p.revision, value: Some(p.value) })
+            .map(|p| Change {
+                path: p.path,
+                revision: p.revision,
+                value: Some(p.value),
+            })
             .collect();
-        let mut update = Update { changes, freshness: Freshness::Unchanged, scanned: None };
-        let Some(scan) = &mut self.scan else { return update };
+        let mut update = Update {
+            changes,
+            freshness: Freshness::Unchanged,
+            scanned: None,
+        };
+        let Some(scan) = &mut self.scan else {
+            return update;
+        };
         if scan.rev.is_none() {
             scan.rev = Some(page.rev);
             scan.started = sent;
--- a/crates/controller/src/replica/tests.rs
+++ b/crates/controller/src/replica/tests.rs
@@ -15,24 +15,47 @@
 fn take(m: &mut ReplicaCache, call: ReplicaCall, body: serde_json::Value) -> Vec<(String, bool)> {
     let at = Time::from_micros(1_000_000);
     let outcome = Outcome::Ok(wire::encode(&body));
-    let update = m.on_reply(at, call, Reply { tag: Tag::Directives(call), outcome, sent: at });
-    update.changes.into_iter().map(|c| (c.path, c.value.is_some())).collect()
+    let update = m.on_reply(
+        at,
+        call,
+        Reply {
+            tag: Tag::Directives(call),
+            outcome,
+            sent: at,
+        },
+    );
+    update
+        .changes
+        .into_iter()
+        .map(|c| (c.path, c.value.is_some()))
+        .collect()
 }
 
 /// A directive that was lifted once stood again in one controller's copy.
 #[test]
 fn an_answer_that_comes_late_brings_nothing_back() {
     let mut m = replica();
-    m.scan = Some(ScanState { in_flight: true, after: None, rev: None, started: Time::default() });
+    m.scan = Some(ScanState {
+        in_flight: true,
+        after: None,
+        rev: None,
+        started: Time::default(),
+    });
     let page = json!({"pairs": [], "more": false, "ledgerRev": 3});
     assert!(take(&mut m, ReplicaCall::Scan, page).is_empty() && m.loaded());
     // Written at 4, deleted at 5: the watch that saw both is answered first.
     let deleted = json!({"ledgerRev": 5, "news": [{"delete": "o/zone/a", "stamp": 5}]});
-    assert_eq!(take(&mut m, ReplicaCall::Refresh, deleted), [("o/zone/a".to_string(), false)]);
+    assert_eq!(
+        take(&mut m, ReplicaCall::Refresh, deleted),
+        [("o/zone/a".to_string(), false)]
+    );
     let written = json!({"ledgerRev": 4, "news": [{"write": "o/zone/a", "value": 1, "stamp": 4}]});
     assert!(take(&mut m, ReplicaCall::Watch, written).is_empty());
     let newer = json!({"ledgerRev": 6, "news": [{"write": "o/zone/a", "value": 1, "stamp": 6}]});
-    assert_eq!(take(&mut m, ReplicaCall::Watch, newer), [("o/zone/a".to_string(), true)]);
+    assert_eq!(
+        take(&mut m, ReplicaCall::Watch, newer),
+        [("o/zone/a".to_string(), true)]
+    );
 }
 
 /// Guards against a copy that calls itself fresh and takes in nothing: a watch from
@@ -42,14 +65,29 @@
     let mut m = replica();
     (m.loaded, m.rev) = (true, u64::MAX - 1);
     let at = Time::from_micros(1_000_000);
-    let refused =
-        Reply { tag: Tag::Directives(ReplicaCall::Refresh), outcome: Outcome::Malformed, sent: at };
+    let refused = Reply {
+        tag: Tag::Directives(ReplicaCall::Refresh),
+        outcome: Outcome::Malformed,
+        sent: at,
+    };
     let update = m.on_reply(at, ReplicaCall::Refresh, refused);
     assert!(update.freshness == Freshness::Failed && !m.loaded());
-    m.scan = Some(ScanState { in_flight: true, after: None, rev: None, started: at });
-    take(&mut m, ReplicaCall::Scan, json!({"pairs": [], "more": false, "ledgerRev": 3}));
+    m.scan = Some(ScanState {
+        in_flight: true,
+        after: None,
+        rev: None,
+        started: at,
+    });
+    take(
+        &mut m,
+        ReplicaCall::Scan,
+        json!({"pairs": [], "more": false, "ledgerRev": 3}),
+    );
     let news = json!({"ledgerRev": 5, "news": [{"write": "o/zone/a", "value": 1, "stamp": 5}]});
-    assert_eq!(take(&mut m, ReplicaCall::Refresh, news), [("o/zone/a".to_string(), true)]);
+    assert_eq!(
+        take(&mut m, ReplicaCall::Refresh, news),
+        [("o/zone/a".to_string(), true)]
+    );
 }
 
 /// A copy that could not be read was asked for five times a second, as long
@@ -67,7 +105,9 @@
             sent: now,
         };
         m.on_reply(now, ReplicaCall::Refresh, reply);
-        let gap = (1..30).map(|i| f64::from(i) * 0.1).find(|s| m.backoff.due(now.plus(*s)));
+        let gap = (1..30)
+            .map(|i| f64::from(i) * 0.1)
+            .find(|s| m.backoff.due(now.plus(*s)));
         gaps.push(gap.expect("asked again in the end"));
         now = now.plus(3.0);
     }
--- a/crates/controller/src/scheduler/aging.rs
+++ b/crates/controller/src/scheduler/aging.rs
@@ -22,7 +22,8 @@
     /// in the lane would hold it for ever.
     fn rises_at_ms(&self, spec: &JobSpec) -> Option<u64> {
         let ends = spec.kind == JobKind::Batch;
-        ends.then(|| self.aging.rises_at_ms(spec.urgency, spec.submitted())).flatten()
+        ends.then(|| self.aging.rises_at_ms(spec.urgency, spec.submitted()))
+            .flatten()
     }
 
     /// Waiting jobs that have risen, the one that rose first in front.
@@ -30,7 +31,10 @@
         if !self.aging.on() {
             return Vec::new();
         }
-        let waits = self.jobs.iter().filter(|(id, j)| self.pause(now, **id, j).is_none());
+        let waits = self
+            .jobs
+            .iter()
+            .filter(|(id, j)| self.pause(now, **id, j).is_none());
         let mut risen: Vec<(u64, JobId)> = waits
             .filter_map(|(id, j)| {
                 let at = self.rises_at_ms(&j.spec)?;
@@ -43,10 +47,21 @@
 
     /// What the lane holds, by the books.
     pub(super) fn lane(&self, now: Time, machine_types: &[MachineType]) -> Lane {
-        let usable = self.machines.values().filter(|m| self.blocking_reason(now, m).is_none());
-        let cpus = usable.filter_map(|m| machine_types.get(m.machine_type?)).map(|s| s.cpus).sum();
+        let usable = self
+            .machines
+            .values()
+            .filter(|m| self.blocking_reason(now, m).is_none());
+        let cpus = usable
+            .filter_map(|m| machine_types.get(m.machine_type?))
+            .map(|s| s.cpus)
+            .sum();
         let mut lane = Lane::new(self.aging.width(cpus));
-        for e in self.machines.values().flat_map(|m| m.allocations.values()).filter(|e| e.lane) {
+        for e in self
+            .machines
+            .values()
+            .flat_map(|m| m.allocations.values())
+            .filter(|e| e.lane)
+        {
             lane.take(e.resources.cpus);
         }
         lane
@@ -149,10 +164,18 @@
             })
             .collect();
         let held = self.reserved.hold(now, id, machines.into_iter())?;
-        tracing::info!("{} is kept for {id}, for {:.0} s", held.machine, held.at.until(now));
+        tracing::info!(
+            "{} is kept for {id}, for {:.0} s",
+            held.machine,
+            held.at.until(now)
+        );
         // What was placed there ahead of an end has not begun: it goes elsewhere.
         let deferred: Vec<TaskId> = self.machines.get(&held.machine).map_or_else(Vec::new, |m| {
-            m.allocations.iter().filter(|(_, e)| e.ahead.is_some()).map(|(t, _)| *t).collect()
+            m.allocations
+                .iter()
+                .filter(|(_, e)| e.ahead.is_some())
+                .map(|(t, _)| *t)
+                .collect()
         });
         for task in deferred {
             self.end(now, held.machine, task, false, 0.0);
@@ -169,7 +192,10 @@
                 // A service ends when it is told to, which nobody can foresee.
                 (job.spec.kind == JobKind::Batch).then_some(())?;
                 let left_s = (self.run_s(job) - e.ran_s(now)).max(0.0);
-                Some(Running { left_s, size: e.resources.sizes() })
+                Some(Running {
+                    left_s,
+                    size: e.resources.sizes(),
+                })
             })
             .collect()
     }
@@ -183,7 +209,9 @@
         machine_types: &[MachineType],
     ) -> Option<Reason> {
         let job = self.jobs.get(&id).filter(|_| self.aging.on())?;
-        let rise = self.aging.rise(job.spec.urgency, job.spec.submitted(), wall);
+        let rise = self
+            .aging
+            .rise(job.spec.urgency, job.spec.submitted(), wall);
         let (risen, lane) = (self.risen(now, wall), self.lane(now, machine_types));
         Some(Reason::PriorityAging {
             priority: rise.priority,
@@ -199,8 +227,12 @@
     /// Whether a machine is kept for another job, and this one would stay there
     /// beyond the time at which it is needed.
     pub(super) fn kept_from(&self, now: Time, machine: MachineId, id: JobId) -> bool {
-        let Some((leader, held)) = self.reserved.leader(machine) else { return false };
-        let Some(job) = self.jobs.get(&id) else { return false };
+        let Some((leader, held)) = self.reserved.leader(machine) else {
+            return false;
+        };
+        let Some(job) = self.jobs.get(&id) else {
+            return false;
+        };
         let passes = job.spec.kind == JobKind::Batch && held.lets_pass(now, self.run_s(job));
         leader != id && !passes
     }
--- a/crates/controller/src/scheduler/drain.rs
+++ b/crates/controller/src/scheduler/drain.rs
@@ -16,9 +16,14 @@
         self.active_directives = active_directives;
         self.replan = true;
         for (id, m) in &mut self.machines {
-            let machine_type =
-                m.machine_type.and_then(|s| machine_types.get(s)).map_or("", |s| s.label.as_str());
-            m.drain = self.active_directives.drain_of(*id, machine_type, &m.zone).cloned();
+            let machine_type = m
+                .machine_type
+                .and_then(|s| machine_types.get(s))
+                .map_or("", |s| s.label.as_str());
+            m.drain = self
+                .active_directives
+                .drain_of(*id, machine_type, &m.zone)
+                .cloned();
         }
         self.take_back(now);
     }
@@ -60,8 +65,11 @@
     fn name_teams(&mut self) {
         let names = &self.team_names;
         let scheduler = |spec: &JobSpec| names.iter().position(|n| **n == *spec.team);
-        let teams: BTreeMap<JobId, Option<usize>> =
-            self.jobs.iter().map(|(id, job)| (*id, scheduler(&job.spec))).collect();
+        let teams: BTreeMap<JobId, Option<usize>> = self
+            .jobs
+            .iter()
+            .map(|(id, job)| (*id, scheduler(&job.spec)))
+            .collect();
         for m in self.machines.values_mut() {
             for (task, e) in m.allocations.iter_mut().filter(|(_, e)| e.team.is_none()) {
                 e.team = teams.get(&task.job).copied().flatten();
@@ -119,8 +127,11 @@
         for (id, m) in &self.machines {
             for (task, e) in m.allocations.iter().filter(|(_, e)| !e.may_be_there()) {
                 let spec = self.jobs.get(&task.job).map(|j| &j.spec);
-                let frozen = spec
-                    .is_some_and(|s| self.active_directives.freeze_of(&s.team, &s.class).is_some());
+                let frozen = spec.is_some_and(|s| {
+                    self.active_directives
+                        .freeze_of(&s.team, &s.class)
+                        .is_some()
+                });
                 // A commit under way is waited for: its page names the task.
                 if (frozen || m.drain.is_some()) && !e.in_flight {
                     over.push((*id, *task));
@@ -143,7 +154,9 @@
         let mut due = Vec::new();
         for (id, m) in &self.machines {
             let Some(drain) = &m.drain else { continue };
-            let Some(within) = drain.within_s else { continue };
+            let Some(within) = drain.within_s else {
+                continue;
+            };
             // By the time of day of whoever took the drain: a skew moves the
             // moment, it breaks no rule.
             let gone_s = (wall.0 as f64 - drain.since_ms as f64) / 1e3;
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -52,8 +52,11 @@
         machine_types: &[MachineType],
     ) -> Option<Placed> {
         let job = self.jobs.get(&id)?;
-        let mut placed =
-            Placed { done: job.progress.count(), waiting: job.waiting(), ..Placed::default() };
+        let mut placed = Placed {
+            done: job.progress.count(),
+            waiting: job.waiting(),
+            ..Placed::default()
+        };
         let (mut starting, mut ahead, mut inherited) = (0, 0, 0);
         let (mut fetching, mut longest) = (0, 0.0f64);
         for (machine, m) in &self.machines {
@@ -99,7 +102,10 @@
         }
         if inherited > 0 {
             let until_s = self.inherited_until.until(now).max(0.0);
-            reasons.push(Reason::Inherited { tasks: inherited, until_s });
+            reasons.push(Reason::Inherited {
+                tasks: inherited,
+                until_s,
+            });
         }
         Some(placed)
     }
@@ -113,12 +119,18 @@
         machine_types: &[MachineType],
         reasons: &mut Vec<Reason>,
     ) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         match self.pause(now, id, job) {
             Some(PauseReason::Frozen(d)) => {
                 let since_s = (wall.0 as f64 - d.since_ms as f64) / 1e3;
                 let (target, by) = (d.target.to_string(), d.by.clone());
-                return reasons.push(Reason::Frozen { target, since_s, by });
+                return reasons.push(Reason::Frozen {
+                    target,
+                    since_s,
+                    by,
+                });
             }
             Some(PauseReason::Failures) => {
                 let until = self
@@ -127,7 +139,11 @@
                     .map_or(job.hold_until, |u| u.max(job.hold_until));
                 let (failures, machines) = self.fault_attribution.failures(id);
                 let retry_s = until.until(now).max(0.0);
-                return reasons.push(Reason::Failures { failures, machines, retry_s });
+                return reasons.push(Reason::Failures {
+                    failures,
+                    machines,
+                    retry_s,
+                });
             }
             Some(PauseReason::Over | PauseReason::Nothing) | None => {}
         }
@@ -152,14 +168,21 @@
         reasons.push(Reason::NoRoom { tally, near });
         reasons.extend(self.tell_ageing(now, wall, id, machine_types));
         let order = self.order(now, wall, &round, &self.guaranteed());
-        let before: Vec<JobId> =
-            order.iter().map(|w| w.id).take_while(|other| *other != id).collect();
+        let before: Vec<JobId> = order
+            .iter()
+            .map(|w| w.id)
+            .take_while(|other| *other != id)
+            .collect();
         if !before.is_empty() {
             let waiting = |id: &JobId| self.jobs.get(id).map_or(0, Job::waiting);
             reasons.push(Reason::Behind {
                 jobs: before.len() as u32,
                 tasks: before.iter().map(waiting).sum(),
-                first: before.iter().take(MAX_BEFORE).map(JobId::to_string).collect(),
+                first: before
+                    .iter()
+                    .take(MAX_BEFORE)
+                    .map(JobId::to_string)
+                    .collect(),
             });
         }
     }
@@ -216,7 +239,9 @@
         }
         near.sort_by(|a, b| {
             let by = |n: &Near| (n.lacks_gpus, n.lacks_cpus, n.lacks_memory_gb);
-            by(a).partial_cmp(&by(b)).unwrap_or(std::cmp::Ordering::Equal)
+            by(a)
+                .partial_cmp(&by(b))
+                .unwrap_or(std::cmp::Ordering::Equal)
         });
         near.truncate(MAX_NEAR);
         (tally, near, room)
@@ -240,7 +265,9 @@
         machine_types: &[MachineType],
         row: &mut MachineRow,
     ) {
-        let Some(m) = self.machines.get(&id) else { return };
+        let Some(m) = self.machines.get(&id) else {
+            return;
+        };
         let free = m.free(machine_types);
         row.tasks = m.allocations.len() as u32;
         row.heard_s = m.last_heartbeat.map(|h| now.since(h));
@@ -289,7 +316,11 @@
                 frozen: self.active_directives.freeze_of(name, "").is_some(),
             })
             .collect();
-        for job in self.jobs.values().filter(|j| j.state == JobState::Open && !j.complete()) {
+        for job in self
+            .jobs
+            .values()
+            .filter(|j| j.state == JobState::Open && !j.complete())
+        {
             if let Some(row) = self.team(&job.spec).and_then(|t| rows.get_mut(t)) {
                 row.jobs_open += 1;
                 row.tasks_waiting += job.waiting();
@@ -300,7 +331,11 @@
 
     pub fn totals(&self, now: Time, wall: WallMs, machine_types: &[MachineType]) -> Totals {
         let mut t = Totals::default();
-        for job in self.jobs.values().filter(|j| j.state == JobState::Open && !j.complete()) {
+        for job in self
+            .jobs
+            .values()
+            .filter(|j| j.state == JobState::Open && !j.complete())
+        {
             t.jobs_open += 1;
             t.jobs_running += u32::from(job.busy() > 0);
             t.tasks_waiting += job.waiting();
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -222,7 +222,12 @@
             above_limits: false,
             active_directives,
             event_log,
-            team_names: settings.params.teams.iter().map(|t| t.name.clone()).collect(),
+            team_names: settings
+                .params
+                .teams
+                .iter()
+                .map(|t| t.name.clone())
+                .collect(),
             teams: settings
                 .params
                 .teams
@@ -258,7 +263,11 @@
         let there = |m: &Machine| {
             !m.orphans.is_empty() || m.allocations.values().any(Allocation::may_be_there)
         };
-        for m in self.machines.values().filter(|m| !m.rotates_controllers(now)) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| !m.rotates_controllers(now))
+        {
             match m.last_heartbeat.unwrap_or(self.took) {
                 at if now.since(at) <= patience => {
                     last_heartbeat += u32::from(m.last_heartbeat.is_some())
@@ -291,7 +300,10 @@
             || self.load.is_some()
             || self.in_flight.is_some()
             || !self.plans.is_empty()
-            || self.complete.iter().any(|id| !self.resting(WorkUnit::Job(*id)))
+            || self
+                .complete
+                .iter()
+                .any(|id| !self.resting(WorkUnit::Job(*id)))
             || self.stopped
     }
 
@@ -315,7 +327,10 @@
 
     /// The machine goes back to the cloud.
     pub fn drain(&mut self, id: MachineId, why: &str) {
-        self.event_log.note(|| What::Returned { machine: id.to_string(), why: why.to_string() });
+        self.event_log.note(|| What::Returned {
+            machine: id.to_string(),
+            why: why.to_string(),
+        });
         if let Some(m) = self.machines.get_mut(&id) {
             m.draining = true;
         }
@@ -323,11 +338,16 @@
 
     pub fn counts(&self, id: JobId) -> Option<TaskCounts> {
         let job = self.jobs.get(&id)?;
-        Some(TaskCounts { done: job.progress.count(), running: job.busy() })
+        Some(TaskCounts {
+            done: job.progress.count(),
+            running: job.busy(),
+        })
     }
 
     pub fn all_counts(&self) -> impl Iterator<Item = (JobId, TaskCounts)> + '_ {
-        self.jobs.keys().filter_map(|id| Some((*id, self.counts(*id)?)))
+        self.jobs
+            .keys()
+            .filter_map(|id| Some((*id, self.counts(*id)?)))
     }
 
     /// Open work for the fleet.
@@ -338,7 +358,11 @@
                 continue;
             }
             // Nothing is rented for what may not start.
-            if self.active_directives.freeze_of(&job.spec.team, &job.spec.class).is_some() {
+            if self
+                .active_directives
+                .freeze_of(&job.spec.team, &job.spec.class)
+                .is_some()
+            {
                 continue;
             }
             out.push(self.demand(wall, *id, job));
@@ -350,7 +374,11 @@
     fn demand(&self, wall: WallMs, id: JobId, job: &Job) -> Demand {
         let left = job.spec.tasks - job.progress.count().min(job.spec.tasks);
         // A job that fails everywhere earns no machines while it waits.
-        let left = if self.fault_attribution.at_fault_job(id) { left.min(1) } else { left };
+        let left = if self.fault_attribution.at_fault_job(id) {
+            left.min(1)
+        } else {
+            left
+        };
         // Above its team's limit nothing of it can run.
         let limit = self.team(&job.spec).map(|t| self.teams[t].1);
         let most = match limit {
@@ -386,16 +414,26 @@
         machine_types: &[MachineType],
         pool: &mut Vec<(f64, f64)>,
     ) {
-        let Some(m) = self.machines.get(&id) else { return };
-        let Some(machine_type) = m.machine_type.and_then(|s| machine_types.get(s)) else { return };
+        let Some(m) = self.machines.get(&id) else {
+            return;
+        };
+        let Some(machine_type) = m.machine_type.and_then(|s| machine_types.get(s)) else {
+            return;
+        };
         let mut free = machine_type.cpus;
         for (task, e) in &m.allocations {
             free -= e.resources.cpus;
-            let Some(job) = self.jobs.get(&task.job) else { continue };
+            let Some(job) = self.jobs.get(&task.job) else {
+                continue;
+            };
             let run_s = self.run_s(job);
             let ran = e.ran_s(now);
             // What runs longer than expected may go on as long again.
-            let left = if ran < run_s { run_s - ran } else { run_s * 0.25 };
+            let left = if ran < run_s {
+                run_s - ran
+            } else {
+                run_s * 0.25
+            };
             if job.spec.kind == JobKind::Batch {
                 pool.push((left, e.resources.cpus));
             }
@@ -435,7 +473,9 @@
     // ---- jobs ----
 
     pub fn sync_job(&mut self, now: Time, id: JobId, job_store: &JobStore) {
-        let Some(entry) = job_store.get(id) else { return };
+        let Some(entry) = job_store.get(id) else {
+            return;
+        };
         let _span = tracing::debug_span!("job", %id).entered();
         self.replan = true;
         if let Some(job) = self.jobs.get_mut(&id) {
@@ -457,7 +497,8 @@
                 let known = self.largest.entry(spec.class.to_string()).or_default();
                 *known = known.max(size_of(spec));
             }
-            self.jobs.insert(id, new_job(spec.clone(), entry.revision, chunk, now));
+            self.jobs
+                .insert(id, new_job(spec.clone(), entry.revision, chunk, now));
         }
     }
 
@@ -466,11 +507,18 @@
         let ids: Vec<MachineId> = self.machines.keys().copied().collect();
         for machine in ids {
             let tasks: Vec<TaskId> = match self.machines.get_mut(&machine) {
-                Some(m) => m.allocations.keys().filter(|t| t.job == id).copied().collect(),
+                Some(m) => m
+                    .allocations
+                    .keys()
+                    .filter(|t| t.job == id)
+                    .copied()
+                    .collect(),
                 None => continue,
             };
             for task in tasks {
-                let Some(e) = self.entry(machine, task) else { continue };
+                let Some(e) = self.entry(machine, task) else {
+                    continue;
+                };
                 e.kill = Some(0.0);
                 // `run` was never sent, or proven lost: it cannot be there.
                 if matches!(e.state, TaskState::Planned | TaskState::Committed) {
@@ -488,8 +536,12 @@
 
     /// Guard 3: called only with proof that the task is off the machine.
     fn end(&mut self, now: Time, machine: MachineId, task: TaskId, done: bool, delay: f64) {
-        let Some(m) = self.machines.get_mut(&machine) else { return };
-        let Some(e) = m.allocations.remove(&task) else { return };
+        let Some(m) = self.machines.get_mut(&machine) else {
+            return;
+        };
+        let Some(e) = m.allocations.remove(&task) else {
+            return;
+        };
         if let Some(page) = e.page {
             self.pages.release(page);
         }
@@ -515,10 +567,13 @@
     }
 
     fn mark_done(&mut self, task: TaskId) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         job.retry.remove(&task.index);
         job.progress.set(task.index);
-        self.progress_pages.touch(task.job, task.index, job.spec.tasks);
+        self.progress_pages
+            .touch(task.job, task.index, job.spec.tasks);
         if job.complete() && job.state == JobState::Open {
             self.complete.insert(task.job);
         }
@@ -550,7 +605,9 @@
         }
         self.drive_load(now, store);
         self.event_log.at(wall);
-        self.in_touch = store.last_success().is_some_and(|at| now.since(at) < IN_TOUCH_S);
+        self.in_touch = store
+            .last_success()
+            .is_some_and(|at| now.since(at) < IN_TOUCH_S);
         // Silence is a matter of seconds: looking after every report would cost
         // the whole fleet each time.
         if now.since(self.silence_at) >= SILENCE_S {
--- a/crates/controller/src/scheduler/persistence.rs
+++ b/crates/controller/src/scheduler/persistence.rs
@@ -23,7 +23,12 @@
     Removals,
 }
 
-const KINDS: [Kind; 4] = [Kind::Finals, Kind::Pages, Kind::ProgressPages, Kind::Removals];
+const KINDS: [Kind; 4] = [
+    Kind::Finals,
+    Kind::Pages,
+    Kind::ProgressPages,
+    Kind::Removals,
+];
 
 impl Scheduler {
     // ---- loading ----
@@ -80,7 +85,11 @@
         };
         self.loads.succeeded();
         self.moved = now;
-        load.after = if scan.more { scan.pairs.last().map(|p| p.path.clone()) } else { None };
+        load.after = if scan.more {
+            scan.pairs.last().map(|p| p.path.clone())
+        } else {
+            None
+        };
         match call {
             PlacementCall::Pages => load.pages.extend(scan.pairs),
             _ => load.progress.extend(scan.pairs),
@@ -115,13 +124,18 @@
         self.progress_pages.begin_reading();
         for item in &load.progress {
             let (path, revision) = (&item.path, Revision(item.revision));
-            if self.progress_pages.read(path, revision, &item.value, &mut self.jobs).is_err() {
+            if self
+                .progress_pages
+                .read(path, revision, &item.value, &mut self.jobs)
+                .is_err()
+            {
                 return self.unreadable(&item.path);
             }
         }
         for (id, job) in &self.jobs {
             for chunk in job.progress.dirty() {
-                self.progress_pages.touch(*id, job.progress.first_of(chunk), job.spec.tasks);
+                self.progress_pages
+                    .touch(*id, job.progress.first_of(chunk), job.spec.tasks);
             }
             if job.complete() && job.state == JobState::Open {
                 self.complete.insert(*id);
@@ -157,7 +171,9 @@
             }
         }
         for (row, no) in rows {
-            if let Some(e) = self.entry(row.machine, row.task).filter(|e| e.attempt == row.attempt)
+            if let Some(e) = self
+                .entry(row.machine, row.task)
+                .filter(|e| e.attempt == row.attempt)
             {
                 e.page = Some(no);
                 if e.state == TaskState::Planned {
@@ -193,12 +209,17 @@
         let rows = blocks::newest_rows(rows.into_iter().filter(|(r, _)| !done(&r.task)));
         for (row, no) in rows {
             let spec = job_store.get(row.task.job).and_then(|e| e.spec.clone());
-            let over = job_store.get(row.task.job).is_none_or(|e| e.state != JobState::Open);
+            let over = job_store
+                .get(row.task.job)
+                .is_none_or(|e| e.state != JobState::Open);
             let over = over && !broken!(self.faults, inherited_runs);
             // Without a description its size is unknown: the machine is full.
             let resources = spec.as_ref().map_or(UNKNOWN_NEED, |s| resources_of(s));
             let team = spec.as_ref().and_then(|s| self.team(s));
-            let m = self.machines.entry(row.machine).or_insert_with(|| Machine::new(now));
+            let m = self
+                .machines
+                .entry(row.machine)
+                .or_insert_with(|| Machine::new(now));
             m.allocations.insert(
                 row.task,
                 Allocation {
@@ -245,7 +266,10 @@
         }
         let limits = store.limits().part(self.backoff.part());
         let limits = match broken!(self.faults, unbounded) {
-            true => beamhinge_rate_limit::Limits { conditions: limits.conditions * 2, ..limits },
+            true => beamhinge_rate_limit::Limits {
+                conditions: limits.conditions * 2,
+                ..limits
+            },
             false => limits,
         };
         let mut transaction = Transaction::new(limits);
@@ -289,7 +313,11 @@
         tracing::debug!(
             finals = in_flight.finals.len(),
             pages = in_flight.pages.len(),
-            rows = in_flight.pages.iter().map(|(_, rows)| rows.len()).sum::<usize>(),
+            rows = in_flight
+                .pages
+                .iter()
+                .map(|(_, rows)| rows.len())
+                .sum::<usize>(),
             progress_pages = in_flight.progress_write.written_pages().count(),
             removals = in_flight.dead.len(),
             left = self.plans.len(),
@@ -298,7 +326,12 @@
         );
         self.in_flight = Some(in_flight);
         self.retry_at = now.plus(0.02);
-        store.commit(now, Priority::Scheduler, Tag::Scheduler(PlacementCall::Commit), transaction);
+        store.commit(
+            now,
+            Priority::Scheduler,
+            Tag::Scheduler(PlacementCall::Commit),
+            transaction,
+        );
     }
 
     pub(super) fn resting(&self, part: WorkUnit) -> bool {
@@ -313,9 +346,17 @@
         few: bool,
         in_flight: &mut InFlightCommit,
     ) {
-        let most = if few { transaction.writes_left() } else { transaction.writes_left() / 2 };
-        let mut due: Vec<JobId> =
-            self.complete.iter().filter(|id| !self.resting(WorkUnit::Job(**id))).copied().collect();
+        let most = if few {
+            transaction.writes_left()
+        } else {
+            transaction.writes_left() / 2
+        };
+        let mut due: Vec<JobId> = self
+            .complete
+            .iter()
+            .filter(|id| !self.resting(WorkUnit::Job(**id)))
+            .copied()
+            .collect();
         // Where more end than can be written, those are told first whose users wait
         // for something: by their ids, urgent work with a deadline was told minutes
         // late behind thousands of guests' single tasks.
@@ -331,7 +372,10 @@
             }
             if let Some(job) = self.jobs.get(&id).filter(|j| j.state == JobState::Open) {
                 let record = job_store::done_record(&job.spec);
-                if transaction.write(job_store::key(id), job.revision, record, None).is_err() {
+                if transaction
+                    .write(job_store::key(id), job.revision, record, None)
+                    .is_err()
+                {
                     return;
                 }
                 in_flight.finals.push(id);
@@ -355,22 +399,35 @@
         let mut rows: Vec<Row> = Vec::new();
         while rows.len() < blocks::rows_per_page(most_bytes) && transaction.conditions_left() > keep
         {
-            let Some((machine, task)) = self.plans.pop_front() else { break };
-            let Some(job) = self.jobs.get(&task.job) else { continue };
+            let Some((machine, task)) = self.plans.pop_front() else {
+                break;
+            };
+            let Some(job) = self.jobs.get(&task.job) else {
+                continue;
+            };
             let revision = job.revision;
-            let Some(e) = self.entry(machine, task) else { continue };
+            let Some(e) = self.entry(machine, task) else {
+                continue;
+            };
             if e.state != TaskState::Planned || e.in_flight {
                 continue;
             }
             // Guard 2: a placement rests on its job being neither cancelled
             // nor done.
-            if transaction.when(job_store::key(task.job), revision).is_err() {
+            if transaction
+                .when(job_store::key(task.job), revision)
+                .is_err()
+            {
                 self.plans.push_front((machine, task));
                 break;
             }
             if let Some(e) = self.entry(machine, task) {
                 e.in_flight = true;
-                rows.push(Row { machine, task, attempt: e.attempt });
+                rows.push(Row {
+                    machine,
+                    task,
+                    attempt: e.attempt,
+                });
             }
         }
         if rows.is_empty() {
@@ -403,7 +460,9 @@
     /// Rows that did not go out are planned as before, in the same order.
     fn not_placed(&mut self, rows: Vec<Row>) {
         for row in rows.into_iter().rev() {
-            let Some(e) = self.entry(row.machine, row.task) else { continue };
+            let Some(e) = self.entry(row.machine, row.task) else {
+                continue;
+            };
             if e.attempt == row.attempt && e.state == TaskState::Planned {
                 e.in_flight = false;
                 self.plans.push_front((row.machine, row.task));
@@ -446,7 +505,9 @@
             }
             let revision = self.progress_pages.revision(progress_page);
             let mut one = ProgressWrite::default();
-            let Some(value) = self.progress_pages.send(progress_page, &mut one, &mut self.jobs)
+            let Some(value) = self
+                .progress_pages
+                .send(progress_page, &mut one, &mut self.jobs)
             else {
                 continue;
             };
@@ -482,7 +543,10 @@
         let due = (now.since(self.cleaned_at) * rate * CROWD_PART).min(rate) as usize;
         let crowded = self.pages.dead_count().saturating_sub(DEAD_PAGES).min(due);
         let mut room = transaction.writes_left().min(spare.max(crowded));
-        let dead = self.pages.dead().filter(|(no, _, _)| !self.resting(WorkUnit::Page(*no)));
+        let dead = self
+            .pages
+            .dead()
+            .filter(|(no, _, _)| !self.resting(WorkUnit::Page(*no)));
         for (no, key, revision) in dead.take(room) {
             if transaction.delete(key, revision).is_err() {
                 break;
@@ -530,15 +594,20 @@
             tracing::error!("the end of {id} is refused as malformed and waits");
             self.deferred.insert(WorkUnit::Job(*id), until);
         }
-        let placed: BTreeSet<JobId> =
-            in_flight.pages.iter().flat_map(|(_, rows)| rows).map(|r| r.task.job).collect();
+        let placed: BTreeSet<JobId> = in_flight
+            .pages
+            .iter()
+            .flat_map(|(_, rows)| rows)
+            .map(|r| r.task.job)
+            .collect();
         for id in placed {
             tracing::error!("placing {id} is refused as malformed; it waits");
             self.rest_job(now, id);
         }
         for progress_page in in_flight.progress_write.written_pages() {
             tracing::error!("shelf {progress_page} is refused as malformed and waits");
-            self.deferred.insert(WorkUnit::ProgressPage(progress_page), until);
+            self.deferred
+                .insert(WorkUnit::ProgressPage(progress_page), until);
         }
         for no in &in_flight.dead {
             self.deferred.insert(WorkUnit::Page(*no), until);
@@ -556,7 +625,9 @@
             self.on_load(now, call, reply, job_store);
             return CommitOutcome::Unchanged;
         }
-        let Some(in_flight) = self.in_flight.take() else { return CommitOutcome::Unchanged };
+        let Some(in_flight) = self.in_flight.take() else {
+            return CommitOutcome::Unchanged;
+        };
         let sent = reply.sent;
         match reply.outcome {
             Outcome::Ok(body) => {
@@ -582,8 +653,9 @@
                 }
                 // Plans for a job that changed are dropped; what it is now,
                 // the book will tell.
-                for id in
-                    failed.iter().filter_map(|k| JobId::parse(k.strip_prefix(job_store::PREFIX)?))
+                for id in failed
+                    .iter()
+                    .filter_map(|k| JobId::parse(k.strip_prefix(job_store::PREFIX)?))
                 {
                     self.unplan_job(now, id);
                     if let Some(j) = self.jobs.get_mut(&id) {
@@ -627,10 +699,17 @@
     }
 
     fn unplan_job(&mut self, now: Time, id: JobId) {
-        let planned: Vec<(MachineId, TaskId)> =
-            self.plans.iter().filter(|(_, t)| t.job == id).copied().collect();
+        let planned: Vec<(MachineId, TaskId)> = self
+            .plans
+            .iter()
+            .filter(|(_, t)| t.job == id)
+            .copied()
+            .collect();
         for (machine, task) in planned {
-            if self.entry(machine, task).is_some_and(|e| e.state == TaskState::Planned) {
+            if self
+                .entry(machine, task)
+                .is_some_and(|e| e.state == TaskState::Planned)
+            {
                 self.end(now, machine, task, false, 0.3);
             }
         }
@@ -648,7 +727,9 @@
             let no = self.pages.add(key, revision);
             for row in rows {
                 // What was given up meanwhile never gets its `run`.
-                let Some(e) = self.entry(row.machine, row.task) else { continue };
+                let Some(e) = self.entry(row.machine, row.task) else {
+                    continue;
+                };
                 if e.attempt != row.attempt {
                     continue;
                 }
@@ -664,7 +745,8 @@
         for (machine, task) in ended {
             self.end(now, machine, task, false, 0.0);
         }
-        self.progress_pages.written(in_flight.progress_write, revision, &mut self.jobs);
+        self.progress_pages
+            .written(in_flight.progress_write, revision, &mut self.jobs);
         for id in in_flight.finals {
             job_store.wrote(id, revision, JobState::Done, None);
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -673,7 +755,9 @@
                 self.closing.insert(id);
             }
             tracing::debug!("{id} is done");
-            self.event_log.note(|| What::Done { job: id.to_string() });
+            self.event_log.note(|| What::Done {
+                job: id.to_string(),
+            });
         }
         for no in in_flight.dead {
             self.pages.removed(no);
@@ -684,9 +768,14 @@
         for (_, rows) in in_flight.pages.into_iter().rev() {
             self.not_placed(rows);
         }
-        self.progress_pages.unwritten(&in_flight.progress_write, &mut self.jobs);
+        self.progress_pages
+            .unwritten(&in_flight.progress_write, &mut self.jobs);
         for id in in_flight.finals {
-            if self.jobs.get(&id).is_some_and(|j| j.state == JobState::Open) {
+            if self
+                .jobs
+                .get(&id)
+                .is_some_and(|j| j.state == JobState::Open)
+            {
                 self.complete.insert(id);
             }
         }
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -21,15 +21,20 @@
 
 fn backlog() -> impl Strategy<Value = Backlog> {
     let jobs = |most| prop::collection::vec(1..most, 0..40usize);
-    (jobs(60u32), jobs(9_000u32), 0..600usize, 6..18usize, 0..8u32).prop_map(
-        |(placed, ended, dead, digits, malformed)| Backlog {
+    (
+        jobs(60u32),
+        jobs(9_000u32),
+        0..600usize,
+        6..18usize,
+        0..8u32,
+    )
+        .prop_map(|(placed, ended, dead, digits, malformed)| Backlog {
             placed,
             ended,
             dead,
             digits,
             malformed,
-        },
-    )
+        })
 }
 
 fn spec(tasks: u32) -> Rc<JobSpec> {
@@ -49,23 +54,34 @@
     };
     for tasks in &b.placed {
         let job = id();
-        scheduler.jobs.insert(job, new_job(spec(*tasks), Revision(7), chunk, now));
+        scheduler
+            .jobs
+            .insert(job, new_job(spec(*tasks), Revision(7), chunk, now));
         for index in 0..*tasks {
             let name = format!("n-{:0w$}", index * 7 % 50);
             let machine = MachineId::parse(&name).expect("a machine");
             let task = TaskId { job, index };
             scheduler.next_attempt += 1;
             let attempt = Attempt(scheduler.next_attempt);
-            let resources = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
+            let resources = Resources {
+                cpus: 1.0,
+                gpus: 0.0,
+                memory_gb: 1.0,
+            };
             let entry = Allocation::planned(attempt, resources, None, now, None);
-            let m = scheduler.machines.entry(machine).or_insert_with(|| Machine::new(now));
+            let m = scheduler
+                .machines
+                .entry(machine)
+                .or_insert_with(|| Machine::new(now));
             m.allocations.insert(task, entry);
             scheduler.plans.push_back((machine, task));
         }
     }
     for tasks in &b.ended {
         let job = id();
-        scheduler.jobs.insert(job, new_job(spec(*tasks), Revision(7), chunk, now));
+        scheduler
+            .jobs
+            .insert(job, new_job(spec(*tasks), Revision(7), chunk, now));
         for index in 0..*tasks {
             scheduler.mark_done(TaskId { job, index });
         }
@@ -83,8 +99,17 @@
         .ok_or("not CBOR")?;
     let list = |name: &str| transaction[name].as_array().cloned().unwrap_or_default();
     let (when, then) = (list("when"), list("then"));
-    let longest = then.iter().map(|t| t["value"].to_string().len()).max().unwrap_or(0);
-    let sizes = (then.len(), when.len(), transaction.to_string().len(), longest);
+    let longest = then
+        .iter()
+        .map(|t| t["value"].to_string().len())
+        .max()
+        .unwrap_or(0);
+    let sizes = (
+        then.len(),
+        when.len(),
+        transaction.to_string().len(),
+        longest,
+    );
     let most = (limits.writes, limits.conditions, limits.bytes, limits.value);
     if sizes.0 > most.0 || sizes.1 > most.1 || sizes.2 > most.2 || sizes.3 > most.3 {
         return Err(format!("{sizes:?} where {most:?} are allowed"));
@@ -105,10 +130,12 @@
     if on(&json!(BLOCK_KEY)).is_none_or(|w| w["stamp"] != 9) {
         return Err("does not rest on the block".into());
     }
-    let keys = list("then").into_iter().map(|t| match t["write"].is_null() {
-        true => t["delete"].clone(),
-        false => t["write"].clone(),
-    });
+    let keys = list("then")
+        .into_iter()
+        .map(|t| match t["write"].is_null() {
+            true => t["delete"].clone(),
+            false => t["write"].clone(),
+        });
     match keys.into_iter().find(|key| on(key).is_none()) {
         Some(key) => Err(format!("{key} is changed without a condition on it")),
         None => Ok(()),
@@ -118,9 +145,18 @@
 /// A transaction of a former holder that is carried out late places nothing.
 #[test]
 fn every_transaction_rests_on_the_block() {
-    let b = Backlog { placed: vec![3; 9], ended: vec![2; 5], dead: 9, digits: 6, malformed: 0 };
+    let b = Backlog {
+        placed: vec![3; 9],
+        ended: vec![2; 5],
+        dead: 9,
+        digits: 6,
+        malformed: 0,
+    };
     assert!(work_off(&b, 8, 8.0).is_ok());
-    let without = Faults { no_block: true, ..Faults::default() };
+    let without = Faults {
+        no_block: true,
+        ..Faults::default()
+    };
     let found = work_off_with(&b, 8, 8.0, without);
     assert_eq!(found, Err("does not rest on the block".into()));
 }
@@ -163,7 +199,9 @@
         let mut out = Vec::new();
         store.flush(now, &mut calls, &mut out);
         for o in out {
-            let Effect::Call { id, body, .. } = o else { continue };
+            let Effect::Call { id, body, .. } = o else {
+                continue;
+            };
             within(&body, limits)?;
             rests(&body)?;
             rev += 1;
@@ -184,7 +222,11 @@
             return Ok(round);
         }
     }
-    Err(format!("{} plans, {} ends left", scheduler.plans.len(), scheduler.complete.len()))
+    Err(format!(
+        "{} plans, {} ends left",
+        scheduler.plans.len(),
+        scheduler.complete.len()
+    ))
 }
 
 proptest! {
@@ -211,15 +253,25 @@
 /// remove as a transaction may: what stopped a simulated day for ever.
 #[test]
 fn pages_leave_conditions_for_removals() {
-    let b =
-        Backlog { placed: vec![1; 400], ended: vec![3; 30], dead: 400, digits: 6, malformed: 0 };
+    let b = Backlog {
+        placed: vec![1; 400],
+        ended: vec![3; 30],
+        dead: 400,
+        digits: 6,
+        malformed: 0,
+    };
     work_off(&b, 24, 8.0).expect("worked off");
 }
 
 #[test]
 fn ten_thousand_dead_pages_do_not_keep_a_task_waiting() {
-    let b =
-        Backlog { placed: vec![20; 10], ended: Vec::new(), dead: 10_000, digits: 6, malformed: 0 };
+    let b = Backlog {
+        placed: vec![20; 10],
+        ended: Vec::new(),
+        dead: 10_000,
+        digits: 6,
+        malformed: 0,
+    };
     assert!(work_off(&b, 2, 8.0).expect("worked off") > 100);
     let only = Backlog { dead: 0, ..b };
     assert!(work_off(&only, 2, 8.0).expect("worked off") < 40);
--- a/crates/controller/src/scheduler/plan.rs
+++ b/crates/controller/src/scheduler/plan.rs
@@ -93,7 +93,11 @@
     machine_type: &MachineType,
     m: &Machine,
 ) -> Option<UnschedulableReason> {
-    if spec.machine_types.as_ref().is_some_and(|s| !s.contains(&machine_type.label)) {
+    if spec
+        .machine_types
+        .as_ref()
+        .is_some_and(|s| !s.contains(&machine_type.label))
+    {
         Some(UnschedulableReason::MachineType)
     } else if spec.zone.as_ref().is_some_and(|z| *z != m.zone) {
         Some(UnschedulableReason::Zone)
@@ -182,12 +186,21 @@
         for group in order.chunk_by(|a, b| a.rank == b.rank) {
             // Those who have risen come behind what is more urgent than the
             // ceiling and behind prompt guaranteed work, and ahead of all others.
-            let below = group.first().is_some_and(|w| w.rank.0 && w.rank.1 >= ceiling);
+            let below = group
+                .first()
+                .is_some_and(|w| w.rank.0 && w.rank.1 >= ceiling);
             if below && std::mem::take(&mut lane_due) {
                 self.fill_lane(now, wall, &mut round);
             }
-            for pass in [PlacementPass::Pressing, PlacementPass::WithImage, PlacementPass::Any] {
-                for w in group.iter().filter(|w| w.pressing == (pass == PlacementPass::Pressing)) {
+            for pass in [
+                PlacementPass::Pressing,
+                PlacementPass::WithImage,
+                PlacementPass::Any,
+            ] {
+                for w in group
+                    .iter()
+                    .filter(|w| w.pressing == (pass == PlacementPass::Pressing))
+                {
                     if round.budget == 0 {
                         return;
                     }
@@ -252,7 +265,11 @@
                     round.team_used[t].0 += e.resources.cpus;
                     round.team_used[t].1 += e.resources.gpus;
                 }
-                if self.jobs.get(&task.job).is_some_and(|j| j.spec.one_zone || j.spec.spread) {
+                if self
+                    .jobs
+                    .get(&task.job)
+                    .is_some_and(|j| j.spec.one_zone || j.spec.spread)
+                {
                     let zones = round.zones.entry(task.job).or_default();
                     *zones.entry(m.zone.clone()).or_default() += 1;
                 }
@@ -263,13 +280,18 @@
                     round.team_used[t].1 += o.resources.gpus;
                 }
                 // Guards against `wrong_place`: it may stand in the way of its own job.
-                if self.jobs.get(&o.task.job).is_some_and(|j| j.spec.one_zone || j.spec.spread) {
+                if self
+                    .jobs
+                    .get(&o.task.job)
+                    .is_some_and(|j| j.spec.one_zone || j.spec.spread)
+                {
                     let zones = round.zones.entry(o.task.job).or_default();
                     *zones.entry(m.zone.clone()).or_default() += 1;
                 }
             }
-            if let Some(machine_type) =
-                m.machine_type.filter(|_| free.cpus > EPSILON && self.usable(now, m))
+            if let Some(machine_type) = m
+                .machine_type
+                .filter(|_| free.cpus > EPSILON && self.usable(now, m))
             {
                 round.widest = round.widest.max(free.cpus);
                 let doubtful = m.ack_tracker.unacknowledged_for_s(now).is_some();
@@ -295,7 +317,9 @@
 
     /// What keeps all tasks from a machine.
     pub(super) fn blocking_reason(&self, now: Time, m: &Machine) -> Option<BlockingReason> {
-        let alive = m.last_heartbeat.is_some_and(|h| now.since(h) < self.silent_s());
+        let alive = m
+            .last_heartbeat
+            .is_some_and(|h| now.since(h) < self.silent_s());
         let all = [
             (m.drain.is_some(), BlockingReason::Drained),
             (m.draining, BlockingReason::Leaving),
@@ -307,7 +331,9 @@
             (now < m.refuses_until, BlockingReason::Refusing),
             (m.ack_tracker.deaf(now), BlockingReason::Deaf),
         ];
-        all.into_iter().find(|(holds, _)| *holds).map(|(_, why)| why)
+        all.into_iter()
+            .find(|(holds, _)| *holds)
+            .map(|(_, why)| why)
     }
 
     /// Why a job gets no room this time, before any machine is looked at.
@@ -315,7 +341,10 @@
         if j.state != JobState::Open {
             return Some(PauseReason::Over);
         }
-        if let Some(freeze) = self.active_directives.freeze_of(&j.spec.team, &j.spec.class) {
+        if let Some(freeze) = self
+            .active_directives
+            .freeze_of(&j.spec.team, &j.spec.class)
+        {
             return Some(PauseReason::Frozen(freeze.clone()));
         }
         // What fails everywhere is tried with one task at a time.
@@ -343,7 +372,12 @@
             *limit > 0.0 && used + wanted > limit + EPSILON
         };
         let found = limits.into_iter().find(over);
-        found.map(|(resource, used, wanted, limit)| QuotaExceeded { resource, used, wanted, limit })
+        found.map(|(resource, used, wanted, limit)| QuotaExceeded {
+            resource,
+            used,
+            wanted,
+            limit,
+        })
     }
 
     /// How far ahead the end of a task is looked for: a machine that must wait
@@ -363,9 +397,15 @@
             }
             let mut free = m.unpromised(machine_types);
             let kept = |e: &Allocation| e.kept && !e.may_be_there();
-            m.allocations.values().filter(|e| kept(e)).for_each(|e| free.add(&e.resources));
-            let mut ahead: Vec<(&TaskId, &mut Allocation)> =
-                m.allocations.iter_mut().filter(|(_, e)| e.ahead.is_some()).collect();
+            m.allocations
+                .values()
+                .filter(|e| kept(e))
+                .for_each(|e| free.add(&e.resources));
+            let mut ahead: Vec<(&TaskId, &mut Allocation)> = m
+                .allocations
+                .iter_mut()
+                .filter(|(_, e)| e.ahead.is_some())
+                .collect();
             // Kept places first, the one that was asked for first in front.
             ahead.sort_by_key(|(_, e)| (!e.kept, e.attempt));
             for (task, e) in ahead {
@@ -395,7 +435,9 @@
             let mut ends = Vec::new();
             let mut ahead: Option<Urgency> = None;
             for (task, e) in &m.allocations {
-                let Some(job) = self.jobs.get(&task.job) else { continue };
+                let Some(job) = self.jobs.get(&task.job) else {
+                    continue;
+                };
                 if e.ahead.is_some() {
                     ahead = ahead.max(Some(job.spec.urgency));
                 }
@@ -410,7 +452,11 @@
                 }
             }
             if !ends.is_empty() {
-                soon.push(UpcomingExits { id: *id, ends, ahead });
+                soon.push(UpcomingExits {
+                    id: *id,
+                    ends,
+                    ahead,
+                });
             }
         }
         soon
@@ -420,7 +466,9 @@
     /// with the answer to the report that says so.
     fn fill_ahead(&mut self, now: Time, round: &mut SchedulingCycle, w: &PendingJob) {
         let (id, pressing) = (w.id, w.pressing);
-        let Some(job) = self.jobs.get(&id).filter(|j| j.waiting() > 0) else { return };
+        let Some(job) = self.jobs.get(&id).filter(|j| j.waiting() > 0) else {
+            return;
+        };
         let spec = job.spec.clone();
         let resources = resources_of(&spec);
         if round.budget == 0 || spec.one_zone || spec.spread || spec.kind != JobKind::Batch {
@@ -432,7 +480,9 @@
         };
         let mut fits: Vec<(bool, f64, usize)> = Vec::new();
         for (i, s) in soon.iter().enumerate() {
-            let Some(m) = self.machines.get(&s.id) else { continue };
+            let Some(m) = self.machines.get(&s.id) else {
+                continue;
+            };
             let Some(machine_type) = m.machine_type.and_then(|s| round.machine_types.get(s)) else {
                 continue;
             };
@@ -445,7 +495,10 @@
                 continue;
             }
             // What ends must leave room enough, whatever else comes.
-            let ends = s.ends.iter().filter(|(_, cpus)| *cpus + EPSILON >= resources.cpus);
+            let ends = s
+                .ends
+                .iter()
+                .filter(|(_, cpus)| *cpus + EPSILON >= resources.cpus);
             if let Some(left) = ends.map(|(left, _)| *left).min_by(f64::total_cmp) {
                 fits.push((!image, left, i));
             }
@@ -472,7 +525,10 @@
         ahead: Option<Time>,
     ) -> Option<TaskId> {
         let resources = self.jobs.get(&id).map(Job::resources)?;
-        let team = self.jobs.get(&id).and_then(|j| round.settings.team(&j.spec.team));
+        let team = self
+            .jobs
+            .get(&id)
+            .and_then(|j| round.settings.team(&j.spec.team));
         if team.is_some_and(|t| self.over_limit(round.team_used[t], t, &resources).is_some()) {
             return None;
         }
@@ -521,7 +577,11 @@
     /// unfinished jobs: they need not wait for other teams.
     pub(super) fn guaranteed(&self) -> BTreeSet<JobId> {
         let mut within = BTreeSet::new();
-        if self.teams.iter().all(|(cpus, _, gpus, _)| *cpus <= 0.0 && *gpus <= 0.0) {
+        if self
+            .teams
+            .iter()
+            .all(|(cpus, _, gpus, _)| *cpus <= 0.0 && *gpus <= 0.0)
+        {
             return within;
         }
         let open = |j: &Job| j.state == JobState::Open && !j.complete();
@@ -534,8 +594,12 @@
         by_age.sort();
         let mut used = vec![(0.0, 0.0); self.teams.len()];
         for (_, id) in by_age {
-            let Some(job) = self.jobs.get(&id) else { continue };
-            let Some(t) = self.team(&job.spec) else { continue };
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
+            let Some(t) = self.team(&job.spec) else {
+                continue;
+            };
             let left = f64::from(job.spec.tasks.saturating_sub(job.progress.count()));
             used[t].0 += left * job.spec.cpus;
             used[t].1 += left * job.spec.gpus;
@@ -573,7 +637,10 @@
         guaranteed: &BTreeSet<JobId>,
     ) -> Vec<PendingJob> {
         let mut order = Vec::new();
-        let bound = round.settings.aim("guarantee", "").unwrap_or(self.horizon_s());
+        let bound = round
+            .settings
+            .aim("guarantee", "")
+            .unwrap_or(self.horizon_s());
         for (id, j) in &self.jobs {
             if self.pause(now, *id, j).is_some() {
                 continue;
@@ -604,7 +671,11 @@
             };
             // Likewise what can still start within its class's aim goes before
             // what has already waited longer.
-            let late = if late { 2 } else { u8::from(wait_s.is_some_and(|w| age > w)) };
+            let late = if late {
+                2
+            } else {
+                u8::from(wait_s.is_some_and(|w| age > w))
+            };
             // Of its class's largest jobs, what might not begin within the time that the
             // protocol bears begins first, with one task: by urgency and least work
             // alone these would be last for ever. (With all of its tasks it was tried:
@@ -647,7 +718,9 @@
         pass: PlacementPass,
         most: u32,
     ) -> u32 {
-        let Some(job) = self.jobs.get(&id) else { return 0 };
+        let Some(job) = self.jobs.get(&id) else {
+            return 0;
+        };
         let spec = job.spec.clone();
         let resources = resources_of(&spec);
         // First fit: the smaller type first, so that large machines stay
@@ -674,7 +747,9 @@
             .collect();
         fits.sort_by(|(a, ka), (b, kb)| {
             let size = |i: &usize| {
-                machine_types.get(round.capacities[*i].machine_type).map_or(0.0, |s| s.cpus)
+                machine_types
+                    .get(round.capacities[*i].machine_type)
+                    .map_or(0.0, |s| s.cpus)
             };
             let doubtful = |i: &usize| round.capacities[*i].doubtful;
             let sure = doubtful(a).cmp(&doubtful(b));
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -118,7 +118,9 @@
         if self.faults.scattered {
             return self.scatter(now, round, claim);
         }
-        let Some(job) = self.jobs.get(&claim.job).filter(|j| j.waiting() > 0) else { return };
+        let Some(job) = self.jobs.get(&claim.job).filter(|j| j.waiting() > 0) else {
+            return;
+        };
         let (spec, resources, mut wanted) = (job.spec.clone(), job.resources(), job.waiting());
         let limited =
             spec.one_zone || spec.spread || self.fault_attribution.at_fault_job(claim.job);
@@ -144,7 +146,11 @@
             spot: spec.spot,
         };
         let mut places = Vec::new();
-        if !making.vain.iter().any(|(r, less)| *r == right && less.fits(&resources)) {
+        if !making
+            .vain
+            .iter()
+            .any(|(r, less)| *r == right && less.fits(&resources))
+        {
             places = self.seek(now, round, claim, &mut making, &right, &mut wanted);
             let stopping = places.iter().filter(|(_, o)| !o.victims.is_empty()).count();
             if wanted > 0 && stopping < self.places.room() && places.len() < round.budget {
@@ -153,8 +159,12 @@
         }
         round.making = Some(making);
         for (machine, offer) in places {
-            let Some(task) = self.put(now, round, machine, claim.job, Some(now)) else { break };
-            let Some(e) = self.entry(machine, task) else { continue };
+            let Some(task) = self.put(now, round, machine, claim.job, Some(now)) else {
+                break;
+            };
+            let Some(e) = self.entry(machine, task) else {
+                continue;
+            };
             e.kept = true;
             let attempt = e.attempt;
             self.places.ask(now, task, attempt, machine, &offer);
@@ -182,19 +192,29 @@
         wanted: &mut u32,
     ) -> Vec<(MachineId, Offer)> {
         let mut places = Vec::new();
-        let Some(spec) = self.jobs.get(&claim.job).map(|j| j.spec.clone()) else { return places };
+        let Some(spec) = self.jobs.get(&claim.job).map(|j| j.spec.clone()) else {
+            return places;
+        };
         let resources = resources_of(&spec);
         let (want, machine_types) = (resources.sizes(), round.machine_types);
         let above = claim.why == PreemptionReason::Guarantee || spec.urgency > self.aging.ceiling();
         let barred = self.fault_attribution.barred(now, claim.job);
         let here = |id: MachineId| {
-            let Some(m) = self.machines.get(&id) else { return false };
+            let Some(m) = self.machines.get(&id) else {
+                return false;
+            };
             let machine_type = m.machine_type.and_then(|s| machine_types.get(s));
             machine_type.is_some_and(|s| resources.fits(&s.room()) && allows(&spec, s, m))
                 && !self.kept_from(now, id, claim.job)
                 && barred.is_none_or(|on| !on.contains(id.number()))
         };
-        let PreemptionPlan { sites, victims, over, keep, .. } = making;
+        let PreemptionPlan {
+            sites,
+            victims,
+            over,
+            keep,
+            ..
+        } = making;
         // Ends that come in time are waited for; a guarantee's time is too short.
         if claim.why != PreemptionReason::Guarantee {
             *wanted -= sites.coming(want, *wanted, claim.within_s, here);
@@ -202,7 +222,9 @@
         let mut stopping = 0;
         while *wanted > 0 && stopping < self.places.room() && places.len() < round.budget {
             let may = |r: &Resident| {
-                let Some(v) = victims.get(r.who as usize) else { return false };
+                let Some(v) = victims.get(r.who as usize) else {
+                    return false;
+                };
                 if v.spared || v.rose && !above {
                     return false;
                 }
@@ -220,7 +242,9 @@
                 }
             };
             let fetch_s = |id: MachineId| {
-                let Some(m) = self.machines.get(&id) else { return 0.0 };
+                let Some(m) = self.machines.get(&id) else {
+                    return 0.0;
+                };
                 if m.images.contains(&spec.image) {
                     return 0.0;
                 }
@@ -228,9 +252,13 @@
                 spec.image_gb / machine_type.map_or(1.0, |s| s.fetch_gb_per_s).max(0.01)
                     * resources.cpus
             };
-            let Some((machine, offer)) = sites.take(want, may, here, fetch_s) else { break };
+            let Some((machine, offer)) = sites.take(want, may, here, fetch_s) else {
+                break;
+            };
             for r in &offer.victims {
-                let Some(v) = victims.get(r.who as usize) else { continue };
+                let Some(v) = victims.get(r.who as usize) else {
+                    continue;
+                };
                 keep.took(&v.party, r.size[0]);
                 if let Some(over) = v.team.and_then(|t| over.get_mut(t)) {
                     *over -= r.size[0];
@@ -263,13 +291,19 @@
                     *over += e.resources.cpus;
                 }
             }
-            let Some(s) = m.machine_type.filter(|_| self.usable(now, m)) else { continue };
-            let Some(machine_type) = round.machine_types.get(s) else { continue };
+            let Some(s) = m.machine_type.filter(|_| self.usable(now, m)) else {
+                continue;
+            };
+            let Some(machine_type) = round.machine_types.get(s) else {
+                continue;
+            };
             by_shape[s] += machine_type.cpus;
             let mut free = m.unpromised(round.machine_types);
             let (mut yields, mut ends) = (Vec::new(), Vec::new());
             for (task, e) in &m.allocations {
-                let Some(job) = self.jobs.get(&task.job) else { continue };
+                let Some(job) = self.jobs.get(&task.job) else {
+                    continue;
+                };
                 let seen = matches!(e.state, TaskState::Observed(_));
                 if e.kill.is_some() {
                     // It is on its way out, and its room is spoken for or free.
@@ -292,7 +326,12 @@
                 let who = victims.len() as u32;
                 let idle = job.spec.urgency == Urgency::BestEffort && job.spec.due_s.is_none();
                 let (size, left_s) = (e.resources.sizes(), (run_s - ran).max(0.0));
-                yields.push(Resident { task: *task, size, loss: lost_s * e.resources.cpus, who });
+                yields.push(Resident {
+                    task: *task,
+                    size,
+                    loss: lost_s * e.resources.cpus,
+                    who,
+                });
                 victims.push(VictimProfile {
                     urgency: job.spec.urgency,
                     team: e.team,
@@ -314,13 +353,26 @@
                 });
                 let foreseen = job.spec.kind == JobKind::Batch && e.started.is_some();
                 if foreseen && !e.inherited && left_s < horizon {
-                    ends.push(End { task: *task, left_s, size });
+                    ends.push(End {
+                        task: *task,
+                        left_s,
+                        size,
+                    });
                 }
             }
             ends.sort_by(|a: &End, b| a.left_s.total_cmp(&b.left_s));
-            sites.push(Site { machine: *id, free: free.sizes(), yields, ends });
+            sites.push(Site {
+                machine: *id,
+                free: free.sizes(),
+                yields,
+                ends,
+            });
         }
-        for job in self.jobs.values().filter(|j| j.state == JobState::Open && !j.complete()) {
+        for job in self
+            .jobs
+            .values()
+            .filter(|j| j.state == JobState::Open && !j.complete())
+        {
             let resources = job.resources();
             let room: f64 = round
                 .machine_types
@@ -328,7 +380,10 @@
                 .zip(&by_shape)
                 .filter(|(s, _)| resources.fits(&s.room()))
                 .filter(|(s, _)| {
-                    job.spec.machine_types.as_ref().is_none_or(|l| l.contains(&s.label))
+                    job.spec
+                        .machine_types
+                        .as_ref()
+                        .is_none_or(|l| l.contains(&s.label))
                 })
                 .map(|(_, cpus)| *cpus)
                 .sum();
@@ -336,6 +391,12 @@
             keep.fits_into(&party, room);
         }
         keep.divide();
-        PreemptionPlan { sites: Sites::new(sites), victims, over, keep, vain: Vec::new() }
+        PreemptionPlan {
+            sites: Sites::new(sites),
+            victims,
+            over,
+            keep,
+            vain: Vec::new(),
+        }
     }
 }
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -20,7 +20,12 @@
 }
 
 fn order(verb: &'static str, task: TaskId, attempt: Attempt, wind: Option<f64>) -> WorkerCommand {
-    WorkerCommand { verb, task: task.to_string(), attempt: attempt.0, grace_period_s: wind }
+    WorkerCommand {
+        verb,
+        task: task.to_string(),
+        attempt: attempt.0,
+        grace_period_s: wind,
+    }
 }
 
 /// A report that is newer than the last, and what it is worth.
@@ -48,9 +53,13 @@
         machine_types: &[MachineType],
         job_store: &JobStore,
     ) -> Vec<WorkerCommand> {
-        let Some(id) = MachineId::parse(&report.host) else { return Vec::new() };
-        let report_version =
-            ReportVersion { incarnation: report.incarnation, sequence: report.sequence };
+        let Some(id) = MachineId::parse(&report.host) else {
+            return Vec::new();
+        };
+        let report_version = ReportVersion {
+            incarnation: report.incarnation,
+            sequence: report.sequence,
+        };
         // Guard 3: what the cloud confirmed to be gone is gone, and no name is given
         // twice: this is a copy that comes late. Taken for a report it would show tasks
         // that are on no machine, keep them from their next place, and ask for more.
@@ -74,11 +83,14 @@
         }
         m.stale_token = !ours && m.last_answered.is_some_and(|at| now.since(at) > PATIENCE_S);
         m.last_answered = Some(now);
-        let newer_incarnation =
-            m.last_report.is_some_and(|l| l.incarnation < report_version.incarnation);
+        let newer_incarnation = m
+            .last_report
+            .is_some_and(|l| l.incarnation < report_version.incarnation);
         m.last_report = Some(report_version);
         // Reports that waited while we stood still tell nothing of the worker's way.
-        let away = self.back_at.is_some_and(|at| now.since(at) < PATIENCE_S * 2.5);
+        let away = self
+            .back_at
+            .is_some_and(|at| now.since(at) < PATIENCE_S * 2.5);
         let gap_s = m.last_heartbeat.map_or(0.0, |before| now.since(before));
         if m.last_heartbeat.is_some() && !newer_incarnation {
             self.report_interval.heard(gap_s);
@@ -93,11 +105,16 @@
             m.last_heartbeat = Some(now);
         }
         m.steady = away || gap_s <= silent_s;
-        m.machine_type = machine_types.iter().position(|s| s.label == report.machine_type);
+        m.machine_type = machine_types
+            .iter()
+            .position(|s| s.label == report.machine_type);
         m.zone.clone_from(&report.zone);
         m.spot = report.spot;
         m.endpoint = report.endpoint.parse().ok();
-        m.drain = self.active_directives.drain_of(id, &report.machine_type, &report.zone).cloned();
+        m.drain = self
+            .active_directives
+            .drain_of(id, &report.machine_type, &report.zone)
+            .cloned();
         if report.reclaim_in_s.is_some() != m.reclaim {
             m.reclaim = report.reclaim_in_s.is_some();
             self.replan = true;
@@ -142,13 +159,19 @@
     /// nobody tells so what has ended. (Of one that reports, the next report says the same
     /// in half a second, and is answered.)
     pub fn direct_answer(&mut self, now: Time, report: &WorkerReport, job_store: &JobStore) {
-        let Some(id) = MachineId::parse(&report.host) else { return };
-        let report_version =
-            ReportVersion { incarnation: report.incarnation, sequence: report.sequence };
+        let Some(id) = MachineId::parse(&report.host) else {
+            return;
+        };
+        let report_version = ReportVersion {
+            incarnation: report.incarnation,
+            sequence: report.sequence,
+        };
         let ours = report.fencing_token == self.token.0;
         let silent_s = self.silent_s();
         let silent = |m: &&mut Machine| m.last_heartbeat.is_none_or(|h| now.since(h) > silent_s);
-        let Some(m) = self.machines.get_mut(&id).filter(silent) else { return };
+        let Some(m) = self.machines.get_mut(&id).filter(silent) else {
+            return;
+        };
         if !ours || !self.loaded {
             return;
         }
@@ -183,7 +206,9 @@
     /// takeover that came after the cancellation.
     fn stops_at_once(&self, report: &WorkerReport, job_store: &JobStore) -> Vec<WorkerCommand> {
         let over = self.over_here(report, job_store);
-        over.into_iter().map(|(task, a)| order("kill", task, a, Some(0.0))).collect()
+        over.into_iter()
+            .map(|(task, a)| order("kill", task, a, Some(0.0)))
+            .collect()
     }
 
     /// What a worker lists as live though its job is over.
@@ -191,11 +216,20 @@
         if broken!(self.faults, late_stops) {
             return Vec::new();
         }
-        let over =
-            |task: &TaskId| job_store.get(task.job).is_some_and(|b| b.state != JobState::Open);
-        let live = report.reported_tasks.iter().filter(|p| p.status != "exited");
+        let over = |task: &TaskId| {
+            job_store
+                .get(task.job)
+                .is_some_and(|b| b.state != JobState::Open)
+        };
+        let live = report
+            .reported_tasks
+            .iter()
+            .filter(|p| p.status != "exited");
         let tasks = live.filter_map(|p| Some((TaskId::parse(&p.task)?, Attempt(p.attempt))));
-        tasks.filter(|(task, _)| over(task)).take(MAX_ORDERS).collect()
+        tasks
+            .filter(|(task, _)| over(task))
+            .take(MAX_ORDERS)
+            .collect()
     }
 
     fn take_in(
@@ -206,15 +240,24 @@
         report: &WorkerReport,
         job_store: &JobStore,
     ) {
-        let Newer { report_version, incarnation: newer_incarnation, ours, timed_out, direct } =
-            newer;
+        let Newer {
+            report_version,
+            incarnation: newer_incarnation,
+            ours,
+            timed_out,
+            direct,
+        } = newer;
         let reported_tasks: Vec<(TaskId, &ReportedTask)> = report
             .reported_tasks
             .iter()
             .filter_map(|p| Some((TaskId::parse(&p.task)?, p)))
             .collect();
         let tasks: Vec<(TaskId, Attempt, TaskState)> = match self.machines.get(&id) {
-            Some(m) => m.allocations.iter().map(|(t, e)| (*t, e.attempt, e.state)).collect(),
+            Some(m) => m
+                .allocations
+                .iter()
+                .map(|(t, e)| (*t, e.attempt, e.state))
+                .collect(),
             None => return,
         };
         // Did what went with the last answer leave a trace?
@@ -347,12 +390,21 @@
     fn orphan(&self, task: TaskId, attempt: Attempt, job_store: &JobStore) -> Orphan {
         let spec = job_store.get(task.job).and_then(|e| e.spec.as_deref());
         let resources = spec.map_or(UNKNOWN_NEED, resources_of);
-        Orphan { task, attempt, resources, team: spec.and_then(|s| self.team(s)) }
+        Orphan {
+            task,
+            attempt,
+            resources,
+            team: spec.and_then(|s| self.team(s)),
+        }
     }
 
     /// Says how many tasks were found that the books do not know.
     pub(super) fn tell_strangers(&mut self, now: Time) {
-        if self.strangers.as_ref().is_none_or(|(since, ..)| now.since(*since) < STRANGERS_S) {
+        if self
+            .strangers
+            .as_ref()
+            .is_none_or(|(since, ..)| now.since(*since) < STRANGERS_S)
+        {
             return;
         }
         if let Some((_, count, example)) = self.strangers.take() {
@@ -379,7 +431,10 @@
             machine: id.to_string(),
             why: cause.unwrap_or("unknown").chars().take(40).collect(),
         });
-        let service = self.jobs.get(&task.job).is_some_and(|j| j.spec.kind == JobKind::Standing);
+        let service = self
+            .jobs
+            .get(&task.job)
+            .is_some_and(|j| j.spec.kind == JobKind::Standing);
         match cause {
             Some("done") => {
                 self.learn_run(now, id, task);
@@ -424,9 +479,15 @@
     /// By the class alone a job whose owner guessed too low would condemn every
     /// machine it ran on.
     fn learn_run(&mut self, now: Time, id: MachineId, task: TaskId) {
-        let Some(e) = self.entry(id, task).filter(|e| !e.inherited) else { return };
-        let Some(ran) = e.started.map(|s| now.since(s) + self.report_s * 0.25) else { return };
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(e) = self.entry(id, task).filter(|e| !e.inherited) else {
+            return;
+        };
+        let Some(ran) = e.started.map(|s| now.since(s) + self.report_s * 0.25) else {
+            return;
+        };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         let expect_s = job.spec.expect_s;
         if expect_s < 1.0 || ran < self.report_s {
             return;
@@ -452,7 +513,10 @@
                 );
                 m.slow = true;
                 let why = format!("takes {:.1} times as long as others", m.speed_ratio.0);
-                self.event_log.note(|| What::SetAside { machine: id.to_string(), why });
+                self.event_log.note(|| What::SetAside {
+                    machine: id.to_string(),
+                    why,
+                });
             }
         }
     }
@@ -466,7 +530,9 @@
     /// long the task waits before its next try.
     fn failed(&mut self, now: Time, id: MachineId, job: JobId) -> f64 {
         let sound = self.jobs.get(&job).is_some_and(|j| j.progress.count() > 0);
-        let verdict = self.fault_attribution.failed(now, id, (job, sound), self.report_s);
+        let verdict = self
+            .fault_attribution
+            .failed(now, id, (job, sound), self.report_s);
         self.apply_attribution(&verdict);
         verdict.pause_s.unwrap_or(0.0)
     }
@@ -474,14 +540,21 @@
     /// Machines at fault get nothing more; those a job was blamed for in the end do.
     fn apply_attribution(&mut self, verdict: &Verdict) {
         for id in &verdict.faulty {
-            let Some(m) = self.machines.get_mut(id) else { continue };
+            let Some(m) = self.machines.get_mut(id) else {
+                continue;
+            };
             tracing::info!("{id} fails tasks that end well elsewhere and is set aside");
             m.quarantined = true;
             let why = "fails tasks that end well elsewhere".to_string();
-            self.event_log.note(|| What::SetAside { machine: id.to_string(), why });
+            self.event_log.note(|| What::SetAside {
+                machine: id.to_string(),
+                why,
+            });
         }
         for id in &verdict.cleared {
-            let Some(m) = self.machines.get_mut(id) else { continue };
+            let Some(m) = self.machines.get_mut(id) else {
+                continue;
+            };
             tracing::info!("{id} is in use again: a job was at fault");
             m.quarantined = false;
         }
@@ -501,12 +574,16 @@
         let over = self.over_here(report, job_store);
         let stop = |(task, attempt): &(TaskId, Attempt)| order("kill", *task, *attempt, Some(0.0));
         let mut commands: Vec<WorkerCommand> = over.iter().map(stop).collect();
-        let Some(m) = self.machines.get_mut(&id) else { return commands };
+        let Some(m) = self.machines.get_mut(&id) else {
+            return commands;
+        };
         if let Some(notice) = report.reclaim_in_s {
             // A task that can save does so before the machine is taken, unless
             // it will be done by then; one that cannot runs on, for luck.
             for (task, e) in m.allocations.iter_mut().filter(|(_, e)| e.kill.is_none()) {
-                let Some(job) = self.jobs.get(&task.job) else { continue };
+                let Some(job) = self.jobs.get(&task.job) else {
+                    continue;
+                };
                 let ran = e.ran_s(now);
                 if job.spec.checkpoint_s > 0.0
                     && matches!(e.state, TaskState::Observed(TaskPhase::Running))
@@ -521,12 +598,21 @@
         let orphans = m.orphans.iter().map(|o| (o.task, o.attempt));
         let orphans: Vec<_> = orphans.filter(|o| !over.contains(o)).take(room).collect();
         commands.extend(orphans.iter().map(stop));
-        for p in report.reported_tasks.iter().filter(|p| p.status == "exited") {
+        for p in report
+            .reported_tasks
+            .iter()
+            .filter(|p| p.status == "exited")
+        {
             if commands.len() >= MAX_ORDERS {
                 break;
             }
-            let Some(task) = TaskId::parse(&p.task) else { continue };
-            if self.entry(id, task).is_some_and(|e| e.attempt.0 == p.attempt) {
+            let Some(task) = TaskId::parse(&p.task) else {
+                continue;
+            };
+            if self
+                .entry(id, task)
+                .is_some_and(|e| e.attempt.0 == p.attempt)
+            {
                 continue;
             }
             if p.cause.as_deref() != Some("done") || self.keeps_result(task) {
@@ -535,7 +621,9 @@
         }
         self.stops.remove(&id);
         let may_run = self.may_run(now);
-        let Some(m) = self.machines.get_mut(&id) else { return commands };
+        let Some(m) = self.machines.get_mut(&id) else {
+            return commands;
+        };
         for (task, e) in m.allocations.iter().filter(|(_, e)| e.kill.is_some()) {
             let stops =
                 matches!(e.state, TaskState::Observed(_)) && !over.contains(&(*task, e.attempt));
@@ -548,7 +636,11 @@
         // fits by now.
         let mut free = m.free(machine_types);
         // A kept place that is not committed yet is nobody else's either.
-        for e in m.allocations.values().filter(|e| e.kept && e.state == TaskState::Planned) {
+        for e in m
+            .allocations
+            .values()
+            .filter(|e| e.kept && e.state == TaskState::Planned)
+        {
             free.sub(&e.resources);
         }
         let drained = m.drain.is_some();
@@ -566,11 +658,15 @@
             }
             // Guard 2: `run` only after the commit, only while the job is
             // open, and only in this answer, which cannot act late.
-            let open = job_store.get(task.job).is_some_and(|b| b.state == JobState::Open);
+            let open = job_store
+                .get(task.job)
+                .is_some_and(|b| b.state == JobState::Open);
             // What operators stopped does not start; `obey` takes it back.
             let stopped = drained
                 || self.jobs.get(&task.job).is_some_and(|j| {
-                    self.active_directives.freeze_of(&j.spec.team, &j.spec.class).is_some()
+                    self.active_directives
+                        .freeze_of(&j.spec.team, &j.spec.class)
+                        .is_some()
                 });
             // What was placed by limits of which it is not known that they stand waits.
             let stopped = stopped || !may_run;
@@ -600,13 +696,18 @@
         let due: Vec<MachineId> = self.stops.iter().take(MAX_STOPS).copied().collect();
         for id in due {
             self.stops.remove(&id);
-            let Some(m) = self.machines.get(&id).filter(|m| m.has_our_token) else { continue };
-            let (Some(endpoint), Some(last_report)) = (m.endpoint, m.last_report) else { continue };
+            let Some(m) = self.machines.get(&id).filter(|m| m.has_our_token) else {
+                continue;
+            };
+            let (Some(endpoint), Some(last_report)) = (m.endpoint, m.last_report) else {
+                continue;
+            };
             let stop =
                 |e: &Allocation| matches!(e.state, TaskState::Observed(_)) && e.kill.is_some();
             let kills = m.allocations.iter().filter(|(_, e)| stop(e));
-            let commands: Vec<WorkerCommand> =
-                kills.map(|(t, e)| order("kill", *t, e.attempt, e.kill)).collect();
+            let commands: Vec<WorkerCommand> = kills
+                .map(|(t, e)| order("kill", *t, e.attempt, e.kill))
+                .collect();
             if !commands.is_empty() {
                 calls.push((id, endpoint, last_report.incarnation, commands));
             }
@@ -631,11 +732,16 @@
             None => m.last_direct_response.is_some(),
         };
         let there = |m: &Machine| m.allocations.values().any(Allocation::may_be_there);
-        let machines = self.machines.iter().filter(move |(_, m)| quiet(m) && there(m));
+        let machines = self
+            .machines
+            .iter()
+            .filter(move |(_, m)| quiet(m) && there(m));
         let call = |(id, m): (&MachineId, &Machine)| {
             let stop = |(_, e): &(&TaskId, &Allocation)| e.may_be_there() && e.kill.is_some();
             let kills = m.allocations.iter().filter(stop).take(MAX_ORDERS);
-            let commands = kills.map(|(t, e)| order("kill", *t, e.attempt, e.kill)).collect();
+            let commands = kills
+                .map(|(t, e)| order("kill", *t, e.attempt, e.kill))
+                .collect();
             Some((
                 *id,
                 m.endpoint?,
@@ -649,7 +755,9 @@
     /// A result counts even if we lost track of its task, and may be cleared
     /// only once the state service knows it.
     fn keeps_result(&mut self, task: TaskId) -> bool {
-        let Some(job) = self.jobs.get(&task.job) else { return true };
+        let Some(job) = self.jobs.get(&task.job) else {
+            return true;
+        };
         if job.spec.kind != JobKind::Batch || task.index >= job.spec.tasks {
             return true;
         }
@@ -708,7 +816,8 @@
         };
         for (id, m) in &self.machines {
             if m.is_empty() {
-                if m.last_heartbeat.is_none_or(|h| now.since(h) > self.lease_s * 6.0)
+                if m.last_heartbeat
+                    .is_none_or(|h| now.since(h) > self.lease_s * 6.0)
                     && now.since(self.took) > self.lease_s * 6.0
                 {
                     over.push((*id, true));
@@ -716,7 +825,9 @@
                 continue;
             }
             // `run` never went out for these: they can go elsewhere at once.
-            if m.last_heartbeat.is_none_or(|h| now.since(h) > self.report_s * 3.0 + 2.0) {
+            if m.last_heartbeat
+                .is_none_or(|h| now.since(h) > self.report_s * 3.0 + 2.0)
+            {
                 let waiting = m.allocations.iter().filter(|(_, e)| {
                     !e.in_flight && matches!(e.state, TaskState::Planned | TaskState::Committed)
                 });
@@ -747,7 +858,10 @@
             // What went out just before and was never seen: where the report after the
             // next session comes again, nothing arrived.
             if let Some(m) = self.machines.get_mut(&id) {
-                if m.allocations.values().any(|e| matches!(e.state, TaskState::RunSent(_))) {
+                if m.allocations
+                    .values()
+                    .any(|e| matches!(e.state, TaskState::RunSent(_)))
+                {
                     m.ack_tracker.missed(now, true);
                 }
             }
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -59,7 +59,9 @@
 }
 
 fn killed(commands: &[WorkerCommand]) -> Vec<&str> {
-    let kills = commands.iter().filter(|o| o.verb == "kill" && o.grace_period_s == Some(0.0));
+    let kills = commands
+        .iter()
+        .filter(|o| o.verb == "kill" && o.grace_period_s == Some(0.0));
     kills.map(|o| o.task.as_str()).collect()
 }
 
@@ -72,12 +74,18 @@
         scheduler.loaded = loaded;
         let said = report(1, fencing_token, &["job-1/0", "job-1/2", "job-2/0"]);
         let commands = scheduler.report(at(NOW), &said, &[], &job_store);
-        assert_eq!(killed(&commands), ["job-1/0", "job-1/2"], "{loaded} {fencing_token}");
+        assert_eq!(
+            killed(&commands),
+            ["job-1/0", "job-1/2"],
+            "{loaded} {fencing_token}"
+        );
         // What is not known, or runs still, is left alone.
         assert_eq!(commands.len(), 2);
         scheduler.faults.late_stops = true;
         let said = report(2, fencing_token, &["job-1/0"]);
-        assert!(scheduler.report(at(NOW + 1.0), &said, &[], &job_store).is_empty());
+        assert!(scheduler
+            .report(at(NOW + 1.0), &said, &[], &job_store)
+            .is_empty());
     }
 }
 
@@ -90,11 +98,26 @@
         (scheduler.loaded, scheduler.faults.stuck_stop) = (true, broken);
         scheduler.report(at(NOW), &report(1, 9, &[]), &[], &job_store);
         let id = MachineId::parse("n-000001").expect("a machine");
-        let task = TaskId { job: job("job-1"), index: 0 };
-        let resources = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
+        let task = TaskId {
+            job: job("job-1"),
+            index: 0,
+        };
+        let resources = Resources {
+            cpus: 1.0,
+            gpus: 0.0,
+            memory_gb: 1.0,
+        };
         let mut entry = Allocation::planned(Attempt(3), resources, None, at(NOW), None);
-        entry.state = TaskState::RunSent(ReportVersion { incarnation: 1, sequence: 1 });
-        scheduler.machines.get_mut(&id).expect("known").allocations.insert(task, entry);
+        entry.state = TaskState::RunSent(ReportVersion {
+            incarnation: 1,
+            sequence: 1,
+        });
+        scheduler
+            .machines
+            .get_mut(&id)
+            .expect("known")
+            .allocations
+            .insert(task, entry);
         scheduler.sync_job(at(NOW), task.job, &job_store);
         let kept = |scheduler: &Scheduler| scheduler.machine(id).is_some_and(|m| !m.is_empty());
         assert!(kept(&scheduler), "it may have arrived");
@@ -109,19 +132,40 @@
 #[test]
 fn absence_is_proof_only_with_our_token_and_in_a_newer_report() {
     let id = MachineId::parse("n-000001").expect("a machine");
-    let task = TaskId { job: job("job-1"), index: 0 };
+    let task = TaskId {
+        job: job("job-1"),
+        index: 0,
+    };
     // What the report says of tenure, sequence and token; whether the task is gone.
-    let cases = [((1, 8, 4), false), ((2, 1, 4), false), ((1, 7, 9), false), ((1, 8, 9), true)];
-    for (broken, hasty, old) in [(false, false, false), (true, true, false), (true, false, true)] {
+    let cases = [
+        ((1, 8, 4), false),
+        ((2, 1, 4), false),
+        ((1, 7, 9), false),
+        ((1, 8, 9), true),
+    ];
+    for (broken, hasty, old) in [
+        (false, false, false),
+        (true, true, false),
+        (true, false, true),
+    ] {
         for ((incarnation, sequence, fencing_token), gone) in cases {
             let (job_store, mut scheduler) = cancelled("job-1");
             scheduler.loaded = true;
             (scheduler.faults.hasty_proof, scheduler.faults.old_reports) = (hasty, old);
             scheduler.report(at(NOW), &report(7, 9, &[]), &[], &job_store);
-            let resources = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
+            let resources = Resources {
+                cpus: 1.0,
+                gpus: 0.0,
+                memory_gb: 1.0,
+            };
             let mut entry = Allocation::planned(Attempt(3), resources, None, at(NOW), None);
             entry.state = TaskState::Inherited;
-            scheduler.machines.get_mut(&id).expect("known").allocations.insert(task, entry);
+            scheduler
+                .machines
+                .get_mut(&id)
+                .expect("known")
+                .allocations
+                .insert(task, entry);
             let mut said = report(sequence, fencing_token, &[]);
             said.incarnation = incarnation;
             scheduler.report(at(NOW + 1.0), &said, &[], &job_store);
@@ -142,17 +186,29 @@
 fn counts_at_their_end_and_nonsense_are_taken_for_what_they_are() {
     let (job_store, mut scheduler) = cancelled("job-1");
     scheduler.loaded = true;
-    let mut last_report =
-        report(u64::MAX, 9, &["job-1/0", "job-1/4294967295", "nonsense", "job-1/-1"]);
+    let mut last_report = report(
+        u64::MAX,
+        9,
+        &["job-1/0", "job-1/4294967295", "nonsense", "job-1/-1"],
+    );
     last_report.incarnation = u64::MAX;
-    assert_eq!(killed(&scheduler.report(at(NOW), &last_report, &[], &job_store)).len(), 2);
+    assert_eq!(
+        killed(&scheduler.report(at(NOW), &last_report, &[], &job_store)).len(),
+        2
+    );
     for (incarnation, sequence) in [(u64::MAX, u64::MAX), (u64::MAX, 0), (0, u64::MAX), (0, 0)] {
         let mut old = report(sequence, 9, &[]);
         old.incarnation = incarnation;
-        assert!(scheduler.report(at(NOW + 1.0), &old, &[], &job_store).is_empty());
+        assert!(scheduler
+            .report(at(NOW + 1.0), &old, &[], &job_store)
+            .is_empty());
     }
     let id = MachineId::parse("n-000001").expect("a machine");
-    assert_eq!(scheduler.machine(id).expect("known").orphans.len(), 2, "nothing was freed");
+    assert_eq!(
+        scheduler.machine(id).expect("known").orphans.len(),
+        2,
+        "nothing was freed"
+    );
     let mut odd = report(1, 9, &[]);
     odd.host = "nobody".into();
     assert!(scheduler.report(at(NOW), &odd, &[], &job_store).is_empty());
@@ -164,11 +220,16 @@
 #[test]
 fn the_longest_answer_fits_its_limit() {
     let task = TaskId::parse("job-123456789012345678/99999").expect("a task");
-    let commands: Vec<WorkerCommand> =
-        (0..MAX_ORDERS).map(|_| order("kill", task, Attempt(u64::MAX), Some(12.5))).collect();
+    let commands: Vec<WorkerCommand> = (0..MAX_ORDERS)
+        .map(|_| order("kill", task, Attempt(u64::MAX), Some(12.5)))
+        .collect();
     let body = wire::encode(&commands);
     let value: ciborium::Value = wire::decode(&body).expect("sound");
-    assert!(wire::json_len(&value) + 100 < wire::BODY_LIMIT, "{}", wire::json_len(&value));
+    assert!(
+        wire::json_len(&value) + 100 < wire::BODY_LIMIT,
+        "{}",
+        wire::json_len(&value)
+    );
 }
 
 fn machine() -> MachineId {
@@ -176,7 +237,11 @@
 }
 
 fn entry(state: TaskState) -> Allocation {
-    let resources = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
+    let resources = Resources {
+        cpus: 1.0,
+        gpus: 0.0,
+        memory_gb: 1.0,
+    };
     let mut entry = Allocation::planned(Attempt(3), resources, None, at(NOW), None);
     entry.state = state;
     entry
@@ -187,7 +252,9 @@
 #[test]
 fn a_first_word_of_an_earlier_term_is_no_sign_of_life() {
     let last_heartbeat = |scheduler: &Scheduler| {
-        scheduler.machine(machine()).is_some_and(|m| m.last_heartbeat.is_some())
+        scheduler
+            .machine(machine())
+            .is_some_and(|m| m.last_heartbeat.is_some())
     };
     for (loaded, broken) in [(false, false), (true, false), (true, true)] {
         let (job_store, mut scheduler) = cancelled("job-1");
@@ -198,7 +265,10 @@
         scheduler.report(at(NOW + 0.01), &report(6, 4, &[]), &[], &job_store);
         assert_eq!(last_heartbeat(&scheduler), broken);
         let m = scheduler.machine(machine()).expect("known");
-        assert!(m.last_answered.is_some(), "an answer may have renewed its lease");
+        assert!(
+            m.last_answered.is_some(),
+            "an answer may have renewed its lease"
+        );
         scheduler.report(at(NOW + 0.5), &report(7, 4, &[]), &[], &job_store);
         assert!(last_heartbeat(&scheduler), "its own next report");
         let (job_store, mut scheduler) = cancelled("job-1");
@@ -222,7 +292,10 @@
     };
     scheduler.merge(at(NOW), load, &job_store);
     assert!(scheduler.loaded);
-    let task = TaskId { job: job("job-1"), index: 0 };
+    let task = TaskId {
+        job: job("job-1"),
+        index: 0,
+    };
     let m = scheduler.machines.get_mut(&machine()).expect("known");
     m.allocations.insert(task, entry(TaskState::Inherited));
     scheduler.report(at(NOW + 0.1), &report(7, 9, &[]), &[], &job_store);
@@ -238,7 +311,10 @@
 fn a_direct_answer_of_a_silent_machine_proves_what_it_shows_and_no_more() {
     // What was in the books, what the body says of itself; whether the task is gone.
     let seen = TaskState::Observed(TaskPhase::Running);
-    let sent = TaskState::RunSent(ReportVersion { incarnation: 1, sequence: 7 });
+    let sent = TaskState::RunSent(ReportVersion {
+        incarnation: 1,
+        sequence: 7,
+    });
     let cases = [
         (seen, (1, 9, 9), true),
         (TaskState::Inherited, (1, 9, 9), true),
@@ -254,7 +330,10 @@
             let (job_store, mut scheduler) = cancelled("job-1");
             (scheduler.loaded, scheduler.faults.direct_absence) = (true, broken);
             scheduler.report(at(NOW), &report(7, 9, &[]), &[], &job_store);
-            let task = TaskId { job: job("job-1"), index: 0 };
+            let task = TaskId {
+                job: job("job-1"),
+                index: 0,
+            };
             let m = scheduler.machines.get_mut(&machine()).expect("known");
             m.allocations.insert(task, entry(state));
             let mut said = report(sequence, fencing_token, &[]);
@@ -269,14 +348,24 @@
             // Left out, it is given up, or taken for one whose `run` was lost, and goes
             // elsewhere while that may be on its way.
             let kept = !(gone || broken && state == sent);
-            assert_eq!(left == Some(state), kept, "{state:?} {incarnation} {sequence} {broken}");
-            assert_eq!(left.is_none(), gone || (broken && state == sent && incarnation == 2));
+            assert_eq!(
+                left == Some(state),
+                kept,
+                "{state:?} {incarnation} {sequence} {broken}"
+            );
+            assert_eq!(
+                left.is_none(),
+                gone || (broken && state == sent && incarnation == 2)
+            );
             assert_eq!(m.last_answered, Some(at(NOW)), "silence goes on");
             assert_eq!(m.last_heartbeat, Some(at(NOW)));
             // A report that was sent before is answered still; its list is the older one.
             if gone && incarnation == 1 {
                 let late = report(8, 9, &["job-1/0"]);
-                assert_eq!(killed(&scheduler.report(silent, &late, &[], &job_store)), ["job-1/0"]);
+                assert_eq!(
+                    killed(&scheduler.report(silent, &late, &[], &job_store)),
+                    ["job-1/0"]
+                );
                 let m = scheduler.machine(machine()).expect("known");
                 assert!(m.is_empty() && m.last_answered == Some(silent));
             }
@@ -291,16 +380,30 @@
     scheduler.loaded = true;
     scheduler.report(at(NOW), &report(7, 9, &[]), &[], &job_store);
     let silent = at(NOW + scheduler.silent_s() + 0.1);
-    assert!(scheduler.silent_with_tasks(silent).next().is_none(), "nothing is there");
-    let task = TaskId { job: job("job-1"), index: 0 };
+    assert!(
+        scheduler.silent_with_tasks(silent).next().is_none(),
+        "nothing is there"
+    );
+    let task = TaskId {
+        job: job("job-1"),
+        index: 0,
+    };
     let mut there = entry(TaskState::Observed(TaskPhase::Checkpointing));
     there.kill = Some(0.0);
     let m = scheduler.machines.get_mut(&machine()).expect("known");
     m.allocations.insert(task, there);
-    assert!(scheduler.silent_with_tasks(at(NOW + 1.0)).next().is_none(), "it reports");
+    assert!(
+        scheduler.silent_with_tasks(at(NOW + 1.0)).next().is_none(),
+        "it reports"
+    );
     let asked: Vec<_> = scheduler.silent_with_tasks(silent).collect();
-    let [(id, _, incarnation, commands)] = asked.as_slice() else { panic!("{asked:?}") };
-    assert_eq!((*id, *incarnation, killed(commands)), (machine(), 1, vec!["job-1/0"]));
+    let [(id, _, incarnation, commands)] = asked.as_slice() else {
+        panic!("{asked:?}")
+    };
+    assert_eq!(
+        (*id, *incarnation, killed(commands)),
+        (machine(), 1, vec!["job-1/0"])
+    );
 }
 
 /// A task that the books do not know counts for its team and on its machine until it is
@@ -315,19 +418,43 @@
     let machine_types = [c8()];
     let used =
         |scheduler: &Scheduler, now| scheduler.round(now, &settings, &machine_types).team_used[0].0;
-    scheduler.report(at(NOW), &report(7, 9, &["job-1/0", "job-1/2"]), &machine_types, &job_store);
+    scheduler.report(
+        at(NOW),
+        &report(7, 9, &["job-1/0", "job-1/2"]),
+        &machine_types,
+        &job_store,
+    );
     assert_eq!(used(&scheduler, at(NOW)), 2.0);
     let free = |scheduler: &Scheduler| {
-        scheduler.machine(machine()).expect("known").free(&machine_types).cpus
+        scheduler
+            .machine(machine())
+            .expect("known")
+            .free(&machine_types)
+            .cpus
     };
     assert_eq!(free(&scheduler), 6.0);
-    scheduler.report(at(NOW + 1.0), &report(8, 9, &["job-1/2"]), &machine_types, &job_store);
+    scheduler.report(
+        at(NOW + 1.0),
+        &report(8, 9, &["job-1/2"]),
+        &machine_types,
+        &job_store,
+    );
     assert_eq!((used(&scheduler, at(NOW)), free(&scheduler)), (1.0, 7.0));
     // Of a job that is done only its end is kept: the machine counts as full.
     job_store.wrote(job("job-3"), Revision(8), JobState::Done, None);
-    scheduler.report(at(NOW + 2.0), &report(9, 9, &["job-3/0"]), &machine_types, &job_store);
+    scheduler.report(
+        at(NOW + 2.0),
+        &report(9, 9, &["job-3/0"]),
+        &machine_types,
+        &job_store,
+    );
     assert!(free(&scheduler) < 0.0);
-    scheduler.report(at(NOW + 3.0), &report(10, 9, &[]), &machine_types, &job_store);
+    scheduler.report(
+        at(NOW + 3.0),
+        &report(10, 9, &[]),
+        &machine_types,
+        &job_store,
+    );
     assert_eq!((used(&scheduler, at(NOW)), free(&scheduler)), (0.0, 8.0));
 }
 
@@ -340,7 +467,10 @@
         scheduler.loaded = true;
         let mut said = report(7, 9, &["job-1/0"]);
         said.reported_tasks[0].status = status.into();
-        let task = TaskId { job: job("job-1"), index: 0 };
+        let task = TaskId {
+            job: job("job-1"),
+            index: 0,
+        };
         for (sequence, known) in [(7, false), (8, true)] {
             if known {
                 // As it was told to save, to make room, before it was cancelled.
@@ -361,11 +491,17 @@
 /// carries it, and proves what a report would; what is cancelled there is stopped.
 #[test]
 fn a_direct_answer_proves_also_what_was_inherited() {
-    for (fencing_token, listed, loaded) in
-        [(9, false, true), (9, true, true), (4, false, true), (9, false, false)]
-    {
+    for (fencing_token, listed, loaded) in [
+        (9, false, true),
+        (9, true, true),
+        (4, false, true),
+        (9, false, false),
+    ] {
         let (job_store, mut scheduler) = cancelled("job-1");
-        let task = TaskId { job: job("job-1"), index: 0 };
+        let task = TaskId {
+            job: job("job-1"),
+            index: 0,
+        };
         let mut there = entry(TaskState::Inherited);
         there.kill = Some(0.0);
         let mut m = Machine::new(at(NOW));
@@ -386,12 +522,22 @@
         );
         let asked: Vec<_> = scheduler.silent_with_tasks(at(NOW)).collect();
         assert_eq!(asked.len(), usize::from(listed));
-        assert!(asked.iter().all(|(.., commands)| killed(commands) == ["job-1/0"]));
+        assert!(asked
+            .iter()
+            .all(|(.., commands)| killed(commands) == ["job-1/0"]));
         // What an earlier session or an older message says changes nothing.
-        let left = scheduler.machine(machine()).expect("known").allocations.len();
+        let left = scheduler
+            .machine(machine())
+            .expect("known")
+            .allocations
+            .len();
         scheduler.direct_answer(at(NOW), &report(5, 9, &[]), &job_store);
         assert_eq!(
-            scheduler.machine(machine()).expect("known").allocations.len(),
+            scheduler
+                .machine(machine())
+                .expect("known")
+                .allocations
+                .len(),
             match loaded {
                 true if fencing_token == 4 => 0,
                 _ => left,
@@ -433,7 +579,10 @@
     scheduler.sync_job(at(NOW), job("job-2"), &job_store);
     scheduler.loaded = true;
     scheduler.report(at(NOW), &report(1, 9, &[]), &[], &job_store);
-    let task = TaskId { job: job("job-2"), index: 0 };
+    let task = TaskId {
+        job: job("job-2"),
+        index: 0,
+    };
     let known = scheduler.machines.get_mut(&machine()).expect("known");
     known.allocations.insert(task, entry(TaskState::Committed));
     let mut said = report(2, 9, &["job-1/0", "job-3/0"]);
@@ -441,7 +590,10 @@
     said.reported_tasks[1].cause = Some("stopped".into());
     let mut golden = crate::golden::Golden::new("tests/golden/orders.hex");
     let commands = scheduler.report(at(NOW + 1.0), &said, &[], &job_store);
-    assert_eq!(commands.iter().map(|o| o.verb).collect::<Vec<_>>(), ["kill", "clear", "run"]);
+    assert_eq!(
+        commands.iter().map(|o| o.verb).collect::<Vec<_>>(),
+        ["kill", "clear", "run"]
+    );
     for order in commands {
         golden.bytes(order.verb, &beamhinge_core::wire::encode(&order));
     }
@@ -453,7 +605,10 @@
 #[test]
 fn the_stops_of_a_large_fleets_tasks_are_remembered() {
     let (_, mut scheduler) = cancelled("job-1");
-    let task = |index: usize| TaskId { job: job("job-1"), index: index as u32 };
+    let task = |index: usize| TaskId {
+        job: job("job-1"),
+        index: index as u32,
+    };
     (0..2 * 8_192).for_each(|n| scheduler.made_room.stopped(task(n)));
     assert!((0..2 * 8_192).all(|n| !scheduler.made_room.may_stop(task(n), 1.0, 1, 60.0)));
 }
--- a/crates/controller/src/scheduler/scattered_preemption.rs
+++ b/crates/controller/src/scheduler/scattered_preemption.rs
@@ -7,7 +7,10 @@
 
 impl Scheduler {
     pub(super) fn scatter(&mut self, now: Time, round: &SchedulingCycle, claim: &PreemptionClaim) {
-        let Some(job) = self.jobs.get(&claim.job).filter(|_| claim.why == PreemptionReason::Wait)
+        let Some(job) = self
+            .jobs
+            .get(&claim.job)
+            .filter(|_| claim.why == PreemptionReason::Wait)
         else {
             return;
         };
@@ -18,7 +21,9 @@
                 continue;
             };
             for (task, e) in &m.allocations {
-                let Some(job) = self.jobs.get(&task.job) else { continue };
+                let Some(job) = self.jobs.get(&task.job) else {
+                    continue;
+                };
                 let (ran, run_s) = (e.ran_s(now), self.run_s(job));
                 if e.kill.is_some() {
                     lacking -= e.resources.cpus;
--- a/crates/controller/src/scheduler/types.rs
+++ b/crates/controller/src/scheduler/types.rs
@@ -290,7 +290,9 @@
         self.live.keys().filter(|i| !self.progress.has(**i)).count() as u32
     }
     pub(super) fn waiting(&self) -> u32 {
-        self.spec.tasks.saturating_sub(self.progress.count() + self.busy())
+        self.spec
+            .tasks
+            .saturating_sub(self.progress.count() + self.busy())
     }
     /// One entry or orphan of the task less; true when none is left.
     pub(super) fn release(&mut self, index: u32) -> bool {
@@ -333,7 +335,11 @@
 }
 
 /// What a task takes whose job has no description: a whole machine.
-pub(super) const UNKNOWN_NEED: Resources = Resources { cpus: 1e9, gpus: 0.0, memory_gb: 0.0 };
+pub(super) const UNKNOWN_NEED: Resources = Resources {
+    cpus: 1e9,
+    gpus: 0.0,
+    memory_gb: 0.0,
+};
 
 /// What all tasks of a job take together.
 pub(super) fn size_of(spec: &JobSpec) -> f64 {
@@ -341,7 +347,11 @@
 }
 
 pub fn resources_of(spec: &JobSpec) -> Resources {
-    Resources { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
+    Resources {
+        cpus: spec.cpus,
+        gpus: spec.gpus,
+        memory_gb: spec.memory_gb,
+    }
 }
 
 #[derive(Default)]
--- a/crates/controller/src/split.rs
+++ b/crates/controller/src/split.rs
@@ -51,7 +51,11 @@
 
 impl MachineType {
     pub fn room(&self) -> Resources {
-        Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
+        Resources {
+            cpus: self.cpus,
+            gpus: self.gpus,
+            memory_gb: self.memory_gb,
+        }
     }
 
     /// How many tasks of this size one machine takes at once.
@@ -77,10 +81,16 @@
     machine_types: &Option<Vec<String>>,
     zone: &Option<String>,
 ) -> u32 {
-    if machine_types.as_ref().is_some_and(|s| !s.contains(&machine_type.label)) {
+    if machine_types
+        .as_ref()
+        .is_some_and(|s| !s.contains(&machine_type.label))
+    {
         return 0;
     }
-    if zone.as_ref().is_some_and(|z| !machine_type.zones.contains(z)) {
+    if zone
+        .as_ref()
+        .is_some_and(|z| !machine_type.zones.contains(z))
+    {
         return 0;
     }
     machine_type.fit(resources)
@@ -125,7 +135,11 @@
 /// Equation (5): whole owned machines for a job, at most those idle over its
 /// window.
 pub fn owned_share(delta: f64, z: f64, d: f64, len: f64, beta0: f64, idle: f64) -> f64 {
-    owned_bar(delta, z, d, len, beta0).max(0.0).ceil().min(idle.floor()).clamp(0.0, delta.max(0.0))
+    owned_bar(delta, z, d, len, beta0)
+        .max(0.0)
+        .ceil()
+        .min(idle.floor())
+        .clamp(0.0, delta.max(0.0))
 }
 
 /// Equation (9): how many bids of one update each the slack still allows.
@@ -188,10 +202,18 @@
     let rest = (y - owned * d.max(0.0)).max(0.0);
     if rest > 0.0 && slackness(w, rest, d) < 1.0 {
         let ordinary = tail(w, rest, d, len);
-        return Parts { owned, spot: w - ordinary, ordinary };
+        return Parts {
+            owned,
+            spot: w - ordinary,
+            ordinary,
+        };
     }
     let (spot, ordinary) = proportion(w, rest, d, len, beta);
-    Parts { owned, spot, ordinary }
+    Parts {
+        owned,
+        spot,
+        ordinary,
+    }
 }
 
 // ---- the learner ----
@@ -200,7 +222,10 @@
 pub fn grid() -> Vec<(f64, f64)> {
     const BETA0: [f64; 3] = [0.25, 0.5, 0.8];
     const BETA: [f64; 4] = [0.3, 0.6, 0.85, 0.95];
-    BETA0.iter().flat_map(|b0| BETA.iter().map(move |b| (*b0, *b))).collect()
+    BETA0
+        .iter()
+        .flat_map(|b0| BETA.iter().map(move |b| (*b0, *b)))
+        .collect()
 }
 
 /// What one update showed of the market.
@@ -229,7 +254,10 @@
     if job.z <= 0.0 {
         return 0.0;
     }
-    let idle = market.iter().map(|m| m.idle_owned).fold(f64::INFINITY, f64::min);
+    let idle = market
+        .iter()
+        .map(|m| m.idle_owned)
+        .fold(f64::INFINITY, f64::min);
     let idle = if idle.is_finite() { idle } else { 0.0 };
     let owned = owned_share(job.delta, job.z, job.d, len, pair.0, idle);
     let (mut y, mut d, mut cost) = (job.z, job.d, 0.0);
@@ -270,7 +298,11 @@
     }
 
     pub fn weights(&self) -> Vec<f64> {
-        let top = self.log_weights.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+        let top = self
+            .log_weights
+            .iter()
+            .copied()
+            .fold(f64::NEG_INFINITY, f64::max);
         let raw: Vec<f64> = self.log_weights.iter().map(|l| (l - top).exp()).collect();
         let sum: f64 = raw.iter().sum();
         raw.into_iter().map(|w| w / sum).collect()
@@ -307,8 +339,14 @@
         for (pair, w) in self.pairs.iter().zip(&mut self.log_weights) {
             *w -= eta * replay(job, len, *pair, market);
         }
-        let top = self.log_weights.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-        self.log_weights.iter_mut().for_each(|w| *w = (*w - top).max(-60.0));
+        let top = self
+            .log_weights
+            .iter()
+            .copied()
+            .fold(f64::NEG_INFINITY, f64::max);
+        self.log_weights
+            .iter_mut()
+            .for_each(|w| *w = (*w - top).max(-60.0));
     }
 }
 
@@ -348,13 +386,23 @@
 ) -> Option<(usize, u32)> {
     let cost = |i: usize, s: &MachineType, fit: u32| {
         let price = if d.spot { s.low_price } else { s.rate };
-        let factor = if exclusive.get(i).copied().unwrap_or(false) { 2.0 } else { 1.0 };
+        let factor = if exclusive.get(i).copied().unwrap_or(false) {
+            2.0
+        } else {
+            1.0
+        };
         price * factor / f64::from(fit)
     };
     machine_types
         .iter()
         .enumerate()
-        .map(|(i, s)| (i, s, allowed_fit(s, &d.resources, &d.machine_types, &d.zone)))
+        .map(|(i, s)| {
+            (
+                i,
+                s,
+                allowed_fit(s, &d.resources, &d.machine_types, &d.zone),
+            )
+        })
         .filter(|(_, _, fit)| *fit > 0)
         .min_by(|(i, a, fa), (j, b, fb)| {
             let (ca, cb) = (cost(*i, a, *fa), cost(*j, b, *fb));
--- a/crates/controller/src/split/tests.rs
+++ b/crates/controller/src/split/tests.rs
@@ -71,8 +71,14 @@
         let beta = [0.0, 0.3, 0.9999, 1.0][rng.gen_range(0..4)];
         let owned = owned_share(delta, z, d, len, beta, idle);
         let p = split(delta, z, d, len, beta, owned);
-        assert!((p.owned + p.spot + p.ordinary - delta).abs() < 1e-6, "{p:?} of {delta}");
-        assert!(p.owned >= 0.0 && p.spot >= 0.0 && p.ordinary >= 0.0, "{p:?}");
+        assert!(
+            (p.owned + p.spot + p.ordinary - delta).abs() < 1e-6,
+            "{p:?} of {delta}"
+        );
+        assert!(
+            p.owned >= 0.0 && p.spot >= 0.0 && p.ordinary >= 0.0,
+            "{p:?}"
+        );
         let (a, b) = (rng.gen_range(0.0..1.0), rng.gen_range(0.0..1.0));
         let (low, high): (f64, f64) = if a < b { (a, b) } else { (b, a) };
         assert!(
@@ -86,8 +92,19 @@
 #[test]
 fn the_learner_finds_the_pair_that_fits_the_market() {
     // Spot machines are hardly ever up: pairs that trust them pay for it.
-    let market = vec![MarketSlot { price: 0.25, up: 0.2, idle_owned: 0.0 }; 12];
-    let job = Past { delta: 8.0, z: 8.0 * 20.0, d: 36.0 };
+    let market = vec![
+        MarketSlot {
+            price: 0.25,
+            up: 0.2,
+            idle_owned: 0.0
+        };
+        12
+    ];
+    let job = Past {
+        delta: 8.0,
+        z: 8.0 * 20.0,
+        d: 36.0,
+    };
     let mut learner = Learner::default();
     for t in 0..4_000 {
         learner.learn(&job, 3.0, &market, 40.0 + f64::from(t), 36.0);
@@ -95,12 +112,21 @@
     let weights = learner.weights();
     assert!((weights.iter().sum::<f64>() - 1.0).abs() < 1e-9);
     let best = weights.iter().copied().fold(0.0, f64::max);
-    let costs: Vec<f64> = grid().iter().map(|p| replay(&job, 3.0, *p, &market)).collect();
+    let costs: Vec<f64> = grid()
+        .iter()
+        .map(|p| replay(&job, 3.0, *p, &market))
+        .collect();
     let least = costs.iter().copied().fold(f64::INFINITY, f64::min);
     for (w, c) in weights.iter().zip(&costs) {
-        assert!(*w < best - 1e-9 || *c <= least + 1e-9, "the heaviest pair costs least");
+        assert!(
+            *w < best - 1e-9 || *c <= least + 1e-9,
+            "the heaviest pair costs least"
+        );
         assert!(w.is_finite() && *w >= 0.0);
     }
-    assert_eq!(learner.draw(0.0), weights.iter().position(|w| *w > 0.0).unwrap_or(99));
+    assert_eq!(
+        learner.draw(0.0),
+        weights.iter().position(|w| *w > 0.0).unwrap_or(99)
+    );
     assert!(learner.draw(0.999_999) < weights.len());
 }
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -154,9 +154,21 @@
     pub fn new(settings: &Settings) -> StoreClient<T> {
         let s = &settings.params.state;
         StoreClient {
-            requests: Bucket { rate: s.rps, level: 0.0, at: Time::default() },
-            writes: Bucket { rate: s.write_rps, level: 0.0, at: Time::default() },
-            accepts: Bucket { rate: s.write_rps, level: 0.0, at: Time::default() },
+            requests: Bucket {
+                rate: s.rps,
+                level: 0.0,
+                at: Time::default(),
+            },
+            writes: Bucket {
+                rate: s.write_rps,
+                level: 0.0,
+                at: Time::default(),
+            },
+            accepts: Bucket {
+                rate: s.write_rps,
+                level: 0.0,
+                at: Time::default(),
+            },
             full: (s.rps, s.write_rps),
             limits: Limits::of(s),
             queues: Default::default(),
@@ -210,20 +222,47 @@
         let (tag, method, path, body) = op;
         let queue = &mut self.queues[p as usize];
         if queue.len() >= QUEUE_LIMIT {
-            self.refused.push(Reply { tag, outcome: Outcome::Refused, sent: now });
+            self.refused.push(Reply {
+                tag,
+                outcome: Outcome::Refused,
+                sent: now,
+            });
             return;
         }
-        queue.push_back(Queued { tag, method, path, body, puts, timeout, since: now });
+        queue.push_back(Queued {
+            tag,
+            method,
+            path,
+            body,
+            puts,
+            timeout,
+            since: now,
+        });
     }
 
     pub fn commit(&mut self, now: Time, p: Priority, tag: T, transaction: Transaction) {
         let puts = transaction.writes();
-        self.push(now, p, (tag, Method::Post, "/commit".into(), transaction.body()), puts, 2.0);
+        self.push(
+            now,
+            p,
+            (tag, Method::Post, "/commit".into(), transaction.body()),
+            puts,
+            2.0,
+        );
     }
 
     pub fn watch(&mut self, now: Time, p: Priority, tag: T, under: &str, since: u64, wait_s: f64) {
-        let path = format!("/watch?under={under}&since={since}&waitMs={}", (wait_s * 1e3) as u64);
-        self.push(now, p, (tag, Method::Get, path, Vec::new()), 0, wait_s + 1.5);
+        let path = format!(
+            "/watch?under={under}&since={since}&waitMs={}",
+            (wait_s * 1e3) as u64
+        );
+        self.push(
+            now,
+            p,
+            (tag, Method::Get, path, Vec::new()),
+            0,
+            wait_s + 1.5,
+        );
     }
 
     pub fn scan(&mut self, now: Time, p: Priority, tag: T, under: &str, since: Option<&str>) {
@@ -240,18 +279,38 @@
         struct Hold {
             life_ms: u64,
         }
-        let body = wire::encode(&Hold { life_ms: (life_s * 1e3) as u64 });
-        self.push(now, Priority::Lease, (tag, Method::Post, "/holds".into(), body), 0, 1.5);
+        let body = wire::encode(&Hold {
+            life_ms: (life_s * 1e3) as u64,
+        });
+        self.push(
+            now,
+            Priority::Lease,
+            (tag, Method::Post, "/holds".into(), body),
+            0,
+            1.5,
+        );
     }
 
     pub fn renew(&mut self, now: Time, tag: T, lease_id: u64) {
         let path = format!("/holds/{lease_id}/renew");
-        self.push(now, Priority::Lease, (tag, Method::Post, path, Vec::new()), 0, 1.5);
+        self.push(
+            now,
+            Priority::Lease,
+            (tag, Method::Post, path, Vec::new()),
+            0,
+            1.5,
+        );
     }
 
     pub fn revoke_lease(&mut self, now: Time, tag: T, lease_id: u64) {
         let path = format!("/holds/{lease_id}");
-        self.push(now, Priority::Lease, (tag, Method::Delete, path, Vec::new()), 0, 1.5);
+        self.push(
+            now,
+            Priority::Lease,
+            (tag, Method::Delete, path, Vec::new()),
+            0,
+            1.5,
+        );
     }
 
     /// Sends what the limits allow, the important first. Each class leaves a
@@ -277,9 +336,15 @@
                 if !fits && waited <= PATIENCE_S {
                     break;
                 }
-                let Some(op) = self.queues[p].pop_front() else { break };
+                let Some(op) = self.queues[p].pop_front() else {
+                    break;
+                };
                 if !fits {
-                    self.refused.push(Reply { tag: op.tag, outcome: Outcome::Refused, sent: now });
+                    self.refused.push(Reply {
+                        tag: op.tag,
+                        outcome: Outcome::Refused,
+                        sent: now,
+                    });
                     continue;
                 }
                 self.requests.level -= 1.0;
@@ -335,7 +400,9 @@
             Some((200, body)) => Outcome::Ok(body),
             Some((404, _)) => Outcome::Missing,
             Some((409, body)) => Outcome::Conflict(
-                wire::decode::<Failed>(&body).map(|f| f.failed).unwrap_or_default(),
+                wire::decode::<Failed>(&body)
+                    .map(|f| f.failed)
+                    .unwrap_or_default(),
             ),
             Some((410, _)) => Outcome::Gone,
             Some((429, _)) => {
