--- a/crates/controller/src/store/tests.rs
+++ b/crates/controller/src/store/tests.rs
@@ -13,11 +13,18 @@
     }
     store.renew(start, 99, 7);
     store.flush(start, &mut calls, &mut out);
-    assert!(out.len() <= 10, "one second's worth at the most, not {}", out.len());
+    assert!(
+        out.len() <= 10,
+        "one second's worth at the most, not {}",
+        out.len()
+    );
     assert!(matches!(&out[0], Effect::Call { path, .. } if path == "/holds/7/renew"));
     store.flush(start.plus(2.0), &mut calls, &mut out);
     assert!(out.len() <= 20);
-    assert!(!store.drain_refused().is_empty(), "what waited too long is given back");
+    assert!(
+        !store.drain_refused().is_empty(),
+        "what waited too long is given back"
+    );
 }
 
 #[test]
@@ -32,8 +39,14 @@
     store.flush(now, &mut calls, &mut out);
     let outcome = |l: &mut StoreClient<u32>, id, r| l.on_reply(CallId(id), r).map(|r| r.outcome);
     assert!(matches!(outcome(&mut store, 1, None), Some(Outcome::Lost)));
-    assert!(matches!(outcome(&mut store, 2, Some((503, vec![]))), Some(Outcome::Refused)));
-    assert!(matches!(outcome(&mut store, 3, Some((502, vec![]))), Some(Outcome::Lost)));
+    assert!(matches!(
+        outcome(&mut store, 2, Some((503, vec![]))),
+        Some(Outcome::Refused)
+    ));
+    assert!(matches!(
+        outcome(&mut store, 3, Some((502, vec![]))),
+        Some(Outcome::Lost)
+    ));
 }
 
 /// A reply to nothing that flies, of an earlier process or come twice, says nothing:
@@ -61,17 +74,33 @@
     let mut store: StoreClient<u32> = StoreClient::new(&settings);
     let now = Time::from_micros(5_000_000);
     let mut transaction = store.transaction();
-    transaction.when("block/0", beamhinge_core::types::Revision(41)).expect("room");
+    transaction
+        .when("block/0", beamhinge_core::types::Revision(41))
+        .expect("room");
     let value = wire::to_value(&serde_json::json!({"a": 1.5}));
     transaction
-        .write("lead/now", beamhinge_core::types::Revision(0), value, Some(7))
+        .write(
+            "lead/now",
+            beamhinge_core::types::Revision(0),
+            value,
+            Some(7),
+        )
         .expect("room");
     transaction
-        .write("p/41-1", beamhinge_core::types::Revision(9), Value::Null, None)
+        .write(
+            "p/41-1",
+            beamhinge_core::types::Revision(9),
+            Value::Null,
+            None,
+        )
+        .expect("room");
+    transaction
+        .delete("p/41-2", beamhinge_core::types::Revision(10))
         .expect("room");
-    transaction.delete("p/41-2", beamhinge_core::types::Revision(10)).expect("room");
     let mut check = store.transaction();
-    check.when("block/0", beamhinge_core::types::Revision(41)).expect("room");
+    check
+        .when("block/0", beamhinge_core::types::Revision(41))
+        .expect("room");
     store.commit(now, Priority::Lease, 1, transaction);
     store.commit(now, Priority::Lease, 2, check);
     store.lease(now, 3, 5.25);
@@ -84,7 +113,14 @@
     store.flush(now, &mut calls, &mut out);
     assert_eq!(out.len(), 8);
     for call in out {
-        let Effect::Call { destination: Destination::State, method, path, body, .. } = call else {
+        let Effect::Call {
+            destination: Destination::State,
+            method,
+            path,
+            body,
+            ..
+        } = call
+        else {
             panic!("{call:?}")
         };
         golden.bytes(&format!("{} {path}", method.name()), &body);
@@ -97,22 +133,36 @@
     fn read<T: serde::de::DeserializeOwned>(body: serde_json::Value) -> T {
         wire::decode(&wire::encode(&body)).expect("an answer")
     }
-    let scan: Scan = read(serde_json::json!({"pairs": [{"path": "a/b", "value": "kept",
-        "stamp": 412, "permit": 7}], "more": true, "ledgerRev": 431}));
+    let scan: Scan = read(
+        serde_json::json!({"pairs": [{"path": "a/b", "value": "kept",
+        "stamp": 412, "permit": 7}], "more": true, "ledgerRev": 431}),
+    );
     let item = &scan.pairs[0];
-    assert_eq!((scan.rev, scan.more, item.path.as_str(), item.revision), (431, true, "a/b", 412));
+    assert_eq!(
+        (scan.rev, scan.more, item.path.as_str(), item.revision),
+        (431, true, "a/b", 412)
+    );
     assert_eq!(item.value.as_text(), Some("kept"));
     let news: News = read(serde_json::json!({"ledgerRev": 433, "news": [
         {"write": "c/9", "value": "new", "stamp": 433}, {"delete": "c/d", "stamp": 432}]}));
     let (write, delete) = (&news.news[0], &news.news[1]);
-    assert_eq!((news.rev, write.write.as_deref(), write.revision), (433, Some("c/9"), 433));
+    assert_eq!(
+        (news.rev, write.write.as_deref(), write.revision),
+        (433, Some("c/9"), 433)
+    );
     assert_eq!(write.value.as_ref().and_then(Value::as_text), Some("new"));
     assert_eq!(
         (delete.delete.as_deref(), delete.revision, &delete.write),
         (Some("c/d"), 432, &None)
     );
-    assert_eq!(read::<LeaseGrant>(serde_json::json!({"permit": 7})).lease_id, 7);
-    assert_eq!(read::<Committed>(serde_json::json!({"ledgerRev": 432})).rev, 432);
+    assert_eq!(
+        read::<LeaseGrant>(serde_json::json!({"permit": 7})).lease_id,
+        7
+    );
+    assert_eq!(
+        read::<Committed>(serde_json::json!({"ledgerRev": 432})).rev,
+        432
+    );
     let failed: Failed = read(serde_json::json!({"failed": ["a/b"], "ledgerRev": 431}));
     assert_eq!(failed.failed, ["a/b"]);
     let failed: Failed = read(serde_json::json!({"error": "no such lease"}));
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -136,8 +136,20 @@
 
 /// Whether a description makes sense at all, through whichever door it came.
 pub fn sound(s: &JobSpec) -> Result<(), &'static str> {
-    let amounts = [s.cpus, s.gpus, s.memory_gb, s.image_gb, s.expect_s, s.checkpoint_s, s.save_s];
-    if amounts.iter().chain(s.due_s.iter()).any(|a| !a.is_finite() || *a < 0.0) {
+    let amounts = [
+        s.cpus,
+        s.gpus,
+        s.memory_gb,
+        s.image_gb,
+        s.expect_s,
+        s.checkpoint_s,
+        s.save_s,
+    ];
+    if amounts
+        .iter()
+        .chain(s.due_s.iter())
+        .any(|a| !a.is_finite() || *a < 0.0)
+    {
         return Err("an amount is negative or not finite");
     }
     if s.tasks < 1 || s.tasks > MAX_TASKS {
@@ -166,12 +178,18 @@
     settings: &Settings,
     machine_types: &[MachineType],
 ) -> Verdict {
-    let Some(team) = team else { return Verdict::Never("unknown team") };
+    let Some(team) = team else {
+        return Verdict::Never("unknown team");
+    };
     if team.removed {
         return Verdict::Never("the team was removed");
     }
     let team = &team.quota;
-    let count = if spec.kind == JobKind::Standing { f64::from(spec.tasks) } else { 1.0 };
+    let count = if spec.kind == JobKind::Standing {
+        f64::from(spec.tasks)
+    } else {
+        1.0
+    };
     if (team.cpus_max > 0.0 && spec.cpus * count > team.cpus_max + split::EPSILON)
         || (team.gpus_max > 0.0 && spec.gpus * count > team.gpus_max + split::EPSILON)
     {
@@ -185,7 +203,11 @@
     if machine_types.is_empty() {
         return Verdict::Undecided;
     }
-    let resources = Resources { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb };
+    let resources = Resources {
+        cpus: spec.cpus,
+        gpus: spec.gpus,
+        memory_gb: spec.memory_gb,
+    };
     if machine_types
         .iter()
         .all(|s| split::allowed_fit(s, &resources, &spec.machine_types, &spec.zone) == 0)
@@ -288,7 +310,12 @@
             done: counts.map(|c| c.done),
             running: counts.map(|c| c.running),
         });
-        out.push(Effect::Answer { to, status, retry_after: None, body });
+        out.push(Effect::Answer {
+            to,
+            status,
+            retry_after: None,
+            body,
+        });
     }
 
     fn tell(
@@ -300,8 +327,13 @@
         own: Option<TaskCounts>,
     ) {
         let counts = match entry.state {
-            JobState::Done => TaskCounts { done: entry.tasks, running: 0 },
-            _ => own.or_else(|| self.shown.get(&id).copied()).unwrap_or_default(),
+            JobState::Done => TaskCounts {
+                done: entry.tasks,
+                running: 0,
+            },
+            _ => own
+                .or_else(|| self.shown.get(&id).copied())
+                .unwrap_or_default(),
         };
         let state = match entry.state {
             JobState::Done => DONE,
@@ -357,15 +389,26 @@
                     {
                         let body = problem("too many best-effort submissions wait");
                         let retry_after = Some(PATIENT_AFTER_S);
-                        return out.push(Effect::Answer { to, status: 503, retry_after, body });
+                        return out.push(Effect::Answer {
+                            to,
+                            status: 503,
+                            retry_after,
+                            body,
+                        });
                     }
                     None => {
                         // The more urgent first: thousands of guests' jobs must not keep
                         // out the others.
                         let before = |o: &JobId| {
-                            self.accepts.get(o).is_some_and(|a| a.spec.urgency < spec.urgency)
+                            self.accepts
+                                .get(o)
+                                .is_some_and(|a| a.spec.urgency < spec.urgency)
                         };
-                        let at = self.order.iter().position(before).unwrap_or(self.order.len());
+                        let at = self
+                            .order
+                            .iter()
+                            .position(before)
+                            .unwrap_or(self.order.len());
                         self.order.insert(at, id);
                         self.accepts.insert(
                             id,
@@ -385,7 +428,13 @@
     }
 
     fn wait(&mut self, now: Time, request: RequestId, job: JobId, ask: Ask) {
-        self.waiters.push_back(Waiter { request, job, since: now, newer_than: now, ask });
+        self.waiters.push_back(Waiter {
+            request,
+            job,
+            since: now,
+            newer_than: now,
+            ask,
+        });
     }
 
     /// Word of a peer that these jobs have ended, and that a user was told so. It changes
@@ -561,7 +610,9 @@
             }
         }
         for (id, state) in over {
-            let Some(c) = self.cancels.remove(&id) else { continue };
+            let Some(c) = self.cancels.remove(&id) else {
+                continue;
+            };
             for to in c.requests {
                 match state {
                     Some(s) => self.answer(out, to, 200, id, s, None),
@@ -570,8 +621,11 @@
             }
         }
         if self.shown.len() > MAX_SHOWN {
-            self.shown
-                .retain(|id, _| job_store.get(*id).is_some_and(|e| e.state == JobState::Open));
+            self.shown.retain(|id, _| {
+                job_store
+                    .get(*id)
+                    .is_some_and(|e| e.state == JobState::Open)
+            });
         }
     }
 
@@ -593,7 +647,11 @@
         if self.order.len() > self.accepts.len() {
             self.order.retain(|id| self.accepts.contains_key(id));
         }
-        for c in self.cancels.values_mut().filter(|c| c.in_flight && late(c.since)) {
+        for c in self
+            .cancels
+            .values_mut()
+            .filter(|c| c.in_flight && late(c.since))
+        {
             c.requests.drain(..).for_each(|to| Self::busy(out, to, why));
         }
     }
@@ -604,13 +662,19 @@
             let mut ids = Vec::new();
             // Best effort goes alone and in small steps, so that what is more urgent
             // never waits behind more than one of them.
-            let front =
-                self.order.iter().find_map(|id| self.accepts.get(id).filter(|a| !a.in_flight));
+            let front = self
+                .order
+                .iter()
+                .find_map(|id| self.accepts.get(id).filter(|a| !a.in_flight));
             let patient = front.is_some_and(|a| a.spec.urgency == Urgency::BestEffort);
             if patient && self.accepts_in_flight > 0 {
                 return;
             }
-            let most = if patient { MAX_ACCEPTS / 2 } else { MAX_ACCEPTS };
+            let most = if patient {
+                MAX_ACCEPTS / 2
+            } else {
+                MAX_ACCEPTS
+            };
             while let Some(id) = self.order.front().copied() {
                 let Some(a) = self.accepts.get_mut(&id).filter(|a| !a.in_flight) else {
                     self.order.pop_front();
@@ -631,7 +695,9 @@
                     // `judge` lets none of these through; its user is told at
                     // once, and the others go on.
                     Err(full) => {
-                        let Some(a) = self.accepts.remove(&id) else { continue };
+                        let Some(a) = self.accepts.remove(&id) else {
+                            continue;
+                        };
                         for to in a.requests {
                             Self::busy(out, to, &format!("cannot be kept: {full}"));
                         }
@@ -667,7 +733,9 @@
                     Outcome::Ok(body) => {
                         let rev = wire::decode::<Committed>(&body).map(|c| c.rev).unwrap_or(0);
                         for id in ids {
-                            let Some(a) = self.accepts.remove(&id) else { continue };
+                            let Some(a) = self.accepts.remove(&id) else {
+                                continue;
+                            };
                             if rev > 0 {
                                 job_store.wrote(id, Revision(rev), JobState::Open, Some(a.spec));
                             }
@@ -691,7 +759,9 @@
                                 }
                             }
                             // Somebody accepted it before: say what it is now.
-                            let Some(a) = self.accepts.remove(&id) else { continue };
+                            let Some(a) = self.accepts.remove(&id) else {
+                                continue;
+                            };
                             for to in a.requests {
                                 self.wait(now, to, id, Ask::Known { refuse: None });
                             }
@@ -701,7 +771,9 @@
                     // out, since creating the key is conditional.
                     _ => {
                         for id in ids {
-                            let Some(a) = self.accepts.remove(&id) else { continue };
+                            let Some(a) = self.accepts.remove(&id) else {
+                                continue;
+                            };
                             for to in a.requests {
                                 Self::busy(out, to, "the state service cannot be reached");
                             }
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -43,25 +43,54 @@
         assert!(!sound_with(field, Some(V::Bool(true))), "{field}");
         assert!(!sound_with(field, Some(V::Map(Vec::new()))), "{field}");
     }
-    let words = ["nameId", "jobClass", "owner", "jobKind", "urgency", "bundle"];
-    let amounts =
-        ["vcpus", "cards", "memoryGb", "imageGb", "expectS", "snapshotEveryS", "snapshotS"];
+    let words = [
+        "nameId", "jobClass", "owner", "jobKind", "urgency", "bundle",
+    ];
+    let amounts = [
+        "vcpus",
+        "cards",
+        "memoryGb",
+        "imageGb",
+        "expectS",
+        "snapshotEveryS",
+        "snapshotS",
+    ];
     let flags = ["oneZone", "apart", "loaners"];
-    let all = words.iter().chain(&amounts).chain(&flags).chain(&["pieces"]);
+    let all = words
+        .iter()
+        .chain(&amounts)
+        .chain(&flags)
+        .chain(&["pieces"]);
     for field in all {
         assert!(!sound_with(field, None), "{field} is missing");
         assert!(!sound_with(field, Some(V::Null)), "{field} is null");
-        assert!(!sound_with(field, Some(V::Array(vec![V::Null]))), "{field} is a list");
-        assert!(!sound_with(field, Some(V::Map(Vec::new()))), "{field} is a map");
+        assert!(
+            !sound_with(field, Some(V::Array(vec![V::Null]))),
+            "{field} is a list"
+        );
+        assert!(
+            !sound_with(field, Some(V::Map(Vec::new()))),
+            "{field} is a map"
+        );
     }
     for field in words {
-        assert!(!sound_with(field, Some(V::Integer(7.into()))), "{field} is a number");
+        assert!(
+            !sound_with(field, Some(V::Integer(7.into()))),
+            "{field} is a number"
+        );
         assert!(!sound_with(field, Some(V::Bool(true))), "{field} is a flag");
     }
     for field in ["jobKind", "urgency", "nameId"] {
         assert!(!sound_with(field, Some(text("anything"))), "{field}");
     }
-    for id in ["job-", "job-1x", "job--1", "JOB-1", "job-99999999999999999999999", "job-1/0"] {
+    for id in [
+        "job-",
+        "job-1x",
+        "job--1",
+        "JOB-1",
+        "job-99999999999999999999999",
+        "job-1/0",
+    ] {
         assert!(!sound_with("nameId", Some(text(id))), "{id}");
     }
     for field in ["owner", "jobClass"] {
@@ -73,20 +102,32 @@
         }
         assert!(!sound_with(field, Some(text("2"))), "{field} is text");
         assert!(!sound_with(field, Some(V::Bool(true))), "{field} is a flag");
-        assert!(sound_with(field, Some(V::Integer(3.into()))), "a whole amount is one");
+        assert!(
+            sound_with(field, Some(V::Integer(3.into()))),
+            "a whole amount is one"
+        );
     }
     for bad in [-1.0, 0.0, 1.5, 100_001.0, f64::NAN, f64::INFINITY, 1e300] {
-        assert!(!sound_with("pieces", Some(V::Float(bad))), "pieces is {bad}");
+        assert!(
+            !sound_with("pieces", Some(V::Float(bad))),
+            "pieces is {bad}"
+        );
     }
     for bad in [-1, 0, 100_001, i64::MAX, i64::MIN] {
-        assert!(!sound_with("pieces", Some(V::Integer(bad.into()))), "pieces is {bad}");
+        assert!(
+            !sound_with("pieces", Some(V::Integer(bad.into()))),
+            "pieces is {bad}"
+        );
     }
     for flag in flags {
         for bad in [text("true"), V::Integer(1.into()), V::Float(1.0)] {
             assert!(!sound_with(flag, Some(bad)), "{flag}");
         }
     }
-    assert!(!sound_with("shapes", Some(V::Array(vec![V::Integer(1.into())]))));
+    assert!(!sound_with(
+        "shapes",
+        Some(V::Array(vec![V::Integer(1.into())]))
+    ));
     for body in [&b""[..], b"\xff", b"\x01", b"\x80"] {
         assert!(read_submission(body, WallMs(1)).is_err());
     }
@@ -105,7 +146,12 @@
         let (_, spec) = read_submission(&wire::encode(&body), WallMs(1)).expect("sound");
         let teams = Snapshot::default().effective(&settings.params.teams);
         let team = teams.iter().find(|team| *team.name == *spec.team);
-        judge(&spec, team, &settings, if known { &machine_types } else { &[] })
+        judge(
+            &spec,
+            team,
+            &settings,
+            if known { &machine_types } else { &[] },
+        )
     };
     let never = |v: Verdict| matches!(v, Verdict::Never(_));
     assert_eq!(judged("pieces", json!(100_000), true), Verdict::Possible);
@@ -113,7 +159,10 @@
     for known in [false, true] {
         assert!(never(judged("owner", json!("nobody"), known)));
         assert!(never(judged("vcpus", json!(17.0), known)));
-        assert!(never(judged("jobKind", json!("standing"), known)), "16 of 2 CPUs at once");
+        assert!(
+            never(judged("jobKind", json!("standing"), known)),
+            "16 of 2 CPUs at once"
+        );
         let long = json!("x".repeat(60_000));
         assert!(never(judged("jobClass", long, known)));
     }
@@ -148,8 +197,11 @@
 impl Copy {
     fn new(now: Time) -> Copy {
         let settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
-        let mut copy =
-            Copy { job_store: JobStore::default(), store: StoreClient::new(&settings), calls: 0 };
+        let mut copy = Copy {
+            job_store: JobStore::default(),
+            store: StoreClient::new(&settings),
+            calls: 0,
+        };
         let sent = copy.ask(now);
         copy.take(
             now,
@@ -177,7 +229,10 @@
         call: ReplicaCall,
         body: Json,
     ) -> Freshness {
-        let reply = self.store.on_reply(id, Some((200, wire::encode(&body)))).expect("ours");
+        let reply = self
+            .store
+            .on_reply(id, Some((200, wire::encode(&body))))
+            .expect("ours");
         self.job_store.on_reply(now, call, reply)
     }
 }
@@ -204,16 +259,24 @@
     for word in [false, true] {
         let (mut copy, mut user_api, mut out) =
             (Copy::new(at(0.0)), UserApi::default(), Vec::new());
-        copy.job_store.wrote(id, Revision(4), JobState::Open, Some(Rc::new(spec.clone())));
-        let request = |generation| RequestId { slot: 0, generation };
+        copy.job_store
+            .wrote(id, Revision(4), JobState::Open, Some(Rc::new(spec.clone())));
+        let request = |generation| RequestId {
+            slot: 0,
+            generation,
+        };
         user_api.poll(at(1.0), request(1), id, &copy.job_store, &mut out);
         let sent = copy.ask(at(1.0));
         if word {
             let other = JobId::parse("job-9").expect("a job");
             user_api.heard_ended(at(1.2), [other, id].into_iter());
         }
-        let fresh =
-            copy.take(at(1.4), sent, ReplicaCall::Refresh, json!({"ledgerRev": 4, "news": []}));
+        let fresh = copy.take(
+            at(1.4),
+            sent,
+            ReplicaCall::Refresh,
+            json!({"ledgerRev": 4, "news": []}),
+        );
         user_api.on_fresh(at(1.4), fresh, &copy.job_store, &Nobody, &mut out);
         let expected: &[(u16, String)] = &[(200, "pending".into())];
         assert_eq!(told(&mut out), if word { &[] } else { expected });
@@ -249,10 +312,24 @@
     assert_eq!(user_api.take_words().len(), WORDS_KNOWN * 3);
     assert_eq!(user_api.spread.len(), WORDS_KNOWN);
     // A poll whose patience is over is told so, whatever word came.
-    user_api.poll(at(1.0), RequestId { slot: 0, generation: 1 }, id(1), &copy.job_store, &mut out);
+    user_api.poll(
+        at(1.0),
+        RequestId {
+            slot: 0,
+            generation: 1,
+        },
+        id(1),
+        &copy.job_store,
+        &mut out,
+    );
     let mut store = StoreClient::new(&Settings::parse("t", SAMPLE).expect("sound"));
     user_api.heard_ended(at(1.0 + POLL_PATIENCE_S), std::iter::once(id(1)));
-    user_api.tick(at(1.1 + POLL_PATIENCE_S), &copy.job_store, &mut store, &mut out);
+    user_api.tick(
+        at(1.1 + POLL_PATIENCE_S),
+        &copy.job_store,
+        &mut store,
+        &mut out,
+    );
     assert_eq!(told(&mut out), [(503, String::new())]);
 }
 
@@ -302,7 +379,10 @@
     body["apart"] = json!(true);
     body["loaners"] = json!(false);
     let (_, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("sound");
-    assert_eq!((spec.one_zone, spec.spread, spec.spot), (false, true, false));
+    assert_eq!(
+        (spec.one_zone, spec.spread, spec.spot),
+        (false, true, false)
+    );
 }
 
 #[test]
@@ -310,7 +390,15 @@
     let mut golden = crate::golden::Golden::new("tests/golden/answers-to-users.hex");
     let mut add = |name: &str, status, done, running| {
         let name_id = "job-000412".to_string();
-        golden.bytes(name, &wire::encode(&StatusBody { name_id, status, done, running }));
+        golden.bytes(
+            name,
+            &wire::encode(&StatusBody {
+                name_id,
+                status,
+                done,
+                running,
+            }),
+        );
     };
     add("pending", "pending", None, None);
     add("running", "running", Some(3), Some(13));
--- a/crates/controller/tests/scenarios.rs
+++ b/crates/controller/tests/scenarios.rs
@@ -23,7 +23,9 @@
 
 /// `without GUARD RULE` lines of a file.
 fn withouts(text: &str) -> Vec<(String, String)> {
-    let words = text.lines().map(|l| l.split_whitespace().collect::<Vec<_>>());
+    let words = text
+        .lines()
+        .map(|l| l.split_whitespace().collect::<Vec<_>>());
     let without = words.filter(|w| w.first() == Some(&"without"));
     let word = |w: &[&str], i: usize| w.get(i).map_or(String::new(), |w| (*w).to_string());
     without.map(|w| (word(&w, 1), word(&w, 2))).collect()
@@ -55,7 +57,10 @@
     assert!(files.len() >= 20, "the scenarios are there");
     let mut trials = Vec::new();
     for path in files {
-        let name = path.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
+        let name = path
+            .file_stem()
+            .map(|s| s.to_string_lossy().into_owned())
+            .unwrap_or_default();
         let text = Arc::new(std::fs::read_to_string(&path).expect("a scenario's text"));
         for (guard, what) in withouts(&text) {
             let text = text.clone();
--- a/crates/core/src/http.rs
+++ b/crates/core/src/http.rs
@@ -82,8 +82,16 @@
 }
 
 fn head(buf: &[u8]) -> Result<Option<Head>, HttpError> {
-    let Some(end) = buf.windows(4).take(HEAD_LIMIT).position(|w| w == b"\r\n\r\n") else {
-        return if buf.len() > HEAD_LIMIT { Err(HttpError::Malformed) } else { Ok(None) };
+    let Some(end) = buf
+        .windows(4)
+        .take(HEAD_LIMIT)
+        .position(|w| w == b"\r\n\r\n")
+    else {
+        return if buf.len() > HEAD_LIMIT {
+            Err(HttpError::Malformed)
+        } else {
+            Ok(None)
+        };
     };
     let text = std::str::from_utf8(&buf[..end]).map_err(|_| HttpError::Malformed)?;
     let mut lines = text.split("\r\n");
@@ -124,7 +132,9 @@
         } else if name.eq_ignore_ascii_case("retry-after") {
             h.retry_after = value.parse().ok();
         } else if name.eq_ignore_ascii_case("connection") {
-            h.close |= value.split(',').any(|v| v.trim().eq_ignore_ascii_case("close"));
+            h.close |= value
+                .split(',')
+                .any(|v| v.trim().eq_ignore_ascii_case("close"));
         }
     }
     if h.chunked && h.length.is_some() {
@@ -148,7 +158,11 @@
     loop {
         let rest = buf.get(at..).unwrap_or(&[]);
         let Some(line) = rest.windows(2).take(64).position(|w| w == b"\r\n") else {
-            return if rest.len() > 64 { Err(HttpError::Malformed) } else { Ok(None) };
+            return if rest.len() > 64 {
+                Err(HttpError::Malformed)
+            } else {
+                Ok(None)
+            };
         };
         let text = std::str::from_utf8(&rest[..line]).map_err(|_| HttpError::Malformed)?;
         let text = text.split(';').next().unwrap_or("").trim();
@@ -157,7 +171,9 @@
             return Err(HttpError::TooLarge);
         }
         let start = line + 2;
-        let Some(chunk) = rest.get(start..start + n + 2) else { return Ok(None) };
+        let Some(chunk) = rest.get(start..start + n + 2) else {
+            return Ok(None);
+        };
         if &chunk[n..] != b"\r\n" {
             return Err(HttpError::Malformed);
         }
@@ -171,7 +187,9 @@
 
 /// Takes one whole request off the front of `buf`.
 pub fn take_request(buf: &mut Vec<u8>, limit: usize) -> Result<Option<Request>, HttpError> {
-    let Some(mut h) = head(buf)? else { return Ok(None) };
+    let Some(mut h) = head(buf)? else {
+        return Ok(None);
+    };
     let authorization = h.authorization.take();
     let mut words = h.first.split(' ');
     let (Some(method), Some(path), Some(version), None) =
@@ -193,9 +211,17 @@
     };
     let path = path.to_string();
     let close = h.close || version == "HTTP/1.0";
-    let Some((body, end)) = body(buf, &h, limit)? else { return Ok(None) };
+    let Some((body, end)) = body(buf, &h, limit)? else {
+        return Ok(None);
+    };
     buf.drain(..end);
-    Ok(Some(Request { method, path, body, close, authorization }))
+    Ok(Some(Request {
+        method,
+        path,
+        body,
+        close,
+        authorization,
+    }))
 }
 
 /// Takes one whole response off the front of `buf`.
@@ -211,10 +237,17 @@
     if !version.starts_with("HTTP/1.") || status < 200 {
         return Err(HttpError::Malformed);
     }
-    let Some((body, end)) = body(buf, &h, limit)? else { return Ok(None) };
+    let Some((body, end)) = body(buf, &h, limit)? else {
+        return Ok(None);
+    };
     buf.drain(..end);
     let close = h.close || version == "HTTP/1.0";
-    Ok(Some(Response { status, body, close, retry_after: h.retry_after }))
+    Ok(Some(Response {
+        status,
+        body,
+        close,
+        retry_after: h.retry_after,
+    }))
 }
 
 /// What stands above a request's body.
--- a/crates/core/src/http/tests.rs
+++ b/crates/core/src/http/tests.rs
@@ -3,7 +3,13 @@
 
 fn head(method: Method, path: &str) -> RequestHead<'_> {
     let content = Content::Cbor;
-    RequestHead { method, path, host: "h", content, authorization: None }
+    RequestHead {
+        method,
+        path,
+        host: "h",
+        content,
+        authorization: None,
+    }
 }
 
 #[test]
@@ -26,7 +32,10 @@
 #[test]
 fn limits_and_malformed_messages_are_told_apart() {
     let case = |s: &str| take_request(&mut s.as_bytes().to_vec(), 10);
-    assert_eq!(case("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n"), Err(HttpError::TooLarge));
+    assert_eq!(
+        case("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n"),
+        Err(HttpError::TooLarge)
+    );
     for bad in [
         "GET /\r\n\r\n",
         "GET x HTTP/1.1\r\n\r\n",
@@ -53,7 +62,11 @@
 fn no_message_ends_the_process() {
     let mut rng = StdRng::seed_from_u64(11);
     let mut good = Vec::new();
-    write_request(&mut good, &head(Method::Get, "/api/jobs/job-1"), b"0123456789");
+    write_request(
+        &mut good,
+        &head(Method::Get, "/api/jobs/job-1"),
+        b"0123456789",
+    );
     good.extend_from_slice(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
     );
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -44,10 +44,7 @@
         body: Vec<u8>,
     },
     /// To every peer, or to the one of this label.
-    SendFrame {
-        to: Option<String>,
-        frame: Vec<u8>,
-    },
+    SendFrame { to: Option<String>, frame: Vec<u8> },
 }
 
 /// How far a job is, for display.
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -27,14 +27,29 @@
     Holds { label: String, token: u64 },
     /// With each pulse: whether it could take over at once, and whether
     /// operators have drained it.
-    Ready { label: String, ready: bool, drained: bool },
+    Ready {
+        label: String,
+        ready: bool,
+        drained: bool,
+    },
     /// A question to the holder, in a form that this layer does not read.
-    Ask { from: String, serial: u64, query: Vec<u8> },
+    Ask {
+        from: String,
+        serial: u64,
+        query: Vec<u8>,
+    },
     /// The holder's answer: a status as of HTTP, and JSON.
-    Told { serial: u64, status: u16, body: Vec<u8> },
+    Told {
+        serial: u64,
+        status: u16,
+        body: Vec<u8>,
+    },
     /// To the holder: machines that reported here lately, since it does not
     /// answer them or they do not know it. Sent only while there are such.
-    Hears { label: String, machines: Vec<String> },
+    Hears {
+        label: String,
+        machines: Vec<String>,
+    },
     /// From a holder that commits nothing though there is work: whoever takes
     /// over is to begin with small steps.
     Stuck { label: String },
@@ -65,8 +80,9 @@
 
     /// Jobs whose end a user was told: as many frames as their names need.
     pub fn ended(jobs: &[JobId]) -> Vec<Frame> {
-        let frame =
-            |part: &[JobId]| Frame::Ended { jobs: part.iter().map(JobId::to_string).collect() };
+        let frame = |part: &[JobId]| Frame::Ended {
+            jobs: part.iter().map(JobId::to_string).collect(),
+        };
         jobs.chunks(Frame::MAX_NAMES).map(frame).collect()
     }
 
@@ -109,7 +125,9 @@
     if len > FRAME_LIMIT {
         return Err(InvalidFrame);
     }
-    let Some(body) = buf.get(4..4 + len) else { return Ok(None) };
+    let Some(body) = buf.get(4..4 + len) else {
+        return Ok(None);
+    };
     let frame = postcard::from_bytes(body).map_err(|_| InvalidFrame)?;
     buf.drain(..4 + len);
     Ok(Some(frame))
--- a/crates/core/src/peers/tests.rs
+++ b/crates/core/src/peers/tests.rs
@@ -6,9 +6,14 @@
 fn the_longest_lists_fit_a_frame() {
     let long = "n-123456789012345678".to_string();
     let machines = vec![long.clone(); Frame::MAX_NAMES];
-    let hears = Frame::Hears { label: "x".repeat(200), machines };
+    let hears = Frame::Hears {
+        label: "x".repeat(200),
+        machines,
+    };
     let rows = vec![("job-123456789012345678".to_string(), u32::MAX, u32::MAX); Frame::MAX_ROWS];
-    let ended = Frame::Ended { jobs: vec!["job-123456789012345678".into(); Frame::MAX_NAMES] };
+    let ended = Frame::Ended {
+        jobs: vec!["job-123456789012345678".into(); Frame::MAX_NAMES],
+    };
     for frame in [hears, ended, Frame::Progress(rows)] {
         let mut bytes = encode(&frame);
         assert!(bytes.len() <= FRAME_LIMIT, "{}", bytes.len());
@@ -30,11 +35,15 @@
 }
 
 fn machines(count: u32) -> Vec<MachineId> {
-    (0..count).map(|n| MachineId::parse(&format!("n-{n:06}")).expect("a name")).collect()
+    (0..count)
+        .map(|n| MachineId::parse(&format!("n-{n:06}")).expect("a name"))
+        .collect()
 }
 
 fn jobs(count: u32) -> Vec<JobId> {
-    (0..count).map(|n| JobId::parse(&format!("job-{n}")).expect("an id")).collect()
+    (0..count)
+        .map(|n| JobId::parse(&format!("job-{n}")).expect("an id"))
+        .collect()
 }
 
 /// 4,000 machines were cut off without a word: all names go out, in frames of which each
@@ -46,7 +55,9 @@
         let mut heard = Vec::new();
         for frame in Frame::hears("a", &all) {
             assert!(encode(&frame).len() <= FRAME_LIMIT);
-            let Frame::Hears { label, machines } = frame else { panic!("another frame") };
+            let Frame::Hears { label, machines } = frame else {
+                panic!("another frame")
+            };
             assert!(label == "a" && !machines.is_empty());
             heard.extend(machines.iter().filter_map(|m| MachineId::parse(m)));
         }
@@ -54,7 +65,9 @@
         let mut over = Vec::new();
         for frame in Frame::ended(&ended) {
             assert!(encode(&frame).len() <= FRAME_LIMIT);
-            let Frame::Ended { jobs } = frame else { panic!("another frame") };
+            let Frame::Ended { jobs } = frame else {
+                panic!("another frame")
+            };
             over.extend(jobs.iter().filter_map(|j| JobId::parse(j)));
         }
         assert_eq!(over, ended);
@@ -66,7 +79,10 @@
 #[test]
 fn a_list_that_fits_is_one_frame_of_the_same_bytes() {
     let names: Vec<String> = machines(3).iter().map(MachineId::to_string).collect();
-    let before = encode(&Frame::Hears { label: "a".into(), machines: names });
+    let before = encode(&Frame::Hears {
+        label: "a".into(),
+        machines: names,
+    });
     let now: Vec<_> = Frame::hears("a", &machines(3)).iter().map(encode).collect();
     assert_eq!(now, [before]);
     let rows = vec![("job-1".to_string(), 2, 3)];
@@ -79,12 +95,23 @@
 
 #[test]
 fn a_list_of_progress_ends_with_a_frame_that_is_not_full() {
-    for count in [0, 1, Frame::MAX_ROWS - 1, Frame::MAX_ROWS, Frame::MAX_ROWS + 1, 9_000] {
-        let rows: Vec<_> = (0..count as u32).map(|n| (format!("job-{n}"), n, 1)).collect();
+    for count in [
+        0,
+        1,
+        Frame::MAX_ROWS - 1,
+        Frame::MAX_ROWS,
+        Frame::MAX_ROWS + 1,
+        9_000,
+    ] {
+        let rows: Vec<_> = (0..count as u32)
+            .map(|n| (format!("job-{n}"), n, 1))
+            .collect();
         let frames = Frame::progress(rows.clone());
         let mut got = Vec::new();
         for (i, frame) in frames.iter().enumerate() {
-            let Frame::Progress(part) = frame else { panic!("another frame") };
+            let Frame::Progress(part) = frame else {
+                panic!("another frame")
+            };
             assert_eq!(part.len() < Frame::MAX_ROWS, i + 1 == frames.len());
             got.extend(part.iter().cloned());
         }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -20,7 +20,10 @@
 }
 
 fn bad(field: &str, problem: impl Into<String>) -> SettingsError {
-    SettingsError::Value { field: field.into(), problem: problem.into() }
+    SettingsError::Value {
+        field: field.into(),
+        problem: problem.into(),
+    }
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -189,7 +192,14 @@
 
 impl AdminListener {
     fn new(listen: SocketAddrV4) -> AdminListener {
-        AdminListener { listen, keys: None, connections: 16, waiting: 64, rps: 50.0, clock_s: 30.0 }
+        AdminListener {
+            listen,
+            keys: None,
+            connections: 16,
+            waiting: 64,
+            rps: 50.0,
+            clock_s: 30.0,
+        }
     }
 }
 
@@ -232,7 +242,10 @@
             ("params.state.write_rps", p.state.write_rps),
             ("params.state.value_kb", p.state.value_kb),
             ("params.cloud.rps", p.cloud.rps),
-            ("params.machine_limits.cpu_share", p.machine_limits.cpu_share),
+            (
+                "params.machine_limits.cpu_share",
+                p.machine_limits.cpu_share,
+            ),
             ("params.machine_limits.ram_mb", p.machine_limits.ram_mb),
         ];
         for (field, value) in positive {
@@ -283,7 +296,10 @@
             }
         }
         if self.members.iter().any(|m| m.label == self.label) {
-            return Err(bad("members", format!("names this controller itself, {}", self.label)));
+            return Err(bad(
+                "members",
+                format!("names this controller itself, {}", self.label),
+            ));
         }
         Ok(())
     }
@@ -409,7 +425,10 @@
         if listens && listener.keys.is_none() && !listener.listen.ip().is_loopback() {
             return Err(bad(
                 "[operators] listen",
-                format!("{} is not on loopback: set `keys` to a key file first", listener.listen),
+                format!(
+                    "{} is not on loopback: set `keys` to a key file first",
+                    listener.listen
+                ),
             ));
         }
         op.listener = listens.then_some(listener);
--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -23,7 +23,10 @@
     let kept = parse("[operators]\nlisten = 0.0.0.0:7900\nkeys = k.ini\n");
     assert!(kept.is_ok_and(|d| d.is_some()));
     let local = parse("[operators]\nlisten = 127.0.0.1:7900\nrps = 5\n");
-    assert_eq!(local.ok().flatten().map(|d| (d.rps, d.connections)), Some((5.0, 16)));
+    assert_eq!(
+        local.ok().flatten().map(|d| (d.rps, d.connections)),
+        Some((5.0, 16))
+    );
     assert_eq!(parse("[operators]\nrps = 5\n").ok().flatten(), None);
 }
 
@@ -32,11 +35,25 @@
     assert!(!Operator::default().aging.on);
     let text = "[ageing]\non = yes\nshare = 0.1\nceiling = standard\n";
     let aging = Operator::parse("t", text).map(|o| o.aging).expect("sound");
-    assert_eq!((aging.on, aging.share, aging.ceiling), (true, 0.1, Urgency::Standard));
+    assert_eq!(
+        (aging.on, aging.share, aging.ceiling),
+        (true, 0.1, Urgency::Standard)
+    );
     let shipped = include_str!("../../../../deploy/ageing.ini");
     let shipped = Operator::parse("ageing.ini", shipped).map(|o| o.aging);
-    assert_eq!(shipped.ok(), Some(PriorityAging { on: true, ..PriorityAging::default() }));
-    for wrong in ["on = maybe", "share = 0", "ceiling = best_effort", "stops = -1"] {
+    assert_eq!(
+        shipped.ok(),
+        Some(PriorityAging {
+            on: true,
+            ..PriorityAging::default()
+        })
+    );
+    for wrong in [
+        "on = maybe",
+        "share = 0",
+        "ceiling = best_effort",
+        "stops = -1",
+    ] {
         let err = Operator::parse("t", &format!("[ageing]\n{wrong}\n"));
         assert!(err.expect_err(wrong).to_string().contains("[ageing]"));
     }
@@ -44,8 +61,17 @@
 
 #[test]
 fn the_operators_file_is_refused_with_section_and_key() {
-    assert_eq!(Operator::parse("t", "[fleet]\nidle_s = 5\n").map(|o| o.idle_s).ok(), Some(5.0));
-    for text in ["[fleet]\nidle_s = -1\n", "[fleet]\nidle_s = soon\n", "[fleet]\nidel_s = 3\n"] {
+    assert_eq!(
+        Operator::parse("t", "[fleet]\nidle_s = 5\n")
+            .map(|o| o.idle_s)
+            .ok(),
+        Some(5.0)
+    );
+    for text in [
+        "[fleet]\nidle_s = -1\n",
+        "[fleet]\nidle_s = soon\n",
+        "[fleet]\nidel_s = 3\n",
+    ] {
         let err = Operator::parse("t", text).expect_err(text).to_string();
         assert!(err.contains("[fleet] id"), "{err}");
     }
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -100,14 +100,24 @@
     }
     /// The name that follows, of the same length.
     pub fn next(self) -> MachineId {
-        MachineId { number: self.number + 1, width: self.width }
+        MachineId {
+            number: self.number + 1,
+            width: self.width,
+        }
     }
     /// All names from this one to `last`; bounded, and none when they differ in
     /// length.
     pub fn row_to(self, last: MachineId) -> impl Iterator<Item = MachineId> {
-        let to = if self.width == last.width { last.number + 1 } else { 0 };
+        let to = if self.width == last.width {
+            last.number + 1
+        } else {
+            0
+        };
         let to = to.min(self.number.saturating_add(MAX_IN_A_ROW));
-        (self.number..to).map(move |number| MachineId { number, width: self.width })
+        (self.number..to).map(move |number| MachineId {
+            number,
+            width: self.width,
+        })
     }
 }
 
@@ -128,7 +138,10 @@
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.split_once('/')?;
         let (index, _) = digits(index)?;
-        Some(TaskId { job: JobId::parse(job)?, index: u32::try_from(index).ok()? })
+        Some(TaskId {
+            job: JobId::parse(job)?,
+            index: u32::try_from(index).ok()?,
+        })
     }
 }
 
--- a/crates/core/src/types/tests.rs
+++ b/crates/core/src/types/tests.rs
@@ -5,7 +5,14 @@
     let id = JobId::parse("job-000412").map(|i| i.to_string());
     assert_eq!(id.as_deref(), Some("job-000412"));
     assert_ne!(JobId::parse("job-412"), JobId::parse("job-000412"));
-    for bad in ["job-", "job-1a", "jobs-1", "", "job--1", "job-0123456789012345678"] {
+    for bad in [
+        "job-",
+        "job-1a",
+        "jobs-1",
+        "",
+        "job--1",
+        "job-0123456789012345678",
+    ] {
         assert_eq!(JobId::parse(bad), None, "{bad}");
     }
     let task = TaskId::parse("job-000412/3").map(|t| t.to_string());
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -65,7 +65,10 @@
         Value::Text(t) => serde_json::to_string(t).map_or(t.len() + 2, |s| s.len()),
         Value::Array(items) => 2 + items.iter().map(|v| json_len(v) + 1).sum::<usize>(),
         Value::Map(pairs) => {
-            2 + pairs.iter().map(|(k, v)| json_len(k) + json_len(v) + 2).sum::<usize>()
+            2 + pairs
+                .iter()
+                .map(|(k, v)| json_len(k) + json_len(v) + 2)
+                .sum::<usize>()
         }
         Value::Bytes(b) => b.len() * 2 + 2,
         _ => 8,
--- a/crates/core/src/wire/tests.rs
+++ b/crates/core/src/wire/tests.rs
@@ -3,7 +3,10 @@
 
 #[test]
 fn sizes_are_those_of_the_json_form() {
-    let value = Value::Map(vec![(Value::Text("a".into()), Value::Integer((-120).into()))]);
+    let value = Value::Map(vec![(
+        Value::Text("a".into()),
+        Value::Integer((-120).into()),
+    )]);
     assert!(json_len(&value) >= r#"{"a":-120}"#.len());
     assert!(json_len(&Value::Bytes(vec![0; 100])) >= 100);
 }
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -104,7 +104,10 @@
 fn records_of_earlier_forms_are_read() {
     let done: Record =
         wire::decode(&wire::encode(&json!({"v": 1, "st": "done", "n": 16}))).expect("a record");
-    assert_eq!((done.st, done.n, done.summary), (JobState::Done, Some(16), None));
+    assert_eq!(
+        (done.st, done.n, done.summary),
+        (JobState::Done, Some(16), None)
+    );
     let cancelled = json!({"v": 1, "st": "cancelled", "spec": {"c": "c", "o": "o", "k": "standing",
         "u": "best_effort", "n": 2, "cpu": 1.0, "gpu": 0.0, "mem": 2.0, "img": "i", "igb": 0.0,
         "sh": null, "z": null, "oz": false, "ap": true, "sp": false, "ex": 0.0, "ce": 0.0, "cs": 0.0,
@@ -112,8 +115,14 @@
     let cancelled: Record = wire::decode(&wire::encode(&cancelled)).expect("a record");
     assert_eq!(cancelled.st, JobState::Cancelled);
     let spec = cancelled.spec.expect("a description");
-    assert_eq!((spec.kind, spec.urgency), (JobKind::Standing, Urgency::BestEffort));
-    assert_eq!((spec.machine_types, spec.zone, spec.due_s, spec.command), (None, None, None, None));
+    assert_eq!(
+        (spec.kind, spec.urgency),
+        (JobKind::Standing, Urgency::BestEffort)
+    );
+    assert_eq!(
+        (spec.machine_types, spec.zone, spec.due_s, spec.command),
+        (None, None, None, None)
+    );
 }
 
 #[test]
@@ -121,16 +130,71 @@
     let mut golden = Golden::new("tests/golden/peer-frames.hex");
     let label = || "north-1".to_string();
     let frames = [
-        ("pulse", Frame::Pulse { label: label(), store_age_ms: 300, leader: true }),
-        ("progress", Frame::Progress(vec![("job-000412".into(), 3, 13), ("job-7".into(), 1, 300)])),
-        ("holds", Frame::Holds { label: label(), token: 70_000 }),
-        ("ready", Frame::Ready { label: label(), ready: true, drained: false }),
-        ("ready drained", Frame::Ready { label: label(), ready: false, drained: true }),
-        ("ask", Frame::Ask { from: "south-2".into(), serial: 515, query: vec![1, 2, 250] }),
-        ("told", Frame::Told { serial: 515, status: 404, body: b"{\"a\":1}".to_vec() }),
-        ("hears", Frame::Hears { label: label(), machines: vec!["n-000231".into(), "n-9".into()] }),
+        (
+            "pulse",
+            Frame::Pulse {
+                label: label(),
+                store_age_ms: 300,
+                leader: true,
+            },
+        ),
+        (
+            "progress",
+            Frame::Progress(vec![("job-000412".into(), 3, 13), ("job-7".into(), 1, 300)]),
+        ),
+        (
+            "holds",
+            Frame::Holds {
+                label: label(),
+                token: 70_000,
+            },
+        ),
+        (
+            "ready",
+            Frame::Ready {
+                label: label(),
+                ready: true,
+                drained: false,
+            },
+        ),
+        (
+            "ready drained",
+            Frame::Ready {
+                label: label(),
+                ready: false,
+                drained: true,
+            },
+        ),
+        (
+            "ask",
+            Frame::Ask {
+                from: "south-2".into(),
+                serial: 515,
+                query: vec![1, 2, 250],
+            },
+        ),
+        (
+            "told",
+            Frame::Told {
+                serial: 515,
+                status: 404,
+                body: b"{\"a\":1}".to_vec(),
+            },
+        ),
+        (
+            "hears",
+            Frame::Hears {
+                label: label(),
+                machines: vec!["n-000231".into(), "n-9".into()],
+            },
+        ),
         ("stuck", Frame::Stuck { label: label() }),
-        ("ended", Frame::Ended { jobs: vec!["job-000412".into(), "job-7".into()] }),
+        (
+            "ended",
+            Frame::Ended {
+                jobs: vec!["job-000412".into(), "job-7".into()],
+            },
+        ),
     ];
     for (name, frame) in frames {
         let bytes = encode(&frame);
@@ -151,18 +215,29 @@
 fn heads_of_requests_and_answers_keep_their_form() {
     let mut golden = Golden::new("tests/golden/http.txt");
     let mut line = |name: &str, bytes: &[u8]| {
-        golden.text(name, &String::from_utf8_lossy(bytes).replace("\r\n", "\\r\\n"));
+        golden.text(
+            name,
+            &String::from_utf8_lossy(bytes).replace("\r\n", "\\r\\n"),
+        );
     };
     let contents = [Content::Cbor, Content::Json, Content::Text];
     let methods = [Method::Get, Method::Post, Method::Delete];
     for (method, content) in methods.into_iter().zip(contents) {
         let authorization = (method == Method::Post).then_some("BH1 key=alice");
-        let head = RequestHead { method, path: "/up?a=b", host: "a:1", content, authorization };
+        let head = RequestHead {
+            method,
+            path: "/up?a=b",
+            host: "a:1",
+            content,
+            authorization,
+        };
         let mut out = Vec::new();
         write_request(&mut out, &head, b"body");
         line("request", &out);
     }
-    for status in [200, 201, 202, 400, 401, 403, 404, 405, 409, 413, 421, 422, 429, 503, 599] {
+    for status in [
+        200, 201, 202, 400, 401, 403, 404, 405, 409, 413, 421, 422, 429, 503, 599,
+    ] {
         let mut out = Vec::new();
         write_response(&mut out, status, None, false, Content::Cbor, b"");
         line("answer", &out);
@@ -176,19 +251,39 @@
 /// Every field of the platform's file, under its name there.
 fn settings_lines(s: &Settings) -> String {
     let p = &s.params;
-    let members: Vec<_> =
-        s.members.iter().map(|m| json!([m.label, m.area, m.addr.to_string()])).collect();
-    let teams: Vec<_> =
-        p.teams.iter().map(|t| json!([t.name, t.cpus, t.cpus_max, t.gpus, t.gpus_max])).collect();
-    let objectives: Vec<_> =
-        p.objectives.iter().map(|o| json!([o.kind, o.class, o.within_s, o.share])).collect();
+    let members: Vec<_> = s
+        .members
+        .iter()
+        .map(|m| json!([m.label, m.area, m.addr.to_string()]))
+        .collect();
+    let teams: Vec<_> = p
+        .teams
+        .iter()
+        .map(|t| json!([t.name, t.cpus, t.cpus_max, t.gpus, t.gpus_max]))
+        .collect();
+    let objectives: Vec<_> = p
+        .objectives
+        .iter()
+        .map(|o| json!([o.kind, o.class, o.within_s, o.share]))
+        .collect();
     let (w, l) = (&p.workers, &p.machine_limits);
     json!([
-        [s.label, s.area, s.public_addr.to_string(), s.peer_bind.to_string(), members],
+        [
+            s.label,
+            s.area,
+            s.public_addr.to_string(),
+            s.peer_bind.to_string(),
+            members
+        ],
         [s.external.cloud.to_string(), s.external.state.to_string()],
         [p.zones, p.skew_ms, teams, objectives],
         [w.report_s, w.lease_s, w.cancel_s],
-        [p.state.rps, p.state.write_rps, p.state.value_kb, p.state.txn_ops],
+        [
+            p.state.rps,
+            p.state.write_rps,
+            p.state.value_kb,
+            p.state.txn_ops
+        ],
         [p.cloud.rps, p.cloud.list_lag_s],
         [l.cpu_share, l.ram_mb, l.max_connections]
     ])
@@ -216,12 +311,34 @@
 fn operator_lines(o: &Operator) -> String {
     let listener = o.listener.as_ref().map(|d| {
         let keys = d.keys.as_ref().map(|k| k.display().to_string());
-        json!([d.listen.to_string(), keys, d.connections, d.waiting, d.rps, d.clock_s])
+        json!([
+            d.listen.to_string(),
+            keys,
+            d.connections,
+            d.waiting,
+            d.rps,
+            d.clock_s
+        ])
     });
     let a = &o.aging;
     json!([
-        [o.idle_s, o.update_s, o.seed, o.block_lease_s, o.configuration, listener],
-        [a.on, a.best_effort_s, a.standard_s, a.ceiling, a.share, a.stops, a.spared_s]
+        [
+            o.idle_s,
+            o.update_s,
+            o.seed,
+            o.block_lease_s,
+            o.configuration,
+            listener
+        ],
+        [
+            a.on,
+            a.best_effort_s,
+            a.standard_s,
+            a.ceiling,
+            a.share,
+            a.stops,
+            a.spared_s
+        ]
     ])
     .to_string()
 }
@@ -243,13 +360,26 @@
         ("no file", ""),
         ("all keys", FULL_OPERATOR),
         ("ageing.ini", include_str!("../../../deploy/ageing.ini")),
-        ("configuration.ini", include_str!("../../../deploy/configuration.ini")),
-        ("operators.ini", include_str!("../../../deploy/operators.ini")),
+        (
+            "configuration.ini",
+            include_str!("../../../deploy/configuration.ini"),
+        ),
+        (
+            "operators.ini",
+            include_str!("../../../deploy/operators.ini"),
+        ),
     ] {
-        golden.text(name, &operator_lines(&Operator::parse(name, text).expect(name)));
+        golden.text(
+            name,
+            &operator_lines(&Operator::parse(name, text).expect(name)),
+        );
     }
-    let service: toml::Table =
-        include_str!("../../../deploy/service.toml").parse().expect("service.toml");
-    golden.text("service.toml", &serde_json::to_string(&service).expect("plain data"));
+    let service: toml::Table = include_str!("../../../deploy/service.toml")
+        .parse()
+        .expect("service.toml");
+    golden.text(
+        "service.toml",
+        &serde_json::to_string(&service).expect("plain data"),
+    );
     golden.check();
 }
--- a/crates/core/tests/support/golden.rs
+++ b/crates/core/tests/support/golden.rs
@@ -22,7 +22,10 @@
 impl Golden {
     /// `file`: its path below the package's folder.
     pub fn new(file: &'static str) -> Golden {
-        Golden { file, lines: String::new() }
+        Golden {
+            file,
+            lines: String::new(),
+        }
     }
 
     /// Adds bytes as they are.
@@ -46,7 +49,11 @@
         let bytes = wire::encode(&value);
         let read = wire::decode(&bytes).expect(name);
         let back: T = wire::from_value(&read).expect(name);
-        assert_eq!(wire::to_value(&back), value, "{name} does not come back as it was");
+        assert_eq!(
+            wire::to_value(&back),
+            value,
+            "{name} does not come back as it was"
+        );
         self.bytes(name, &bytes);
     }
 
@@ -56,12 +63,24 @@
         if std::env::var("BEAMHINGE_REGENERATE_GOLDEN").is_ok_and(|v| v == "1") {
             std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
             std::fs::write(&path, &self.lines).expect("a file that can be written");
-            panic!("{} was rewritten: run again without the variable", self.file);
+            panic!(
+                "{} was rewritten: run again without the variable",
+                self.file
+            );
         }
         let kept = std::fs::read_to_string(&path).expect(self.file);
         for (kept, now) in kept.lines().zip(self.lines.lines()) {
-            assert_eq!(kept, now, "{} (left) and today's form (right) differ", self.file);
+            assert_eq!(
+                kept, now,
+                "{} (left) and today's form (right) differ",
+                self.file
+            );
         }
-        assert_eq!(kept.lines().count(), self.lines.lines().count(), "lines of {}", self.file);
+        assert_eq!(
+            kept.lines().count(),
+            self.lines.lines().count(),
+            "lines of {}",
+            self.file
+        );
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -23,7 +23,13 @@
     #[arg(long)]
     pub check: bool,
     /// How lines on standard error look
-    #[arg(long, value_name = "FORM", value_enum, default_value = "text", env = "LOG_FORMAT")]
+    #[arg(
+        long,
+        value_name = "FORM",
+        value_enum,
+        default_value = "text",
+        env = "LOG_FORMAT"
+    )]
     pub log_format: LogFormat,
 }
 
@@ -94,6 +100,9 @@
     // Tells this process from an earlier one with the same label.
     let nonce = rand::thread_rng().gen_range(1..1u64 << 52);
     let wiring = Wiring::controller(&settings, listener.map(|d| (d.listen, d.connections)));
-    Net::new(wiring, move |now| Node::new(settings, operator, keys, nonce, now))?.run()?;
+    Net::new(wiring, move |now| {
+        Node::new(settings, operator, keys, nonce, now)
+    })?
+    .run()?;
     Ok(())
 }
--- a/crates/daemon/tests/flags.rs
+++ b/crates/daemon/tests/flags.rs
@@ -12,7 +12,14 @@
             .args(["--operator", &format!("{root}/deploy/operators.ini")])
             .output()
             .expect("the daemon runs");
-        assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
-        assert_eq!(String::from_utf8_lossy(&done.stdout), "settings are sound\n");
+        assert!(
+            done.status.success(),
+            "{}",
+            String::from_utf8_lossy(&done.stderr)
+        );
+        assert_eq!(
+            String::from_utf8_lossy(&done.stdout),
+            "settings are sound\n"
+        );
     }
 }
--- a/crates/dev-cluster/src/controllers.rs
+++ b/crates/dev-cluster/src/controllers.rs
@@ -35,7 +35,11 @@
 
 impl Controllers {
     pub fn new(how: ControllerProgram) -> Controllers {
-        Controllers { how, labels: Vec::new(), children: Vec::new() }
+        Controllers {
+            how,
+            labels: Vec::new(),
+            children: Vec::new(),
+        }
     }
 
     /// Writes the files of one more controller; its place.
@@ -89,7 +93,9 @@
     /// Lets a controller stand still, or go on.
     pub fn pause(&self, node: usize, paused: bool) {
         let signal = if paused { Signal::STOP } else { Signal::CONT };
-        let pid = self.pid(node).and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
+        let pid = self
+            .pid(node)
+            .and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         if let Some(pid) = pid {
             // One that has just ended needs no signal.
             let _ = kill_process(pid, signal);
@@ -100,7 +106,9 @@
     pub fn fallen(&mut self) -> Vec<usize> {
         let mut fallen = Vec::new();
         for (node, child) in self.children.iter_mut().enumerate() {
-            let over = child.as_mut().is_some_and(|c| !matches!(c.try_wait(), Ok(None)));
+            let over = child
+                .as_mut()
+                .is_some_and(|c| !matches!(c.try_wait(), Ok(None)));
             if over {
                 *child = None;
                 fallen.push(node);
--- a/crates/dev-cluster/src/deployment.rs
+++ b/crates/dev-cluster/src/deployment.rs
@@ -68,27 +68,59 @@
         let own = &self.nodes[node];
         writeln!(text, "# Written by the program that starts this cluster.")?;
         writeln!(text, "label = \"{}\"\narea = \"{}\"", own.label, own.zone)?;
-        writeln!(text, "public_addr = \"{}\"\npeer_bind = \"{}\"", own.users, own.peers)?;
+        writeln!(
+            text,
+            "public_addr = \"{}\"\npeer_bind = \"{}\"",
+            own.users, own.peers
+        )?;
         for (place, other) in self.nodes.iter().enumerate().filter(|(p, _)| *p != node) {
             writeln!(text, "[[members]]\nlabel = \"{}\"", other.label)?;
-            writeln!(text, "area = \"{}\"\naddr = \"{}\"", other.zone, links.peers[place])?;
+            writeln!(
+                text,
+                "area = \"{}\"\naddr = \"{}\"",
+                other.zone, links.peers[place]
+            )?;
         }
-        writeln!(text, "[external]\ncloud = \"{}\"\nstate = \"{}\"", links.cloud, links.state)?;
+        writeln!(
+            text,
+            "[external]\ncloud = \"{}\"\nstate = \"{}\"",
+            links.cloud, links.state
+        )?;
         let zones: Vec<String> = self.zones.iter().map(|z| format!("\"{z}\"")).collect();
-        writeln!(text, "[params]\nzones = [{}]\nskew_ms = 10.0", zones.join(", "))?;
+        writeln!(
+            text,
+            "[params]\nzones = [{}]\nskew_ms = 10.0",
+            zones.join(", ")
+        )?;
         for team in &self.teams {
             writeln!(text, "[[params.teams]]\nname = \"{}\"", team.name)?;
-            writeln!(text, "cpus = {:.1}\ncpus_max = {:.1}", team.cpus, team.cpus_max)?;
+            writeln!(
+                text,
+                "cpus = {:.1}\ncpus_max = {:.1}",
+                team.cpus, team.cpus_max
+            )?;
         }
         let l = &self.limits;
         writeln!(text, "[params.workers]\nreport_s = {:?}", l.report_s)?;
-        writeln!(text, "lease_s = {:?}\ncancel_s = {:?}", l.lease_s, l.cancel_s)?;
+        writeln!(
+            text,
+            "lease_s = {:?}\ncancel_s = {:?}",
+            l.lease_s, l.cancel_s
+        )?;
         writeln!(text, "[params.state]\nrps = {:?}", l.state_rps)?;
-        writeln!(text, "write_rps = {:?}\nvalue_kb = {:?}", l.state_write_rps, l.value_kb)?;
+        writeln!(
+            text,
+            "write_rps = {:?}\nvalue_kb = {:?}",
+            l.state_write_rps, l.value_kb
+        )?;
         writeln!(text, "txn_ops = {}", l.txn_ops)?;
         writeln!(text, "[params.cloud]\nrps = {:?}", l.cloud_rps)?;
         writeln!(text, "list_lag_s = {:?}", l.list_lag_s)?;
-        writeln!(text, "[params.machine_limits]\ncpu_share = 1.0\nram_mb = {:?}", l.ram_mb)?;
+        writeln!(
+            text,
+            "[params.machine_limits]\ncpu_share = 1.0\nram_mb = {:?}",
+            l.ram_mb
+        )?;
         writeln!(text, "max_connections = {}", l.connections)
     }
 }
--- a/crates/dev-cluster/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -137,7 +137,11 @@
 
     fn links(&self) -> Links {
         let peers = (0..self.nodes).map(|n| self.peers_of(n)).collect();
-        Links { state: self.state(), cloud: self.cloud(), peers }
+        Links {
+            state: self.state(),
+            cloud: self.cloud(),
+            peers,
+        }
     }
 
     fn platform(&self, settings: &settings::Settings) -> Plan {
@@ -146,7 +150,9 @@
         let each = |spot: bool, n: u32| (0..2).map(move |z| ("m".into(), zone(z), spot, n));
         Plan {
             controllers: (0..self.nodes).map(|n| self.users_of(n)).collect(),
-            worker_doors: (0..WORKER_DOORS).map(|w| local(self.port + 42 + w)).collect(),
+            worker_doors: (0..WORKER_DOORS)
+                .map(|w| local(self.port + 42 + w))
+                .collect(),
             workers: p.workers.clone(),
             state: p.state.clone(),
             cloud: p.cloud.clone(),
@@ -159,8 +165,12 @@
                 boot_s: self.boot_s,
             }],
             zones: ZONES.iter().map(|z| z.to_string()).collect(),
-            capacity: each(true, self.rentable).chain(each(false, self.rentable / 2)).collect(),
-            owned: (0..self.machines).map(|i| ("m".to_string(), zone(i))).collect(),
+            capacity: each(true, self.rentable)
+                .chain(each(false, self.rentable / 2))
+                .collect(),
+            owned: (0..self.machines)
+                .map(|i| ("m".to_string(), zone(i)))
+                .collect(),
             kept: self.kept.then(|| self.dir.join("state.log")),
             processes: self
                 .keeper
@@ -191,17 +201,26 @@
         let sound = settings::Settings::parse("the cluster's settings", &text)
             .map_err(|e| ClusterError::Kept(io::Error::other(e)))?;
         let (troubles, suffered) = mpsc::channel();
-        let platform = Plan { troubles: Some(suffered), ..plan.platform(&sound) };
+        let platform = Plan {
+            troubles: Some(suffered),
+            ..plan.platform(&sound)
+        };
         let mut listeners = vec![plan.state(), plan.cloud()];
         listeners.extend(&platform.worker_doors);
         let wiring = Wiring {
             listeners: listeners
                 .into_iter()
-                .map(|addr| Listener { addr, kind: ListenerKind::Platform })
+                .map(|addr| Listener {
+                    addr,
+                    kind: ListenerKind::Platform,
+                })
                 .collect(),
             peers: None,
             members: Vec::new(),
-            external: settings::External { cloud: plan.cloud(), state: plan.state() },
+            external: settings::External {
+                cloud: plan.cloud(),
+                state: plan.state(),
+            },
             max_connections: 2_000,
         };
         let go = Arc::new(AtomicBool::new(true));
@@ -227,7 +246,13 @@
             }
         });
         hear.recv().unwrap_or(Ok(()))?;
-        let mut cluster = Cluster { plan, controllers, go, platform: Some(thread), troubles };
+        let mut cluster = Cluster {
+            plan,
+            controllers,
+            go,
+            platform: Some(thread),
+            troubles,
+        };
         for node in 0..cluster.plan.nodes {
             cluster.start_node(node)?;
         }
--- a/crates/emulator/src/cloud.rs
+++ b/crates/emulator/src/cloud.rs
@@ -130,7 +130,10 @@
     }
 
     pub fn booted(&self, now: Us, id: u64) -> Option<(Host, Kind)> {
-        let host = self.hosts.get(&id).filter(|h| h.up <= now && h.failed_at.is_none())?;
+        let host = self
+            .hosts
+            .get(&id)
+            .filter(|h| h.up <= now && h.failed_at.is_none())?;
         let kind = self.kinds.iter().find(|k| k.label == host.machine_type)?;
         Some((host.clone(), kind.clone()))
     }
@@ -212,10 +215,25 @@
         let age = rng.gen_range(0..=2 * self.lag);
         let at = now.saturating_sub(age);
         let empty = BTreeMap::new();
-        let view = self.views.iter().rev().find(|(t, _)| *t <= at).map_or(&empty, |(_, v)| v);
-        let view = if now < 3_600 * SECOND + 5 * SECOND { &self.hosts } else { view };
-        let since = path.split("since=").nth(1).and_then(|s| number(s.split('&').next()?));
-        let most = path.split("most=").nth(1).and_then(|m| m.split('&').next()?.parse().ok());
+        let view = self
+            .views
+            .iter()
+            .rev()
+            .find(|(t, _)| *t <= at)
+            .map_or(&empty, |(_, v)| v);
+        let view = if now < 3_600 * SECOND + 5 * SECOND {
+            &self.hosts
+        } else {
+            view
+        };
+        let since = path
+            .split("since=")
+            .nth(1)
+            .and_then(|s| number(s.split('&').next()?));
+        let most = path
+            .split("most=")
+            .nth(1)
+            .and_then(|m| m.split('&').next()?.parse().ok());
         let most = most.unwrap_or(MAX_LISTED).clamp(1, MAX_LISTED);
         let after = view.iter().filter(|(id, _)| since.is_none_or(|s| **id > s));
         let more = after.clone().count() > most;
@@ -265,7 +283,11 @@
         if n == 0 {
             return (503, json!({"error": "no capacity"}));
         }
-        let boot_s = self.kinds.iter().find(|k| k.label == machine_type).map_or(10.0, |k| k.boot_s);
+        let boot_s = self
+            .kinds
+            .iter()
+            .find(|k| k.label == machine_type)
+            .map_or(10.0, |k| k.boot_s);
         let hosts: Vec<String> = (0..n)
             .map(|_| {
                 self.rented += 1;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -27,13 +27,20 @@
 
 /// Answers a request with a status and nothing else.
 pub fn refuse(out: &mut Vec<Effect>, to: RequestId, status: u16) {
-    out.push(Effect::Answer { to, status, retry_after: None, body: wire::encode(&json!({})) });
+    out.push(Effect::Answer {
+        to,
+        status,
+        retry_after: None,
+        body: wire::encode(&json!({})),
+    });
 }
 
 /// A body as JSON; null for what is no CBOR, which no model takes for a request.
 pub fn decode(body: &[u8]) -> Value {
     let value = wire::decode::<ciborium::Value>(body).ok();
-    value.and_then(|v| v.deserialized().ok()).unwrap_or(Value::Null)
+    value
+        .and_then(|v| v.deserialized().ok())
+        .unwrap_or(Value::Null)
 }
 
 #[derive(Clone, Debug)]
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -97,8 +97,13 @@
             cloud.add(micros(now), &machine_type, &zone, false, Some(SECOND / 5));
         }
         cloud.go_on_from(after_owned);
-        let pool =
-            WorkerPool::new(plan.controllers, plan.workers, plan.processes, plan.doubles, watcher);
+        let pool = WorkerPool::new(
+            plan.controllers,
+            plan.workers,
+            plan.processes,
+            plan.doubles,
+            watcher,
+        );
         let mut platform = Platform {
             state,
             cloud,
@@ -118,13 +123,20 @@
 
     fn answer_cloud(&mut self, now: Time, id: RequestId, r: &Request, out: &mut Vec<Effect>) {
         let us = micros(now);
-        let (status, body) = self.cloud.handle(us, r.method, &r.path, &r.body, &mut self.rng);
+        let (status, body) = self
+            .cloud
+            .handle(us, r.method, &r.path, &r.body, &mut self.rng);
         self.booting.extend(self.cloud.take_booted());
         for gone in self.cloud.take_gone() {
             self.remove(us, gone);
         }
         self.state.write_log(self.cloud.next_machine());
-        out.push(Effect::Answer { to: id, status, retry_after: None, body });
+        out.push(Effect::Answer {
+            to: id,
+            status,
+            retry_after: None,
+            body,
+        });
     }
 
     fn remove(&mut self, now: Us, machine: u64) {
@@ -137,13 +149,21 @@
     }
 
     fn boot(&mut self, now: Us) {
-        let ready: Vec<u64> =
-            self.booting.iter().filter(|(_, up)| **up <= now).map(|(id, _)| *id).collect();
+        let ready: Vec<u64> = self
+            .booting
+            .iter()
+            .filter(|(_, up)| **up <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for machine in ready {
             // Without a free door it goes on booting.
-            let Some(slot) = self.slots.iter().position(Option::is_none) else { return };
+            let Some(slot) = self.slots.iter().position(Option::is_none) else {
+                return;
+            };
             self.booting.remove(&machine);
-            let Some(booted) = self.cloud.booted(now, machine) else { continue };
+            let Some(booted) = self.cloud.booted(now, machine) else {
+                continue;
+            };
             let endpoint = self.worker_doors[slot].to_string();
             self.cloud.endpoints.insert(machine, endpoint.clone());
             self.slots[slot] = Some(machine);
@@ -168,9 +188,14 @@
 /// A job's description for the workers, from its record in the state service.
 fn describe(state: &State, job: &str) -> Option<JobPlan> {
     let record = state.get(&format!("{PREFIX}{job}")).cloned();
-    let spec =
-        record.and_then(|v| serde_json::from_value::<Record>(v).ok()).and_then(|r| r.spec)?;
-    let kind = if spec.kind == JobKind::Standing { "standing" } else { "batch" };
+    let spec = record
+        .and_then(|v| serde_json::from_value::<Record>(v).ok())
+        .and_then(|r| r.spec)?;
+    let kind = if spec.kind == JobKind::Standing {
+        "standing"
+    } else {
+        "batch"
+    };
     let body = json!({"vcpus": spec.cpus, "memoryGb": spec.memory_gb,
         "bundle": spec.image, "jobKind": kind});
     Some(JobPlan {
@@ -196,14 +221,25 @@
             STATE_DOOR => self.state.answer(now, id, &r, out),
             CLOUD_DOOR => self.answer_cloud(now, id, &r, out),
             _ => {
-                let machine = self.slots.get(listener - FIRST_WORKER_DOOR).copied().flatten();
-                let Some(machine) = machine else { return refuse(out, id, 404) };
+                let machine = self
+                    .slots
+                    .get(listener - FIRST_WORKER_DOOR)
+                    .copied()
+                    .flatten();
+                let Some(machine) = machine else {
+                    return refuse(out, id, 404);
+                };
                 if r.path != "/do" || wire::decode::<ciborium::Value>(&r.body).is_err() {
                     return refuse(out, id, 400);
                 }
                 match self.pool.direct(micros(now), machine, &r.body) {
                     Some((status, body)) => {
-                        out.push(Effect::Answer { to: id, status, retry_after: None, body });
+                        out.push(Effect::Answer {
+                            to: id,
+                            status,
+                            retry_after: None,
+                            body,
+                        });
                     }
                     None => refuse(out, id, 404),
                 }
@@ -220,7 +256,8 @@
         _out: &mut Vec<Effect>,
     ) {
         let state = &self.state.state;
-        self.pool.on_reply(micros(now), id, result, &mut |job| describe(state, job));
+        self.pool
+            .on_reply(micros(now), id, result, &mut |job| describe(state, job));
     }
 
     fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
--- a/crates/emulator/src/processes.rs
+++ b/crates/emulator/src/processes.rs
@@ -21,7 +21,11 @@
 
 impl Processes {
     pub fn new(output: Option<PathBuf>, keeper: Vec<String>) -> Processes {
-        Processes { running: BTreeMap::new(), output, keeper }
+        Processes {
+            running: BTreeMap::new(),
+            output,
+            keeper,
+        }
     }
 
     /// Starts a task's command line; false when it could not be started.
--- a/crates/emulator/src/processes/tests.rs
+++ b/crates/emulator/src/processes/tests.rs
@@ -12,7 +12,10 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     seen.sort();
-    let want = [("job-1/0".to_string(), 1, true), ("job-1/1".to_string(), 2, false)];
+    let want = [
+        ("job-1/0".to_string(), 1, true),
+        ("job-1/1".to_string(), 2, false),
+    ];
     assert_eq!(seen, want);
 }
 
@@ -23,13 +26,20 @@
     std::fs::create_dir_all(&dir).expect("a folder");
     let file = dir.join("pid");
     let mut p = Processes::new(None, Vec::new());
-    let line = format!("sleep 300 & echo $! > {}.new; mv {0}.new {0}; wait", file.display());
+    let line = format!(
+        "sleep 300 & echo $! > {}.new; mv {0}.new {0}; wait",
+        file.display()
+    );
     assert!(p.start("job-1/0", 1, &line));
     let until = Instant::now() + Duration::from_secs(20);
     while !file.exists() && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let pid: u32 = std::fs::read_to_string(&file).expect("written").trim().parse().expect("pid");
+    let pid: u32 = std::fs::read_to_string(&file)
+        .expect("written")
+        .trim()
+        .parse()
+        .expect("pid");
     p.stop("job-1/0", 1);
     let gone = || {
         // A process nobody waits for may stay as a zombie for a moment.
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -89,8 +89,12 @@
         if now < self.down_until {
             return;
         }
-        let over: Vec<u64> =
-            self.leases.iter().filter(|(_, (ends, _))| *ends < now).map(|(id, _)| *id).collect();
+        let over: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, (ends, _))| *ends < now)
+            .map(|(id, _)| *id)
+            .collect();
         for id in over {
             self.leases.remove(&id);
             let keys: Vec<String> = self
@@ -116,7 +120,15 @@
         self.forgotten = self.rev;
         match value {
             Some(value) => {
-                self.keys.insert(key, Key { value, revision: rev, lease_id: None, since: 0 });
+                self.keys.insert(
+                    key,
+                    Key {
+                        value,
+                        revision: rev,
+                        lease_id: None,
+                        since: 0,
+                    },
+                );
             }
             None => {
                 self.keys.remove(&key);
@@ -192,7 +204,11 @@
         if now < self.down_until {
             return say(503, json!({}));
         }
-        let transaction = if path == "/commit" { decode(body) } else { Value::Null };
+        let transaction = if path == "/commit" {
+            decode(body)
+        } else {
+            Value::Null
+        };
         let then: Vec<Value> = transaction["then"].as_array().cloned().unwrap_or_default();
         if !self.spend(now, then.len() as f64) {
             return say(429, json!({}));
@@ -207,8 +223,11 @@
                 say(200, json!({ "permit": self.next_lease }))
             }
             (Method::Post, p) if p.starts_with("/holds/") => {
-                let id: u64 =
-                    p.trim_start_matches("/holds/").trim_end_matches("/renew").parse().unwrap_or(0);
+                let id: u64 = p
+                    .trim_start_matches("/holds/")
+                    .trim_end_matches("/renew")
+                    .parse()
+                    .unwrap_or(0);
                 match self.leases.get_mut(&id) {
                     Some((ends, life)) => {
                         *ends = now + *life;
@@ -227,7 +246,9 @@
             }
             (Method::Get, "/store") => {
                 let (under, since) = (query(path, "under")?, query(path, "since"));
-                let most: usize = query(path, "most").and_then(|m| m.parse().ok()).unwrap_or(1_000);
+                let most: usize = query(path, "most")
+                    .and_then(|m| m.parse().ok())
+                    .unwrap_or(1_000);
                 let all: Vec<(&String, &Key)> = self
                     .keys
                     .iter()
@@ -239,19 +260,25 @@
                     .take(most)
                     .map(|(k, v)| json!({"path": k, "value": v.value, "stamp": v.revision}))
                     .collect();
-                say(200, json!({"pairs": pairs, "more": more, "ledgerRev": self.rev}))
+                say(
+                    200,
+                    json!({"pairs": pairs, "more": more, "ledgerRev": self.rev}),
+                )
             }
             (Method::Get, "/watch") => {
                 let under = query(path, "under")?;
                 let since: u64 = query(path, "since")?.parse().ok()?;
-                let wait: u64 = query(path, "waitMs").and_then(|w| w.parse().ok()).unwrap_or(0);
+                let wait: u64 = query(path, "waitMs")
+                    .and_then(|w| w.parse().ok())
+                    .unwrap_or(0);
                 if since < self.forgotten {
                     return say(410, json!({}));
                 }
                 match self.news(&under, since, wait == 0) {
                     Some(body) => Some((200, body)),
                     None => {
-                        self.waiting.push((caller, under, since, now + wait * 1_000));
+                        self.waiting
+                            .push((caller, under, since, now + wait * 1_000));
                         None
                     }
                 }
@@ -333,13 +360,18 @@
                 return say(400, json!({"error": "so it is"}));
             }
             if !when.iter().any(|w| w["path"] == key) {
-                self.abused.push(format!("{key} is written without a condition on it"));
+                self.abused
+                    .push(format!("{key} is written without a condition on it"));
             }
             if t["value"].to_string().len() > self.value_limit {
-                self.abused.push(format!("{key} is larger than a value may be"));
+                self.abused
+                    .push(format!("{key} is larger than a value may be"));
                 return say(400, json!({"error": "too large"}));
             }
-            if t["permit"].as_u64().is_some_and(|p| !self.leases.contains_key(&p)) {
+            if t["permit"]
+                .as_u64()
+                .is_some_and(|p| !self.leases.contains_key(&p))
+            {
                 return say(400, json!({"error": "no such lease"}));
             }
         }
@@ -364,7 +396,12 @@
                 let since = self.keys.get(key).map_or(now, |k| k.since);
                 self.keys.insert(
                     key.to_string(),
-                    Key { value: value.clone(), revision: self.rev, lease_id, since },
+                    Key {
+                        value: value.clone(),
+                        revision: self.rev,
+                        lease_id,
+                        since,
+                    },
                 );
                 self.note(key.to_string(), Some(value));
             } else if let Some(key) = t["delete"].as_str() {
@@ -385,7 +422,12 @@
         let revision = self.rev;
         self.keys.insert(
             key.to_string(),
-            Key { value: value.clone(), revision, lease_id: None, since: 0 },
+            Key {
+                value: value.clone(),
+                revision,
+                lease_id: None,
+                since: 0,
+            },
         );
         self.note(key.to_string(), Some(value));
     }
--- a/crates/emulator/src/state_server.rs
+++ b/crates/emulator/src/state_server.rs
@@ -20,7 +20,10 @@
 }
 
 fn called(c: StateCaller) -> RequestId {
-    RequestId { slot: c.0, generation: c.1 }
+    RequestId {
+        slot: c.0,
+        generation: c.1,
+    }
 }
 
 /// Serves [`State`]; every change is in the log before anybody is told of it.
@@ -33,8 +36,17 @@
 impl StateServer {
     /// One that forgets everything with its process.
     pub fn new(limits: &settings::State) -> StateServer {
-        let state = State::new(limits.rps, limits.write_rps, limits.value_kb, limits.txn_ops);
-        StateServer { state, log: None, logged_machine: 0 }
+        let state = State::new(
+            limits.rps,
+            limits.write_rps,
+            limits.value_kb,
+            limits.txn_ops,
+        );
+        StateServer {
+            state,
+            log: None,
+            logged_machine: 0,
+        }
     }
 
     /// One that goes on from what a log holds; also the number of the next machine.
@@ -72,13 +84,20 @@
             return refuse(out, id, 400);
         }
         let us = micros(now);
-        let reply = self.state.handle(us, caller(id), request.method, &request.path, &request.body);
+        let reply = self
+            .state
+            .handle(us, caller(id), request.method, &request.path, &request.body);
         self.write_log(0);
         if us < self.state.down_until && self.log.is_some() {
             return refuse(out, id, 503);
         }
         if let Some((status, body)) = reply {
-            out.push(Effect::Answer { to: id, status, retry_after: None, body });
+            out.push(Effect::Answer {
+                to: id,
+                status,
+                retry_after: None,
+                body,
+            });
         }
         self.answer_watches(now, out);
     }
@@ -87,7 +106,12 @@
     pub fn answer_watches(&mut self, now: Time, out: &mut Vec<Effect>) {
         let (ready, _) = self.state.watches(micros(now), |_, _| false);
         for (to, body) in ready {
-            out.push(Effect::Answer { to: called(to), status: 200, retry_after: None, body });
+            out.push(Effect::Answer {
+                to: called(to),
+                status: 200,
+                retry_after: None,
+                body,
+            });
         }
         self.write_log(0);
     }
@@ -103,7 +127,9 @@
     let mut next = 0;
     for line in BufReader::new(file).lines() {
         // A line that was cut short is the last, and was never answered.
-        let Ok(v) = serde_json::from_str::<Value>(&line?) else { break };
+        let Ok(v) = serde_json::from_str::<Value>(&line?) else {
+            break;
+        };
         if let Some(m) = v["machine"].as_u64() {
             next = next.max(m);
         } else if let (Some(rev), Some(key)) = (v["rev"].as_u64(), v["key"].as_str()) {
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -117,7 +117,9 @@
 
     /// Tasks that are on this machine in the protocol's sense.
     pub fn on_machine(&self) -> impl Iterator<Item = &Task> {
-        self.tasks.iter().filter(|t| t.status == "running" || t.status == "saving")
+        self.tasks
+            .iter()
+            .filter(|t| t.status == "running" || t.status == "saving")
     }
 
     /// Tasks that take their room: those too that still fetch their image.
@@ -140,10 +142,17 @@
 
     fn expire(&mut self, now: Us) {
         if now > self.renewed + self.lease {
-            for t in self.tasks.drain(..).filter(|t| t.status == "running" || t.status == "saving")
+            for t in self
+                .tasks
+                .drain(..)
+                .filter(|t| t.status == "running" || t.status == "saving")
             {
                 let (piece, attempt) = (t.piece, t.attempt);
-                self.events.push(Event { piece, attempt, what: Happened::Stopped });
+                self.events.push(Event {
+                    piece,
+                    attempt,
+                    what: Happened::Stopped,
+                });
                 self.expired += 1;
             }
             self.tenure += 1;
@@ -166,7 +175,9 @@
                 _ => json!({"piece": t.piece, "try": t.attempt, "status": t.status}),
             })
             .collect();
-        let reclaim = self.reclaim_at.map(|at| at.saturating_sub(now) as f64 / 1e6);
+        let reclaim = self
+            .reclaim_at
+            .map(|at| at.saturating_sub(now) as f64 / 1e6);
         json!({"host": self.name, "endpoint": self.endpoint, "shape": self.machine_type, "yard": self.zone,
             "loaners": self.spot, "tenure": self.tenure, "tick": self.tick, "baton": self.baton,
             "reclaimInS": reclaim, "pieces": pieces, "surprise": {"a": [1, null]}})
@@ -174,7 +185,10 @@
 
     /// Until when it hangs or one of its links is cut.
     pub fn troubled_until(&self) -> Us {
-        let cut = self.cut_until.max(self.inbound_cut_until).max(self.outbound_cut_until);
+        let cut = self
+            .cut_until
+            .max(self.inbound_cut_until)
+            .max(self.outbound_cut_until);
         self.hang_until.max(cut)
     }
 
@@ -280,13 +294,18 @@
         let (Some(baton), Some(tenure)) = (body["baton"].as_u64(), body["tenure"].as_u64()) else {
             return (400, wire::encode(&json!({})));
         };
-        let status = if baton < self.baton || tenure != self.tenure { 409 } else { 200 };
+        let status = if baton < self.baton || tenure != self.tenure {
+            409
+        } else {
+            200
+        };
         self.baton = self.baton.max(baton);
         if status == 200 {
             for order in body["orders"].as_array().into_iter().flatten() {
                 // Guard 2: `run` must never come this way, since it could act late.
                 if order["verb"] == "run" {
-                    self.abused.push(format!("a direct `run` of {}", order["piece"]));
+                    self.abused
+                        .push(format!("a direct `run` of {}", order["piece"]));
                     continue;
                 }
                 self.execute(now, order, jobs, doubles);
@@ -302,14 +321,20 @@
         jobs: &BTreeMap<String, JobPlan>,
         doubles: Doubles,
     ) {
-        let (Some(verb), Some(piece), Some(attempt)) =
-            (order["verb"].as_str(), order["piece"].as_str(), order["try"].as_u64())
-        else {
+        let (Some(verb), Some(piece), Some(attempt)) = (
+            order["verb"].as_str(),
+            order["piece"].as_str(),
+            order["try"].as_u64(),
+        ) else {
             return;
         };
         match verb {
             "run" => {
-                if self.tasks.iter().any(|t| t.piece == piece && t.attempt == attempt) {
+                if self
+                    .tasks
+                    .iter()
+                    .any(|t| t.piece == piece && t.attempt == attempt)
+                {
                     return;
                 }
                 let job = piece.split('/').next().unwrap_or("");
@@ -327,23 +352,41 @@
                 } else {
                     None
                 };
-                let image = plan.and_then(|p| p.body["bundle"].as_str()).unwrap_or("").to_string();
-                let fetch = if self.images.contains(&image) { SECOND / 100 } else { SECOND };
+                let image = plan
+                    .and_then(|p| p.body["bundle"].as_str())
+                    .unwrap_or("")
+                    .to_string();
+                let fetch = if self.images.contains(&image) {
+                    SECOND / 100
+                } else {
+                    SECOND
+                };
                 self.tasks.push(Task {
                     piece: piece.into(),
                     attempt,
-                    status: if refusal.is_some() { "exited" } else { "pulling" },
+                    status: if refusal.is_some() {
+                        "exited"
+                    } else {
+                        "pulling"
+                    },
                     cause: refusal,
                     until: now + fetch,
                 });
             }
             "kill" if !doubles.deaf_to_kill => {
-                for t in self.tasks.iter_mut().filter(|t| t.piece == piece && t.attempt == attempt)
+                for t in self
+                    .tasks
+                    .iter_mut()
+                    .filter(|t| t.piece == piece && t.attempt == attempt)
                 {
                     if t.status != "exited" {
                         if t.status == "running" || t.status == "saving" {
                             let (piece, attempt) = (t.piece.clone(), t.attempt);
-                            self.events.push(Event { piece, attempt, what: Happened::Stopped });
+                            self.events.push(Event {
+                                piece,
+                                attempt,
+                                what: Happened::Stopped,
+                            });
                         }
                         t.status = "exited";
                         t.cause = Some("stopped");
@@ -380,10 +423,19 @@
                     t.status = "running";
                     self.started += 1;
                     let (piece, attempt) = (t.piece.clone(), t.attempt);
-                    self.events.push(Event { piece, attempt, what: Happened::Began });
+                    self.events.push(Event {
+                        piece,
+                        attempt,
+                        what: Happened::Began,
+                    });
                     let fails = self.sick || plan.is_some_and(|p| p.fails);
                     let run_s = plan.map_or(1.0, |p| p.run_s) * self.slow;
-                    t.until = now + if fails { SECOND / 2 } else { (run_s * 1e6) as u64 };
+                    t.until = now
+                        + if fails {
+                            SECOND / 2
+                        } else {
+                            (run_s * 1e6) as u64
+                        };
                     if self.runs_commands && plan.is_some_and(|p| p.command.is_some()) {
                         // Its process tells when it ends.
                         t.until = u64::MAX;
@@ -396,7 +448,11 @@
                     }
                     t.status = "exited";
                     let (piece, attempt) = (t.piece.clone(), t.attempt);
-                    self.events.push(Event { piece, attempt, what: Happened::Ended });
+                    self.events.push(Event {
+                        piece,
+                        attempt,
+                        what: Happened::Ended,
+                    });
                     let fails = self.sick || plan.is_some_and(|p| p.fails);
                     t.cause = Some(if fails { "error" } else { "done" });
                     if !fails {
@@ -420,7 +476,11 @@
         t.status = "exited";
         t.cause = Some(if well { "done" } else { "error" });
         let what = Happened::Ended;
-        self.events.push(Event { piece: piece.into(), attempt, what });
+        self.events.push(Event {
+            piece: piece.into(),
+            attempt,
+            what,
+        });
         if well {
             self.finished.push(piece.into());
         }
@@ -429,9 +489,16 @@
     /// The machine is switched off and on again: its worker knows nothing of its
     /// tasks, its images or any token, and begins its next session.
     pub fn reboot(&mut self, now: Us) {
-        let lost = self.tasks.drain(..).filter(|t| t.status == "running" || t.status == "saving");
+        let lost = self
+            .tasks
+            .drain(..)
+            .filter(|t| t.status == "running" || t.status == "saving");
         for (piece, attempt) in lost.map(|t| (t.piece, t.attempt)) {
-            self.events.push(Event { piece, attempt, what: Happened::Stopped });
+            self.events.push(Event {
+                piece,
+                attempt,
+                what: Happened::Stopped,
+            });
             // Like what a lease ends: no controller stopped it.
             self.expired += 1;
         }
@@ -458,7 +525,11 @@
     }
 
     pub fn next_step(&self, now: Us) -> Option<Us> {
-        let tasks = self.tasks.iter().filter(|t| t.status != "exited").map(|t| t.until);
+        let tasks = self
+            .tasks
+            .iter()
+            .filter(|t| t.status != "exited")
+            .map(|t| t.until);
         let lease = (!self.tasks.is_empty()).then_some(self.renewed + self.lease + 1_000);
         let hang = (self.hang_until > now).then_some(self.hang_until);
         tasks.chain(lease).chain(hang).filter(|t| *t > now).min()
--- a/crates/emulator/src/worker_pool.rs
+++ b/crates/emulator/src/worker_pool.rs
@@ -110,7 +110,10 @@
     /// Commands begin and end with what happens to their tasks.
     fn happened(&mut self, at: Us, machine: u64, event: Event) {
         if let Some(processes) = &mut self.processes {
-            let line = self.plans.get(job_of(&event.piece)).and_then(|p| p.command.clone());
+            let line = self
+                .plans
+                .get(job_of(&event.piece))
+                .and_then(|p| p.command.clone());
             match (event.what, line) {
                 (Happened::Began, Some(line))
                     if !processes.start(&event.piece, event.attempt, &line) =>
@@ -127,7 +130,9 @@
     }
 
     fn gather(&mut self, now: Us, machine: u64) {
-        let Some(worker) = self.workers.get_mut(&machine) else { return };
+        let Some(worker) = self.workers.get_mut(&machine) else {
+            return;
+        };
         let events = std::mem::take(&mut worker.events);
         worker.finished.clear();
         for event in events {
@@ -152,8 +157,12 @@
 
     fn report(&mut self, now: Us, machine: u64, out: &mut Vec<Effect>) {
         let every = (self.settings.report_s * 1e6) as Us;
-        let Some(worker) = self.workers.get_mut(&machine) else { return };
-        let Some((node, serial, body)) = worker.send(now, self.doubles) else { return };
+        let Some(worker) = self.workers.get_mut(&machine) else {
+            return;
+        };
+        let Some((node, serial, body)) = worker.send(now, self.doubles) else {
+            return;
+        };
         self.due.insert(machine, now + every);
         self.next_call += 1;
         let id = CallId(self.next_call);
@@ -161,7 +170,10 @@
         let address = self.controllers[node % self.controllers.len()];
         out.push(Effect::Call {
             id,
-            destination: Destination::Node { address, caller: machine },
+            destination: Destination::Node {
+                address,
+                caller: machine,
+            },
             method: Method::Post,
             path: "/hello".into(),
             body: wire::encode(&body),
@@ -186,12 +198,16 @@
         result: Option<(u16, Vec<u8>)>,
         describe: &mut dyn FnMut(&str) -> Option<JobPlan>,
     ) {
-        let Some((machine, serial)) = self.calls.remove(&id) else { return };
+        let Some((machine, serial)) = self.calls.remove(&id) else {
+            return;
+        };
         let nodes = self.controllers.len();
         if let Some((200, body)) = &result {
             self.learn(&decode(body), describe);
         }
-        let Some(worker) = self.workers.get_mut(&machine) else { return };
+        let Some(worker) = self.workers.get_mut(&machine) else {
+            return;
+        };
         let again = match result {
             Some((status, body)) => {
                 worker.answered(now, serial, status, &body, nodes, &self.plans, self.doubles)
@@ -206,7 +222,11 @@
 
     /// Time passes on all machines, and reports that are due go out.
     pub fn step(&mut self, now: Us, out: &mut Vec<Effect>) {
-        let ended = self.processes.as_mut().map(Processes::ended).unwrap_or_default();
+        let ended = self
+            .processes
+            .as_mut()
+            .map(Processes::ended)
+            .unwrap_or_default();
         for (piece, attempt, well) in ended {
             for worker in self.workers.values_mut() {
                 worker.process_ended(&piece, attempt, well);
@@ -214,7 +234,9 @@
         }
         let machines: Vec<u64> = self.workers.keys().copied().collect();
         for machine in machines {
-            let Some(worker) = self.workers.get_mut(&machine) else { continue };
+            let Some(worker) = self.workers.get_mut(&machine) else {
+                continue;
+            };
             let changed = worker.step(now, &self.plans) || !worker.events.is_empty();
             self.gather(now, machine);
             if changed {
--- a/crates/failure-detection/src/ack_tracker.rs
+++ b/crates/failure-detection/src/ack_tracker.rs
@@ -64,7 +64,10 @@
     fn a_deaf_machine_is_tried_ever_more_seldom_and_one_late_answer_costs_nothing() {
         let at = |s: f64| Time::default().plus(50.0 + s);
         let mut h = AckTracker::default();
-        assert!(!h.missed(at(0.0), false) && !h.deaf(at(0.1)), "one answer was late");
+        assert!(
+            !h.missed(at(0.0), false) && !h.deaf(at(0.1)),
+            "one answer was late"
+        );
         h.arrived();
         assert!(!h.missed(at(5.0), false) && h.missed(at(6.0), false));
         assert!(h.deaf(at(13.9)) && !h.deaf(at(14.1)));
@@ -77,6 +80,9 @@
         }
         h.arrived();
         assert!(!h.deaf(at(now)) && h.unacknowledged_for_s(at(now)).is_none());
-        assert!(h.missed(at(now), true), "it went to another controller meanwhile");
+        assert!(
+            h.missed(at(now), true),
+            "it went to another controller meanwhile"
+        );
     }
 }
--- a/crates/failure-detection/src/fault_attribution.rs
+++ b/crates/failure-detection/src/fault_attribution.rs
@@ -92,8 +92,14 @@
 
     /// Judges a job anew.
     fn weigh(&mut self, job: JobId) {
-        let Some(case) = self.jobs.get(&job) else { return };
-        let clean = case.machines.iter().filter(|m| self.clean(**m, job)).count() as u64;
+        let Some(case) = self.jobs.get(&job) else {
+            return;
+        };
+        let clean = case
+            .machines
+            .iter()
+            .filter(|m| self.clean(**m, job))
+            .count() as u64;
         // Where there are few machines, many failures tell as much.
         let everywhere = clean >= MACHINES || clean > 0 && case.failures >= FAILURES;
         let fault = !case.sound && everywhere;
@@ -105,7 +111,9 @@
     /// Judges these machines anew.
     fn judge(&mut self, machines: &[MachineId], verdict: &mut Verdict) {
         for id in machines {
-            let Some((charges, was)) = self.machines.get(id) else { continue };
+            let Some((charges, was)) = self.machines.get(id) else {
+                continue;
+            };
             let (is, was) = (self.at_fault(charges), *was);
             if is == was {
                 continue;
@@ -113,10 +121,18 @@
             if let Some((_, fault)) = self.machines.get_mut(id) {
                 *fault = is;
             }
-            if is { &mut verdict.faulty } else { &mut verdict.cleared }.push(*id);
+            if is {
+                &mut verdict.faulty
+            } else {
+                &mut verdict.cleared
+            }
+            .push(*id);
             if is {
                 // What failed there did so for the machine's sake.
-                let charges = self.machines.get(id).map(|(c, _)| c.keys().copied().collect());
+                let charges = self
+                    .machines
+                    .get(id)
+                    .map(|(c, _)| c.keys().copied().collect());
                 let jobs: Vec<JobId> = charges.unwrap_or_default();
                 jobs.into_iter().for_each(|job| self.weigh(job));
             }
@@ -126,7 +142,9 @@
     /// Machines that have a charge of this job.
     fn charged(&self, job: JobId) -> Vec<MachineId> {
         let charged = |id: &&MachineId| {
-            self.machines.get(id).is_some_and(|(charges, _)| charges.contains_key(&job))
+            self.machines
+                .get(id)
+                .is_some_and(|(charges, _)| charges.contains_key(&job))
         };
         self.machines.keys().filter(charged).copied().collect()
     }
@@ -170,7 +188,11 @@
             }
             verdict.pause_s = Some(case.until.until(now));
         }
-        let concerned = if turned { self.charged(job) } else { vec![machine] };
+        let concerned = if turned {
+            self.charged(job)
+        } else {
+            vec![machine]
+        };
         self.judge(&concerned, &mut verdict);
         verdict
     }
@@ -199,19 +221,27 @@
 
     /// Until when a job at fault is not tried.
     pub fn paused_until(&self, job: JobId) -> Option<Time> {
-        self.jobs.get(&job).filter(|case| case.fault).map(|case| case.until)
+        self.jobs
+            .get(&job)
+            .filter(|case| case.fault)
+            .map(|case| case.until)
     }
 
     /// Failures of a job, and on how many machines.
     pub fn failures(&self, job: JobId) -> (u32, u32) {
-        self.jobs.get(&job).map_or((0, 0), |c| (c.failures, c.failed_on.len() as u32))
+        self.jobs
+            .get(&job)
+            .map_or((0, 0), |c| (c.failures, c.failed_on.len() as u32))
     }
 
     /// Machines on which a job without any success failed just now, by number:
     /// elsewhere it tells more, and a machine that fails all at once always has
     /// room. For a while only, since there may be no other.
     pub fn barred(&self, now: Time, job: JobId) -> Option<&RoaringTreemap> {
-        let case = self.jobs.get(&job).filter(|c| !c.sound && now.since(c.last) < BARRED_S)?;
+        let case = self
+            .jobs
+            .get(&job)
+            .filter(|c| !c.sound && now.since(c.last) < BARRED_S)?;
         Some(&case.failed_on)
     }
 
@@ -264,12 +294,18 @@
         // Two more of the kind on the same machines.
         for j in 2..4 {
             for m in 0..3 {
-                assert!(b.failed(at(1.0), machine(m), (job(j), false), 1.0).faulty.is_empty());
+                assert!(b
+                    .failed(at(1.0), machine(m), (job(j), false), 1.0)
+                    .faulty
+                    .is_empty());
             }
         }
         // Cancelled, they leave no charge behind.
         (1..4).for_each(|j| b.forget_job(job(j)));
-        assert!(b.failed(at(2.0), machine(0), (job(9), false), 1.0).faulty.is_empty());
+        assert!(b
+            .failed(at(2.0), machine(0), (job(9), false), 1.0)
+            .faulty
+            .is_empty());
     }
 
     #[test]
@@ -292,12 +328,21 @@
     fn a_machine_that_fails_what_runs_elsewhere_is_at_fault() {
         let mut b = FaultAttribution::default();
         b.succeeded(machine(1), job(1));
-        assert!(b.failed(at(0.0), machine(2), (job(1), false), 1.0).faulty.is_empty());
+        assert!(b
+            .failed(at(0.0), machine(2), (job(1), false), 1.0)
+            .faulty
+            .is_empty());
         b.succeeded(machine(1), job(1));
         assert!(b.failed(at(0.0), machine(2), (job(1), false), 1.0).faulty == [machine(2)]);
         // A charge is weighed again once more is known of its job.
-        assert!(b.failed(at(1.0), machine(3), (job(2), false), 1.0).faulty.is_empty());
-        assert!(b.failed(at(1.0), machine(3), (job(2), false), 1.0).faulty.is_empty());
+        assert!(b
+            .failed(at(1.0), machine(3), (job(2), false), 1.0)
+            .faulty
+            .is_empty());
+        assert!(b
+            .failed(at(1.0), machine(3), (job(2), false), 1.0)
+            .faulty
+            .is_empty());
         assert_eq!(b.succeeded(machine(1), job(2)).faulty, [machine(3)]);
         // Three jobs of which nothing is known.
         for j in 10..13 {
@@ -318,7 +363,10 @@
         assert_eq!((v.cleared, v.pause_s.is_some()), (vec![machine(1)], true));
         // Something ends well there: nothing is left.
         b.succeeded(machine(1), job(7));
-        assert!(b.failed(at(1.0), machine(1), (job(8), false), 1.0).faulty.is_empty());
+        assert!(b
+            .failed(at(1.0), machine(1), (job(8), false), 1.0)
+            .faulty
+            .is_empty());
     }
 
     /// A day on which 22 machines failed everything: new jobs met several of them
@@ -331,7 +379,10 @@
             b.failed(at(0.0), machine(m), (job(1), true), 1.0);
         }
         for m in 0..4 {
-            assert_eq!(b.failed(at(1.0), machine(m), (job(2), false), 1.0).pause_s, None);
+            assert_eq!(
+                b.failed(at(1.0), machine(m), (job(2), false), 1.0).pause_s,
+                None
+            );
         }
         assert!(!b.at_fault_job(job(2)));
         // Found at fault on three machines, cleared when they prove to be.
@@ -354,7 +405,10 @@
             b.failed(at(0.0), machine(n), (job(n), false), 1.0);
             b.failed(at(0.0), machine(0), (job(n), false), 1.0);
         }
-        assert_eq!((b.jobs.len(), b.machines.len()), (MAX_REMEMBERED, MAX_REMEMBERED));
+        assert_eq!(
+            (b.jobs.len(), b.machines.len()),
+            (MAX_REMEMBERED, MAX_REMEMBERED)
+        );
         assert!(b.machines[&machine(0)].0.len() <= MAX_CHARGES);
     }
 }
--- a/crates/failure-detection/src/pause_detector.rs
+++ b/crates/failure-detection/src/pause_detector.rs
@@ -16,7 +16,11 @@
 impl PauseDetector {
     /// A gap between events of more than `longest_s` seconds is an absence.
     pub fn new(longest_s: f64) -> PauseDetector {
-        PauseDetector { last: None, back: None, longest_s }
+        PauseDetector {
+            last: None,
+            back: None,
+            longest_s,
+        }
     }
 
     /// Something happened here. Returns how long we were away before, seconds,
--- a/crates/failure-detection/src/peer_observations.rs
+++ b/crates/failure-detection/src/peer_observations.rs
@@ -92,12 +92,18 @@
         let mut v = MisroutedWorkers::default();
         assert!(!v.came(at(0.0), id(1), 12.0));
         v.sent_on(id(1));
-        assert!(v.came(at(5.0), id(1), 12.0), "it came back: where it was sent, nobody answers");
+        assert!(
+            v.came(at(5.0), id(1), 12.0),
+            "it came back: where it was sent, nobody answers"
+        );
         v.sent_on(id(1));
         assert!(!v.came(at(30.0), id(1), 12.0));
         v.sent_on(id(1));
         v.leader_changed();
-        assert!(!v.came(at(30.5), id(1), 12.0), "the new holder may answer it");
+        assert!(
+            !v.came(at(30.5), id(1), 12.0),
+            "the new holder may answer it"
+        );
         for n in 0..MAX_MACHINES as u32 + 5_000 {
             v.came(at(31.0), id(n), 12.0);
         }
@@ -107,7 +113,9 @@
         e.told(at(31.0), all.iter().copied());
         e.told(at(31.0), (0..40_000).map(id));
         assert_eq!(e.len(), MAX_MACHINES);
-        assert!(e.since(at(33.0), id(3)).is_some_and(|s| (s - 2.0).abs() < 1e-6));
+        assert!(e
+            .since(at(33.0), id(3))
+            .is_some_and(|s| (s - 2.0).abs() < 1e-6));
         e.forget(at(40.0), 6.0);
         assert!(e.is_empty());
     }
--- a/crates/failure-detection/src/report_interval.rs
+++ b/crates/failure-detection/src/report_interval.rs
@@ -24,7 +24,10 @@
 impl ReportInterval {
     /// `report_s`: the period that the platform states, seconds.
     pub fn new(report_s: f64) -> ReportInterval {
-        ReportInterval { gaps: Histogram::new_with_bounds(1, LONGEST_MS, 2).ok(), report_s }
+        ReportInterval {
+            gaps: Histogram::new_with_bounds(1, LONGEST_MS, 2).ok(),
+            report_s,
+        }
     }
 
     /// A machine reported `gap_s` seconds after its report before.
@@ -79,7 +82,10 @@
             r.heard(3.75 + f64::from(i % 250) / 100.0);
         }
         let learned = r.overdue_s();
-        assert!(learned > 6.2 && learned < 7.5 && learned <= before, "{learned}");
+        assert!(
+            learned > 6.2 && learned < 7.5 && learned <= before,
+            "{learned}"
+        );
         for _ in 0..5_000 {
             r.heard(46.0);
         }
--- a/crates/failure-detection/src/silence_detector.rs
+++ b/crates/failure-detection/src/silence_detector.rs
@@ -112,7 +112,10 @@
         f64::from(self.overdue) / f64::from(self.known.max(1))
     }
     fn without(self, other: Count) -> Count {
-        Count { known: self.known - other.known, overdue: self.overdue - other.overdue }
+        Count {
+            known: self.known - other.known,
+            overdue: self.overdue - other.overdue,
+        }
     }
 }
 
@@ -190,12 +193,21 @@
             let finding = self.find(overdue_s, s);
             findings.push((s.id, finding));
         }
-        let groups = self.began.iter().map(|(g, at)| (*g, now.since(*at))).collect();
-        SilenceAssessment { findings, link, groups }
+        let groups = self
+            .began
+            .iter()
+            .map(|(g, at)| (*g, now.since(*at)))
+            .collect();
+        SilenceAssessment {
+            findings,
+            link,
+            groups,
+        }
     }
 
     fn heard_elsewhere(&self, s: &MachineObservation) -> bool {
-        s.elsewhere_s.is_some_and(|e| e <= self.bounds.word_s && e < s.quiet_s)
+        s.elsewhere_s
+            .is_some_and(|e| e <= self.bounds.word_s && e < s.quiet_s)
     }
 
     /// Which groups are silent together.
@@ -216,7 +228,8 @@
             self.back.insert(Group::Ours, now.plus(self.bounds.limit_s));
         }
         self.keep(now, Group::Ours, all, wide);
-        self.began.retain(|g, _| *g == Group::Ours || groups.contains_key(g));
+        self.began
+            .retain(|g, _| *g == Group::Ours || groups.contains_key(g));
     }
 
     /// Once suspected, a group stays so until most of it is heard again: while
@@ -267,7 +280,11 @@
     const OVERDUE_S: f64 = 7.0;
 
     fn bounds() -> Bounds {
-        Bounds { limit_s: 15.0, shield_s: 106.0, word_s: 8.0 }
+        Bounds {
+            limit_s: 15.0,
+            shield_s: 106.0,
+            word_s: 8.0,
+        }
     }
 
     fn at(s: f64) -> Time {
@@ -296,7 +313,11 @@
     #[test]
     fn one_silent_machine_is_returned_as_soon_as_ever() {
         let mut s = SilenceDetector::new(bounds());
-        let look = s.look(at(0.0), OVERDUE_S, &fleet(500, |i| if i == 7 { 15.1 } else { 2.0 }));
+        let look = s.look(
+            at(0.0),
+            OVERDUE_S,
+            &fleet(500, |i| if i == 7 { 15.1 } else { 2.0 }),
+        );
         assert_eq!(count(&look, Finding::Silent), 1);
         assert!(look.groups.is_empty());
     }
@@ -322,7 +343,10 @@
             }
         }
         assert_eq!(returned, 0);
-        assert!(s.suspected_s(at(60.0), 1, 0).is_none(), "heard again, forgotten");
+        assert!(
+            s.suspected_s(at(60.0), 1, 0).is_none(),
+            "heard again, forgotten"
+        );
     }
 
     #[test]
@@ -406,11 +430,14 @@
         assert!(look.link.better_elsewhere());
         // A few that are new and try everybody move nothing.
         let mut all = fleet(100, |i| if i < 3 { 20.0 } else { 1.0 });
-        all.iter_mut().take(3).for_each(|m| m.elsewhere_s = Some(1.0));
+        all.iter_mut()
+            .take(3)
+            .for_each(|m| m.elsewhere_s = Some(1.0));
         assert!(!s.look(at(9.0), OVERDUE_S, &all).link.better_elsewhere());
         // Those that are answered by nobody go round all controllers.
         let mut all = fleet(100, |_| 20.0);
-        all.iter_mut().for_each(|m| (m.elsewhere_s, m.rotates_controllers) = (Some(1.0), true));
+        all.iter_mut()
+            .for_each(|m| (m.elsewhere_s, m.rotates_controllers) = (Some(1.0), true));
         assert!(!s.look(at(9.5), OVERDUE_S, &all).link.better_elsewhere());
         // An old word is none.
         let mut all = fleet(4, |_| 20.0);
--- a/crates/failure-detection/src/stall_detector.rs
+++ b/crates/failure-detection/src/stall_detector.rs
@@ -30,7 +30,11 @@
 impl StallDetector {
     /// Stuck after `patience_s` seconds.
     pub fn new(patience_s: f64) -> StallDetector {
-        StallDetector { patience_s, since: None, told: false }
+        StallDetector {
+            patience_s,
+            since: None,
+            told: false,
+        }
     }
 
     /// Takes in how things stand. True once for each stall: now it is one.
@@ -74,19 +78,35 @@
     #[test]
     fn stuck_is_neither_idle_nor_cut_off_nor_slow() {
         let at = |s: f64| Time::default().plus(10.0 + s);
-        let work = |moved: f64| Work { waiting: true, moved: at(moved), reached: true };
+        let work = |moved: f64| Work {
+            waiting: true,
+            moved: at(moved),
+            reached: true,
+        };
         let mut s = StallDetector::new(8.0);
         let run = |s: &mut StallDetector, w: Work, from: u32, to: u32| -> u32 {
-            (from..to).map(|t| u32::from(s.look(at(f64::from(t)), w))).sum()
+            (from..to)
+                .map(|t| u32::from(s.look(at(f64::from(t)), w)))
+                .sum()
+        };
+        let idle = Work {
+            waiting: false,
+            ..work(0.0)
         };
-        let idle = Work { waiting: false, ..work(0.0) };
         assert_eq!(run(&mut s, idle, 0, 60), 0);
         // Work that came after a long idle time has just begun to wait.
         assert_eq!(run(&mut s, work(0.0), 60, 68), 0);
         assert_eq!(run(&mut s, work(66.0), 68, 74), 0, "it moved meanwhile");
-        let away = Work { reached: false, ..work(66.0) };
+        let away = Work {
+            reached: false,
+            ..work(66.0)
+        };
         assert_eq!(run(&mut s, away, 74, 100), 0);
-        assert_eq!(run(&mut s, work(66.0), 100, 108), 0, "the outage does not count");
+        assert_eq!(
+            run(&mut s, work(66.0), 100, 108),
+            0,
+            "the outage does not count"
+        );
         assert_eq!(run(&mut s, work(66.0), 108, 140), 1, "told once");
         assert!(s.stuck_s(at(140.0)).is_some_and(|t| t > 30.0));
         assert_eq!(run(&mut s, work(140.0), 140, 142), 0);
--- a/crates/preemption/src/budget.rs
+++ b/crates/preemption/src/budget.rs
@@ -22,7 +22,10 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { window: FIRST, halved: Time::default() }
+        Budget {
+            window: FIRST,
+            halved: Time::default(),
+        }
     }
 }
 
@@ -65,7 +68,10 @@
         (0..100).for_each(|_| b.lapsed(at(5.0), at(0.0)));
         assert_eq!(b.window(), first);
         for round in 1..20 {
-            b.lapsed(at(10.0 * f64::from(round)), at(10.0 * f64::from(round) - 1.0));
+            b.lapsed(
+                at(10.0 * f64::from(round)),
+                at(10.0 * f64::from(round) - 1.0),
+            );
         }
         assert_eq!(b.window(), LEAST as usize, "never none at all");
         (0..10_000).for_each(|_| b.started());
--- a/crates/preemption/src/keep.rs
+++ b/crates/preemption/src/keep.rs
@@ -21,7 +21,10 @@
 impl Keep {
     /// Each keeps this part of its room, divided among those that fit the same.
     pub fn new(part: f64) -> Keep {
-        Keep { part: part.clamp(0.0, 1.0), ..Keep::default() }
+        Keep {
+            part: part.clamp(0.0, 1.0),
+            ..Keep::default()
+        }
     }
 
     /// A party holds so much more.
@@ -84,7 +87,10 @@
             taken += 1;
         }
         assert_eq!(taken, 5, "20 of 60 stay: half of 80, divided by two");
-        assert!(!keep.may_take(&probes, 1.0), "what holds nothing loses nothing");
+        assert!(
+            !keep.may_take(&probes, 1.0),
+            "what holds nothing loses nothing"
+        );
         assert!(Keep::new(0.0).may_take(&guests, 0.0));
     }
 }
--- a/crates/preemption/src/offer.rs
+++ b/crates/preemption/src/offer.rs
@@ -65,7 +65,10 @@
         add(&mut room, &r.size);
         fits(&want, &room)
     };
-    let alone = yields.iter().filter(|r| with(r)).min_by(|a, b| a.loss.total_cmp(&b.loss));
+    let alone = yields
+        .iter()
+        .filter(|r| with(r))
+        .min_by(|a, b| a.loss.total_cmp(&b.loss));
     let mut by_price: Vec<&Resident> = yields.iter().collect();
     let price = |r: &Resident| r.loss / r.size[0].max(EPSILON);
     by_price.sort_by(|a, b| price(a).total_cmp(&price(b)));
@@ -95,8 +98,14 @@
     }
     let loss = taken.iter().map(|r| r.loss).sum();
     match alone {
-        Some(r) if r.loss <= loss => Some(Offer { loss: r.loss, victims: vec![*r] }),
-        _ => Some(Offer { loss, victims: taken }),
+        Some(r) if r.loss <= loss => Some(Offer {
+            loss: r.loss,
+            victims: vec![*r],
+        }),
+        _ => Some(Offer {
+            loss,
+            victims: taken,
+        }),
     }
 }
 
@@ -127,7 +136,9 @@
         };
         let mut keyed: Vec<(f64, Site)> = sites.into_iter().map(|s| (least(&s), s)).collect();
         keyed.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.machine.cmp(&b.1.machine)));
-        Sites { sites: keyed.into_iter().map(|(_, s)| s).collect() }
+        Sites {
+            sites: keyed.into_iter().map(|(_, s)| s).collect(),
+        }
     }
 
     /// Somebody else got room there.
@@ -204,7 +215,9 @@
             if may.is_empty() && !now {
                 continue;
             }
-            let Some(offer) = offer(site.free, &may, want) else { continue };
+            let Some(offer) = offer(site.free, &may, want) else {
+                continue;
+            };
             looks += 1;
             let cost = offer.loss + dear(site.machine);
             if best.as_ref().is_none_or(|(c, ..)| cost < *c) {
@@ -217,7 +230,8 @@
             add(&mut site.free, &v.size);
         }
         sub(&mut site.free, &want);
-        site.yields.retain(|r| !offer.victims.iter().any(|v| v.task == r.task));
+        site.yields
+            .retain(|r| !offer.victims.iter().any(|v| v.task == r.task));
         Some((site.machine, offer))
     }
 }
@@ -229,11 +243,19 @@
     use proptest::prelude::*;
 
     fn task(index: u32) -> TaskId {
-        TaskId { job: JobId::parse("job-1").expect("an id"), index }
+        TaskId {
+            job: JobId::parse("job-1").expect("an id"),
+            index,
+        }
     }
 
     fn resident(index: u32, cpus: f64, loss: f64) -> Resident {
-        Resident { task: task(index), size: [cpus, 0.0, cpus], loss, who: 0 }
+        Resident {
+            task: task(index),
+            size: [cpus, 0.0, cpus],
+            loss,
+            who: 0,
+        }
     }
 
     fn machine(n: u32) -> MachineId {
@@ -241,7 +263,12 @@
     }
 
     fn site(n: u32, free: f64, yields: Vec<Resident>) -> Site {
-        Site { machine: machine(n), free: [free, 0.0, free], yields, ends: Vec::new() }
+        Site {
+            machine: machine(n),
+            free: [free, 0.0, free],
+            yields,
+            ends: Vec::new(),
+        }
     }
 
     /// Guards against the fault of old: CPUs were added up over the whole fleet,
@@ -256,13 +283,21 @@
             site(2, 0.0, six(10, 8.0)),
             site(3, 4.0, six(20, 8.5)),
         ]);
-        let (at, offer) =
-            sites.take([12.0, 0.0, 12.0], |_| true, |_| true, |_| 0.0).expect("a place");
-        assert_eq!((at, offer.victims.len()), (machine(3), 4), "four CPUs were free there");
-        let (at, offer) =
-            sites.take([12.0, 0.0, 12.0], |_| true, |_| true, |_| 0.0).expect("a place");
+        let (at, offer) = sites
+            .take([12.0, 0.0, 12.0], |_| true, |_| true, |_| 0.0)
+            .expect("a place");
+        assert_eq!(
+            (at, offer.victims.len()),
+            (machine(3), 4),
+            "four CPUs were free there"
+        );
+        let (at, offer) = sites
+            .take([12.0, 0.0, 12.0], |_| true, |_| true, |_| 0.0)
+            .expect("a place");
         assert_eq!((at, offer.victims.len()), (machine(2), 6));
-        assert!(sites.take([13.0, 0.0, 13.0], |_| true, |_| true, |_| 0.0).is_none());
+        assert!(sites
+            .take([13.0, 0.0, 13.0], |_| true, |_| true, |_| 0.0)
+            .is_none());
     }
 
     #[test]
@@ -279,7 +314,11 @@
     #[test]
     fn room_that_comes_by_itself_is_counted_once() {
         let mut s = site(1, 0.0, vec![resident(0, 4.0, 1.0)]);
-        let end = |i, left_s| End { task: task(i), left_s, size: [2.0, 0.0, 2.0] };
+        let end = |i, left_s| End {
+            task: task(i),
+            left_s,
+            size: [2.0, 0.0, 2.0],
+        };
         s.ends = vec![end(1, 1.0), end(2, 4.0)];
         let mut sites = Sites::new(vec![s]);
         assert_eq!(sites.coming([4.0, 0.0, 4.0], 5, 3.0, |_| true), 0);
--- a/crates/preemption/src/places.rs
+++ b/crates/preemption/src/places.rs
@@ -53,7 +53,9 @@
 impl Figures {
     /// Seconds from a stop to the start in its place, at this quantile.
     pub fn took_s(&self, quantile: f64) -> f64 {
-        self.took_ms.as_ref().map_or(0.0, |h| h.value_at_quantile(quantile) as f64 / 1e3)
+        self.took_ms
+            .as_ref()
+            .map_or(0.0, |h| h.value_at_quantile(quantile) as f64 / 1e3)
     }
 }
 
@@ -97,12 +99,23 @@
         self.figures.stops += u64::from(stops);
         self.figures.lost_cpu_s += offer.loss;
         let owing = offer.victims.iter().map(|v| v.task).collect();
-        self.open.insert(task, Place { machine, attempt, asked: now, owing, stops });
+        self.open.insert(
+            task,
+            Place {
+                machine,
+                attempt,
+                asked: now,
+                owing,
+                stops,
+            },
+        );
     }
 
     /// Whether this attempt's place is still to come: someone has yet to end.
     pub fn owed(&self, task: TaskId, attempt: Attempt) -> bool {
-        self.open.get(&task).is_some_and(|p| p.attempt == attempt && !p.owing.is_empty())
+        self.open
+            .get(&task)
+            .is_some_and(|p| p.attempt == attempt && !p.owing.is_empty())
     }
 
     /// A task is off a machine: who waits for that waits for one less.
@@ -117,7 +130,9 @@
         if self.open.get(&task).is_none_or(|p| p.attempt != attempt) {
             return;
         }
-        let Some(place) = self.open.remove(&task) else { return };
+        let Some(place) = self.open.remove(&task) else {
+            return;
+        };
         self.figures.started += 1;
         if let Some(h) = &mut self.figures.took_ms {
             h.saturating_record(((now.since(place.asked) * 1e3) as u64).max(1));
@@ -131,7 +146,9 @@
         if self.open.get(&task).is_none_or(|p| p.attempt != attempt) {
             return false;
         }
-        let Some(place) = self.open.remove(&task) else { return false };
+        let Some(place) = self.open.remove(&task) else {
+            return false;
+        };
         self.figures.lapsed += 1;
         self.figures.in_vain += u64::from(place.stops);
         if place.stops > 0 {
@@ -150,12 +167,20 @@
     #[test]
     fn a_place_ends_once_in_a_start_or_in_vain() {
         let at = |s: f64| Time::default().plus(100.0 + s);
-        let task = |index| TaskId { job: JobId::parse("job-1").expect("an id"), index };
+        let task = |index| TaskId {
+            job: JobId::parse("job-1").expect("an id"),
+            index,
+        };
         let m = MachineId::parse("n-000001").expect("a name");
         let offer = |n: u32| Offer {
             loss: 3.0,
             victims: (0..n)
-                .map(|i| Resident { task: task(100 + i), size: [1.0, 0.0, 1.0], loss: 1.0, who: 0 })
+                .map(|i| Resident {
+                    task: task(100 + i),
+                    size: [1.0, 0.0, 1.0],
+                    loss: 1.0,
+                    who: 0,
+                })
                 .collect(),
         };
         let mut p = Places::default();
@@ -179,7 +204,10 @@
         p.lapsed(at(2.0), task(0), Attempt(5));
         p.lapsed(at(2.0), task(1), Attempt(6));
         let f = &p.figures;
-        assert_eq!((f.asked, f.started, f.lapsed, f.stops, f.in_vain), (3, 1, 2, 3, 1));
+        assert_eq!(
+            (f.asked, f.started, f.lapsed, f.stops, f.in_vain),
+            (3, 1, 2, 3, 1)
+        );
         assert!((f.took_s(0.5) - 1.0).abs() < 0.05);
         assert_eq!(p.open(), 0);
         assert!(p.room() < room, "a place in vain narrows the window");
--- a/crates/preemption/src/stops.rs
+++ b/crates/preemption/src/stops.rs
@@ -16,13 +16,20 @@
 
 impl Stops {
     pub fn new(most: usize) -> Stops {
-        Stops { stopped: BTreeMap::new(), most: most.max(1) }
+        Stops {
+            stopped: BTreeMap::new(),
+            most: most.max(1),
+        }
     }
 
     /// A task was stopped to make room.
     pub fn stopped(&mut self, task: TaskId) {
         if self.stopped.len() >= self.most && !self.stopped.contains_key(&task) {
-            let least = self.stopped.iter().min_by_key(|(_, n)| **n).map(|(t, _)| *t);
+            let least = self
+                .stopped
+                .iter()
+                .min_by_key(|(_, n)| **n)
+                .map(|(t, _)| *t);
             least.map(|t| self.stopped.remove(&t));
         }
         let n = self.stopped.entry(task).or_insert(0);
@@ -49,13 +56,19 @@
 
     #[test]
     fn after_some_stops_it_runs_its_time_and_memory_is_bounded() {
-        let task = |index| TaskId { job: JobId::parse("job-7").expect("an id"), index };
+        let task = |index| TaskId {
+            job: JobId::parse("job-7").expect("an id"),
+            index,
+        };
         let mut stops = Stops::new(3);
         for n in 0..3 {
             assert_eq!(stops.may_stop(task(0), 1.0, 2, 60.0), n < 2);
             stops.stopped(task(0));
         }
-        assert!(stops.may_stop(task(0), 60.0, 2, 60.0), "it has had its time");
+        assert!(
+            stops.may_stop(task(0), 60.0, 2, 60.0),
+            "it has had its time"
+        );
         for i in 1..100 {
             stops.stopped(task(i));
         }
--- a/crates/priority-aging/src/bound.rs
+++ b/crates/priority-aging/src/bound.rs
@@ -72,13 +72,19 @@
         "more rises than the lane is sure to carry: {per_s:.4} tasks a second of {carried:.4}; \
          the lane keeps {share:.3} of the room for what has risen, the longest waiting first"
     )]
-    Overload { per_s: f64, carried: f64, share: f64 },
+    Overload {
+        per_s: f64,
+        carried: f64,
+        share: f64,
+    },
 }
 
 /// Tasks of the widest size that are in the lane side by side, and the seconds
 /// in which each is out of it again.
 fn lanes(policy: &Policy, widest_cpus: f64, longest_s: f64, cpus: f64) -> (f64, f64) {
-    let abreast = (policy.width(cpus) / widest_cpus.max(1e-9) + 1e-9).floor().max(1.0);
+    let abreast = (policy.width(cpus) / widest_cpus.max(1e-9) + 1e-9)
+        .floor()
+        .max(1.0);
     (abreast, 3.0 * longest_s)
 }
 
@@ -104,8 +110,16 @@
     let (abreast, held_s) = lanes(policy, crowd.widest_cpus, crowd.longest_s, room.cpus);
     let carried = abreast / held_s;
     if crowd.flow.per_s > carried {
-        let share = if room.cpus > 0.0 { width / room.cpus } else { 0.0 };
-        return Err(Unbounded::Overload { per_s: crowd.flow.per_s, carried, share });
+        let share = if room.cpus > 0.0 {
+            width / room.cpus
+        } else {
+            0.0
+        };
+        return Err(Unbounded::Overload {
+            per_s: crowd.flow.per_s,
+            carried,
+            share,
+        });
     }
     let through_s = held_s * (1.0 + crowd.flow.burst / abreast);
     Ok(patience_s + through_s + 2.0 * crowd.longest_s + room.standstill_s)
@@ -119,14 +133,23 @@
     use proptest::prelude::*;
 
     fn policy() -> Policy {
-        Policy::new(PriorityAging { on: true, ..PriorityAging::default() })
+        Policy::new(PriorityAging {
+            on: true,
+            ..PriorityAging::default()
+        })
     }
 
     #[test]
     fn no_bound_where_more_rises_than_the_lane_carries() {
-        let crowd =
-            |per_s| Crowd { flow: Flow { burst: 4.0, per_s }, widest_cpus: 2.0, longest_s: 60.0 };
-        let room = Room { cpus: 160.0, standstill_s: 30.0 };
+        let crowd = |per_s| Crowd {
+            flow: Flow { burst: 4.0, per_s },
+            widest_cpus: 2.0,
+            longest_s: 60.0,
+        };
+        let room = Room {
+            cpus: 160.0,
+            standstill_s: 30.0,
+        };
         let p = policy();
         let wait = longest_wait_s(&p, Urgency::BestEffort, &crowd(0.02), &room);
         let patience = PriorityAging::default().best_effort_s;
@@ -154,7 +177,10 @@
                 if lane.admits(*cpus) {
                     break;
                 }
-                now = out.iter().map(|(end, _)| *end).fold(f64::INFINITY, f64::min);
+                now = out
+                    .iter()
+                    .map(|(end, _)| *end)
+                    .fold(f64::INFINITY, f64::min);
             }
             let begins = now + wait * 2.0 * longest_s;
             worst = worst.max(begins - rose);
--- a/crates/priority-aging/src/lane.rs
+++ b/crates/priority-aging/src/lane.rs
@@ -17,7 +17,11 @@
 impl Lane {
     /// An empty lane of so many CPUs.
     pub fn new(width: f64) -> Lane {
-        Lane { width, held: 0.0, tasks: 0 }
+        Lane {
+            width,
+            held: 0.0,
+            tasks: 0,
+        }
     }
 
     /// Whether a task of so many CPUs may be admitted now.
--- a/crates/priority-aging/src/policy.rs
+++ b/crates/priority-aging/src/policy.rs
@@ -61,7 +61,10 @@
     pub fn rise(&self, urgency: Urgency, submitted: WallMs, wall: WallMs) -> Rise {
         let own = f64::from(urgency as u8);
         let Some(patience_s) = self.patience_s(urgency) else {
-            return Rise { priority: own, rises_in_s: None };
+            return Rise {
+                priority: own,
+                rises_in_s: None,
+            };
         };
         // A submission of the future is one whose stamp's clock was ahead.
         let age_s = wall.0.saturating_sub(submitted.0) as f64 / 1e3;
@@ -93,7 +96,10 @@
     use super::*;
 
     fn policy() -> Policy {
-        Policy::new(PriorityAging { on: true, ..PriorityAging::default() })
+        Policy::new(PriorityAging {
+            on: true,
+            ..PriorityAging::default()
+        })
     }
 
     #[test]
@@ -105,7 +111,13 @@
         assert!((at(Urgency::BestEffort, s.best_effort_s / 2.0).priority - 1.0).abs() < 1e-9);
         assert_eq!(at(Urgency::BestEffort, s.best_effort_s * 9.0).priority, 2.0);
         assert_eq!(at(Urgency::Standard, s.standard_s).rises_in_s, Some(0.0));
-        assert_eq!(at(Urgency::High, 1e6), Rise { priority: 2.0, rises_in_s: None });
+        assert_eq!(
+            at(Urgency::High, 1e6),
+            Rise {
+                priority: 2.0,
+                rises_in_s: None
+            }
+        );
         assert_eq!(p.rises_at_ms(Urgency::Critical, WallMs(0)), None);
     }
 
@@ -122,7 +134,11 @@
         let (a, b) = (WallMs(1_000_000), WallMs(1_000_400));
         let key = |s| p.rises_at_ms(Urgency::Standard, s);
         assert!(key(a) < key(b), "stored stamps alone");
-        assert_eq!(key(WallMs(u64::MAX)), Some(u64::MAX), "a stamp out of all reason never rises");
+        assert_eq!(
+            key(WallMs(u64::MAX)),
+            Some(u64::MAX),
+            "a stamp out of all reason never rises"
+        );
         // A stamp of the future gives no negative age.
         assert_eq!(p.rise(Urgency::Standard, b, a).priority, 1.0);
     }
--- a/crates/priority-aging/src/reserve.rs
+++ b/crates/priority-aging/src/reserve.rs
@@ -65,7 +65,10 @@
 
     /// Who holds a machine.
     pub fn leader(&self, machine: MachineId) -> Option<(JobId, Held)> {
-        self.held.iter().find(|(_, h)| h.machine == machine).map(|(j, h)| (*j, *h))
+        self.held
+            .iter()
+            .find(|(_, h)| h.machine == machine)
+            .map(|(j, h)| (*j, *h))
     }
 
     /// Reserves, of machines with the seconds until each has room, the first
@@ -82,7 +85,10 @@
         }
         let free = machines.filter(|(m, _)| self.leader(*m).is_none());
         let (machine, left_s) = free.min_by(|a, b| a.1.total_cmp(&b.1))?;
-        let held = Held { machine, at: now.plus(left_s) };
+        let held = Held {
+            machine,
+            at: now.plus(left_s),
+        };
         self.held.insert(job, held);
         Some(held)
     }
@@ -111,12 +117,24 @@
 
     #[test]
     fn room_comes_with_the_ends_that_are_needed() {
-        let r = |left_s, cpus| Running { left_s, size: [cpus, 0.0, 0.0] };
+        let r = |left_s, cpus| Running {
+            left_s,
+            size: [cpus, 0.0, 0.0],
+        };
         let mut running = [r(30.0, 8.0), r(10.0, 8.0), r(20.0, 16.0)];
         let resources = |cpus| [cpus, 0.0, 0.0];
-        assert_eq!(soonest(resources(0.0), &mut running, resources(8.0)), Some(10.0));
-        assert_eq!(soonest(resources(0.0), &mut running, resources(20.0)), Some(20.0));
-        assert_eq!(soonest(resources(2.0), &mut running, resources(34.0)), Some(30.0));
+        assert_eq!(
+            soonest(resources(0.0), &mut running, resources(8.0)),
+            Some(10.0)
+        );
+        assert_eq!(
+            soonest(resources(0.0), &mut running, resources(20.0)),
+            Some(20.0)
+        );
+        assert_eq!(
+            soonest(resources(2.0), &mut running, resources(34.0)),
+            Some(30.0)
+        );
         assert_eq!(soonest(resources(2.0), &mut running, resources(64.0)), None);
         assert_eq!(soonest(resources(2.0), &mut [], resources(1.0)), Some(0.0));
     }
@@ -127,17 +145,27 @@
     fn the_time_is_set_once_and_the_machine_kept() {
         let now = Time::from_micros(1_000_000);
         let mut all = Reservations::default();
-        let first = all.hold(now, id(1), [(machine(1), 40.0), (machine(2), 10.0)].into_iter());
+        let first = all.hold(
+            now,
+            id(1),
+            [(machine(1), 40.0), (machine(2), 10.0)].into_iter(),
+        );
         let held = first.expect("one is free");
         assert_eq!(held.machine, machine(2));
         assert!(held.lets_pass(now, 10.0) && !held.lets_pass(now.plus(5.0), 10.0));
         // Ten seconds have passed and what ran there runs on.
         let later = now.plus(11.0);
-        let again = all.hold(later, id(1), [(machine(1), 1.0), (machine(2), 30.0)].into_iter());
+        let again = all.hold(
+            later,
+            id(1),
+            [(machine(1), 1.0), (machine(2), 30.0)].into_iter(),
+        );
         assert_eq!(again, Some(held));
         assert!(!held.lets_pass(later, 0.1));
         // Others get other machines.
-        assert!(all.hold(later, id(2), [(machine(2), 0.0)].into_iter()).is_none());
+        assert!(all
+            .hold(later, id(2), [(machine(2), 0.0)].into_iter())
+            .is_none());
         all.keep(|job, _| job != id(1));
         assert!(all.is_empty() && all.leader(machine(2)).is_none());
     }
--- a/crates/rate-limit/src/backoff.rs
+++ b/crates/rate-limit/src/backoff.rs
@@ -35,7 +35,12 @@
     /// A course that pauses between `shortest_s` and `longest_s` seconds.
     pub fn new(shortest_s: f64, longest_s: f64) -> AdaptiveBackoff {
         let pauses = (shortest_s, longest_s.max(shortest_s));
-        AdaptiveBackoff { pauses, malformed: 0, refused: 0, until: Time::default() }
+        AdaptiveBackoff {
+            pauses,
+            malformed: 0,
+            refused: 0,
+            until: Time::default(),
+        }
     }
 
     /// Whether the pause after the last refusal is over.
--- a/crates/rate-limit/src/transaction.rs
+++ b/crates/rate-limit/src/transaction.rs
@@ -46,7 +46,10 @@
 
     /// At most so many writes: what the pacing could ever send at once.
     pub fn paced(self, writes: usize) -> Limits {
-        Limits { writes: self.writes.min(writes), ..self }
+        Limits {
+            writes: self.writes.min(writes),
+            ..self
+        }
     }
 
     /// A transaction of about the `part`-th size, never below one write with
@@ -123,13 +126,21 @@
 impl Transaction {
     /// An empty transaction.
     pub fn new(limits: Limits) -> Transaction {
-        Transaction { limits, when: BTreeMap::new(), then: Vec::new(), bytes: FRAME_BYTES }
+        Transaction {
+            limits,
+            when: BTreeMap::new(),
+            then: Vec::new(),
+            bytes: FRAME_BYTES,
+        }
     }
 
     /// What a condition on `key` would add: conditions and bytes.
     fn cost(&self, key: &str, revision: Revision) -> Result<(usize, usize), Full> {
         if key.len() > MAX_KEY_BYTES {
-            return Err(Full::Never { bytes: key.len(), limit: MAX_KEY_BYTES });
+            return Err(Full::Never {
+                bytes: key.len(),
+                limit: MAX_KEY_BYTES,
+            });
         }
         match self.when.get(key) {
             Some(s) if *s != revision => Err(Full::Contradiction),
@@ -141,7 +152,10 @@
     /// Takes the cost if it fits.
     fn spend(&mut self, writes: usize, conditions: usize, bytes: usize) -> Result<(), Full> {
         if self.bytes + bytes > self.limits.bytes && FRAME_BYTES + bytes > self.limits.bytes {
-            return Err(Full::Never { bytes, limit: self.limits.bytes });
+            return Err(Full::Never {
+                bytes,
+                limit: self.limits.bytes,
+            });
         }
         let fits = self.then.len() + writes <= self.limits.writes
             && self.when.len() + conditions <= self.limits.conditions
@@ -179,7 +193,10 @@
         let key = key.into();
         let size = wire::json_len(&value);
         if size > self.limits.value {
-            return Err(Full::Never { bytes: size, limit: self.limits.value });
+            return Err(Full::Never {
+                bytes: size,
+                limit: self.limits.value,
+            });
         }
         let (conditions, bytes) = self.cost(&key, revision)?;
         self.spend(1, conditions, bytes + key.len() + size + WRITE_BYTES)?;
@@ -219,13 +236,23 @@
     /// Bytes of the largest value that a write to a new key could still take.
     pub fn value_left(&self, key_bytes: usize) -> usize {
         let around = 2 * key_bytes + CONDITION_BYTES + WRITE_BYTES;
-        self.limits.bytes.saturating_sub(self.bytes + around).min(self.limits.value)
+        self.limits
+            .bytes
+            .saturating_sub(self.bytes + around)
+            .min(self.limits.value)
     }
 
     /// The body of the request.
     pub fn body(&self) -> Vec<u8> {
         wire::encode(&Body {
-            when: self.when.iter().map(|(k, s)| When { path: k, revision: s.0 }).collect(),
+            when: self
+                .when
+                .iter()
+                .map(|(k, s)| When {
+                    path: k,
+                    revision: s.0,
+                })
+                .collect(),
             then: self
                 .then
                 .iter()
@@ -313,13 +340,27 @@
 
     #[test]
     fn what_never_fits_is_told_from_what_fits_later() {
-        let limits = Limits { writes: 2, conditions: 8, bytes: MAX_BYTES, value: 1_024 };
+        let limits = Limits {
+            writes: 2,
+            conditions: 8,
+            bytes: MAX_BYTES,
+            value: 1_024,
+        };
         let mut transaction = Transaction::new(limits);
         let big = Value::Text("x".repeat(2_000));
-        assert!(matches!(transaction.write("a", Revision(0), big, None), Err(Full::Never { .. })));
-        assert!(matches!(transaction.when("k".repeat(201), Revision(0)), Err(Full::Never { .. })));
+        assert!(matches!(
+            transaction.write("a", Revision(0), big, None),
+            Err(Full::Never { .. })
+        ));
+        assert!(matches!(
+            transaction.when("k".repeat(201), Revision(0)),
+            Err(Full::Never { .. })
+        ));
         assert_eq!(transaction.delete("a", Revision(1)), Ok(()));
-        assert_eq!(transaction.delete("a", Revision(2)), Err(Full::Contradiction));
+        assert_eq!(
+            transaction.delete("a", Revision(2)),
+            Err(Full::Contradiction)
+        );
         assert_eq!(transaction.delete("b", Revision(1)), Ok(()));
         assert_eq!(transaction.delete("c", Revision(1)), Err(Full::Now));
         // Compared before: no second condition is counted.
--- a/crates/sharding/src/budget.rs
+++ b/crates/sharding/src/budget.rs
@@ -20,7 +20,13 @@
         let slots: Vec<Slot> = slots.collect();
         let n = slots.len().max(1) as u64;
         let part = |i: usize| limit / n + u64::from((i as u64) < limit % n);
-        Budget { parts: slots.into_iter().enumerate().map(|(i, s)| (s, part(i))).collect() }
+        Budget {
+            parts: slots
+                .into_iter()
+                .enumerate()
+                .map(|(i, s)| (s, part(i)))
+                .collect(),
+        }
     }
 
     pub fn part(&self, slot: Slot) -> u64 {
@@ -64,7 +70,9 @@
             let mut lacks = (used(s) + wanted(s)).saturating_sub(*part);
             while lacks > 0 {
                 spare.sort_unstable();
-                let Some((n, from)) = spare.last_mut().filter(|(n, _)| *n > 0) else { break };
+                let Some((n, from)) = spare.last_mut().filter(|(n, _)| *n > 0) else {
+                    break;
+                };
                 let moved = lacks.min(*n);
                 *n -= moved;
                 lacks -= moved;
@@ -83,7 +91,10 @@
     fn the_sum_of_the_parts_is_the_limit_whatever_moves() {
         let slots = || (0..5).map(Slot);
         let mut b = Budget::even(12_003, slots());
-        assert_eq!((b.limit(), b.part(Slot(0)), b.part(Slot(4))), (12_003, 2_401, 2_400));
+        assert_eq!(
+            (b.limit(), b.part(Slot(0)), b.part(Slot(4))),
+            (12_003, 2_401, 2_400)
+        );
         let mut seed = 7u64;
         let mut draw = |n: u64| {
             seed = seed
@@ -104,7 +115,10 @@
         let b = Budget::even(300, (0..3).map(Slot));
         let used = BTreeMap::from([(Slot(0), 100), (Slot(1), 20)]);
         let wanted = BTreeMap::from([(Slot(0), 70)]);
-        assert_eq!(b.wishes(&used, &wanted), [(Slot(2), Slot(0), 50), (Slot(1), Slot(0), 20)]);
+        assert_eq!(
+            b.wishes(&used, &wanted),
+            [(Slot(2), Slot(0), 50), (Slot(1), Slot(0), 20)]
+        );
         assert!(b.wishes(&used, &BTreeMap::new()).is_empty());
     }
 }
--- a/crates/sharding/src/hold.rs
+++ b/crates/sharding/src/hold.rs
@@ -82,7 +82,10 @@
             flying: false,
             stale: true,
         };
-        Shares { me, of: vec![share; slots.count()] }
+        Shares {
+            me,
+            of: vec![share; slots.count()],
+        }
     }
 
     fn share(&mut self, slot: Slot) -> Option<&mut Share> {
@@ -100,7 +103,9 @@
 
     /// Slots that we hold.
     pub fn held(&self) -> impl Iterator<Item = (Slot, FencingToken)> + '_ {
-        (0..self.of.len() as u16).map(Slot).filter_map(|s| Some((s, self.token(s)?)))
+        (0..self.of.len() as u16)
+            .map(Slot)
+            .filter_map(|s| Some((s, self.token(s)?)))
     }
 
     /// Whom the slot's workers are sent to, as far as known: never ourselves.
@@ -123,7 +128,11 @@
         let share = self.share(slot)?;
         share.stale = false;
         // News from before what we know are old.
-        if share.known.as_ref().is_some_and(|k| k.revision > entry.revision) {
+        if share
+            .known
+            .as_ref()
+            .is_some_and(|k| k.revision > entry.revision)
+        {
             return None;
         }
         let token = FencingToken(entry.revision.0);
@@ -152,7 +161,9 @@
     /// A worker has seen a higher token, or a condition on the slot's key failed:
     /// somebody else holds it.
     pub fn deposed(&mut self, slot: Slot) {
-        let Some(share) = self.share(slot) else { return };
+        let Some(share) = self.share(slot) else {
+            return;
+        };
         if let Turn::Held(token) | Turn::Giving(token) = share.turn {
             share.ended = share.ended.max(token);
             share.turn = Turn::No;
@@ -165,11 +176,18 @@
     pub fn take(&mut self, slot: Slot) -> Option<Write> {
         let me = self.me.clone();
         let share = self.share(slot)?;
-        let known = share.known.as_ref().filter(|_| !share.stale && !share.flying)?;
+        let known = share
+            .known
+            .as_ref()
+            .filter(|_| !share.stale && !share.flying)?;
         if share.turn != Turn::No {
             return None;
         }
-        let write = Write { slot, when: known.revision, holder: me };
+        let write = Write {
+            slot,
+            when: known.revision,
+            holder: me,
+        };
         share.flying = true;
         Some(write)
     }
@@ -178,13 +196,19 @@
     /// we answer none of its workers: the transaction may be applied at any time.
     pub fn give(&mut self, slot: Slot, to: Name) -> Option<Write> {
         let share = self.share(slot)?;
-        let Turn::Held(token) = share.turn else { return None };
+        let Turn::Held(token) = share.turn else {
+            return None;
+        };
         if share.flying {
             return None;
         }
         share.turn = Turn::Giving(token);
         share.flying = true;
-        Some(Write { slot, when: Revision(token.0), holder: to })
+        Some(Write {
+            slot,
+            when: Revision(token.0),
+            holder: to,
+        })
     }
 
     /// What became of a take or a gift. Returns the token if we hold the slot by it.
@@ -192,9 +216,13 @@
         let share = self.share(write.slot)?;
         share.flying = false;
         match outcome {
-            Outcome::Applied(revision) => {
-                self.saw(write.slot, Entry { holder: Some(write.holder.clone()), revision })
-            }
+            Outcome::Applied(revision) => self.saw(
+                write.slot,
+                Entry {
+                    holder: Some(write.holder.clone()),
+                    revision,
+                },
+            ),
             // Certainly not executed, and never will be: as it was.
             Outcome::Refused => {
                 if let Turn::Giving(token) = share.turn {
@@ -220,12 +248,18 @@
     pub fn take_back(&mut self, slot: Slot) -> Option<Write> {
         let me = self.me.clone();
         let share = self.share(slot)?;
-        let Turn::Giving(token) = share.turn else { return None };
+        let Turn::Giving(token) = share.turn else {
+            return None;
+        };
         if share.flying || share.stale {
             return None;
         }
         share.flying = true;
-        Some(Write { slot, when: Revision(token.0), holder: me })
+        Some(Write {
+            slot,
+            when: Revision(token.0),
+            holder: me,
+        })
     }
 }
 
@@ -237,21 +271,38 @@
     const SLOT: Slot = Slot(0);
 
     fn name(label: &str, nonce: u64) -> Name {
-        Name { label: label.into(), nonce }
+        Name {
+            label: label.into(),
+            nonce,
+        }
     }
 
     fn shares(label: &str, nonce: u64) -> Shares {
-        let limits = Limits { writes: 3, conditions: 12, bytes: 9_000, value: 900 };
+        let limits = Limits {
+            writes: 3,
+            conditions: 12,
+            bytes: 9_000,
+            value: 900,
+        };
         Shares::new(name(label, nonce), Slots::within(&limits))
     }
 
     fn entry(holder: &Name, revision: u64) -> Entry {
-        Entry { holder: Some(holder.clone()), revision: Revision(revision) }
+        Entry {
+            holder: Some(holder.clone()),
+            revision: Revision(revision),
+        }
     }
 
     fn holding(nonce: u64, revision: u64) -> Shares {
         let mut s = shares("a", nonce);
-        s.saw(SLOT, Entry { holder: None, revision: Revision(0) });
+        s.saw(
+            SLOT,
+            Entry {
+                holder: None,
+                revision: Revision(0),
+            },
+        );
         let take = s.take(SLOT).expect("nobody holds it");
         assert!(s.take(SLOT).is_none(), "one at a time");
         assert_eq!(
@@ -264,7 +315,13 @@
     #[test]
     fn a_take_whose_reply_is_lost_is_known_by_its_nonce() {
         let mut s = shares("a", 1);
-        s.saw(SLOT, Entry { holder: None, revision: Revision(0) });
+        s.saw(
+            SLOT,
+            Entry {
+                holder: None,
+                revision: Revision(0),
+            },
+        );
         let take = s.take(SLOT).expect("free");
         assert_eq!(s.wrote(&take, Outcome::Unknown), None);
         assert_eq!(s.to_read().collect::<Vec<_>>(), [SLOT]);
@@ -285,7 +342,10 @@
         assert_eq!(s.token(SLOT), None, "and may be still");
         let back = s.take_back(SLOT).expect("not shown");
         assert_eq!(back.when, Revision(7), "one of the two transactions fails");
-        assert_eq!(s.wrote(&back, Outcome::Applied(Revision(9))), Some(FencingToken(9)));
+        assert_eq!(
+            s.wrote(&back, Outcome::Applied(Revision(9))),
+            Some(FencingToken(9))
+        );
         // The gift was applied first.
         let mut s = holding(1, 7);
         let gift = s.give(SLOT, b.clone()).expect("held");
@@ -307,6 +367,10 @@
         assert_eq!(s.saw(SLOT, entry(&name("b", 2), 9)), None);
         assert_eq!(s.saw(SLOT, entry(&name("a", 1), 7)), None);
         assert_eq!(s.holder(SLOT), Some("b"));
-        assert_eq!(s.saw(SLOT, entry(&name("a", 1), 12)), Some(FencingToken(12)), "given back");
+        assert_eq!(
+            s.saw(SLOT, entry(&name("a", 1), 12)),
+            Some(FencingToken(12)),
+            "given back"
+        );
     }
 }
--- a/crates/sharding/src/wanted.rs
+++ b/crates/sharding/src/wanted.rs
@@ -50,7 +50,8 @@
 impl Wanted {
     /// Takes in who is fit.
     pub fn look(&mut self, now: Time, members: &[Member], bounds: &Bounds) {
-        self.known.retain(|label, _| members.iter().any(|m| m.label == *label));
+        self.known
+            .retain(|label, _| members.iter().any(|m| m.label == *label));
         for m in members {
             let first = !self.known.contains_key(&m.label) && self.moved.is_none();
             let k = self.known.entry(m.label.clone()).or_default();
@@ -68,9 +69,12 @@
     }
 
     fn settled(&self, now: Time, label: &str, bounds: &Bounds) -> bool {
-        let Some(k) = self.known.get(label) else { return false };
+        let Some(k) = self.known.get(label) else {
+            return false;
+        };
         let times = 2f64.powi(k.ended.0.saturating_sub(1).min(3) as i32);
-        k.fit_since.is_some_and(|at| now.since(at) >= bounds.settled_s * times)
+        k.fit_since
+            .is_some_and(|at| now.since(at) >= bounds.settled_s * times)
     }
 
     fn fit(&self, label: &str) -> bool {
@@ -100,21 +104,33 @@
         let mut out = Vec::new();
         // What nobody holds goes at once, the largest first: to who is settled, or,
         // where nobody is, to whoever is there. Somebody always is better.
-        let mut orphans: Vec<Slot> =
-            slots.all().filter(|s| holders.get(s).is_none_or(|h| !self.fit(h))).collect();
+        let mut orphans: Vec<Slot> = slots
+            .all()
+            .filter(|s| holders.get(s).is_none_or(|h| !self.fit(h)))
+            .collect();
         orphans.sort_by(|a, b| load(*b).total_cmp(&load(*a)).then(a.cmp(b)));
         for slot in orphans {
             let settled = sums.iter().filter(|(l, _)| self.settled(now, l, bounds));
             let least = |a: &(&String, &f64), b: &(&String, &f64)| a.1.total_cmp(b.1);
             let to = settled.min_by(least).or_else(|| sums.iter().min_by(least));
-            let Some(to) = to.map(|(l, _)| l.clone()) else { break };
+            let Some(to) = to.map(|(l, _)| l.clone()) else {
+                break;
+            };
             if let Some(sum) = sums.get_mut(&to) {
                 *sum += load(slot);
             }
-            out.push(Move { slot, from: None, to });
+            out.push(Move {
+                slot,
+                from: None,
+                to,
+            });
         }
         if !out.is_empty() || self.moved.is_some_and(|at| now.since(at) < bounds.pace_s) {
-            self.moved = if out.is_empty() { self.moved } else { Some(now) };
+            self.moved = if out.is_empty() {
+                self.moved
+            } else {
+                Some(now)
+            };
             return out;
         }
         // One move towards evenness, if it makes the greater of the two sums smaller
@@ -122,12 +138,18 @@
         let most = sums.iter().max_by(|a, b| a.1.total_cmp(b.1));
         let to = sums.iter().filter(|(l, _)| self.settled(now, l, bounds));
         let least = to.min_by(|a, b| a.1.total_cmp(b.1));
-        let (Some((from, high)), Some((to, low))) = (most, least) else { return out };
+        let (Some((from, high)), Some((to, low))) = (most, least) else {
+            return out;
+        };
         let mine = slots.all().filter(|s| holders.get(s) == Some(from));
         let better = |s: &Slot| (high - load(*s)).max(low + load(*s));
         let best = mine.min_by(|a, b| better(a).total_cmp(&better(b)));
         if let Some(slot) = best.filter(|s| better(s) < high * 0.9) {
-            out.push(Move { slot, from: Some(from.clone()), to: to.clone() });
+            out.push(Move {
+                slot,
+                from: Some(from.clone()),
+                to: to.clone(),
+            });
             self.moved = Some(now);
         }
         out
@@ -139,10 +161,19 @@
     use super::*;
     use beamhinge_rate_limit::Limits;
 
-    const BOUNDS: Bounds = Bounds { settled_s: 15.0, pace_s: 2.0, memory_s: 300.0 };
+    const BOUNDS: Bounds = Bounds {
+        settled_s: 15.0,
+        pace_s: 2.0,
+        memory_s: 300.0,
+    };
 
     fn slots() -> Slots {
-        Slots::within(&Limits { writes: 20, conditions: 80, bytes: 9_000, value: 900 })
+        Slots::within(&Limits {
+            writes: 20,
+            conditions: 80,
+            bytes: 9_000,
+            value: 900,
+        })
     }
 
     fn at(s: f64) -> Time {
@@ -155,7 +186,10 @@
         let load: BTreeMap<Slot, f64> = slots().all().map(|s| (s, 1.0)).collect();
         let (mut moves, mut orphaned) = (0, 0);
         for s in 0..seconds {
-            let member = |l: &str| Member { label: l.into(), fit: fit(l, s) };
+            let member = |l: &str| Member {
+                label: l.into(),
+                fit: fit(l, s),
+            };
             let members: Vec<Member> = ["a", "b", "c"].into_iter().map(member).collect();
             wanted.look(at(f64::from(s)), &members, &BOUNDS);
             for m in wanted.moves(at(f64::from(s)), slots(), &holders, &load, &BOUNDS) {
@@ -175,14 +209,27 @@
     fn three_share_evenly_and_nothing_moves_without_cause() {
         let (holders, moves, _) = play(600, |_, _| true);
         assert_eq!(moves, 0);
-        assert!(["a", "b", "c"].iter().all(|l| (5..=6).contains(&of(&holders, l))), "{holders:?}");
+        assert!(
+            ["a", "b", "c"]
+                .iter()
+                .all(|l| (5..=6).contains(&of(&holders, l))),
+            "{holders:?}"
+        );
     }
 
     #[test]
     fn who_comes_back_gets_its_part_slowly_and_one_alone_holds_all() {
         let (holders, moves, orphaned) = play(120, |l, s| l != "c" || !(30..50).contains(&s));
-        assert!(["a", "b", "c"].iter().all(|l| (5..=6).contains(&of(&holders, l))), "{holders:?}");
-        assert!(orphaned == 5 && moves <= 10, "{moves} moves, {orphaned} of what nobody held");
+        assert!(
+            ["a", "b", "c"]
+                .iter()
+                .all(|l| (5..=6).contains(&of(&holders, l))),
+            "{holders:?}"
+        );
+        assert!(
+            orphaned == 5 && moves <= 10,
+            "{moves} moves, {orphaned} of what nobody held"
+        );
         let (holders, ..) = play(60, |l, s| l == "a" || s < 20);
         assert_eq!(of(&holders, "a"), 16);
     }
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -140,25 +140,45 @@
 }
 
 fn name(c: usize, life: u64) -> Name {
-    Name { label: ["a", "b"][c].into(), nonce: life }
+    Name {
+        label: ["a", "b"][c].into(),
+        nonce: life,
+    }
 }
 
 fn two_slots() -> Slots {
-    Slots::within(&Limits { writes: 4, conditions: 16, bytes: 9_000, value: 900 })
+    Slots::within(&Limits {
+        writes: 4,
+        conditions: 16,
+        bytes: 9_000,
+        value: 900,
+    })
 }
 
 fn start(left: Left) -> World {
-    let entry =
-        |c: usize, revision: u64| Entry { holder: Some(name(c, 0)), revision: Revision(revision) };
+    let entry = |c: usize, revision: u64| Entry {
+        holder: Some(name(c, 0)),
+        revision: Revision(revision),
+    };
     let slot = [entry(0, 1), entry(1, 2)];
     let ctl = |c: usize| {
         let mut shares = Shares::new(name(c, 0), two_slots());
         for (s, entry) in slot.iter().enumerate() {
             shares.saw(Slot(s as u16), entry.clone());
         }
-        Ctl { life: 0, shares, books: [None, None], flying: [false; 2] }
+        Ctl {
+            life: 0,
+            shares,
+            books: [None, None],
+            flying: [false; 2],
+        }
+    };
+    let worker = |baton| Worker {
+        baton,
+        id: 0,
+        awaits: false,
+        tasks: Vec::new(),
     };
-    let worker = |baton| Worker { baton, id: 0, awaits: false, tasks: Vec::new() };
     let mut w = World {
         rev: 8,
         ctl: [ctl(0), ctl(1)],
@@ -198,7 +218,9 @@
     }
 
     fn load(&mut self, c: usize, s: usize) {
-        let Some(token) = self.ctl[c].shares.token(Slot(s as u16)) else { return };
+        let Some(token) = self.ctl[c].shares.token(Slot(s as u16)) else {
+            return;
+        };
         let run = |k: usize| match self.row[k].0 {
             Some((at, attempt)) if usize::from(at) == s => Run::Inherited(attempt),
             _ => Run::No,
@@ -243,7 +265,10 @@
         let rev = self.rev;
         match &t.kind {
             Kind::Hold(w) => {
-                self.slot[s] = Entry { holder: Some(w.holder.clone()), revision: Revision(rev) }
+                self.slot[s] = Entry {
+                    holder: Some(w.holder.clone()),
+                    revision: Revision(rev),
+                }
             }
             Kind::Place { task, .. } => self.row[*task] = (Some((s as u8, rev)), rev),
             Kind::End { task, .. } => self.row[*task] = (None, rev),
@@ -277,7 +302,9 @@
             Outcome::Applied(revision) => Some(revision.0),
             _ => None,
         };
-        let Some(b) = ctl.books[t.slot].as_mut().filter(|b| b.token == t.token) else { return };
+        let Some(b) = ctl.books[t.slot].as_mut().filter(|b| b.token == t.token) else {
+            return;
+        };
         match (&t.kind, applied) {
             (Kind::Place { task, .. }, Some(rev)) => {
                 (b.row[*task], b.run[*task]) = (rev, Run::Committed(rev));
@@ -302,20 +329,40 @@
     fn send(&mut self, c: usize, slot: usize, token: u64, kind: Kind) {
         self.ctl[c].flying[slot] = true;
         let life = self.ctl[c].life;
-        self.txns.push(Txn { by: c, life, slot, token, kind, orphan: false });
+        self.txns.push(Txn {
+            by: c,
+            life,
+            slot,
+            token,
+            kind,
+            orphan: false,
+        });
     }
 
     /// A controller takes a report of a slot's machine in, and answers it if it may.
     fn hears(&mut self, c: usize, r: &Report, defect: Defect) {
         let s = r.slot;
-        let Some(token) = self.ctl[c].shares.token(Slot(s as u16)) else { return };
+        let Some(token) = self.ctl[c].shares.token(Slot(s as u16)) else {
+            return;
+        };
         if r.baton > token.0 && defect != Defect::OneToken {
             self.ctl[c].shares.deposed(Slot(s as u16));
             return;
         }
-        let told = if defect == Defect::OneToken { 1 } else { token.0 };
-        let Some(b) = self.ctl[c].books[s].as_mut().filter(|b| b.token == token.0) else { return };
-        let mut answer = Answer { slot: s, id: r.id, token: told, runs: Vec::new() };
+        let told = if defect == Defect::OneToken {
+            1
+        } else {
+            token.0
+        };
+        let Some(b) = self.ctl[c].books[s].as_mut().filter(|b| b.token == token.0) else {
+            return;
+        };
+        let mut answer = Answer {
+            slot: s,
+            id: r.id,
+            token: told,
+            runs: Vec::new(),
+        };
         if r.id > b.last {
             b.last = r.id;
             let ours = r.baton == told || defect == Defect::EarlyProof;
@@ -410,7 +457,13 @@
                     (m.id, m.awaits) = (m.id + 1, true);
                     let (id, baton, tasks) = (m.id, m.baton, m.tasks.clone());
                     let copies = w.left.copies;
-                    w.reports.push(Report { slot: s, id, baton, tasks, copies });
+                    w.reports.push(Report {
+                        slot: s,
+                        id,
+                        baton,
+                        tasks,
+                        copies,
+                    });
                 });
             }
             if self.left.lapses > 0 && !self.workers[s].tasks.is_empty() {
@@ -426,9 +479,17 @@
                 step(&|| format!("{c} ends"), &|w| {
                     w.left.ends -= 1;
                     let life = w.ctl[c].life + 1;
-                    w.txns.iter_mut().filter(|t| t.by == c).for_each(|t| t.orphan = true);
+                    w.txns
+                        .iter_mut()
+                        .filter(|t| t.by == c)
+                        .for_each(|t| t.orphan = true);
                     let shares = Shares::new(name(c, life), two_slots());
-                    w.ctl[c] = Ctl { life, shares, books: [None, None], flying: [false; 2] };
+                    w.ctl[c] = Ctl {
+                        life,
+                        shares,
+                        books: [None, None],
+                        flying: [false; 2],
+                    };
                 });
             }
             for s in 0..2 {
@@ -471,30 +532,40 @@
             let write = w.ctl[c].shares.take_back(slot);
             hold(w, write);
         });
-        let Some(token) = self.ctl[c].shares.token(slot) else { return };
+        let Some(token) = self.ctl[c].shares.token(slot) else {
+            return;
+        };
         let books = self.ctl[c].books[s].as_ref().filter(|b| b.token == token.0);
         let Some(b) = books else {
-            return step(&|| format!("{c} reads the books of slot {s}"), &|w| w.load(c, s));
+            return step(&|| format!("{c} reads the books of slot {s}"), &|w| {
+                w.load(c, s)
+            });
         };
         // Its watch tells of parts and grants; of its own placements it knows itself.
-        step(&|| format!("{c} reads the part and the grants of slot {s}"), &|w| {
-            let (part, home, row) = (w.part[s], w.home, w.row);
-            if let Some(b) = w.ctl[c].books[s].as_mut().filter(|b| !b.unsure) {
-                (b.part, b.home) = (part, home);
-                for k in (0..2).filter(|k| b.run[*k] == Run::No) {
-                    b.row[k] = row[k].1;
+        step(
+            &|| format!("{c} reads the part and the grants of slot {s}"),
+            &|w| {
+                let (part, home, row) = (w.part[s], w.home, w.row);
+                if let Some(b) = w.ctl[c].books[s].as_mut().filter(|b| !b.unsure) {
+                    (b.part, b.home) = (part, home);
+                    for k in (0..2).filter(|k| b.run[*k] == Run::No) {
+                        b.row[k] = row[k].1;
+                    }
                 }
-            }
-        });
+            },
+        );
         let used = b.run.iter().filter(|r| **r != Run::No).count() as u64;
         let part = match defect {
             Defect::LimitEach => self.limit(),
             _ => b.part.0 - u64::from(b.unsure && b.part.0 > 0),
         };
         if b.unsure {
-            step(&|| format!("{c} makes sure of the part of slot {s}"), &|w| {
-                w.send(c, s, token.0, Kind::Touch { own: b.part.1 });
-            });
+            step(
+                &|| format!("{c} makes sure of the part of slot {s}"),
+                &|w| {
+                    w.send(c, s, token.0, Kind::Touch { own: b.part.1 });
+                },
+            );
         } else if self.left.shifts > 0 && used < b.part.0 {
             step(&|| format!("{c} shifts a unit from slot {s}"), &|w| {
                 w.left.shifts -= 1;
@@ -512,14 +583,32 @@
                     if let Some(b) = &mut w.ctl[c].books[s] {
                         b.run[k] = Run::Planned;
                     }
-                    w.send(c, s, token.0, Kind::Place { task: k, home: home.1, row });
+                    w.send(
+                        c,
+                        s,
+                        token.0,
+                        Kind::Place {
+                            task: k,
+                            home: home.1,
+                            row,
+                        },
+                    );
                 });
             }
             let may = b.run[k] == Run::No || defect == Defect::GrantedTwice;
             if self.left.homes > 0 && may {
                 step(&|| format!("{c} grants task {k} to slot {}", 1 - s), &|w| {
                     w.left.homes -= 1;
-                    w.send(c, s, token.0, Kind::Rehome { task: k, home: home.1, row });
+                    w.send(
+                        c,
+                        s,
+                        token.0,
+                        Kind::Rehome {
+                            task: k,
+                            home: home.1,
+                            row,
+                        },
+                    );
                 });
             }
         }
@@ -531,8 +620,12 @@
 
     /// What must never be.
     fn broken(&self) -> Option<&'static str> {
-        let on =
-            |k: usize| self.workers.iter().filter(|m| m.tasks.iter().any(|(t, _)| *t == k)).count();
+        let on = |k: usize| {
+            self.workers
+                .iter()
+                .filter(|m| m.tasks.iter().any(|(t, _)| *t == k))
+                .count()
+        };
         let twice = |m: &Worker| m.tasks.len() == 2 && m.tasks[0].0 == m.tasks[1].0;
         if on(0) > 1 || on(1) > 1 || self.workers.iter().any(twice) {
             return Some("ran_twice");
@@ -604,15 +697,73 @@
 
 /// Small worlds, each of which is looked at in full or as far as said.
 fn worlds() -> Vec<(&'static str, Left)> {
-    let one = Left { reports: [2, 0], ..NONE };
+    let one = Left {
+        reports: [2, 0],
+        ..NONE
+    };
     vec![
-        ("a take from a holder that lives", Left { takes: 1, copies: 2, ..one }),
-        ("a gift", Left { gives: 1, unknown: 1, ..one }),
-        ("an end", Left { ends: 1, takes: 1, ..one }),
-        ("a lapse", Left { lapses: 1, takes: 1, ..one }),
-        ("a grant", Left { homes: 1, reports: [1, 1], parts: [1, 1], unknown: 1, ..NONE }),
-        ("parts", Left { homes: 1, shifts: 1, reports: [1, 1], unknown: 1, ..NONE }),
-        ("parts over a take", Left { homes: 1, shifts: 1, takes: 1, reports: [1, 1], ..NONE }),
+        (
+            "a take from a holder that lives",
+            Left {
+                takes: 1,
+                copies: 2,
+                ..one
+            },
+        ),
+        (
+            "a gift",
+            Left {
+                gives: 1,
+                unknown: 1,
+                ..one
+            },
+        ),
+        (
+            "an end",
+            Left {
+                ends: 1,
+                takes: 1,
+                ..one
+            },
+        ),
+        (
+            "a lapse",
+            Left {
+                lapses: 1,
+                takes: 1,
+                ..one
+            },
+        ),
+        (
+            "a grant",
+            Left {
+                homes: 1,
+                reports: [1, 1],
+                parts: [1, 1],
+                unknown: 1,
+                ..NONE
+            },
+        ),
+        (
+            "parts",
+            Left {
+                homes: 1,
+                shifts: 1,
+                reports: [1, 1],
+                unknown: 1,
+                ..NONE
+            },
+        ),
+        (
+            "parts over a take",
+            Left {
+                homes: 1,
+                shifts: 1,
+                takes: 1,
+                reports: [1, 1],
+                ..NONE
+            },
+        ),
     ]
 }
 
@@ -622,28 +773,79 @@
 fn no_reachable_state_breaks_a_rule() {
     for (what, left) in worlds() {
         let (states, all, way) = explore(left, Defect::None, MOST);
-        println!("{what}: {states} states, {}", if all { "all" } else { "bounded" });
-        assert!(way.is_none(), "{what}: {}", way.unwrap_or_default().join("\n"));
-        assert!(states > 300, "{what}: only {states} states, the world is stuck");
+        println!(
+            "{what}: {states} states, {}",
+            if all { "all" } else { "bounded" }
+        );
+        assert!(
+            way.is_none(),
+            "{what}: {}",
+            way.unwrap_or_default().join("\n")
+        );
+        assert!(
+            states > 300,
+            "{what}: only {states} states, the world is stuck"
+        );
     }
 }
 
 /// Each in the world that is made for it: a check that finds nothing is none.
 #[test]
 fn each_planted_defect_is_found() {
-    let one = Left { reports: [2, 0], ..NONE };
-    let both = Left { homes: 1, reports: [1, 1], unknown: 1, ..NONE };
+    let one = Left {
+        reports: [2, 0],
+        ..NONE
+    };
+    let both = Left {
+        homes: 1,
+        reports: [1, 1],
+        unknown: 1,
+        ..NONE
+    };
     for (defect, left) in [
-        (Defect::OneToken, Left { takes: 1, copies: 2, ..one }),
-        (Defect::EarlyProof, Left { takes: 1, copies: 2, ..one }),
-        (Defect::GrantedTwice, Left { parts: [1, 1], ..both }),
+        (
+            Defect::OneToken,
+            Left {
+                takes: 1,
+                copies: 2,
+                ..one
+            },
+        ),
+        (
+            Defect::EarlyProof,
+            Left {
+                takes: 1,
+                copies: 2,
+                ..one
+            },
+        ),
+        (
+            Defect::GrantedTwice,
+            Left {
+                parts: [1, 1],
+                ..both
+            },
+        ),
         (Defect::LimitEach, both),
         (Defect::PartUsedAgain, Left { shifts: 1, ..both }),
-        (Defect::Unconditional, Left { takes: 1, reports: [3, 0], ..NONE }),
+        (
+            Defect::Unconditional,
+            Left {
+                takes: 1,
+                reports: [3, 0],
+                ..NONE
+            },
+        ),
     ] {
         let (states, _, way) = explore(left, defect, MOST * 8);
-        let Some(way) = way else { panic!("{defect:?} is not found in {states} states") };
-        println!("{defect:?}: {states} states, {} steps\n  {}", way.len() - 1, way.join("\n  "));
+        let Some(way) = way else {
+            panic!("{defect:?} is not found in {states} states")
+        };
+        println!(
+            "{defect:?}: {states} states, {} steps\n  {}",
+            way.len() - 1,
+            way.join("\n  ")
+        );
         assert!(way.len() <= 20, "{defect:?}: {} steps", way.len());
     }
 }
--- a/crates/sim/src/cluster.rs
+++ b/crates/sim/src/cluster.rs
@@ -139,7 +139,12 @@
 impl Event {
     /// A copy of a report arrives at a controller: nobody waits for its answer.
     pub fn copy(machine: u64, node: usize, body: Vec<u8>) -> Event {
-        Event::ReportArrives { machine, node, serial: COPY, body }
+        Event::ReportArrives {
+            machine,
+            node,
+            serial: COPY,
+            body,
+        }
     }
 }
 
@@ -163,8 +168,17 @@
 }
 
 enum Caller {
-    User { job: String, what: What, since: Us, asked: Us, look: bool },
-    Worker { machine: u64, serial: u64 },
+    User {
+        job: String,
+        what: What,
+        since: Us,
+        asked: Us,
+        look: bool,
+    },
+    Worker {
+        machine: u64,
+        serial: u64,
+    },
     Operator(Question),
 }
 
@@ -306,7 +320,12 @@
             frame_rng: StdRng::seed_from_u64(seed ^ FRAME_DRAWS),
             nodes: (0..n).map(|_| None).collect(),
             lives: vec![0; n],
-            state: State::new(s.state.rps, s.state.write_rps, s.state.value_kb, s.state.txn_ops),
+            state: State::new(
+                s.state.rps,
+                s.state.write_rps,
+                s.state.value_kb,
+                s.state.txn_ops,
+            ),
             cloud: Cloud::new(s.cloud.rps, s.cloud.list_lag_s),
             workers: BTreeMap::new(),
             jobs: BTreeMap::new(),
@@ -390,12 +409,18 @@
         self.nodes[i] = None;
         self.lives[i] += 1;
         // Whoever waits on a connection to it sees it reset.
-        let gone: Vec<(usize, u64)> =
-            self.callers.keys().filter(|(n, _)| *n == i).copied().collect();
+        let gone: Vec<(usize, u64)> = self
+            .callers
+            .keys()
+            .filter(|(n, _)| *n == i)
+            .copied()
+            .collect();
         for key in gone {
             match self.callers.remove(&key) {
                 Some(Caller::User { look: true, .. }) => {}
-                Some(Caller::User { job, what, since, .. }) => self.retry(job, what, since, 1.0),
+                Some(Caller::User {
+                    job, what, since, ..
+                }) => self.retry(job, what, since, 1.0),
                 Some(Caller::Operator(q)) => self.ask_again(q),
                 Some(Caller::Worker { machine, serial }) => {
                     self.push(self.now + 2_000, Event::ReportTimedOut { machine, serial })
@@ -406,7 +431,9 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        self.nodes.iter().position(|n| n.as_ref().is_some_and(Node::is_leader))
+        self.nodes
+            .iter()
+            .position(|n| n.as_ref().is_some_and(Node::is_leader))
     }
 
     fn wall(&self) -> WallMs {
@@ -464,7 +491,10 @@
             | Event::Frame { to: node, .. } => *node,
             _ => return None,
         };
-        self.frozen.get(node).copied().filter(|until| self.now < *until)
+        self.frozen
+            .get(node)
+            .copied()
+            .filter(|until| self.now < *until)
     }
 
     /// The rules are about what is on machines: they are looked at whenever that
@@ -489,7 +519,10 @@
     /// Where `run_until` stopped for the script, the line that is due.
     pub fn due_script(&mut self) -> Option<Due> {
         let Reverse((at, seq)) = self.queue.peek().copied()?;
-        let script = matches!(self.events.get(&seq), Some(Event::Script(_) | Event::Armed(_)));
+        let script = matches!(
+            self.events.get(&seq),
+            Some(Event::Script(_) | Event::Armed(_))
+        );
         if at > self.now || !script {
             return None;
         }
@@ -535,9 +568,24 @@
         };
         let hop = drawn_by.gen_range(1_000..4_000);
         match out {
-            Effect::Call { id, destination, method, path, body, timeout_s } => {
+            Effect::Call {
+                id,
+                destination,
+                method,
+                path,
+                body,
+                timeout_s,
+            } => {
                 let deadline = self.now + (timeout_s * 1e6) as u64;
-                self.push(deadline, Event::ToNode { node: i, life, call: id, reply: None });
+                self.push(
+                    deadline,
+                    Event::ToNode {
+                        node: i,
+                        life,
+                        call: id,
+                        reply: None,
+                    },
+                );
                 let at = self.now + hop;
                 match destination {
                     Destination::State => {
@@ -550,7 +598,11 @@
                         };
                         let lost = path == "/commit" && self.rng.gen_bool(self.lose_replies);
                         let late = path == "/commit" && self.rng.gen_bool(self.late);
-                        let at = if late { at + self.rng.gen_range(1..20) * SECOND } else { at };
+                        let at = if late {
+                            at + self.rng.gen_range(1..20) * SECOND
+                        } else {
+                            at
+                        };
                         let quiet = lost || late;
                         let to_state = |path, body, quiet, slow| Event::ToState {
                             node: i,
@@ -592,7 +644,15 @@
                             }
                             self.push(
                                 then + 50_000,
-                                Event::ToCloud { node: i, life, call, method, path, body, late },
+                                Event::ToCloud {
+                                    node: i,
+                                    life,
+                                    call,
+                                    method,
+                                    path,
+                                    body,
+                                    late,
+                                },
                             );
                         }
                     }
@@ -604,33 +664,59 @@
                             let call = id;
                             if let Some(again) = self.copied() {
                                 let body = body.clone();
-                                let e = Event::ToWorker { node: i, life, call, machine, body };
+                                let e = Event::ToWorker {
+                                    node: i,
+                                    life,
+                                    call,
+                                    machine,
+                                    body,
+                                };
                                 self.push(again, e);
                             }
-                            self.push(at, Event::ToWorker { node: i, life, call, machine, body });
+                            self.push(
+                                at,
+                                Event::ToWorker {
+                                    node: i,
+                                    life,
+                                    call,
+                                    machine,
+                                    body,
+                                },
+                            );
                         }
                     }
                 }
             }
-            Effect::Answer { to, status, body, .. } => {
-                match self.callers.remove(&(i, to.generation)) {
-                    Some(Caller::User { job, what, since, asked, look }) => {
-                        self.user_answered(job, what, (since, asked), look, status, &body)
-                    }
-                    Some(Caller::Operator(q)) => {
-                        self.answers.insert(q.name, (status, decode(&body)));
-                    }
-                    Some(Caller::Worker { machine, serial }) => {
-                        let zone = self.worker_zone(machine);
-                        if let Some(at) = self.passes(i, Far::Worker(&zone), self.now + hop) {
-                            let e = Event::ReportAnswered { machine, serial, status, body };
-                            self.push(at, e);
-                        }
+            Effect::Answer {
+                to, status, body, ..
+            } => match self.callers.remove(&(i, to.generation)) {
+                Some(Caller::User {
+                    job,
+                    what,
+                    since,
+                    asked,
+                    look,
+                }) => self.user_answered(job, what, (since, asked), look, status, &body),
+                Some(Caller::Operator(q)) => {
+                    self.answers.insert(q.name, (status, decode(&body)));
+                }
+                Some(Caller::Worker { machine, serial }) => {
+                    let zone = self.worker_zone(machine);
+                    if let Some(at) = self.passes(i, Far::Worker(&zone), self.now + hop) {
+                        let e = Event::ReportAnswered {
+                            machine,
+                            serial,
+                            status,
+                            body,
+                        };
+                        self.push(at, e);
                     }
-                    None => {}
                 }
-            }
-            Effect::OperatorAnswer { to, status, body, .. } => {
+                None => {}
+            },
+            Effect::OperatorAnswer {
+                to, status, body, ..
+            } => {
                 if let Some(Caller::Operator(q)) = self.callers.remove(&(i, to.generation)) {
                     if status == 503 && q.tries > 0 {
                         return self.ask_again(q);
@@ -648,11 +734,25 @@
                     if let Some(at) = self.passes(i, Far::Peer(to), self.now + hop) {
                         let at = self.frame_arrives(i, to, at);
                         let life = self.lives[to];
-                        self.push(at, Event::Frame { to, life, body: frame.clone() });
+                        self.push(
+                            at,
+                            Event::Frame {
+                                to,
+                                life,
+                                body: frame.clone(),
+                            },
+                        );
                         // A copy comes even to a process that has begun since.
                         if let Some(again) = copied(&mut self.frame_rng, self.now, self.copies) {
                             let body = frame.clone();
-                            self.push(again, Event::Frame { to, life: ANY_LIFE, body });
+                            self.push(
+                                again,
+                                Event::Frame {
+                                    to,
+                                    life: ANY_LIFE,
+                                    body,
+                                },
+                            );
                         }
                     }
                 }
@@ -662,10 +762,20 @@
 
     pub fn request(&mut self, node: usize, method: Method, path: &str, body: Vec<u8>) -> u64 {
         self.next_request += 1;
-        let id = RequestId { slot: 0, generation: self.next_request };
-        let req =
-            Request { method, path: path.to_string(), body, close: false, authorization: None };
-        self.with_node(node, |n, now, wall, out| n.on_request(now, wall, 0, id, req, out));
+        let id = RequestId {
+            slot: 0,
+            generation: self.next_request,
+        };
+        let req = Request {
+            method,
+            path: path.to_string(),
+            body,
+            close: false,
+            authorization: None,
+        };
+        self.with_node(node, |n, now, wall, out| {
+            n.on_request(now, wall, 0, id, req, out)
+        });
         self.next_request
     }
 
@@ -677,7 +787,16 @@
                     self.push(self.now + 25_000, Event::Tick(i, life));
                 }
             }
-            Event::ToState { node, life, call, method, path, body, quiet, slow } => {
+            Event::ToState {
+                node,
+                life,
+                call,
+                method,
+                path,
+                body,
+                quiet,
+                slow,
+            } => {
                 let jobs = self.cut(node, "jobs") && path.contains("under=j/");
                 let teams = self.cut(node, "configuration") && path.contains("under=c/");
                 let refused = jobs || teams || self.cut(node, "refused");
@@ -687,21 +806,33 @@
                     }
                     Some((503, wire::encode(&json!({}))))
                 } else {
-                    self.state.handle(self.now, (node, life, call), method, &path, &body)
+                    self.state
+                        .handle(self.now, (node, life, call), method, &path, &body)
                 };
                 if let Some((status, body)) = reply {
                     if !quiet {
                         let hop = self.rng.gen_range(1_000..4_000) + slow;
                         if let Some(at) = self.passes(node, Far::State, self.now + hop) {
                             let reply = Some((status, body));
-                            self.push(at, Event::ToNode { node, life, call, reply });
+                            self.push(
+                                at,
+                                Event::ToNode {
+                                    node,
+                                    life,
+                                    call,
+                                    reply,
+                                },
+                            );
                         }
                     }
                 }
                 if self.doubles.forgets_jobs {
                     self.state.forget_jobs(self.now);
                 }
-                let base = (self.settings[0].params.teams.as_slice(), self.settings.len());
+                let base = (
+                    self.settings[0].params.teams.as_slice(),
+                    self.settings.len(),
+                );
                 self.limits.look(self.now, &self.state, base);
                 let block = self.state.get("block/0");
                 if block != self.block.as_ref() {
@@ -726,15 +857,33 @@
                 for ((node, life, call), body) in ready {
                     if let Some(at) = self.passes(node, Far::State, self.now + 2_000) {
                         let reply = Some((200, body));
-                        self.push(at, Event::ToNode { node, life, call, reply });
+                        self.push(
+                            at,
+                            Event::ToNode {
+                                node,
+                                life,
+                                call,
+                                reply,
+                            },
+                        );
                     }
                 }
                 if let Some(next) = next {
                     self.watch_at(next.max(self.now + 1_000));
                 }
             }
-            Event::ToCloud { node, life, call, method, path, body, late } => {
-                let reply = self.cloud.handle(self.now, method, &path, &body, &mut self.rng);
+            Event::ToCloud {
+                node,
+                life,
+                call,
+                method,
+                path,
+                body,
+                late,
+            } => {
+                let reply = self
+                    .cloud
+                    .handle(self.now, method, &path, &body, &mut self.rng);
                 for m in self.cloud.take_booted() {
                     self.push(m.1, Event::Report { machine: m.0 });
                 }
@@ -743,22 +892,51 @@
                 }
                 let part = self.troubles.lose_cloud;
                 let lost = part > 0.0 && method != Method::Get && self.rng.gen_bool(part);
-                if let Some(at) = self.passes(node, Far::Cloud, self.now + 50_000).filter(|_| !lost)
+                if let Some(at) = self
+                    .passes(node, Far::Cloud, self.now + 50_000)
+                    .filter(|_| !lost)
                 {
-                    self.push(at, Event::ToNode { node, life, call, reply: Some(reply) });
+                    self.push(
+                        at,
+                        Event::ToNode {
+                            node,
+                            life,
+                            call,
+                            reply: Some(reply),
+                        },
+                    );
                 }
             }
-            Event::ToWorker { node, life, call, machine, body } => {
+            Event::ToWorker {
+                node,
+                life,
+                call,
+                machine,
+                body,
+            } => {
                 let reached = |w: &&mut Worker| self.now >= w.cut_until.max(w.inbound_cut_until);
                 let Some(w) = self.workers.get_mut(&machine).filter(reached) else {
                     return;
                 };
                 let reply = w.direct(self.now, &decode(&body), &self.jobs, self.doubles);
                 let at = self.now + 3_000;
-                self.push(at, Event::ToNode { node, life, call, reply: Some(reply) });
+                self.push(
+                    at,
+                    Event::ToNode {
+                        node,
+                        life,
+                        call,
+                        reply: Some(reply),
+                    },
+                );
                 self.push(self.now + 500_000, Event::Report { machine });
             }
-            Event::ToNode { node, life, call, reply } => {
+            Event::ToNode {
+                node,
+                life,
+                call,
+                reply,
+            } => {
                 if self.lives[node] == life {
                     self.with_node(node, |n, now, wall, out| {
                         n.on_reply(now, wall, call, reply, out)
@@ -766,19 +944,32 @@
                 }
             }
             Event::Report { machine } => self.report(machine),
-            Event::ReportArrives { machine, node, serial, body } => {
+            Event::ReportArrives {
+                machine,
+                node,
+                serial,
+                body,
+            } => {
                 if self.nodes[node].is_none() {
                     self.push(self.now + 2_000, Event::ReportTimedOut { machine, serial });
                     return;
                 }
                 let id = self.next_request + 1;
-                self.callers.insert((node, id), Caller::Worker { machine, serial });
+                self.callers
+                    .insert((node, id), Caller::Worker { machine, serial });
                 self.request(node, Method::Post, "/hello", body);
             }
-            Event::ReportAnswered { machine, serial, status, body } => {
+            Event::ReportAnswered {
+                machine,
+                serial,
+                status,
+                body,
+            } => {
                 let doubles = self.doubles;
                 let n = self.nodes.len();
-                let Some(w) = self.workers.get_mut(&machine) else { return };
+                let Some(w) = self.workers.get_mut(&machine) else {
+                    return;
+                };
                 if self.now < w.cut_until.max(w.inbound_cut_until) {
                     return;
                 }
@@ -820,8 +1011,13 @@
             }
             Event::UserGivesUp { request } => {
                 let key = self.callers.keys().find(|(_, r)| *r == request).copied();
-                if let Some(Caller::User { job, what, since, look, .. }) =
-                    key.and_then(|k| self.callers.remove(&k))
+                if let Some(Caller::User {
+                    job,
+                    what,
+                    since,
+                    look,
+                    ..
+                }) = key.and_then(|k| self.callers.remove(&k))
                 {
                     if look {
                         return;
@@ -846,19 +1042,28 @@
 
     fn report(&mut self, machine: u64) {
         if !self.workers.contains_key(&machine) {
-            let Some(m) = self.cloud.booted(self.now, machine) else { return };
+            let Some(m) = self.cloud.booted(self.now, machine) else {
+                return;
+            };
             let worker = Worker::new(machine, m, &self.settings[0].params.workers, self.now);
             self.workers.insert(machine, worker);
         }
         let doubles = self.doubles;
         let count = self.nodes.len();
-        let Some(w) = self.workers.get_mut(&machine) else { return };
-        let Some((node, serial, body)) = w.send(self.now, doubles) else { return };
+        let Some(w) = self.workers.get_mut(&machine) else {
+            return;
+        };
+        let Some((node, serial, body)) = w.send(self.now, doubles) else {
+            return;
+        };
         let node = node % count;
         let cut = self.now < w.cut_until.max(w.outbound_cut_until);
         let every = (w.report_s * 1e6) as u64;
         self.push(self.now + every, Event::Report { machine });
-        self.push(self.now + 4 * SECOND, Event::ReportTimedOut { machine, serial });
+        self.push(
+            self.now + 4 * SECOND,
+            Event::ReportTimedOut { machine, serial },
+        );
         self.push(self.now, Event::WorkerStep { machine });
         if !cut {
             let zone = self.worker_zone(machine);
@@ -868,7 +1073,15 @@
                 if let Some(again) = self.copied() {
                     self.push(again, Event::copy(machine, node, body.clone()));
                 }
-                self.push(at, Event::ReportArrives { machine, node, serial, body });
+                self.push(
+                    at,
+                    Event::ReportArrives {
+                        machine,
+                        node,
+                        serial,
+                        body,
+                    },
+                );
             }
         }
     }
@@ -938,7 +1151,10 @@
 
     /// How many machines with their worker up are in a zone, or anywhere.
     pub fn up(&self, zone: Option<&str>) -> u64 {
-        self.workers.values().filter(|w| zone.is_none_or(|z| z == w.zone)).count() as u64
+        self.workers
+            .values()
+            .filter(|w| zone.is_none_or(|z| z == w.zone))
+            .count() as u64
     }
 
     /// All troubles end: links and services are there, all controllers run.
@@ -965,11 +1181,22 @@
         (0..self.settings.len()).for_each(|i| self.start(i));
         self.healed = Some(now);
         // Users may ask at any later time, also about what is over.
-        let accepted: Vec<String> =
-            self.told.iter().filter(|(_, t)| t.accepted).map(|(id, _)| id.clone()).collect();
+        let accepted: Vec<String> = self
+            .told
+            .iter()
+            .filter(|(_, t)| t.accepted)
+            .map(|(id, _)| id.clone())
+            .collect();
         for job in accepted {
             let at = now + self.rng.gen_range(0..LATER_S * SECOND);
-            self.push(at, Event::UserSends { job, what: What::Poll, since: at });
+            self.push(
+                at,
+                Event::UserSends {
+                    job,
+                    what: What::Poll,
+                    since: at,
+                },
+            );
         }
     }
 }
