--- a/crates/sim/src/cluster/judging.rs
+++ b/crates/sim/src/cluster/judging.rs
@@ -5,7 +5,11 @@
 impl Sim {
     /// What each class and each team got of the work it may have done.
     pub fn served(&self) -> Vec<(String, f64)> {
-        stopped::served(&self.jobs, |id, plan| self.counts(id, plan), |id| self.results_of(id))
+        stopped::served(
+            &self.jobs,
+            |id, plan| self.counts(id, plan),
+            |id| self.results_of(id),
+        )
     }
 
     /// Jobs that were accepted and should be done.
@@ -18,8 +22,11 @@
     /// The longest that one of its class's largest jobs waited until it began, or
     /// has waited by now, seconds.
     pub fn largest_wait(&self) -> Option<(String, f64)> {
-        let started: BTreeMap<&str, Us> =
-            self.first_starts.iter().map(|(job, at)| (job.as_str(), *at)).collect();
+        let started: BTreeMap<&str, Us> = self
+            .first_starts
+            .iter()
+            .map(|(job, at)| (job.as_str(), *at))
+            .collect();
         let largest = stopped::largest(&self.jobs, |id, plan| self.counts(id, plan));
         let waits = largest.iter().filter_map(|id| {
             let began = started.get(id.as_str()).copied().unwrap_or(self.now);
@@ -31,7 +38,9 @@
 
     /// Users wait for answers that must come, or will ask again for the first time.
     pub fn questions_open(&self) -> bool {
-        let Some(healed) = self.healed else { return false };
+        let Some(healed) = self.healed else {
+            return false;
+        };
         let open = |job: &String| self.told.get(job).is_some_and(|t| t.accepted);
         let first = self.now < healed + (LATER_S + 1) * SECOND;
         let forgotten = self.broken.contains("forgotten");
@@ -60,14 +69,23 @@
     /// Machines that cost money: all but those that were there before.
     pub fn rented_machines(&self) -> usize {
         let owned = self.owned;
-        self.cloud.hosts.iter().filter(|(id, h)| **id >= owned && h.failed_at.is_none()).count()
+        self.cloud
+            .hosts
+            .iter()
+            .filter(|(id, h)| **id >= owned && h.failed_at.is_none())
+            .count()
     }
 
     /// Some service is to run for ever: its machines cost money for something.
     pub fn services_run(&self) -> bool {
-        let open =
-            |id: &String| self.told.get(id).is_some_and(|t| t.accepted && t.cancelled.is_none());
-        self.jobs.iter().any(|(id, j)| (j.body["jobKind"] == "standing" || j.fails) && open(id))
+        let open = |id: &String| {
+            self.told
+                .get(id)
+                .is_some_and(|t| t.accepted && t.cancelled.is_none())
+        };
+        self.jobs
+            .iter()
+            .any(|(id, j)| (j.body["jobKind"] == "standing" || j.fails) && open(id))
     }
 
     /// Accepted jobs that are neither done nor cancelled, and should be.
@@ -93,7 +111,9 @@
 
     /// Takes in what happened on a machine, and looks at the rules.
     pub(super) fn refresh(&mut self, machine: u64) {
-        let Some(w) = self.workers.get_mut(&machine) else { return };
+        let Some(w) = self.workers.get_mut(&machine) else {
+            return;
+        };
         if !w.abused.is_empty() {
             self.state.abused.append(&mut w.abused);
         }
@@ -102,10 +122,23 @@
         }
         let pieces = w.on_machine().map(|t| t.piece.clone()).collect();
         let teams = &self.settings[0].params.teams;
-        let base = |name: &str| teams.iter().find(|t| t.name == name).map_or(0.0, |t| t.cpus_max);
+        let base = |name: &str| {
+            teams
+                .iter()
+                .find(|t| t.name == name)
+                .map_or(0.0, |t| t.cpus_max)
+        };
         // Limits that change are looked at where tasks begin.
-        let limit = |name: &str| if self.limits.is_changed() { 0.0 } else { base(name) };
-        let broken = self.on_machines.set(machine, Place::of(w), pieces, &self.jobs, limit);
+        let limit = |name: &str| {
+            if self.limits.is_changed() {
+                0.0
+            } else {
+                base(name)
+            }
+        };
+        let broken = self
+            .on_machines
+            .set(machine, Place::of(w), pieces, &self.jobs, limit);
         let lease = (self.settings[0].params.workers.lease_s * 2e6) as Us;
         let expired = std::mem::take(&mut w.expired);
         self.tally.expired += expired;
@@ -119,7 +152,8 @@
         if expired == 0 {
             let leaving = w.reclaim_at.is_some();
             let over = |job: &str| self.told.get(job).is_some_and(|t| t.asked_cancel);
-            self.stops.saw(self.now, machine, leaving, &events, &self.jobs, over);
+            self.stops
+                .saw(self.now, machine, leaving, &events, &self.jobs, over);
         }
         if !self.unstarted.is_empty() {
             for t in w.on_machine() {
@@ -133,7 +167,9 @@
             let job = piece.split('/').next().unwrap_or("");
             self.told.get(job).and_then(|t| t.cancelled)
         };
-        let late = events.iter().filter(|e| e.what == Happened::Began && told(&e.piece).is_some());
+        let late = events
+            .iter()
+            .filter(|e| e.what == Happened::Began && told(&e.piece).is_some());
         self.late_starts += late.count() as u64;
         // Results are kept outside the machines.
         let mut ended = Vec::new();
@@ -153,7 +189,9 @@
         for (rule, what) in broken {
             self.break_rule(rule, &what);
         }
-        above.iter().for_each(|what| self.break_rule("limit_in_force", what));
+        above
+            .iter()
+            .for_each(|what| self.break_rule("limit_in_force", what));
     }
 
     /// A task that began beyond a limit that has been in force for long enough.
@@ -163,7 +201,10 @@
         }
         let plan = self.jobs.get(piece.split('/').next()?)?;
         let team = plan.body["owner"].as_str()?;
-        let (used, allowed) = (self.on_machines.used(team), self.limits.allowed(self.now, team)?);
+        let (used, allowed) = (
+            self.on_machines.used(team),
+            self.limits.allowed(self.now, team)?,
+        );
         (used > allowed + 1e-6).then(|| format!("{piece}: {team} uses {used} of {allowed}"))
     }
 
@@ -184,7 +225,9 @@
         let told = |job: &str| self.told.get(job).and_then(|t| t.cancelled);
         let since = self.on_machines.jobs().filter_map(|(job, _)| told(job));
         if let Some(at) = since.min() {
-            self.cancelled_left = self.cancelled_left.max((self.now - at) as f64 / cancel as f64);
+            self.cancelled_left = self
+                .cancelled_left
+                .max((self.now - at) as f64 / cancel as f64);
         }
         let late = |job: &str| told(job).is_some_and(|at| self.now > at + cancel);
         let jobs = self.on_machines.jobs().filter(|(job, _)| late(job));
--- a/crates/sim/src/cluster/links.rs
+++ b/crates/sim/src/cluster/links.rs
@@ -13,7 +13,9 @@
 
 impl Sim {
     pub(super) fn cut(&self, node: usize, what: &str) -> bool {
-        self.cuts.get(&(node, what.to_string())).is_some_and(|(until, _)| self.now < *until)
+        self.cuts
+            .get(&(node, what.to_string()))
+            .is_some_and(|(until, _)| self.now < *until)
     }
 
     /// The zone that a controller is in.
@@ -22,7 +24,9 @@
     }
 
     pub(super) fn zone_is_cut(&self, zone: &str) -> bool {
-        self.zone_cuts.get(zone).is_some_and(|(until, _)| self.now < *until)
+        self.zone_cuts
+            .get(zone)
+            .is_some_and(|(until, _)| self.now < *until)
     }
 
     /// When a message over a controller's link arrives that would do so at `at`;
@@ -54,6 +58,9 @@
     }
 
     pub(super) fn worker_zone(&self, machine: u64) -> String {
-        self.workers.get(&machine).map(|w| w.zone.clone()).unwrap_or_default()
+        self.workers
+            .get(&machine)
+            .map(|w| w.zone.clone())
+            .unwrap_or_default()
     }
 }
--- a/crates/sim/src/cluster/users.rs
+++ b/crates/sim/src/cluster/users.rs
@@ -11,13 +11,18 @@
     }
 
     pub(super) fn operator_asks(&mut self, q: Question) {
-        let up: Vec<usize> = (0..self.nodes.len()).filter(|i| self.nodes[*i].is_some()).collect();
+        let up: Vec<usize> = (0..self.nodes.len())
+            .filter(|i| self.nodes[*i].is_some())
+            .collect();
         let node = match q.node {
             Some(n) if self.nodes[n].is_some() => n,
             None if !up.is_empty() => up[self.rng.gen_range(0..up.len())],
             _ => return self.ask_again(q),
         };
-        let id = RequestId { slot: 1, generation: self.next_request + 1 };
+        let id = RequestId {
+            slot: 1,
+            generation: self.next_request + 1,
+        };
         self.next_request += 1;
         let req = Request {
             method: q.method,
@@ -27,17 +32,30 @@
             authorization: None,
         };
         // What the load balancer asks, it asks at the users' door.
-        let listener = if q.path == "/up" { 0 } else { beamhinge_controller::node::ADMIN_LISTENER };
-        self.callers.insert((node, id.generation), Caller::Operator(q));
-        self.with_node(node, |n, now, wall, out| n.on_request(now, wall, listener, id, req, out));
+        let listener = if q.path == "/up" {
+            0
+        } else {
+            beamhinge_controller::node::ADMIN_LISTENER
+        };
+        self.callers
+            .insert((node, id.generation), Caller::Operator(q));
+        self.with_node(node, |n, now, wall, out| {
+            n.on_request(now, wall, listener, id, req, out)
+        });
     }
 
     /// Words that stand for what is there at the moment.
     pub fn expand(&self, text: &str) -> String {
-        let busiest = self.workers.iter().max_by_key(|(_, w)| w.on_machine().count());
+        let busiest = self
+            .workers
+            .iter()
+            .max_by_key(|(_, w)| w.on_machine().count());
         let machine = busiest.map_or(String::new(), |(id, _)| format!("n-{id:06}"));
-        let leader = self.leader().map_or(String::new(), |n| self.settings[n].label.clone());
-        text.replace("$busiest", &machine).replace("$leader", &leader)
+        let leader = self
+            .leader()
+            .map_or(String::new(), |n| self.settings[n].label.clone());
+        text.replace("$busiest", &machine)
+            .replace("$leader", &leader)
     }
 
     pub(super) fn user_sends(&mut self, job: String, what: What, since: Us) {
@@ -49,7 +67,11 @@
             return self.retry(job, what, since, 1.0);
         }
         let any = up[self.rng.gen_range(0..up.len())];
-        let node = self.asks_at.take().filter(|n| up.contains(n)).unwrap_or(any);
+        let node = self
+            .asks_at
+            .take()
+            .filter(|n| up.contains(n))
+            .unwrap_or(any);
         self.ask(node, job, what, since, false);
     }
 
@@ -62,7 +84,11 @@
         let (method, path, body) = match what {
             What::Submit => {
                 told.submitted = true;
-                let body = self.jobs.get(&job).map(|j| wire::encode(&j.body)).unwrap_or_default();
+                let body = self
+                    .jobs
+                    .get(&job)
+                    .map(|j| wire::encode(&j.body))
+                    .unwrap_or_default();
                 (Method::Post, "/api/jobs".to_string(), body)
             }
             What::Poll => (Method::Get, format!("/api/jobs/{job}"), Vec::new()),
@@ -73,7 +99,16 @@
         };
         let serial = self.next_request + 1;
         let asked = self.now;
-        self.callers.insert((node, serial), Caller::User { job, what, since, asked, look });
+        self.callers.insert(
+            (node, serial),
+            Caller::User {
+                job,
+                what,
+                since,
+                asked,
+                look,
+            },
+        );
         let patience = if what == What::Poll { 2 } else { 5 } * SECOND;
         self.push(self.now + patience, Event::UserGivesUp { request: serial });
         self.request(node, method, &path, body);
@@ -84,7 +119,10 @@
             return;
         }
         let after_s = if what == What::Poll { 5.0 } else { after_s };
-        self.push(self.now + (after_s * 1e6) as u64, Event::UserSends { job, what, since });
+        self.push(
+            self.now + (after_s * 1e6) as u64,
+            Event::UserSends { job, what, since },
+        );
     }
 
     pub(super) fn user_answered(
@@ -101,7 +139,11 @@
         }
         let value = decode(body);
         let state = value["status"].as_str().unwrap_or("").to_string();
-        let total = self.jobs.get(&job).and_then(|j| j.body["pieces"].as_u64()).unwrap_or(0);
+        let total = self
+            .jobs
+            .get(&job)
+            .and_then(|j| j.body["pieces"].as_u64())
+            .unwrap_or(0);
         let done = self.results_of(&job);
         let now = self.now;
         if status < 500 {
@@ -132,7 +174,11 @@
             Some(Next::Again(after_s)) => self.retry(job, what, since, after_s),
             Some(Next::Poll(after_s)) => self.push(
                 now + (after_s.max(self.polls_s) / self.often() * 1e6) as u64,
-                Event::UserSends { job, what: What::Poll, since: now },
+                Event::UserSends {
+                    job,
+                    what: What::Poll,
+                    since: now,
+                },
             ),
             None => {}
         }
--- a/crates/sim/src/days.rs
+++ b/crates/sim/src/days.rs
@@ -21,8 +21,14 @@
 }
 
 /// For a first look, and for CI.
-pub const SMALL: Size = Size { machines: (40.0, 160.0), seconds: (90.0, 140.0) };
-pub const FULL: Size = Size { machines: (100.0, 3_000.0), seconds: (200.0, 360.0) };
+pub const SMALL: Size = Size {
+    machines: (40.0, 160.0),
+    seconds: (90.0, 140.0),
+};
+pub const FULL: Size = Size {
+    machines: (100.0, 3_000.0),
+    seconds: (200.0, 360.0),
+};
 
 /// A drawn day.
 #[derive(Clone, Debug)]
@@ -66,7 +72,10 @@
     }
 
     fn who(&mut self) -> &'static str {
-        ["leader", "leader", "a", "b", "c"].choose(&mut self.rng).copied().unwrap_or("leader")
+        ["leader", "leader", "a", "b", "c"]
+            .choose(&mut self.rng)
+            .copied()
+            .unwrap_or("leader")
     }
 
     /// One trouble of a drawn kind at about this time.
@@ -131,12 +140,18 @@
             }
             "roll" => format!("roll every={:.1}", self.between(8.0, 25.0)),
             "cut-inbound" => {
-                format!("cut-inbound count={count:.0} for={:.1}", cut.max(lease * 1.2))
+                format!(
+                    "cut-inbound count={count:.0} for={:.1}",
+                    cut.max(lease * 1.2)
+                )
             }
             "reboot" => format!("reboot count={count:.0}"),
             "copies" => {
                 let (part, long) = (self.between(0.05, 0.4), self.between(20.0, 60.0));
-                format!("copies {part:.2} most={:.1} for={long:.0}", self.between(2.0, 2.5 * lease))
+                format!(
+                    "copies {part:.2} most={:.1} for={long:.0}",
+                    self.between(2.0, 2.5 * lease)
+                )
             }
             "but_workers" => format!("cut {who} but-workers {cut:.1}{hold}"),
             "fast-restart" => {
@@ -164,7 +179,10 @@
                 format!("state-slow factor={factor:.0} for={long:.0}")
             }
             _ => {
-                let zone = ["north", "south"].choose(&mut self.rng).copied().unwrap_or("north");
+                let zone = ["north", "south"]
+                    .choose(&mut self.rng)
+                    .copied()
+                    .unwrap_or("north");
                 format!("zone-cut {zone} {cut:.1}{hold}")
             }
         };
@@ -231,7 +249,9 @@
 
 /// The day that belongs to this seed and number: always the same.
 pub fn draw(seed: u64, number: u64, size: Size) -> Day {
-    let mix = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(number);
+    let mix = seed
+        .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+        .wrapping_add(number);
     let mut rng = StdRng::seed_from_u64(mix);
     let span = (size.machines.0.ln(), size.machines.1.ln());
     let machines = rng.gen_range(span.0..=span.1).exp().round();
@@ -278,7 +298,9 @@
         (8.0, 30.0, 4.0, 0.1, "class=b"),
     ] {
         let width: f64 = (tasks * d.between(0.5, 1.5_f64)).round();
-        let jobs = (room * load * part * arrive / (cpus * run * width)).ceil().clamp(2.0, 900.0);
+        let jobs = (room * load * part * arrive / (cpus * run * width))
+            .ceil()
+            .clamp(2.0, 900.0);
         let (every, first) = (arrive / jobs, d.next_job);
         d.next_job += 1_000;
         d.at(
@@ -292,7 +314,11 @@
     let (from, to) = (d.end * 0.25, d.end * 0.85);
     let center = d.between(from, to);
     for _ in 0..troubles {
-        let at = if storm { center + d.between(0.0, 8.0) } else { d.between(from, to) };
+        let at = if storm {
+            center + d.between(0.0, 8.0)
+        } else {
+            d.between(from, to)
+        };
         d.trouble(at);
     }
     if d.rng.gen_bool(0.6) {
@@ -304,7 +330,12 @@
     }
     let text = format!("{text}{}end {:.0}\n", d.lines, d.end);
     let name = format!("day-{seed}-{number}");
-    Day { name, text, machines: machines as u64, troubles: d.troubles }
+    Day {
+        name,
+        text,
+        machines: machines as u64,
+        troubles: d.troubles,
+    }
 }
 
 /// What is wrong with a day, beyond expectations of its own.
@@ -325,7 +356,9 @@
 
 /// One of its class's largest jobs did not begin within four minutes.
 pub fn begins_late(o: &Outcome) -> bool {
-    o.largest.as_ref().is_some_and(|(_, waited_s)| *waited_s > 240.0)
+    o.largest
+        .as_ref()
+        .is_some_and(|(_, waited_s)| *waited_s > 240.0)
 }
 
 /// More than a fiftieth of what was stopped for others was stopped for nobody,
@@ -433,7 +466,10 @@
         .map(String::from)
         .collect();
     let mut end: f64 = 60.0;
-    let all = file.faults.into_iter().chain(file.day.into_iter().flat_map(|d| d.faults));
+    let all = file
+        .faults
+        .into_iter()
+        .chain(file.day.into_iter().flat_map(|d| d.faults));
     for (n, f) in all.enumerate() {
         end = end.max(f.at_s + f.for_s + 30.0);
         let zone = match f.zone.as_deref() {
@@ -485,7 +521,10 @@
         lines.push(format!("at {} {line}", f.at_s));
     }
     lines.push(format!("end {end:.0}"));
-    Ok(Day { text: lines.join("\n") + "\n", ..base })
+    Ok(Day {
+        text: lines.join("\n") + "\n",
+        ..base
+    })
 }
 
 #[cfg(test)]
--- a/crates/sim/src/days/tests.rs
+++ b/crates/sim/src/days/tests.rs
@@ -6,10 +6,12 @@
     assert_eq!(a.text, b.text);
     assert_ne!(a.text, draw(3, 6, FULL).text);
     let kinds: BTreeMap<&str, u32> =
-        (0..200).flat_map(|n| draw(9, n, FULL).troubles).fold(BTreeMap::new(), |mut m, (k, n)| {
-            *m.entry(k).or_default() += n;
-            m
-        });
+        (0..200)
+            .flat_map(|n| draw(9, n, FULL).troubles)
+            .fold(BTreeMap::new(), |mut m, (k, n)| {
+                *m.entry(k).or_default() += n;
+                m
+            });
     assert_eq!(kinds.len(), 29, "every kind is drawn: {kinds:?}");
 }
 
@@ -17,7 +19,11 @@
 fn a_file_of_the_benchs_form_becomes_a_day() {
     let text = "faults = [\n { at_s = 30.0, kind = \"zone_cut\", zone = \"south\", for_s = 20.0, mode = \"hold\" },\n { at_s = 40.0, kind = \"node_crash\", count = 1, busiest = true } ]\n";
     let day = from_toml(text, 1, 1, SMALL).expect("a day");
-    assert!(day.text.contains("at 30 zone-cut south 20 hold\n"), "{}", day.text);
+    assert!(
+        day.text.contains("at 30 zone-cut south 20 hold\n"),
+        "{}",
+        day.text
+    );
     assert!(day.text.contains("at 40 crash leader\n"));
     assert!(from_toml("faults = [{ at_s = 1.0, kind = \"flood\" }]", 1, 1, SMALL).is_err());
 }
--- a/crates/sim/src/fingerprint.rs
+++ b/crates/sim/src/fingerprint.rs
@@ -47,7 +47,14 @@
         self.number(now);
         self.number(sender as u64);
         match message {
-            Effect::Call { id, destination, method, path, body, timeout_s } => {
+            Effect::Call {
+                id,
+                destination,
+                method,
+                path,
+                body,
+                timeout_s,
+            } => {
                 self.tag(0);
                 self.number(id.0);
                 self.destination(destination);
@@ -56,12 +63,23 @@
                 self.bytes(body);
                 self.number(timeout_s.to_bits());
             }
-            Effect::Answer { to, status, retry_after, body } => {
+            Effect::Answer {
+                to,
+                status,
+                retry_after,
+                body,
+            } => {
                 self.tag(1);
                 self.answer(*to, *status, *retry_after);
                 self.bytes(body);
             }
-            Effect::OperatorAnswer { to, status, retry_after, content, body } => {
+            Effect::OperatorAnswer {
+                to,
+                status,
+                retry_after,
+                content,
+                body,
+            } => {
                 self.tag(2);
                 self.answer(*to, *status, *retry_after);
                 self.tag(match content {
--- a/crates/sim/src/fingerprint/days.rs
+++ b/crates/sim/src/fingerprint/days.rs
@@ -25,7 +25,14 @@
 /// A scenario of the controller, by the name of its file.
 macro_rules! scenario {
     ($name:literal) => {
-        ($name, include_str!(concat!("../../../controller/tests/scenarios/", $name, ".txt")))
+        (
+            $name,
+            include_str!(concat!(
+                "../../../controller/tests/scenarios/",
+                $name,
+                ".txt"
+            )),
+        )
     };
 }
 
@@ -98,13 +105,20 @@
             });
         }
     });
-    played.into_inner().unwrap_or_default().into_iter().collect()
+    played
+        .into_inner()
+        .unwrap_or_default()
+        .into_iter()
+        .collect()
 }
 
 fn take(day: &Day, faults: Faults) -> Result<(String, Fingerprint), NotPlayed> {
     match scenario::play(&day.text, faults) {
         Ok(outcome) => Ok((day.name.clone(), outcome.fingerprint)),
-        Err(wrong) => Err(NotPlayed { day: day.name.clone(), wrong }),
+        Err(wrong) => Err(NotPlayed {
+            day: day.name.clone(),
+            wrong,
+        }),
     }
 }
 
@@ -128,7 +142,9 @@
         Some((name.to_string(), fingerprint.parse().ok()?))
     };
     let lines = text.lines().enumerate();
-    lines.map(|(n, line)| entry(line).ok_or(BadRecord { line: n + 1 })).collect()
+    lines
+        .map(|(n, line)| entry(line).ok_or(BadRecord { line: n + 1 }))
+        .collect()
 }
 
 /// The names of days that only one of the two records has, or whose fingerprints differ.
--- a/crates/sim/src/limits_in_force.rs
+++ b/crates/sim/src/limits_in_force.rs
@@ -50,7 +50,10 @@
         }
         for chunk in (0..CHUNKS).filter_map(|n| state.get(&format!("c/t/{n}"))) {
             for (team, stored) in chunk["t"].as_object().into_iter().flatten() {
-                limits.insert(team.clone(), stored["q"]["cpus_max"].as_f64().unwrap_or(0.0));
+                limits.insert(
+                    team.clone(),
+                    stored["q"]["cpus_max"].as_f64().unwrap_or(0.0),
+                );
             }
         }
         self.log.push((now, limits));
@@ -67,7 +70,9 @@
             member.and_then(|m| m["version"].as_u64())
         });
         // One that is away serves by none.
-        let Some(all) = versions.collect::<Option<Vec<u64>>>() else { return };
+        let Some(all) = versions.collect::<Option<Vec<u64>>>() else {
+            return;
+        };
         let least = all.into_iter().min().unwrap_or(0);
         let took = self.pending.iter().filter(|(version, _)| *version <= least);
         self.took.extend(took.map(|(_, at)| now - at));
@@ -76,7 +81,11 @@
 
     /// The limit of a team now; 0: none.
     pub fn now(&self, team: &str) -> f64 {
-        self.log.last().and_then(|(_, limits)| limits.get(team)).copied().unwrap_or(0.0)
+        self.log
+            .last()
+            .and_then(|(_, limits)| limits.get(team))
+            .copied()
+            .unwrap_or(0.0)
     }
 
     /// The most that a start may bring a team to: the highest limit of the last seconds.
@@ -84,9 +93,15 @@
     pub fn allowed(&self, now: Us, team: &str) -> Option<f64> {
         let since = now.saturating_sub(IN_FORCE_S * SECOND);
         // Those that came since, and the one that stood then.
-        let stood = self.log.iter().rposition(|(at, _)| *at <= since).unwrap_or(0);
+        let stood = self
+            .log
+            .iter()
+            .rposition(|(at, _)| *at <= since)
+            .unwrap_or(0);
         let limits = self.log[stood.min(self.log.len())..].iter();
-        let all: Vec<f64> = limits.map(|(_, l)| l.get(team).copied().unwrap_or(0.0)).collect();
+        let all: Vec<f64> = limits
+            .map(|(_, l)| l.get(team).copied().unwrap_or(0.0))
+            .collect();
         if all.is_empty() || all.iter().any(|limit| *limit <= 0.0) {
             return None;
         }
--- a/crates/sim/src/meetings.rs
+++ b/crates/sim/src/meetings.rs
@@ -89,14 +89,20 @@
             // Whoever takes the lead ends before it has read the pages, and the next
             // one's state service goes as it takes.
             let back = self.between(2.0, 9.0);
-            let (ends_at, goes) = (self.of(&[0.002, 0.004, 0.3]), self.of(&[0.002, 0.004, 0.008]));
+            let (ends_at, goes) = (
+                self.of(&[0.002, 0.004, 0.3]),
+                self.of(&[0.002, 0.004, 0.008]),
+            );
             self.line(at + 0.3, &format!("when take {ends_at} crash-all"));
             self.line(at + back + 3.0, "start-all");
             self.line(at + back, &format!("when take {goes} state-down {down:.1}"));
             return at + back + 8.0 + down;
         }
         match self.rng.gen_range(0..3) {
-            0 => self.line(at, &format!("when take {} state-down {down:.1}", between * 0.1)),
+            0 => self.line(
+                at,
+                &format!("when take {} state-down {down:.1}", between * 0.1),
+            ),
             1 => self.line(at, &format!("when cancelled 0.01 state-down {down:.1}")),
             _ => {}
         }
@@ -104,7 +110,10 @@
         if self.rng.gen_bool(0.4) {
             let back = self.of(&[0.1, 0.3, 2.0]);
             let who = self.of(&["follower", "leader", "all", "c"]);
-            self.line(at, &format!("when cancelled 0.003 fast-restart {who} {back}"));
+            self.line(
+                at,
+                &format!("when cancelled 0.003 fast-restart {who} {back}"),
+            );
         }
         if self.rng.gen_bool(0.5) {
             self.machines(at + between * 0.5);
@@ -176,8 +185,16 @@
             }
             0 => self.at(at, "refused", &format!("cut {who} refused {long:.1}")),
             1 => self.at(at, "cut_state", &format!("cut {who} state {long:.1}{hold}")),
-            2 => self.at(at, "but_workers", &format!("cut {who} but-workers {long:.1}{hold}")),
-            3 => self.at(at, "cut_workers", &format!("cut {who} workers {long:.1}{hold}")),
+            2 => self.at(
+                at,
+                "but_workers",
+                &format!("cut {who} but-workers {long:.1}{hold}"),
+            ),
+            3 => self.at(
+                at,
+                "cut_workers",
+                &format!("cut {who} workers {long:.1}{hold}"),
+            ),
             4 => {
                 let line = format!("state-down {:.1}", self.between(1.0, self.cancel * 1.5));
                 self.at(at, "state_down", &line);
@@ -235,18 +252,38 @@
 
 /// The day that belongs to this seed and number: always the same.
 pub fn draw(seed: u64, number: u64, machines: (f64, f64)) -> Day {
-    let mix = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(number) ^ 0x6d65_6574;
+    let mix = seed
+        .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+        .wrapping_add(number)
+        ^ 0x6d65_6574;
     let mut rng = StdRng::seed_from_u64(mix);
-    let machines = rng.gen_range(machines.0.ln()..=machines.1.ln()).exp().round();
-    let report = [1.0, 2.5, 4.0, 5.0].choose(&mut rng).copied().unwrap_or(1.0);
+    let machines = rng
+        .gen_range(machines.0.ln()..=machines.1.ln())
+        .exp()
+        .round();
+    let report = [1.0, 2.5, 4.0, 5.0]
+        .choose(&mut rng)
+        .copied()
+        .unwrap_or(1.0);
     let lease: f64 = (report * 5.5_f64).max(10.0);
     let cancel = lease + rng.gen_range(18.0..31.0);
     let room = machines * 0.7 * 8.0;
-    let many = [1.0, 2.0, 3.0, 6.0].choose(&mut rng).copied().unwrap_or(2.0);
+    let many = [1.0, 2.0, 3.0, 6.0]
+        .choose(&mut rng)
+        .copied()
+        .unwrap_or(2.0);
     // Long tasks take half of the room at most, short ones a third.
     let long = (room * 0.5 / (2.0 * many)).clamp(2.0, 400.0) as u64;
     let (lines, troubles) = (String::new(), BTreeMap::new());
-    let mut d = Drawn { rng, machines, lease, cancel, long, lines, troubles };
+    let mut d = Drawn {
+        rng,
+        machines,
+        lease,
+        cancel,
+        long,
+        lines,
+        troubles,
+    };
     let owned = (machines * 0.4).ceil();
     let nodes = d.of(&[3, 3, 3, 2]);
     // Work of which half is long, in jobs of one to three tasks and in some of many.
@@ -260,7 +297,15 @@
     );
     let (tasks, short) = (d.of(&[1.0, 2.0, 3.0]), d.between(4.0, lease * 1.5));
     let every = d.between(0.3, 1.5).max(tasks * short / (room * 0.33));
-    let bound = d.of(&["", "", "", " oneZone", " zone=north", " apart", " shapes=c8"]);
+    let bound = d.of(&[
+        "",
+        "",
+        "",
+        " oneZone",
+        " zone=north",
+        " apart",
+        " shapes=c8",
+    ]);
     d.line(
         1.5,
         &format!("stream 1 count={:.0} every={every:.2} tasks={tasks} cpus=1 run={short:.0} class=short urgency=high{bound}", 90.0 / every),
@@ -282,7 +327,10 @@
         d.cancels(at, 4);
         at += d.between(15.0, 40.0);
     }
-    let (team, boot) = (d.of(&[0.0, 0.0, 0.0, room * 0.45]), d.of(&[0.3, 1.5, 5.0, 5.0]));
+    let (team, boot) = (
+        d.of(&[0.0, 0.0, 0.0, room * 0.45]),
+        d.of(&[0.3, 1.5, 5.0, 5.0]),
+    );
     let text = format!(
         "seed {}\nnodes {nodes}\nteam-max {team:.0}\nboot {boot}\nowned {owned:.0}\nspot {:.0}\nordinary {:.0}\nlarge 0\n\
          workers report={report} lease={lease} cancel={cancel:.1}\nstate rps=200 writes=60\n{}end {:.0}\n",
@@ -293,7 +341,12 @@
         at.max(100.0),
     );
     let name = format!("meet-{seed}-{number}");
-    Day { name, text, machines: machines as u64, troubles: d.troubles }
+    Day {
+        name,
+        text,
+        machines: machines as u64,
+        troubles: d.troubles,
+    }
 }
 
 #[cfg(test)]
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -34,7 +34,11 @@
 
 impl Place<'_> {
     pub fn of(w: &Worker) -> Place<'_> {
-        Place { machine_type: w.machine_type(), zone: &w.zone, spot: w.spot }
+        Place {
+            machine_type: w.machine_type(),
+            zone: &w.zone,
+            spot: w.spot,
+        }
     }
 
     /// Whether a job may use such a machine at all.
@@ -89,13 +93,16 @@
                 broken.push(("wrong_place", piece.clone()));
             }
         }
-        self.of.insert(machine, (scheduler.zone.to_string(), pieces));
+        self.of
+            .insert(machine, (scheduler.zone.to_string(), pieces));
         broken
     }
 
     /// The machine is gone, with all that was on it.
     pub fn remove(&mut self, machine: u64, plans: &BTreeMap<String, JobPlan>) {
-        let Some((zone, pieces)) = self.of.remove(&machine) else { return };
+        let Some((zone, pieces)) = self.of.remove(&machine) else {
+            return;
+        };
         for piece in pieces {
             if let Some(on) = self.on.get_mut(&piece) {
                 on.remove(&machine);
--- a/crates/sim/src/rules/tests.rs
+++ b/crates/sim/src/rules/tests.rs
@@ -2,14 +2,38 @@
 use serde_json::json;
 
 fn plans() -> BTreeMap<String, JobPlan> {
-    let plan = |body| JobPlan { body, run_s: 1.0, fails: false, command: None, sent: 0 };
+    let plan = |body| JobPlan {
+        body,
+        run_s: 1.0,
+        fails: false,
+        command: None,
+        sent: 0,
+    };
     [
-        ("job-1", json!({"owner": "one", "vcpus": 4.0, "pieces": 4, "apart": true})),
-        ("job-2", json!({"owner": "one", "vcpus": 4.0, "pieces": 4, "oneZone": true})),
-        ("job-3", json!({"owner": "two", "vcpus": 1.0, "pieces": 4, "loaners": false})),
-        ("job-4", json!({"owner": "two", "vcpus": 1.0, "pieces": 4, "shapes": ["c8", "c32"]})),
-        ("job-5", json!({"owner": "two", "vcpus": 1.0, "pieces": 4, "shapes": ["c32"]})),
-        ("job-6", json!({"owner": "two", "vcpus": 1.0, "pieces": 4, "yard": "north"})),
+        (
+            "job-1",
+            json!({"owner": "one", "vcpus": 4.0, "pieces": 4, "apart": true}),
+        ),
+        (
+            "job-2",
+            json!({"owner": "one", "vcpus": 4.0, "pieces": 4, "oneZone": true}),
+        ),
+        (
+            "job-3",
+            json!({"owner": "two", "vcpus": 1.0, "pieces": 4, "loaners": false}),
+        ),
+        (
+            "job-4",
+            json!({"owner": "two", "vcpus": 1.0, "pieces": 4, "shapes": ["c8", "c32"]}),
+        ),
+        (
+            "job-5",
+            json!({"owner": "two", "vcpus": 1.0, "pieces": 4, "shapes": ["c32"]}),
+        ),
+        (
+            "job-6",
+            json!({"owner": "two", "vcpus": 1.0, "pieces": 4, "yard": "north"}),
+        ),
     ]
     .map(|(id, body)| (id.to_string(), plan(body)))
     .into()
@@ -21,7 +45,11 @@
     let mut set = |m: u64, zone: &str, pieces: &[&str]| -> Vec<&'static str> {
         let pieces = pieces.iter().map(|p| (*p).to_string()).collect();
         let limit = |t: &str| if t == "one" { 12.0 } else { 0.0 };
-        let scheduler = Place { machine_type: "c8", zone, spot: true };
+        let scheduler = Place {
+            machine_type: "c8",
+            zone,
+            spot: true,
+        };
         let broken = on.set(m, scheduler, pieces, &plans, limit);
         broken.into_iter().map(|(rule, _)| rule).collect()
     };
@@ -30,11 +58,22 @@
     assert!(set(2, "south", &["job-1/2"]).is_empty());
     assert_eq!(set(3, "south", &["job-1/3"]), ["quota"]);
     assert!(set(3, "south", &[]).is_empty());
-    assert_eq!(set(1, "north", &["job-1/0", "job-1/1", "job-1/3"]), ["quota", "wrong_place"]);
+    assert_eq!(
+        set(1, "north", &["job-1/0", "job-1/1", "job-1/3"]),
+        ["quota", "wrong_place"]
+    );
     assert!(set(1, "north", &["job-2/0"]).is_empty());
     assert_eq!(set(3, "south", &["job-2/1"]), ["wrong_place"]);
     assert_eq!(set(4, "south", &["job-3/1"]), ["wrong_place"]);
     assert!(set(4, "south", &["job-4/1"]).is_empty());
-    assert_eq!(set(4, "south", &["job-5/1"]), ["wrong_place"], "another type");
-    assert_eq!(set(4, "south", &["job-6/1"]), ["wrong_place"], "another zone");
+    assert_eq!(
+        set(4, "south", &["job-5/1"]),
+        ["wrong_place"],
+        "another type"
+    );
+    assert_eq!(
+        set(4, "south", &["job-6/1"]),
+        ["wrong_place"],
+        "another zone"
+    );
 }
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -144,12 +144,20 @@
 pub fn play(text: &str, faults: Faults) -> Result<Outcome, Wrong> {
     let lines: Vec<Vec<&str>> = text
         .lines()
-        .map(|l| l.split('#').next().unwrap_or("").split_whitespace().collect::<Vec<_>>())
+        .map(|l| {
+            l.split('#')
+                .next()
+                .unwrap_or("")
+                .split_whitespace()
+                .collect::<Vec<_>>()
+        })
         .filter(|w| !w.is_empty())
         .collect();
     let setting = |name: &str| lines.iter().find(|w| w[0] == name);
     let get = |name: &str, default: f64| -> f64 {
-        setting(name).and_then(|w| w.get(1)?.parse().ok()).unwrap_or(default)
+        setting(name)
+            .and_then(|w| w.get(1)?.parse().ok())
+            .unwrap_or(default)
     };
     let mut settings = settings(get("nodes", 3.0) as usize, get("team-max", 32.0));
     if let Some(words) = setting("teams") {
@@ -158,11 +166,19 @@
         let (cpus, cpus_max) = (number(words, "guarantee", 0.0)?, number(words, "max", 0.0)?);
         for s in &mut settings {
             let team = s.params.teams[0].clone();
-            let make = |i| Team { name: format!("t{i}"), cpus, cpus_max, ..team.clone() };
+            let make = |i| Team {
+                name: format!("t{i}"),
+                cpus,
+                cpus_max,
+                ..team.clone()
+            };
             s.params.teams = (1..=count).map(make).collect();
         }
     }
-    for words in lines.iter().filter(|w| w[0] == "workers" || w[0] == "state" || w[0] == "cloud") {
+    for words in lines
+        .iter()
+        .filter(|w| w[0] == "workers" || w[0] == "state" || w[0] == "cloud")
+    {
         for s in &mut settings {
             let p = &mut s.params;
             match words[0] {
@@ -214,11 +230,15 @@
             ("c8", false, get("ordinary", 2.0)),
             ("c32", true, get("large", 1.0)),
         ] {
-            sim.cloud.capacity.insert((machine_type.into(), zone.into(), spot), n as u32);
+            sim.cloud
+                .capacity
+                .insert((machine_type.into(), zone.into(), spot), n as u32);
         }
     }
     for i in 0..get("owned", 2.0) as usize {
-        let id = sim.cloud.add(START, "c8", zones[i % 2], false, Some(SECOND / 10));
+        let id = sim
+            .cloud
+            .add(START, "c8", zones[i % 2], false, Some(SECOND / 10));
         sim.push(START + SECOND / 10, Event::Report { machine: id });
     }
     let _ = sim.cloud.take_booted();
@@ -259,16 +279,26 @@
         match sim.due_script() {
             Some(Due::Line(line)) => act(&mut sim, actions[line])?,
             Some(Due::Armed(words)) => {
-                act(&mut sim, &words.iter().map(String::as_str).collect::<Vec<_>>())?;
+                act(
+                    &mut sim,
+                    &words.iter().map(String::as_str).collect::<Vec<_>>(),
+                )?;
             }
             None if sim.now >= START + end => break,
             None => {}
         }
     }
-    let mut outcome = Outcome { wrong: judge(&mut sim, &expect), ..Outcome::default() };
+    let mut outcome = Outcome {
+        wrong: judge(&mut sim, &expect),
+        ..Outcome::default()
+    };
     let doubles = lines.iter().any(|w| w[0] == "double");
     if settles && !doubles {
-        settle(&mut sim, get("settle", SETTLE_S as f64) as u64, &mut outcome);
+        settle(
+            &mut sim,
+            get("settle", SETTLE_S as f64) as u64,
+            &mut outcome,
+        );
     }
     outcome.largest = sim.largest_wait();
     outcome.cancelled_left = sim.cancelled_left;
@@ -277,7 +307,10 @@
     let older = sim.told.values().map(|t| t.late_older).max().unwrap_or(0);
     outcome.late_older_s = older as f64 / 1e6;
     if !sim.invalid.is_empty() {
-        outcome.wrong.push(format!("accepted though they are not sound: {:?}", sim.invalid));
+        outcome.wrong.push(format!(
+            "accepted though they are not sound: {:?}",
+            sim.invalid
+        ));
     }
     outcome.unanswered_s = sim.longest_open as f64 / 1e6;
     outcome.violations = sim.violations();
@@ -314,14 +347,19 @@
             _ => continue,
         };
         if figure > most {
-            outcome.wrong.push(format!("expected {}; it was {figure}", words.join(" ")));
+            outcome
+                .wrong
+                .push(format!("expected {}; it was {figure}", words.join(" ")));
         }
     }
     (outcome.started, outcome.most_machines) = (sim.started, sim.cloud.most);
     outcome.leaderless_s = sim.leaderless as f64 / 1e6;
     (outcome.stopped, outcome.in_vain) = (sim.stops.stopped, sim.stops.in_vain);
-    outcome.waits =
-        sim.first_starts.iter().filter_map(|(job, at)| waited(&sim, job, *at)).collect();
+    outcome.waits = sim
+        .first_starts
+        .iter()
+        .filter_map(|(job, at)| waited(&sim, job, *at))
+        .collect();
     outcome.fingerprint = sim.fingerprinter.fingerprint();
     Ok(outcome)
 }
@@ -330,7 +368,8 @@
 fn plant_pages(sim: &mut Sim, count: u64) {
     for n in 0..count {
         let rows = json!({ format!("n-{:06}", 900_000 + n): { "job-999999": [[n % 50, n]] } });
-        sim.state.plant(&format!("p/1-{n}"), json!({"v": 2, "a": 7, "m": rows}));
+        sim.state
+            .plant(&format!("p/1-{n}"), json!({"v": 2, "a": 7, "m": rows}));
     }
 }
 
--- a/crates/sim/src/scenario/actions.rs
+++ b/crates/sim/src/scenario/actions.rs
@@ -17,7 +17,11 @@
     expect_s: f64,
 ) -> Result<serde_json::Value, Wrong> {
     let flag = |name: &str| words.contains(&name);
-    let kind = if flag("standing") { "standing" } else { "batch" };
+    let kind = if flag("standing") {
+        "standing"
+    } else {
+        "batch"
+    };
     Ok(json!({
         "nameId": id, "jobClass": option(words, "class").unwrap_or("c"),
         "owner": option(words, "team").unwrap_or("one"), "jobKind": kind,
@@ -33,8 +37,24 @@
 pub(super) fn plan_job(sim: &mut Sim, body: serde_json::Value, run_s: f64, fails: bool, at: Us) {
     let id = body["nameId"].as_str().unwrap_or_default().to_string();
     sim.unstarted.insert(id.clone());
-    sim.jobs.insert(id.clone(), JobPlan { body, run_s, fails, command: None, sent: at });
-    sim.push(at, Event::UserSends { job: id, what: What::Submit, since: at });
+    sim.jobs.insert(
+        id.clone(),
+        JobPlan {
+            body,
+            run_s,
+            fails,
+            command: None,
+            sent: at,
+        },
+    );
+    sim.push(
+        at,
+        Event::UserSends {
+            job: id,
+            what: What::Submit,
+            since: at,
+        },
+    );
 }
 
 pub(super) fn submit(sim: &mut Sim, words: &[&str]) -> Result<(), Wrong> {
@@ -55,7 +75,10 @@
 
 /// WHAT PART for=SECONDS: that part of what is sent, until then.
 pub(super) fn part_until(sim: &Sim, words: &[&str]) -> Result<(f64, Us), Wrong> {
-    let part: f64 = words.get(1).and_then(|w| w.parse().ok()).ok_or("which part?")?;
+    let part: f64 = words
+        .get(1)
+        .and_then(|w| w.parse().ok())
+        .ok_or("which part?")?;
     let until = sim.now + (number(words, "for", 30.0)? * 1e6) as Us;
     Ok((part.clamp(0.0, 1.0), until))
 }
@@ -76,7 +99,10 @@
 
 pub(super) fn act(sim: &mut Sim, words: &[&str]) -> Result<(), Wrong> {
     let arg = |i: usize| {
-        words.get(i).copied().ok_or_else(|| Wrong::from(format!("too few words: {words:?}")))
+        words
+            .get(i)
+            .copied()
+            .ok_or_else(|| Wrong::from(format!("too few words: {words:?}")))
     };
     match arg(0)? {
         "submit" => submit(sim, &words[1..])?,
@@ -97,13 +123,27 @@
         "op" => {
             // op NAME [on=NODE] METHOD PATH [BODY]: NAME is for `expect`.
             let node = option(words, "on").map(|n| node(sim, n)).transpose()?;
-            let rest: Vec<&str> =
-                words[2..].iter().copied().filter(|w| !w.starts_with("on=")).collect();
+            let rest: Vec<&str> = words[2..]
+                .iter()
+                .copied()
+                .filter(|w| !w.starts_with("on="))
+                .collect();
             let word = |i: usize| rest.get(i).copied().unwrap_or("");
-            let method = if word(0) == "POST" { Method::Post } else { Method::Get };
+            let method = if word(0) == "POST" {
+                Method::Post
+            } else {
+                Method::Get
+            };
             let (path, body) = (sim.expand(word(1)), sim.expand(word(2)));
             let name = arg(1)?.to_string();
-            let q = Question { name, node, method, path, body, tries: 20 };
+            let q = Question {
+                name,
+                node,
+                method,
+                path,
+                body,
+                tries: 20,
+            };
             sim.push(sim.now, Event::OperatorAsks(q));
         }
         "crash" => {
@@ -149,7 +189,8 @@
                 one => vec![one],
             };
             for w in what {
-                sim.cuts.insert((i, w.to_string()), (until, words.contains(&"hold")));
+                sim.cuts
+                    .insert((i, w.to_string()), (until, words.contains(&"hold")));
                 if matches!(w, "refused" | "jobs" | "configuration") {
                     sim.watch_at(until);
                 }
@@ -163,7 +204,8 @@
             // zone-cut ZONE SECONDS [hold]
             let until = sim.now + seconds(arg(2)?)?;
             sim.tally.cut_off += sim.up(Some(arg(1)?));
-            sim.zone_cuts.insert(arg(1)?.to_string(), (until, words.contains(&"hold")));
+            sim.zone_cuts
+                .insert(arg(1)?.to_string(), (until, words.contains(&"hold")));
             sim.explain_until(until);
         }
         "peers-refuse" => {
@@ -233,7 +275,9 @@
         "unlisted" => {
             let zone = sim.cloud.zones[0].clone();
             let machine_type = sim.cloud.kinds[0].label.clone();
-            let id = sim.cloud.add(sim.now, &machine_type, &zone, true, Some(SECOND));
+            let id = sim
+                .cloud
+                .add(sim.now, &machine_type, &zone, true, Some(SECOND));
             let _ = sim.cloud.take_booted();
             sim.push(sim.now + SECOND, Event::Report { machine: id });
         }
@@ -283,7 +327,9 @@
                     sim.lose(id);
                     continue;
                 }
-                let Some(w) = sim.workers.get_mut(&id) else { continue };
+                let Some(w) = sim.workers.get_mut(&id) else {
+                    continue;
+                };
                 match what {
                     "notice" => w.reclaim_at = Some(until),
                     "hang" => w.hang_until = until,
@@ -307,8 +353,10 @@
 /// stream FIRST count= every= tasks= cpus= run= ...: jobs at even distances, of
 /// drawn width and length, numbered from FIRST.
 pub(super) fn stream(sim: &mut Sim, words: &[&str]) -> Result<(), Wrong> {
-    let first: u64 =
-        words.first().and_then(|w| w.parse().ok()).ok_or("stream needs a first number")?;
+    let first: u64 = words
+        .first()
+        .and_then(|w| w.parse().ok())
+        .ok_or("stream needs a first number")?;
     let count = number(words, "count", 10.0)? as u64;
     let every = number(words, "every", 1.0)?;
     let (tasks, run) = (number(words, "tasks", 4.0)?, number(words, "run", 10.0)?);
@@ -325,12 +373,26 @@
         if cancelled > 0.0 && sim.rng.gen_bool(cancelled.min(1.0)) {
             let seen = at + (sim.rng.gen_range(0.2..run * 1.2 + 0.3) * 1e6) as Us;
             let job = format!("job-{}", first + i);
-            sim.push(seen, Event::UserSends { job, what: What::Cancel, since: seen });
+            sim.push(
+                seen,
+                Event::UserSends {
+                    job,
+                    what: What::Cancel,
+                    since: seen,
+                },
+            );
         }
         if broken {
             let seen = at + sim.rng.gen_range(40..100) * SECOND;
             let job = format!("job-{}", first + i);
-            sim.push(seen, Event::UserSends { job, what: What::Cancel, since: seen });
+            sim.push(
+                seen,
+                Event::UserSends {
+                    job,
+                    what: What::Cancel,
+                    since: seen,
+                },
+            );
         }
     }
     Ok(())
--- a/crates/sim/src/scenario/judging.rs
+++ b/crates/sim/src/scenario/judging.rs
@@ -33,12 +33,15 @@
     outcome.left_waiting = sim.waiting.left.iter().cloned().collect();
     if !outcome.left_waiting.is_empty() {
         let jobs = &outcome.left_waiting;
-        outcome.wrong.push(format!("left waiting {WAITS_S} s beside room that fits: {jobs:?}"));
+        outcome.wrong.push(format!(
+            "left waiting {WAITS_S} s beside room that fits: {jobs:?}"
+        ));
     }
     if !outcome.stuck.is_empty() {
-        outcome
-            .wrong
-            .push(format!("not done after {within_s} s without trouble: {:?}", outcome.stuck));
+        outcome.wrong.push(format!(
+            "not done after {within_s} s without trouble: {:?}",
+            outcome.stuck
+        ));
         return;
     }
     let until = sim.now + IDLE_S * SECOND;
@@ -52,9 +55,9 @@
     }
     if outcome.idle_machines > 0 {
         let n = outcome.idle_machines;
-        outcome
-            .wrong
-            .push(format!("{n} machines are rented for nothing, {IDLE_S} s after all was done"));
+        outcome.wrong.push(format!(
+            "{n} machines are rented for nothing, {IDLE_S} s after all was done"
+        ));
     }
 }
 
@@ -82,7 +85,9 @@
             "cancelled" => told.as_ref().is_some_and(|t| t.cancelled.is_some()),
             "not-done" => told.as_ref().is_some_and(|t| t.accepted && !t.done),
             "status" => {
-                told.as_ref().and_then(|t| t.final_status).map(|s| s.to_string())
+                told.as_ref()
+                    .and_then(|t| t.final_status)
+                    .map(|s| s.to_string())
                     == Some(arg(2).to_string())
             }
             "empty" => sim.workers.values().all(|w| w.on_machine().count() == 0),
@@ -94,12 +99,18 @@
                 let named = |l: &Vec<serde_json::Value>| l.iter().any(|r| r["reason"] == arg(2));
                 list.is_some_and(|l| named(&l) == (arg(0) == "reason"))
             }
-            "has" => sim.answers.get(arg(1)).is_some_and(|a| a.1.to_string().contains(arg(2))),
+            "has" => sim
+                .answers
+                .get(arg(1))
+                .is_some_and(|a| a.1.to_string().contains(arg(2))),
             "leaderless-at-most" => {
                 sim.leaderless <= (arg(1).parse::<f64>().unwrap_or(0.0) * 1e6) as u64
             }
             "running" => {
-                sim.workers.values().map(|w| w.on_machine().count()).sum::<usize>()
+                sim.workers
+                    .values()
+                    .map(|w| w.on_machine().count())
+                    .sum::<usize>()
                     == arg(1).parse().unwrap_or(0)
             }
             "machines-at-most" => sim.cloud.most <= arg(1).parse().unwrap_or(0),
@@ -145,7 +156,10 @@
     // gave up before it could answer.
     let away = sim.frozen.iter().any(|until| *until > 0) || !sim.zone_cuts.is_empty();
     if sim.unanswered > 0 && sim.lose_replies == 0.0 && sim.cuts.is_empty() && !away {
-        wrong.push(format!("{} requests of users were never answered", sim.unanswered));
+        wrong.push(format!(
+            "{} requests of users were never answered",
+            sim.unanswered
+        ));
     }
     if wrong.is_empty() {
         return wrong;
--- a/crates/sim/src/scenario/tests.rs
+++ b/crates/sim/src/scenario/tests.rs
@@ -16,7 +16,10 @@
     let text = "at 1 stream 7 count=3 every=1 tasks=2 cpus=2 run=4 urgency=high\nend 30\n";
     let outcome = play(text, Faults::default()).expect("a scenario");
     assert_eq!(outcome.waits.len(), 3, "{outcome:?}");
-    assert!(outcome.waits.iter().all(|w| w.wait_s < 10.0 && w.urgency == "high"));
+    assert!(outcome
+        .waits
+        .iter()
+        .all(|w| w.wait_s < 10.0 && w.urgency == "high"));
 }
 
 /// A job that waits beside room that fits, here since operators froze its team, is found
@@ -26,7 +29,10 @@
     let freeze = "at 2 op a POST /v1/directives {\"target\":{\"team\":\"one\"},\"set\":true}\n";
     let day = "owned 2\nspot 0\nordinary 0\nlarge 0\nsettle 110\nat 1 submit job-9 tasks=1 cpus=2 run=108 team=two\nat 4 submit job-1 tasks=2 cpus=2 run=4\nend 10\n";
     let sound = play(day, Faults::default()).expect("a scenario");
-    assert!(sound.wrong.is_empty() && sound.left_waiting.is_empty(), "{sound:?}");
+    assert!(
+        sound.wrong.is_empty() && sound.left_waiting.is_empty(),
+        "{sound:?}"
+    );
     let frozen = play(&format!("{freeze}{day}"), Faults::default()).expect("a scenario");
     assert_eq!(frozen.left_waiting, ["job-1"], "{frozen:?}");
     let full = "at 3 submit job-2 tasks=8 cpus=2 run=300 team=two\n";
@@ -42,15 +48,24 @@
 fn unsound_jobs_that_are_accepted_are_found() {
     let day = "at 1 submit job-1 odd tasks=2 cpus=2 run=4\nend 20\n";
     let outcome = play(day, Faults::default()).expect("a scenario");
-    assert!(outcome.wrong.iter().any(|w| w.starts_with("accepted though")), "{outcome:?}");
+    assert!(
+        outcome
+            .wrong
+            .iter()
+            .any(|w| w.starts_with("accepted though")),
+        "{outcome:?}"
+    );
 }
 
 /// Tasks that begin after their user was told that they are cancelled are counted.
 #[test]
 fn starts_after_a_confirmed_cancellation_are_counted() {
-    let jobs = [5.5, 5.8, 6.1, 6.4, 6.7].iter().enumerate().map(|(n, cancelled)| {
-        format!("at 5 submit job-{n} tasks=3 cpus=2 run=30\nat {cancelled} cancel job-{n}\n")
-    });
+    let jobs = [5.5, 5.8, 6.1, 6.4, 6.7]
+        .iter()
+        .enumerate()
+        .map(|(n, cancelled)| {
+            format!("at 5 submit job-{n} tasks=3 cpus=2 run=30\nat {cancelled} cancel job-{n}\n")
+        });
     let day = &format!("owned 4\n{}end 40\n", jobs.collect::<String>());
     let sound = play(day, Faults::default()).expect("a scenario");
     let deaf = play(&format!("double deaf-to-kill\n{day}"), Faults::default()).expect("a day");
--- a/crates/sim/src/scenario/words.rs
+++ b/crates/sim/src/scenario/words.rs
@@ -9,12 +9,16 @@
 }
 
 pub(super) fn option<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
-    words.iter().find_map(|w| w.strip_prefix(name)?.strip_prefix('='))
+    words
+        .iter()
+        .find_map(|w| w.strip_prefix(name)?.strip_prefix('='))
 }
 
 pub(super) fn number(words: &[&str], name: &str, default: f64) -> Result<f64, Wrong> {
     match option(words, name) {
-        Some(text) => text.parse().map_err(|_| format!("{name}: '{text}' is no number").into()),
+        Some(text) => text
+            .parse()
+            .map_err(|_| format!("{name}: '{text}' is no number").into()),
         None => Ok(default),
     }
 }
--- a/crates/sim/src/stopped.rs
+++ b/crates/sim/src/stopped.rs
@@ -61,11 +61,18 @@
                 Happened::Stopped if !leaving && !over(job) => {
                     self.stopped += 1;
                     let team = text(plan, "owner").to_string();
-                    let stop = Stop { at: now, cpus, urgency: urgency(plan), team };
+                    let stop = Stop {
+                        at: now,
+                        cpus,
+                        urgency: urgency(plan),
+                        team,
+                    };
                     self.open.entry(machine).or_default().push_back(stop);
                 }
                 Happened::Began => {
-                    let Some(open) = self.open.get_mut(&machine) else { continue };
+                    let Some(open) = self.open.get_mut(&machine) else {
+                        continue;
+                    };
                     // Several may have made room for one, and one for several: a
                     // start in place of a larger one settles it.
                     let mut room = cpus;
@@ -110,7 +117,10 @@
     for (id, plan) in jobs.iter().filter(|(id, p)| counts(id, p)) {
         let number = |field: &str| plan.body[field].as_f64().unwrap_or(0.0);
         let size = number("pieces") * number("vcpus");
-        by_class.entry(text(plan, "jobClass")).or_default().push((size, id));
+        by_class
+            .entry(text(plan, "jobClass"))
+            .or_default()
+            .push((size, id));
     }
     let mut out = BTreeSet::new();
     for mut of in by_class.into_values() {
@@ -145,8 +155,9 @@
         }
     }
     let all = parts.into_iter().filter(|(_, (tasks, _))| *tasks > 0);
-    let mut out: Vec<(String, f64)> =
-        all.map(|(name, (tasks, done))| (name, done as f64 / tasks as f64)).collect();
+    let mut out: Vec<(String, f64)> = all
+        .map(|(name, (tasks, done))| (name, done as f64 / tasks as f64))
+        .collect();
     out.sort_by(|a, b| a.1.total_cmp(&b.1));
     out
 }
--- a/crates/sim/src/troubles.rs
+++ b/crates/sim/src/troubles.rs
@@ -97,12 +97,26 @@
         for node in 0..self.settings.len() {
             for what in [What::Poll, What::Submit, What::Poll] {
                 let at = self.now + self.rng.gen_range(0..8_000);
-                self.push(at, Event::UserLooks { job: job.to_string(), what, node });
+                self.push(
+                    at,
+                    Event::UserLooks {
+                        job: job.to_string(),
+                        what,
+                        node,
+                    },
+                );
             }
         }
         if self.rng.gen_bool(CALLED_OFF) {
             let at = self.now + self.rng.gen_range(0..8_000);
-            self.push(at, Event::UserSends { job: job.to_string(), what: What::Cancel, since: at });
+            self.push(
+                at,
+                Event::UserSends {
+                    job: job.to_string(),
+                    what: What::Cancel,
+                    since: at,
+                },
+            );
         }
     }
 
@@ -111,7 +125,14 @@
         let (part, until) = self.troubles.at_end;
         if self.now < until && self.rng.gen_bool(part) {
             let at = self.now + self.rng.gen_range(0..200_000);
-            self.push(at, Event::UserSends { job: job.to_string(), what: What::Cancel, since: at });
+            self.push(
+                at,
+                Event::UserSends {
+                    job: job.to_string(),
+                    what: What::Cancel,
+                    since: at,
+                },
+            );
         }
     }
 
@@ -129,7 +150,9 @@
             }
         }
         let open = |job: &String| {
-            self.told.get(job).is_some_and(|t| t.accepted && !t.asked_cancel && !t.done)
+            self.told
+                .get(job)
+                .is_some_and(|t| t.accepted && !t.asked_cancel && !t.done)
         };
         let mut jobs: Vec<(String, Vec<u64>)> =
             running.into_iter().filter(|(job, _)| open(job)).collect();
@@ -139,9 +162,18 @@
         let mut hung = 0;
         for (job, machines) in jobs.into_iter().take(count) {
             let at = self.now + self.rng.gen_range(0..SECOND / 5);
-            self.push(at, Event::UserSends { job, what: What::Cancel, since: at });
+            self.push(
+                at,
+                Event::UserSends {
+                    job,
+                    what: What::Cancel,
+                    since: at,
+                },
+            );
             for machine in machines {
-                let Some(w) = self.workers.get_mut(&machine).filter(|_| hang > 0) else { continue };
+                let Some(w) = self.workers.get_mut(&machine).filter(|_| hang > 0) else {
+                    continue;
+                };
                 if hung < MAX_HUNG && w.hang_until < self.now {
                     hung += 1;
                     w.hang_until = self.now + hang;
--- a/crates/sim/src/waiting.rs
+++ b/crates/sim/src/waiting.rs
@@ -35,7 +35,9 @@
         for w in self.workers.values() {
             for t in w.taking_room() {
                 let job = t.piece.split('/').next().unwrap_or("");
-                let Some(plan) = self.jobs.get(job) else { continue };
+                let Some(plan) = self.jobs.get(job) else {
+                    continue;
+                };
                 let owner = plan.body["owner"].as_str().unwrap_or("").to_string();
                 *used.entry(owner).or_default() += amount(plan, "vcpus");
                 live.entry(job).or_default().push(w);
@@ -44,8 +46,12 @@
         let healthy = |w: &&Worker| {
             self.now >= w.troubled_until() && !w.sick && w.slow <= 1.0 && w.reclaim_at.is_none()
         };
-        let rooms: Vec<(&Worker, (f64, f64))> =
-            self.workers.values().filter(healthy).map(|w| (w, w.free(&self.jobs))).collect();
+        let rooms: Vec<(&Worker, (f64, f64))> = self
+            .workers
+            .values()
+            .filter(healthy)
+            .map(|w| (w, w.free(&self.jobs)))
+            .collect();
         let mut waits = BTreeMap::new();
         for (id, plan) in &self.jobs {
             if !self.counts(id, plan) || self.told.get(id).is_some_and(|t| t.done) {
@@ -58,7 +64,11 @@
                 continue;
             }
             let owner = plan.body["owner"].as_str().unwrap_or("");
-            let team = self.settings[0].params.teams.iter().find(|t| t.name == owner);
+            let team = self.settings[0]
+                .params
+                .teams
+                .iter()
+                .find(|t| t.name == owner);
             let most = match self.limits.is_changed() {
                 true => self.limits.now(owner),
                 false => team.map_or(0.0, |t| t.cpus_max),
--- a/crates/sim/tests/false_takes.rs
+++ b/crates/sim/tests/false_takes.rs
@@ -43,6 +43,13 @@
     let threads: Vec<_> = (0..THREADS)
         .map(|t| thread::spawn(move || moved((0..DAYS).filter(|s| s % THREADS == t))))
         .collect();
-    let wrong: Vec<_> = threads.into_iter().flat_map(|t| t.join().expect("played")).collect();
-    assert!(wrong.is_empty(), "{} of {DAYS} days: {wrong:?}", wrong.len());
+    let wrong: Vec<_> = threads
+        .into_iter()
+        .flat_map(|t| t.join().expect("played"))
+        .collect();
+    assert!(
+        wrong.is_empty(),
+        "{} of {DAYS} days: {wrong:?}",
+        wrong.len()
+    );
 }
--- a/crates/sim/tests/fingerprint.rs
+++ b/crates/sim/tests/fingerprint.rs
@@ -12,14 +12,24 @@
     let recorded = days::read(include_str!("fingerprint.txt")).expect("a record");
     let played = days::play(&days::fixed(), Faults::default(), THREADS).expect("sound days");
     let differ = days::differences(&recorded, &played);
-    assert!(differ.is_empty(), "differ: {differ:?}, now:\n{}", days::write(&played));
+    assert!(
+        differ.is_empty(),
+        "differ: {differ:?}, now:\n{}",
+        days::write(&played)
+    );
 }
 
 #[test]
 fn a_changed_decision_changes_the_fingerprint() {
-    let room: Vec<_> = days::fixed().into_iter().filter(|d| d.name == "room_two_claims").collect();
+    let room: Vec<_> = days::fixed()
+        .into_iter()
+        .filter(|d| d.name == "room_two_claims")
+        .collect();
     let recorded = days::play(&room, Faults::default(), 1).expect("a sound day");
-    let faults = Faults { scattered: true, ..Faults::default() };
+    let faults = Faults {
+        scattered: true,
+        ..Faults::default()
+    };
     let changed = days::play(&room, faults, 1).expect("a sound day");
     assert_eq!(days::differences(&recorded, &changed), ["room_two_claims"]);
 }
@@ -31,5 +41,8 @@
     let one = days::read(&format!("one {digits}\n")).expect("a record");
     assert_eq!(days::differences(&both, &one), ["two"]);
     assert_eq!(days::differences(&one, &both), ["two"]);
-    assert_eq!(days::read("one 0\nno-fingerprint\n").map_err(|e| e.line), Err(2));
+    assert_eq!(
+        days::read("one 0\nno-fingerprint\n").map_err(|e| e.line),
+        Err(2)
+    );
 }
--- a/crates/sim/tests/found.rs
+++ b/crates/sim/tests/found.rs
@@ -20,7 +20,10 @@
 /// Half of a fleet given back while a zone was cut off (docs/incidents/silent-fleet.md).
 #[test]
 fn a_healthy_zone_is_not_given_away() {
-    let faults = Faults { hasty: true, ..Faults::default() };
+    let faults = Faults {
+        hasty: true,
+        ..Faults::default()
+    };
     fails_only_with(faults, include_str!("found/hasty.txt"));
 }
 
@@ -28,7 +31,10 @@
 /// (docs/incidents/transactions-refused-for-ever.md).
 #[test]
 fn a_refused_transaction_is_not_repeated() {
-    let faults = Faults { unbounded: true, ..Faults::default() };
+    let faults = Faults {
+        unbounded: true,
+        ..Faults::default()
+    };
     fails_only_with(faults, include_str!("found/unbounded.txt"));
 }
 
@@ -40,14 +46,20 @@
     let day = include_str!("found/woken.txt");
     let sound = scenario::play(day, Faults::default()).expect("a scenario");
     assert!(!days::faulty(&sound), "{sound:?}");
-    assert!(sound.tally.given_back_ill > 0, "the day no longer shows it: {sound:?}");
+    assert!(
+        sound.tally.given_back_ill > 0,
+        "the day no longer shows it: {sound:?}"
+    );
 }
 
 /// Tasks were stopped all over the fleet by their CPUs, for nobody: 198,469 of them
 /// on one day (docs/incidents/guests-at-fleet-size.md).
 #[test]
 fn nobody_is_stopped_for_nobody() {
-    let faults = Faults { scattered: true, ..Faults::default() };
+    let faults = Faults {
+        scattered: true,
+        ..Faults::default()
+    };
     fails_only_with(faults, include_str!("found/scattered.txt"));
 }
 
@@ -57,7 +69,10 @@
 /// one more frame between controllers changed every draw).
 #[test]
 fn a_take_of_ours_that_comes_late_is_found() {
-    let faults = Faults { own_lead: true, ..Faults::default() };
+    let faults = Faults {
+        own_lead: true,
+        ..Faults::default()
+    };
     fails_only_with(faults, include_str!("found/own_take.txt"));
 }
 
@@ -65,7 +80,10 @@
 /// silent, and gave them back, healthy as they were (days meet-302-6 and meet-302-750).
 #[test]
 fn nothing_idle_is_given_back_while_our_own_link_is_silent() {
-    let faults = Faults { blind_return: true, ..Faults::default() };
+    let faults = Faults {
+        blind_return: true,
+        ..Faults::default()
+    };
     fails_only_with(faults, include_str!("found/blind_return.txt"));
 }
 
@@ -85,7 +103,10 @@
         }
     });
     // The draw can find what it looks for.
-    let without = Faults { no_h: true, ..Faults::default() };
+    let without = Faults {
+        no_h: true,
+        ..Faults::default()
+    };
     let found = days
         .iter()
         .any(|d| scenario::play(&d.text, without).expect("a day").violations == ["ran_cancelled"]);
--- a/crates/sim/tests/hold_model.rs
+++ b/crates/sim/tests/hold_model.rs
@@ -77,7 +77,10 @@
                 queue.push_back((then, ways.len() - 1));
             }
         }
-        assert!(seen.len() < 4_000_000, "the world is too large to be looked through");
+        assert!(
+            seen.len() < 4_000_000,
+            "the world is too large to be looked through"
+        );
     }
     Ok(seen.len())
 }
@@ -114,15 +117,29 @@
         answer: Option<(u8, bool, u8)>,
     }
 
-    const NOBODY: Controller =
-        Controller { token: 0, hold: H + 1, jobs: H + 1, knows: false, read: false };
+    const NOBODY: Controller = Controller {
+        token: 0,
+        hold: H + 1,
+        jobs: H + 1,
+        knows: false,
+        read: false,
+    };
 
     pub fn begin() -> World {
         World {
             block: 1,
             taken: REPLY + 1,
             cancelled: None,
-            controllers: [Controller { token: 1, hold: 0, jobs: 0, read: true, ..NOBODY }, NOBODY],
+            controllers: [
+                Controller {
+                    token: 1,
+                    hold: 0,
+                    jobs: 0,
+                    read: true,
+                    ..NOBODY
+                },
+                NOBODY,
+            ],
             seen: 1,
             lease: 0,
             alive: true,
@@ -147,7 +164,14 @@
         }
         match held && c.token > 0 {
             true => c.hold = c.hold.min(counted),
-            false => *c = Controller { token: 0, hold: H + 1, read: false, ..*c },
+            false => {
+                *c = Controller {
+                    token: 0,
+                    hold: H + 1,
+                    read: false,
+                    ..*c
+                }
+            }
         }
     }
 
@@ -169,7 +193,10 @@
             for c in &mut w.controllers {
                 (c.hold, c.jobs) = (older(c.hold, H), older(c.jobs, H));
             }
-            w.answer = w.answer.map(|a| (a.0, a.1, a.2 + 1)).filter(|a| a.2 <= LATE);
+            w.answer = w
+                .answer
+                .map(|a| (a.0, a.1, a.2 + 1))
+                .filter(|a| a.2 <= LATE);
         });
         if w.cancelled.is_none() {
             add("the user is told: cancelled", &|w| w.cancelled = Some(0));
@@ -200,7 +227,9 @@
             let fresh = (c.hold <= H && (c.jobs <= H || d.h_by_hold)) || d.no_h;
             if c.token > 0 && fresh && w.answer.is_none() {
                 let told = c.knows && (!d.late_stops || c.read && w.seen == c.token);
-                add("a report is answered", &|w| w.answer = Some((c.token, told, 0)));
+                add("a report is answered", &|w| {
+                    w.answer = Some((c.token, told, 0))
+                });
             }
         }
         if let Some((token, stop, age)) = w.answer {
@@ -233,9 +262,27 @@
     let none = Defects::default();
     for (name, d) in [
         ("no H", Defects { no_h: true, ..none }),
-        ("H from the reply", Defects { h_from_reply: true, ..none }),
-        ("H by the hold alone", Defects { h_by_hold: true, ..none }),
-        ("late stops", Defects { late_stops: true, ..none }),
+        (
+            "H from the reply",
+            Defects {
+                h_from_reply: true,
+                ..none
+            },
+        ),
+        (
+            "H by the hold alone",
+            Defects {
+                h_by_hold: true,
+                ..none
+            },
+        ),
+        (
+            "late stops",
+            Defects {
+                late_stops: true,
+                ..none
+            },
+        ),
     ] {
         let way = gap(d).expect_err(name);
         println!("{name}: found after {} steps: {way:?}", way.len());
@@ -389,22 +436,38 @@
         if w.copy.is_none() && w.at.1 < TICKS {
             add("a report is held up", &|w| {
                 w.at.1 += 1;
-                w.copy = Some(Report { seen: w.seen, at: w.at, lists: w.on });
+                w.copy = Some(Report {
+                    seen: w.seen,
+                    at: w.at,
+                    lists: w.on,
+                });
             });
         }
         for i in 0..2 {
             let c = w.controllers[i];
             if c.token > 0 {
-                add("an exchange", &|w| match w.controllers[i].token == w.block {
-                    true => w.controllers[i].hold = 0,
-                    false => w.controllers[i] = NOBODY,
-                });
+                add(
+                    "an exchange",
+                    &|w| match w.controllers[i].token == w.block {
+                        true => w.controllers[i].hold = 0,
+                        false => w.controllers[i] = NOBODY,
+                    },
+                );
                 add("it begins anew", &|w| w.controllers[i] = NOBODY);
             } else if w.block < TAKES {
                 add("a take, and the pages are read", &|w| {
                     w.block += 1;
-                    let entry = if w.elsewhere > 0 { Entry::Elsewhere } else { Entry::There };
-                    w.controllers[i] = Controller { token: w.block, hold: 0, entry, ..NOBODY };
+                    let entry = if w.elsewhere > 0 {
+                        Entry::Elsewhere
+                    } else {
+                        Entry::There
+                    };
+                    w.controllers[i] = Controller {
+                        token: w.block,
+                        hold: 0,
+                        entry,
+                        ..NOBODY
+                    };
                 });
             }
             let entitled = c.token > 0 && c.hold <= H;
@@ -414,7 +477,11 @@
                         let what = ["a report", "a report and a stop"][usize::from(stop)];
                         add(what, &|w| {
                             w.at.1 += 1;
-                            let r = Report { seen: w.seen, at: w.at, lists: w.on };
+                            let r = Report {
+                                seen: w.seen,
+                                at: w.at,
+                                lists: w.on,
+                            };
                             let c = &mut w.controllers[i];
                             let run = take_in(c, r, d);
                             let kill = stop && c.entry == Entry::There && r.seen == c.token;
@@ -438,7 +505,9 @@
             // Our own answers have to be long ago, not to be none.
             let silent = silent && (!d.own_silence || c.ever || c.took > LEASE);
             if c.token > 0 && silent && matches!(c.entry, Entry::There | Entry::Sent(_)) {
-                add("silence is proof", &|w| w.controllers[i].entry = Entry::Free);
+                add("silence is proof", &|w| {
+                    w.controllers[i].entry = Entry::Free
+                });
             }
             let placed = c.token > 0 && c.entry == Entry::Free;
             if placed && (c.token == w.block || d.no_block) {
@@ -478,12 +547,48 @@
 fn the_planted_defects_of_proof_are_found() {
     let none = Defects::default();
     for (name, d) in [
-        ("proof before the token", Defects { proof_before_token: true, ..none }),
-        ("own silence", Defects { own_silence: true, ..none }),
-        ("old reports", Defects { old_reports: true, ..none }),
-        ("a lower tenure", Defects { lower_tenure: true, ..none }),
-        ("a stop for an end", Defects { stop_is_end: true, ..none }),
-        ("no block", Defects { no_block: true, ..none }),
+        (
+            "proof before the token",
+            Defects {
+                proof_before_token: true,
+                ..none
+            },
+        ),
+        (
+            "own silence",
+            Defects {
+                own_silence: true,
+                ..none
+            },
+        ),
+        (
+            "old reports",
+            Defects {
+                old_reports: true,
+                ..none
+            },
+        ),
+        (
+            "a lower tenure",
+            Defects {
+                lower_tenure: true,
+                ..none
+            },
+        ),
+        (
+            "a stop for an end",
+            Defects {
+                stop_is_end: true,
+                ..none
+            },
+        ),
+        (
+            "no block",
+            Defects {
+                no_block: true,
+                ..none
+            },
+        ),
     ] {
         let way = proof(d).expect_err(name);
         println!("{name}: found after {} steps: {way:?}", way.len());
--- a/crates/sim/tests/large_fleet.rs
+++ b/crates/sim/tests/large_fleet.rs
@@ -9,6 +9,13 @@
 fn the_leader_of_4000_machines_ends() {
     let text = include_str!("large_fleet/leader_ends.txt");
     let outcome = scenario::play(text, Faults::default()).expect("a scenario");
-    assert!(!days::faulty(&outcome) && outcome.wrong.is_empty(), "{outcome:?}");
-    assert!(outcome.started >= 4_000, "{} tasks started", outcome.started);
+    assert!(
+        !days::faulty(&outcome) && outcome.wrong.is_empty(),
+        "{outcome:?}"
+    );
+    assert!(
+        outcome.started >= 4_000,
+        "{} tasks started",
+        outcome.started
+    );
 }
--- a/crates/standby/src/failure_detector.rs
+++ b/crates/standby/src/failure_detector.rs
@@ -154,7 +154,11 @@
 
     /// Silence that counts, seconds.
     fn silence_limit_s(&self, now: Time) -> f64 {
-        let lately = self.changes.iter().filter(|at| now.since(**at) <= CHANGES_S).count();
+        let lately = self
+            .changes
+            .iter()
+            .filter(|at| now.since(**at) <= CHANGES_S)
+            .count();
         let backoff_s = BACKOFF_S * lately.saturating_sub(1) as f64;
         SILENT_S.max(SILENT_INTERVALS * self.interval_s) + backoff_s
     }
@@ -186,7 +190,9 @@
 pub fn turn_after<'a>(leader: &str, own: &str, members: impl Iterator<Item = &'a str>) -> u32 {
     let after = |label: &str| (label <= leader, label.to_string());
     let ours = after(own);
-    members.filter(|label| *label != leader && after(label) < ours).count() as u32
+    members
+        .filter(|label| *label != leader && after(label) < ours)
+        .count() as u32
 }
 
 #[cfg(test)]
--- a/crates/standby/src/failure_detector/tests.rs
+++ b/crates/standby/src/failure_detector/tests.rs
@@ -8,7 +8,12 @@
     Time::default().plus(100.0 + s)
 }
 
-const OBSERVER: Observer = Observer { store_age_s: 0.2, warm: true, back_for_s: None, turn: 0 };
+const OBSERVER: Observer = Observer {
+    store_age_s: 0.2,
+    warm: true,
+    back_for_s: None,
+    turn: 0,
+};
 const TOKEN: FencingToken = FencingToken(7);
 
 /// Heartbeats of one holder, `every` seconds.
@@ -44,17 +49,48 @@
 #[test]
 fn an_end_is_known_by_two_witnesses_before_the_lease() {
     let mut detector = ended();
-    assert_eq!(detector.suspected(at(11.4), OBSERVER), None, "three heartbeats have to be missing");
+    assert_eq!(
+        detector.suspected(at(11.4), OBSERVER),
+        None,
+        "three heartbeats have to be missing"
+    );
     assert_eq!(detector.suspected(at(11.6), OBSERVER), Some("a"));
     assert_eq!(detector.suspected(at(11.7), OBSERVER), None, "advised once");
     // The next in turn waits longer.
     let mut detector = ended();
-    assert_eq!(detector.suspected(at(11.55), Observer { turn: 1, ..OBSERVER }), None);
+    assert_eq!(
+        detector.suspected(
+            at(11.55),
+            Observer {
+                turn: 1,
+                ..OBSERVER
+            }
+        ),
+        None
+    );
     assert!(detector.is_silent(at(11.6)) && !detector.is_silent(at(11.0)));
-    assert_eq!(detector.suspected(at(11.65), Observer { turn: 1, ..OBSERVER }), Some("a"));
+    assert_eq!(
+        detector.suspected(
+            at(11.65),
+            Observer {
+                turn: 1,
+                ..OBSERVER
+            }
+        ),
+        Some("a")
+    );
     // With seven of them, the last in turn has it within two seconds and a little more.
     let mut detector = ended();
-    assert_eq!(detector.suspected(at(12.05), Observer { turn: 5, ..OBSERVER }), Some("a"));
+    assert_eq!(
+        detector.suspected(
+            at(12.05),
+            Observer {
+                turn: 5,
+                ..OBSERVER
+            }
+        ),
+        Some("a")
+    );
 }
 
 #[test]
@@ -97,9 +133,18 @@
 #[test]
 fn who_is_not_fit_does_not_take() {
     for own in [
-        Observer { store_age_s: 4.0, ..OBSERVER },
-        Observer { warm: false, ..OBSERVER },
-        Observer { back_for_s: Some(1.0), ..OBSERVER },
+        Observer {
+            store_age_s: 4.0,
+            ..OBSERVER
+        },
+        Observer {
+            warm: false,
+            ..OBSERVER
+        },
+        Observer {
+            back_for_s: Some(1.0),
+            ..OBSERVER
+        },
     ] {
         assert_eq!(ended().suspected(at(11.8), own), None, "{own:?}");
     }
@@ -126,7 +171,11 @@
     assert!(detector.suspected(at(11.6), OBSERVER).is_some());
     beats(&mut detector, "b", FencingToken(8), 12.0, 22.0, HEARTBEAT_S);
     report(&mut detector, 23.1, 0..4, FencingToken(8));
-    assert_eq!(detector.suspected(at(23.7), OBSERVER), None, "twelve seconds after the last");
+    assert_eq!(
+        detector.suspected(at(23.7), OBSERVER),
+        None,
+        "twelve seconds after the last"
+    );
     beats(&mut detector, "b", FencingToken(8), 24.0, 28.0, HEARTBEAT_S);
     report(&mut detector, 29.1, 0..4, FencingToken(8));
     assert_eq!(detector.suspected(at(29.7), OBSERVER), Some("b"));
@@ -140,7 +189,11 @@
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
     beats(&mut detector, "b", FencingToken(8), 12.0, 16.0, HEARTBEAT_S);
     report(&mut detector, 17.1, 0..4, FencingToken(8));
-    assert_eq!(detector.suspected(at(17.6), OBSERVER), Some("b"), "the first change costs nothing");
+    assert_eq!(
+        detector.suspected(at(17.6), OBSERVER),
+        Some("b"),
+        "the first change costs nothing"
+    );
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
     beats(&mut detector, "b", FencingToken(8), 12.0, 16.0, HEARTBEAT_S);
--- a/crates/testbed/src/ageing.rs
+++ b/crates/testbed/src/ageing.rs
@@ -83,7 +83,12 @@
 }
 
 fn waits(outcome: &Outcome, which: impl Fn(&Wait) -> bool) -> Vec<f64> {
-    let mut all: Vec<f64> = outcome.waits.iter().filter(|w| which(w)).map(|w| w.wait_s).collect();
+    let mut all: Vec<f64> = outcome
+        .waits
+        .iter()
+        .filter(|w| which(w))
+        .map(|w| w.wait_s)
+        .collect();
     all.sort_by(f64::total_cmp);
     all
 }
@@ -103,15 +108,26 @@
     let mut rises: Vec<(f64, f64)> = Vec::new();
     let mut widest: f64 = 0.0;
     for w in outcome.waits.iter().filter(low) {
-        let urgency = if w.urgency == "standard" { Urgency::Standard } else { Urgency::BestEffort };
-        rises.push((w.sent_s + policy.patience_s(urgency).unwrap_or(0.0), w.tasks as f64));
+        let urgency = if w.urgency == "standard" {
+            Urgency::Standard
+        } else {
+            Urgency::BestEffort
+        };
+        rises.push((
+            w.sent_s + policy.patience_s(urgency).unwrap_or(0.0),
+            w.tasks as f64,
+        ));
         widest = widest.max(w.cpus);
     }
     rises.sort_by(|a, b| a.0.total_cmp(&b.0));
     let cpus = MACHINES as f64 * 8.0;
     let per_s = carried_per_s(policy, widest, LONGEST_S, cpus);
     let flow = Flow::tightest(per_s, &rises);
-    let crowd = Crowd { flow, widest_cpus: widest, longest_s: LONGEST_S };
+    let crowd = Crowd {
+        flow,
+        widest_cpus: widest,
+        longest_s: LONGEST_S,
+    };
     let standstill_s = takeovers * (outcome.leaderless_s + 2.0 * LONGEST_S);
     let room = Room { cpus, standstill_s };
     longest_wait_s(policy, Urgency::BestEffort, &crowd, &room)
@@ -120,7 +136,10 @@
 
 pub fn run(seed: u64, quick: bool, o: &Options) -> Result<Value, LabError> {
     let hours = if quick { 2.0 } else { 10.0 };
-    let mut ageing = PriorityAging { on: true, ..PriorityAging::default() };
+    let mut ageing = PriorityAging {
+        on: true,
+        ..PriorityAging::default()
+    };
     if quick {
         (ageing.best_effort_s, ageing.standard_s) = (900.0, 300.0);
     }
@@ -128,8 +147,9 @@
     if let Some(path) = &o.write {
         std::fs::write(path, night(seed, hours, ageing))?;
     }
-    let plan: Vec<(u64, bool)> =
-        (0..o.nights).flat_map(|n| [(seed + n, false), (seed + n, true)]).collect();
+    let plan: Vec<(u64, bool)> = (0..o.nights)
+        .flat_map(|n| [(seed + n, false), (seed + n, true)])
+        .collect();
     let played: Vec<Result<Outcome, scenario::Wrong>> = std::thread::scope(|scope| {
         let runs: Vec<_> = plan
             .iter()
@@ -143,7 +163,8 @@
             })
             .collect();
         let ended = |r: std::thread::ScopedJoinHandle<'_, Result<Outcome, scenario::Wrong>>| {
-            r.join().unwrap_or_else(|_| Err("the night ended by itself".to_string().into()))
+            r.join()
+                .unwrap_or_else(|_| Err("the night ended by itself".to_string().into()))
         };
         runs.into_iter().map(ended).collect()
     });
@@ -167,14 +188,26 @@
             }
         };
         check(aged.wrong.is_empty(), format!("{:?}", aged.wrong));
-        check(aged.stuck.is_empty() && strict.stuck.is_empty(), "jobs are left".into());
-        check(oldest_s < AIM_S, format!("a low job waited {oldest_s:.0} s"));
-        check(oldest_s <= bound_s, format!("{oldest_s:.0} s is beyond the bound, {bound_s:.0} s"));
+        check(
+            aged.stuck.is_empty() && strict.stuck.is_empty(),
+            "jobs are left".into(),
+        );
+        check(
+            oldest_s < AIM_S,
+            format!("a low job waited {oldest_s:.0} s"),
+        );
+        check(
+            oldest_s <= bound_s,
+            format!("{oldest_s:.0} s is beyond the bound, {bound_s:.0} s"),
+        );
         check(
             baseline_s > bound_s,
             format!("without ageing {baseline_s:.0} s is within the bound"),
         );
-        check(loss <= LOSS, format!("the urgent lose {loss:.3} of their median"));
+        check(
+            loss <= LOSS,
+            format!("the urgent lose {loss:.3} of their median"),
+        );
         nights.push(
             json!({"seed": n, "oldest_low_s": oldest_s.round(), "bound_s": bound_s.round(),
             "without_ageing_s": baseline_s.round(), "high_median_loss": (loss * 1e3).round() / 1e3,
@@ -187,6 +220,8 @@
             loss * 100.0
         );
     }
-    Ok(json!({"ok": failed.is_empty(), "experiment": "ageing", "seed": seed, "hours": hours,
-        "nights": nights, "failed": failed, "real_s": began.elapsed().as_secs_f64().round()}))
+    Ok(
+        json!({"ok": failed.is_empty(), "experiment": "ageing", "seed": seed, "hours": hours,
+        "nights": nights, "failed": failed, "real_s": began.elapsed().as_secs_f64().round()}),
+    )
 }
--- a/crates/testbed/src/configuration.rs
+++ b/crates/testbed/src/configuration.rs
@@ -89,7 +89,12 @@
         match played {
             Ok(outcome) => {
                 all.0.extend(outcome.in_force_s);
-                all.1.extend(outcome.wrong.iter().map(|wrong| format!("day {n}: {wrong}")));
+                all.1.extend(
+                    outcome
+                        .wrong
+                        .iter()
+                        .map(|wrong| format!("day {n}: {wrong}")),
+                );
             }
             Err(e) => all.1.push(format!("day {n}: {e}")),
         }
@@ -98,7 +103,8 @@
     let (took, wrong) = all.into_inner().unwrap_or_else(|e| e.into_inner());
     let mut times = Histogram::<u64>::new_with_max(LONGEST_MS, 3)
         .map_err(|e| LabError::Other(e.to_string()))?;
-    took.iter().for_each(|s| times.saturating_record((s * 1e3) as u64));
+    took.iter()
+        .for_each(|s| times.saturating_record((s * 1e3) as u64));
     let s = |q: f64| times.value_at_quantile(q) as f64 / 1e3;
     for line in wrong.iter().take(5) {
         eprintln!("wrong: {line}");
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -92,7 +92,9 @@
     let mut played = play_all(&plan, faults, o.jobs);
     played.sort_by_key(|(n, ..)| *n);
     let mut troubles: BTreeMap<&str, u32> = BTreeMap::new();
-    plan.iter().flat_map(|d| &d.troubles).for_each(|(k, n)| *troubles.entry(k).or_default() += n);
+    plan.iter()
+        .flat_map(|d| &d.troubles)
+        .for_each(|(k, n)| *troubles.entry(k).or_default() += n);
     let (mut violations, mut stuck, mut idle, mut failed) = (0, 0, 0, Vec::new());
     let (mut slowest_largest, mut latest, mut unanswered) = (0.0, 0.0, 0.0);
     let (mut older, mut beside, mut late_starts) = (0.0, 0.0, 0);
@@ -100,8 +102,9 @@
     let (mut healthy, mut cut_off, mut unexplained, mut started, mut slowest) = (0, 0, 0, 0, 0.0);
     for (n, outcome, real_s) in &played {
         let day = &plan[*n];
-        let outcome =
-            outcome.as_ref().map_err(|e| LabError::Other(format!("{}: {e}", day.name)))?;
+        let outcome = outcome
+            .as_ref()
+            .map_err(|e| LabError::Other(format!("{}: {e}", day.name)))?;
         violations += outcome.violations.len();
         stuck += usize::from(!outcome.stuck.is_empty());
         idle += usize::from(outcome.idle_machines > 0);
@@ -116,13 +119,20 @@
         beside = f64::max(beside, outcome.beside_room_s);
         late_starts += outcome.late_starts;
         (stopped, in_vain) = (stopped + outcome.stopped, in_vain + outcome.in_vain);
-        let served = outcome.least.clone().unwrap_or_else(|| (String::new(), 1.0));
+        let served = outcome
+            .least
+            .clone()
+            .unwrap_or_else(|| (String::new(), 1.0));
         if served.1 < least.1 {
             least = (format!("{}: {}", day.name, served.0), served.1);
         }
         let largest = outcome.largest.as_ref().map_or(0.0, |(_, s)| *s);
         slowest_largest = f64::max(slowest_largest, largest);
-        let bad = if o.meetings { days::unsound(outcome) } else { days::faulty(outcome) };
+        let bad = if o.meetings {
+            days::unsound(outcome)
+        } else {
+            days::faulty(outcome)
+        };
         if bad {
             failed.push(day.name.clone());
         }
@@ -208,14 +218,23 @@
     if o.meetings {
         let few = size.machines.0 < days::FULL.machines.0;
         let machines = if few { (6.0, 60.0) } else { (40.0, 1_500.0) };
-        return Ok(numbers.into_iter().map(|n| meetings::draw(seed, n, machines)).collect());
+        return Ok(numbers
+            .into_iter()
+            .map(|n| meetings::draw(seed, n, machines))
+            .collect());
     }
     let Some(path) = &o.file else {
-        return Ok(numbers.into_iter().map(|n| days::draw(seed, n, size)).collect());
+        return Ok(numbers
+            .into_iter()
+            .map(|n| days::draw(seed, n, size))
+            .collect());
     };
     let text = std::fs::read_to_string(path)?;
-    let days = numbers.into_iter().map(|n| days::from_toml(&text, seed, n, size));
-    days.collect::<Result<_, _>>().map_err(|e| LabError::Other(e.to_string()))
+    let days = numbers
+        .into_iter()
+        .map(|n| days::from_toml(&text, seed, n, size));
+    days.collect::<Result<_, _>>()
+        .map_err(|e| LabError::Other(e.to_string()))
 }
 
 /// Each day is a world of its own; they share nothing but the processors.
--- a/crates/testbed/src/explain.rs
+++ b/crates/testbed/src/explain.rs
@@ -34,7 +34,11 @@
                 .machines(&[])
                 .is_ok_and(|p| p.machines.iter().filter(|m| m.state == "up").count() >= machines)
         });
-        Ok(Stage { cluster, client, next: 0 })
+        Ok(Stage {
+            cluster,
+            client,
+            next: 0,
+        })
     }
 
     fn job(&mut self, change: impl FnOnce(&mut JobRequest)) -> Result<String, LabError> {
@@ -53,7 +57,9 @@
             let e = self.client.explain(job).ok();
             // Told anew each time: the first look may come before all is placed.
             told = e.and_then(|e| {
-                e.reasons.into_iter().find(|r| r.name() == name && r.to_string().contains(words))
+                e.reasons
+                    .into_iter()
+                    .find(|r| r.name() == name && r.to_string().contains(words))
             });
             told.is_some()
         });
@@ -61,13 +67,23 @@
     }
 
     fn ends(&mut self, job: &str) -> bool {
-        place::until(ENDS_S, || self.client.job(job).is_ok_and(|d| d.row.state == State::Done))
+        place::until(ENDS_S, || {
+            self.client
+                .job(job)
+                .is_ok_and(|d| d.row.state == State::Done)
+        })
     }
 
     fn direct(&mut self, target: Target, set: bool) -> Result<(), LabError> {
         let afterwards = Afterwards::Keep;
         let note = String::new();
-        self.client.change(&Change { target, set, within_s: None, afterwards, note })?;
+        self.client.change(&Change {
+            target,
+            set,
+            within_s: None,
+            afterwards,
+            note,
+        })?;
         Ok(())
     }
 }
@@ -246,7 +262,10 @@
 fn starting(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
     let mut s = Stage::new(narrow(lab, dir))?;
     // A machine that hangs has not fetched its order yet.
-    s.cluster.trouble(Trouble::Hang { machine: 0, seconds: 2.0 });
+    s.cluster.trouble(Trouble::Hang {
+        machine: 0,
+        seconds: 2.0,
+    });
     std::thread::sleep(Duration::from_millis(100));
     let job = s.job(|_| {})?;
     let told = s.sees(&job, "starting", "");
@@ -265,7 +284,10 @@
     let mut s = Stage::new(narrow(lab, dir))?;
     let job = s.job(|j| j.expect_s = 2.0)?;
     place::until(10.0, || s.client.job(&job).is_ok_and(|d| d.row.running > 0));
-    s.cluster.trouble(Trouble::Hang { machine: 0, seconds: 6.0 });
+    s.cluster.trouble(Trouble::Hang {
+        machine: 0,
+        seconds: 6.0,
+    });
     for node in 0..s.cluster.plan().nodes {
         s.cluster.kill_node(node);
     }
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -96,7 +96,10 @@
         if first_done.is_finite() {
             let open = (0..h.tasks)
                 .filter(|i| {
-                    machines.ended.get(&format!("{job}/{i}")).is_none_or(|at| *at > first_done)
+                    machines
+                        .ended
+                        .get(&format!("{job}/{i}"))
+                        .is_none_or(|at| *at > first_done)
                 })
                 .count();
             if open > 0 {
@@ -146,7 +149,13 @@
         .answers
         .iter()
         .filter_map(|a| a.what.last())
-        .map(|s| if s == State::Done { "done" } else { "cancelled" })
+        .map(|s| {
+            if s == State::Done {
+                "done"
+            } else {
+                "cancelled"
+            }
+        })
         .collect();
     if finals.len() > 1 {
         wrong.push(format!("{job} has two final answers"));
--- a/crates/testbed/src/history/tests.rs
+++ b/crates/testbed/src/history/tests.rs
@@ -2,11 +2,21 @@
 use beamhinge_emulator::worker::Event;
 
 fn answer(asked: f64, got: f64, what: Said) -> Answer {
-    Answer { asked, got, what, by: "a".into() }
+    Answer {
+        asked,
+        got,
+        what,
+        by: "a".into(),
+    }
 }
 
 fn judged(answers: Vec<Answer>, cancel_sent: bool) -> Vec<String> {
-    let h = JobHistory { tasks: 0, answers, cancel_sent, submitted: true };
+    let h = JobHistory {
+        tasks: 0,
+        answers,
+        cancel_sent,
+        submitted: true,
+    };
     let jobs = BTreeMap::from([("job-1".to_string(), h)]);
     wrong(&jobs, &Machines::default())
 }
@@ -15,9 +25,15 @@
 fn answers_that_cross_may_differ_and_later_ones_may_not() {
     let (done, open) = (Said::State(State::Done), Said::State(State::Running));
     assert!(judged(vec![answer(0.0, 5.0, open), answer(1.0, 2.0, done)], false).is_empty());
-    assert_eq!(judged(vec![answer(0.0, 1.0, done), answer(2.0, 3.0, open)], false).len(), 1);
+    assert_eq!(
+        judged(vec![answer(0.0, 1.0, done), answer(2.0, 3.0, open)], false).len(),
+        1
+    );
     let unknown = answer(2.0, 3.0, Said::Unknown);
-    assert_eq!(judged(vec![answer(0.0, 1.0, Said::Accepted), unknown], false).len(), 1);
+    assert_eq!(
+        judged(vec![answer(0.0, 1.0, Said::Accepted), unknown], false).len(),
+        1
+    );
 }
 
 #[test]
@@ -35,13 +51,22 @@
     let seen = |machine, what| Seen {
         at: 0,
         machine,
-        event: Event { piece: "job-1/0".into(), attempt: 1, what },
+        event: Event {
+            piece: "job-1/0".into(),
+            attempt: 1,
+            what,
+        },
     };
     m.saw(1.0, &seen(1, Happened::Began));
     m.saw(2.0, &seen(2, Happened::Began));
     assert_eq!(m.twice.len(), 1);
     let answers = vec![answer(2.0, 2.5, Said::State(State::Done))];
-    let h = JobHistory { tasks: 1, answers, cancel_sent: false, submitted: true };
+    let h = JobHistory {
+        tasks: 1,
+        answers,
+        cancel_sent: false,
+        submitted: true,
+    };
     let jobs = BTreeMap::from([("job-1".to_string(), h)]);
     assert_eq!(wrong(&jobs, &m).len(), 2, "twice, and done with one open");
     m.twice.clear();
--- a/crates/testbed/src/list.rs
+++ b/crates/testbed/src/list.rs
@@ -26,7 +26,11 @@
     let mut log = String::new();
     for i in 0..jobs {
         let spec = finished(i);
-        let value = if open { open_record(&spec) } else { done_record(&spec) };
+        let value = if open {
+            open_record(&spec)
+        } else {
+            done_record(&spec)
+        };
         let value: Value = wire::from_value(&value).map_err(|e| LabError::Other(e.to_string()))?;
         let key = format!("j/job-{i:08}");
         let _ = writeln!(log, "{}", json!({"rev": i + 1, "key": key, "value": value}));
@@ -79,12 +83,17 @@
         }
     }
     let listed_s = began.elapsed().as_secs_f64();
-    let missing = (0..jobs).filter(|i| !seen.contains(&format!("job-{i:08}"))).count();
+    let missing = (0..jobs)
+        .filter(|i| !seen.contains(&format!("job-{i:08}")))
+        .count();
     // A filter that matches nothing looks at bounded parts as well.
     let (mut looks, mut after) = (0, String::new());
     loop {
-        let query =
-            [("state", "cancelled".into()), ("team", "home".into()), ("after", after.clone())];
+        let query = [
+            ("state", "cancelled".into()),
+            ("team", "home".into()),
+            ("after", after.clone()),
+        ];
         let page = client.jobs(&query)?;
         looks += 1;
         match page.next {
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -103,8 +103,10 @@
     if let Experiment::Role = &arguments.experiment {
         return scale::role::run();
     }
-    let lab =
-        place::Lab { seed: arguments.seed, controller: place::controller(&arguments.controller) };
+    let lab = place::Lab {
+        seed: arguments.seed,
+        controller: place::controller(&arguments.controller),
+    };
     let quick = arguments.quick;
     let result = match arguments.experiment {
         Experiment::Restart { broken } => {
--- a/crates/testbed/src/place.rs
+++ b/crates/testbed/src/place.rs
@@ -87,13 +87,17 @@
         Err(e) => {
             let log = std::fs::read_to_string(cluster.log_of(0)).unwrap_or_default();
             let end: Vec<&str> = log.lines().rev().take(5).collect();
-            Err(LabError::Other(format!("{e}; the first controller's last lines: {end:?}")))
+            Err(LabError::Other(format!(
+                "{e}; the first controller's last lines: {end:?}"
+            )))
         }
     }
 }
 
 pub fn doors(cluster: &Cluster) -> Vec<SocketAddrV4> {
-    (0..cluster.plan().nodes).map(|n| cluster.plan().operators_of(n)).collect()
+    (0..cluster.plan().nodes)
+        .map(|n| cluster.plan().operators_of(n))
+        .collect()
 }
 
 pub fn client(cluster: &Cluster, total_s: f64) -> Client {
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -44,8 +44,17 @@
 
     fn heard(&self, job: &str, asked: f64, what: Said, by: &str) {
         let got = self.now();
-        let answer = Answer { asked, got, what, by: by.to_string() };
-        lock(&self.jobs).entry(job.to_string()).or_default().answers.push(answer);
+        let answer = Answer {
+            asked,
+            got,
+            what,
+            by: by.to_string(),
+        };
+        lock(&self.jobs)
+            .entry(job.to_string())
+            .or_default()
+            .answers
+            .push(answer);
         lock(&self.times).saturating_record((((got - asked) * 1e6) as u64).max(1));
     }
 }
@@ -59,9 +68,17 @@
 
 pub fn run(lab: &Lab, quick: bool, doubles: Doubles) -> Result<Value, LabError> {
     let size = if quick {
-        Size { clients: 4, jobs_each: 50, kills: 4 }
+        Size {
+            clients: 4,
+            jobs_each: 50,
+            kills: 4,
+        }
     } else {
-        Size { clients: 8, jobs_each: 260, kills: 24 }
+        Size {
+            clients: 8,
+            jobs_each: 260,
+            kills: 24,
+        }
     };
     let folder = Folder::new("restart")?;
     let record = Arc::new(Record {
@@ -85,8 +102,9 @@
         }),
     )?;
     let doors = place::doors(&cluster);
-    let users: Vec<SocketAddrV4> =
-        (0..cluster.plan().nodes).map(|n| cluster.plan().users_of(n)).collect();
+    let users: Vec<SocketAddrV4> = (0..cluster.plan().nodes)
+        .map(|n| cluster.plan().users_of(n))
+        .collect();
     let stop = Arc::new(AtomicBool::new(false));
     let mut threads = Vec::new();
     // The load lasts about as long as the kills do.
@@ -119,10 +137,19 @@
     }
     let unfinished = settle(&cluster, &record, &users);
     let fallen = cluster.fallen();
-    let memory =
-        cluster.processes().into_iter().map(|pid| place::memory_mb(pid).1).fold(0.0f64, f64::max);
+    let memory = cluster
+        .processes()
+        .into_iter()
+        .map(|pid| place::memory_mb(pid).1)
+        .fold(0.0f64, f64::max);
     drop(cluster);
-    report(&record, &kills, &unfinished, fallen.len() + failed_threads, memory)
+    report(
+        &record,
+        &kills,
+        &unfinished,
+        fallen.len() + failed_threads,
+        memory,
+    )
 }
 
 /// When each kill was, and whether of all.
@@ -140,14 +167,23 @@
     for k in 0..kills {
         // Every fourth is of all; of the others every second of the leader.
         let all = k % 4 == 3;
-        let leader = client.nodes().ok().and_then(|n| n.into_iter().find(|n| n.leader));
-        let leader = leader.and_then(|n| n.label.bytes().next()).map(|b| usize::from(b - b'a'));
+        let leader = client
+            .nodes()
+            .ok()
+            .and_then(|n| n.into_iter().find(|n| n.leader));
+        let leader = leader
+            .and_then(|n| n.label.bytes().next())
+            .map(|b| usize::from(b - b'a'));
         let one = match leader {
             Some(l) if k % 2 == 0 => l % nodes,
             _ => rng.gen_range(0..nodes),
         };
         let victims: Vec<usize> = if all { (0..nodes).collect() } else { vec![one] };
-        eprintln!("{:6.1} s  kill {} of {kills}: {victims:?}", record.now(), k + 1);
+        eprintln!(
+            "{:6.1} s  kill {} of {kills}: {victims:?}",
+            record.now(),
+            k + 1
+        );
         made.push((record.now(), all));
         victims.iter().for_each(|v| cluster.kill_node(*v));
         thread::sleep(Duration::from_secs_f64(rng.gen_range(0.1..1.5)));
@@ -167,13 +203,22 @@
         .filter(|(_, h)| h.answers.iter().any(|a| a.what != Said::Unknown))
         .map(|(job, _)| job.clone())
         .collect();
-    eprintln!("{:6.1} s  {} jobs were accepted; waiting for their ends", record.now(), jobs.len());
+    eprintln!(
+        "{:6.1} s  {} jobs were accepted; waiting for their ends",
+        record.now(),
+        jobs.len()
+    );
     let doors = place::doors(cluster);
     let end = Instant::now() + Duration::from_secs(90);
     let mut open = Vec::new();
     for (node, door) in doors.iter().enumerate() {
-        let mut asker =
-            Asker::new(200 + node, node as u64, record.clone(), vec![*door], vec![users[node]]);
+        let mut asker = Asker::new(
+            200 + node,
+            node as u64,
+            record.clone(),
+            vec![*door],
+            vec![users[node]],
+        );
         let mut left = jobs.clone();
         while !left.is_empty() && Instant::now() < end {
             left.retain(|job| !asker.is_over(job));
@@ -208,7 +253,15 @@
     ) -> Asker {
         let client = place::client_of(&doors, 60.0);
         let rng = StdRng::seed_from_u64(seed);
-        Asker { record, rng, doors, users, connection: None, client, number }
+        Asker {
+            record,
+            rng,
+            doors,
+            users,
+            connection: None,
+            client,
+            number,
+        }
     }
 
     fn id(&mut self, n: usize) -> String {
@@ -232,7 +285,9 @@
             if open.len() > 20 {
                 open.remove(0);
             }
-            thread::sleep(Duration::from_secs_f64(pause_s * self.rng.gen_range(0.5..1.0)));
+            thread::sleep(Duration::from_secs_f64(
+                pause_s * self.rng.gen_range(0.5..1.0),
+            ));
         }
     }
 
@@ -259,7 +314,9 @@
     }
 
     fn by(&self) -> String {
-        self.client.answered().map_or(String::new(), |a| format!("operators' {a}"))
+        self.client
+            .answered()
+            .map_or(String::new(), |a| format!("operators' {a}"))
     }
 
     /// Two cancel at once, through two controllers where two are up.
@@ -305,10 +362,14 @@
         let asked = self.record.now();
         let mut connection = match self.connection.take() {
             Some(c) => c,
-            None => Connection::open(self.users[node], until).ok()?.speaking(Content::Cbor),
+            None => Connection::open(self.users[node], until)
+                .ok()?
+                .speaking(Content::Cbor),
         };
         let path = format!("/api/jobs/{job}");
-        let r = connection.exchange(Method::Get, &path, &[], None, until).ok()?;
+        let r = connection
+            .exchange(Method::Get, &path, &[], None, until)
+            .ok()?;
         if !r.close {
             self.connection = Some(connection);
         }
@@ -341,7 +402,9 @@
 fn cancel(client: &mut Client, record: &Record, job: &str) {
     let asked = record.now();
     let answer = client.cancel(job);
-    let by = client.answered().map_or(String::new(), |a| format!("cancel by {a}"));
+    let by = client
+        .answered()
+        .map_or(String::new(), |a| format!("cancel by {a}"));
     match answer {
         Ok(told) => record.heard(job, asked, Said::State(told.state), &by),
         Err(ClientError::NotFound(_)) => record.heard(job, asked, Said::Unknown, &by),
@@ -362,7 +425,10 @@
     let mut gaps: Vec<f64> = kills
         .iter()
         .filter_map(|(at, _)| {
-            let after = times.iter().filter(|(began, _)| began >= at).map(|(_, end)| end - at);
+            let after = times
+                .iter()
+                .filter(|(began, _)| began >= at)
+                .map(|(_, end)| end - at);
             Some(after.fold(f64::INFINITY, f64::min)).filter(|g| g.is_finite())
         })
         .collect();
--- a/crates/testbed/src/scale/checker.rs
+++ b/crates/testbed/src/scale/checker.rs
@@ -102,7 +102,13 @@
                 break;
             }
             match entry.remove() {
-                Record::Task { at, machine, piece, attempt, event } => {
+                Record::Task {
+                    at,
+                    machine,
+                    piece,
+                    attempt,
+                    event,
+                } => {
                     self.task(at, (machine, attempt), piece, event);
                 }
                 Record::User { at, job, event } => self.user(at, job, event),
@@ -154,7 +160,10 @@
         let elsewhere: Vec<Attempt> = live.iter().copied().collect();
         live.insert(attempt);
         if !elsewhere.is_empty() {
-            self.break_rule("ran_twice", format!("{piece} on {attempt:?} and {elsewhere:?}"));
+            self.break_rule(
+                "ran_twice",
+                format!("{piece} on {attempt:?} and {elsewhere:?}"),
+            );
         }
         let seen = self.seen(number);
         let (team, cpus, urgent) = (seen.job.team.clone(), seen.job.cpus, seen.job.urgent);
@@ -164,14 +173,18 @@
         if first && urgent {
             // One that starts before its user has the answer did not wait.
             let accepted = accepted.unwrap_or(at);
-            self.urgent_waits.push((accepted, at.saturating_sub(accepted) as f64 / 1e3));
+            self.urgent_waits
+                .push((accepted, at.saturating_sub(accepted) as f64 / 1e3));
         }
         let used = self.use_of_teams.entry(team.clone()).or_default();
         *used += cpus;
         let used = *used;
         if used > self.team_limit + ROUNDING {
             let limit = self.team_limit;
-            self.break_rule("quota", format!("{team} uses {used:.2} of {limit:.2} by {piece}"));
+            self.break_rule(
+                "quota",
+                format!("{team} uses {used:.2} of {limit:.2} by {piece}"),
+            );
         }
         if let Some(cancelled) = cancelled {
             self.late_starts += 1;
@@ -183,7 +196,9 @@
     }
 
     fn left(&mut self, at: WallUs, number: u64, attempt: Attempt, piece: &str) {
-        let Some(live) = self.live.get_mut(piece) else { return };
+        let Some(live) = self.live.get_mut(piece) else {
+            return;
+        };
         if !live.remove(&attempt) {
             return;
         }
@@ -238,7 +253,10 @@
             self.leaving.remove(&number);
             let prefix = format!("job-{number:06}/");
             let left = self.live.range(prefix.clone()..).next();
-            if let Some(piece) = left.map(|(p, _)| p.clone()).filter(|p| p.starts_with(&prefix)) {
+            if let Some(piece) = left
+                .map(|(p, _)| p.clone())
+                .filter(|p| p.starts_with(&prefix))
+            {
                 self.break_rule("ran_cancelled", format!("{piece} is still there"));
             }
         }
--- a/crates/testbed/src/scale/checker/tests.rs
+++ b/crates/testbed/src/scale/checker/tests.rs
@@ -13,11 +13,21 @@
 
 fn task(checker: &mut Checker, s: u64, machine: u64, piece: &str, attempt: u64, event: TaskEvent) {
     let (at, piece) = (s * SECOND, piece.to_string());
-    checker.take(Record::Task { at, machine, piece, attempt, event });
+    checker.take(Record::Task {
+        at,
+        machine,
+        piece,
+        attempt,
+        event,
+    });
 }
 
 fn user(checker: &mut Checker, s: u64, job: u64, event: UserEvent) {
-    checker.take(Record::User { at: s * SECOND, job, event });
+    checker.take(Record::User {
+        at: s * SECOND,
+        job,
+        event,
+    });
 }
 
 fn broken(mut checker: Checker) -> Vec<String> {
@@ -28,7 +38,9 @@
 /// A job of that kind, by its number.
 fn job_where(want: impl Fn(&ScaleJob) -> bool) -> u64 {
     let checker = checker();
-    (0..10_000).find(|n| want(&checker.workload.job(*n))).expect("there is one")
+    (0..10_000)
+        .find(|n| want(&checker.workload.job(*n)))
+        .expect("there is one")
 }
 
 #[test]
@@ -49,7 +61,16 @@
 #[test]
 fn a_team_beyond_its_limit_is_found() {
     let mut c = checker();
-    (0..2).for_each(|n| task(&mut c, 1, n, &format!("job-000001/{n}"), 1, TaskEvent::Began));
+    (0..2).for_each(|n| {
+        task(
+            &mut c,
+            1,
+            n,
+            &format!("job-000001/{n}"),
+            1,
+            TaskEvent::Began,
+        )
+    });
     task(&mut c, 2, 0, "job-000001/0", 1, TaskEvent::Ended);
     task(&mut c, 3, 3, "job-000001/2", 1, TaskEvent::Began);
     c.judge_until(100 * SECOND);
@@ -103,8 +124,22 @@
     let number = job_where(|j| j.urgent && j.tasks > 1);
     let mut c = checker();
     user(&mut c, 5, number, UserEvent::Accepted);
-    task(&mut c, 7, 1, &format!("job-{number:06}/1"), 1, TaskEvent::Began);
-    task(&mut c, 9, 1, &format!("job-{number:06}/0"), 1, TaskEvent::Began);
+    task(
+        &mut c,
+        7,
+        1,
+        &format!("job-{number:06}/1"),
+        1,
+        TaskEvent::Began,
+    );
+    task(
+        &mut c,
+        9,
+        1,
+        &format!("job-{number:06}/0"),
+        1,
+        TaskEvent::Began,
+    );
     c.judge_until(100 * SECOND);
     assert_eq!(c.urgent_waits, [(5 * SECOND, 2_000.0)]);
     assert_eq!(c.urgent_histogram(0).expect("made").len(), 1);
@@ -117,5 +152,11 @@
     user(&mut c, 1, 7, UserEvent::Broken("forgotten".into()));
     user(&mut c, 2, 8, UserEvent::Broken("forgotten".into()));
     c.judge_until(100 * SECOND);
-    assert_eq!(c.broken["forgotten"], Broken { times: 2, first: "job-000007".into() });
+    assert_eq!(
+        c.broken["forgotten"],
+        Broken {
+            times: 2,
+            first: "job-000007".into()
+        }
+    );
 }
--- a/crates/testbed/src/scale/children.rs
+++ b/crates/testbed/src/scale/children.rs
@@ -53,7 +53,9 @@
         let reader = child.stdout.take().map(|output| {
             std::thread::spawn(move || {
                 for line in BufReader::new(output).lines().map_while(Result::ok) {
-                    let Ok(record) = serde_json::from_str::<Record>(&line) else { continue };
+                    let Ok(record) = serde_json::from_str::<Record>(&line) else {
+                        continue;
+                    };
                     if records.send((id, record)).is_err() {
                         return;
                     }
@@ -61,7 +63,12 @@
             })
         });
         let input = child.stdin.take();
-        let mut child = RoleChild { id, child, input, reader };
+        let mut child = RoleChild {
+            id,
+            child,
+            input,
+            reader,
+        };
         child.write_line(&serde_json::to_string(plan).map_err(|e| LabError::Other(e.to_string()))?);
         Ok(child)
     }
@@ -69,7 +76,10 @@
     fn write_line(&mut self, line: &str) {
         let Some(input) = &mut self.input else { return };
         // A child that has ended is found by `has_ended`.
-        if writeln!(input, "{line}").and_then(|()| input.flush()).is_err() {
+        if writeln!(input, "{line}")
+            .and_then(|()| input.flush())
+            .is_err()
+        {
             self.input = None;
         }
     }
--- a/crates/testbed/src/scale/config_changes.rs
+++ b/crates/testbed/src/scale/config_changes.rs
@@ -52,7 +52,10 @@
 impl Operators {
     pub fn start(doors: &[SocketAddrV4], seed: u64) -> Result<Operators, LabError> {
         let histogram = answer_histogram().map_err(|e| LabError::Other(e.to_string()))?;
-        let tally = Tally { micros: Some(histogram), ..Tally::default() };
+        let tally = Tally {
+            micros: Some(histogram),
+            ..Tally::default()
+        };
         let (go, tally) = (Arc::new(AtomicBool::new(true)), Arc::new(Mutex::new(tally)));
         let threads = (0..OPERATORS)
             .map(|n| {
@@ -64,7 +67,12 @@
                 })
             })
             .collect();
-        Ok(Operators { go, tally, threads, began: Instant::now() })
+        Ok(Operators {
+            go,
+            tally,
+            threads,
+            began: Instant::now(),
+        })
     }
 
     /// Ends their work; what it came to.
@@ -80,7 +88,11 @@
             refused: tally.refused,
             missed: tally.missed,
             a_day: tally.made as f64 / seconds * 86_400.0,
-            in_force_ms: tally.micros.as_ref().map(|h| times(h, 1e-3)).unwrap_or_default(),
+            in_force_ms: tally
+                .micros
+                .as_ref()
+                .map(|h| times(h, 1e-3))
+                .unwrap_or_default(),
         }
     }
 }
@@ -118,7 +130,12 @@
         };
         let teams = BTreeMap::from([(team.team.clone(), TeamChange::Set(quota))]);
         let why = "scale run".to_string();
-        let change = Change { seen: view.version, teams, restore_version: None, why };
+        let change = Change {
+            seen: view.version,
+            teams,
+            restore_version: None,
+            why,
+        };
         let made = self.client.configure(&change).ok()?;
         self.note(|t| t.made += 1);
         Some((made.version.0, Instant::now()))
--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/testbed/src/scale/faults.rs
@@ -52,7 +52,10 @@
 
 impl fmt::Display for FaultKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let name = NAMES.iter().find(|(_, kind)| kind == self).map_or("", |(name, _)| name);
+        let name = NAMES
+            .iter()
+            .find(|(_, kind)| kind == self)
+            .map_or("", |(name, _)| name);
         f.write_str(name)
     }
 }
@@ -82,14 +85,24 @@
         if !(at_s.is_finite() && at_s >= 0.0) {
             return Err(form());
         }
-        let kind = NAMES.iter().find(|(n, _)| *n == name).map(|(_, kind)| *kind);
-        Ok(Fault { kind: kind.ok_or_else(|| FaultError::Kind(name.to_string()))?, at_s })
+        let kind = NAMES
+            .iter()
+            .find(|(n, _)| *n == name)
+            .map(|(_, kind)| *kind);
+        Ok(Fault {
+            kind: kind.ok_or_else(|| FaultError::Kind(name.to_string()))?,
+            at_s,
+        })
     }
 }
 
 /// How often a second each kind comes at the operators' rates.
 fn per_second(rates: &Rates, regions: usize) -> Vec<(FaultKind, f64)> {
-    let apart = if regions > 1 { rates.region_splits_per_year / YEAR_S } else { 0.0 };
+    let apart = if regions > 1 {
+        rates.region_splits_per_year / YEAR_S
+    } else {
+        0.0
+    };
     vec![
         (FaultKind::MachineFails, rates.failures_per_day / DAY_S),
         (FaultKind::MachineRestarts, rates.replaced_per_day / DAY_S),
--- a/crates/testbed/src/scale/faults/tests.rs
+++ b/crates/testbed/src/scale/faults/tests.rs
@@ -4,13 +4,30 @@
 #[test]
 fn faults_are_named_with_their_time() {
     let fault: Fault = "leader-killed@12.5".parse().expect("sound");
-    assert_eq!(fault, Fault { kind: FaultKind::LeaderKilled, at_s: 12.5 });
+    assert_eq!(
+        fault,
+        Fault {
+            kind: FaultKind::LeaderKilled,
+            at_s: 12.5
+        }
+    );
     assert_eq!(fault.kind.to_string(), "leader-killed");
-    for wrong in ["leader-killed", "leader-killed@x", "leader-killed@-1", "leader-killed@inf"] {
+    for wrong in [
+        "leader-killed",
+        "leader-killed@x",
+        "leader-killed@-1",
+        "leader-killed@inf",
+    ] {
         assert_eq!(wrong.parse::<Fault>(), Err(FaultError::Form(wrong.into())));
     }
-    let error = "leader-kiled@1".parse::<Fault>().expect_err("unknown").to_string();
-    assert!(error.contains("leader-killed"), "it names what there is: {error}");
+    let error = "leader-kiled@1"
+        .parse::<Fault>()
+        .expect_err("unknown")
+        .to_string();
+    assert!(
+        error.contains("leader-killed"),
+        "it names what there is: {error}"
+    );
 }
 
 #[test]
--- a/crates/testbed/src/scale/figures.rs
+++ b/crates/testbed/src/scale/figures.rs
@@ -121,21 +121,30 @@
 }
 
 fn line(name: &str, budget: String, measured: String, holds: bool) -> BudgetLine {
-    BudgetLine { name: name.into(), budget, measured, holds }
+    BudgetLine {
+        name: name.into(),
+        budget,
+        measured,
+        holds,
+    }
 }
 
 /// The operators' table against the figures, line by line.
 pub fn budget(size: &Size, f: &Figures) -> Vec<BudgetLine> {
     let role = |name: &str| f.roles.get(name).copied().unwrap_or_default();
     let worker = role(WORKER);
-    let worker_kb =
-        ["workers report in", "workers report out", "workers command in", "workers command out"]
-            .iter()
-            .filter_map(|kind| f.flows.get(*kind))
-            .map(|rate| rate.bytes_per_s)
-            .sum::<f64>()
-            / f.workers.max(1) as f64
-            / 1e3;
+    let worker_kb = [
+        "workers report in",
+        "workers report out",
+        "workers command in",
+        "workers command out",
+    ]
+    .iter()
+    .filter_map(|kind| f.flows.get(*kind))
+    .map(|rate| rate.bytes_per_s)
+    .sum::<f64>()
+        / f.workers.max(1) as f64
+        / 1e3;
     let b = &size.budget;
     let mut lines = vec![
         line(
--- a/crates/testbed/src/scale/figures/tests.rs
+++ b/crates/testbed/src/scale/figures/tests.rs
@@ -21,31 +21,51 @@
             most: 3_500.0,
         },
         urgent_in_time: 1.0,
-        jobs: JobCounts { tasks_started: 1, ..JobCounts::default() },
+        jobs: JobCounts {
+            tasks_started: 1,
+            ..JobCounts::default()
+        },
         processes: 20,
         memory_mb: 900.0,
         machine_memory_mb: 24_000.0,
         ..Figures::default()
     };
-    let worker = RoleUse { processes: 5, core: 0.001, core_peak: 0.002, resident_mb: 0.2 };
+    let worker = RoleUse {
+        processes: 5,
+        core: 0.001,
+        core_peak: 0.002,
+        resident_mb: 0.2,
+    };
     figures.roles.insert(WORKER.into(), worker);
     (size, figures)
 }
 
 fn failing(size: &Size, figures: &Figures) -> Vec<String> {
-    budget(size, figures).into_iter().filter(|l| !l.holds).map(|l| l.name).collect()
+    budget(size, figures)
+        .into_iter()
+        .filter(|l| !l.holds)
+        .map(|l| l.name)
+        .collect()
 }
 
 #[test]
 fn each_line_that_does_not_hold_is_named() {
     let (size, figures) = sound();
-    assert!(failing(&size, &figures).is_empty(), "{:?}", failing(&size, &figures));
+    assert!(
+        failing(&size, &figures).is_empty(),
+        "{:?}",
+        failing(&size, &figures)
+    );
     let cases: [(&str, Change); 9] = [
         ("starts a second", |f| f.kept_up = 0.97),
         ("tasks running", |f| f.running = 12_000.0),
         ("urgent work starts in time", |f| f.urgent_in_time = 0.98),
-        ("urgent work starts in time", |f| f.urgent_start_ms.count = 0),
-        ("a worker's processor", |f| f.roles.get_mut(WORKER).expect("there").core = 0.03),
+        ("urgent work starts in time", |f| {
+            f.urgent_start_ms.count = 0
+        }),
+        ("a worker's processor", |f| {
+            f.roles.get_mut(WORKER).expect("there").core = 0.03
+        }),
         ("machines set aside", |f| f.leader_busy_s = 10.0),
         ("rules", |f| {
             f.broken.insert("quota".into(), Broken::default());
@@ -64,16 +84,39 @@
 fn changes_of_configuration_have_to_be_in_force_in_time() {
     let (mut size, mut figures) = sound();
     size.config_changes = 1_700;
-    assert_eq!(failing(&size, &figures), ["changes of configuration"], "none was made");
-    let in_force_ms = Times { count: 40, p50: 900.0, p90: 1_500.0, p99: 2_000.0, most: 2_500.0 };
-    let made =
-        ConfigurationFigures { made: 40, a_day: 30_000.0, in_force_ms, ..Default::default() };
+    assert_eq!(
+        failing(&size, &figures),
+        ["changes of configuration"],
+        "none was made"
+    );
+    let in_force_ms = Times {
+        count: 40,
+        p50: 900.0,
+        p90: 1_500.0,
+        p99: 2_000.0,
+        most: 2_500.0,
+    };
+    let made = ConfigurationFigures {
+        made: 40,
+        a_day: 30_000.0,
+        in_force_ms,
+        ..Default::default()
+    };
     figures.configuration = made;
     assert!(failing(&size, &figures).is_empty());
     for wrong in [
         ConfigurationFigures { missed: 1, ..made },
-        ConfigurationFigures { a_day: 1_000.0, ..made },
-        ConfigurationFigures { in_force_ms: Times { p99: 11_001.0, ..in_force_ms }, ..made },
+        ConfigurationFigures {
+            a_day: 1_000.0,
+            ..made
+        },
+        ConfigurationFigures {
+            in_force_ms: Times {
+                p99: 11_001.0,
+                ..in_force_ms
+            },
+            ..made
+        },
     ] {
         figures.configuration = wrong;
         assert_eq!(failing(&size, &figures), ["changes of configuration"]);
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -28,14 +28,27 @@
     if spread <= f64::EPSILON {
         return None;
     }
-    let joint: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+    let joint: f64 = points
+        .iter()
+        .map(|(x, y)| (x - mean_x) * (y - mean_y))
+        .sum();
     let slope = joint / spread;
     let intercept = mean_y - slope * mean_x;
-    let squares: f64 = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum();
+    let squares: f64 = points
+        .iter()
+        .map(|(x, y)| (y - intercept - slope * x).powi(2))
+        .sum();
     let least = points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min);
     let most = points.iter().map(|p| p.0).fold(f64::NEG_INFINITY, f64::max);
     let residual = (squares / n).sqrt();
-    Some(Fit { slope, intercept, residual, from: least, to: most, points: points.len() })
+    Some(Fit {
+        slope,
+        intercept,
+        residual,
+        from: least,
+        to: most,
+        points: points.len(),
+    })
 }
 
 impl Fit {
@@ -62,6 +75,9 @@
     fn too_few_points_give_no_line() {
         assert_eq!(least_squares(&[(1.0, 1.0), (2.0, 2.0)]), None);
         assert_eq!(least_squares(&[(1.0, 1.0), (1.0, 2.0), (1.0, 3.0)]), None);
-        assert_eq!(least_squares(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 3.0)]), None);
+        assert_eq!(
+            least_squares(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 3.0)]),
+            None
+        );
     }
 }
--- a/crates/testbed/src/scale/flows.rs
+++ b/crates/testbed/src/scale/flows.rs
@@ -18,7 +18,10 @@
 impl FlowCounter {
     fn add(&mut self, kind: &str, direction: &str, bytes: usize) {
         let flow = self.flows.entry(format!("{kind} {direction}")).or_default();
-        *flow = Flow { messages: flow.messages + 1, bytes: flow.bytes + bytes as u64 };
+        *flow = Flow {
+            messages: flow.messages + 1,
+            bytes: flow.bytes + bytes as u64,
+        };
     }
 
     /// A request came in.
@@ -61,8 +64,13 @@
 /// Bytes of a request with its head, as this project's own writer makes it.
 fn request_bytes(method: Method, path: &str, body: usize) -> usize {
     let host = "127.0.0.1:12000";
-    let head =
-        http::RequestHead { method, path, host, content: Content::Cbor, authorization: None };
+    let head = http::RequestHead {
+        method,
+        path,
+        host,
+        content: Content::Cbor,
+        authorization: None,
+    };
     let mut bytes = Vec::new();
     http::write_request(&mut bytes, &head, &[]);
     bytes.len() + body
--- a/crates/testbed/src/scale/layout.rs
+++ b/crates/testbed/src/scale/layout.rs
@@ -38,7 +38,11 @@
 impl Layout {
     pub fn new(size: Size, base_port: u16, real_workers: usize) -> Layout {
         let real_workers = real_workers.min(size.workers.saturating_sub(1));
-        Layout { size, base_port, real_workers }
+        Layout {
+            size,
+            base_port,
+            real_workers,
+        }
     }
 
     /// Processes that hold workers: one for the real ones, if there are any, and the
@@ -76,7 +80,9 @@
     pub fn worker_addresses(&self, process: usize) -> Vec<SocketAddrV4> {
         let spare = (self.workers_of(process) as f64 * SPARE_PLACES).ceil() as usize + 2;
         let places = 0..self.workers_of(process) + spare;
-        places.map(|place| self.worker_address(process, place)).collect()
+        places
+            .map(|place| self.worker_address(process, place))
+            .collect()
     }
 
     /// One of them, by its place.
@@ -96,7 +102,9 @@
 
     fn control_addresses(&self, first: u16) -> Vec<SocketAddrV4> {
         let port = |node: usize| self.base_port + first + node as u16;
-        (0..self.size.controllers).map(|node| loopback(0, 0, 1, port(node))).collect()
+        (0..self.size.controllers)
+            .map(|node| loopback(0, 0, 1, port(node)))
+            .collect()
     }
 
     /// Where frames from one controller to another pass.
@@ -105,14 +113,17 @@
     }
 
     pub fn zones(&self) -> Vec<String> {
-        (0..self.size.zones).map(|zone| self.size.zone_name(zone)).collect()
+        (0..self.size.zones)
+            .map(|zone| self.size.zone_name(zone))
+            .collect()
     }
 
     /// The zone of a controller: they are spread over the regions first.
     pub fn zone_of_controller(&self, node: usize) -> usize {
         let region = node % self.size.regions;
-        let zones: Vec<usize> =
-            (0..self.size.zones).filter(|z| self.size.region_of(*z) == region).collect();
+        let zones: Vec<usize> = (0..self.size.zones)
+            .filter(|z| self.size.region_of(*z) == region)
+            .collect();
         zones[(node / self.size.regions) % zones.len()]
     }
 
@@ -123,7 +134,10 @@
 
     pub fn zones_in_region(&self, region: usize) -> Vec<String> {
         let of = |zone: &usize| self.size.region_of(*zone) == region;
-        (0..self.size.zones).filter(of).map(|zone| self.size.zone_name(zone)).collect()
+        (0..self.size.zones)
+            .filter(of)
+            .map(|zone| self.size.zone_name(zone))
+            .collect()
     }
 
     /// Zones of the machines that are there from the start.
@@ -143,8 +157,11 @@
             peers: loopback(0, 0, 4, self.base_port + node as u16),
         };
         let share = size.workers as f64 * size.machine.cpus / size.teams as f64;
-        let team =
-            |n| TeamPlan { name: team_name(n), cpus: share * GUARANTEED, cpus_max: share * LIMIT };
+        let team = |n| TeamPlan {
+            name: team_name(n),
+            cpus: share * GUARANTEED,
+            cpus_max: share * LIMIT,
+        };
         let table = &size.platform;
         Deployment {
             nodes: (0..size.controllers).map(place).collect(),
@@ -176,14 +193,19 @@
         Links {
             state: self.state_addresses()[node],
             cloud: self.cloud_addresses()[node],
-            peers: (0..self.size.controllers).map(|to| self.relay_address(node, to)).collect(),
+            peers: (0..self.size.controllers)
+                .map(|to| self.relay_address(node, to))
+                .collect(),
         }
     }
 
     /// An address that somebody else listens on already.
     pub fn taken(&self) -> Option<SocketAddrV4> {
         let deployment = self.deployment();
-        let nodes = deployment.nodes.iter().flat_map(|n| [n.operators, n.users, n.peers]);
+        let nodes = deployment
+            .nodes
+            .iter()
+            .flat_map(|n| [n.operators, n.users, n.peers]);
         let first_workers =
             (0..self.worker_processes()).map(|process| self.worker_address(process, 0));
         nodes
--- a/crates/testbed/src/scale/layout/tests.rs
+++ b/crates/testbed/src/scale/layout/tests.rs
@@ -11,20 +11,32 @@
     let layout = layout();
     let mut seen = BTreeSet::new();
     for process in 0..layout.worker_processes() {
-        let machines = (0..2_100).filter(|m| layout.process_of(*m) == process).count();
+        let machines = (0..2_100)
+            .filter(|m| layout.process_of(*m) == process)
+            .count();
         let addresses = layout.worker_addresses(process);
-        assert!(addresses.len() > machines, "{process}: {machines} of {}", addresses.len());
+        assert!(
+            addresses.len() > machines,
+            "{process}: {machines} of {}",
+            addresses.len()
+        );
         assert!(addresses.iter().all(|a| a.ip().is_loopback()));
         seen.extend(addresses);
     }
     assert!(seen.len() > 2_100);
-    assert!((0..4).all(|m| layout.process_of(m) == 0), "real ones are by themselves");
+    assert!(
+        (0..4).all(|m| layout.process_of(m) == 0),
+        "real ones are by themselves"
+    );
 }
 
 #[test]
 fn a_large_fleet_has_its_addresses_and_its_sockets() {
     for workers in [4_000, 8_192, 12_000] {
-        let size = Size { workers, ..Size::parse("t", OPERATORS_TABLE).expect("sound") };
+        let size = Size {
+            workers,
+            ..Size::parse("t", OPERATORS_TABLE).expect("sound")
+        };
         let layout = Layout::new(size, 20_000, 4);
         let mut seen = BTreeSet::new();
         for process in 0..layout.worker_processes() {
@@ -41,7 +53,9 @@
 #[test]
 fn controllers_and_zones_are_spread_over_the_regions() {
     let layout = layout();
-    let regions: Vec<usize> = (0..3).map(|r| layout.controllers_in_region(r).len()).collect();
+    let regions: Vec<usize> = (0..3)
+        .map(|r| layout.controllers_in_region(r).len())
+        .collect();
     assert_eq!(regions, [3, 2, 2]);
     assert_eq!(layout.zones_in_region(1), ["r2-z3", "r2-z4"]);
     assert_eq!(layout.controllers_in_region(0), [0, 3, 6]);
@@ -54,6 +68,9 @@
     for node in 0..7 {
         let text = deployment.settings(node, &layout.links(node));
         let settings = beamhinge_core::settings::Settings::parse("t", &text).expect("sound");
-        assert_eq!((settings.members.len(), settings.params.teams.len()), (6, 240));
+        assert_eq!(
+            (settings.members.len(), settings.params.teams.len()),
+            (6, 240)
+        );
     }
 }
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -130,7 +130,9 @@
             return;
         }
         if !self.answers.contains_key(kind) {
-            let Ok(histogram) = answer_histogram() else { return };
+            let Ok(histogram) = answer_histogram() else {
+                return;
+            };
             self.answers.insert(kind.to_string(), histogram);
         }
         if let Some(histogram) = self.answers.get_mut(kind) {
@@ -169,12 +171,16 @@
 
     /// When the steady part began, seconds after `began`.
     pub fn steady_from_s(&self, began: Instant) -> f64 {
-        self.steady_from.map_or(0.0, |at| at.saturating_duration_since(began).as_secs_f64())
+        self.steady_from
+            .map_or(0.0, |at| at.saturating_duration_since(began).as_secs_f64())
     }
 
     /// Tasks on machines, as workers told it last.
     pub fn running(&self) -> f64 {
-        let told = self.counts.iter().filter(|(id, _)| matches!(id, RoleId::Workers(_)));
+        let told = self
+            .counts
+            .iter()
+            .filter(|(id, _)| matches!(id, RoleId::Workers(_)));
         told.filter_map(|(_, c)| c.gauges.get("running")).sum()
     }
 
@@ -195,7 +201,14 @@
         let mut now: BTreeMap<&'static str, RoleSum> = BTreeMap::new();
         let of_controllers = controllers.iter().map(|(node, pid)| {
             let leads = Some(*node) == leader;
-            (if leads { figures::LEADER } else { figures::FOLLOWER }, *pid)
+            (
+                if leads {
+                    figures::LEADER
+                } else {
+                    figures::FOLLOWER
+                },
+                *pid,
+            )
         });
         let of_roles = roles.iter().map(|(id, pid)| (role_name(*id), *pid));
         for (name, pid) in of_controllers.chain(of_roles) {
@@ -209,7 +222,11 @@
         }
         self.memory_mb = self.memory_mb.max(memory_mb);
         let leader_core = now.get(figures::LEADER).map_or(0.0, |s| s.core);
-        self.busy_s = if leader_core >= BUSY { self.busy_s + passed } else { 0.0 };
+        self.busy_s = if leader_core >= BUSY {
+            self.busy_s + passed
+        } else {
+            0.0
+        };
         self.longest_busy_s = self.longest_busy_s.max(self.busy_s);
         if self.is_within() {
             for (name, seen) in now {
@@ -227,8 +244,13 @@
         for (id, counts) in &self.counts_at_end {
             let before = self.counts_then.get(id);
             for (kind, flow) in &counts.flows {
-                let then = before.and_then(|c| c.flows.get(kind)).copied().unwrap_or_default();
-                let rate = rates.entry(format!("{} {kind}", short_name(*id))).or_default();
+                let then = before
+                    .and_then(|c| c.flows.get(kind))
+                    .copied()
+                    .unwrap_or_default();
+                let rate = rates
+                    .entry(format!("{} {kind}", short_name(*id)))
+                    .or_default();
                 let Flow { messages, bytes } = *flow;
                 rate.messages_per_s += messages.saturating_sub(then.messages) as f64 / seconds;
                 rate.bytes_per_s += bytes.saturating_sub(then.bytes) as f64 / seconds;
@@ -241,7 +263,9 @@
         let mut gauges = BTreeMap::new();
         for (id, counts) in &self.counts_at_end {
             for (name, value) in &counts.gauges {
-                *gauges.entry(format!("{} {name}", short_name(*id))).or_default() += value;
+                *gauges
+                    .entry(format!("{} {name}", short_name(*id)))
+                    .or_default() += value;
             }
         }
         for (status, times) in &self.refused {
@@ -257,7 +281,11 @@
         let seconds = to.saturating_duration_since(from).as_secs_f64().max(1e-3);
         let flows = self.rates(seconds);
         let changes = |counts: &BTreeMap<RoleId, Counts>| {
-            counts.get(&RoleId::State).and_then(|c| c.gauges.get("changes")).copied().unwrap_or(0.0)
+            counts
+                .get(&RoleId::State)
+                .and_then(|c| c.gauges.get("changes"))
+                .copied()
+                .unwrap_or(0.0)
         };
         let requests = flows
             .iter()
@@ -272,15 +300,24 @@
         let mut broken = BTreeMap::new();
         if let Some(first) = self.abused.first() {
             let times = self.abused.len() as u64;
-            broken
-                .insert("protocol".into(), super::checker::Broken { times, first: first.clone() });
+            broken.insert(
+                "protocol".into(),
+                super::checker::Broken {
+                    times,
+                    first: first.clone(),
+                },
+            );
         }
         Figures {
             seconds,
             workers: self.workers,
             starts_per_s: self.started_at_end.saturating_sub(self.started_then) as f64 / seconds,
             running: self.running.0 / self.running.1.max(1) as f64,
-            submit_ms: self.answers.get("submit").map(|h| times(h, MS)).unwrap_or_default(),
+            submit_ms: self
+                .answers
+                .get("submit")
+                .map(|h| times(h, MS))
+                .unwrap_or_default(),
             roles: self
                 .sums
                 .iter()
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -13,7 +13,9 @@
 pub type WallUs = u64;
 
 pub fn wall_us() -> WallUs {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64)
 }
 
 /// The published limits of the state service (PROTOCOL, "Limits and errors").
@@ -77,19 +79,33 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
     /// To workers: a machine is up, and listens on the address at that place.
-    Boot { machine: u64, zone: String, spot: bool, cpus: f64, memory_gb: f64, place: usize },
+    Boot {
+        machine: u64,
+        zone: String,
+        spot: bool,
+        cpus: f64,
+        memory_gb: f64,
+        place: usize,
+    },
     /// To workers: it is gone with all that is on it.
     Remove { machine: u64 },
     /// To workers: it is off and on again.
     Reboot { machine: u64 },
     /// To workers: machines of these zones neither reach these controllers nor hear them.
-    CutZones { zones: Vec<String>, controllers: Vec<usize>, seconds: f64 },
+    CutZones {
+        zones: Vec<String>,
+        controllers: Vec<usize>,
+        seconds: f64,
+    },
     /// To the cloud: where a machine's worker listens.
     Endpoint { machine: u64, address: SocketAddrV4 },
     /// To the cloud: a machine stopped by itself.
     Failed { machine: u64 },
     /// To the state service and the cloud: requests of these controllers are held up.
-    HoldControllers { controllers: Vec<usize>, seconds: f64 },
+    HoldControllers {
+        controllers: Vec<usize>,
+        seconds: f64,
+    },
     /// To the state service: every answer takes so much longer.
     Slow { delay_s: f64, seconds: f64 },
     /// To the state service: it answers 503.
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -125,7 +125,11 @@
     }
 
     fn seconds(&self, is_quick: bool) -> Result<f64, LabError> {
-        let minutes = if is_quick { QUICK_MINUTES } else { self.minutes };
+        let minutes = if is_quick {
+            QUICK_MINUTES
+        } else {
+            self.minutes
+        };
         if !(minutes > 0.0 && minutes <= MAX_MINUTES) {
             let wrong =
                 format!("--minutes {minutes}: it must be above 0 and {MAX_MINUTES} at most");
@@ -136,9 +140,20 @@
 
     fn plan(&self, lab: &Lab, size: Size, seconds: f64) -> RunPlan {
         let mut faults = self.faults.clone();
-        faults.extend(faults::drawn(&size, seconds, self.speed_up.max(0.0), lab.seed));
+        faults.extend(faults::drawn(
+            &size,
+            seconds,
+            self.speed_up.max(0.0),
+            lab.seed,
+        ));
         let real_workers = self.real;
-        RunPlan { size, seconds, real_workers, faults, base_port: place::free_ports() }
+        RunPlan {
+            size,
+            seconds,
+            real_workers,
+            faults,
+            base_port: place::free_ports(),
+        }
     }
 }
 
@@ -170,12 +185,19 @@
     let width = lines.iter().map(|l| l.name.len()).max().unwrap_or(0);
     for l in lines {
         let verdict = if l.holds { "holds" } else { "DOES NOT HOLD" };
-        eprintln!("{:width$}  {verdict:13}  {} | {}", l.name, l.budget, l.measured);
+        eprintln!(
+            "{:width$}  {verdict:13}  {} | {}",
+            l.name, l.budget, l.measured
+        );
     }
 }
 
 fn summary(seed: u64, size: &Size, figures: &Figures, lines: &[BudgetLine]) -> Value {
-    let failing: Vec<&str> = lines.iter().filter(|l| !l.holds).map(|l| l.name.as_str()).collect();
+    let failing: Vec<&str> = lines
+        .iter()
+        .filter(|l| !l.holds)
+        .map(|l| l.name.as_str())
+        .collect();
     json!({
         "ok": failing.is_empty(), "experiment": "scale", "seed": seed,
         "does_not_hold": failing, "size": size, "figures": figures,
@@ -186,7 +208,13 @@
     let text = json!({"budget": lines, "figures": played.figures});
     std::fs::write(folder.join("scale.json"), format!("{text:#}\n"))?;
     let plots = [
-        ("starts.svg", "Starts a second", "starts", &played.starts, false),
+        (
+            "starts.svg",
+            "Starts a second",
+            "starts",
+            &played.starts,
+            false,
+        ),
         (
             "urgent.svg",
             "Urgent jobs: from acceptance to the first start",
@@ -196,7 +224,13 @@
         ),
     ];
     for (file, title, unit, points, dots) in plots {
-        let plot = plots::TimePlot { title, unit, points, dots, marks: &played.marks };
+        let plot = plots::TimePlot {
+            title,
+            unit,
+            points,
+            dots,
+            marks: &played.marks,
+        };
         plots::over_time(&folder.join(file), &plot)?;
     }
     Ok(())
@@ -247,7 +281,10 @@
     series: &[Series],
     points: &[(f64, Figures)],
 ) -> Result<(), LabError> {
-    let figures: Vec<Value> = points.iter().map(|(x, f)| json!({"x": x, "figures": f})).collect();
+    let figures: Vec<Value> = points
+        .iter()
+        .map(|(x, f)| json!({"x": x, "figures": f}))
+        .collect();
     let text = json!({"sweep": axis.name(), "series": series, "points": figures});
     std::fs::write(folder.join("sweep.json"), format!("{text:#}\n"))?;
     for s in series {
--- a/crates/testbed/src/scale/plots.rs
+++ b/crates/testbed/src/scale/plots.rs
@@ -36,7 +36,10 @@
 pub fn over_time(path: &Path, plot: &TimePlot) -> Result<(), LabError> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(failed)?;
-    let (end, top) = (most(plot.points.iter().map(|p| p.0)), most(plot.points.iter().map(|p| p.1)));
+    let (end, top) = (
+        most(plot.points.iter().map(|p| p.0)),
+        most(plot.points.iter().map(|p| p.1)),
+    );
     let mut chart = ChartBuilder::on(&area)
         .caption(plot.title, ("sans-serif", 18))
         .margin(10)
@@ -44,9 +47,17 @@
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..end, 0.0..top)
         .map_err(failed)?;
-    chart.configure_mesh().x_desc("seconds").y_desc(plot.unit).draw().map_err(failed)?;
+    chart
+        .configure_mesh()
+        .x_desc("seconds")
+        .y_desc(plot.unit)
+        .draw()
+        .map_err(failed)?;
     if plot.dots {
-        let dots = plot.points.iter().map(|p| Circle::new(*p, 2, BLUE.filled()));
+        let dots = plot
+            .points
+            .iter()
+            .map(|p| Circle::new(*p, 2, BLUE.filled()));
         chart.draw_series(dots).map_err(failed)?;
     } else {
         let line = LineSeries::new(plot.points.iter().copied(), &BLUE);
@@ -55,7 +66,11 @@
     for (at, name) in plot.marks {
         let mark = PathElement::new(vec![(*at, 0.0), (*at, top)], RED);
         chart.draw_series([mark]).map_err(failed)?;
-        let text = Text::new(name.clone(), (*at, top * 0.97), ("sans-serif", 11).into_font());
+        let text = Text::new(
+            name.clone(),
+            (*at, top * 0.97),
+            ("sans-serif", 11).into_font(),
+        );
         chart.draw_series([text]).map_err(failed)?;
     }
     area.present().map_err(failed)
@@ -71,7 +86,10 @@
 ) -> Result<(), LabError> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(failed)?;
-    let (right, top) = (most(points.iter().map(|p| p.0)), most(points.iter().map(|p| p.1)));
+    let (right, top) = (
+        most(points.iter().map(|p| p.0)),
+        most(points.iter().map(|p| p.1)),
+    );
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
         .margin(10)
@@ -79,11 +97,20 @@
         .y_label_area_size(70)
         .build_cartesian_2d(0.0..right, 0.0..top)
         .map_err(failed)?;
-    chart.configure_mesh().x_desc(x_name).y_desc(y_name).draw().map_err(failed)?;
-    chart.draw_series(points.iter().map(|p| Circle::new(*p, 4, BLUE.filled()))).map_err(failed)?;
+    chart
+        .configure_mesh()
+        .x_desc(x_name)
+        .y_desc(y_name)
+        .draw()
+        .map_err(failed)?;
+    chart
+        .draw_series(points.iter().map(|p| Circle::new(*p, 4, BLUE.filled())))
+        .map_err(failed)?;
     if let Some(fit) = fit {
         let line = [fit.from, fit.to].map(|x| (x, fit.at(x)));
-        chart.draw_series(LineSeries::new(line, &RED)).map_err(failed)?;
+        chart
+            .draw_series(LineSeries::new(line, &RED))
+            .map_err(failed)?;
     }
     area.present().map_err(failed)
 }
--- a/crates/testbed/src/scale/relay.rs
+++ b/crates/testbed/src/scale/relay.rs
@@ -46,12 +46,20 @@
             listener.set_nonblocking(true)?;
             let switch = Arc::new(AtomicBool::new(false));
             cut.insert(direction, switch.clone());
-            listening.push(Listening { listener, target, cut: switch });
+            listening.push(Listening {
+                listener,
+                target,
+                cut: switch,
+            });
         }
         let go = Arc::new(AtomicBool::new(true));
         let running = go.clone();
         let acceptor = thread::spawn(move || accept_all(&listening, &running));
-        Ok(Relays { cut, go, acceptor: Some(acceptor) })
+        Ok(Relays {
+            cut,
+            go,
+            acceptor: Some(acceptor),
+        })
     }
 
     /// Cuts a link in both directions, or mends it.
--- a/crates/testbed/src/scale/relay/tests.rs
+++ b/crates/testbed/src/scale/relay/tests.rs
@@ -18,7 +18,9 @@
     let relays = Relays::start(vec![(Direction { from: 0, to: 1 }, at, to)]).expect("listens");
     let mut sender = TcpStream::connect(at).expect("accepted");
     let (mut receiver, _) = target.accept().expect("passed on");
-    receiver.set_read_timeout(Some(Duration::from_millis(600))).expect("set");
+    receiver
+        .set_read_timeout(Some(Duration::from_millis(600)))
+        .expect("set");
     let mut got = [0u8; 16];
     sender.write_all(b"one").expect("sent");
     assert_eq!(receiver.read(&mut got).expect("it comes"), 3);
--- a/crates/testbed/src/scale/role/cloud.rs
+++ b/crates/testbed/src/scale/role/cloud.rs
@@ -58,7 +58,14 @@
         let flows = FlowCounter::default();
         let booting = BTreeMap::new();
         let cut_off = HeldControllers::default();
-        CloudRole { cloud, rng, booting, flows, links, cut_off }
+        CloudRole {
+            cloud,
+            rng,
+            booting,
+            flows,
+            links,
+            cut_off,
+        }
     }
 
     fn obey(&mut self, now: Us, command: Command) {
@@ -71,7 +78,10 @@
                     host.failed_at = Some(now + FAILED_LISTED);
                 }
             }
-            Command::HoldControllers { controllers, seconds } => {
+            Command::HoldControllers {
+                controllers,
+                seconds,
+            } => {
                 self.cut_off.hold(&controllers, now + (seconds * 1e6) as Us);
             }
             _ => {}
@@ -86,13 +96,21 @@
             self.cloud.endpoints.remove(&machine);
             self.links.records.send(&Record::Gone { machine });
         }
-        let ready: Vec<u64> =
-            self.booting.iter().filter(|(_, up)| **up <= now).map(|(id, _)| *id).collect();
+        let ready: Vec<u64> = self
+            .booting
+            .iter()
+            .filter(|(_, up)| **up <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for machine in ready {
             self.booting.remove(&machine);
             if let Some((host, _)) = self.cloud.booted(now, machine) {
                 let (zone, spot) = (host.zone, host.spot);
-                self.links.records.send(&Record::Booted { machine, zone, spot });
+                self.links.records.send(&Record::Booted {
+                    machine,
+                    zone,
+                    spot,
+                });
             }
         }
     }
@@ -118,15 +136,23 @@
         out: &mut Vec<Effect>,
     ) {
         let (method, path) = (request.method, request.path.as_str());
-        self.flows.request(id, kind(method, path), (method, path), request.body.len());
+        self.flows
+            .request(id, kind(method, path), (method, path), request.body.len());
         let us = micros(now);
         // What is held here is never carried out: the caller's time runs out.
         if self.cut_off.is_held(door, us) {
             return;
         }
-        let (status, body) = self.cloud.handle(us, method, path, &request.body, &mut self.rng);
+        let (status, body) = self
+            .cloud
+            .handle(us, method, path, &request.body, &mut self.rng);
         self.flows.answer(id, status, body.len());
-        out.push(Effect::Answer { to: id, status, retry_after: None, body });
+        out.push(Effect::Answer {
+            to: id,
+            status,
+            retry_after: None,
+            body,
+        });
         self.tell_machines(us);
     }
 
--- a/crates/testbed/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -60,7 +60,11 @@
     }
 
     pub fn flush(&self) {
-        let _ = self.0.lock().unwrap_or_else(PoisonError::into_inner).flush();
+        let _ = self
+            .0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .flush();
     }
 }
 
@@ -81,9 +85,14 @@
     pub fn tell_counts(&mut self, now: Time, flows: &Flows, gauges: &[(&str, f64)]) {
         if now.since(self.counted) >= COUNTS_S {
             self.counted = now;
-            let gauges: BTreeMap<String, f64> =
-                gauges.iter().map(|(name, value)| (name.to_string(), *value)).collect();
-            self.records.send(&Record::Counts { flows: flows.clone(), gauges });
+            let gauges: BTreeMap<String, f64> = gauges
+                .iter()
+                .map(|(name, value)| (name.to_string(), *value))
+                .collect();
+            self.records.send(&Record::Counts {
+                flows: flows.clone(),
+                gauges,
+            });
         }
         self.records.flush();
     }
@@ -144,17 +153,28 @@
         }
         ended.store(false, Ordering::Relaxed);
     });
-    let links = Links { commands, records: Recorder::new(), counted: Time::default() };
+    let links = Links {
+        commands,
+        records: Recorder::new(),
+        counted: Time::default(),
+    };
     match plan {
         RolePlan::State { addresses, limits } => {
             let wiring = wiring(&addresses);
-            run_service(wiring, &go, links, |links, _| state::StateRole::new(&limits, links))
-        }
-        RolePlan::Cloud { addresses, rps, list_lag_s, machines, zones, seed } => {
-            run_service(wiring(&addresses), &go, links, |links, now| {
-                cloud::CloudRole::new((rps, list_lag_s), &machines, zones, seed, now, links)
+            run_service(wiring, &go, links, |links, _| {
+                state::StateRole::new(&limits, links)
             })
         }
+        RolePlan::Cloud {
+            addresses,
+            rps,
+            list_lag_s,
+            machines,
+            zones,
+            seed,
+        } => run_service(wiring(&addresses), &go, links, |links, now| {
+            cloud::CloudRole::new((rps, list_lag_s), &machines, zones, seed, now, links)
+        }),
         RolePlan::Workers {
             controllers,
             addresses,
@@ -164,17 +184,24 @@
             workload,
             real,
         } => {
-            let settings = beamhinge_core::settings::Workers { report_s, lease_s, cancel_s };
+            let settings = beamhinge_core::settings::Workers {
+                report_s,
+                lease_s,
+                cancel_s,
+            };
             let wiring = wiring(&addresses);
             run_service(wiring, &go, links, |links, _| {
                 workers::WorkersRole::new(controllers, addresses, settings, workload, real, links)
             })
         }
-        RolePlan::Users { controllers, workload, seconds, seed } => {
-            run_service(wiring(&[]), &go, links, |links, now| {
-                users::UsersRole::new(controllers, workload, seconds, seed, now, links)
-            })
-        }
+        RolePlan::Users {
+            controllers,
+            workload,
+            seconds,
+            seed,
+        } => run_service(wiring(&[]), &go, links, |links, now| {
+            users::UsersRole::new(controllers, workload, seconds, seed, now, links)
+        }),
     }
 }
 
@@ -195,12 +222,18 @@
 /// A process that listens there and calls only controllers.
 fn wiring(addresses: &[SocketAddrV4]) -> Wiring {
     let nowhere = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
-    let door = |addr: &SocketAddrV4| Listener { addr: *addr, kind: ListenerKind::Platform };
+    let door = |addr: &SocketAddrV4| Listener {
+        addr: *addr,
+        kind: ListenerKind::Platform,
+    };
     Wiring {
         listeners: addresses.iter().map(door).collect(),
         peers: None,
         members: Vec::new(),
-        external: External { cloud: nowhere, state: nowhere },
+        external: External {
+            cloud: nowhere,
+            state: nowhere,
+        },
         max_connections: MAX_CONNECTIONS,
     }
 }
--- a/crates/testbed/src/scale/role/state.rs
+++ b/crates/testbed/src/scale/role/state.rs
@@ -30,9 +30,19 @@
 
 impl StateRole {
     pub fn new(limits: &StateLimits, links: Links) -> StateRole {
-        let StateLimits { rps, write_rps, value_kb, txn_ops } = *limits;
+        let StateLimits {
+            rps,
+            write_rps,
+            value_kb,
+            txn_ops,
+        } = *limits;
         StateRole {
-            server: StateServer::new(&settings::State { rps, write_rps, value_kb, txn_ops }),
+            server: StateServer::new(&settings::State {
+                rps,
+                write_rps,
+                value_kb,
+                txn_ops,
+            }),
             flows: FlowCounter::default(),
             links,
             lead: None,
@@ -46,7 +56,10 @@
     fn obey(&mut self, now: Us, command: Command) {
         let until = |seconds: f64| now + (seconds * 1e6) as Us;
         match command {
-            Command::HoldControllers { controllers, seconds } => {
+            Command::HoldControllers {
+                controllers,
+                seconds,
+            } => {
                 self.cut_off.hold(&controllers, until(seconds));
             }
             Command::Slow { delay_s, seconds } => {
@@ -61,7 +74,9 @@
     fn release_held(&mut self, now: Time, out: &mut Vec<Effect>) {
         let us = micros(now);
         for _ in 0..self.held.len() {
-            let Some((controller, id, request)) = self.held.pop_front() else { break };
+            let Some((controller, id, request)) = self.held.pop_front() else {
+                break;
+            };
             if self.cut_off.is_held(controller, us) {
                 self.held.push_back((controller, id, request));
             } else {
@@ -74,7 +89,10 @@
     fn pass(&mut self, now: Us, before: usize, out: &mut Vec<Effect>) {
         let (delay, until) = self.delay;
         for answer in out.split_off(before) {
-            if let Effect::Answer { to, status, body, .. } = &answer {
+            if let Effect::Answer {
+                to, status, body, ..
+            } = &answer
+            {
                 self.flows.answer(*to, *status, body.len());
             }
             if now < until {
@@ -86,10 +104,17 @@
     }
 
     fn note_lead(&mut self) {
-        let label = self.server.state.get(LEAD_KEY).and_then(|v| v["label"].as_str());
+        let label = self
+            .server
+            .state
+            .get(LEAD_KEY)
+            .and_then(|v| v["label"].as_str());
         if label != self.lead.as_deref() {
             self.lead = label.map(String::from);
-            self.links.records.send(&Record::Lead { at: wall_us(), label: self.lead.clone() });
+            self.links.records.send(&Record::Lead {
+                at: wall_us(),
+                label: self.lead.clone(),
+            });
         }
     }
 }
@@ -114,7 +139,8 @@
         out: &mut Vec<Effect>,
     ) {
         let (method, path) = (request.method, request.path.as_str());
-        self.flows.request(id, kind(method, path), (method, path), request.body.len());
+        self.flows
+            .request(id, kind(method, path), (method, path), request.body.len());
         if self.cut_off.is_held(door, micros(now)) {
             if self.held.len() < MAX_HELD {
                 self.held.push_back((door, id, request));
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -136,11 +136,26 @@
             let number = self.next_job;
             self.next_job += 1;
             self.open += 1;
-            self.told.insert(number, Told { submitted: true, ..Told::default() });
-            let ask = |at, kind| Reverse(Ask { at, job: number, kind, due: at, refused: 0 });
+            self.told.insert(
+                number,
+                Told {
+                    submitted: true,
+                    ..Told::default()
+                },
+            );
+            let ask = |at, kind| {
+                Reverse(Ask {
+                    at,
+                    job: number,
+                    kind,
+                    due: at,
+                    refused: 0,
+                })
+            };
             self.queue.push(ask(due, Kind::Submit));
             if let Some(after_s) = job.cancel_s {
-                self.queue.push(ask(due + (after_s * 1e6) as Us, Kind::Cancel));
+                self.queue
+                    .push(ask(due + (after_s * 1e6) as Us, Kind::Cancel));
             }
         }
     }
@@ -148,24 +163,40 @@
     fn send(&mut self, now: Us, ask: Ask, out: &mut Vec<Effect>) {
         let job = self.workload.job(ask.job);
         let (method, path, body, timeout_s) = match ask.kind {
-            Kind::Submit => {
-                (Method::Post, "/api/jobs".into(), wire::encode(&job.body()), SUBMIT_WAIT_S)
-            }
+            Kind::Submit => (
+                Method::Post,
+                "/api/jobs".into(),
+                wire::encode(&job.body()),
+                SUBMIT_WAIT_S,
+            ),
             Kind::Cancel => {
                 self.note_cancel(ask.job);
                 let path = format!("/api/jobs/{}/cancel", job.id);
                 (Method::Post, path, wire::encode(&json!({})), SUBMIT_WAIT_S)
             }
-            Kind::Poll => (Method::Get, format!("/api/jobs/{}", job.id), Vec::new(), POLL_WAIT_S),
+            Kind::Poll => (
+                Method::Get,
+                format!("/api/jobs/{}", job.id),
+                Vec::new(),
+                POLL_WAIT_S,
+            ),
         };
         self.next_call += 1;
         let id = CallId(self.next_call);
         self.in_flight.insert(id, InFlight { ask, sent: now });
         let address = self.controllers[self.rng.gen_range(0..self.controllers.len())];
         let caller = self.rng.gen_range(0..CALLERS);
-        self.flows.call(ask.kind.name(), (method, &path), body.len());
+        self.flows
+            .call(ask.kind.name(), (method, &path), body.len());
         let destination = Destination::Node { address, caller };
-        out.push(Effect::Call { id, destination, method, path, body, timeout_s });
+        out.push(Effect::Call {
+            id,
+            destination,
+            method,
+            path,
+            body,
+            timeout_s,
+        });
     }
 
     fn note_cancel(&mut self, job: u64) {
@@ -177,7 +208,11 @@
     }
 
     fn record(&self, job: u64, event: UserEvent) {
-        self.links.records.send(&Record::User { at: wall_us(), job, event });
+        self.links.records.send(&Record::User {
+            at: wall_us(),
+            job,
+            event,
+        });
     }
 
     fn again(&mut self, now: Us, ask: Ask, after_s: f64, refused: u32) {
@@ -188,18 +223,31 @@
         }
         let at = now + (after_s * 1e6) as Us;
         // A poll is a new question each time.
-        let due = if ask.kind == Kind::Poll && refused == 0 { at } else { ask.due };
-        self.queue.push(Reverse(Ask { at, due, refused, ..ask }));
+        let due = if ask.kind == Kind::Poll && refused == 0 {
+            at
+        } else {
+            ask.due
+        };
+        self.queue.push(Reverse(Ask {
+            at,
+            due,
+            refused,
+            ..ask
+        }));
     }
 
     fn answered_at_last(&self, now: Us, ask: Ask, status: u16) {
         let ms = now.saturating_sub(ask.due) as f64 / 1e3;
         let kind = ask.kind.name().to_string();
-        self.links.records.send(&Record::Answered { kind, ms, status });
+        self.links
+            .records
+            .send(&Record::Answered { kind, ms, status });
     }
 
     fn take_reply(&mut self, now: Us, id: CallId, result: Option<(u16, Vec<u8>)>) {
-        let Some(InFlight { ask, sent }) = self.in_flight.remove(&id) else { return };
+        let Some(InFlight { ask, sent }) = self.in_flight.remove(&id) else {
+            return;
+        };
         let Some((status, body)) = result else {
             let refused = now.saturating_sub(sent) < (REFUSED_S * 1e6) as Us;
             return match refused && ask.refused + 1 < NODES_TRIED {
@@ -246,7 +294,9 @@
     fn take_answer(&mut self, now: Us, sent: Us, ask: Ask, status: u16, body: &[u8]) {
         let value = decode(body);
         let state = value["status"].as_str().unwrap_or("");
-        let Some(told) = self.told.get_mut(&ask.job) else { return };
+        let Some(told) = self.told.get_mut(&ask.job) else {
+            return;
+        };
         let before = (told.accepted, told.over, told.done);
         // Whether all tasks have ended is for the checker, who sees the machines.
         let (broken, next) = told.answered((now, sent), ask.kind.what(), status, state, true);
@@ -264,13 +314,26 @@
         }
         if after.1.is_some() && before.1.is_none() {
             self.open = self.open.saturating_sub(1);
-            self.record(ask.job, if after.2 { UserEvent::Done } else { UserEvent::Cancelled });
+            self.record(
+                ask.job,
+                if after.2 {
+                    UserEvent::Done
+                } else {
+                    UserEvent::Cancelled
+                },
+            );
         }
         match next {
             Some(Next::Again(after_s)) => self.again(now, ask, after_s, 0),
             Some(Next::Poll(after_s)) => {
                 let at = now + (after_s * 1e6) as Us;
-                let poll = Ask { at, job: ask.job, kind: Kind::Poll, due: at, refused: 0 };
+                let poll = Ask {
+                    at,
+                    job: ask.job,
+                    kind: Kind::Poll,
+                    due: at,
+                    refused: 0,
+                };
                 self.queue.push(Reverse(poll));
             }
             None => {}
--- a/crates/testbed/src/scale/role/workers.rs
+++ b/crates/testbed/src/scale/role/workers.rs
@@ -62,7 +62,13 @@
             let event = seen.event.what.into();
             let (machine, attempt) = (seen.machine, seen.event.attempt);
             let piece = seen.event.piece;
-            records.send(&Record::Task { at: wall_us(), machine, piece, attempt, event });
+            records.send(&Record::Task {
+                at: wall_us(),
+                machine,
+                piece,
+                attempt,
+                event,
+            });
         });
         let processes = real.then(|| Processes::new(None, Vec::new()));
         let doubles = Doubles::default();
@@ -84,7 +90,9 @@
     }
 
     fn is_cut(&self, now: Us, machine: u64, controller: SocketAddrV4) -> bool {
-        let Some(zone) = self.zones.get(&machine) else { return false };
+        let Some(zone) = self.zones.get(&machine) else {
+            return false;
+        };
         self.cuts
             .iter()
             .any(|c| now < c.until && c.zones.contains(zone) && c.controllers.contains(&controller))
@@ -92,8 +100,17 @@
 
     fn obey(&mut self, now: Us, command: Command) {
         match command {
-            Command::Boot { machine, zone, spot, cpus, memory_gb, place } => {
-                let Some(address) = self.addresses.get(place) else { return };
+            Command::Boot {
+                machine,
+                zone,
+                spot,
+                cpus,
+                memory_gb,
+                place,
+            } => {
+                let Some(address) = self.addresses.get(place) else {
+                    return;
+                };
                 self.places[place] = Some(machine);
                 self.zones.insert(machine, zone.clone());
                 let machine_type = SHAPE.to_string();
@@ -105,9 +122,16 @@
                     up: now,
                     failed_at: None,
                 };
-                let kind =
-                    Kind { label: machine_type, cpus, memory_gb, rate: 1.0, low: 0.3, boot_s: 0.0 };
-                self.pool.add(now, machine, (host, kind), address.to_string());
+                let kind = Kind {
+                    label: machine_type,
+                    cpus,
+                    memory_gb,
+                    rate: 1.0,
+                    low: 0.3,
+                    boot_s: 0.0,
+                };
+                self.pool
+                    .add(now, machine, (host, kind), address.to_string());
             }
             Command::Remove { machine } => {
                 self.pool.remove(now, machine);
@@ -118,12 +142,22 @@
                 }
             }
             Command::Reboot { machine } => self.pool.reboot(now, machine),
-            Command::CutZones { zones, controllers, seconds } => {
+            Command::CutZones {
+                zones,
+                controllers,
+                seconds,
+            } => {
                 let until = now + (seconds * 1e6) as Us;
-                let controllers =
-                    controllers.iter().filter_map(|c| self.controllers.get(*c).copied()).collect();
+                let controllers = controllers
+                    .iter()
+                    .filter_map(|c| self.controllers.get(*c).copied())
+                    .collect();
                 self.cuts.retain(|c| now < c.until);
-                self.cuts.push(Cut { zones, controllers, until });
+                self.cuts.push(Cut {
+                    zones,
+                    controllers,
+                    until,
+                });
             }
             _ => {}
         }
@@ -132,9 +166,23 @@
     /// Counts reports, and keeps back those whose way is cut.
     fn send(&mut self, now: Us, before: usize, out: &mut Vec<Effect>) {
         for call in out.split_off(before) {
-            if let Effect::Call { id, destination, method, path, body, timeout_s } = &call {
+            if let Effect::Call {
+                id,
+                destination,
+                method,
+                path,
+                body,
+                timeout_s,
+            } = &call
+            {
                 if let Destination::Node { address, caller } = destination {
-                    self.reports.insert(*id, Report { machine: *caller, to: *address });
+                    self.reports.insert(
+                        *id,
+                        Report {
+                            machine: *caller,
+                            to: *address,
+                        },
+                    );
                     if self.is_cut(now, *caller, *address) {
                         self.lost.push_back((now + (timeout_s * 1e6) as Us, *id));
                         continue;
@@ -156,7 +204,8 @@
             }
         }
         let (workload, real) = (&self.workload, self.real);
-        self.pool.on_reply(now, id, result, &mut |job| workload.plan(job, real));
+        self.pool
+            .on_reply(now, id, result, &mut |job| workload.plan(job, real));
     }
 }
 
@@ -172,7 +221,8 @@
     ) {
         let us = micros(now);
         let (method, path) = (request.method, request.path.as_str());
-        self.flows.request(id, "command", (method, path), request.body.len());
+        self.flows
+            .request(id, "command", (method, path), request.body.len());
         let Some(machine) = self.places.get(door).copied().flatten() else {
             return refuse(out, id, 404);
         };
@@ -180,13 +230,22 @@
             return refuse(out, id, 400);
         }
         // Only the controller that serves the machine commands it.
-        if self.served_by.get(&machine).is_some_and(|c| self.is_cut(us, machine, *c)) {
+        if self
+            .served_by
+            .get(&machine)
+            .is_some_and(|c| self.is_cut(us, machine, *c))
+        {
             return;
         }
         match self.pool.direct(us, machine, &request.body) {
             Some((status, body)) => {
                 self.flows.answer(id, status, body.len());
-                out.push(Effect::Answer { to: id, status, retry_after: None, body });
+                out.push(Effect::Answer {
+                    to: id,
+                    status,
+                    retry_after: None,
+                    body,
+                });
             }
             None => refuse(out, id, 404),
         }
@@ -217,7 +276,11 @@
         self.pool.step(us, out);
         self.send(us, before, out);
         let workers = self.pool.workers().count();
-        let on_machines: usize = self.pool.workers().map(|(_, w)| w.on_machine().count()).sum();
+        let on_machines: usize = self
+            .pool
+            .workers()
+            .map(|(_, w)| w.on_machine().count())
+            .sum();
         let gauges = [("workers", workers as f64), ("running", on_machines as f64)];
         self.links.tell_counts(now, self.flows.flows(), &gauges);
     }
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -115,17 +115,23 @@
     }
     let processes = layout.size.controllers + layout.worker_processes() + 4;
     if processes > MAX_PROCESSES {
-        return Err(LabError::Other(format!("{processes} processes; {MAX_PROCESSES} is the most")));
+        return Err(LabError::Other(format!(
+            "{processes} processes; {MAX_PROCESSES} is the most"
+        )));
     }
     match layout.taken() {
-        Some(address) => Err(LabError::Other(format!("{address} is used by another program"))),
+        Some(address) => Err(LabError::Other(format!(
+            "{address} is used by another program"
+        ))),
         None => Ok(()),
     }
 }
 
 /// Plays one run.
 pub fn play(lab: &Lab, plan: RunPlan, stop: &Arc<AtomicBool>) -> Result<Played, LabError> {
-    plan.size.check().map_err(|e| LabError::Other(e.to_string()))?;
+    plan.size
+        .check()
+        .map_err(|e| LabError::Other(e.to_string()))?;
     let layout = Layout::new(plan.size.clone(), plan.base_port, plan.real_workers);
     check_machine(&layout)?;
     let mut run = Run::start(lab, plan, layout, stop.clone())?;
@@ -146,7 +152,13 @@
         let directions = (0..plan.size.controllers)
             .flat_map(|from| (0..plan.size.controllers).map(move |to| Direction { from, to }))
             .filter(|d| d.from != d.to)
-            .map(|d| (d, layout.relay_address(d.from, d.to), deployment.nodes[d.to].peers))
+            .map(|d| {
+                (
+                    d,
+                    layout.relay_address(d.from, d.to),
+                    deployment.nodes[d.to].peers,
+                )
+            })
             .collect();
         let relays = Relays::start(directions)?;
         let (sender, records) = channel();
@@ -160,7 +172,11 @@
             dir: folder.0.clone(),
             log_level: "info".into(),
         });
-        let changes = if plan.size.config_changes > 0 { CONFIGURATION } else { "" };
+        let changes = if plan.size.config_changes > 0 {
+            CONFIGURATION
+        } else {
+            ""
+        };
         let operators_file = format!("{OPERATORS}{STANDING_FLEET}{changes}");
         for (node, place) in deployment.nodes.iter().enumerate() {
             let text = deployment.settings(node, &layout.links(node));
@@ -205,7 +221,9 @@
             if Instant::now() > until {
                 let missing = self.roles.keys().find(|id| !ready.contains(*id));
                 let name = missing.map_or(String::new(), |id| id.name());
-                return Err(LabError::Other(format!("the {name} did not start in {READY_S} s")));
+                return Err(LabError::Other(format!(
+                    "the {name} did not start in {READY_S} s"
+                )));
             }
             self.check_running()?;
             if let Ok((id, record)) = self.records.recv_timeout(LOOK) {
@@ -238,7 +256,10 @@
         if self.stop.load(Ordering::Relaxed) {
             return Err(LabError::Other("stopped by a signal".into()));
         }
-        let ended = self.roles.values_mut().find_map(|r| r.has_ended().then(|| r.id.name()));
+        let ended = self
+            .roles
+            .values_mut()
+            .find_map(|r| r.has_ended().then(|| r.id.name()));
         match ended {
             Some(name) => Err(LabError::Other(format!("the {name} ended by itself"))),
             None => Ok(()),
@@ -263,8 +284,10 @@
                 Err(_) => break,
             }
         }
-        let due: Vec<usize> =
-            (0..self.later.len()).rev().filter(|i| self.later[*i].0 <= Instant::now()).collect();
+        let due: Vec<usize> = (0..self.later.len())
+            .rev()
+            .filter(|i| self.later[*i].0 <= Instant::now())
+            .collect();
         for i in due {
             let (_, later) = self.later.swap_remove(i);
             self.act_later(later)?;
@@ -307,7 +330,11 @@
             Record::Counts { flows, gauges } => self.measurement.counts(id, flows, gauges),
             Record::Answered { kind, ms, status } => self.measurement.answered(&kind, ms, status),
             Record::Lead { label, .. } => self.lead(label),
-            Record::Booted { machine, zone, spot } => self.boot(machine, zone, spot),
+            Record::Booted {
+                machine,
+                zone,
+                spot,
+            } => self.boot(machine, zone, spot),
             Record::Gone { machine } => self.remove(machine),
             Record::Abused { what } => self.measurement.abused(what),
             Record::Ready => {}
@@ -316,7 +343,10 @@
 
     fn lead(&mut self, label: Option<String>) {
         let Some(label) = label else { return };
-        let node = label.bytes().next().map(|b| usize::from(b.wrapping_sub(b'a')));
+        let node = label
+            .bytes()
+            .next()
+            .map(|b| usize::from(b.wrapping_sub(b'a')));
         if node != self.leader {
             self.lead_changes += u64::from(self.leader.is_some());
             self.leader = node;
@@ -327,17 +357,31 @@
 
     fn boot(&mut self, machine: u64, zone: String, spot: bool) {
         let process = self.layout.process_of(machine);
-        let Some(place) = self.free_places[process].pop_first() else { return };
+        let Some(place) = self.free_places[process].pop_first() else {
+            return;
+        };
         self.machines.insert(machine, (place, zone.clone()));
         let address = self.layout.worker_address(process, place);
         self.tell(RoleId::Cloud, &Command::Endpoint { machine, address });
-        let (cpus, memory_gb) = (self.plan.size.machine.cpus, self.plan.size.machine.memory_gb);
-        let boot = Command::Boot { machine, zone, spot, cpus, memory_gb, place };
+        let (cpus, memory_gb) = (
+            self.plan.size.machine.cpus,
+            self.plan.size.machine.memory_gb,
+        );
+        let boot = Command::Boot {
+            machine,
+            zone,
+            spot,
+            cpus,
+            memory_gb,
+            place,
+        };
         self.tell(RoleId::Workers(process), &boot);
     }
 
     fn remove(&mut self, machine: u64) {
-        let Some((place, _)) = self.machines.remove(&machine) else { return };
+        let Some((place, _)) = self.machines.remove(&machine) else {
+            return;
+        };
         let process = self.layout.process_of(machine);
         self.free_places[process].insert(place);
         self.tell(RoleId::Workers(process), &Command::Remove { machine });
@@ -349,7 +393,13 @@
         let users = RoleChild::start(id, &role, self.sender.clone())?;
         self.roles.insert(id, users);
         self.began = Instant::now();
-        let doors: Vec<_> = self.layout.deployment().nodes.iter().map(|n| n.operators).collect();
+        let doors: Vec<_> = self
+            .layout
+            .deployment()
+            .nodes
+            .iter()
+            .map(|n| n.operators)
+            .collect();
         let operators = match self.plan.size.config_changes {
             0 => None,
             _ => Some(Operators::start(&doors, self.seed)?),
@@ -364,7 +414,8 @@
             self.turn()?;
             let at = self.began.elapsed().as_secs_f64();
             if at >= build_up && !self.measurement.is_steady() {
-                self.measurement.begin_steady(self.checker.counts.tasks_started);
+                self.measurement
+                    .begin_steady(self.checker.counts.tasks_started);
             }
             while faults.last().is_some_and(|f| f.at_s <= at) {
                 if let Some(fault) = faults.pop() {
@@ -379,7 +430,8 @@
                 break;
             }
         }
-        self.measurement.end_steady(self.checker.counts.tasks_started);
+        self.measurement
+            .end_steady(self.checker.counts.tasks_started);
         self.tell(RoleId::Users, &Command::StopSubmitting);
         self.configuration = operators.map(Operators::stop).unwrap_or_default();
         self.run_for(DRAIN_S)
@@ -404,7 +456,8 @@
     // ---- faults ----
 
     fn later(&mut self, after_s: f64, what: Later) {
-        self.later.push((Instant::now() + Duration::from_secs_f64(after_s), what));
+        self.later
+            .push((Instant::now() + Duration::from_secs_f64(after_s), what));
     }
 
     fn act_later(&mut self, later: Later) -> Result<(), LabError> {
@@ -412,7 +465,9 @@
             Later::StartController(node) => self.controllers.start(node)?,
             Later::GoOn(node) => self.controllers.pause(node, false),
             Later::MendLinks(links) => {
-                links.iter().for_each(|(a, b)| self.relays.set_cut(*a, *b, false));
+                links
+                    .iter()
+                    .for_each(|(a, b)| self.relays.set_cut(*a, *b, false));
             }
         }
         Ok(())
@@ -453,7 +508,12 @@
                 self.tell(RoleId::State, &Command::Slow { delay_s, seconds });
             }
             FaultKind::StateRefuses => {
-                self.tell(RoleId::State, &Command::Refuse { seconds: faults::STATE_S });
+                self.tell(
+                    RoleId::State,
+                    &Command::Refuse {
+                        seconds: faults::STATE_S,
+                    },
+                );
             }
         }
         Ok(())
@@ -466,7 +526,10 @@
 
     /// Machines stop by themselves; the cloud lists them as failed after a while.
     fn fail_machines(&mut self, count: usize, zone: Option<&str>) {
-        let there = self.machines.iter().filter(|(_, (_, z))| zone.is_none_or(|zone| zone == z));
+        let there = self
+            .machines
+            .iter()
+            .filter(|(_, (_, z))| zone.is_none_or(|zone| zone == z));
         let mut machines: Vec<u64> = there.map(|(machine, _)| *machine).collect();
         machines.shuffle(&mut self.rng);
         for machine in machines.into_iter().take(count) {
@@ -480,8 +543,9 @@
     fn cut_zone(&mut self) {
         let zone = self.rng.gen_range(0..self.plan.size.zones);
         let all: Vec<usize> = (0..self.plan.size.controllers).collect();
-        let (inside, outside): (Vec<usize>, Vec<usize>) =
-            all.into_iter().partition(|node| self.layout.zone_of_controller(*node) == zone);
+        let (inside, outside): (Vec<usize>, Vec<usize>) = all
+            .into_iter()
+            .partition(|node| self.layout.zone_of_controller(*node) == zone);
         let name = self.plan.size.zone_name(zone);
         let (within, without): (Vec<String>, Vec<String>) =
             self.layout.zones().into_iter().partition(|z| *z == name);
@@ -501,7 +565,10 @@
         let (a, b) = (first.min(second), first.max(second));
         let inside = self.layout.controllers_in_region(a);
         let outside = self.layout.controllers_in_region(b);
-        let (within, without) = (self.layout.zones_in_region(a), self.layout.zones_in_region(b));
+        let (within, without) = (
+            self.layout.zones_in_region(a),
+            self.layout.zones_in_region(b),
+        );
         self.cut(&inside, &outside, within, without);
         if a == 0 {
             self.hold_controllers(outside);
@@ -515,14 +582,22 @@
         within: Vec<String>,
         without: Vec<String>,
     ) {
-        let links: Vec<(usize, usize)> =
-            inside.iter().flat_map(|a| outside.iter().map(move |b| (*a, *b))).collect();
-        links.iter().for_each(|(a, b)| self.relays.set_cut(*a, *b, true));
+        let links: Vec<(usize, usize)> = inside
+            .iter()
+            .flat_map(|a| outside.iter().map(move |b| (*a, *b)))
+            .collect();
+        links
+            .iter()
+            .for_each(|(a, b)| self.relays.set_cut(*a, *b, true));
         self.later(faults::CUT_S, Later::MendLinks(links));
         let seconds = faults::CUT_S;
         let sides = [(within, outside.to_vec()), (without, inside.to_vec())];
         for (zones, controllers) in sides {
-            let command = Command::CutZones { zones, controllers, seconds };
+            let command = Command::CutZones {
+                zones,
+                controllers,
+                seconds,
+            };
             for process in 0..self.layout.worker_processes() {
                 self.tell(RoleId::Workers(process), &command);
             }
@@ -530,7 +605,10 @@
     }
 
     fn hold_controllers(&mut self, controllers: Vec<usize>) {
-        let command = Command::HoldControllers { controllers, seconds: faults::CUT_S };
+        let command = Command::HoldControllers {
+            controllers,
+            seconds: faults::CUT_S,
+        };
         self.tell(RoleId::State, &command);
         self.tell(RoleId::Cloud, &command);
     }
@@ -543,8 +621,10 @@
         let began_us = wall_us().saturating_sub(self.began.elapsed().as_micros() as u64);
         let since_load = |at: u64| (at as f64 - began_us as f64) / 1e6;
         let steady_us = began_us + (self.measurement.steady_from_s(self.began) * 1e6) as u64;
-        let waits =
-            self.checker.urgent_histogram(steady_us).map_err(|e| LabError::Other(e.to_string()))?;
+        let waits = self
+            .checker
+            .urgent_histogram(steady_us)
+            .map_err(|e| LabError::Other(e.to_string()))?;
         let limit_ms = (self.plan.size.urgent_start_s * 1e3) as u64;
         let in_time = waits.count_between(0, limit_ms) as f64 / waits.len().max(1) as f64;
         let starts: Vec<(f64, f64)> = self
@@ -554,13 +634,20 @@
             .map(|(s, n)| (since_load(s * 1_000_000), *n as f64))
             .filter(|(at, _)| *at >= 0.0 && *at <= self.plan.seconds)
             .collect();
-        let urgent =
-            self.checker.urgent_waits.iter().map(|(at, ms)| (since_load(*at), ms / 1e3)).collect();
+        let urgent = self
+            .checker
+            .urgent_waits
+            .iter()
+            .map(|(at, ms)| (since_load(*at), ms / 1e3))
+            .collect();
         let measured = self.measurement.figures();
         // Jobs start a while after they are due.
         let from_s =
             self.measurement.steady_from_s(self.began) - START_LAG * self.plan.size.report_s;
-        let offered = self.checker.workload().offered(from_s, from_s + measured.seconds);
+        let offered = self
+            .checker
+            .workload()
+            .offered(from_s, from_s + measured.seconds);
         let all = self.checker.workload().offered(0.0, self.plan.seconds);
         let mut broken = self.checker.broken.clone();
         broken.extend(measured.broken.clone());
@@ -579,28 +666,50 @@
             fallen: self.fallen,
             processes: self.plan.size.controllers + self.roles.len() + 1,
             machine_memory_mb: usage::machine_memory_mb(),
-            faults: self.marks.iter().map(|(at, kind)| format!("{kind}@{at:.1}")).collect(),
+            faults: self
+                .marks
+                .iter()
+                .map(|(at, kind)| format!("{kind}@{at:.1}"))
+                .collect(),
             ..measured
         };
-        Ok(Played { figures, starts, urgent, marks: self.marks })
+        Ok(Played {
+            figures,
+            starts,
+            urgent,
+            marks: self.marks,
+        })
     }
 }
 
 /// The longest time between seconds with starts.
 fn longest_gap(starts: &[(f64, f64)], until: f64) -> f64 {
-    let mut times: Vec<f64> = starts.iter().filter(|(_, n)| *n > 0.0).map(|(at, _)| *at).collect();
+    let mut times: Vec<f64> = starts
+        .iter()
+        .filter(|(_, n)| *n > 0.0)
+        .map(|(at, _)| *at)
+        .collect();
     if times.is_empty() {
         return until;
     }
     times.push(until);
     // Starts are counted by whole seconds: neighbours are no gap.
-    times.windows(2).map(|w| (w[1] - w[0] - 1.0).max(0.0)).fold(0.0, f64::max)
+    times
+        .windows(2)
+        .map(|w| (w[1] - w[0] - 1.0).max(0.0))
+        .fold(0.0, f64::max)
 }
 
 /// A histogram's quantiles; `unit` turns its counts into milliseconds.
 pub fn times(h: &Histogram<u64>, unit: f64) -> Times {
     let ms = |q: f64| h.value_at_quantile(q) as f64 * unit;
-    Times { count: h.len(), p50: ms(0.5), p90: ms(0.9), p99: ms(0.99), most: h.max() as f64 * unit }
+    Times {
+        count: h.len(),
+        p50: ms(0.5),
+        p90: ms(0.9),
+        p99: ms(0.99),
+        most: h.max() as f64 * unit,
+    }
 }
 
 /// A histogram of microseconds.
@@ -651,7 +760,10 @@
         };
         (RoleId::Workers(process), role)
     });
-    [(RoleId::State, state), (RoleId::Cloud, cloud)].into_iter().chain(workers).collect()
+    [(RoleId::State, state), (RoleId::Cloud, cloud)]
+        .into_iter()
+        .chain(workers)
+        .collect()
 }
 
 fn users_plan(plan: &RunPlan, layout: &Layout, workload: &Workload) -> (RoleId, RolePlan) {
--- a/crates/testbed/src/scale/size.rs
+++ b/crates/testbed/src/scale/size.rs
@@ -23,7 +23,11 @@
     #[error("{0}: {1}")]
     Form(String, toml::de::Error),
     #[error("{field} is {value}: {problem}")]
-    Value { field: &'static str, value: String, problem: &'static str },
+    Value {
+        field: &'static str,
+        value: String,
+        problem: &'static str,
+    },
 }
 
 /// What is spent on control at most.
@@ -101,7 +105,11 @@
 }
 
 fn refuse(field: &'static str, value: impl ToString, problem: &'static str) -> SizeError {
-    SizeError::Value { field, value: value.to_string(), problem }
+    SizeError::Value {
+        field,
+        value: value.to_string(),
+        problem,
+    }
 }
 
 impl Size {
@@ -152,13 +160,25 @@
             }
         }
         if self.starts_per_s > MAX_STARTS_PER_S {
-            return Err(refuse("starts_per_s", self.starts_per_s, "more than can be played"));
+            return Err(refuse(
+                "starts_per_s",
+                self.starts_per_s,
+                "more than can be played",
+            ));
         }
         if self.running < self.starts_per_s.ceil() as usize {
-            return Err(refuse("running", self.running, "tasks would run for less than a second"));
+            return Err(refuse(
+                "running",
+                self.running,
+                "tasks would run for less than a second",
+            ));
         }
         if self.task_cpus() < 0.05 {
-            return Err(refuse("running", self.running, "tasks would be smaller than 0.05 CPUs"));
+            return Err(refuse(
+                "running",
+                self.running,
+                "tasks would be smaller than 0.05 CPUs",
+            ));
         }
         Ok(())
     }
--- a/crates/testbed/src/scale/size/tests.rs
+++ b/crates/testbed/src/scale/size/tests.rs
@@ -13,14 +13,22 @@
     assert_eq!((size.workers, size.zones, size.teams), (2_100, 6, 240));
     assert!((size.run_s() - 48.27).abs() < 0.01);
     let zones: Vec<String> = (0..6).map(|z| size.zone_name(z)).collect();
-    assert_eq!(zones, ["r1-z1", "r1-z2", "r2-z3", "r2-z4", "r3-z5", "r3-z6"]);
+    assert_eq!(
+        zones,
+        ["r1-z1", "r1-z2", "r2-z3", "r2-z4", "r3-z5", "r3-z6"]
+    );
 }
 
 #[test]
 fn an_unknown_key_is_refused_with_its_line() {
     let text = OPERATORS_TABLE.replace("teams = 240", "teams = 240\nteam = 3");
-    let error = Size::parse("table.toml", &text).expect_err("refused").to_string();
-    assert!(error.contains("line 6") && error.contains("team"), "{error}");
+    let error = Size::parse("table.toml", &text)
+        .expect_err("refused")
+        .to_string();
+    assert!(
+        error.contains("line 6") && error.contains("team"),
+        "{error}"
+    );
 }
 
 #[test]
--- a/crates/testbed/src/scale/sweep.rs
+++ b/crates/testbed/src/scale/sweep.rs
@@ -82,18 +82,32 @@
 }
 
 fn bytes(f: &Figures, role: &str) -> f64 {
-    f.flows.iter().filter(|(k, _)| k.starts_with(role)).map(|(_, r)| r.bytes_per_s).sum()
+    f.flows
+        .iter()
+        .filter(|(k, _)| k.starts_with(role))
+        .map(|(_, r)| r.bytes_per_s)
+        .sum()
 }
 
 const SERIES: [(&str, &str, Of); 13] = [
     ("leader processor", "core", |f| core(f, figures::LEADER)),
     ("leader memory", "MB", |f| memory(f, figures::LEADER)),
-    ("other controller processor", "core", |f| core(f, figures::FOLLOWER)),
-    ("other controller memory", "MB", |f| memory(f, figures::FOLLOWER)),
-    ("state service processor", "core", |f| core(f, figures::STATE)),
+    ("other controller processor", "core", |f| {
+        core(f, figures::FOLLOWER)
+    }),
+    ("other controller memory", "MB", |f| {
+        memory(f, figures::FOLLOWER)
+    }),
+    ("state service processor", "core", |f| {
+        core(f, figures::STATE)
+    }),
     ("state service memory", "MB", |f| memory(f, figures::STATE)),
-    ("state service requests", "a second", |f| f.state_requests_per_s),
-    ("state service changes", "a second", |f| f.state_changes_per_s),
+    ("state service requests", "a second", |f| {
+        f.state_requests_per_s
+    }),
+    ("state service changes", "a second", |f| {
+        f.state_changes_per_s
+    }),
     ("state service bytes", "B a second", |f| bytes(f, "state ")),
     ("cloud bytes", "B a second", |f| bytes(f, "cloud ")),
     ("workers bytes", "B a second", |f| bytes(f, "workers ")),
@@ -108,7 +122,12 @@
         .map(|(name, unit, of)| {
             let points: Vec<(f64, f64)> = points.iter().map(|(x, f)| (*x, of(f))).collect();
             let fit = least_squares(&points);
-            Series { name: name.to_string(), unit, points, fit }
+            Series {
+                name: name.to_string(),
+                unit,
+                points,
+                fit,
+            }
         })
         .collect()
 }
--- a/crates/testbed/src/scale/usage.rs
+++ b/crates/testbed/src/scale/usage.rs
@@ -63,7 +63,25 @@
         assert!(machine_memory_mb() > own.resident_mb);
         assert!(of(u32::MAX).is_none());
         let mut meter = Meter::default();
-        assert_eq!(meter.spent(1, Usage { cpu_s: 3.0, resident_mb: 1.0 }), 0.0);
-        assert_eq!(meter.spent(1, Usage { cpu_s: 3.5, resident_mb: 1.0 }), 0.5);
+        assert_eq!(
+            meter.spent(
+                1,
+                Usage {
+                    cpu_s: 3.0,
+                    resident_mb: 1.0
+                }
+            ),
+            0.0
+        );
+        assert_eq!(
+            meter.spent(
+                1,
+                Usage {
+                    cpu_s: 3.5,
+                    resident_mb: 1.0
+                }
+            ),
+            0.5
+        );
     }
 }
--- a/crates/testbed/src/scale/workload.rs
+++ b/crates/testbed/src/scale/workload.rs
@@ -96,8 +96,16 @@
     pub fn job(&self, number: u64) -> ScaleJob {
         let mut rng = SmallRng::seed_from_u64(self.seed.rotate_left(32) ^ number);
         let urgent = rng.gen_bool(self.urgent_jobs());
-        let (least, most) = if urgent { URGENT_TASKS } else { self.bulk_tasks() };
-        let mean_s = if urgent { URGENT_RUN_S.min(self.run_s) } else { self.bulk_run_s() };
+        let (least, most) = if urgent {
+            URGENT_TASKS
+        } else {
+            self.bulk_tasks()
+        };
+        let mean_s = if urgent {
+            URGENT_RUN_S.min(self.run_s)
+        } else {
+            self.bulk_run_s()
+        };
         let run_s = mean_s * rng.gen_range(RUN_SPREAD.0..RUN_SPREAD.1);
         let cancelled = rng.gen_bool(CANCELLED);
         ScaleJob {
@@ -120,7 +128,10 @@
         let first = ((from_s - longest_s) / self.gap_s() - 1.0).max(0.0) as u64;
         let last = (to_s / self.gap_s() + 1.0).max(0.0) as u64;
         let mut offered = Offered::default();
-        for job in (first..=last).map(|n| self.job(n)).filter(|job| job.cancel_s.is_none()) {
+        for job in (first..=last)
+            .map(|n| self.job(n))
+            .filter(|job| job.cancel_s.is_none())
+        {
             let tasks = f64::from(job.tasks);
             if job.due_s >= from_s && job.due_s < to_s {
                 offered.tasks += u64::from(job.tasks);
@@ -141,7 +152,13 @@
     pub fn plan(&self, id: &str, real: bool) -> Option<JobPlan> {
         let job = self.job(id.strip_prefix("job-")?.parse().ok()?);
         let command = real.then(|| format!("exec sleep {:.2}", job.run_s));
-        Some(JobPlan { body: job.body(), run_s: job.run_s, fails: false, command, sent: 0 })
+        Some(JobPlan {
+            body: job.body(),
+            run_s: job.run_s,
+            fails: false,
+            command,
+            sent: 0,
+        })
     }
 }
 
@@ -156,8 +173,11 @@
 
     /// The submission (PROTOCOL, `POST /api/jobs`).
     pub fn body(&self) -> Value {
-        let (class, urgency) =
-            if self.urgent { ("urgent", "critical") } else { ("bulk", "standard") };
+        let (class, urgency) = if self.urgent {
+            ("urgent", "critical")
+        } else {
+            ("bulk", "standard")
+        };
         json!({
             "nameId": self.id, "jobClass": class, "owner": self.team, "jobKind": "batch",
             "urgency": urgency, "pieces": self.tasks, "vcpus": self.cpus, "cards": 0,
--- a/crates/testbed/src/scale/workload/tests.rs
+++ b/crates/testbed/src/scale/workload/tests.rs
@@ -11,13 +11,23 @@
         jobs.iter().filter(of).map(|j| f64::from(j.tasks)).sum()
     };
     let seconds = jobs.last().expect("some").due_s;
-    assert!((tasks(None) / seconds / 290.0 - 1.0).abs() < 0.03, "{}", tasks(None) / seconds);
+    assert!(
+        (tasks(None) / seconds / 290.0 - 1.0).abs() < 0.03,
+        "{}",
+        tasks(None) / seconds
+    );
     assert!((tasks(Some(true)) / tasks(None) - 0.05).abs() < 0.005);
     let run: f64 = jobs.iter().map(|j| f64::from(j.tasks) * j.run_s).sum();
     assert!((run / tasks(None) / size.run_s() - 1.0).abs() < 0.03);
     let offered = load.offered(100.0, 300.0);
-    assert!((offered.tasks as f64 / 200.0 / 290.0 - 1.0).abs() < 0.1, "{offered:?}");
-    assert!((offered.running / 14_000.0 - 1.0).abs() < 0.1, "{offered:?}");
+    assert!(
+        (offered.tasks as f64 / 200.0 / 290.0 - 1.0).abs() < 0.1,
+        "{offered:?}"
+    );
+    assert!(
+        (offered.running / 14_000.0 - 1.0).abs() < 0.1,
+        "{offered:?}"
+    );
     let halves = load.offered(100.0, 200.0).tasks + load.offered(200.0, 300.0).tasks;
     assert_eq!(halves, offered.tasks);
     let teams: std::collections::BTreeSet<&str> = jobs.iter().map(|j| j.team.as_str()).collect();
