--- a/crates/testbed/tests/real.rs
+++ b/crates/testbed/tests/real.rs
@@ -54,8 +54,9 @@
 /// The checks must be able to fail: healthy machines are given away here.
 #[test]
 fn a_fault_of_old_is_found_by_a_drawn_day() {
-    let (code, figures) =
-        lab(&["days", "--quick", "--seed", "14", "--day", "20", "--break", "hasty"]);
+    let (code, figures) = lab(&[
+        "days", "--quick", "--seed", "14", "--day", "20", "--break", "hasty",
+    ]);
     assert_eq!(code, Some(1), "{figures}");
     assert!(figures["healthy_returned"].as_u64() > Some(10), "{figures}");
 }
@@ -64,9 +65,19 @@
 /// the rules hold.
 #[test]
 fn a_small_scale_run_holds_its_budgets_through_an_end_of_the_leader() {
-    let (code, figures) = lab(&["scale", "--quick", "--seed", "3", "--fault", "leader-killed@6"]);
+    let (code, figures) = lab(&[
+        "scale",
+        "--quick",
+        "--seed",
+        "3",
+        "--fault",
+        "leader-killed@6",
+    ]);
     assert_eq!(code, Some(0), "{figures}");
-    assert!(figures["figures"]["lead_changes"].as_u64() >= Some(1), "{figures}");
+    assert!(
+        figures["figures"]["lead_changes"].as_u64() >= Some(1),
+        "{figures}"
+    );
 }
 
 /// A sound size is needed before anything starts.
@@ -79,6 +90,9 @@
     ] {
         let (code, figures) = lab(&words);
         assert_eq!(code, Some(1), "{figures}");
-        assert!(figures["error"].as_str().is_some_and(|e| e.contains(why)), "{figures}");
+        assert!(
+            figures["error"].as_str().is_some_and(|e| e.contains(why)),
+            "{figures}"
+        );
     }
 }
--- a/crates/transport/src/connections.rs
+++ b/crates/transport/src/connections.rs
@@ -28,8 +28,15 @@
         connecting: bool,
     ) -> io::Result<usize> {
         let slot = self.free.pop().unwrap_or(self.conns.len());
-        let interest = if connecting { Event::all(slot) } else { Event::readable(slot) };
-        if let Err(e) = self.poller.add_with_mode(&stream, interest, PollMode::Level) {
+        let interest = if connecting {
+            Event::all(slot)
+        } else {
+            Event::readable(slot)
+        };
+        if let Err(e) = self
+            .poller
+            .add_with_mode(&stream, interest, PollMode::Level)
+        {
             if slot < self.conns.len() {
                 self.free.push(slot);
             }
@@ -59,12 +66,17 @@
     }
 
     pub(crate) fn close(&mut self, slot: usize) {
-        let Some(conn) = self.conns.get_mut(slot).and_then(Option::take) else { return };
+        let Some(conn) = self.conns.get_mut(slot).and_then(Option::take) else {
+            return;
+        };
         let _ = self.poller.delete(&conn.stream);
         self.open -= 1;
         self.free.push(slot);
         match conn.kind {
-            Kind::Call { current: Some((id, _)), .. } => self.failed.push_back(id),
+            Kind::Call {
+                current: Some((id, _)),
+                ..
+            } => self.failed.push_back(id),
             Kind::Public { door, .. } => self.door_open[door] -= 1,
             Kind::PeerOut { member } => {
                 let at = self.now().plus(1.0);
@@ -84,7 +96,9 @@
                 Some(d) => self.listeners.get(d).and_then(Option::as_ref),
                 None => self.peer_listener.as_ref(),
             };
-            let Some(Ok((stream, _))) = listener.map(TcpListener::accept) else { return };
+            let Some(Ok((stream, _))) = listener.map(TcpListener::accept) else {
+                return;
+            };
             if stream.set_nonblocking(true).is_err() {
                 continue;
             }
@@ -183,9 +197,16 @@
                 Kind::Public { door, .. } if self.operators(*door) && !c.outbuf.is_empty() => {
                     now.since(c.active) > SLOW_READER_S
                 }
-                Kind::Call { current: Some((_, deadline)), .. } => now > *deadline,
+                Kind::Call {
+                    current: Some((_, deadline)),
+                    ..
+                } => now > *deadline,
                 Kind::Call { current: None, .. } => now.since(c.active) > 30.0,
-                Kind::Public { waiting: false, partial: Some(t), .. } => now.since(*t) > PARTIAL_S,
+                Kind::Public {
+                    waiting: false,
+                    partial: Some(t),
+                    ..
+                } => now.since(*t) > PARTIAL_S,
                 Kind::Public { waiting: false, .. } => now.since(c.active) > IDLE_S,
                 Kind::Public { waiting: true, .. } => now.since(c.active) > IDLE_S,
                 // A link over which nothing goes is not known to be alive.
--- a/crates/transport/src/input.rs
+++ b/crates/transport/src/input.rs
@@ -20,9 +20,15 @@
                 return;
             }
             // What waited for its answer's reader goes on.
-            let waits = self.conns.get(slot).and_then(Option::as_ref).is_some_and(|c| {
-                matches!(c.kind, Kind::Public { .. }) && c.outbuf.is_empty() && !c.inbuf.is_empty()
-            });
+            let waits = self
+                .conns
+                .get(slot)
+                .and_then(Option::as_ref)
+                .is_some_and(|c| {
+                    matches!(c.kind, Kind::Public { .. })
+                        && c.outbuf.is_empty()
+                        && !c.inbuf.is_empty()
+                });
             if waits {
                 self.requests(slot);
             }
@@ -34,7 +40,9 @@
 
     pub(crate) fn read(&mut self, slot: usize) {
         let now = self.now();
-        let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else { return };
+        let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+            return;
+        };
         let limit = match conn.kind {
             Kind::Public { .. } => BODY_LIMIT + 2 * http::HEAD_LIMIT,
             Kind::Call { .. } => ANSWER_LIMIT + http::HEAD_LIMIT,
@@ -72,8 +80,11 @@
             Kind::PeerIn => self.frames(slot),
             Kind::PeerOut { .. } => conn.inbuf.clear(),
         }
-        let over =
-            self.conns.get(slot).and_then(Option::as_ref).is_some_and(|c| c.inbuf.len() > limit);
+        let over = self
+            .conns
+            .get(slot)
+            .and_then(Option::as_ref)
+            .is_some_and(|c| c.inbuf.len() > limit);
         if ended || over {
             self.close(slot);
         }
@@ -82,9 +93,18 @@
     pub(crate) fn requests(&mut self, slot: usize) {
         loop {
             let now = self.now();
-            let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else { return };
+            let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+                return;
+            };
             let generation = conn.generation;
-            let Kind::Public { door, waiting, close, partial, worker } = &mut conn.kind else {
+            let Kind::Public {
+                door,
+                waiting,
+                close,
+                partial,
+                worker,
+            } = &mut conn.kind
+            else {
                 return;
             };
             let door = *door;
@@ -95,7 +115,11 @@
             }
             match http::take_request(&mut conn.inbuf, BODY_LIMIT) {
                 Ok(None) => {
-                    *partial = if conn.inbuf.is_empty() { None } else { partial.or(Some(now)) };
+                    *partial = if conn.inbuf.is_empty() {
+                        None
+                    } else {
+                        partial.or(Some(now))
+                    };
                     return;
                 }
                 Ok(Some(request)) => {
@@ -105,14 +129,19 @@
                     *worker |= request.path.starts_with("/hello");
                     let id = RequestId { slot, generation };
                     let mut out = Vec::new();
-                    self.service.on_request(now, wall(), door, id, request, &mut out);
+                    self.service
+                        .on_request(now, wall(), door, id, request, &mut out);
                     self.act(out);
                 }
                 Err(error) => {
                     *waiting = true;
                     *close = true;
                     conn.inbuf.clear();
-                    let status = if error == HttpError::TooLarge { 413 } else { 400 };
+                    let status = if error == HttpError::TooLarge {
+                        413
+                    } else {
+                        400
+                    };
                     let to = RequestId { slot, generation };
                     let answer = if self.operators(door) {
                         let large = error == HttpError::TooLarge;
@@ -127,7 +156,12 @@
                         }
                     } else {
                         let body = wire::problem(&error.to_string());
-                        Effect::Answer { to, status, retry_after: None, body }
+                        Effect::Answer {
+                            to,
+                            status,
+                            retry_after: None,
+                            body,
+                        }
                     };
                     self.act(vec![answer]);
                     return;
@@ -137,8 +171,16 @@
     }
 
     pub(crate) fn response(&mut self, slot: usize) {
-        let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else { return };
-        let Kind::Call { destination, current } = &mut conn.kind else { return };
+        let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+            return;
+        };
+        let Kind::Call {
+            destination,
+            current,
+        } = &mut conn.kind
+        else {
+            return;
+        };
         // Thousands of workers are called now and then: none keeps a socket.
         let once = matches!(destination, Destination::Worker(_));
         if current.is_none() {
@@ -177,7 +219,9 @@
     pub(crate) fn frames(&mut self, slot: usize) {
         loop {
             let now = self.now();
-            let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else { return };
+            let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+                return;
+            };
             match peers::take(&mut conn.inbuf) {
                 Ok(Some(frame)) => {
                     let mut out = Vec::new();
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -38,10 +38,21 @@
 }
 
 enum Kind {
-    Public { door: usize, waiting: bool, close: bool, partial: Option<Time>, worker: bool },
-    Call { destination: Destination, current: Option<(CallId, Time)> },
+    Public {
+        door: usize,
+        waiting: bool,
+        close: bool,
+        partial: Option<Time>,
+        worker: bool,
+    },
+    Call {
+        destination: Destination,
+        current: Option<(CallId, Time)>,
+    },
     PeerIn,
-    PeerOut { member: usize },
+    PeerOut {
+        member: usize,
+    },
 }
 
 struct Conn {
@@ -79,7 +90,11 @@
 }
 
 pub fn wall() -> WallMs {
-    WallMs(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64))
+    WallMs(
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_millis() as u64),
+    )
 }
 
 impl<S: Service> Net<S> {
@@ -153,7 +168,8 @@
         let mut events = Vec::new();
         while go() {
             events.clear();
-            self.poller.wait(&mut events, Some(Duration::from_secs_f64(TICK_S)))?;
+            self.poller
+                .wait(&mut events, Some(Duration::from_secs_f64(TICK_S)))?;
             for event in &events {
                 match event.key {
                     PEERS => self.accept(None),
@@ -185,7 +201,8 @@
     fn settle(&mut self) {
         while let Some(id) = self.failed.pop_front() {
             let mut out = Vec::new();
-            self.service.on_reply(self.now(), wall(), id, None, &mut out);
+            self.service
+                .on_reply(self.now(), wall(), id, None, &mut out);
             self.act(out);
         }
     }
--- a/crates/transport/src/output.rs
+++ b/crates/transport/src/output.rs
@@ -23,19 +23,36 @@
     pub(crate) fn act(&mut self, out: Vec<Effect>) {
         for o in out {
             match o {
-                Effect::Answer { to, status, retry_after, body } => {
-                    self.answer(to, status, retry_after, Content::Cbor, &body)
-                }
-                Effect::OperatorAnswer { to, status, retry_after, content, body } => {
-                    self.answer(to, status, retry_after, content, &body)
-                }
-                Effect::Call { id, destination, method, path, body, timeout_s } => {
+                Effect::Answer {
+                    to,
+                    status,
+                    retry_after,
+                    body,
+                } => self.answer(to, status, retry_after, Content::Cbor, &body),
+                Effect::OperatorAnswer {
+                    to,
+                    status,
+                    retry_after,
+                    content,
+                    body,
+                } => self.answer(to, status, retry_after, content, &body),
+                Effect::Call {
+                    id,
+                    destination,
+                    method,
+                    path,
+                    body,
+                    timeout_s,
+                } => {
                     let deadline = self.now().plus(timeout_s);
                     match self.client(destination) {
                         Some(slot) => {
                             let host = self.address(destination).to_string();
                             if let Some(c) = self.conns.get_mut(slot).and_then(Option::as_mut) {
-                                c.kind = Kind::Call { destination, current: Some((id, deadline)) };
+                                c.kind = Kind::Call {
+                                    destination,
+                                    current: Some((id, deadline)),
+                                };
                                 let head = http::RequestHead {
                                     method,
                                     path: &path,
@@ -58,8 +75,12 @@
     /// Puts a frame on the links to all peers, or to the one of that label.
     pub(crate) fn tell(&mut self, to: Option<&str>, frame: &[u8]) {
         for slot in 0..self.conns.len() {
-            let Some(c) = self.conns.get_mut(slot).and_then(Option::as_mut) else { continue };
-            let Kind::PeerOut { member } = c.kind else { continue };
+            let Some(c) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+                continue;
+            };
+            let Kind::PeerOut { member } = c.kind else {
+                continue;
+            };
             if to.is_some_and(|label| self.wiring.members[member].label != label) {
                 continue;
             }
@@ -90,10 +111,20 @@
         let mut count = 0;
         let mut idle = None;
         for (slot, c) in self.conns.iter().enumerate() {
-            if let Some(Conn { kind: Kind::Call { destination: d, current }, .. }) = c {
+            if let Some(Conn {
+                kind:
+                    Kind::Call {
+                        destination: d,
+                        current,
+                    },
+                ..
+            }) = c
+            {
                 // Workers share one limit, whatever their addresses.
-                let both_workers =
-                    matches!((d, destination), (Destination::Worker(_), Destination::Worker(_)));
+                let both_workers = matches!(
+                    (d, destination),
+                    (Destination::Worker(_), Destination::Worker(_))
+                );
                 count += usize::from(*d == destination || both_workers);
                 if *d == destination && current.is_none() {
                     idle = Some(slot);
@@ -113,7 +144,15 @@
             return None;
         }
         let stream = connect(self.address(destination)).ok()?;
-        self.insert(stream, Kind::Call { destination, current: None }, true).ok()
+        self.insert(
+            stream,
+            Kind::Call {
+                destination,
+                current: None,
+            },
+            true,
+        )
+        .ok()
     }
 
     pub(crate) fn answer(
@@ -126,12 +165,22 @@
     ) {
         let now = self.now();
         let crowded = self.crowded();
-        let Some(conn) = self.conns.get_mut(to.slot).and_then(Option::as_mut) else { return };
+        let Some(conn) = self.conns.get_mut(to.slot).and_then(Option::as_mut) else {
+            return;
+        };
         // The slot may serve another connection by now.
         if conn.generation != to.generation {
             return;
         }
-        let Kind::Public { waiting, close, worker, .. } = &mut conn.kind else { return };
+        let Kind::Public {
+            waiting,
+            close,
+            worker,
+            ..
+        } = &mut conn.kind
+        else {
+            return;
+        };
         if !*waiting {
             return;
         }
@@ -141,7 +190,14 @@
         // back does better with a new one, perhaps to a node that can answer.
         *close |= status == 503 && !*worker || crowded && *worker;
         let closing = *close;
-        http::write_response(&mut conn.outbuf, status, retry_after, closing, content, body);
+        http::write_response(
+            &mut conn.outbuf,
+            status,
+            retry_after,
+            closing,
+            content,
+            body,
+        );
         let more = !conn.inbuf.is_empty();
         if self.flush(to.slot) && more && !closing {
             self.requests(to.slot);
@@ -151,7 +207,9 @@
     /// Writes what the socket takes; false when the connection is gone.
     pub(crate) fn flush(&mut self, slot: usize) -> bool {
         let now = self.now();
-        let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else { return false };
+        let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+            return false;
+        };
         let mut sent = 0;
         let mut broken = false;
         while sent < conn.outbuf.len() {
@@ -179,16 +237,29 @@
         }
         conn.outbuf.drain(..sent);
         let done = conn.outbuf.is_empty();
-        let finished =
-            done && matches!(conn.kind, Kind::Public { waiting: false, close: true, .. });
+        let finished = done
+            && matches!(
+                conn.kind,
+                Kind::Public {
+                    waiting: false,
+                    close: true,
+                    ..
+                }
+            );
         if broken || finished {
             self.close(slot);
             return false;
         }
         if done == conn.writing {
             conn.writing = !done;
-            let interest = if done { Event::readable(slot) } else { Event::all(slot) };
-            let _ = self.poller.modify_with_mode(&conn.stream, interest, PollMode::Level);
+            let interest = if done {
+                Event::readable(slot)
+            } else {
+                Event::all(slot)
+            };
+            let _ = self
+                .poller
+                .modify_with_mode(&conn.stream, interest, PollMode::Level);
         }
         true
     }
--- a/crates/transport/src/tests.rs
+++ b/crates/transport/src/tests.rs
@@ -23,7 +23,13 @@
     ) {
         self.0.fetch_add(1, Ordering::Relaxed);
         let (content, body) = (Content::Text, vec![b'x'; 512 * 1024]);
-        out.push(Effect::OperatorAnswer { to, status: 200, retry_after: None, content, body });
+        out.push(Effect::OperatorAnswer {
+            to,
+            status: 200,
+            retry_after: None,
+            content,
+            body,
+        });
     }
     fn on_reply(
         &mut self,
@@ -57,7 +63,10 @@
         listeners: vec![Listener { addr, kind }],
         peers: None,
         members: Vec::new(),
-        external: External { cloud: addr, state: addr },
+        external: External {
+            cloud: addr,
+            state: addr,
+        },
         max_connections: 100,
     };
     let talker = |_| Talker(Arc::default());
@@ -69,7 +78,10 @@
     assert!(net.listeners[0].is_some(), "taken as soon as it is free");
     drop(net);
     let taken = TcpListener::bind(addr).expect("free again");
-    assert!(Net::new(door(ListenerKind::Platform), talker).is_err(), "users need theirs");
+    assert!(
+        Net::new(door(ListenerKind::Platform), talker).is_err(),
+        "users need theirs"
+    );
     drop(taken);
 }
 
@@ -78,21 +90,33 @@
 fn talking(
     kind: ListenerKind,
     max_connections: usize,
-) -> (SocketAddrV4, Arc<AtomicUsize>, Arc<AtomicBool>, std::thread::JoinHandle<()>) {
+) -> (
+    SocketAddrV4,
+    Arc<AtomicUsize>,
+    Arc<AtomicBool>,
+    std::thread::JoinHandle<()>,
+) {
     let addr = free_address();
     let nowhere = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
     let wiring = Wiring {
         listeners: vec![Listener { addr, kind }],
         peers: None,
         members: Vec::new(),
-        external: External { cloud: nowhere, state: nowhere },
+        external: External {
+            cloud: nowhere,
+            state: nowhere,
+        },
         max_connections,
     };
-    let (served, go) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicBool::new(true)));
+    let (served, go) = (
+        Arc::new(AtomicUsize::new(0)),
+        Arc::new(AtomicBool::new(true)),
+    );
     let (count, running) = (served.clone(), go.clone());
     let thread = std::thread::spawn(move || {
         let net = Net::new(wiring, |_| Talker(count)).expect("listens");
-        net.run_while(|| running.load(Ordering::Relaxed)).expect("runs");
+        net.run_while(|| running.load(Ordering::Relaxed))
+            .expect("runs");
     });
     (addr, served, go, thread)
 }
@@ -104,7 +128,9 @@
     let until = Instant::now() + Duration::from_secs(20);
     let (mut kept, mut closed) = (Vec::new(), 0);
     while kept.len() + closed < 150 && Instant::now() < until {
-        let Ok(mut stream) = TcpStream::connect(addr) else { continue };
+        let Ok(mut stream) = TcpStream::connect(addr) else {
+            continue;
+        };
         let sent = stream.write_all(b"POST /hello HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
         let mut answer = [0u8; 512];
         let n = match sent.and_then(|()| stream.read(&mut answer)) {
@@ -120,7 +146,11 @@
     go.store(false, Ordering::Relaxed);
     thread.join().expect("ended");
     assert_eq!(kept.len() + closed, 150, "all were served");
-    assert!(closed > 100 && kept.len() < 60, "{closed} closed, {} kept", kept.len());
+    assert!(
+        closed > 100 && kept.len() < 60,
+        "{closed} closed, {} kept",
+        kept.len()
+    );
 }
 
 /// A client that pipelines and never reads once had all its answers kept.
@@ -142,7 +172,10 @@
     std::thread::sleep(Duration::from_millis(500));
     let before = served.load(Ordering::Relaxed);
     // Socket buffers of both ends hold some megabytes, not a hundred.
-    assert!((1..60).contains(&before), "{before} answers were made for nobody");
+    assert!(
+        (1..60).contains(&before),
+        "{before} answers were made for nobody"
+    );
     // Whoever reads is served to the end.
     let mut left = asked * (512 * 1024);
     let mut chunk = vec![0u8; 256 * 1024];
--- a/crates/transport/src/wiring.rs
+++ b/crates/transport/src/wiring.rs
@@ -36,10 +36,15 @@
 impl Wiring {
     /// A controller's: the platform's door first, then the operators'.
     pub fn controller(settings: &Settings, operators: Option<(SocketAddrV4, usize)>) -> Wiring {
-        let mut listeners =
-            vec![Listener { addr: settings.public_addr, kind: ListenerKind::Platform }];
+        let mut listeners = vec![Listener {
+            addr: settings.public_addr,
+            kind: ListenerKind::Platform,
+        }];
         if let Some((addr, most)) = operators {
-            listeners.push(Listener { addr, kind: ListenerKind::Operators { most } });
+            listeners.push(Listener {
+                addr,
+                kind: ListenerKind::Operators { most },
+            });
         }
         Wiring {
             listeners,
