--- a/crates/controller/src/fleet/forecast.rs
+++ b/crates/controller/src/fleet/forecast.rs
@@ -22,7 +22,7 @@
 
 impl Fleet {
     /// What is under way for a waiting job, and what its split says.
-    pub fn outlook(
+    pub fn explain_pending_job(
         &self,
         now: Time,
         wall: WallMs,
@@ -118,7 +118,7 @@
     }
 
     /// Machines in the order of their names, from behind `after`.
-    pub fn tell_machines(
+    pub fn render_machines(
         &self,
         now: Time,
         machine_type: Option<&str>,
@@ -182,7 +182,7 @@
     }
 
     /// Machines rented that have not reported yet.
-    pub fn starting(&self, scheduler: &Scheduler) -> u32 {
+    pub fn starting_machines(&self, scheduler: &Scheduler) -> u32 {
         let Some(term) = &self.term else { return 0 };
         let waits = |id: &MachineId| {
             scheduler
@@ -198,7 +198,7 @@
             .count() as u32
     }
 
-    pub fn tell_splits(&self) -> SplitsTold {
+    pub fn render_splits(&self) -> SplitsTold {
         match &self.term {
             Some(term) => SplitsTold {
                 update_s: term.splits.update_s(),
--- a/crates/controller/src/fleet/inventory.rs
+++ b/crates/controller/src/fleet/inventory.rs
@@ -10,19 +10,19 @@
 #[cfg(feature = "faults")]
 fn hastily(
     seen: &[MachineObservation],
-    limit_s: f64,
-) -> beamhinge_failure_detection::SilenceAssessment {
-    let silent = |s: &&MachineObservation| s.quiet_s > limit_s;
+    dead_after_s: f64,
+) -> beamhinge_failure_detection::FleetAssessment {
+    let silent = |s: &&MachineObservation| s.silent_s > dead_after_s;
     let few = seen.iter().filter(silent).count() * 2 < seen.len();
-    let find = |s: &MachineObservation| {
+    let classify = |s: &MachineObservation| {
         if few && silent(&s) {
-            Finding::Silent
+            Liveness::Dead
         } else {
-            Finding::Heard
+            Liveness::Alive
         }
     };
-    let findings = seen.iter().map(|s| (s.id, find(s))).collect();
-    beamhinge_failure_detection::SilenceAssessment {
+    let findings = seen.iter().map(|s| (s.id, classify(s))).collect();
+    beamhinge_failure_detection::FleetAssessment {
         findings,
         ..Default::default()
     }
@@ -209,7 +209,7 @@
         scheduler: &mut Scheduler,
     ) -> Vec<MachineObservation> {
         let lease_s = settings.params.workers.lease_s;
-        let limit_s = bounds(settings).limit_s;
+        let dead_after_s = silence_thresholds(settings).dead_after_s;
         let mut seen = Vec::new();
         for (id, i) in &mut self.instances {
             let m = scheduler.machine(*id);
@@ -217,7 +217,9 @@
             let (was_up, rotates_controllers) =
                 (i.was_up(m), m.is_some_and(|m| m.rotates_controllers(now)));
             // It reports again: the return is called off while it can be.
-            if i.release == Release::Silent && heard.is_some_and(|h| now.since(h) < limit_s / 2.0) {
+            if i.release == Release::Dead
+                && heard.is_some_and(|h| now.since(h) < dead_after_s / 2.0)
+            {
                 tracing::info!("{id} reports again and is kept");
                 i.release = Release::No;
                 scheduler.undrain(*id);
@@ -233,10 +235,10 @@
                 None if was_up => scheduler.took().plus(2.0).max(i.rented.plus(boot_s)),
                 None => continue,
             };
-            let mut quiet_s = now.since(liveness.pause_detector.counts_from(from));
+            let mut silent_s = now.since(liveness.pause_detector.silence_counts_from(from));
             // Not rented by us: given back only when it is surely dead.
-            if i.owned && quiet_s < lease_s * 4.0 {
-                quiet_s = quiet_s.min(limit_s);
+            if i.owned && silent_s < lease_s * 4.0 {
+                silent_s = silent_s.min(dead_after_s);
             }
             let zones = &settings.params.zones;
             seen.push(MachineObservation {
@@ -245,9 +247,9 @@
                     .iter()
                     .position(|z| *z == i.zone)
                     .unwrap_or(zones.len()),
-                kind: i.machine_type,
-                quiet_s,
-                elsewhere_s: liveness.elsewhere.since(now, *id),
+                machine_type: i.machine_type,
+                silent_s,
+                peer_heard_age_s: liveness.peer_observations.age_s(now, *id),
                 unlisted: i.missing >= 2,
                 rotates_controllers,
             });
@@ -269,30 +271,32 @@
         let seen = self.seen(now, machine_types, settings, liveness, scheduler);
         let look = self
             .silence_detector
-            .look(now, scheduler.overdue_s(), &seen);
+            .assess(now, scheduler.overdue_s(), &seen);
         #[cfg(feature = "faults")]
         let look = if self.faults.hasty {
-            hastily(&seen, bounds(settings).limit_s)
+            hastily(&seen, silence_thresholds(settings).dead_after_s)
         } else {
             look
         };
-        self.link = look.link;
-        self.tell_groups(settings, machine_types, look.groups);
+        self.link = look.connectivity;
+        self.tell_groups(settings, machine_types, look.suspected);
         let mut given_up: BTreeMap<MachineId, &'static str> = BTreeMap::new();
         self.shielded.clear();
         for (s, (id, finding)) in seen.iter().zip(&look.findings) {
             match finding {
-                Finding::Silent => {
+                Liveness::Dead => {
                     given_up.insert(*id, "silent");
                 }
-                Finding::Gone => {
+                Liveness::Unlisted => {
                     given_up.insert(*id, "gone from the list");
                 }
-                Finding::Shielded(_) | Finding::Elsewhere | Finding::Waiting => {
-                    let since = self.silence_detector.suspected_s(now, s.zone, s.kind);
+                Liveness::Shielded(_) | Liveness::HeardByPeer | Liveness::RemovalDeferred => {
+                    let since = self
+                        .silence_detector
+                        .suspected_for_s(now, s.zone, s.machine_type);
                     self.shielded.insert(*id, since.unwrap_or(0.0));
                 }
-                Finding::Heard | Finding::Overdue => {}
+                Liveness::Alive | Liveness::Overdue => {}
             }
             // It reports and nothing reaches it: like one behind a broken link, it is
             // replaced by and by, and given back when that lasts.
@@ -339,7 +343,7 @@
             };
             tracing::info!("returning {id}: {why}");
             i.release = if why == "silent" {
-                Release::Silent
+                Release::Dead
             } else {
                 Release::Wanted
             };
@@ -391,19 +395,22 @@
         &mut self,
         settings: &Settings,
         machine_types: &[MachineType],
-        groups: Vec<(Group, f64)>,
+        groups: Vec<(FailureDomain, f64)>,
     ) {
-        let name = |g: &Group| match g {
-            Group::Ours => "our own link".to_string(),
-            Group::Zone(z) => {
+        let name = |g: &FailureDomain| match g {
+            FailureDomain::OwnLink => "our own link".to_string(),
+            FailureDomain::Zone(z) => {
                 format!(
                     "zone {}",
                     settings.params.zones.get(*z).map_or("?", String::as_str)
                 )
             }
-            Group::Kind(k) => format!("type {}", machine_types.get(*k).map_or("?", |s| &s.label)),
+            FailureDomain::MachineType(k) => {
+                format!("type {}", machine_types.get(*k).map_or("?", |s| &s.label))
+            }
         };
-        let known = |list: &[(Group, f64)], g: &Group| list.iter().any(|(o, _)| o == g);
+        let known =
+            |list: &[(FailureDomain, f64)], g: &FailureDomain| list.iter().any(|(o, _)| o == g);
         for (g, _) in groups.iter().filter(|(g, _)| !known(&self.groups, g)) {
             tracing::warn!("silent together, taken for a broken link: {}", name(g));
         }
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -20,8 +20,8 @@
 use beamhinge_core::types::{CallId, FencingToken, MachineId, Revision, Time, WallMs};
 use beamhinge_core::wire;
 use beamhinge_failure_detection::{
-    Bounds, Finding, Group, Link, MachineObservation, PauseDetector, PeerObservations,
-    SilenceDetector,
+    Connectivity, FailureDomain, Liveness, MachineObservation, PauseDetector, PeerObservations,
+    SilenceDetector, SilenceThresholds,
 };
 use beamhinge_rate_limit::{AdaptiveBackoff, Next};
 use serde::{Deserialize, Serialize};
@@ -45,18 +45,18 @@
 const MALFORMED_S: f64 = 60.0;
 
 /// How long silence is borne, by the settings.
-fn bounds(settings: &Settings) -> Bounds {
+fn silence_thresholds(settings: &Settings) -> SilenceThresholds {
     let w = &settings.params.workers;
-    Bounds {
-        limit_s: (w.lease_s * 0.55).max(w.report_s * 3.0),
-        shield_s: w.lease_s * 4.0,
-        word_s: WORD_S,
+    SilenceThresholds {
+        dead_after_s: (w.lease_s * 0.55).max(w.report_s * 3.0),
+        max_shield_s: w.lease_s * 4.0,
+        max_peer_age_s: MAX_PEER_OBSERVATION_AGE_S,
     }
 }
 
 /// How long a peer's word on whom it hears counts, seconds: a worker that nobody
 /// answers tries each controller in turn.
-pub const WORD_S: f64 = 8.0;
+pub const MAX_PEER_OBSERVATION_AGE_S: f64 = 8.0;
 
 #[derive(Deserialize)]
 struct Flavors {
@@ -165,9 +165,9 @@
 pub struct LivenessView<'a> {
     pub pause_detector: &'a PauseDetector,
     /// What peers hear.
-    pub elsewhere: &'a PeerObservations,
+    pub peer_observations: &'a PeerObservations,
     /// The state service confirmed lately that we hold the block.
-    pub acting: bool,
+    pub leadership_confirmed: bool,
 }
 
 /// The drain that a machine of the cloud's is under.
@@ -194,7 +194,7 @@
     No,
     /// Not yet asked for; `Silent` is taken back if the machine reports again.
     Wanted,
-    Silent,
+    Dead,
     InFlight,
 }
 
@@ -286,10 +286,10 @@
     splits: Splits,
     silence_detector: SilenceDetector,
     /// Our link to the machines, at the last look.
-    link: Link,
+    link: Connectivity,
     /// Silent together, and for how long their group is suspected, seconds.
     shielded: BTreeMap<MachineId, f64>,
-    groups: Vec<(Group, f64)>,
+    groups: Vec<(FailureDomain, f64)>,
     #[cfg(feature = "faults")]
     faults: crate::faults::Faults,
 }
@@ -330,7 +330,7 @@
     }
 
     #[cfg(feature = "faults")]
-    pub fn put_back(&mut self, faults: crate::faults::Faults) {
+    pub fn set_faults(&mut self, faults: crate::faults::Faults) {
         self.faults = faults;
     }
 
@@ -339,12 +339,12 @@
     }
 
     /// Machines behind a link that is taken for broken.
-    pub fn shielded(&self) -> usize {
+    pub fn shielded_machines(&self) -> usize {
         self.term.as_ref().map_or(0, |t| t.shielded.len())
     }
 
     /// How our link to the machines looked last: what is heard here and elsewhere.
-    pub fn link(&self) -> Link {
+    pub fn connectivity(&self) -> Connectivity {
         self.term.as_ref().map(|t| t.link).unwrap_or_default()
     }
 
@@ -381,10 +381,10 @@
             lately: Vec::new(),
             inherited: Vec::new(),
             splits: Splits::new(operator, token, now),
-            silence_detector: SilenceDetector::new(bounds(settings)),
+            silence_detector: SilenceDetector::new(silence_thresholds(settings)),
             #[cfg(feature = "faults")]
             faults: self.faults,
-            link: Link::default(),
+            link: Connectivity::default(),
             shielded: BTreeMap::new(),
             groups: Vec::new(),
         });
@@ -440,7 +440,7 @@
         term.keep_record(now, store);
         // Who is not sure to hold the block rents and returns nothing: a holder
         // that stood still, or is cut off, would act on what others decided anew.
-        if term.record.is_none() || !scheduler.loaded() || !liveness.acting {
+        if term.record.is_none() || !scheduler.loaded() || !liveness.leadership_confirmed {
             return;
         }
         if now.since(term.decided) > 0.5 {
@@ -481,7 +481,7 @@
             let wanted = term
                 .instances
                 .iter_mut()
-                .filter(|(_, i)| matches!(i.release, Release::Wanted | Release::Silent));
+                .filter(|(_, i)| matches!(i.release, Release::Wanted | Release::Dead));
             let most = (MAX_PER_RELEASE / term.releases.part()).max(1);
             for (id, i) in wanted.take(most) {
                 i.release = Release::InFlight;
@@ -553,7 +553,7 @@
 
     // ---- replies ----
 
-    pub fn on_cloud(
+    pub fn on_cloud_reply(
         &mut self,
         now: Time,
         id: CallId,
--- a/crates/controller/src/fleet/scale_plan.rs
+++ b/crates/controller/src/fleet/scale_plan.rs
@@ -265,7 +265,10 @@
         // Guard: while it is our own link that is silent, nothing is known of what is
         // behind it. A holder that was refused for a minute found all its machines idle
         // as it came back, and gave the fleet away while its jobs waited.
-        let blind = self.groups.iter().any(|(g, _)| *g == Group::Ours);
+        let blind = self
+            .groups
+            .iter()
+            .any(|(g, _)| *g == FailureDomain::OwnLink);
         #[cfg(feature = "faults")]
         let blind = blind && !self.faults.blind_return;
         let mut out = Vec::new();
@@ -376,8 +379,11 @@
     }
     // Ordinary machines stay as long as spot ones do not reach.
     let pool = up(want.pool + want.ready);
-    let keep = (up(want.pool) - have_spot).clamp(0.0, spare);
-    ((pool - keep) as u32, (bound + keep) as u32)
+    let update_domain = (up(want.pool) - have_spot).clamp(0.0, spare);
+    (
+        (pool - update_domain) as u32,
+        (bound + update_domain) as u32,
+    )
 }
 
 #[cfg(test)]
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -141,7 +141,7 @@
     #[cfg(feature = "faults")]
     pub fn put_back(&mut self, faults: Faults) {
         self.faults = faults;
-        self.fleet.put_back(faults);
+        self.fleet.set_faults(faults);
         self.election.faults = faults;
         self.user_api.faults = faults;
         self.configuration.half_applied = faults.half_applied;
@@ -158,7 +158,7 @@
     /// Something happens here: we are there, and may not have been.
     fn awake(&mut self, now: Time, wall: WallMs) {
         self.wall = wall;
-        if let Some(away_s) = self.pause_detector.at(now) {
+        if let Some(away_s) = self.pause_detector.observe(now) {
             tracing::warn!("this controller stood still for {away_s:.1} s");
             if let Some(scheduler) = &mut self.scheduler {
                 scheduler.back_at = Some(now);
@@ -241,8 +241,8 @@
             }
             let liveness = LivenessView {
                 pause_detector: &self.pause_detector,
-                elsewhere: &self.peer_observations,
-                acting: self.acting(now),
+                peer_observations: &self.peer_observations,
+                leadership_confirmed: self.acting(now),
             };
             self.fleet.tick(
                 now,
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -565,7 +565,7 @@
                     .any(|r| matches!(r.name(), "frozen" | "team_limit"));
                 if placed.waiting > 0 && !frozen {
                     if let Some((demand, spec)) = scheduler.demand_of(wall, id) {
-                        self.fleet.outlook(
+                        self.fleet.explain_pending_job(
                             now,
                             wall,
                             (&demand, &spec),
@@ -585,7 +585,7 @@
             } => {
                 let after = after.as_deref().and_then(MachineId::parse);
                 let (machine_type, zone) = (machine_type.as_deref(), zone.as_deref());
-                encoded(&self.fleet.tell_machines(
+                encoded(&self.fleet.render_machines(
                     now,
                     machine_type,
                     zone,
@@ -595,7 +595,7 @@
                 ))
             }
             Query::Teams => encoded(&scheduler.tell_teams(now, &self.settings, machine_types)),
-            Query::Splits => encoded(&self.fleet.tell_splits()),
+            Query::Splits => encoded(&self.fleet.render_splits()),
             Query::Summary => encoded(&self.summary(now, wall)),
             Query::Decisions {
                 token,
@@ -630,7 +630,7 @@
             tasks_waiting: t.tasks_waiting,
             oldest_wait_s: t.oldest_wait_s,
             machines_up: t.up,
-            machines_starting: self.fleet.starting(scheduler),
+            machines_starting: self.fleet.starting_machines(scheduler),
             machines_silent: t.silent,
             cpus: t.cpus,
             cpus_used: t.cpus_used,
@@ -646,9 +646,9 @@
             ("jobs_known", self.job_store.iter().count() as f64),
             (
                 "stuck_seconds",
-                self.stall_detector.stuck_s(now).unwrap_or(0.0),
+                self.stall_detector.stalled_for_s(now).unwrap_or(0.0),
             ),
-            ("machines_shielded", self.fleet.shielded() as f64),
+            ("machines_shielded", self.fleet.shielded_machines() as f64),
             (
                 "ledger_age_seconds",
                 self.store.last_success().map_or(-1.0, |t| now.since(t)),
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -40,7 +40,7 @@
             }
         } else if self.fleet.owns_call(id) {
             self.fleet
-                .on_cloud(now, id, result, self.scheduler.as_mut());
+                .on_cloud_reply(now, id, result, self.scheduler.as_mut());
         } else if self.nudges.remove(&id).is_some() {
             // Executed, or refused for its session: either way the body is a report.
             let body = result
@@ -251,7 +251,7 @@
             }
             Frame::Hears { machines, .. } => {
                 let machines = machines.iter().filter_map(|m| MachineId::parse(m));
-                self.peer_observations.told(now, machines);
+                self.peer_observations.record(now, machines);
             }
             Frame::Stuck { label } => {
                 tracing::warn!("{label} was stuck as the holder");
@@ -265,7 +265,7 @@
             }
             Frame::Holds { label, token } => {
                 if self.peers.token_of(&label) != Some(token) {
-                    self.misrouted_workers.leader_changed();
+                    self.misrouted_workers.on_leader_changed();
                 }
                 self.leader_detector
                     .heartbeat(now, &label, FencingToken(token));
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -98,7 +98,9 @@
         let age = self.store_age(now);
         if self.drained() && self.peers.successor(now) {
             refuse(out, id, 503, "operators have drained this controller");
-        } else if self.stall_detector.stuck_s(now).is_some() && self.peers.peers_reach_store(now) {
+        } else if self.stall_detector.stalled_for_s(now).is_some()
+            && self.peers.peers_reach_store(now)
+        {
             refuse(out, id, 503, "this controller is stuck");
         } else if age > 2.5 && (self.peers.peers_reach_store(now) || self.cut_off(now))
             || !self.job_store.loaded() && now.since(self.started) < 5.0
@@ -221,7 +223,8 @@
             (Some(_), false) => refuse(out, id, 503, "out of touch with the state service"),
             (None, _) => {
                 let machine = MachineId::parse(&report.host);
-                let deaf = machine.is_some_and(|m| self.misrouted_workers.came(now, m, DEAF_S));
+                let deaf =
+                    machine.is_some_and(|m| self.misrouted_workers.record_report(now, m, DEAF_S));
                 let seen = FencingToken(report.fencing_token);
                 machine
                     .into_iter()
@@ -232,7 +235,7 @@
                 // it named where nothing is heard of it any more.
                 let leader = leader.filter(|_| !deaf && !self.leader_detector.is_silent(now));
                 if let (Some(m), Some(_)) = (machine, leader) {
-                    self.misrouted_workers.sent_on(m);
+                    self.misrouted_workers.record_redirect(m);
                 }
                 out.push(Effect::Answer {
                     to: id,
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -1,7 +1,7 @@
 //! What is looked at as time passes: heartbeats, stalls, the lead, silent machines.
 
 use super::Node;
-use crate::fleet::WORD_S;
+use crate::fleet::MAX_PEER_OBSERVATION_AGE_S;
 use crate::peers;
 use crate::scheduler::WorkerCommand;
 use beamhinge_core::http::Method;
@@ -9,7 +9,7 @@
 use beamhinge_core::peers::{encode, Frame};
 use beamhinge_core::types::{CallId, FencingToken, MachineId, Time, WallMs};
 use beamhinge_core::wire;
-use beamhinge_failure_detection::Work;
+use beamhinge_failure_detection::ProgressSnapshot;
 use beamhinge_standby::{turn_after, Observer, HEARTBEAT_S};
 use serde::Serialize;
 use std::net::SocketAddrV4;
@@ -79,7 +79,8 @@
         }
         if now.since(self.looked) >= 0.5 {
             self.looked = now;
-            self.peer_observations.forget(now, WORD_S);
+            self.peer_observations
+                .expire(now, MAX_PEER_OBSERVATION_AGE_S);
             self.consider_stall(now, out);
             self.consider_stepping_back(now);
             self.ask_silent(now, out);
@@ -139,7 +140,9 @@
 
     /// Tells the holder who comes here instead: they live, whatever it thinks.
     pub(super) fn announce_misrouted_workers(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let machines = self.misrouted_workers.lately(now, WORD_S);
+        let machines = self
+            .misrouted_workers
+            .recent(now, MAX_PEER_OBSERVATION_AGE_S);
         if machines.is_empty() || self.scheduler.is_some() {
             return;
         }
@@ -162,17 +165,17 @@
             return;
         };
         let reached = self.store_age(now) < 2.5;
-        let work = Work {
-            waiting: scheduler.has_work(),
-            moved: scheduler.moved(),
-            reached,
+        let work = ProgressSnapshot {
+            work_pending: scheduler.has_work(),
+            last_progress: scheduler.moved(),
+            store_reachable: reached,
         };
-        if !self.stall_detector.look(now, work) {
+        if !self.stall_detector.observe(now, work) {
             return;
         }
         tracing::error!(
             "stuck: the state service answers, there is work, and nothing was committed for {:.0} s",
-            self.stall_detector.stuck_s(now).unwrap_or_default()
+            self.stall_detector.stalled_for_s(now).unwrap_or_default()
         );
         self.stuck.insert(self.settings.label.clone(), now);
         if self.settings.members.is_empty() || !self.peers.peers_reach_store(now) {
@@ -181,7 +184,7 @@
             }
             return;
         }
-        self.stall_detector.handed_over();
+        self.stall_detector.on_handover();
         let stuck = Frame::Stuck {
             label: self.settings.label.clone(),
         };
@@ -207,22 +210,22 @@
         // Nothing is concluded from our own absence.
         if self
             .pause_detector
-            .back_for(now)
+            .resumed_for_s(now)
             .is_some_and(|s| s < w.report_s * 2.5 + 2.0)
         {
             return;
         }
         // A peer hears more than we do: the lead is of more use there, at once.
-        let link = self.fleet.link();
+        let link = self.fleet.connectivity();
         let lately = self
             .stepped_back
             .is_some_and(|at| now.since(at) < w.lease_s);
-        if link.better_elsewhere() && !lately && self.peers.peers_reach_store(now) {
+        if link.reaches_fewer_than_peers() && !lately && self.peers.peers_reach_store(now) {
             self.stepped_back = Some(now);
             tracing::warn!(
                 "{} machines are heard here and {} only by peers; stepping back",
-                link.heard,
-                link.elsewhere
+                link.reporting,
+                link.heard_by_peers
             );
             let change = self.election.step_down(now, &mut self.store);
             return self.on_leadership_change(now, change);
@@ -260,7 +263,7 @@
             store_age_s: self.store_age(now),
             // What changed since is read after the take, before anything is placed.
             warm: self.job_store.loaded(),
-            back_for_s: self.pause_detector.back_for(now),
+            back_for_s: self.pause_detector.resumed_for_s(now),
             turn: turn_after(&leader, &self.settings.label, members),
         };
         if let Some(gone) = self
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -135,7 +135,7 @@
             Some(PauseReason::Failures) => {
                 let until = self
                     .fault_attribution
-                    .paused_until(id)
+                    .job_retry_at(id)
                     .map_or(job.hold_until, |u| u.max(job.hold_until));
                 let (failures, machines) = self.fault_attribution.failures(id);
                 let retry_s = until.until(now).max(0.0);
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -374,7 +374,7 @@
     fn demand(&self, wall: WallMs, id: JobId, job: &Job) -> Demand {
         let left = job.spec.tasks - job.progress.count().min(job.spec.tasks);
         // A job that fails everywhere earns no machines while it waits.
-        let left = if self.fault_attribution.at_fault_job(id) {
+        let left = if self.fault_attribution.is_job_faulty(id) {
             left.min(1)
         } else {
             left
--- a/crates/controller/src/scheduler/plan.rs
+++ b/crates/controller/src/scheduler/plan.rs
@@ -329,7 +329,7 @@
             (m.quarantined, BlockingReason::Sick),
             (m.slow, BlockingReason::Slow),
             (now < m.refuses_until, BlockingReason::Refusing),
-            (m.ack_tracker.deaf(now), BlockingReason::Deaf),
+            (m.ack_tracker.in_backoff(now), BlockingReason::Deaf),
         ];
         all.into_iter()
             .find(|(holds, _)| *holds)
@@ -348,7 +348,7 @@
             return Some(PauseReason::Frozen(freeze.clone()));
         }
         // What fails everywhere is tried with one task at a time.
-        let blamed = self.fault_attribution.paused_until(id);
+        let blamed = self.fault_attribution.job_retry_at(id);
         if j.hold_until > now || blamed.is_some_and(|until| until > now || j.busy() > 0) {
             return Some(PauseReason::Failures);
         }
@@ -537,7 +537,7 @@
         }
         let (job, m) = (self.jobs.get_mut(&id)?, self.machines.get_mut(&machine)?);
         let index = job.next_task(now)?;
-        if job.busy() > 0 && self.fault_attribution.at_fault_job(id) {
+        if job.busy() > 0 && self.fault_attribution.is_job_faulty(id) {
             return None;
         }
         let task = TaskId { job: id, index };
@@ -727,7 +727,7 @@
         // free for tasks that fit nowhere else; then where the image is;
         // then the fuller machine, so that others can empty.
         let (machines, machine_types) = (&self.machines, round.machine_types);
-        let barred = self.fault_attribution.barred(now, id);
+        let barred = self.fault_attribution.avoided_machines(now, id);
         let mut fits: Vec<(usize, (bool, bool, bool, i64))> = round
             .capacities
             .iter()
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -123,7 +123,7 @@
         };
         let (spec, resources, mut wanted) = (job.spec.clone(), job.resources(), job.waiting());
         let limited =
-            spec.one_zone || spec.spread || self.fault_attribution.at_fault_job(claim.job);
+            spec.one_zone || spec.spread || self.fault_attribution.is_job_faulty(claim.job);
         // Out of touch with the state service no place can be committed: whoever is
         // stopped now is stopped for nobody.
         if limited || self.places.room() == 0 || round.budget == 0 || !self.in_touch {
@@ -198,7 +198,7 @@
         let resources = resources_of(&spec);
         let (want, machine_types) = (resources.sizes(), round.machine_types);
         let above = claim.why == PreemptionReason::Guarantee || spec.urgency > self.aging.ceiling();
-        let barred = self.fault_attribution.barred(now, claim.job);
+        let barred = self.fault_attribution.avoided_machines(now, claim.job);
         let here = |id: MachineId| {
             let Some(m) = self.machines.get(&id) else {
                 return false;
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -1,7 +1,7 @@
 //! What workers report, what that proves, and what they are told.
 
 use super::*;
-use beamhinge_failure_detection::Verdict;
+use beamhinge_failure_detection::AttributionChange;
 use std::cmp::Reverse;
 
 /// Orders of one answer: it may hold 64 KiB. What is left out is still wanted, and
@@ -93,7 +93,7 @@
             .is_some_and(|at| now.since(at) < PATIENCE_S * 2.5);
         let gap_s = m.last_heartbeat.map_or(0.0, |before| now.since(before));
         if m.last_heartbeat.is_some() && !newer_incarnation {
-            self.report_interval.heard(gap_s);
+            self.report_interval.record_gap(gap_s);
         }
         // Guard 3: the first word of a machine in our term may be of any age as long as
         // it does not carry our token. It is answered, and is no sign of life: reports
@@ -278,9 +278,9 @@
         let mut elsewhere = false;
         if let Some(m) = self.machines.get_mut(&id) {
             if arrived {
-                m.ack_tracker.arrived();
+                m.ack_tracker.record_acknowledged();
             } else if lost {
-                elsewhere = m.ack_tracker.missed(now, timed_out);
+                elsewhere = m.ack_tracker.record_unacknowledged(now, timed_out);
             }
         }
         if elsewhere {
@@ -522,7 +522,7 @@
     }
 
     fn succeeded(&mut self, id: MachineId, job: JobId) {
-        let verdict = self.fault_attribution.succeeded(id, job);
+        let verdict = self.fault_attribution.record_success(id, job);
         self.apply_attribution(&verdict);
     }
 
@@ -532,14 +532,14 @@
         let sound = self.jobs.get(&job).is_some_and(|j| j.progress.count() > 0);
         let verdict = self
             .fault_attribution
-            .failed(now, id, (job, sound), self.report_s);
+            .record_failure(now, id, (job, sound), self.report_s);
         self.apply_attribution(&verdict);
-        verdict.pause_s.unwrap_or(0.0)
+        verdict.job_backoff_s.unwrap_or(0.0)
     }
 
     /// Machines at fault get nothing more; those a job was blamed for in the end do.
-    fn apply_attribution(&mut self, verdict: &Verdict) {
-        for id in &verdict.faulty {
+    fn apply_attribution(&mut self, verdict: &AttributionChange) {
+        for id in &verdict.newly_faulty {
             let Some(m) = self.machines.get_mut(id) else {
                 continue;
             };
@@ -551,7 +551,7 @@
                 why,
             });
         }
-        for id in &verdict.cleared {
+        for id in &verdict.newly_cleared {
             let Some(m) = self.machines.get_mut(id) else {
                 continue;
             };
@@ -862,7 +862,7 @@
                     .values()
                     .any(|e| matches!(e.state, TaskState::RunSent(_)))
                 {
-                    m.ack_tracker.missed(now, true);
+                    m.ack_tracker.record_unacknowledged(now, true);
                 }
             }
             let tasks: Vec<TaskId> = match self.machines.get(&id) {
--- a/crates/failure-detection/src/lib.rs
+++ b/crates/failure-detection/src/lib.rs
@@ -29,11 +29,12 @@
 mod stall_detector;
 
 pub use ack_tracker::AckTracker;
-pub use fault_attribution::{FaultAttribution, Verdict};
+pub use fault_attribution::{AttributionChange, FaultAttribution};
 pub use pause_detector::PauseDetector;
 pub use peer_observations::{MisroutedWorkers, PeerObservations};
 pub use report_interval::ReportInterval;
 pub use silence_detector::{
-    Bounds, Finding, Group, Link, MachineObservation, SilenceAssessment, SilenceDetector,
+    Connectivity, FailureDomain, FleetAssessment, Liveness, MachineObservation, SilenceDetector,
+    SilenceThresholds,
 };
-pub use stall_detector::{StallDetector, Work};
+pub use stall_detector::{ProgressSnapshot, StallDetector};
--- a/crates/failure-detection/src/peer_observations.rs
+++ b/crates/failure-detection/src/peer_observations.rs
@@ -12,37 +12,40 @@
 #[derive(Debug, Default)]
 pub struct MisroutedWorkers {
     /// When it came, and whether it was sent to the holder.
-    came: BTreeMap<MachineId, (Time, bool)>,
+    record_report: BTreeMap<MachineId, (Time, bool)>,
 }
 
 impl MisroutedWorkers {
     /// A machine reported here. Returns whether it was sent to the holder within
     /// the last `within_s` seconds, and came back: the holder does not answer it.
-    pub fn came(&mut self, now: Time, id: MachineId, within_s: f64) -> bool {
-        let known = self.came.get(&id).copied();
+    pub fn record_report(&mut self, now: Time, id: MachineId, within_s: f64) -> bool {
+        let known = self.record_report.get(&id).copied();
         let again = known.is_some_and(|(at, sent)| sent && now.since(at) <= within_s);
-        if self.came.len() < MAX_MACHINES || known.is_some() {
-            self.came.insert(id, (now, false));
+        if self.record_report.len() < MAX_MACHINES || known.is_some() {
+            self.record_report.insert(id, (now, false));
         }
         again
     }
 
     /// It is sent to the holder.
-    pub fn sent_on(&mut self, id: MachineId) {
-        if let Some((_, sent)) = self.came.get_mut(&id) {
+    pub fn record_redirect(&mut self, id: MachineId) {
+        if let Some((_, sent)) = self.record_report.get_mut(&id) {
             *sent = true;
         }
     }
 
     /// There is another holder: nobody was sent to it yet.
-    pub fn leader_changed(&mut self) {
-        self.came.values_mut().for_each(|(_, sent)| *sent = false);
+    pub fn on_leader_changed(&mut self) {
+        self.record_report
+            .values_mut()
+            .for_each(|(_, sent)| *sent = false);
     }
 
     /// Who came within the last `within_s` seconds; the others are forgotten.
-    pub fn lately(&mut self, now: Time, within_s: f64) -> Vec<MachineId> {
-        self.came.retain(|_, (at, _)| now.since(*at) <= within_s);
-        self.came.keys().copied().collect()
+    pub fn recent(&mut self, now: Time, within_s: f64) -> Vec<MachineId> {
+        self.record_report
+            .retain(|_, (at, _)| now.since(*at) <= within_s);
+        self.record_report.keys().copied().collect()
     }
 }
 
@@ -54,7 +57,7 @@
 
 impl PeerObservations {
     /// A peer says that it hears these.
-    pub fn told(&mut self, now: Time, machines: impl Iterator<Item = MachineId>) {
+    pub fn record(&mut self, now: Time, machines: impl Iterator<Item = MachineId>) {
         for id in machines.take(MAX_MACHINES) {
             if self.heard.len() < MAX_MACHINES || self.heard.contains_key(&id) {
                 self.heard.insert(id, now);
@@ -63,12 +66,12 @@
     }
 
     /// Forgets what is older than `within_s` seconds.
-    pub fn forget(&mut self, now: Time, within_s: f64) {
+    pub fn expire(&mut self, now: Time, within_s: f64) {
         self.heard.retain(|_, at| now.since(*at) <= within_s);
     }
 
     /// Seconds since a peer last said that it hears this machine.
-    pub fn since(&self, now: Time, id: MachineId) -> Option<f64> {
+    pub fn age_s(&self, now: Time, id: MachineId) -> Option<f64> {
         self.heard.get(&id).map(|at| now.since(*at))
     }
 
@@ -90,33 +93,33 @@
         let id = |n: u32| MachineId::parse(&format!("n-{n:06}")).expect("a name");
         let at = |s: f64| Time::default().plus(10.0 + s);
         let mut v = MisroutedWorkers::default();
-        assert!(!v.came(at(0.0), id(1), 12.0));
-        v.sent_on(id(1));
+        assert!(!v.record_report(at(0.0), id(1), 12.0));
+        v.record_redirect(id(1));
         assert!(
-            v.came(at(5.0), id(1), 12.0),
+            v.record_report(at(5.0), id(1), 12.0),
             "it came back: where it was sent, nobody answers"
         );
-        v.sent_on(id(1));
-        assert!(!v.came(at(30.0), id(1), 12.0));
-        v.sent_on(id(1));
-        v.leader_changed();
+        v.record_redirect(id(1));
+        assert!(!v.record_report(at(30.0), id(1), 12.0));
+        v.record_redirect(id(1));
+        v.on_leader_changed();
         assert!(
-            !v.came(at(30.5), id(1), 12.0),
+            !v.record_report(at(30.5), id(1), 12.0),
             "the new holder may answer it"
         );
         for n in 0..MAX_MACHINES as u32 + 5_000 {
-            v.came(at(31.0), id(n), 12.0);
+            v.record_report(at(31.0), id(n), 12.0);
         }
-        let all = v.lately(at(31.0), 6.0);
+        let all = v.recent(at(31.0), 6.0);
         assert_eq!(all.len(), MAX_MACHINES);
         let mut e = PeerObservations::default();
-        e.told(at(31.0), all.iter().copied());
-        e.told(at(31.0), (0..40_000).map(id));
+        e.record(at(31.0), all.iter().copied());
+        e.record(at(31.0), (0..40_000).map(id));
         assert_eq!(e.len(), MAX_MACHINES);
         assert!(e
-            .since(at(33.0), id(3))
+            .age_s(at(33.0), id(3))
             .is_some_and(|s| (s - 2.0).abs() < 1e-6));
-        e.forget(at(40.0), 6.0);
+        e.expire(at(40.0), 6.0);
         assert!(e.is_empty());
     }
 
@@ -129,13 +132,13 @@
         let (mut misrouted_workers, mut heard) =
             (MisroutedWorkers::default(), PeerObservations::default());
         for n in 0..8_192 {
-            misrouted_workers.came(at(0.0), id(n), 12.0);
-            misrouted_workers.sent_on(id(n));
+            misrouted_workers.record_report(at(0.0), id(n), 12.0);
+            misrouted_workers.record_redirect(id(n));
         }
-        assert!((0..8_192).all(|n| misrouted_workers.came(at(1.0), id(n), 12.0)));
-        let all = misrouted_workers.lately(at(1.0), 6.0);
+        assert!((0..8_192).all(|n| misrouted_workers.record_report(at(1.0), id(n), 12.0)));
+        let all = misrouted_workers.recent(at(1.0), 6.0);
         assert_eq!(all.len(), 8_192);
-        heard.told(at(1.0), all.into_iter());
-        assert!((0..8_192).all(|n| heard.since(at(2.0), id(n)).is_some()));
+        heard.record(at(1.0), all.into_iter());
+        assert!((0..8_192).all(|n| heard.age_s(at(2.0), id(n)).is_some()));
     }
 }
--- a/crates/failure-detection/src/stall_detector.rs
+++ b/crates/failure-detection/src/stall_detector.rs
@@ -3,17 +3,17 @@
 use beamhinge_core::types::Time;
 
 /// Longest patience, seconds.
-const LONGEST_S: f64 = 300.0;
+const MAX_TIMEOUT_S: f64 = 300.0;
 
 /// What a holder finds at some moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct ProgressSnapshot {
     /// There is something to write.
-    pub waiting: bool,
+    pub work_pending: bool,
     /// When the books last moved: a commit, or a reply to a load.
-    pub moved: Time,
+    pub last_progress: Time,
     /// The state service answered lately.
-    pub reached: bool,
+    pub store_reachable: bool,
 }
 
 /// Tells a holder that is stuck from one that is idle, cut off or merely slow.
@@ -22,52 +22,52 @@
 /// if it commits nothing, nothing starts and nothing ends, until somebody looks.
 #[derive(Debug)]
 pub struct StallDetector {
-    patience_s: f64,
+    timeout_s: f64,
     since: Option<Time>,
-    told: bool,
+    reported: bool,
 }
 
 impl StallDetector {
     /// Stuck after `patience_s` seconds.
-    pub fn new(patience_s: f64) -> StallDetector {
+    pub fn new(timeout_s: f64) -> StallDetector {
         StallDetector {
-            patience_s,
+            timeout_s,
             since: None,
-            told: false,
+            reported: false,
         }
     }
 
     /// Takes in how things stand. True once for each stall: now it is one.
-    pub fn look(&mut self, now: Time, work: Work) -> bool {
-        if !work.waiting || !work.reached {
-            (self.since, self.told) = (None, false);
+    pub fn observe(&mut self, now: Time, work: ProgressSnapshot) -> bool {
+        if !work.work_pending || !work.store_reachable {
+            (self.since, self.reported) = (None, false);
             return false;
         }
         let since = match self.since {
-            Some(s) => s.max(work.moved),
+            Some(s) => s.max(work.last_progress),
             None => now,
         };
-        if self.since.is_some_and(|s| s < work.moved) {
-            self.told = false;
+        if self.since.is_some_and(|s| s < work.last_progress) {
+            self.reported = false;
         }
         self.since = Some(since);
-        let stuck = now.since(since) > self.patience_s;
-        let news = stuck && !self.told;
-        self.told = stuck;
+        let stuck = now.since(since) > self.timeout_s;
+        let news = stuck && !self.reported;
+        self.reported = stuck;
         news
     }
 
     /// Handed over: the next time more patience is due, or a fault that all
     /// share would send the lead round for ever.
-    pub fn handed_over(&mut self) {
-        self.patience_s = (self.patience_s * 2.0).min(LONGEST_S);
-        (self.since, self.told) = (None, false);
+    pub fn on_handover(&mut self) {
+        self.timeout_s = (self.timeout_s * 2.0).min(MAX_TIMEOUT_S);
+        (self.since, self.reported) = (None, false);
     }
 
     /// Seconds for which it has been stuck.
-    pub fn stuck_s(&self, now: Time) -> Option<f64> {
+    pub fn stalled_for_s(&self, now: Time) -> Option<f64> {
         let s = now.since(self.since?);
-        (s > self.patience_s).then_some(s)
+        (s > self.timeout_s).then_some(s)
     }
 }
 
@@ -78,27 +78,27 @@
     #[test]
     fn stuck_is_neither_idle_nor_cut_off_nor_slow() {
         let at = |s: f64| Time::default().plus(10.0 + s);
-        let work = |moved: f64| Work {
-            waiting: true,
-            moved: at(moved),
-            reached: true,
+        let work = |last_progress: f64| ProgressSnapshot {
+            work_pending: true,
+            last_progress: at(last_progress),
+            store_reachable: true,
         };
         let mut s = StallDetector::new(8.0);
-        let run = |s: &mut StallDetector, w: Work, from: u32, to: u32| -> u32 {
+        let run = |s: &mut StallDetector, w: ProgressSnapshot, from: u32, to: u32| -> u32 {
             (from..to)
-                .map(|t| u32::from(s.look(at(f64::from(t)), w)))
+                .map(|t| u32::from(s.observe(at(f64::from(t)), w)))
                 .sum()
         };
-        let idle = Work {
-            waiting: false,
+        let idle = ProgressSnapshot {
+            work_pending: false,
             ..work(0.0)
         };
         assert_eq!(run(&mut s, idle, 0, 60), 0);
         // Work that came after a long idle time has just begun to wait.
         assert_eq!(run(&mut s, work(0.0), 60, 68), 0);
         assert_eq!(run(&mut s, work(66.0), 68, 74), 0, "it moved meanwhile");
-        let away = Work {
-            reached: false,
+        let away = ProgressSnapshot {
+            store_reachable: false,
             ..work(66.0)
         };
         assert_eq!(run(&mut s, away, 74, 100), 0);
@@ -108,10 +108,10 @@
             "the outage does not count"
         );
         assert_eq!(run(&mut s, work(66.0), 108, 140), 1, "told once");
-        assert!(s.stuck_s(at(140.0)).is_some_and(|t| t > 30.0));
+        assert!(s.stalled_for_s(at(140.0)).is_some_and(|t| t > 30.0));
         assert_eq!(run(&mut s, work(140.0), 140, 142), 0);
-        assert!(s.stuck_s(at(142.0)).is_none());
-        s.handed_over();
+        assert!(s.stalled_for_s(at(142.0)).is_none());
+        s.on_handover();
         assert_eq!(run(&mut s, work(140.0), 142, 158), 0, "twice the patience");
         assert_eq!(run(&mut s, work(140.0), 158, 170), 1);
     }
