--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -18,7 +18,7 @@
 use beamhinge_core::settings::{Settings, Team};
 use beamhinge_core::types::{RequestId, Revision, Time, WallMs};
 use beamhinge_core::wire;
-use beamhinge_rate_limit::{Full, Transaction};
+use beamhinge_rate_limit::{Transaction, TransactionError};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -299,7 +299,7 @@
         };
         let mut transaction = store.transaction();
         if transaction
-            .write(
+            .put(
                 member_key(&self.label),
                 revision,
                 wire::to_value(&member),
@@ -427,12 +427,16 @@
     }
 
     /// Every write is conditional; and all controllers must still know of configuration.
-    fn transaction(&self, plan: &Plan, mut transaction: Transaction) -> Result<Transaction, Full> {
+    fn transaction(
+        &self,
+        plan: &Plan,
+        mut transaction: Transaction,
+    ) -> Result<Transaction, TransactionError> {
         let revision = self
             .head
             .as_ref()
             .map_or(Revision(0), |(revision, _)| *revision);
-        transaction.write(HEAD, revision, wire::to_value(&plan.head), None)?;
+        transaction.put(HEAD, revision, wire::to_value(&plan.head), None)?;
         for label in &self.labels {
             let revision = self
                 .members
@@ -445,12 +449,12 @@
                 .chunks
                 .get(n)
                 .map_or(Revision(0), |(revision, _)| *revision);
-            transaction.write(chunk_key(*n), revision, wire::to_value(chunk), None)?;
+            transaction.put(chunk_key(*n), revision, wire::to_value(chunk), None)?;
         }
         let version = plan.head.version.0;
         for (part, record) in plan.record.iter().enumerate() {
             let key = record_key(version, part as u32);
-            transaction.write(key, Revision(0), wire::to_value(record), None)?;
+            transaction.put(key, Revision(0), wire::to_value(record), None)?;
         }
         if let Some(old) = plan.forget {
             for ((version, part), (revision, _)) in
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -264,7 +264,7 @@
                     v: VERSION,
                     directive,
                 });
-                if let Err(full) = transaction.write(key(&p.change.target), revision, value, None) {
+                if let Err(full) = transaction.put(key(&p.change.target), revision, value, None) {
                     tracing::error!("{:?} cannot be kept: {full}", p.change.target);
                     told.push((p.request, Told::Busy("it is longer than can be kept")));
                     continue;
--- a/crates/controller/src/fleet/inventory.rs
+++ b/crates/controller/src/fleet/inventory.rs
@@ -48,7 +48,7 @@
     /// Rental names are recorded before they are used. They begin with our
     /// token, so nobody else can ever use the same name.
     pub(super) fn keep_record(&mut self, now: Time, store: &mut StoreClient<Tag>) {
-        if self.record_in_flight || now < self.retry_at || !self.backoff.due(now) {
+        if self.record_in_flight || now < self.retry_at || !self.backoff.is_due(now) {
             return;
         }
         let Some(revision) = self.record else {
@@ -70,7 +70,7 @@
         // many as fit. The rest waits, and is not rented under until it is there.
         let (kept, new): (Vec<&Rental>, Vec<&Rental>) =
             self.rentals.iter().partition(|r| r.recorded);
-        let mut take = (new.len() / self.backoff.part()).max(1);
+        let mut take = (new.len() / self.backoff.divisor()).max(1);
         let mut listed = true;
         loop {
             let fresh = new.iter().take(take).map(|r| r.row.clone());
@@ -94,7 +94,7 @@
             let built = transaction
                 .when(crate::leader_election::BLOCK_KEY, Revision(self.token.0))
                 .and_then(|()| {
-                    transaction.write(RENTALS_KEY, revision, wire::to_value(&record), None)
+                    transaction.put(RENTALS_KEY, revision, wire::to_value(&record), None)
                 });
             match built {
                 Ok(()) => {
@@ -120,7 +120,7 @@
         self.rentals.retain(|r| r.recorded);
         let dropped = before - self.rentals.len();
         tracing::error!("{dropped} rentals could not be recorded and are given up");
-        self.backoff.succeeded();
+        self.backoff.on_success();
         self.retry_at = now.plus(RECORD_PAUSE_S);
     }
 
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -23,7 +23,7 @@
     Connectivity, FailureDomain, Liveness, MachineObservation, PauseDetector, PeerObservations,
     SilenceDetector, SilenceThresholds,
 };
-use beamhinge_rate_limit::{AdaptiveBackoff, Next};
+use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -476,13 +476,13 @@
         }
         let mut batch = Vec::new();
         // Not after every report: that would cost the whole fleet each time.
-        if now.since(term.returned) >= 0.1 && term.releases.due(now) {
+        if now.since(term.returned) >= 0.1 && term.releases.is_due(now) {
             term.returned = now;
             let wanted = term
                 .instances
                 .iter_mut()
                 .filter(|(_, i)| matches!(i.release, Release::Wanted | Release::Dead));
-            let most = (MAX_PER_RELEASE / term.releases.part()).max(1);
+            let most = (MAX_PER_RELEASE / term.releases.divisor()).max(1);
             for (id, i) in wanted.take(most) {
                 i.release = Release::InFlight;
                 batch.push(*id);
@@ -721,20 +721,20 @@
                         term.instances.remove(&id);
                         term.released.insert(id, now);
                     }
-                    term.releases.succeeded();
+                    term.releases.on_success();
                     return;
                 }
                 let malformed = matches!(&result, Some((400, _)));
                 let aside = if malformed {
-                    term.releases.malformed(now) == Next::Aside
+                    term.releases.malformed(now) == RetryAction::SetAside
                 } else {
-                    term.releases.busy(now);
+                    term.releases.on_refused(now);
                     false
                 };
                 if aside {
                     // What the cloud will not take back keeps no other machine.
                     tracing::error!("the cloud refuses the release of {ids:?}; they are left");
-                    term.releases.succeeded();
+                    term.releases.on_success();
                     return;
                 }
                 for id in ids {
@@ -822,7 +822,7 @@
             (FleetCall::WriteRentals, Outcome::Ok(body)) => {
                 match wire::decode::<Committed>(&body) {
                     Ok(c) => {
-                        term.backoff.succeeded();
+                        term.backoff.on_success();
                         term.record = Some(Revision(c.rev));
                         for r in &mut term.rentals {
                             if term.written.contains(&r.row.name) {
@@ -834,12 +834,12 @@
                 }
             }
             (FleetCall::WriteRentals, Outcome::Refused) => {
-                term.backoff.busy(now);
+                term.backoff.on_refused(now);
                 term.retry_at = now.plus(0.2);
             }
             // Half of what is new goes into the next; in the end none of it.
             (FleetCall::WriteRentals, Outcome::Malformed) => {
-                if term.backoff.malformed(now) == Next::Aside {
+                if term.backoff.malformed(now) == RetryAction::SetAside {
                     term.give_up_rentals(now);
                 }
             }
--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -9,7 +9,7 @@
 use crate::calls::{ElectionCall, Tag};
 use crate::faults::{broken, Faults};
 use crate::store::{
-    Committed, Full, LeaseGrant, News, Outcome, Priority, Reply, Scan, StoreClient,
+    Committed, LeaseGrant, News, Outcome, Priority, Reply, Scan, StoreClient, TransactionError,
 };
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{FencingToken, Revision, Time};
@@ -322,7 +322,7 @@
             let built = transaction
                 .when(BLOCK_KEY, Revision(token.0))
                 .and_then(|()| {
-                    transaction.write(
+                    transaction.put(
                         LEADERSHIP_KEY,
                         revision,
                         wire::to_value(&self.identity),
@@ -347,8 +347,8 @@
                 let mut transaction = store.transaction();
                 let identity = wire::to_value(&self.identity);
                 let built = transaction
-                    .write(LEADERSHIP_KEY, revision, identity.clone(), Some(lease_id))
-                    .and_then(|()| transaction.write(BLOCK_KEY, *block_revision, identity, None));
+                    .put(LEADERSHIP_KEY, revision, identity.clone(), Some(lease_id))
+                    .and_then(|()| transaction.put(BLOCK_KEY, *block_revision, identity, None));
                 match built {
                     Ok(()) => store.commit(
                         now,
@@ -546,7 +546,7 @@
     }
 
     /// A label too long for any value: nothing can be led with it.
-    fn on_unwritable(&mut self, now: Time, full: Full) {
+    fn on_unwritable(&mut self, now: Time, full: TransactionError) {
         tracing::error!("the lead cannot be written: {full}");
         self.acquiring = false;
         self.retry_at = now.plus(10.0);
--- a/crates/controller/src/market.rs
+++ b/crates/controller/src/market.rs
@@ -658,7 +658,7 @@
             let mut transaction = store.transaction();
             let built = transaction
                 .when(crate::leader_election::BLOCK_KEY, Revision(token.0))
-                .and_then(|()| transaction.write(KEY, revision, wire::to_value(&record), None));
+                .and_then(|()| transaction.put(KEY, revision, wire::to_value(&record), None));
             if built.is_ok() {
                 store.commit(
                     now,
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -268,7 +268,7 @@
                     self.misrouted_workers.on_leader_changed();
                 }
                 self.leader_detector
-                    .heartbeat(now, &label, FencingToken(token));
+                    .on_heartbeat(now, &label, FencingToken(token));
                 self.peers.holds(now, &label, FencingToken(token));
                 // Guard 1: a higher token was taken, so ours is over.
                 let change = self.election.on_token_claim(now, token);
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -228,7 +228,7 @@
                 let seen = FencingToken(report.fencing_token);
                 machine
                     .into_iter()
-                    .for_each(|m| self.leader_detector.reported_here(now, m, seen));
+                    .for_each(|m| self.leader_detector.on_misrouted_report(now, m, seen));
                 let leader = self.peers.leader(now).or(self.election.other_leader());
                 // Sent to the holder a moment ago and back again: it is not
                 // answered there, and would wait for its time-out once more. Nor is
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -10,7 +10,7 @@
 use beamhinge_core::types::{CallId, FencingToken, MachineId, Time, WallMs};
 use beamhinge_core::wire;
 use beamhinge_failure_detection::ProgressSnapshot;
-use beamhinge_standby::{turn_after, Observer, HEARTBEAT_S};
+use beamhinge_standby::{takeover_rank, Observer, HEARTBEAT_S};
 use serde::Serialize;
 use std::net::SocketAddrV4;
 
@@ -262,13 +262,13 @@
         let own = Observer {
             store_age_s: self.store_age(now),
             // What changed since is read after the take, before anything is placed.
-            warm: self.job_store.loaded(),
-            back_for_s: self.pause_detector.resumed_for_s(now),
-            turn: turn_after(&leader, &self.settings.label, members),
+            jobs_loaded: self.job_store.loaded(),
+            resumed_for_s: self.pause_detector.resumed_for_s(now),
+            rank: takeover_rank(&leader, &self.settings.label, members),
         };
         if let Some(gone) = self
             .leader_detector
-            .suspected(now, own)
+            .suspect(now, own)
             .filter(|gone| *gone == leader)
         {
             tracing::info!("{gone} is not heard and its workers come here: taking the lead");
--- a/crates/controller/src/replica.rs
+++ b/crates/controller/src/replica.rs
@@ -115,7 +115,7 @@
     /// Loops that keep the copy as fresh as wanted: `ask` when somebody waits
     /// for an answer, `follow` where each change is to be seen at once.
     pub fn tick(&mut self, now: Time, ask: bool, follow: bool, store: &mut StoreClient<Tag>) {
-        if !self.backoff.due(now) {
+        if !self.backoff.is_due(now) {
             return;
         }
         let ReplicaConfig {
@@ -189,7 +189,7 @@
         match reply.outcome {
             Outcome::Ok(body) if call == ReplicaCall::Scan => {
                 let Ok(page) = wire::decode::<Scan>(&body) else {
-                    self.backoff.busy(now);
+                    self.backoff.on_refused(now);
                     return Update::nothing(Freshness::Failed);
                 };
                 // Not yet a success: a watch that is refused after every scan would
@@ -198,13 +198,13 @@
             }
             Outcome::Ok(body) => {
                 let Ok(news) = wire::decode::<News>(&body) else {
-                    self.backoff.busy(now);
+                    self.backoff.on_refused(now);
                     return Update::nothing(Freshness::Failed);
                 };
                 // Two watches may be out, and the older answer come last. What is
                 // not newer than the copy is in it; taken once more, it would
                 // bring back a key that was deleted since.
-                self.backoff.succeeded();
+                self.backoff.on_success();
                 let newer = news.news.into_iter().filter(|c| c.revision > self.rev);
                 let changes = newer.filter_map(|c| {
                     let value = if c.write.is_some() {
@@ -231,14 +231,14 @@
             // revision that the service never gave out: only a new scan leads on.
             Outcome::Gone | Outcome::Malformed => {
                 if matches!(reply.outcome, Outcome::Malformed) {
-                    self.backoff.busy(now);
+                    self.backoff.on_refused(now);
                 }
                 self.loaded = false;
                 self.scan = None;
                 Update::nothing(Freshness::Failed)
             }
             _ => {
-                self.backoff.busy(now);
+                self.backoff.on_refused(now);
                 if call == ReplicaCall::Scan {
                     self.scan = None;
                 }
--- a/crates/controller/src/replica/tests.rs
+++ b/crates/controller/src/replica/tests.rs
@@ -107,13 +107,13 @@
         m.on_reply(now, ReplicaCall::Refresh, reply);
         let gap = (1..30)
             .map(|i| f64::from(i) * 0.1)
-            .find(|s| m.backoff.due(now.plus(*s)));
+            .find(|s| m.backoff.is_due(now.plus(*s)));
         gaps.push(gap.expect("asked again in the end"));
         now = now.plus(3.0);
     }
     assert_eq!(gaps, [0.2, 0.4, 0.8, 1.0, 1.0]);
     let news = json!({"ledgerRev": 1, "news": []});
-    assert!(take(&mut m, ReplicaCall::Refresh, news).is_empty() && m.backoff.tries() == 0);
+    assert!(take(&mut m, ReplicaCall::Refresh, news).is_empty() && m.backoff.refusals() == 0);
 }
 
 #[test]
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -16,7 +16,7 @@
 use crate::progress::{self, Open, Progress, ProgressPages, ProgressWrite};
 use crate::split::{Demand, MachineType, Resources, EPSILON};
 use crate::store::{
-    Committed, Full, Item, Outcome, Priority, Reply, Scan, StoreClient, Transaction,
+    Committed, Item, Outcome, Priority, Reply, Scan, StoreClient, Transaction, TransactionError,
 };
 use beamhinge_admin_api::directives::Directive;
 use beamhinge_admin_api::messages::What;
@@ -29,7 +29,7 @@
 use beamhinge_failure_detection::{AckTracker, FaultAttribution, ReportInterval};
 use beamhinge_preemption::{Figures, Places, Stops};
 use beamhinge_priority_aging::{Policy, Reservations};
-use beamhinge_rate_limit::{AdaptiveBackoff, Next};
+use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -309,7 +309,7 @@
 
     /// Another holder got nowhere: begin with the smallest transactions.
     pub fn begin_small(&mut self) {
-        self.backoff.begin_small();
+        self.backoff.slow_start();
     }
 
     /// Silence from which a machine is overdue, seconds.
--- a/crates/controller/src/scheduler/persistence.rs
+++ b/crates/controller/src/scheduler/persistence.rs
@@ -49,7 +49,7 @@
 
     pub(super) fn drive_load(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         let Some(load) = &mut self.load else { return };
-        if load.in_flight || !self.loads.due(now) {
+        if load.in_flight || !self.loads.is_due(now) {
             return;
         }
         load.in_flight = true;
@@ -76,14 +76,14 @@
         let Some(load) = &mut self.load else { return };
         load.in_flight = false;
         let Outcome::Ok(body) = reply.outcome else {
-            self.loads.busy(now);
+            self.loads.on_refused(now);
             return;
         };
         let Ok(scan) = wire::decode::<Scan>(&body) else {
-            self.loads.busy(now);
+            self.loads.on_refused(now);
             return;
         };
-        self.loads.succeeded();
+        self.loads.on_success();
         self.moved = now;
         load.after = if scan.more {
             scan.pairs.last().map(|p| p.path.clone())
@@ -261,12 +261,12 @@
         if self.in_flight.is_some() || self.load.is_some() || now < self.retry_at {
             return;
         }
-        if !self.backoff.due(now) {
+        if !self.backoff.is_due(now) {
             return;
         }
-        let limits = store.limits().part(self.backoff.part());
+        let limits = store.limits().part(self.backoff.divisor());
         let limits = match broken!(self.faults, unbounded) {
-            true => beamhinge_rate_limit::Limits {
+            true => beamhinge_rate_limit::TransactionLimits {
                 conditions: limits.conditions * 2,
                 ..limits
             },
@@ -295,7 +295,7 @@
                 // One write stays for progress, without which nothing is cleared.
                 Kind::Pages => {
                     let keep = usize::from(!few);
-                    while transaction.writes_left() > keep
+                    while transaction.remaining_writes() > keep
                         && self.add_page(now, &mut transaction, &mut in_flight)
                     {
                     }
@@ -306,7 +306,7 @@
                 Kind::Removals => self.clean_up(now, store, &mut transaction, &mut in_flight),
             }
         }
-        if transaction.writes() == 0 {
+        if transaction.write_count() == 0 {
             return;
         }
         self.turn = (self.turn + 1) % KINDS.len();
@@ -347,9 +347,9 @@
         in_flight: &mut InFlightCommit,
     ) {
         let most = if few {
-            transaction.writes_left()
+            transaction.remaining_writes()
         } else {
-            transaction.writes_left() / 2
+            transaction.remaining_writes() / 2
         };
         let mut due: Vec<JobId> = self
             .complete
@@ -373,7 +373,7 @@
             if let Some(job) = self.jobs.get(&id).filter(|j| j.state == JobState::Open) {
                 let record = job_store::done_record(&job.spec);
                 if transaction
-                    .write(job_store::key(id), job.revision, record, None)
+                    .put(job_store::key(id), job.revision, record, None)
                     .is_err()
                 {
                     return;
@@ -392,12 +392,15 @@
         in_flight: &mut InFlightCommit,
     ) -> bool {
         let key = self.pages.fresh_key();
-        let most_bytes = transaction.value_left(key.len()).min(self.value_limit);
+        let most_bytes = transaction
+            .remaining_value_bytes(key.len())
+            .min(self.value_limit);
         // A condition stays for each write that may follow: a page that took
         // them all left a transaction that was refused as too large, for ever.
-        let keep = transaction.writes_left();
+        let keep = transaction.remaining_writes();
         let mut rows: Vec<Row> = Vec::new();
-        while rows.len() < blocks::rows_per_page(most_bytes) && transaction.conditions_left() > keep
+        while rows.len() < blocks::rows_per_page(most_bytes)
+            && transaction.remaining_conditions() > keep
         {
             let Some((machine, task)) = self.plans.pop_front() else {
                 break;
@@ -440,9 +443,9 @@
             self.not_placed(rest);
             value = blocks::encode_page(&rows);
         }
-        match transaction.write(key.clone(), Revision(0), value, None) {
+        match transaction.put(key.clone(), Revision(0), value, None) {
             Ok(()) => in_flight.pages.push((key, rows)),
-            Err(Full::Never { bytes, limit }) => {
+            Err(TransactionError::TooLarge { bytes, limit }) => {
                 tracing::error!("a page of one row takes {bytes} bytes of {limit}");
                 let jobs: BTreeSet<JobId> = rows.iter().map(|r| r.task.job).collect();
                 self.not_placed(rows);
@@ -498,8 +501,8 @@
             due.into_iter().partition(|s| *s <= self.last_progress_page);
         for progress_page in after.into_iter().chain(before) {
             let key = progress::progress_page_key(progress_page);
-            if transaction.writes_left() == 0
-                || transaction.value_left(key.len()) < self.value_limit
+            if transaction.remaining_writes() == 0
+                || transaction.remaining_value_bytes(key.len()) < self.value_limit
             {
                 return;
             }
@@ -511,14 +514,14 @@
             else {
                 continue;
             };
-            match transaction.write(key, revision, value, None) {
+            match transaction.put(key, revision, value, None) {
                 Ok(()) => {
                     in_flight.progress_write.append(one);
                     (self.progress_written_at, self.last_progress_page) = (now, progress_page);
                 }
                 Err(full) => {
                     self.progress_pages.unwritten(&one, &mut self.jobs);
-                    if full != Full::Now {
+                    if full != TransactionError::Full {
                         tracing::error!("shelf {progress_page} cannot be written: {full}");
                         self.deferred
                             .insert(WorkUnit::ProgressPage(progress_page), now.plus(ASIDE_S));
@@ -539,10 +542,10 @@
         in_flight: &mut InFlightCommit,
     ) {
         let (level, rate) = store.writes_left(now);
-        let spare = (level - transaction.writes() as f64 - rate * 0.4).max(0.0) as usize;
+        let spare = (level - transaction.write_count() as f64 - rate * 0.4).max(0.0) as usize;
         let due = (now.since(self.cleaned_at) * rate * CROWD_PART).min(rate) as usize;
         let crowded = self.pages.dead_count().saturating_sub(DEAD_PAGES).min(due);
-        let mut room = transaction.writes_left().min(spare.max(crowded));
+        let mut room = transaction.remaining_writes().min(spare.max(crowded));
         let dead = self
             .pages
             .dead()
@@ -636,7 +639,7 @@
                     self.reload();
                     return CommitOutcome::Unchanged;
                 };
-                self.backoff.succeeded();
+                self.backoff.on_success();
                 self.moved = now;
                 self.committed(now, in_flight, Revision(done.rev), job_store);
                 CommitOutcome::Confirmed(sent)
@@ -669,7 +672,7 @@
             }
             Outcome::Refused => {
                 self.not_committed(now, in_flight);
-                self.backoff.busy(now);
+                self.backoff.on_refused(now);
                 CommitOutcome::Unchanged
             }
             // The same again would be refused again: less of it is tried, and
@@ -679,13 +682,13 @@
                     self.not_committed(now, in_flight);
                     return CommitOutcome::Unchanged;
                 }
-                let deferred = self.backoff.malformed(now) == Next::Aside;
+                let deferred = self.backoff.malformed(now) == RetryAction::SetAside;
                 if deferred {
                     self.set_aside(now, &in_flight);
                 }
                 self.not_committed(now, in_flight);
                 if deferred {
-                    self.backoff.succeeded();
+                    self.backoff.on_success();
                 }
                 CommitOutcome::Unchanged
             }
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::store::StoreClient;
 use beamhinge_core::messages::Effect;
-use beamhinge_rate_limit::Limits;
+use beamhinge_rate_limit::TransactionLimits;
 use proptest::prelude::*;
 use serde_json::json;
 
@@ -92,7 +92,7 @@
 }
 
 /// Counts a body anew, without the code that built it.
-fn within(body: &[u8], limits: Limits) -> Result<(), String> {
+fn within(body: &[u8], limits: TransactionLimits) -> Result<(), String> {
     let transaction: serde_json::Value = wire::decode::<ciborium::Value>(body)
         .ok()
         .and_then(|v| v.deserialized().ok())
@@ -110,7 +110,12 @@
         transaction.to_string().len(),
         longest,
     );
-    let most = (limits.writes, limits.conditions, limits.bytes, limits.value);
+    let most = (
+        limits.writes,
+        limits.conditions,
+        limits.bytes,
+        limits.value_bytes,
+    );
     if sizes.0 > most.0 || sizes.1 > most.1 || sizes.2 > most.2 || sizes.3 > most.3 {
         return Err(format!("{sizes:?} where {most:?} are allowed"));
     }
@@ -176,7 +181,7 @@
         Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("the sample is sound");
     settings.params.state.txn_ops = txn_ops;
     settings.params.state.value_kb = value_kb;
-    let limits = Limits::of(&settings.params.state);
+    let limits = TransactionLimits::of(&settings.params.state);
     let mut now = Time::from_micros(1_000_000);
     let mut store: StoreClient<Tag> = StoreClient::new(&settings);
     let active_directives = Rc::default();
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -9,8 +9,8 @@
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{CallId, Time};
 use beamhinge_core::wire;
-use beamhinge_rate_limit::Limits;
-pub use beamhinge_rate_limit::{Full, Transaction};
+use beamhinge_rate_limit::TransactionLimits;
+pub use beamhinge_rate_limit::{Transaction, TransactionError};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -142,7 +142,7 @@
     /// Writes that take jobs in, while others wait.
     accepts: Bucket,
     full: (f64, f64),
-    limits: Limits,
+    limits: TransactionLimits,
     queues: [VecDeque<Queued<T>>; PRIORITIES],
     in_flight: BTreeMap<CallId, (T, Time)>,
     refused: Vec<Reply<T>>,
@@ -170,7 +170,7 @@
                 at: Time::default(),
             },
             full: (s.rps, s.write_rps),
-            limits: Limits::of(s),
+            limits: TransactionLimits::of(s),
             queues: Default::default(),
             in_flight: BTreeMap::new(),
             refused: Vec::new(),
@@ -190,7 +190,7 @@
     }
 
     /// What one transaction may hold and still ever be sent.
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> TransactionLimits {
         self.limits.paced((self.writes.rate as usize).max(2))
     }
 
@@ -241,7 +241,7 @@
     }
 
     pub fn commit(&mut self, now: Time, p: Priority, tag: T, transaction: Transaction) {
-        let puts = transaction.writes();
+        let puts = transaction.write_count();
         self.push(
             now,
             p,
--- a/crates/controller/src/store/tests.rs
+++ b/crates/controller/src/store/tests.rs
@@ -79,7 +79,7 @@
         .expect("room");
     let value = wire::to_value(&serde_json::json!({"a": 1.5}));
     transaction
-        .write(
+        .put(
             "lead/now",
             beamhinge_core::types::Revision(0),
             value,
@@ -87,7 +87,7 @@
         )
         .expect("room");
     transaction
-        .write(
+        .put(
             "p/41-1",
             beamhinge_core::types::Revision(9),
             Value::Null,
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -9,7 +9,7 @@
 use crate::job_store::{self, JobKind, JobSpec, JobState, JobStore, Urgency};
 use crate::replica::Freshness;
 use crate::split::{self, MachineType, Resources};
-use crate::store::{Committed, Full, Outcome, Priority, Reply, StoreClient};
+use crate::store::{Committed, Outcome, Priority, Reply, StoreClient, TransactionError};
 use beamhinge_configuration::EffectiveTeam;
 use beamhinge_core::messages::{Effect, TaskCounts};
 use beamhinge_core::settings::Settings;
@@ -590,8 +590,7 @@
                     let mut transaction = store.transaction();
                     let revision = entry.map_or(Revision(0), |e| e.revision);
                     let value = job_store::cancelled_record(spec);
-                    if let Err(full) = transaction.write(job_store::key(*id), revision, value, None)
-                    {
+                    if let Err(full) = transaction.put(job_store::key(*id), revision, value, None) {
                         tracing::error!("the cancellation of {id} cannot be written: {full}");
                         over.push((*id, None));
                         continue;
@@ -682,16 +681,16 @@
                 };
                 // One that is refused takes the others with it: few at a time.
                 let other = patient != (a.spec.urgency == Urgency::BestEffort);
-                if transaction.writes() >= most || other {
+                if transaction.write_count() >= most || other {
                     break;
                 }
                 let value = job_store::open_record(&a.spec);
-                match transaction.write(job_store::key(id), Revision(0), value, None) {
+                match transaction.put(job_store::key(id), Revision(0), value, None) {
                     Ok(()) => {
                         a.in_flight = true;
                         ids.push(id);
                     }
-                    Err(Full::Now) => break,
+                    Err(TransactionError::Full) => break,
                     // `judge` lets none of these through; its user is told at
                     // once, and the others go on.
                     Err(full) => {
--- a/crates/rate-limit/src/backoff.rs
+++ b/crates/rate-limit/src/backoff.rs
@@ -9,12 +9,12 @@
 
 /// What follows a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryAction {
     /// Again, smaller by the part that [`Course::part`] tells.
-    Smaller,
+    Reduce,
     /// At its smallest it was refused again and again: what it holds is to be
     /// set aside and named, so that the rest goes on.
-    Aside,
+    SetAside,
 }
 
 /// How one kind of work is tried again.
@@ -44,44 +44,44 @@
     }
 
     /// Whether the pause after the last refusal is over.
-    pub fn due(&self, now: Time) -> bool {
+    pub fn is_due(&self, now: Time) -> bool {
         now >= self.until
     }
 
     /// By how much the next try is to be smaller than the first.
-    pub fn part(&self) -> usize {
+    pub fn divisor(&self) -> usize {
         1 << self.malformed.min(MAX_HALVINGS)
     }
 
     /// Refusals in a row, of either kind.
-    pub fn tries(&self) -> u32 {
+    pub fn refusals(&self) -> u32 {
         self.malformed + self.refused
     }
 
     /// Begins at the smallest size: elsewhere larger ones got nowhere.
-    pub fn begin_small(&mut self) {
+    pub fn slow_start(&mut self) {
         self.malformed = ASIDE;
     }
 
     /// It was taken.
-    pub fn succeeded(&mut self) {
+    pub fn on_success(&mut self) {
         (self.malformed, self.refused) = (0, 0);
     }
 
     /// It was not executed for lack of rate, or since the service is away.
-    pub fn busy(&mut self, now: Time) {
+    pub fn on_refused(&mut self, now: Time) {
         self.refused = self.refused.saturating_add(1);
         self.pause(now, self.refused);
     }
 
     /// The service calls it malformed, and would do so again.
-    pub fn malformed(&mut self, now: Time) -> Next {
+    pub fn malformed(&mut self, now: Time) -> RetryAction {
         self.malformed = self.malformed.saturating_add(1);
         self.pause(now, self.malformed);
         if self.malformed > ASIDE {
-            Next::Aside
+            RetryAction::SetAside
         } else {
-            Next::Smaller
+            RetryAction::Reduce
         }
     }
 
@@ -102,18 +102,18 @@
         let mut now = Time::from_micros(1);
         let mut parts = Vec::new();
         for _ in 0..ASIDE {
-            assert_eq!(backoff.malformed(now), Next::Smaller);
+            assert_eq!(backoff.malformed(now), RetryAction::Reduce);
             assert!(
-                !backoff.due(now) && backoff.due(now.plus(2.0)),
+                !backoff.is_due(now) && backoff.is_due(now.plus(2.0)),
                 "never at once, never for ever"
             );
             now = now.plus(2.0);
-            parts.push(backoff.part());
+            parts.push(backoff.divisor());
         }
         assert_eq!(parts, [2, 4, 8, 16, 32, 64]);
-        assert_eq!(backoff.malformed(now), Next::Aside);
-        backoff.succeeded();
-        assert_eq!((backoff.part(), backoff.tries()), (1, 0));
+        assert_eq!(backoff.malformed(now), RetryAction::SetAside);
+        backoff.on_success();
+        assert_eq!((backoff.divisor(), backoff.refusals()), (1, 0));
     }
 
     #[test]
@@ -121,9 +121,9 @@
         let mut backoff = AdaptiveBackoff::new(0.1, 1.0);
         let now = Time::from_micros(1);
         for _ in 0..40 {
-            backoff.busy(now);
+            backoff.on_refused(now);
         }
-        assert_eq!((backoff.part(), backoff.tries()), (1, 40));
-        assert!(!backoff.due(now.plus(0.9)) && backoff.due(now.plus(1.1)));
+        assert_eq!((backoff.divisor(), backoff.refusals()), (1, 40));
+        assert!(!backoff.is_due(now.plus(0.9)) && backoff.is_due(now.plus(1.1)));
     }
 }
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -21,5 +21,5 @@
 mod backoff;
 mod transaction;
 
-pub use backoff::{AdaptiveBackoff, Next};
-pub use transaction::{Full, Limits, Transaction};
+pub use backoff::{AdaptiveBackoff, RetryAction};
+pub use transaction::{Transaction, TransactionError, TransactionLimits};
--- a/crates/rate-limit/src/transaction.rs
+++ b/crates/rate-limit/src/transaction.rs
@@ -22,7 +22,7 @@
 
 /// What one transaction may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct TransactionLimits {
     /// Puts and deletes.
     pub writes: usize,
     /// Keys that are compared.
@@ -30,23 +30,23 @@
     /// Bytes of the whole body in its JSON form.
     pub bytes: usize,
     /// Bytes of one value in its JSON form.
-    pub value: usize,
+    pub value_bytes: usize,
 }
 
-impl Limits {
+impl TransactionLimits {
     /// The limits of a state service with these settings.
-    pub fn of(state: &settings::State) -> Limits {
-        Limits {
+    pub fn of(state: &settings::State) -> TransactionLimits {
+        TransactionLimits {
             writes: state.txn_ops,
             conditions: state.txn_ops * CONDITIONS_PER_WRITE,
             bytes: MAX_BYTES,
-            value: (state.value_kb * 1024.0) as usize,
+            value_bytes: (state.value_kb * 1024.0) as usize,
         }
     }
 
     /// At most so many writes: what the pacing could ever send at once.
-    pub fn paced(self, writes: usize) -> Limits {
-        Limits {
+    pub fn paced(self, writes: usize) -> TransactionLimits {
+        TransactionLimits {
             writes: self.writes.min(writes),
             ..self
         }
@@ -54,26 +54,26 @@
 
     /// A transaction of about the `part`-th size, never below one write with
     /// the conditions that belong to it.
-    pub fn part(self, part: usize) -> Limits {
+    pub fn part(self, part: usize) -> TransactionLimits {
         let part = part.max(1);
-        Limits {
+        TransactionLimits {
             writes: (self.writes / part).max(1),
             conditions: (self.conditions / part).max(CONDITIONS_PER_WRITE),
             bytes: self.bytes,
-            value: self.value,
+            value_bytes: self.value_bytes,
         }
     }
 }
 
 /// Why a transaction does not take something. It is unchanged then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Full {
+pub enum TransactionError {
     /// There is no room left; in the next transaction there may be.
     #[error("the transaction is full")]
-    Now,
+    Full,
     /// It would not fit into an empty transaction either.
     #[error("{bytes} bytes where {limit} are allowed")]
-    Never {
+    TooLarge {
         /// Bytes of the key or of the value's JSON form.
         bytes: usize,
         /// Bytes that are allowed.
@@ -81,7 +81,7 @@
     },
     /// The key is compared already, with another version: both cannot hold.
     #[error("two versions of one key")]
-    Contradiction,
+    ConflictingConditions,
 }
 
 #[derive(Serialize)]
@@ -117,51 +117,56 @@
 /// saying which version it must have.
 #[derive(Debug)]
 pub struct Transaction {
-    limits: Limits,
-    when: BTreeMap<String, Revision>,
+    limits: TransactionLimits,
+    require: BTreeMap<String, Revision>,
     then: Vec<(String, Option<Value>, Option<u64>)>,
     bytes: usize,
 }
 
 impl Transaction {
     /// An empty transaction.
-    pub fn new(limits: Limits) -> Transaction {
+    pub fn new(limits: TransactionLimits) -> Transaction {
         Transaction {
             limits,
-            when: BTreeMap::new(),
+            require: BTreeMap::new(),
             then: Vec::new(),
             bytes: FRAME_BYTES,
         }
     }
 
     /// What a condition on `key` would add: conditions and bytes.
-    fn cost(&self, key: &str, revision: Revision) -> Result<(usize, usize), Full> {
+    fn cost(&self, key: &str, revision: Revision) -> Result<(usize, usize), TransactionError> {
         if key.len() > MAX_KEY_BYTES {
-            return Err(Full::Never {
+            return Err(TransactionError::TooLarge {
                 bytes: key.len(),
                 limit: MAX_KEY_BYTES,
             });
         }
-        match self.when.get(key) {
-            Some(s) if *s != revision => Err(Full::Contradiction),
+        match self.require.get(key) {
+            Some(s) if *s != revision => Err(TransactionError::ConflictingConditions),
             Some(_) => Ok((0, 0)),
             None => Ok((1, key.len() + CONDITION_BYTES)),
         }
     }
 
     /// Takes the cost if it fits.
-    fn spend(&mut self, writes: usize, conditions: usize, bytes: usize) -> Result<(), Full> {
+    fn spend(
+        &mut self,
+        writes: usize,
+        conditions: usize,
+        bytes: usize,
+    ) -> Result<(), TransactionError> {
         if self.bytes + bytes > self.limits.bytes && FRAME_BYTES + bytes > self.limits.bytes {
-            return Err(Full::Never {
+            return Err(TransactionError::TooLarge {
                 bytes,
                 limit: self.limits.bytes,
             });
         }
         let fits = self.then.len() + writes <= self.limits.writes
-            && self.when.len() + conditions <= self.limits.conditions
+            && self.require.len() + conditions <= self.limits.conditions
             && self.bytes + bytes <= self.limits.bytes;
         if !fits {
-            return Err(Full::Now);
+            return Err(TransactionError::Full);
         }
         self.bytes += bytes;
         Ok(())
@@ -171,11 +176,15 @@
     ///
     /// # Errors
     /// When it does not fit; nothing is changed then.
-    pub fn when(&mut self, key: impl Into<String>, revision: Revision) -> Result<(), Full> {
+    pub fn when(
+        &mut self,
+        key: impl Into<String>,
+        revision: Revision,
+    ) -> Result<(), TransactionError> {
         let key = key.into();
         let (conditions, bytes) = self.cost(&key, revision)?;
         self.spend(0, conditions, bytes)?;
-        self.when.insert(key, revision);
+        self.require.insert(key, revision);
         Ok(())
     }
 
@@ -183,24 +192,24 @@
     ///
     /// # Errors
     /// When it does not fit; nothing is changed then.
-    pub fn write(
+    pub fn put(
         &mut self,
         key: impl Into<String>,
         revision: Revision,
         value: Value,
         lease_id: Option<u64>,
-    ) -> Result<(), Full> {
+    ) -> Result<(), TransactionError> {
         let key = key.into();
         let size = wire::json_len(&value);
-        if size > self.limits.value {
-            return Err(Full::Never {
+        if size > self.limits.value_bytes {
+            return Err(TransactionError::TooLarge {
                 bytes: size,
-                limit: self.limits.value,
+                limit: self.limits.value_bytes,
             });
         }
         let (conditions, bytes) = self.cost(&key, revision)?;
         self.spend(1, conditions, bytes + key.len() + size + WRITE_BYTES)?;
-        self.when.insert(key.clone(), revision);
+        self.require.insert(key.clone(), revision);
         self.then.push((key, Some(value), lease_id));
         Ok(())
     }
@@ -209,44 +218,48 @@
     ///
     /// # Errors
     /// When it does not fit; nothing is changed then.
-    pub fn delete(&mut self, key: impl Into<String>, revision: Revision) -> Result<(), Full> {
+    pub fn delete(
+        &mut self,
+        key: impl Into<String>,
+        revision: Revision,
+    ) -> Result<(), TransactionError> {
         let key = key.into();
         let (conditions, bytes) = self.cost(&key, revision)?;
         self.spend(1, conditions, bytes + key.len() + WRITE_BYTES)?;
-        self.when.insert(key.clone(), revision);
+        self.require.insert(key.clone(), revision);
         self.then.push((key, None, None));
         Ok(())
     }
 
     /// Puts and deletes so far.
-    pub fn writes(&self) -> usize {
+    pub fn write_count(&self) -> usize {
         self.then.len()
     }
 
     /// Puts and deletes that still fit.
-    pub fn writes_left(&self) -> usize {
+    pub fn remaining_writes(&self) -> usize {
         self.limits.writes.saturating_sub(self.then.len())
     }
 
     /// Conditions that still fit.
-    pub fn conditions_left(&self) -> usize {
-        self.limits.conditions.saturating_sub(self.when.len())
+    pub fn remaining_conditions(&self) -> usize {
+        self.limits.conditions.saturating_sub(self.require.len())
     }
 
     /// Bytes of the largest value that a write to a new key could still take.
-    pub fn value_left(&self, key_bytes: usize) -> usize {
+    pub fn remaining_value_bytes(&self, key_bytes: usize) -> usize {
         let around = 2 * key_bytes + CONDITION_BYTES + WRITE_BYTES;
         self.limits
             .bytes
             .saturating_sub(self.bytes + around)
-            .min(self.limits.value)
+            .min(self.limits.value_bytes)
     }
 
     /// The body of the request.
     pub fn body(&self) -> Vec<u8> {
         wire::encode(&Body {
             when: self
-                .when
+                .require
                 .iter()
                 .map(|(k, s)| When {
                     path: k,
@@ -306,22 +319,22 @@
             value in 64..16_384usize,
             steps in prop::collection::vec(step(), 0..70),
         ) {
-            let limits = Limits { writes, conditions: writes * 4, bytes: MAX_BYTES, value };
+            let limits = TransactionLimits { writes, conditions: writes * 4, bytes: MAX_BYTES, value_bytes: value };
             let mut transaction = Transaction::new(limits);
             let mut taken = 0;
             for s in steps {
-                let before = (transaction.writes(), transaction.conditions_left(), transaction.bytes);
+                let before = (transaction.write_count(), transaction.remaining_conditions(), transaction.bytes);
                 let done = match s {
                     Step::When(k, s) => transaction.when(k, Revision(s)),
                     Step::Write(k, s, n) => {
-                        transaction.write(k, Revision(s), Value::Text("x".repeat(n)), Some(7))
+                        transaction.put(k, Revision(s), Value::Text("x".repeat(n)), Some(7))
                     }
                     Step::Delete(k, s) => transaction.delete(k, Revision(s)),
                 };
                 match done {
                     Ok(()) => taken += 1,
                     Err(_) => prop_assert_eq!(
-                        before, (transaction.writes(), transaction.conditions_left(), transaction.bytes)
+                        before, (transaction.write_count(), transaction.remaining_conditions(), transaction.bytes)
                     ),
                 }
             }
@@ -340,31 +353,34 @@
 
     #[test]
     fn what_never_fits_is_told_from_what_fits_later() {
-        let limits = Limits {
+        let limits = TransactionLimits {
             writes: 2,
             conditions: 8,
             bytes: MAX_BYTES,
-            value: 1_024,
+            value_bytes: 1_024,
         };
         let mut transaction = Transaction::new(limits);
         let big = Value::Text("x".repeat(2_000));
         assert!(matches!(
-            transaction.write("a", Revision(0), big, None),
-            Err(Full::Never { .. })
+            transaction.put("a", Revision(0), big, None),
+            Err(TransactionError::TooLarge { .. })
         ));
         assert!(matches!(
             transaction.when("k".repeat(201), Revision(0)),
-            Err(Full::Never { .. })
+            Err(TransactionError::TooLarge { .. })
         ));
         assert_eq!(transaction.delete("a", Revision(1)), Ok(()));
         assert_eq!(
             transaction.delete("a", Revision(2)),
-            Err(Full::Contradiction)
+            Err(TransactionError::ConflictingConditions)
         );
         assert_eq!(transaction.delete("b", Revision(1)), Ok(()));
-        assert_eq!(transaction.delete("c", Revision(1)), Err(Full::Now));
+        assert_eq!(
+            transaction.delete("c", Revision(1)),
+            Err(TransactionError::Full)
+        );
         // Compared before: no second condition is counted.
         assert_eq!(transaction.when("b", Revision(1)), Ok(()));
-        assert_eq!(transaction.conditions_left(), 6);
+        assert_eq!(transaction.remaining_conditions(), 6);
     }
 }
--- a/crates/sharding/src/hold.rs
+++ b/crates/sharding/src/hold.rs
@@ -266,7 +266,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beamhinge_rate_limit::Limits;
+    use beamhinge_rate_limit::TransactionLimits;
 
     const SLOT: Slot = Slot(0);
 
@@ -278,11 +278,11 @@
     }
 
     fn shares(label: &str, nonce: u64) -> Shares {
-        let limits = Limits {
+        let limits = TransactionLimits {
             writes: 3,
             conditions: 12,
             bytes: 9_000,
-            value: 900,
+            value_bytes: 900,
         };
         Shares::new(name(label, nonce), Slots::within(&limits))
     }
--- a/crates/sharding/src/slots.rs
+++ b/crates/sharding/src/slots.rs
@@ -1,7 +1,7 @@
 //! Slots: fixed sets of machines.
 
 use beamhinge_core::types::MachineId;
-use beamhinge_rate_limit::Limits;
+use beamhinge_rate_limit::TransactionLimits;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// More than this many moves nothing finer, and each costs keys to follow.
@@ -21,7 +21,7 @@
 impl Slots {
     /// As many as one transaction can take all of, together with the lead: after
     /// the end of a holder its successor takes its slots at once or not at all.
-    pub fn within(limits: &Limits) -> Slots {
+    pub fn within(limits: &TransactionLimits) -> Slots {
         let most = limits.writes.min(limits.conditions).saturating_sub(BESIDE);
         Slots(most.clamp(1, MOST) as u16)
     }
@@ -52,7 +52,7 @@
         let mut settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
         for (ops, count) in [(1, 1), (3, 1), (8, 6), (20, 16), (24, 16)] {
             settings.params.state.txn_ops = ops;
-            let slots = Slots::within(&Limits::of(&settings.params.state));
+            let slots = Slots::within(&TransactionLimits::of(&settings.params.state));
             assert_eq!(slots.count(), count, "{ops} writes a transaction");
         }
         let slots = Slots(16);
--- a/crates/sharding/src/wanted.rs
+++ b/crates/sharding/src/wanted.rs
@@ -159,7 +159,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beamhinge_rate_limit::Limits;
+    use beamhinge_rate_limit::TransactionLimits;
 
     const BOUNDS: Bounds = Bounds {
         settled_s: 15.0,
@@ -168,11 +168,11 @@
     };
 
     fn slots() -> Slots {
-        Slots::within(&Limits {
+        Slots::within(&TransactionLimits {
             writes: 20,
             conditions: 80,
             bytes: 9_000,
-            value: 900,
+            value_bytes: 900,
         })
     }
 
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -15,7 +15,7 @@
 )]
 
 use beamhinge_core::types::Revision;
-use beamhinge_rate_limit::Limits;
+use beamhinge_rate_limit::TransactionLimits;
 use beamhinge_sharding::{Entry, Name, Outcome, Shares, Slot, Slots, Write};
 use std::collections::{HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -158,11 +158,11 @@
 }
 
 fn two_slots() -> Slots {
-    Slots::within(&Limits {
+    Slots::within(&TransactionLimits {
         writes: 4,
         conditions: 16,
         bytes: 9_000,
-        value: 900,
+        value_bytes: 900,
     })
 }
 
--- a/crates/standby/src/failure_detector.rs
+++ b/crates/standby/src/failure_detector.rs
@@ -51,11 +51,11 @@
     /// Seconds since the state service last answered us.
     pub store_age_s: f64,
     /// Our jobs are read.
-    pub warm: bool,
+    pub jobs_loaded: bool,
     /// Seconds since we ourselves stood still, if we did.
-    pub back_for_s: Option<f64>,
+    pub resumed_for_s: Option<f64>,
     /// How many others go before us.
-    pub turn: u32,
+    pub rank: u32,
 }
 
 /// What is known of the holder without the state service.
@@ -99,7 +99,7 @@
 
 impl FailureDetector {
     /// The holder said that it holds the block with this token.
-    pub fn heartbeat(&mut self, now: Time, leader: &str, token: FencingToken) {
+    pub fn on_heartbeat(&mut self, now: Time, leader: &str, token: FencingToken) {
         let first = self.leader.is_none();
         let new = self.leader.as_deref() != Some(leader);
         let gap_s = now.since(self.last_heartbeat);
@@ -134,7 +134,7 @@
     /// A worker reported here, not there; `seen` is the highest token it has seen. One
     /// that the holder has not answered yet witnesses nothing: a new machine begins
     /// with any controller.
-    pub fn reported_here(&mut self, now: Time, machine: MachineId, seen: FencingToken) {
+    pub fn on_misrouted_report(&mut self, now: Time, machine: MachineId, seen: FencingToken) {
         if seen != self.token {
             return;
         }
@@ -164,19 +164,19 @@
     }
 
     /// The holder that is gone, if it is our turn to take the lead.
-    pub fn suspected(&mut self, now: Time, own: Observer) -> Option<&str> {
+    pub fn suspect(&mut self, now: Time, own: Observer) -> Option<&str> {
         let leader = self.leader.as_deref()?;
         let silent_s = now.since(self.last_heartbeat);
         let limit_s = self.silence_limit_s(now);
         let known = self.last_heartbeat.since(self.known_since) >= KNOWN_S;
         // Heartbeats and workers that came while we stood still tell nothing.
-        let present = own.back_for_s.is_none_or(|s| s > silent_s + limit_s);
+        let present = own.resumed_for_s.is_none_or(|s| s > silent_s + limit_s);
         let together = now.since(self.first_witness) <= TOGETHER_S;
         let seen = self.first_witness.since(self.last_heartbeat) <= SEEN_S;
         let witnessed = self.witnesses.len() >= WITNESSES && together && seen;
         let rare = self.last_suspicion.is_none_or(|at| now.since(at) > RARE_S);
-        let fit = own.warm && own.store_age_s < LEDGER_S && present;
-        let due = silent_s > limit_s + TURN_S * f64::from(own.turn);
+        let fit = own.jobs_loaded && own.store_age_s < LEDGER_S && present;
+        let due = silent_s > limit_s + TURN_S * f64::from(own.rank);
         if !(known && due && witnessed && fit && rare) {
             return None;
         }
@@ -187,7 +187,7 @@
 
 /// How many controllers take the lead before `own` when `holder` is gone: those that
 /// follow it in the ring of labels, where its workers go as well.
-pub fn turn_after<'a>(leader: &str, own: &str, members: impl Iterator<Item = &'a str>) -> u32 {
+pub fn takeover_rank<'a>(leader: &str, own: &str, members: impl Iterator<Item = &'a str>) -> u32 {
     let after = |label: &str| (label <= leader, label.to_string());
     let ours = after(own);
     members
--- a/crates/standby/src/failure_detector/tests.rs
+++ b/crates/standby/src/failure_detector/tests.rs
@@ -10,9 +10,9 @@
 
 const OBSERVER: Observer = Observer {
     store_age_s: 0.2,
-    warm: true,
-    back_for_s: None,
-    turn: 0,
+    jobs_loaded: true,
+    resumed_for_s: None,
+    rank: 0,
 };
 const TOKEN: FencingToken = FencingToken(7);
 
@@ -26,7 +26,7 @@
     every: f64,
 ) {
     let count = ((to - from) / every).round() as u32;
-    (0..=count).for_each(|n| detector.heartbeat(at(from + f64::from(n) * every), leader, token));
+    (0..=count).for_each(|n| detector.on_heartbeat(at(from + f64::from(n) * every), leader, token));
 }
 
 fn report(
@@ -35,7 +35,7 @@
     machines: std::ops::Range<u32>,
     seen: FencingToken,
 ) {
-    machines.for_each(|n| detector.reported_here(at(s), machine(n), seen));
+    machines.for_each(|n| detector.on_misrouted_report(at(s), machine(n), seen));
 }
 
 /// Heard until it ends just after its heartbeat at 10 s; workers come a second later.
@@ -50,19 +50,19 @@
 fn an_end_is_known_by_two_witnesses_before_the_lease() {
     let mut detector = ended();
     assert_eq!(
-        detector.suspected(at(11.4), OBSERVER),
+        detector.suspect(at(11.4), OBSERVER),
         None,
         "three heartbeats have to be missing"
     );
-    assert_eq!(detector.suspected(at(11.6), OBSERVER), Some("a"));
-    assert_eq!(detector.suspected(at(11.7), OBSERVER), None, "advised once");
+    assert_eq!(detector.suspect(at(11.6), OBSERVER), Some("a"));
+    assert_eq!(detector.suspect(at(11.7), OBSERVER), None, "advised once");
     // The next in turn waits longer.
     let mut detector = ended();
     assert_eq!(
-        detector.suspected(
+        detector.suspect(
             at(11.55),
             Observer {
-                turn: 1,
+                rank: 1,
                 ..OBSERVER
             }
         ),
@@ -70,10 +70,10 @@
     );
     assert!(detector.is_silent(at(11.6)) && !detector.is_silent(at(11.0)));
     assert_eq!(
-        detector.suspected(
+        detector.suspect(
             at(11.65),
             Observer {
-                turn: 1,
+                rank: 1,
                 ..OBSERVER
             }
         ),
@@ -82,10 +82,10 @@
     // With seven of them, the last in turn has it within two seconds and a little more.
     let mut detector = ended();
     assert_eq!(
-        detector.suspected(
+        detector.suspect(
             at(12.05),
             Observer {
-                turn: 5,
+                rank: 5,
                 ..OBSERVER
             }
         ),
@@ -98,23 +98,23 @@
     // A filter between controllers: no heartbeats, and no worker comes.
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
-    assert_eq!(detector.suspected(at(20.0), OBSERVER), None);
+    assert_eq!(detector.suspect(at(20.0), OBSERVER), None);
     // One worker with a broken link of its own, again and again.
-    (11..20).for_each(|s| detector.reported_here(at(f64::from(s)), machine(1), TOKEN));
-    assert_eq!(detector.suspected(at(20.0), OBSERVER), None);
+    (11..20).for_each(|s| detector.on_misrouted_report(at(f64::from(s)), machine(1), TOKEN));
+    assert_eq!(detector.suspect(at(20.0), OBSERVER), None);
     // Workers come, and the holder is heard.
     let mut detector = ended();
-    detector.heartbeat(at(11.5), "a", TOKEN);
-    assert_eq!(detector.suspected(at(11.6), OBSERVER), None);
+    detector.on_heartbeat(at(11.5), "a", TOKEN);
+    assert_eq!(detector.suspect(at(11.6), OBSERVER), None);
     // A holder that is slow: its heartbeats are late, and workers come after their
     // time-out.
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
     report(&mut detector, 14.5, 0..200, TOKEN);
-    assert_eq!(detector.suspected(at(15.0), OBSERVER), None);
+    assert_eq!(detector.suspect(at(15.0), OBSERVER), None);
     // Those who came long ago tell of something else.
     let mut detector = ended();
-    assert_eq!(detector.suspected(at(18.0), OBSERVER), None);
+    assert_eq!(detector.suspect(at(18.0), OBSERVER), None);
 }
 
 /// Forty machines that boot while a packet is sent again are no witnesses: they begin
@@ -125,9 +125,9 @@
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
     report(&mut detector, 11.1, 0..40, FencingToken(0));
     report(&mut detector, 11.1, 40..80, FencingToken(6));
-    assert_eq!(detector.suspected(at(11.6), OBSERVER), None);
+    assert_eq!(detector.suspect(at(11.6), OBSERVER), None);
     report(&mut detector, 11.2, 80..83, TOKEN);
-    assert_eq!(detector.suspected(at(11.6), OBSERVER), Some("a"));
+    assert_eq!(detector.suspect(at(11.6), OBSERVER), Some("a"));
 }
 
 #[test]
@@ -138,21 +138,21 @@
             ..OBSERVER
         },
         Observer {
-            warm: false,
+            jobs_loaded: false,
             ..OBSERVER
         },
         Observer {
-            back_for_s: Some(1.0),
+            resumed_for_s: Some(1.0),
             ..OBSERVER
         },
     ] {
-        assert_eq!(ended().suspected(at(11.8), own), None, "{own:?}");
+        assert_eq!(ended().suspect(at(11.8), own), None, "{own:?}");
     }
     // A holder that has been heard for a moment only.
     let mut detector = FailureDetector::default();
     beats(&mut detector, "b", TOKEN, 0.0, 2.0, HEARTBEAT_S);
     report(&mut detector, 3.1, 0..4, TOKEN);
-    assert_eq!(detector.suspected(at(3.7), OBSERVER), None);
+    assert_eq!(detector.suspect(at(3.7), OBSERVER), None);
 }
 
 /// A holder of an earlier version sends one a second: two have to be missing there.
@@ -161,24 +161,24 @@
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 20.0, 1.0);
     report(&mut detector, 21.1, 0..4, TOKEN);
-    assert_eq!(detector.suspected(at(22.0), OBSERVER), None);
-    assert_eq!(detector.suspected(at(22.3), OBSERVER), Some("a"));
+    assert_eq!(detector.suspect(at(22.0), OBSERVER), None);
+    assert_eq!(detector.suspect(at(22.3), OBSERVER), Some("a"));
 }
 
 #[test]
 fn takes_are_rare() {
     let mut detector = ended();
-    assert!(detector.suspected(at(11.6), OBSERVER).is_some());
+    assert!(detector.suspect(at(11.6), OBSERVER).is_some());
     beats(&mut detector, "b", FencingToken(8), 12.0, 22.0, HEARTBEAT_S);
     report(&mut detector, 23.1, 0..4, FencingToken(8));
     assert_eq!(
-        detector.suspected(at(23.7), OBSERVER),
+        detector.suspect(at(23.7), OBSERVER),
         None,
         "twelve seconds after the last"
     );
     beats(&mut detector, "b", FencingToken(8), 24.0, 28.0, HEARTBEAT_S);
     report(&mut detector, 29.1, 0..4, FencingToken(8));
-    assert_eq!(detector.suspected(at(29.7), OBSERVER), Some("b"));
+    assert_eq!(detector.suspect(at(29.7), OBSERVER), Some("b"));
 }
 
 /// Two holders that end one after the other are found by whoever was not asked before;
@@ -190,7 +190,7 @@
     beats(&mut detector, "b", FencingToken(8), 12.0, 16.0, HEARTBEAT_S);
     report(&mut detector, 17.1, 0..4, FencingToken(8));
     assert_eq!(
-        detector.suspected(at(17.6), OBSERVER),
+        detector.suspect(at(17.6), OBSERVER),
         Some("b"),
         "the first change costs nothing"
     );
@@ -199,23 +199,23 @@
     beats(&mut detector, "b", FencingToken(8), 12.0, 16.0, HEARTBEAT_S);
     beats(&mut detector, "c", FencingToken(9), 18.0, 22.0, HEARTBEAT_S);
     report(&mut detector, 23.1, 0..4, FencingToken(9));
-    assert_eq!(detector.suspected(at(23.7), OBSERVER), None);
-    assert_eq!(detector.suspected(at(24.3), OBSERVER), Some("c"));
+    assert_eq!(detector.suspect(at(23.7), OBSERVER), None);
+    assert_eq!(detector.suspect(at(24.3), OBSERVER), Some("c"));
 }
 
 /// A deposed holder that still speaks does not take the place of its successor.
 #[test]
 fn a_lower_token_is_no_heartbeat_of_a_holder() {
     let mut detector = ended();
-    detector.heartbeat(at(11.2), "b", FencingToken(6));
-    assert_eq!(detector.suspected(at(11.6), OBSERVER), Some("a"));
+    detector.on_heartbeat(at(11.2), "b", FencingToken(6));
+    assert_eq!(detector.suspect(at(11.6), OBSERVER), Some("a"));
 }
 
 #[test]
 fn turns_follow_the_ring_of_labels_from_the_holder_on() {
     let labels = ["a", "b", "c", "d", "e", "f", "g"];
     let turn = |leader: &str, own: &str| {
-        turn_after(leader, own, labels.iter().copied().filter(|l| *l != own))
+        takeover_rank(leader, own, labels.iter().copied().filter(|l| *l != own))
     };
     assert_eq!((turn("a", "b"), turn("a", "c"), turn("a", "g")), (0, 1, 5));
     assert_eq!((turn("d", "e"), turn("d", "a"), turn("d", "c")), (0, 3, 5));
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -21,4 +21,4 @@
 
 mod failure_detector;
 
-pub use failure_detector::{turn_after, FailureDetector, Observer, HEARTBEAT_S};
+pub use failure_detector::{takeover_rank, FailureDetector, Observer, HEARTBEAT_S};
