--- a/crates/admin-api/tests/golden.rs
+++ b/crates/admin-api/tests/golden.rs
@@ -37,7 +37,7 @@
 fn full_request() -> JobRequest {
     JobRequest {
         class: "train".into(),
-        kind: JobKind::Standing,
+        kind: JobKind::Service,
         urgency: Urgency::High,
         tasks: 16,
         cpus: 8.5,
--- a/crates/cli/src/verbs.rs
+++ b/crates/cli/src/verbs.rs
@@ -400,7 +400,7 @@
 
 fn submit(client: &mut Client, o: &SubmitOptions, output: Output) -> Result<(), Failure> {
     let job = request(o)?;
-    if o.wait && job.kind == JobKind::Standing {
+    if o.wait && job.kind == JobKind::Service {
         return Err(Failure::Usage(
             "a service runs until it is cancelled: leave --wait out".into(),
         ));
--- a/crates/controller/src/job_store.rs
+++ b/crates/controller/src/job_store.rs
@@ -8,8 +8,8 @@
 use crate::store::{Priority, Reply, StoreClient};
 use beamhinge_core::job::JobSummary;
 pub use beamhinge_core::job::{
-    cancelled_record, done_record, key, open_record, JobKind, JobSpec, JobState, Record, Urgency,
-    PREFIX, RECORD_VERSION,
+    cancelled_record, done_record, key, open_record, JobKind, JobRecord, JobSpec, JobState,
+    Urgency, PREFIX, RECORD_VERSION,
 };
 use beamhinge_core::types::{JobId, Revision, Time};
 use beamhinge_core::wire;
@@ -89,7 +89,7 @@
     /// Whose a job is or was, as far as its record tells.
     pub fn summary(&self, entry: &Entry) -> Option<JobSummary> {
         if let Some(spec) = &entry.spec {
-            return Some(JobSummary::of(spec));
+            return Some(JobSummary::from(&**spec));
         }
         let b = entry.summary?;
         let name = |i: u16| self.names.get(usize::from(i)).map(|n| n.to_string());
@@ -175,16 +175,16 @@
         {
             return;
         }
-        match wire::from_value::<Record>(value) {
-            Ok(r) if r.v == RECORD_VERSION => {
+        match wire::from_value::<JobRecord>(value) {
+            Ok(r) if r.version == RECORD_VERSION => {
                 let summary = r.summary.as_ref().and_then(|b| self.shorten(b));
                 let spec = r.spec.map(|s| Rc::new(self.share(s)));
                 self.entries.insert(
                     id,
                     Entry {
                         revision: Revision(revision),
-                        state: r.st,
-                        tasks: r.n.or(spec.as_ref().map(|s| s.tasks)).unwrap_or(0),
+                        state: r.state,
+                        tasks: r.task_count.or(spec.as_ref().map(|s| s.tasks)).unwrap_or(0),
                         spec,
                         summary,
                     },
@@ -234,7 +234,7 @@
             .map(|s| s.tasks)
             .or(known.map(|e| e.tasks))
             .unwrap_or(0);
-        let summary = known.and_then(|e| e.spec.as_deref()).map(JobSummary::of);
+        let summary = known.and_then(|e| e.spec.as_deref()).map(JobSummary::from);
         let summary = if spec.is_some() {
             None
         } else {
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -175,7 +175,10 @@
                 to: None,
                 frame: encode(&frame),
             };
-            out.splice(before..before, Frame::ended(&words).into_iter().map(tell));
+            out.splice(
+                before..before,
+                Frame::jobs_ended(&words).into_iter().map(tell),
+            );
         }
         let new = &mut out[before..];
         self.translate(new);
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -191,7 +191,7 @@
         let from = self.settings.label.clone();
         out.push(Effect::SendFrame {
             to: Some(to),
-            frame: encode(&Frame::Ask {
+            frame: encode(&Frame::Query {
                 from,
                 serial,
                 query,
@@ -216,7 +216,7 @@
             _ => false,
         };
         if !taken {
-            let told = Frame::Told {
+            let told = Frame::QueryResponse {
                 serial,
                 status: 503,
                 body: Vec::new(),
@@ -331,7 +331,7 @@
             match asker {
                 Asker::Own { request, merge } => self.merge(request, merge, status, body, out),
                 Asker::Peer { label, serial } => {
-                    let told = Frame::Told {
+                    let told = Frame::QueryResponse {
                         serial,
                         status,
                         body,
@@ -356,7 +356,7 @@
             );
         }
         for (label, serial) in peers {
-            let told = Frame::Told {
+            let told = Frame::QueryResponse {
                 serial,
                 status: 503,
                 body: Vec::new(),
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -216,28 +216,28 @@
 
     pub(super) fn take_frame(&mut self, now: Time, frame: Frame, out: &mut Vec<Effect>) {
         match frame {
-            Frame::Pulse {
+            Frame::Heartbeat {
                 label,
                 store_age_ms,
                 ..
             } => {
                 self.peers.pulse(now, &label, store_age_ms as f64 / 1e3);
             }
-            Frame::Ready {
+            Frame::Readiness {
                 label,
                 ready,
                 drained,
             } => {
                 self.peers.ready(now, &label, ready, drained);
             }
-            Frame::Ask {
+            Frame::Query {
                 from,
                 serial,
                 query,
             } => {
                 self.asked_by_peer(now, from, serial, &query, out);
             }
-            Frame::Told {
+            Frame::QueryResponse {
                 serial,
                 status,
                 body,
@@ -249,21 +249,24 @@
                     self.user_api.shown = list;
                 }
             }
-            Frame::Hears { machines, .. } => {
+            Frame::MisroutedWorkers { machines, .. } => {
                 let machines = machines.iter().filter_map(|m| MachineId::parse(m));
                 self.peer_observations.record(now, machines);
             }
-            Frame::Stuck { label } => {
+            Frame::LeaderStalled { label } => {
                 tracing::warn!("{label} was stuck as the holder");
                 if self.settings.members.iter().any(|m| m.label == label) {
                     self.stuck.insert(label, now);
                 }
             }
-            Frame::Ended { jobs } => {
+            Frame::JobsEnded { jobs } => {
                 let jobs = jobs.iter().filter_map(|j| JobId::parse(j));
                 self.user_api.heard_ended(now, jobs);
             }
-            Frame::Holds { label, token } => {
+            Frame::LeaderHeartbeat {
+                label,
+                fencing_token: token,
+            } => {
                 if self.peers.token_of(&label) != Some(token) {
                     self.misrouted_workers.on_leader_changed();
                 }
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -42,7 +42,7 @@
         if now.since(self.peers.sent) >= 1.0 {
             self.peers.sent = now;
             let age = self.store_age(now);
-            let pulse = Frame::Pulse {
+            let pulse = Frame::Heartbeat {
                 label: self.settings.label.clone(),
                 store_age_ms: (age * 1e3) as u64,
                 leader: self.scheduler.is_some(),
@@ -54,7 +54,7 @@
             // Only where it matters: the version before this one does not know
             // the frame, and breaks the link at it.
             if self.directives.active_directives().any_node() {
-                let ready = Frame::Ready {
+                let ready = Frame::Readiness {
                     label: self.settings.label.clone(),
                     ready: self.job_store.loaded() && age < 3.0,
                     drained: self.drained(),
@@ -102,9 +102,9 @@
             return;
         };
         let label = self.settings.label.clone();
-        let holds = Frame::Holds {
+        let holds = Frame::LeaderHeartbeat {
             label,
-            token: scheduler.token().0,
+            fencing_token: scheduler.token().0,
         };
         out.push(Effect::SendFrame {
             to: None,
@@ -149,7 +149,7 @@
         let Some(leader) = self.peers.leader(now).or(self.election.other_leader()) else {
             return;
         };
-        for hears in Frame::hears(&self.settings.label, &machines) {
+        for hears in Frame::misrouted_workers(&self.settings.label, &machines) {
             out.push(Effect::SendFrame {
                 to: Some(leader.to_string()),
                 frame: encode(&hears),
@@ -185,7 +185,7 @@
             return;
         }
         self.stall_detector.on_handover();
-        let stuck = Frame::Stuck {
+        let stuck = Frame::LeaderStalled {
             label: self.settings.label.clone(),
         };
         out.push(Effect::SendFrame {
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!(peers.leader(at(3.0 + LAPSED_S)), Some("a"));
 }
 
-/// What travels inside of [`beamhinge_core::peers::Frame::Ask`].
+/// What travels inside of [`beamhinge_core::peers::Frame::Query`].
 #[test]
 fn queries_to_the_holder_keep_their_form() {
     use beamhinge_admin_api::messages::Query;
--- a/crates/controller/src/scheduler/drain.rs
+++ b/crates/controller/src/scheduler/drain.rs
@@ -161,7 +161,10 @@
             // moment, it breaks no rule.
             let gone_s = (wall.0 as f64 - drain.since_ms as f64) / 1e3;
             for (task, e) in m.allocations.iter().filter(|(_, e)| e.kill.is_none()) {
-                let save_s = self.jobs.get(&task.job).map_or(0.0, |j| j.spec.save_s);
+                let save_s = self
+                    .jobs
+                    .get(&task.job)
+                    .map_or(0.0, |j| j.spec.checkpoint_duration_s);
                 if e.may_be_there() && gone_s + save_s + self.report_s >= within {
                     due.push((*id, *task));
                 }
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -450,7 +450,7 @@
             (sum, n) if n >= RATIOS => (sum / f64::from(n)).exp(),
             _ => self.run_factor(&job.spec.class),
         };
-        job.spec.expect_s * factor
+        job.spec.expected_run_s * factor
     }
 
     /// How far runs of a class were from their estimates.
--- a/crates/controller/src/scheduler/plan.rs
+++ b/crates/controller/src/scheduler/plan.rs
@@ -145,7 +145,7 @@
 
 /// Guards against `wrong_place`, given where the job's other tasks are.
 pub(super) fn zone_barred(spec: &JobSpec, in_zones: &BTreeMap<String, u32>, zone: &str) -> bool {
-    if spec.one_zone && in_zones.keys().any(|z| z != zone) {
+    if spec.single_zone && in_zones.keys().any(|z| z != zone) {
         return true;
     }
     // A task on a machine whose zone is not yet known may be in this one.
@@ -268,7 +268,7 @@
                 if self
                     .jobs
                     .get(&task.job)
-                    .is_some_and(|j| j.spec.one_zone || j.spec.spread)
+                    .is_some_and(|j| j.spec.single_zone || j.spec.spread)
                 {
                     let zones = round.zones.entry(task.job).or_default();
                     *zones.entry(m.zone.clone()).or_default() += 1;
@@ -283,7 +283,7 @@
                 if self
                     .jobs
                     .get(&o.task.job)
-                    .is_some_and(|j| j.spec.one_zone || j.spec.spread)
+                    .is_some_and(|j| j.spec.single_zone || j.spec.spread)
                 {
                     let zones = round.zones.entry(o.task.job).or_default();
                     *zones.entry(m.zone.clone()).or_default() += 1;
@@ -471,7 +471,7 @@
         };
         let spec = job.spec.clone();
         let resources = resources_of(&spec);
-        if round.budget == 0 || spec.one_zone || spec.spread || spec.kind != JobKind::Batch {
+        if round.budget == 0 || spec.single_zone || spec.spread || spec.kind != JobKind::Batch {
             return;
         }
         let mut soon = match round.soon.take() {
@@ -621,7 +621,10 @@
             machine: machine.to_string(),
             why: why.to_string(),
         });
-        let save_s = self.jobs.get(&task.job).map_or(0.0, |j| j.spec.save_s);
+        let save_s = self
+            .jobs
+            .get(&task.job)
+            .map_or(0.0, |j| j.spec.checkpoint_duration_s);
         if let Some(e) = self.entry(machine, task) {
             e.kill = Some(save_s);
         }
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -123,7 +123,7 @@
         };
         let (spec, resources, mut wanted) = (job.spec.clone(), job.resources(), job.waiting());
         let limited =
-            spec.one_zone || spec.spread || self.fault_attribution.is_job_faulty(claim.job);
+            spec.single_zone || spec.spread || self.fault_attribution.is_job_faulty(claim.job);
         // Out of touch with the state service no place can be committed: whoever is
         // stopped now is stopped for nobody.
         if limited || self.places.room() == 0 || round.budget == 0 || !self.in_touch {
@@ -317,9 +317,9 @@
                     continue;
                 }
                 let (run_s, ran) = (self.run_s(job), e.ran_s(now));
-                let saves = job.spec.checkpoint_s > 0.0;
+                let saves = job.spec.checkpoint_interval_s > 0.0;
                 let lost_s = match saves {
-                    true => job.spec.save_s + AGAIN_S,
+                    true => job.spec.checkpoint_duration_s + AGAIN_S,
                     false if e.inherited => run_s * 0.5,
                     false => ran + 1.0,
                 };
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -434,7 +434,7 @@
         let service = self
             .jobs
             .get(&task.job)
-            .is_some_and(|j| j.spec.kind == JobKind::Standing);
+            .is_some_and(|j| j.spec.kind == JobKind::Service);
         match cause {
             Some("done") => {
                 self.learn_run(now, id, task);
@@ -488,7 +488,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let expect_s = job.spec.expect_s;
+        let expect_s = job.spec.expected_run_s;
         if expect_s < 1.0 || ran < self.report_s {
             return;
         }
@@ -585,12 +585,12 @@
                     continue;
                 };
                 let ran = e.ran_s(now);
-                if job.spec.checkpoint_s > 0.0
+                if job.spec.checkpoint_interval_s > 0.0
                     && matches!(e.state, TaskState::Observed(TaskPhase::Running))
-                    && job.spec.save_s < notice
-                    && job.spec.expect_s - ran > notice * 0.5
+                    && job.spec.checkpoint_duration_s < notice
+                    && job.spec.expected_run_s - ran > notice * 0.5
                 {
-                    e.kill = Some(job.spec.save_s);
+                    e.kill = Some(job.spec.checkpoint_duration_s);
                 }
             }
         }
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -120,12 +120,12 @@
         image_gb: s.image_gb,
         machine_types: s.machine_types,
         zone: s.yard,
-        one_zone: s.one_zone,
+        single_zone: s.one_zone,
         spread: s.apart,
         spot: s.loaners,
-        expect_s: s.expect_s,
-        checkpoint_s: s.snapshot_every_s,
-        save_s: s.snapshot_s,
+        expected_run_s: s.expect_s,
+        checkpoint_interval_s: s.snapshot_every_s,
+        checkpoint_duration_s: s.snapshot_s,
         due_s: s.due_s,
         submitted: wall.0,
         command: None,
@@ -141,9 +141,9 @@
         s.gpus,
         s.memory_gb,
         s.image_gb,
-        s.expect_s,
-        s.checkpoint_s,
-        s.save_s,
+        s.expected_run_s,
+        s.checkpoint_interval_s,
+        s.checkpoint_duration_s,
     ];
     if amounts
         .iter()
@@ -185,7 +185,7 @@
         return Verdict::Never("the team was removed");
     }
     let team = &team.quota;
-    let count = if spec.kind == JobKind::Standing {
+    let count = if spec.kind == JobKind::Service {
         f64::from(spec.tasks)
     } else {
         1.0
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -353,12 +353,12 @@
         image_gb: 6.2,
         machine_types: Some(vec!["c8".into()]),
         zone: Some("a".into()),
-        one_zone: true,
+        single_zone: true,
         spread: false,
         spot: true,
-        expect_s: 240.0,
-        checkpoint_s: 30.0,
-        save_s: 4.0,
+        expected_run_s: 240.0,
+        checkpoint_interval_s: 30.0,
+        checkpoint_duration_s: 4.0,
         due_s: Some(900.0),
         submitted: 77,
         command: None,
@@ -373,14 +373,14 @@
         body["urgency"] = json!(name);
         body["jobKind"] = json!("standing");
         let (_, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect(name);
-        assert_eq!((spec.urgency, spec.kind), (urgency, JobKind::Standing));
+        assert_eq!((spec.urgency, spec.kind), (urgency, JobKind::Service));
     }
     body["oneZone"] = json!(false);
     body["apart"] = json!(true);
     body["loaners"] = json!(false);
     let (_, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("sound");
     assert_eq!(
-        (spec.one_zone, spec.spread, spec.spot),
+        (spec.single_zone, spec.spread, spec.spot),
         (false, true, false)
     );
 }
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -14,7 +14,7 @@
     #[serde(rename = "batch")]
     Batch,
     #[serde(rename = "standing")]
-    Standing,
+    Service,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -57,17 +57,17 @@
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     #[serde(rename = "oz")]
-    pub one_zone: bool,
+    pub single_zone: bool,
     #[serde(rename = "ap")]
     pub spread: bool,
     #[serde(rename = "sp")]
     pub spot: bool,
     #[serde(rename = "ex")]
-    pub expect_s: f64,
+    pub expected_run_s: f64,
     #[serde(rename = "ce")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     #[serde(rename = "cs")]
-    pub save_s: f64,
+    pub checkpoint_duration_s: f64,
     #[serde(rename = "due", default, skip_serializing_if = "Option::is_none")]
     pub due_s: Option<f64>,
     /// When a node of ours first read the submission.
@@ -95,14 +95,16 @@
 }
 
 #[derive(Serialize, Deserialize)]
-pub struct Record {
-    pub v: u32,
-    pub st: JobState,
+pub struct JobRecord {
+    #[serde(rename = "v")]
+    pub version: u32,
+    #[serde(rename = "st")]
+    pub state: JobState,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
     /// Of a job that is done: how many tasks it had.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub n: Option<u32>,
+    #[serde(rename = "n", default, skip_serializing_if = "Option::is_none")]
+    pub task_count: Option<u32>,
     /// Of a job that is done: whose it was, for lists.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub summary: Option<JobSummary>,
@@ -121,8 +123,8 @@
     pub submitted: u64,
 }
 
-impl JobSummary {
-    pub fn of(spec: &JobSpec) -> JobSummary {
+impl From<&JobSpec> for JobSummary {
+    fn from(spec: &JobSpec) -> JobSummary {
         JobSummary {
             team: spec.team.to_string(),
             class: spec.class.to_string(),
@@ -133,33 +135,33 @@
 }
 
 pub fn open_record(spec: &JobSpec) -> Value {
-    wire::to_value(&Record {
-        v: RECORD_VERSION,
-        st: JobState::Open,
+    wire::to_value(&JobRecord {
+        version: RECORD_VERSION,
+        state: JobState::Open,
         spec: Some(spec.clone()),
-        n: None,
+        task_count: None,
         summary: None,
     })
 }
 
 /// A job that is done keeps its key for ever, but needs only its last state.
 pub fn done_record(spec: &JobSpec) -> Value {
-    wire::to_value(&Record {
-        v: RECORD_VERSION,
-        st: JobState::Done,
+    wire::to_value(&JobRecord {
+        version: RECORD_VERSION,
+        state: JobState::Done,
         spec: None,
-        n: Some(spec.tasks),
-        summary: Some(JobSummary::of(spec)),
+        task_count: Some(spec.tasks),
+        summary: Some(JobSummary::from(spec)),
     })
 }
 
 /// A cancelled job may still have tasks to end, whose size a new holder needs.
 pub fn cancelled_record(spec: &JobSpec) -> Value {
-    wire::to_value(&Record {
-        v: RECORD_VERSION,
-        st: JobState::Cancelled,
+    wire::to_value(&JobRecord {
+        version: RECORD_VERSION,
+        state: JobState::Cancelled,
         spec: Some(spec.clone()),
-        n: None,
+        task_count: None,
         summary: None,
     })
 }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// Sent about once a second.
-    Pulse {
+    Heartbeat {
         label: String,
         #[serde(rename = "ledger_age_ms")]
         store_age_ms: u64,
@@ -24,42 +24,42 @@
     /// From the holder: jobs with tasks done or running.
     Progress(Vec<(String, u32, u32)>),
     /// From the holder: its token. Nobody with a lower one is entitled.
-    Holds { label: String, token: u64 },
+    LeaderHeartbeat { label: String, fencing_token: u64 },
     /// With each pulse: whether it could take over at once, and whether
     /// operators have drained it.
-    Ready {
+    Readiness {
         label: String,
         ready: bool,
         drained: bool,
     },
     /// A question to the holder, in a form that this layer does not read.
-    Ask {
+    Query {
         from: String,
         serial: u64,
         query: Vec<u8>,
     },
     /// The holder's answer: a status as of HTTP, and JSON.
-    Told {
+    QueryResponse {
         serial: u64,
         status: u16,
         body: Vec<u8>,
     },
     /// To the holder: machines that reported here lately, since it does not
     /// answer them or they do not know it. Sent only while there are such.
-    Hears {
+    MisroutedWorkers {
         label: String,
         machines: Vec<String>,
     },
     /// From a holder that commits nothing though there is work: whoever takes
     /// over is to begin with small steps.
-    Stuck { label: String },
+    LeaderStalled { label: String },
     /// Jobs whose end a user was told here: older answers to questions that wait
     /// elsewhere are not given any more. Word, not proof: nobody takes the end from it.
-    Ended { jobs: Vec<String> },
+    JobsEnded { jobs: Vec<String> },
 }
 
 impl Frame {
-    /// Names of machines or jobs in one [`Frame::Hears`] or [`Frame::Ended`]. A longer list
+    /// Names of machines or jobs in one [`Frame::MisroutedWorkers`] or [`Frame::JobsEnded`]. A longer list
     /// goes out as several frames. 8,192 of the longest names are 184 KB, which leaves a
     /// quarter of [`FRAME_LIMIT`] for the label.
     pub const MAX_NAMES: usize = 8_192;
@@ -70,8 +70,8 @@
 
     /// The machines that report to `label` in place of the holder: as many frames as their
     /// names need. The receiver adds them up.
-    pub fn hears(label: &str, machines: &[MachineId]) -> Vec<Frame> {
-        let frame = |part: &[MachineId]| Frame::Hears {
+    pub fn misrouted_workers(label: &str, machines: &[MachineId]) -> Vec<Frame> {
+        let frame = |part: &[MachineId]| Frame::MisroutedWorkers {
             label: label.to_string(),
             machines: part.iter().map(MachineId::to_string).collect(),
         };
@@ -79,8 +79,8 @@
     }
 
     /// Jobs whose end a user was told: as many frames as their names need.
-    pub fn ended(jobs: &[JobId]) -> Vec<Frame> {
-        let frame = |part: &[JobId]| Frame::Ended {
+    pub fn jobs_ended(jobs: &[JobId]) -> Vec<Frame> {
+        let frame = |part: &[JobId]| Frame::JobsEnded {
             jobs: part.iter().map(JobId::to_string).collect(),
         };
         jobs.chunks(Frame::MAX_NAMES).map(frame).collect()
--- a/crates/core/src/peers/tests.rs
+++ b/crates/core/src/peers/tests.rs
@@ -6,12 +6,12 @@
 fn the_longest_lists_fit_a_frame() {
     let long = "n-123456789012345678".to_string();
     let machines = vec![long.clone(); Frame::MAX_NAMES];
-    let hears = Frame::Hears {
+    let hears = Frame::MisroutedWorkers {
         label: "x".repeat(200),
         machines,
     };
     let rows = vec![("job-123456789012345678".to_string(), u32::MAX, u32::MAX); Frame::MAX_ROWS];
-    let ended = Frame::Ended {
+    let ended = Frame::JobsEnded {
         jobs: vec!["job-123456789012345678".into(); Frame::MAX_NAMES],
     };
     for frame in [hears, ended, Frame::Progress(rows)] {
@@ -53,9 +53,9 @@
     for count in [0, 1, 4_000, 4_001, 8_192, 8_193, 20_000] {
         let (all, ended) = (machines(count), jobs(count));
         let mut heard = Vec::new();
-        for frame in Frame::hears("a", &all) {
+        for frame in Frame::misrouted_workers("a", &all) {
             assert!(encode(&frame).len() <= FRAME_LIMIT);
-            let Frame::Hears { label, machines } = frame else {
+            let Frame::MisroutedWorkers { label, machines } = frame else {
                 panic!("another frame")
             };
             assert!(label == "a" && !machines.is_empty());
@@ -63,27 +63,30 @@
         }
         assert_eq!(heard, all);
         let mut over = Vec::new();
-        for frame in Frame::ended(&ended) {
+        for frame in Frame::jobs_ended(&ended) {
             assert!(encode(&frame).len() <= FRAME_LIMIT);
-            let Frame::Ended { jobs } = frame else {
+            let Frame::JobsEnded { jobs } = frame else {
                 panic!("another frame")
             };
             over.extend(jobs.iter().filter_map(|j| JobId::parse(j)));
         }
         assert_eq!(over, ended);
     }
-    assert_eq!(Frame::hears("a", &machines(8_192)).len(), 1);
+    assert_eq!(Frame::misrouted_workers("a", &machines(8_192)).len(), 1);
 }
 
 /// What fits one frame has the bytes that it always had.
 #[test]
 fn a_list_that_fits_is_one_frame_of_the_same_bytes() {
     let names: Vec<String> = machines(3).iter().map(MachineId::to_string).collect();
-    let before = encode(&Frame::Hears {
+    let before = encode(&Frame::MisroutedWorkers {
         label: "a".into(),
         machines: names,
     });
-    let now: Vec<_> = Frame::hears("a", &machines(3)).iter().map(encode).collect();
+    let now: Vec<_> = Frame::misrouted_workers("a", &machines(3))
+        .iter()
+        .map(encode)
+        .collect();
     assert_eq!(now, [before]);
     let rows = vec![("job-1".to_string(), 2, 3)];
     let before = encode(&Frame::Progress(rows.clone()));
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -16,8 +16,8 @@
 
 use beamhinge_core::http::{write_request, write_response, Content, Method, RequestHead};
 use beamhinge_core::job::{
-    cancelled_record, done_record, key, open_record, JobKind, JobSpec, JobState, Record, Urgency,
-    RECORD_VERSION,
+    cancelled_record, done_record, key, open_record, JobKind, JobRecord, JobSpec, JobState,
+    Urgency, RECORD_VERSION,
 };
 use beamhinge_core::peers::{encode, take, Frame};
 use beamhinge_core::settings::{Operator, Settings, SAMPLE};
@@ -40,12 +40,12 @@
         image_gb: 6.2,
         machine_types: Some(vec!["g8".into(), "c4".into()]),
         zone: Some("a".into()),
-        one_zone: true,
+        single_zone: true,
         spread: false,
         spot: true,
-        expect_s: 240.5,
-        checkpoint_s: 30.5,
-        save_s: 4.5,
+        expected_run_s: 240.5,
+        checkpoint_interval_s: 30.5,
+        checkpoint_duration_s: 4.5,
         due_s: Some(900.5),
         submitted: 1_700_000_000_123,
         command: Some("echo hello".into()),
@@ -59,7 +59,7 @@
         urgency,
         machine_types: None,
         zone: None,
-        one_zone: false,
+        single_zone: false,
         spread: true,
         spot: false,
         due_s: None,
@@ -74,15 +74,15 @@
     let id = JobId::parse("job-000412").expect("an id");
     golden.text("key", &key(id));
     let mut add = |name: &str, value| {
-        let record: Record = wire::from_value(&value).expect(name);
-        assert_eq!(record.v, RECORD_VERSION);
+        let record: JobRecord = wire::from_value(&value).expect(name);
+        assert_eq!(record.version, RECORD_VERSION);
         assert_eq!(wire::to_value(&record), value);
         golden.stored(name, &record);
     };
     add("open", open_record(&spec()));
     add("done", done_record(&spec()));
     add("cancelled", cancelled_record(&spec()));
-    let kinds = [("batch", JobKind::Batch), ("standing", JobKind::Standing)];
+    let kinds = [("batch", JobKind::Batch), ("standing", JobKind::Service)];
     let urgencies = [
         ("best_effort", Urgency::BestEffort),
         ("standard", Urgency::Standard),
@@ -105,30 +105,30 @@
         "u": "high", "n": 16, "cpu": 8.5, "gpu": 1.25, "mem": 64.5, "img": "img-07", "igb": 6.2,
         "sh": ["g8", "c4"], "z": "a", "oz": true, "ap": false, "sp": true, "ex": 240.5,
         "ce": 30.5, "cs": 4.5, "due": 900.5, "at": 1_700_000_000_123_u64, "cmd": "echo hello"}});
-    let record: Record = wire::decode(&wire::encode(&stored)).expect("a record");
+    let record: JobRecord = wire::decode(&wire::encode(&stored)).expect("a record");
     assert_eq!(record.spec, Some(spec()));
-    assert_eq!(record.st, JobState::Open);
+    assert_eq!(record.state, JobState::Open);
 }
 
 /// Records of earlier versions knew neither command lines nor whose a finished job was.
 #[test]
 fn records_of_earlier_forms_are_read() {
-    let done: Record =
+    let done: JobRecord =
         wire::decode(&wire::encode(&json!({"v": 1, "st": "done", "n": 16}))).expect("a record");
     assert_eq!(
-        (done.st, done.n, done.summary),
+        (done.state, done.task_count, done.summary),
         (JobState::Done, Some(16), None)
     );
     let cancelled = json!({"v": 1, "st": "cancelled", "spec": {"c": "c", "o": "o", "k": "standing",
         "u": "best_effort", "n": 2, "cpu": 1.0, "gpu": 0.0, "mem": 2.0, "img": "i", "igb": 0.0,
         "sh": null, "z": null, "oz": false, "ap": true, "sp": false, "ex": 0.0, "ce": 0.0, "cs": 0.0,
         "due": null, "at": 5}});
-    let cancelled: Record = wire::decode(&wire::encode(&cancelled)).expect("a record");
-    assert_eq!(cancelled.st, JobState::Cancelled);
+    let cancelled: JobRecord = wire::decode(&wire::encode(&cancelled)).expect("a record");
+    assert_eq!(cancelled.state, JobState::Cancelled);
     let spec = cancelled.spec.expect("a description");
     assert_eq!(
         (spec.kind, spec.urgency),
-        (JobKind::Standing, Urgency::BestEffort)
+        (JobKind::Service, Urgency::BestEffort)
     );
     assert_eq!(
         (spec.machine_types, spec.zone, spec.due_s, spec.command),
@@ -143,7 +143,7 @@
     let frames = [
         (
             "pulse",
-            Frame::Pulse {
+            Frame::Heartbeat {
                 label: label(),
                 store_age_ms: 300,
                 leader: true,
@@ -155,14 +155,14 @@
         ),
         (
             "holds",
-            Frame::Holds {
+            Frame::LeaderHeartbeat {
                 label: label(),
-                token: 70_000,
+                fencing_token: 70_000,
             },
         ),
         (
             "ready",
-            Frame::Ready {
+            Frame::Readiness {
                 label: label(),
                 ready: true,
                 drained: false,
@@ -170,7 +170,7 @@
         ),
         (
             "ready drained",
-            Frame::Ready {
+            Frame::Readiness {
                 label: label(),
                 ready: false,
                 drained: true,
@@ -178,7 +178,7 @@
         ),
         (
             "ask",
-            Frame::Ask {
+            Frame::Query {
                 from: "south-2".into(),
                 serial: 515,
                 query: vec![1, 2, 250],
@@ -186,7 +186,7 @@
         ),
         (
             "told",
-            Frame::Told {
+            Frame::QueryResponse {
                 serial: 515,
                 status: 404,
                 body: b"{\"a\":1}".to_vec(),
@@ -194,15 +194,15 @@
         ),
         (
             "hears",
-            Frame::Hears {
+            Frame::MisroutedWorkers {
                 label: label(),
                 machines: vec!["n-000231".into(), "n-9".into()],
             },
         ),
-        ("stuck", Frame::Stuck { label: label() }),
+        ("stuck", Frame::LeaderStalled { label: label() }),
         (
             "ended",
-            Frame::Ended {
+            Frame::JobsEnded {
                 jobs: vec!["job-000412".into(), "job-7".into()],
             },
         ),
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -10,7 +10,7 @@
 pub use crate::worker_pool::{Seen, Watcher};
 use crate::{micros, refuse, Doubles, JobPlan, Us, SECOND};
 use beamhinge_core::http::Request;
-use beamhinge_core::job::{JobKind, Record, PREFIX};
+use beamhinge_core::job::{JobKind, JobRecord, PREFIX};
 use beamhinge_core::messages::{Effect, Service};
 use beamhinge_core::settings;
 use beamhinge_core::types::{CallId, RequestId, Time, WallMs};
@@ -189,9 +189,9 @@
 fn describe(state: &State, job: &str) -> Option<JobPlan> {
     let record = state.get(&format!("{PREFIX}{job}")).cloned();
     let spec = record
-        .and_then(|v| serde_json::from_value::<Record>(v).ok())
+        .and_then(|v| serde_json::from_value::<JobRecord>(v).ok())
         .and_then(|r| r.spec)?;
-    let kind = if spec.kind == JobKind::Standing {
+    let kind = if spec.kind == JobKind::Service {
         "standing"
     } else {
         "batch"
@@ -201,7 +201,7 @@
     Some(JobPlan {
         sent: 0,
         body,
-        run_s: spec.expect_s,
+        run_s: spec.expected_run_s,
         fails: false,
         command: spec.command.map(String::from),
     })
