--- a/crates/controller/src/fleet/forecast.rs
+++ b/crates/controller/src/fleet/forecast.rs
@@ -163,7 +163,7 @@
                 heard_s: None,
                 age_s: i.map(|i| now.since(i.rented)),
             };
-            scheduler.tell_machine(now, id, &self.machine_types, &mut row);
+            scheduler.describe_machine(now, id, &self.machine_types, &mut row);
             if i.is_some_and(|i| i.release != Release::No) {
                 row.state = "leaving".into();
             }
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -554,7 +554,7 @@
             Query::Job { job } => {
                 let id = JobId::parse(job);
                 let told = id.and_then(|id| {
-                    scheduler.tell_job(now, wall, id, &self.settings, machine_types)
+                    scheduler.describe_job(now, wall, id, &self.settings, machine_types)
                 });
                 let (Some(id), Some(mut placed)) = (id, told) else {
                     return (503, Vec::new());
@@ -594,7 +594,7 @@
                     scheduler,
                 ))
             }
-            Query::Teams => encoded(&scheduler.tell_teams(now, &self.settings, machine_types)),
+            Query::Teams => encoded(&scheduler.describe_teams(now, &self.settings, machine_types)),
             Query::Splits => encoded(&self.fleet.render_splits()),
             Query::Summary => encoded(&self.summary(now, wall)),
             Query::Decisions {
@@ -634,7 +634,7 @@
             machines_silent: t.silent,
             cpus: t.cpus,
             cpus_used: t.cpus_used,
-            teams: scheduler.tell_teams(now, &self.settings, machine_types),
+            teams: scheduler.describe_teams(now, &self.settings, machine_types),
             directives: self.directives.active_directives().len() as u32,
         }
     }
--- a/crates/controller/src/scheduler/aging.rs
+++ b/crates/controller/src/scheduler/aging.rs
@@ -1,96 +1,100 @@
-//! Jobs that have waited long enough: their lane, their reservations, and what
-//! may be stopped for others. The rules are those of `beamhinge_priority_aging`; here
-//! they meet the books.
+//! Priority aging: the lane of boosted jobs, and reservations of machines.
 //!
-//! All that decides is in the books already: when a job was submitted, and what
-//! holds room. A new holder finds the same order. Reservations and the counts of
-//! stops are made anew: the bound in `docs/ageing.md` counts a takeover for that.
+//! The rules are those of `beamhinge_priority_aging`; here they meet the scheduler's state. All
+//! that decides is stored: when a job was submitted, and what is allocated. A new leader finds
+//! the same order. Reservations and the counts of preemptions are made anew: the bound in
+//! `docs/ageing.md` counts a failover for that.
 
-use super::plan::{allows, PlacementPass, SchedulingCycle};
-use super::*;
+use super::bin_packing::PlacementPass;
+use super::cycle::SchedulingCycle;
+use super::feasibility::{is_feasible, violates_zone_rule, ZoneCounts};
+use super::types::{Allocation, Job, Machine};
+use super::{age_s, Scheduler};
+use crate::job_store::{JobKind, JobSpec};
+use crate::split::MachineType;
 use beamhinge_admin_api::reasons::Reason;
+use beamhinge_core::types::{JobId, MachineId, TaskId, Time, WallMs};
 use beamhinge_priority_aging::{soonest, Held, Lane, Running};
 
-impl Resources {
-    pub(super) fn sizes(&self) -> [f64; 3] {
-        [self.cpus, self.gpus, self.memory_gb]
-    }
-}
+/// One machine in so many may be reserved for starving jobs.
+const MACHINES_PER_STARVING_RESERVATION: usize = 20;
 
 impl Scheduler {
-    /// When a job rises, milliseconds of the time of day. Services never do: one
-    /// in the lane would hold it for ever.
-    fn rises_at_ms(&self, spec: &JobSpec) -> Option<u64> {
-        let ends = spec.kind == JobKind::Batch;
-        ends.then(|| self.aging.rises_at_ms(spec.urgency, spec.submitted()))
+    /// When a job is boosted, milliseconds of the time of day. Services never are: one in the
+    /// lane would hold it for ever.
+    fn boosted_at_ms(&self, spec: &JobSpec) -> Option<u64> {
+        let ends_by_itself = spec.kind == JobKind::Batch;
+        ends_by_itself
+            .then(|| self.aging.rises_at_ms(spec.urgency, spec.submitted()))
             .flatten()
     }
 
-    /// Waiting jobs that have risen, the one that rose first in front.
-    pub(super) fn risen(&self, now: Time, wall: WallMs) -> Vec<JobId> {
+    /// Pending jobs that are boosted, the one that has been so for longest in front.
+    pub(super) fn boosted_jobs(&self, now: Time, wall: WallMs) -> Vec<JobId> {
         if !self.aging.on() {
             return Vec::new();
         }
-        let waits = self
+        let pending = self
             .jobs
             .iter()
-            .filter(|(id, j)| self.pause(now, **id, j).is_none());
-        let mut risen: Vec<(u64, JobId)> = waits
-            .filter_map(|(id, j)| {
-                let at = self.rises_at_ms(&j.spec)?;
-                (at <= wall.0).then_some((at, *id))
+            .filter(|(id, job)| self.pause_reason(now, **id, job).is_none());
+        let mut boosted: Vec<(u64, JobId)> = pending
+            .filter_map(|(id, job)| {
+                let at_ms = self.boosted_at_ms(&job.spec)?;
+                (at_ms <= wall.0).then_some((at_ms, *id))
             })
             .collect();
-        risen.sort_unstable();
-        risen.into_iter().map(|(_, id)| id).collect()
+        boosted.sort_unstable();
+        boosted.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// What the lane holds, by the books.
-    pub(super) fn lane(&self, now: Time, machine_types: &[MachineType]) -> Lane {
+    /// The lane with what its tasks hold now.
+    pub(super) fn priority_lane(&self, now: Time, machine_types: &[MachineType]) -> Lane {
         let usable = self
             .machines
             .values()
-            .filter(|m| self.blocking_reason(now, m).is_none());
+            .filter(|machine| self.accepts_tasks(now, machine));
         let cpus = usable
-            .filter_map(|m| machine_types.get(m.machine_type?))
-            .map(|s| s.cpus)
+            .filter_map(|machine| machine_types.get(machine.machine_type?))
+            .map(|machine_type| machine_type.cpus)
             .sum();
         let mut lane = Lane::new(self.aging.width(cpus));
-        for e in self
+        for allocation in self
             .machines
             .values()
-            .flat_map(|m| m.allocations.values())
-            .filter(|e| e.lane)
+            .flat_map(|machine| machine.allocations.values())
+            .filter(|allocation| allocation.lane)
         {
-            lane.take(e.resources.cpus);
+            lane.take(allocation.resources.cpus);
         }
         lane
     }
 
-    /// Gives room to what has risen, as far as the lane is wide.
-    pub(super) fn fill_lane(&mut self, now: Time, wall: WallMs, round: &mut SchedulingCycle) {
-        let risen = self.risen(now, wall);
-        if risen.is_empty() {
+    /// Places boosted jobs, as far as the lane is wide.
+    pub(super) fn fill_lane(&mut self, now: Time, wall: WallMs, cycle: &mut SchedulingCycle) {
+        let boosted = self.boosted_jobs(now, wall);
+        if boosted.is_empty() {
             return;
         }
-        let mut lane = self.lane(now, round.machine_types);
-        round.rising = true;
-        'jobs: for id in risen {
-            while let Some(job) = self.jobs.get(&id).filter(|j| j.waiting() > 0) {
+        let mut lane = self.priority_lane(now, cycle.machine_types);
+        cycle.filling_lane = true;
+        'jobs: for id in boosted {
+            while let Some(job) = self.jobs.get(&id).filter(|job| job.waiting() > 0) {
                 let resources = job.resources();
-                let team = self.team(&job.spec);
-                let over = team.and_then(|t| self.over_limit(round.team_used[t], t, &resources));
-                if over.is_some() {
+                let exceeded = self
+                    .team(&job.spec)
+                    .and_then(|team| self.quota_exceeded(cycle.team_usage[team], team, &resources));
+                if exceeded.is_some() {
                     // Its team's limit, and no lack of room, is in its way.
                     break;
                 }
-                // Guard of the bound: nobody passes one for whom the lane is too
-                // full. Smaller ones behind it would keep it so for ever.
-                if round.budget == 0 || !lane.admits(resources.cpus) {
+                // Guard of the bound: nobody passes one for whom the lane is too full. Smaller
+                // ones behind it would keep it so for ever.
+                if cycle.remaining_placements == 0 || !lane.admits(resources.cpus) {
                     break 'jobs;
                 }
-                if self.fill(now, round, id, PlacementPass::Any, 1) == 0 {
-                    if self.reserve(now, round, id).is_some() {
+                if self.place_first_fit(now, cycle, id, PlacementPass::Any, 1) == 0 {
+                    if self.reserve_machine(now, cycle, id).is_some() {
                         lane.take(resources.cpus);
                     }
                     break;
@@ -98,110 +102,139 @@
                 lane.take(resources.cpus);
             }
         }
-        round.rising = false;
+        cycle.filling_lane = false;
     }
 
-    /// Jobs that begin with one task, and found no room for it, keep the machine
-    /// that will have it first: else smaller tasks take each piece that comes free.
-    pub(super) fn reserve_to_begin(
+    /// Reserves, for each starving job that found no room for its first task, the machine that
+    /// will have it first: else smaller tasks take each piece that comes free.
+    pub(super) fn reserve_for_starving(
         &mut self,
         now: Time,
-        round: &SchedulingCycle,
-        begins: &[JobId],
+        cycle: &SchedulingCycle,
+        starving: &[JobId],
     ) {
-        let most = (self.machines.len() / 20).max(1);
-        for id in begins.iter().take(most) {
-            if self.jobs.get(id).is_some_and(|j| j.live.is_empty()) {
-                let _ = self.reserve(now, round, *id);
+        let max_jobs = (self.machines.len() / MACHINES_PER_STARVING_RESERVATION).max(1);
+        for id in starving.iter().take(max_jobs) {
+            if self.jobs.get(id).is_some_and(|job| job.live.is_empty()) {
+                let _ = self.reserve_machine(now, cycle, *id);
             }
         }
     }
 
-    /// A reservation ends with the wait, and with the machine.
-    pub(super) fn keep_reserved(
+    /// Ends the reservations of jobs that are not in `wanted`, and those of machines that the
+    /// job can no longer use.
+    pub(super) fn retain_reservations(
         &mut self,
         now: Time,
         machine_types: &[MachineType],
-        risen: &[JobId],
+        wanted: &[JobId],
     ) {
         if self.reserved.is_empty() {
             return;
         }
         let mut reserved = std::mem::take(&mut self.reserved);
-        reserved.keep(|id, held| {
-            let (Some(job), Some(m)) = (self.jobs.get(&id), self.machines.get(&held.machine))
+        reserved.keep(|id, reservation| {
+            let (Some(job), Some(machine)) =
+                (self.jobs.get(&id), self.machines.get(&reservation.machine))
             else {
                 return false;
             };
-            let machine_type = m.machine_type.and_then(|s| machine_types.get(s));
-            risen.contains(&id)
-                && self.blocking_reason(now, m).is_none()
-                && machine_type.is_some_and(|s| allows(&job.spec, s, m))
+            let machine_type = machine
+                .machine_type
+                .and_then(|index| machine_types.get(index));
+            wanted.contains(&id)
+                && self.accepts_tasks(now, machine)
+                && machine_type
+                    .is_some_and(|machine_type| is_feasible(&job.spec, machine_type, machine))
         });
         self.reserved = reserved;
     }
 
-    /// Keeps the machine that will have room first for the job's next task.
-    fn reserve(&mut self, now: Time, round: &SchedulingCycle, id: JobId) -> Option<Held> {
-        if let Some(held) = self.reserved.of(id) {
-            return Some(held);
+    /// Reserves the machine that will have room first for the job's next task. A reservation that
+    /// the job has already is kept.
+    fn reserve_machine(&mut self, now: Time, cycle: &SchedulingCycle, id: JobId) -> Option<Held> {
+        if let Some(reservation) = self.reserved.of(id) {
+            return Some(reservation);
         }
         let job = self.jobs.get(&id)?;
-        let (spec, resources) = (job.spec.clone(), job.resources());
-        let none = BTreeMap::new();
-        let in_zones = round.zones.get(&id).unwrap_or(&none);
-        let machines: Vec<(MachineId, f64)> = self
+        let no_tasks = ZoneCounts::new();
+        let tasks_by_zone = cycle.tasks_by_zone.get(&id).unwrap_or(&no_tasks);
+        let available: Vec<(MachineId, f64)> = self
             .machines
             .iter()
-            .filter(|(_, m)| self.blocking_reason(now, m).is_none())
-            .filter(|(_, m)| !plan::zone_barred(&spec, in_zones, &m.zone))
-            .filter_map(|(machine, m)| {
-                let machine_type = round.machine_types.get(m.machine_type?)?;
-                allows(&spec, machine_type, m).then_some(())?;
-                let free = m.unpromised(round.machine_types).sizes();
-                let mut running = self.running(now, m);
-                Some((*machine, soonest(free, &mut running, resources.sizes())?))
+            .filter(|(_, machine)| self.accepts_tasks(now, machine))
+            .filter(|(_, machine)| !violates_zone_rule(&job.spec, tasks_by_zone, &machine.zone))
+            .filter_map(|(machine_id, machine)| {
+                let available_in_s = self.available_in_s(now, cycle, job, machine)?;
+                Some((*machine_id, available_in_s))
             })
             .collect();
-        let held = self.reserved.hold(now, id, machines.into_iter())?;
+        let reservation = self.reserved.hold(now, id, available.into_iter())?;
         tracing::info!(
-            "{} is kept for {id}, for {:.0} s",
-            held.machine,
-            held.at.until(now)
+            machine = %reservation.machine,
+            job = %id,
+            available_in_s = reservation.at.until(now),
+            "reserved machine"
         );
-        // What was placed there ahead of an end has not begun: it goes elsewhere.
-        let deferred: Vec<TaskId> = self.machines.get(&held.machine).map_or_else(Vec::new, |m| {
-            m.allocations
-                .iter()
-                .filter(|(_, e)| e.ahead.is_some())
-                .map(|(t, _)| *t)
-                .collect()
-        });
-        for task in deferred {
-            self.end(now, held.machine, task, false, 0.0);
+        self.withdraw_nominations(now, reservation.machine);
+        Some(reservation)
+    }
+
+    /// Seconds until the machine has room for a task of the job by the estimates; none if it
+    /// never has.
+    fn available_in_s(
+        &self,
+        now: Time,
+        cycle: &SchedulingCycle,
+        job: &Job,
+        machine: &Machine,
+    ) -> Option<f64> {
+        let machine_type = cycle.machine_types.get(machine.machine_type?)?;
+        if !is_feasible(&job.spec, machine_type, machine) {
+            return None;
+        }
+        let free = machine.unpromised(cycle.machine_types).to_vector();
+        let mut running = self.running_tasks(now, machine);
+        soonest(free, &mut running, job.resources().to_vector())
+    }
+
+    /// What was nominated for the machine has not begun: it goes elsewhere.
+    fn withdraw_nominations(&mut self, now: Time, machine_id: MachineId) {
+        let Some(machine) = self.machines.get(&machine_id) else {
+            return;
+        };
+        let nominated: Vec<TaskId> = machine
+            .allocations
+            .iter()
+            .filter(|(_, allocation)| allocation.ahead.is_some())
+            .map(|(task, _)| *task)
+            .collect();
+        for task in nominated {
+            self.end(now, machine_id, task, false, 0.0);
         }
-        Some(held)
     }
 
     /// What occupies a machine, and for how long by the estimates.
-    fn running(&self, now: Time, m: &Machine) -> Vec<Running> {
-        let allocations = m.allocations.iter().filter(|(_, e)| e.ahead.is_none());
+    fn running_tasks(&self, now: Time, machine: &Machine) -> Vec<Running> {
+        let allocations = machine
+            .allocations
+            .iter()
+            .filter(|(_, allocation)| allocation.ahead.is_none());
         allocations
-            .filter_map(|(task, e)| {
+            .filter_map(|(task, allocation)| {
                 let job = self.jobs.get(&task.job)?;
                 // A service ends when it is told to, which nobody can foresee.
-                (job.spec.kind == JobKind::Batch).then_some(())?;
-                let left_s = (self.run_s(job) - e.ran_s(now)).max(0.0);
-                Some(Running {
-                    left_s,
-                    size: e.resources.sizes(),
+                (job.spec.kind == JobKind::Batch).then(|| Running {
+                    left_s: (self.run_s(job) - allocation.ran_s(now)).max(0.0),
+                    size: allocation.resources.to_vector(),
                 })
             })
             .collect()
     }
 
-    /// How far a waiting job's wait has raised it.
-    pub(super) fn tell_ageing(
+    /// How far a pending job's wait has raised its priority, for operators; none while aging is
+    /// off.
+    pub(super) fn explain_aging(
         &self,
         now: Time,
         wall: WallMs,
@@ -209,36 +242,43 @@
         machine_types: &[MachineType],
     ) -> Option<Reason> {
         let job = self.jobs.get(&id).filter(|_| self.aging.on())?;
-        let rise = self
+        let boost = self
             .aging
             .rise(job.spec.urgency, job.spec.submitted(), wall);
-        let (risen, lane) = (self.risen(now, wall), self.lane(now, machine_types));
+        let boosted = self.boosted_jobs(now, wall);
+        let lane = self.priority_lane(now, machine_types);
+        let reservation = self.reserved.of(id);
         Some(Reason::PriorityAging {
-            priority: rise.priority,
+            priority: boost.priority,
             age_s: age_s(wall, &job.spec).max(0.0),
-            rises_in_s: self.rises_at_ms(&job.spec).and(rise.rises_in_s),
-            ahead: risen.iter().position(|other| *other == id).unwrap_or(0) as u32,
+            rises_in_s: self.boosted_at_ms(&job.spec).and(boost.rises_in_s),
+            ahead: boosted.iter().position(|other| *other == id).unwrap_or(0) as u32,
             lane_cpus: lane.width(),
             held_cpus: lane.held(),
-            kept: self.reserved.of(id).map(|h| h.machine.to_string()),
+            kept: reservation.map(|reservation| reservation.machine.to_string()),
         })
     }
 
-    /// Whether a machine is kept for another job, and this one would stay there
+    /// Whether a machine is reserved for another job, and a task of this one would stay there
     /// beyond the time at which it is needed.
-    pub(super) fn kept_from(&self, now: Time, machine: MachineId, id: JobId) -> bool {
-        let Some((leader, held)) = self.reserved.leader(machine) else {
+    pub(super) fn is_reserved_for_other(&self, now: Time, machine: MachineId, id: JobId) -> bool {
+        let Some((owner, reservation)) = self.reserved.leader(machine) else {
             return false;
         };
         let Some(job) = self.jobs.get(&id) else {
             return false;
         };
-        let passes = job.spec.kind == JobKind::Batch && held.lets_pass(now, self.run_s(job));
-        leader != id && !passes
+        let ends_in_time =
+            job.spec.kind == JobKind::Batch && reservation.lets_pass(now, self.run_s(job));
+        owner != id && !ends_in_time
     }
 
-    /// Whether a task has risen: it is not stopped for work up to the ceiling.
-    pub(super) fn rose(&self, wall: WallMs, e: &Allocation, job: &Job) -> bool {
-        self.aging.on() && (e.lane || self.rises_at_ms(&job.spec).is_some_and(|at| at <= wall.0))
+    /// Whether a task counts as boosted: it is not preempted for work up to the ceiling.
+    pub(super) fn is_boosted(&self, wall: WallMs, allocation: &Allocation, job: &Job) -> bool {
+        let boosted_by_age = || {
+            self.boosted_at_ms(&job.spec)
+                .is_some_and(|at_ms| at_ms <= wall.0)
+        };
+        self.aging.on() && (allocation.lane || boosted_by_age())
     }
 }
--- /dev/null
+++ b/crates/controller/src/scheduler/cycle.rs
@@ -0,0 +1,190 @@
+//! The state of one scheduling cycle: what is free, what each team uses, and what the cycle has
+//! learnt so far. All that places tasks shares it; nothing of it outlives the cycle.
+
+use super::feasibility::ZoneCounts;
+use super::quota::TeamUsage;
+use super::types::Machine;
+use super::victims::PreemptionPlan;
+use super::Scheduler;
+use crate::blocks;
+use crate::faults::broken;
+use crate::split::{MachineType, Resources, EPSILON};
+use beamhinge_core::job::Urgency;
+use beamhinge_core::settings::Settings;
+use beamhinge_core::types::{JobId, MachineId, Time};
+use std::collections::BTreeMap;
+
+/// Pages of placements that one cycle may fill.
+const MAX_PAGES: usize = 4;
+
+/// A machine that accepts tasks, with what is still free on it in this cycle.
+pub(super) struct MachineCapacity {
+    pub(super) id: MachineId,
+    /// Index into the machine types of the cycle.
+    pub(super) machine_type: usize,
+    pub(super) free: Resources,
+    /// Something runs there, or was placed there in this cycle.
+    pub(super) occupied: bool,
+    /// It has not acknowledged what was sent to it lately: one task is enough to try it.
+    pub(super) unacknowledged: bool,
+}
+
+/// A task that is expected to end soon.
+pub(super) struct ExpectedExit {
+    pub(super) remaining_s: f64,
+    pub(super) cpus: f64,
+}
+
+/// A machine where tasks are expected to end soon.
+pub(super) struct UpcomingExits {
+    pub(super) machine: MachineId,
+    pub(super) exits: Vec<ExpectedExit>,
+    /// The highest urgency among tasks that are nominated for the machine already.
+    pub(super) nominated: Option<Urgency>,
+}
+
+/// One pass of the scheduler over the pending jobs.
+pub(super) struct SchedulingCycle<'a> {
+    pub(super) settings: &'a Settings,
+    pub(super) machine_types: &'a [MachineType],
+    /// Machines with something free, in order of their ids.
+    pub(super) capacities: Vec<MachineCapacity>,
+    /// By index of the team.
+    pub(super) team_usage: Vec<TeamUsage>,
+    /// For jobs with a rule about zones, and all that got a task in this cycle.
+    pub(super) tasks_by_zone: BTreeMap<JobId, ZoneCounts>,
+    /// Tasks that may still be placed: no more than the next few transactions carry.
+    pub(super) remaining_placements: usize,
+    /// No machine has more CPUs free.
+    pub(super) max_free_cpus: f64,
+    /// What is placed now counts against the lane of boosted jobs.
+    pub(super) filling_lane: bool,
+    /// Found when it is first asked for.
+    pub(super) upcoming_exits: Option<Vec<UpcomingExits>>,
+    /// Made when it is first asked for.
+    pub(super) preemption_plan: Option<PreemptionPlan>,
+}
+
+impl Resources {
+    /// CPUs, GPUs and gigabytes of memory, in this order.
+    pub(super) fn to_vector(self) -> [f64; 3] {
+        [self.cpus, self.gpus, self.memory_gb]
+    }
+}
+
+impl SchedulingCycle<'_> {
+    /// Counts one task more of the job in a zone.
+    pub(super) fn count_in_zone(&mut self, job: JobId, zone: &str) {
+        let counts = self.tasks_by_zone.entry(job).or_default();
+        *counts.entry(zone.to_string()).or_default() += 1;
+    }
+
+    /// Counts a task that was allocated. One that is nominated takes no room before others end.
+    pub(super) fn consume(
+        &mut self,
+        machine: MachineId,
+        team: Option<usize>,
+        resources: &Resources,
+        nominated: bool,
+    ) {
+        if let Some(team) = team {
+            self.team_usage[team].add(resources);
+        }
+        if let (Some(plan), false) = (&mut self.preemption_plan, nominated) {
+            plan.candidates.used(machine, &resources.to_vector());
+        }
+        self.remaining_placements -= 1;
+    }
+
+    /// Looks again for the most CPUs that any machine has free.
+    pub(super) fn update_max_free_cpus(&mut self) {
+        let free = self.capacities.iter().map(|capacity| capacity.free.cpus);
+        self.max_free_cpus = free.fold(0.0, f64::max);
+    }
+}
+
+impl Scheduler {
+    /// Starts a cycle from the present allocations.
+    pub(super) fn begin_cycle<'a>(
+        &self,
+        now: Time,
+        settings: &'a Settings,
+        machine_types: &'a [MachineType],
+    ) -> SchedulingCycle<'a> {
+        let max_placements = blocks::rows_per_page(self.value_limit) * MAX_PAGES;
+        let mut cycle = SchedulingCycle {
+            settings,
+            machine_types,
+            capacities: Vec::new(),
+            team_usage: vec![TeamUsage::default(); self.teams.len()],
+            tasks_by_zone: BTreeMap::new(),
+            remaining_placements: max_placements.saturating_sub(self.plans.len()),
+            max_free_cpus: 0.0,
+            filling_lane: false,
+            upcoming_exits: None,
+            preemption_plan: None,
+        };
+        for (id, machine) in &self.machines {
+            self.count_tasks(machine, &mut cycle);
+            self.add_capacity(now, *id, machine, &mut cycle);
+        }
+        cycle
+    }
+
+    /// Counts what is on a machine for its teams, and for the zones of its jobs.
+    fn count_tasks(&self, machine: &Machine, cycle: &mut SchedulingCycle) {
+        for (task, allocation) in &machine.allocations {
+            // Guard: what is to be stopped counts until the proof that it is gone.
+            let forgotten = allocation.kill.is_some() && broken!(self.faults, forget_stopped);
+            if let Some(team) = allocation.team.filter(|_| !forgotten) {
+                cycle.team_usage[team].add(&allocation.resources);
+            }
+            if self.has_zone_rule(task.job) {
+                cycle.count_in_zone(task.job, &machine.zone);
+            }
+        }
+        for orphan in &machine.orphans {
+            if let Some(team) = orphan.team {
+                cycle.team_usage[team].add(&orphan.resources);
+            }
+            // Guards against `wrong_place`: it may stand in the way of its own job.
+            if self.has_zone_rule(orphan.task.job) {
+                cycle.count_in_zone(orphan.task.job, &machine.zone);
+            }
+        }
+    }
+
+    fn has_zone_rule(&self, id: JobId) -> bool {
+        let job = self.jobs.get(&id);
+        job.is_some_and(|job| job.spec.single_zone || job.spec.spread)
+    }
+
+    /// Adds the machine to the cycle if it accepts tasks and has CPUs free.
+    fn add_capacity(
+        &self,
+        now: Time,
+        id: MachineId,
+        machine: &Machine,
+        cycle: &mut SchedulingCycle,
+    ) {
+        let free = machine.unpromised(cycle.machine_types);
+        let Some(machine_type) = machine
+            .machine_type
+            .filter(|_| free.cpus > EPSILON && self.accepts_tasks(now, machine))
+        else {
+            return;
+        };
+        cycle.max_free_cpus = cycle.max_free_cpus.max(free.cpus);
+        let unacknowledged = machine.ack_tracker.unacknowledged_for_s(now).is_some();
+        if unacknowledged && !machine.is_empty() {
+            return;
+        }
+        cycle.capacities.push(MachineCapacity {
+            id,
+            machine_type,
+            free,
+            occupied: !machine.is_empty(),
+            unacknowledged,
+        });
+    }
+}
--- a/crates/controller/src/scheduler/drain.rs
+++ b/crates/controller/src/scheduler/drain.rs
@@ -172,7 +172,7 @@
         }
         for (machine, task) in due {
             tracing::info!("{task} on {machine} stops: the machine is drained");
-            self.stop(machine, task, "its machine is drained");
+            self.stop_task(machine, task, "its machine is drained");
         }
     }
 }
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -1,33 +1,74 @@
-//! Why a job's tasks do not run, and what is on machines, told by the functions
-//! that decide: the same order, the same limits, the same look at each machine.
+//! Explanations for operators: why a job's tasks do not run, and what is on machines.
+//!
+//! They are given by the functions that decide: the same order, the same limits, the same checks
+//! of each machine.
 
-use super::plan::{
-    unschedulable_reason, zone_barred, BlockingReason, PauseReason, UnschedulableReason,
+use super::feasibility::{
+    unschedulable_reason, violates_zone_rule, BlockingReason, UnschedulableReason, ZoneCounts,
 };
-use super::*;
+use super::queue::PauseReason;
+use super::types::{Allocation, Job, Machine, TaskPhase, TaskState};
+use super::{age_s, Scheduler};
+use crate::directives::ActiveDirectives;
+use crate::job_store::{JobSpec, JobState};
+use crate::split::{Demand, MachineType};
 use beamhinge_admin_api::messages::{MachineRow, Placed, TaskRow, TeamRow, MAX_ROWS};
 use beamhinge_admin_api::reasons::{Near, Reason, Tally};
+use beamhinge_core::settings::Settings;
+use beamhinge_core::types::{JobId, MachineId, Time, WallMs};
+use std::cmp::Ordering;
+use std::rc::Rc;
 
-/// Machines named as nearly enough.
-const MAX_NEAR: usize = 3;
-/// Jobs named as being before one.
-const MAX_BEFORE: usize = 5;
+/// Machines named as those that lack least.
+const MAX_NEAREST: usize = 3;
+/// Jobs named as being ahead of one.
+const MAX_JOBS_AHEAD: usize = 5;
 
-/// Numbers of the whole, for a summary.
+/// Numbers of the whole cluster, for a summary.
 #[derive(Default)]
 pub struct Totals {
+    /// Jobs that are not over.
     pub jobs_open: u32,
+    /// Of these, jobs with a task that has a machine.
     pub jobs_running: u32,
+    /// Tasks that workers report as running.
     pub tasks_running: u32,
+    /// Tasks without a machine.
     pub tasks_waiting: u32,
+    /// Age of the oldest job with a waiting task, seconds.
     pub oldest_wait_s: f64,
+    /// CPUs of all machines that report.
     pub cpus: f64,
+    /// Of these, CPUs that something uses.
     pub cpus_used: f64,
+    /// Machines that report.
     pub up: u32,
+    /// Machines that do not.
     pub silent: u32,
 }
 
+/// Tasks of one job by the state of their allocation, as far as that is told.
+#[derive(Default)]
+struct AllocationCounts {
+    starting: u32,
+    nominated: u32,
+    inherited: u32,
+    fetching: u32,
+    longest_fetch_s: f64,
+}
+
+/// All machines as one job finds them.
+#[derive(Default)]
+struct FeasibilityReport {
+    tally: Tally,
+    /// Those that only lack room, the one that lacks least in front.
+    nearest: Vec<Near>,
+    /// One has room.
+    has_room: bool,
+}
+
 impl TaskState {
+    /// The state as operators read it.
     fn name(self) -> &'static str {
         match self {
             TaskState::Planned => "planned",
@@ -41,9 +82,34 @@
     }
 }
 
+impl FeasibilityReport {
+    /// Counts a machine for the constraint of the job that it does not meet.
+    fn count_unschedulable(&mut self, reason: UnschedulableReason) {
+        match reason {
+            UnschedulableReason::MachineType => self.tally.other_shape += 1,
+            UnschedulableReason::Zone => self.tally.other_zone += 1,
+            UnschedulableReason::Spot => self.tally.spot += 1,
+        }
+    }
+
+    /// Counts a machine for what keeps all tasks from it.
+    fn count_blocked(&mut self, reason: BlockingReason) {
+        match reason {
+            BlockingReason::Silent => self.tally.silent += 1,
+            BlockingReason::Unsynced | BlockingReason::Unresponsive => self.tally.unsynced += 1,
+            BlockingReason::Refusing => self.tally.refusing += 1,
+            BlockingReason::Reclaimed => self.tally.taken += 1,
+            BlockingReason::Returning => self.tally.leaving += 1,
+            BlockingReason::Drained => self.tally.drained += 1,
+            BlockingReason::Quarantined => self.tally.sick += 1,
+            BlockingReason::Slow => self.tally.slow += 1,
+        }
+    }
+}
+
 impl Scheduler {
     /// What is known of one open job: its tasks, and why the others wait.
-    pub fn tell_job(
+    pub fn describe_job(
         &self,
         now: Time,
         wall: WallMs,
@@ -57,60 +123,76 @@
             waiting: job.waiting(),
             ..Placed::default()
         };
-        let (mut starting, mut ahead, mut inherited) = (0, 0, 0);
-        let (mut fetching, mut longest) = (0, 0.0f64);
-        for (machine, m) in &self.machines {
-            for (task, e) in m.allocations.iter().filter(|(t, _)| t.job == id) {
-                match e.state {
-                    TaskState::Observed(TaskPhase::FetchingImage) => {
-                        fetching += 1;
-                        longest = longest.max(now.since(e.placed));
-                    }
-                    TaskState::Observed(_) => placed.running += 1,
-                    TaskState::Inherited => inherited += 1,
-                    _ if e.ahead.is_some() => ahead += 1,
-                    _ => starting += 1,
-                }
-                if placed.tasks.len() < MAX_ROWS {
-                    placed.tasks.push(TaskRow {
-                        task: task.to_string(),
-                        machine: machine.to_string(),
-                        state: e.state.name().into(),
-                        running_s: e.started.map(|s| now.since(s)),
-                        stopping: e.kill.is_some(),
-                    });
-                }
-            }
-        }
+        let counts = self.list_tasks(now, id, &mut placed);
         let reasons = &mut placed.reasons;
         if job.waiting() > 0 {
-            self.waiting_for(now, wall, id, settings, machine_types, reasons);
+            self.explain_wait(now, wall, id, settings, machine_types, reasons);
         }
-        if fetching > 0 {
+        if counts.fetching > 0 {
             reasons.push(Reason::Fetching {
-                tasks: fetching,
+                tasks: counts.fetching,
                 image: job.spec.image.to_string(),
                 image_gb: job.spec.image_gb,
-                longest_s: longest,
+                longest_s: counts.longest_fetch_s,
             });
         }
-        if starting > 0 {
-            reasons.push(Reason::Starting { tasks: starting });
+        if counts.starting > 0 {
+            reasons.push(Reason::Starting {
+                tasks: counts.starting,
+            });
         }
-        if ahead > 0 {
-            reasons.push(Reason::Ahead { tasks: ahead });
+        if counts.nominated > 0 {
+            reasons.push(Reason::Ahead {
+                tasks: counts.nominated,
+            });
         }
-        if inherited > 0 {
+        if counts.inherited > 0 {
             let until_s = self.inherited_until.until(now).max(0.0);
             reasons.push(Reason::Inherited {
-                tasks: inherited,
+                tasks: counts.inherited,
                 until_s,
             });
         }
         Some(placed)
     }
 
-    fn waiting_for(
+    /// Lists the job's allocated tasks in `placed`, and counts them by state.
+    fn list_tasks(&self, now: Time, id: JobId, placed: &mut Placed) -> AllocationCounts {
+        let mut counts = AllocationCounts::default();
+        for (machine_id, machine) in &self.machines {
+            for (task, allocation) in machine
+                .allocations
+                .iter()
+                .filter(|(task, _)| task.job == id)
+            {
+                match allocation.state {
+                    TaskState::Observed(TaskPhase::FetchingImage) => {
+                        let fetching_s = now.since(allocation.placed);
+                        counts.fetching += 1;
+                        counts.longest_fetch_s = counts.longest_fetch_s.max(fetching_s);
+                    }
+                    TaskState::Observed(_) => placed.running += 1,
+                    TaskState::Inherited => counts.inherited += 1,
+                    _ if allocation.ahead.is_some() => counts.nominated += 1,
+                    _ => counts.starting += 1,
+                }
+                if placed.tasks.len() < MAX_ROWS {
+                    placed.tasks.push(TaskRow {
+                        task: task.to_string(),
+                        machine: machine_id.to_string(),
+                        state: allocation.state.name().into(),
+                        running_s: allocation.started.map(|started| now.since(started)),
+                        stopping: allocation.kill.is_some(),
+                    });
+                }
+            }
+        }
+        counts
+    }
+
+    /// Adds the reasons for which tasks of the job have no machine, the first that holds in the
+    /// order in which a scheduling cycle checks them.
+    fn explain_wait(
         &self,
         now: Time,
         wall: WallMs,
@@ -122,129 +204,123 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        match self.pause(now, id, job) {
-            Some(PauseReason::Frozen(d)) => {
-                let since_s = (wall.0 as f64 - d.since_ms as f64) / 1e3;
-                let (target, by) = (d.target.to_string(), d.by.clone());
-                return reasons.push(Reason::Frozen {
-                    target,
-                    since_s,
-                    by,
-                });
-            }
-            Some(PauseReason::Failures) => {
+        if let Some(paused) = self.explain_pause(now, wall, id, job) {
+            return reasons.push(paused);
+        }
+        let cycle = self.begin_cycle(now, settings, machine_types);
+        let exceeded = self
+            .team(&job.spec)
+            .and_then(|team| self.quota_exceeded(cycle.team_usage[team], team, &job.resources()));
+        if let Some(exceeded) = exceeded {
+            return reasons.push(Reason::TeamLimit {
+                team: job.spec.team.to_string(),
+                resource: exceeded.resource.into(),
+                used: exceeded.used,
+                wanted: exceeded.wanted,
+                limit: exceeded.limit,
+            });
+        }
+        let no_tasks = ZoneCounts::new();
+        let tasks_by_zone = cycle.tasks_by_zone.get(&id).unwrap_or(&no_tasks);
+        let report = self.assess_machines(now, job, tasks_by_zone, machine_types);
+        if report.has_room {
+            // The next scheduling cycle takes it.
+            return reasons.push(Reason::Undecided);
+        }
+        reasons.push(Reason::NoRoom {
+            tally: report.tally,
+            near: report.nearest,
+        });
+        reasons.extend(self.explain_aging(now, wall, id, machine_types));
+        reasons.extend(self.explain_queue(now, wall, id, settings));
+    }
+
+    /// Why the job is passed over before any machine is looked at.
+    fn explain_pause(&self, now: Time, wall: WallMs, id: JobId, job: &Job) -> Option<Reason> {
+        match self.pause_reason(now, id, job)? {
+            PauseReason::Frozen(freeze) => Some(Reason::Frozen {
+                target: freeze.target.to_string(),
+                since_s: (wall.0 as f64 - freeze.since_ms as f64) / 1e3,
+                by: freeze.by.clone(),
+            }),
+            PauseReason::Failures => {
                 let until = self
                     .fault_attribution
                     .job_retry_at(id)
-                    .map_or(job.hold_until, |u| u.max(job.hold_until));
+                    .map_or(job.hold_until, |until| until.max(job.hold_until));
                 let (failures, machines) = self.fault_attribution.failures(id);
-                let retry_s = until.until(now).max(0.0);
-                return reasons.push(Reason::Failures {
+                Some(Reason::Failures {
                     failures,
                     machines,
-                    retry_s,
-                });
+                    retry_s: until.until(now).max(0.0),
+                })
             }
-            Some(PauseReason::Over | PauseReason::Nothing) | None => {}
+            PauseReason::Closed | PauseReason::NothingPending => None,
         }
-        let round = self.round(now, settings, machine_types);
-        let resources = job.resources();
-        let team = self.team(&job.spec);
-        let over = team.and_then(|t| self.over_limit(round.team_used[t], t, &resources));
-        if let Some(over) = over {
-            return reasons.push(Reason::TeamLimit {
-                team: job.spec.team.to_string(),
-                resource: over.resource.into(),
-                used: over.used,
-                wanted: over.wanted,
-                limit: over.limit,
-            });
-        }
-        let (tally, near, room) = self.look(now, job, &round.zones, id, machine_types);
-        if room {
-            // There is room: the next round of planning takes it.
-            return reasons.push(Reason::Undecided);
-        }
-        reasons.push(Reason::NoRoom { tally, near });
-        reasons.extend(self.tell_ageing(now, wall, id, machine_types));
-        let order = self.order(now, wall, &round, &self.guaranteed());
-        let before: Vec<JobId> = order
+    }
+
+    /// Which jobs go ahead of this one; none when it is the first.
+    fn explain_queue(
+        &self,
+        now: Time,
+        wall: WallMs,
+        id: JobId,
+        settings: &Settings,
+    ) -> Option<Reason> {
+        let queue = self.pending_jobs(now, wall, settings, &self.guaranteed_jobs());
+        let ahead: Vec<JobId> = queue
             .iter()
-            .map(|w| w.id)
+            .map(|pending| pending.id)
             .take_while(|other| *other != id)
             .collect();
-        if !before.is_empty() {
-            let waiting = |id: &JobId| self.jobs.get(id).map_or(0, Job::waiting);
-            reasons.push(Reason::Behind {
-                jobs: before.len() as u32,
-                tasks: before.iter().map(waiting).sum(),
-                first: before
-                    .iter()
-                    .take(MAX_BEFORE)
-                    .map(JobId::to_string)
-                    .collect(),
-            });
+        if ahead.is_empty() {
+            return None;
         }
+        let waiting = |id: &JobId| self.jobs.get(id).map_or(0, Job::waiting);
+        Some(Reason::Behind {
+            jobs: ahead.len() as u32,
+            tasks: ahead.iter().map(waiting).sum(),
+            first: ahead
+                .iter()
+                .take(MAX_JOBS_AHEAD)
+                .map(JobId::to_string)
+                .collect(),
+        })
     }
 
-    /// What stands against each machine; the nearest of those that only lack
-    /// room; and whether one has it.
-    fn look(
+    /// What stands against each machine for a task of the job.
+    fn assess_machines(
         &self,
         now: Time,
         job: &Job,
-        zones: &BTreeMap<JobId, BTreeMap<String, u32>>,
-        id: JobId,
+        tasks_by_zone: &ZoneCounts,
         machine_types: &[MachineType],
-    ) -> (Tally, Vec<Near>, bool) {
-        let (mut tally, mut near, mut room) = (Tally::default(), Vec::new(), false);
-        let resources = job.resources();
-        let none = BTreeMap::new();
-        let in_zones = zones.get(&id).unwrap_or(&none);
-        for (machine, m) in &self.machines {
-            let Some(machine_type) = m.machine_type.and_then(|s| machine_types.get(s)) else {
-                tally.silent += 1;
+    ) -> FeasibilityReport {
+        let mut report = FeasibilityReport::default();
+        for (id, machine) in &self.machines {
+            let Some(machine_type) = machine
+                .machine_type
+                .and_then(|index| machine_types.get(index))
+            else {
+                report.tally.silent += 1;
                 continue;
             };
-            match unschedulable_reason(&job.spec, machine_type, m) {
-                Some(UnschedulableReason::MachineType) => tally.other_shape += 1,
-                Some(UnschedulableReason::Zone) => tally.other_zone += 1,
-                Some(UnschedulableReason::Spot) => tally.spot += 1,
-                None if zone_barred(&job.spec, in_zones, &m.zone) => tally.other_zone += 1,
-                None => match self.blocking_reason(now, m) {
-                    Some(BlockingReason::Silent) => tally.silent += 1,
-                    Some(BlockingReason::Unsynced | BlockingReason::Deaf) => tally.unsynced += 1,
-                    Some(BlockingReason::Refusing) => tally.refusing += 1,
-                    Some(BlockingReason::Taken) => tally.taken += 1,
-                    Some(BlockingReason::Leaving) => tally.leaving += 1,
-                    Some(BlockingReason::Drained) => tally.drained += 1,
-                    Some(BlockingReason::Sick) => tally.sick += 1,
-                    Some(BlockingReason::Slow) => tally.slow += 1,
-                    None => {
-                        let free = m.unpromised(machine_types);
-                        if resources.fits(&free) {
-                            room = true;
-                            continue;
-                        }
-                        tally.full += 1;
-                        near.push(Near {
-                            machine: machine.to_string(),
-                            lacks_cpus: (resources.cpus - free.cpus).max(0.0),
-                            lacks_gpus: (resources.gpus - free.gpus).max(0.0),
-                            lacks_memory_gb: (resources.memory_gb - free.memory_gb).max(0.0),
-                        });
-                    }
-                },
+            if let Some(reason) = unschedulable_reason(&job.spec, machine_type, machine) {
+                report.count_unschedulable(reason);
+            } else if violates_zone_rule(&job.spec, tasks_by_zone, &machine.zone) {
+                report.tally.other_zone += 1;
+            } else if let Some(reason) = self.blocking_reason(now, machine) {
+                report.count_blocked(reason);
+            } else if let Some(lacking) = lacking_resources(job, *id, machine, machine_types) {
+                report.tally.full += 1;
+                report.nearest.push(lacking);
+            } else {
+                report.has_room = true;
             }
         }
-        near.sort_by(|a, b| {
-            let by = |n: &Near| (n.lacks_gpus, n.lacks_cpus, n.lacks_memory_gb);
-            by(a)
-                .partial_cmp(&by(b))
-                .unwrap_or(std::cmp::Ordering::Equal)
-        });
-        near.truncate(MAX_NEAR);
-        (tally, near, room)
+        report.nearest.sort_by(compare_lacking);
+        report.nearest.truncate(MAX_NEAREST);
+        report
     }
 
     /// One job's demand, as the fleet sees it.
@@ -253,75 +329,79 @@
         Some((self.demand(wall, id, job), job.spec.clone()))
     }
 
+    /// The operators' directives that are in force.
     pub fn active_directives(&self) -> &Rc<ActiveDirectives> {
         &self.active_directives
     }
 
-    /// One machine as our books have it.
-    pub fn tell_machine(
+    /// Fills in what the scheduler knows of a machine.
+    pub fn describe_machine(
         &self,
         now: Time,
         id: MachineId,
         machine_types: &[MachineType],
         row: &mut MachineRow,
     ) {
-        let Some(m) = self.machines.get(&id) else {
+        let Some(machine) = self.machines.get(&id) else {
             return;
         };
-        let free = m.free(machine_types);
-        row.tasks = m.allocations.len() as u32;
-        row.heard_s = m.last_heartbeat.map(|h| now.since(h));
-        if m.machine_type.is_some() {
+        let free = machine.free(machine_types);
+        row.tasks = machine.allocations.len() as u32;
+        row.heard_s = machine.last_heartbeat.map(|at| now.since(at));
+        if machine.machine_type.is_some() {
             row.free_cpus = free.cpus.max(0.0);
             row.free_memory_gb = free.memory_gb.max(0.0);
-            row.zone.clone_from(&m.zone);
+            row.zone.clone_from(&machine.zone);
         }
-        row.state = match self.blocking_reason(now, m) {
-            None | Some(BlockingReason::Refusing) | Some(BlockingReason::Unsynced) => "up",
-            Some(BlockingReason::Deaf) => "deaf",
-            Some(BlockingReason::Silent) if m.last_heartbeat.is_none() => "starting",
+        row.state = self.machine_state(now, machine).into();
+    }
+
+    /// State of a machine as operators read it.
+    fn machine_state(&self, now: Time, machine: &Machine) -> &'static str {
+        match self.blocking_reason(now, machine) {
+            None | Some(BlockingReason::Refusing | BlockingReason::Unsynced) => "up",
+            Some(BlockingReason::Unresponsive) => "deaf",
+            Some(BlockingReason::Silent) if machine.last_heartbeat.is_none() => "starting",
             Some(BlockingReason::Silent) => "silent",
-            Some(BlockingReason::Taken) => "taken",
-            Some(BlockingReason::Leaving) => "leaving",
-            Some(BlockingReason::Drained) if m.is_empty() => "drained",
+            Some(BlockingReason::Reclaimed) => "taken",
+            Some(BlockingReason::Returning) => "leaving",
+            Some(BlockingReason::Drained) if machine.is_empty() => "drained",
             Some(BlockingReason::Drained) => "draining",
-            Some(BlockingReason::Sick) => "sick",
+            Some(BlockingReason::Quarantined) => "sick",
             Some(BlockingReason::Slow) => "slow",
         }
-        .into();
     }
 
-    pub fn tell_teams(
+    /// Quota, usage and queue of each team, in the order of the settings.
+    pub fn describe_teams(
         &self,
         now: Time,
         settings: &Settings,
         machine_types: &[MachineType],
     ) -> Vec<TeamRow> {
-        let round = self.round(now, settings, machine_types);
+        let cycle = self.begin_cycle(now, settings, machine_types);
         let mut rows: Vec<TeamRow> = self
             .teams
             .iter()
             .zip(&self.team_names)
-            .zip(&round.team_used)
-            .map(|(((cpus, cpus_max, gpus, gpus_max), name), used)| TeamRow {
-                team: name.clone(),
-                cpus_used: used.0,
-                cpus_guaranteed: *cpus,
-                cpus_limit: *cpus_max,
-                gpus_used: used.1,
-                gpus_guaranteed: *gpus,
-                gpus_limit: *gpus_max,
-                jobs_open: 0,
-                tasks_waiting: 0,
-                frozen: self.active_directives.freeze_of(name, "").is_some(),
-            })
+            .zip(&cycle.team_usage)
+            .map(
+                |(((cpus, cpus_max, gpus, gpus_max), name), usage)| TeamRow {
+                    team: name.clone(),
+                    cpus_used: usage.cpus,
+                    cpus_guaranteed: *cpus,
+                    cpus_limit: *cpus_max,
+                    gpus_used: usage.gpus,
+                    gpus_guaranteed: *gpus,
+                    gpus_limit: *gpus_max,
+                    jobs_open: 0,
+                    tasks_waiting: 0,
+                    frozen: self.active_directives.freeze_of(name, "").is_some(),
+                },
+            )
             .collect();
-        for job in self
-            .jobs
-            .values()
-            .filter(|j| j.state == JobState::Open && !j.complete())
-        {
-            if let Some(row) = self.team(&job.spec).and_then(|t| rows.get_mut(t)) {
+        for job in self.unfinished_jobs() {
+            if let Some(row) = self.team(&job.spec).and_then(|team| rows.get_mut(team)) {
                 row.jobs_open += 1;
                 row.tasks_waiting += job.waiting();
             }
@@ -329,35 +409,76 @@
         rows
     }
 
-    pub fn totals(&self, now: Time, wall: WallMs, machine_types: &[MachineType]) -> Totals {
-        let mut t = Totals::default();
-        for job in self
-            .jobs
+    fn unfinished_jobs(&self) -> impl Iterator<Item = &Job> {
+        self.jobs
             .values()
-            .filter(|j| j.state == JobState::Open && !j.complete())
-        {
-            t.jobs_open += 1;
-            t.jobs_running += u32::from(job.busy() > 0);
-            t.tasks_waiting += job.waiting();
+            .filter(|job| job.state == JobState::Open && !job.complete())
+    }
+
+    /// Numbers of the whole cluster.
+    pub fn totals(&self, now: Time, wall: WallMs, machine_types: &[MachineType]) -> Totals {
+        let mut totals = Totals::default();
+        for job in self.unfinished_jobs() {
+            totals.jobs_open += 1;
+            totals.jobs_running += u32::from(job.busy() > 0);
+            totals.tasks_waiting += job.waiting();
             if job.waiting() > 0 {
-                t.oldest_wait_s = t.oldest_wait_s.max(age_s(wall, &job.spec));
+                totals.oldest_wait_s = totals.oldest_wait_s.max(age_s(wall, &job.spec));
             }
         }
-        for m in self.machines.values() {
-            let running =
-                |e: &&Allocation| matches!(e.state, TaskState::Observed(TaskPhase::Running));
-            t.tasks_running += m.allocations.values().filter(running).count() as u32;
-            let Some(machine_type) = m.machine_type.and_then(|s| machine_types.get(s)) else {
+        let running = |allocation: &&Allocation| {
+            matches!(allocation.state, TaskState::Observed(TaskPhase::Running))
+        };
+        for machine in self.machines.values() {
+            totals.tasks_running += machine.allocations.values().filter(running).count() as u32;
+            let Some(machine_type) = machine
+                .machine_type
+                .and_then(|index| machine_types.get(index))
+            else {
                 continue;
             };
-            if self.blocking_reason(now, m) == Some(BlockingReason::Silent) {
-                t.silent += 1;
+            if self.blocking_reason(now, machine) == Some(BlockingReason::Silent) {
+                totals.silent += 1;
                 continue;
             }
-            t.up += 1;
-            t.cpus += machine_type.cpus;
-            t.cpus_used += machine_type.cpus - m.free(machine_types).cpus.max(0.0);
+            totals.up += 1;
+            totals.cpus += machine_type.cpus;
+            totals.cpus_used += machine_type.cpus - machine.free(machine_types).cpus.max(0.0);
         }
-        t
+        totals
     }
 }
+
+/// What the machine lacks for a task of the job; none when it has room.
+fn lacking_resources(
+    job: &Job,
+    id: MachineId,
+    machine: &Machine,
+    machine_types: &[MachineType],
+) -> Option<Near> {
+    let resources = job.resources();
+    let free = machine.unpromised(machine_types);
+    if resources.fits(&free) {
+        return None;
+    }
+    Some(Near {
+        machine: id.to_string(),
+        lacks_cpus: (resources.cpus - free.cpus).max(0.0),
+        lacks_gpus: (resources.gpus - free.gpus).max(0.0),
+        lacks_memory_gb: (resources.memory_gb - free.memory_gb).max(0.0),
+    })
+}
+
+/// The one that lacks fewer GPUs first, then CPUs, then memory.
+fn compare_lacking(a: &Near, b: &Near) -> Ordering {
+    let lacking = |machine: &Near| {
+        [
+            machine.lacks_gpus,
+            machine.lacks_cpus,
+            machine.lacks_memory_gb,
+        ]
+    };
+    lacking(a)
+        .partial_cmp(&lacking(b))
+        .unwrap_or(Ordering::Equal)
+}
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -11,7 +11,7 @@
 use crate::directives::ActiveDirectives;
 use crate::event_log::EventLog;
 use crate::faults::{broken, Faults};
-use crate::job_store::{self, JobKind, JobSpec, JobState, JobStore, Urgency};
+use crate::job_store::{self, JobKind, JobSpec, JobState, JobStore};
 use crate::leader_election::BLOCK_KEY;
 use crate::progress::{self, Open, Progress, ProgressPages, ProgressWrite};
 use crate::split::{Demand, MachineType, Resources, EPSILON};
@@ -39,15 +39,22 @@
 pub use types::{CommitOutcome, Machine, ReportedTask, WorkerCommand, WorkerReport};
 
 mod aging;
+mod bin_packing;
+mod cycle;
 mod drain;
 mod explain;
+mod feasibility;
+mod nomination;
 mod persistence;
 mod plan;
 mod preemption;
+mod queue;
+mod quota;
 mod reconciliation;
 #[cfg(feature = "faults")]
 mod scattered_preemption;
 mod types;
+mod victims;
 
 /// A holder asks the state service each second: beyond this it is out of touch.
 const IN_TOUCH_S: f64 = 1.8;
--- /dev/null
+++ b/crates/controller/src/scheduler/nomination.rs
@@ -0,0 +1,219 @@
+//! Nominations: tasks placed ahead on machines where others are about to end, so that they run
+//! with the answer to the report that says so.
+
+use super::cycle::{ExpectedExit, SchedulingCycle, UpcomingExits};
+use super::feasibility::is_feasible;
+use super::queue::PendingJob;
+use super::types::{resources_of, Allocation, Machine, TaskPhase, TaskState};
+use super::Scheduler;
+use crate::job_store::{JobKind, JobSpec};
+use crate::split::{MachineType, Resources, EPSILON};
+use beamhinge_core::job::Urgency;
+use beamhinge_core::types::{TaskId, Time};
+
+/// A machine that a task may be nominated for.
+struct NominationCandidate {
+    /// Index into the upcoming exits of the cycle.
+    index: usize,
+    has_image: bool,
+    /// Until the first exit that leaves enough room.
+    remaining_s: f64,
+}
+
+impl Scheduler {
+    /// How far ahead the end of a task is looked for: a machine that must wait for its next
+    /// report to get work stands idle for so long.
+    pub(super) fn horizon_s(&self) -> f64 {
+        self.report_s * 2.0 + 1.0
+    }
+
+    /// Nominated tasks that fit by now count like the rest; those that have waited too long go
+    /// back to the queue, for `run` never went out for them.
+    pub(super) fn settle_nominations(&mut self, now: Time, machine_types: &[MachineType]) {
+        let max_wait_s = self.horizon_s() * 2.0;
+        let mut expired = Vec::new();
+        for (id, machine) in &mut self.machines {
+            if machine
+                .allocations
+                .values()
+                .all(|allocation| allocation.ahead.is_none())
+            {
+                continue;
+            }
+            let mut free = free_for_nominated(machine, machine_types);
+            let mut nominated: Vec<(&TaskId, &mut Allocation)> = machine
+                .allocations
+                .iter_mut()
+                .filter(|(_, allocation)| allocation.ahead.is_some())
+                .collect();
+            // Those with a reservation first, in the order in which they were nominated.
+            nominated.sort_by_key(|(_, allocation)| (!allocation.kept, allocation.attempt));
+            for (task, allocation) in nominated {
+                let Some(since) = allocation.ahead else {
+                    continue;
+                };
+                let fits = allocation.resources.fits(&free);
+                if fits || allocation.kept {
+                    free.sub(&allocation.resources);
+                }
+                if fits {
+                    (allocation.ahead, allocation.kept) = (None, false);
+                } else if now.since(since) > max_wait_s
+                    && !self.places.owed(*task, allocation.attempt)
+                {
+                    expired.push((*id, *task));
+                }
+            }
+        }
+        for (machine, task) in expired {
+            self.end(now, machine, task, false, 0.0);
+        }
+    }
+
+    /// Nominates the job's tasks for machines where others are about to end.
+    pub(super) fn nominate(
+        &mut self,
+        now: Time,
+        cycle: &mut SchedulingCycle,
+        pending: &PendingJob,
+    ) {
+        let Some(job) = self.jobs.get(&pending.id).filter(|job| job.waiting() > 0) else {
+            return;
+        };
+        let spec = job.spec.clone();
+        if cycle.remaining_placements == 0
+            || spec.single_zone
+            || spec.spread
+            || spec.kind != JobKind::Batch
+        {
+            return;
+        }
+        let mut upcoming = match cycle.upcoming_exits.take() {
+            Some(upcoming) => upcoming,
+            None => self.upcoming_exits(now),
+        };
+        let mut candidates: Vec<NominationCandidate> = upcoming
+            .iter()
+            .enumerate()
+            .filter_map(|(index, exits)| {
+                self.nomination_candidate(now, cycle, pending, &spec, index, exits)
+            })
+            .collect();
+        candidates.sort_by(|a, b| {
+            let image_first = b.has_image.cmp(&a.has_image);
+            image_first.then(a.remaining_s.total_cmp(&b.remaining_s))
+        });
+        let max_tasks = if pending.starving { 1 } else { usize::MAX };
+        for candidate in candidates.into_iter().take(max_tasks) {
+            let exits = &mut upcoming[candidate.index];
+            if self
+                .allocate(now, cycle, exits.machine, pending.id, Some(now))
+                .is_none()
+            {
+                break;
+            }
+            exits.nominated = Some(spec.urgency);
+        }
+        cycle.upcoming_exits = Some(upcoming);
+    }
+
+    /// The machine as a candidate for the job, if it may be one.
+    fn nomination_candidate(
+        &self,
+        now: Time,
+        cycle: &SchedulingCycle,
+        pending: &PendingJob,
+        spec: &JobSpec,
+        index: usize,
+        upcoming: &UpcomingExits,
+    ) -> Option<NominationCandidate> {
+        let machine = self.machines.get(&upcoming.machine)?;
+        let machine_type = cycle.machine_types.get(machine.machine_type?)?;
+        // A fetch that takes longer than the wait for a report saves nothing.
+        let has_image = machine.images.contains(&spec.image);
+        let quick_fetch = spec.image_gb < self.report_s * machine_type.fetch_gb_per_s;
+        let allowed = (has_image || quick_fetch || pending.pressing)
+            && is_feasible(spec, machine_type, machine);
+        if !allowed
+            || self.is_reserved_for_other(now, upcoming.machine, pending.id)
+            || upcoming
+                .nominated
+                .is_some_and(|urgency| urgency >= spec.urgency)
+        {
+            return None;
+        }
+        // The exit alone must leave enough room, whatever else comes.
+        let resources = resources_of(spec);
+        let remaining_s = upcoming
+            .exits
+            .iter()
+            .filter(|exit| exit.cpus + EPSILON >= resources.cpus)
+            .map(|exit| exit.remaining_s)
+            .min_by(f64::total_cmp)?;
+        Some(NominationCandidate {
+            index,
+            has_image,
+            remaining_s,
+        })
+    }
+
+    /// Machines where tasks are about to end, by estimates that are often wrong: one that has run
+    /// over its time may end at any moment.
+    fn upcoming_exits(&self, now: Time) -> Vec<UpcomingExits> {
+        self.machines
+            .iter()
+            .filter(|(_, machine)| self.accepts_tasks(now, machine))
+            .filter_map(|(id, machine)| {
+                let exits = self.expected_exits(now, machine);
+                (!exits.is_empty()).then(|| UpcomingExits {
+                    machine: *id,
+                    exits,
+                    nominated: self.highest_nominated_urgency(machine),
+                })
+            })
+            .collect()
+    }
+
+    fn expected_exits(&self, now: Time, machine: &Machine) -> Vec<ExpectedExit> {
+        let horizon_s = self.horizon_s();
+        let mut exits = Vec::new();
+        for (task, allocation) in &machine.allocations {
+            let (Some(job), TaskState::Observed(TaskPhase::Running), Some(started)) = (
+                self.jobs.get(&task.job),
+                allocation.state,
+                allocation.started,
+            ) else {
+                continue;
+            };
+            let remaining_s = (self.run_s(job) - now.since(started)).max(0.0);
+            if job.spec.kind == JobKind::Batch && remaining_s < horizon_s {
+                exits.push(ExpectedExit {
+                    remaining_s,
+                    cpus: allocation.resources.cpus,
+                });
+            }
+        }
+        exits
+    }
+
+    fn highest_nominated_urgency(&self, machine: &Machine) -> Option<Urgency> {
+        let nominated = machine
+            .allocations
+            .iter()
+            .filter(|(_, allocation)| allocation.ahead.is_some());
+        nominated
+            .filter_map(|(task, _)| self.jobs.get(&task.job))
+            .map(|job| job.spec.urgency)
+            .max()
+    }
+}
+
+/// What nominated tasks may use of a machine: what is unpromised, and what is reserved for them.
+fn free_for_nominated(machine: &Machine, machine_types: &[MachineType]) -> Resources {
+    let mut free = machine.unpromised(machine_types);
+    let reserved = |allocation: &&Allocation| allocation.kept && !allocation.may_be_there();
+    for allocation in machine.allocations.values().filter(reserved) {
+        free.add(&allocation.resources);
+    }
+    free
+}
--- /dev/null
+++ b/crates/controller/src/scheduler/quota.rs
@@ -0,0 +1,61 @@
+//! Quotas of teams: what a team uses, and which of its limits another task would exceed.
+
+use super::Scheduler;
+use crate::split::{Resources, EPSILON};
+
+/// Resources that the tasks of one team use, from the plan until proof of their end.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(super) struct TeamUsage {
+    pub(super) cpus: f64,
+    pub(super) gpus: f64,
+}
+
+impl TeamUsage {
+    /// Counts one task more.
+    pub(super) fn add(&mut self, resources: &Resources) {
+        self.cpus += resources.cpus;
+        self.gpus += resources.gpus;
+    }
+}
+
+/// A limit of a team that another task would exceed.
+pub(super) struct QuotaExceeded {
+    /// Name of the resource, as operators read it.
+    pub(super) resource: &'static str,
+    /// What the team uses now.
+    pub(super) used: f64,
+    /// What the task would add.
+    pub(super) wanted: f64,
+    /// What the team may use.
+    pub(super) limit: f64,
+}
+
+impl Scheduler {
+    /// Guard: a team's tasks never use more than its limit, counted from the plan until proof of
+    /// the end. Gives the first limit that a task of this size would exceed.
+    pub(super) fn quota_exceeded(
+        &self,
+        usage: TeamUsage,
+        team: usize,
+        resources: &Resources,
+    ) -> Option<QuotaExceeded> {
+        let (_, cpus_max, _, gpus_max) = self.teams[team];
+        let checks = [
+            QuotaExceeded {
+                resource: "CPUs",
+                used: usage.cpus,
+                wanted: resources.cpus,
+                limit: cpus_max,
+            },
+            QuotaExceeded {
+                resource: "GPUs",
+                used: usage.gpus,
+                wanted: resources.gpus,
+                limit: gpus_max,
+            },
+        ];
+        checks
+            .into_iter()
+            .find(|check| check.limit > 0.0 && check.used + check.wanted > check.limit + EPSILON)
+    }
+}
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -416,8 +416,12 @@
     let (mut job_store, mut scheduler) = cancelled("job-1");
     (scheduler.loaded, scheduler.team_names[0]) = (true, "one".into());
     let machine_types = [c8()];
-    let used =
-        |scheduler: &Scheduler, now| scheduler.round(now, &settings, &machine_types).team_used[0].0;
+    let used = |scheduler: &Scheduler, now| {
+        scheduler
+            .begin_cycle(now, &settings, &machine_types)
+            .team_usage[0]
+            .cpus
+    };
     scheduler.report(
         at(NOW),
         &report(7, 9, &["job-1/0", "job-1/2"]),
--- a/crates/controller/src/scheduler/scattered_preemption.rs
+++ b/crates/controller/src/scheduler/scattered_preemption.rs
@@ -1,48 +1,77 @@
-//! The fault of old, put back by tests: CPUs of stopped tasks were added up over
-//! the whole fleet, wherever they were, and nothing kept their room.
+//! A withdrawn way of preemption, which tests put back as a planted fault: CPUs of stopped tasks
+//! are added up over the whole fleet, wherever they are, and nothing reserves their room.
 
-use super::plan::{allows, SchedulingCycle};
-use super::preemption::{PreemptionClaim, PreemptionReason, YOUNG};
-use super::*;
+use super::cycle::SchedulingCycle;
+use super::feasibility::is_feasible;
+use super::types::TaskState;
+use super::victims::{PreemptionClaim, PreemptionReason, EARLY_RUN_FRACTION};
+use super::Scheduler;
+use beamhinge_core::types::{MachineId, TaskId, Time};
+
+/// A running task that may be stopped.
+struct ScatteredVictim {
+    machine: MachineId,
+    task: TaskId,
+    ran_s: f64,
+    cpus: f64,
+}
 
 impl Scheduler {
-    pub(super) fn scatter(&mut self, now: Time, round: &SchedulingCycle, claim: &PreemptionClaim) {
+    pub(super) fn preempt_scattered(
+        &mut self,
+        now: Time,
+        cycle: &SchedulingCycle,
+        claim: &PreemptionClaim,
+    ) {
         let Some(job) = self
             .jobs
             .get(&claim.job)
-            .filter(|_| claim.why == PreemptionReason::Wait)
+            .filter(|_| claim.reason == PreemptionReason::Wait)
         else {
             return;
         };
-        let (spec, mut lacking) = (job.spec.clone(), f64::from(job.waiting()) * job.spec.cpus);
-        let mut victims: Vec<(f64, MachineId, TaskId, f64)> = Vec::new();
-        for (id, m) in self.machines.iter().filter(|(_, m)| self.usable(now, m)) {
-            let Some(machine_type) = m.machine_type.and_then(|s| round.machine_types.get(s)) else {
+        let spec = job.spec.clone();
+        let mut lacking_cpus = f64::from(job.waiting()) * spec.cpus;
+        let mut victims: Vec<ScatteredVictim> = Vec::new();
+        for (id, machine) in self
+            .machines
+            .iter()
+            .filter(|(_, machine)| self.accepts_tasks(now, machine))
+        {
+            let Some(machine_type) = machine
+                .machine_type
+                .and_then(|index| cycle.machine_types.get(index))
+            else {
                 continue;
             };
-            for (task, e) in &m.allocations {
+            for (task, allocation) in &machine.allocations {
                 let Some(job) = self.jobs.get(&task.job) else {
                     continue;
                 };
-                let (ran, run_s) = (e.ran_s(now), self.run_s(job));
-                if e.kill.is_some() {
-                    lacking -= e.resources.cpus;
-                } else if matches!(e.state, TaskState::Observed(_))
+                let (ran_s, run_s) = (allocation.ran_s(now), self.run_s(job));
+                if allocation.kill.is_some() {
+                    lacking_cpus -= allocation.resources.cpus;
+                } else if matches!(allocation.state, TaskState::Observed(_))
                     && job.spec.urgency < spec.urgency
-                    && allows(&spec, machine_type, m)
-                    && ran < run_s * YOUNG
+                    && is_feasible(&spec, machine_type, machine)
+                    && ran_s < run_s * EARLY_RUN_FRACTION
                 {
-                    victims.push((ran, *id, *task, e.resources.cpus));
+                    victims.push(ScatteredVictim {
+                        machine: *id,
+                        task: *task,
+                        ran_s,
+                        cpus: allocation.resources.cpus,
+                    });
                 }
             }
         }
-        victims.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (_, machine, task, cpus) in victims {
-            if lacking <= 0.0 {
+        victims.sort_by(|a, b| a.ran_s.total_cmp(&b.ran_s));
+        for victim in victims {
+            if lacking_cpus <= 0.0 {
                 break;
             }
-            lacking -= cpus;
-            self.stop(machine, task, "makes room for more urgent work");
+            lacking_cpus -= victim.cpus;
+            self.stop_task(victim.machine, victim.task, claim.reason.describe());
         }
     }
 }
