--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -82,7 +82,7 @@
     pub chunks: BTreeMap<usize, Chunk>,
     pub record: Vec<RecordPart>,
     /// A version that is not kept any more.
-    pub forget: Option<Version>,
+    pub expired: Option<Version>,
 }
 
 fn check_name(name: &str) -> Result<(), Refusal> {
@@ -189,7 +189,7 @@
             },
             chunks: chunks(&wanted, &changed),
             record: record(now, &changed, &author),
-            forget: version
+            expired: version
                 .0
                 .checked_sub(KEPT as u64)
                 .filter(|v| *v > 0)
--- a/crates/configuration/src/change/tests.rs
+++ b/crates/configuration/src/change/tests.rs
@@ -63,7 +63,7 @@
             before,
         },
     );
-    if let Some(old) = plan.forget {
+    if let Some(old) = plan.expired {
         now.records.remove(&old);
     }
     now.head = Some(plan.head);
--- /dev/null
+++ b/crates/controller/src/configuration/stored_copy.rs
@@ -0,0 +1,235 @@
+//! The keys of the stored configuration as this controller has read them.
+//!
+//! Invariant: a [`Snapshot`] is built only from keys of one version. Every change writes the
+//! head, so a chunk that is newer than the head belongs to a change that is not read yet.
+
+use super::{HEAD, PREFIX};
+use beamhinge_configuration::stored::{Chunk, Head, Record, RecordPart, Snapshot, CHUNKS, FORM};
+use beamhinge_configuration::{Plan, Version};
+use beamhinge_core::types::Revision;
+use beamhinge_core::wire;
+use beamhinge_rate_limit::{Transaction, TransactionError};
+use ciborium::Value;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+
+use crate::replica;
+use crate::replica_scan::CompletedScan;
+
+/// The key by which a controller tells which version it serves by.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub(super) struct Member {
+    pub(super) v: u32,
+    pub(super) version: Version,
+    /// Distinguishes this process from earlier ones of the same label.
+    pub(super) nonce: u64,
+    /// Time of day at which it began to serve by the version, milliseconds.
+    pub(super) at_ms: u64,
+}
+
+/// Key of a chunk of the overlay.
+pub(super) fn chunk_key(chunk: usize) -> String {
+    format!("{PREFIX}t/{chunk}")
+}
+
+/// Key of a part of the record of a version.
+pub(super) fn record_key(version: u64, part: u32) -> String {
+    format!("{PREFIX}h/{version}/{part}")
+}
+
+/// Key of a controller.
+pub(super) fn member_key(label: &str) -> String {
+    format!("{PREFIX}m/{label}")
+}
+
+/// All keys under the prefix, each with its revision.
+#[derive(Default)]
+pub(super) struct StoredCopy {
+    head: Option<(Revision, Head)>,
+    chunks: BTreeMap<usize, (Revision, Chunk)>,
+    /// Parts of records, by version and number of the part.
+    records: BTreeMap<(u64, u32), (Revision, RecordPart)>,
+    pub(super) members: BTreeMap<String, (Revision, Member)>,
+    /// Some value has a form that this program does not know: nothing is decided by it.
+    pub(super) unreadable: bool,
+}
+
+impl StoredCopy {
+    /// Revision of the head; 0 before the first change.
+    pub(super) fn head_revision(&self) -> Revision {
+        revision_of(self.head.as_ref())
+    }
+
+    /// Whether any change was ever made, as far as is known.
+    pub(super) fn has_head(&self) -> bool {
+        self.head.is_some()
+    }
+
+    /// Takes one key in, as a reply showed it.
+    pub(super) fn apply(&mut self, change: &replica::Change) {
+        let Some(rest) = change.path.strip_prefix(PREFIX) else {
+            return;
+        };
+        let revision = Revision(change.revision);
+        let value = change.value.as_ref();
+        let parts: Vec<&str> = rest.split('/').collect();
+        let known = match parts.as_slice() {
+            ["head"] => apply_value(&mut self.head, revision, value, |head| head.v),
+            ["t", chunk] => {
+                let chunk = chunk.parse().ok().filter(|chunk| *chunk < CHUNKS);
+                chunk.is_some_and(|chunk| {
+                    apply_entry(&mut self.chunks, chunk, revision, value, |c| c.v)
+                })
+            }
+            ["h", version, part] => {
+                let key = version.parse().ok().zip(part.parse().ok());
+                key.is_some_and(|key| {
+                    apply_entry(&mut self.records, key, revision, value, |part| part.v)
+                })
+            }
+            ["m", label] => {
+                let label = (*label).to_string();
+                apply_entry(&mut self.members, label, revision, value, |m| m.v)
+            }
+            // A key of a newer program beside those known here.
+            _ => true,
+        };
+        if !known {
+            tracing::error!(key = change.path, "unknown form of stored configuration");
+            self.unreadable = true;
+        }
+    }
+
+    /// Drops the keys that a scan has shown to be gone.
+    pub(super) fn retain_scanned(&mut self, scan: &CompletedScan<String>) {
+        self.chunks
+            .retain(|chunk, (revision, _)| scan.confirms(&chunk_key(*chunk), *revision));
+        self.records.retain(|(version, part), (revision, _)| {
+            scan.confirms(&record_key(*version, *part), *revision)
+        });
+        self.members
+            .retain(|label, (revision, _)| scan.confirms(&member_key(label), *revision));
+    }
+
+    /// Whether a chunk is newer than the head: part of a change that is not read whole yet.
+    pub(super) fn is_torn(&self) -> bool {
+        let newest_chunk = self.chunks.values().map(|(revision, _)| *revision).max();
+        newest_chunk.unwrap_or(Revision(0)) > self.head_revision()
+    }
+
+    /// The configuration that the keys make up.
+    pub(super) fn snapshot(&self) -> Snapshot {
+        let overlay = self
+            .chunks
+            .values()
+            .flat_map(|(_, chunk)| chunk.teams.clone());
+        Snapshot {
+            head: self.head.as_ref().map(|(_, head)| head.clone()),
+            overlay: overlay.collect(),
+            records: self.complete_records(),
+        }
+    }
+
+    /// Records of which all parts were read.
+    fn complete_records(&self) -> BTreeMap<Version, Record> {
+        let mut records: BTreeMap<Version, Record> = BTreeMap::new();
+        for ((version, _), (_, part)) in &self.records {
+            if self.parts_of(*version).count() != part.parts as usize {
+                continue;
+            }
+            let record = records.entry(Version(*version)).or_insert_with(|| Record {
+                author: part.author.clone(),
+                before: BTreeMap::new(),
+            });
+            record.before.extend(part.before.clone());
+        }
+        records
+    }
+
+    /// The parts of one version's record that were read: number and revision.
+    fn parts_of(&self, version: u64) -> impl Iterator<Item = (u32, Revision)> + '_ {
+        self.records
+            .range((version, 0)..=(version, u32::MAX))
+            .map(|((_, part), (revision, _))| (*part, *revision))
+    }
+
+    /// Fills in the transaction that makes a change. Every write is conditional on what was
+    /// read, and the keys of all controllers (`labels`) must not have changed: each must still
+    /// know of configuration.
+    ///
+    /// # Errors
+    /// Where the change does not fit into one transaction.
+    pub(super) fn transaction(
+        &self,
+        plan: &Plan,
+        labels: &[String],
+        mut transaction: Transaction,
+    ) -> Result<Transaction, TransactionError> {
+        let head = wire::to_value(&plan.head);
+        transaction.put(HEAD, self.head_revision(), head, None)?;
+        for label in labels {
+            let revision = revision_of(self.members.get(label));
+            transaction.when(member_key(label), revision)?;
+        }
+        for (number, chunk) in &plan.chunks {
+            let revision = revision_of(self.chunks.get(number));
+            transaction.put(chunk_key(*number), revision, wire::to_value(chunk), None)?;
+        }
+        let version = plan.head.version.0;
+        for (part, record) in plan.record.iter().enumerate() {
+            let key = record_key(version, part as u32);
+            transaction.put(key, Revision(0), wire::to_value(record), None)?;
+        }
+        if let Some(expired) = plan.expired {
+            for (part, revision) in self.parts_of(expired.0) {
+                transaction.delete(record_key(expired.0, part), revision)?;
+            }
+        }
+        Ok(transaction)
+    }
+}
+
+/// Revision of a key as it was read; 0: it does not exist.
+pub(super) fn revision_of<T>(stored: Option<&(Revision, T)>) -> Revision {
+    stored.map_or(Revision(0), |(revision, _)| *revision)
+}
+
+/// Takes a value in if it is newer than the known one; `false` where its form is unknown.
+fn apply_value<T: for<'a> Deserialize<'a>>(
+    stored: &mut Option<(Revision, T)>,
+    revision: Revision,
+    value: Option<&Value>,
+    form: impl Fn(&T) -> u32,
+) -> bool {
+    // A reply that overtook another must not bring an older state back.
+    if stored.as_ref().is_some_and(|(known, _)| *known >= revision) {
+        return true;
+    }
+    let Some(value) = value else {
+        *stored = None;
+        return true;
+    };
+    match wire::from_value::<T>(value) {
+        Ok(read) if form(&read) == FORM => {
+            *stored = Some((revision, read));
+            true
+        }
+        _ => false,
+    }
+}
+
+/// [`apply_value`] for an entry of a map.
+fn apply_entry<K: Ord, T: for<'a> Deserialize<'a>>(
+    stored: &mut BTreeMap<K, (Revision, T)>,
+    key: K,
+    revision: Revision,
+    value: Option<&Value>,
+    form: impl Fn(&T) -> u32,
+) -> bool {
+    let mut entry = stored.remove(&key);
+    let known = apply_value(&mut entry, revision, value, form);
+    if let Some(entry) = entry {
+        stored.insert(key, entry);
+    }
+    known
+}
--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -1,14 +1,17 @@
+use super::stored_copy::{chunk_key, record_key};
 use super::*;
-use beamhinge_configuration::stored::{chunk_of, TeamState};
+use crate::replica::Change as Changed;
+use beamhinge_configuration::stored::{chunk_of, Chunk, Head, RecordPart, TeamState, CHUNKS};
 use beamhinge_configuration::Quota;
 use beamhinge_core::settings;
 use serde::Serialize;
+use std::collections::BTreeMap;
 
 fn configuration() -> Configuration {
     let settings = Settings::parse("t", settings::SAMPLE).expect("sound");
     let mut configuration = Configuration::new(&settings, true, 7);
     configuration.base[0].cpus_max = 8.0;
-    configuration.settle();
+    configuration.refresh_effective();
     configuration
 }
 
@@ -60,26 +63,26 @@
 
 /// A chunk that comes before its head is part of a change that is not read yet.
 #[test]
-fn a_change_is_taken_as_a_whole_or_not_at_all() {
+fn chunk_newer_than_head_does_not_take_effect() {
     let mut c = configuration();
     let (path, value) = chunk(&c, 4.0);
-    c.take(changed(&path, 10, &value));
-    c.settle();
+    c.stored.apply(&changed(&path, 10, &value));
+    c.refresh_effective();
     assert_eq!((c.effective().version, limit(&c)), (Version(0), 8.0));
-    c.take(changed(HEAD, 10, &head(1)));
-    c.settle();
+    c.stored.apply(&changed(HEAD, 10, &head(1)));
+    c.refresh_effective();
     assert_eq!((c.effective().version, limit(&c)), (Version(1), 4.0));
     // What overtook it and is older changes nothing.
     let (path, value) = chunk(&c, 9.0);
-    c.take(changed(&path, 9, &value));
-    c.settle();
+    c.stored.apply(&changed(&path, 9, &value));
+    c.refresh_effective();
     assert_eq!(limit(&c), 4.0);
 }
 
 #[test]
-fn what_a_newer_program_wrote_in_another_form_is_not_decided_on() {
+fn head_of_unknown_form_makes_configuration_unreadable() {
     let mut c = configuration();
-    c.take(changed(
+    c.stored.apply(&changed(
         HEAD,
         5,
         &Head {
@@ -87,18 +90,18 @@
             ..head(3)
         },
     ));
-    c.settle();
-    assert!(c.unreadable && c.fresh().is_none() && limit(&c) == 8.0);
+    c.refresh_effective();
+    assert!(c.stored.unreadable && c.fresh_as_of().is_none() && limit(&c) == 8.0);
     // A key of a kind that we don't know is another program's business.
     let mut c = configuration();
-    c.take(changed("c/later/thing", 5, &1));
-    assert!(!c.unreadable);
+    c.stored.apply(&changed("c/later/thing", 5, &1));
+    assert!(!c.stored.unreadable);
 }
 
 #[test]
-fn it_is_in_force_everywhere_once_every_controller_says_so() {
+fn change_is_in_force_once_every_controller_registers_its_version() {
     let mut c = configuration();
-    c.take(changed(HEAD, 5, &head(2)));
+    c.stored.apply(&changed(HEAD, 5, &head(2)));
     let labels = c.labels.clone();
     let member = |version, at_ms| Member {
         v: FORM,
@@ -107,48 +110,50 @@
         at_ms,
     };
     for label in &labels {
-        c.take(changed(&member_key(label), 6, &member(1, 100)));
+        c.stored
+            .apply(&changed(&member_key(label), 6, &member(1, 100)));
     }
-    c.settle();
-    assert_eq!(c.in_force().behind.len(), labels.len());
+    c.refresh_effective();
+    assert_eq!(c.rollout().behind.len(), labels.len());
     for (n, label) in labels.iter().enumerate() {
-        assert_eq!(c.in_force().everywhere_since_ms, None);
-        c.take(changed(&member_key(label), 7, &member(2, 200 + n as u64)));
+        assert_eq!(c.rollout().everywhere_since_ms, None);
+        c.stored
+            .apply(&changed(&member_key(label), 7, &member(2, 200 + n as u64)));
     }
     let last = 200 + labels.len() as u64 - 1;
-    assert_eq!(c.in_force().everywhere_since_ms, Some(last));
+    assert_eq!(c.rollout().everywhere_since_ms, Some(last));
     // One whose lease ended is named.
-    c.take(Changed {
+    c.stored.apply(&Changed {
         path: member_key(&labels[0]),
         revision: 8,
         value: None,
     });
-    assert_eq!(c.in_force().behind, [(labels[0].clone(), None)]);
+    assert_eq!(c.rollout().behind, [(labels[0].clone(), None)]);
 }
 
 #[test]
-fn placements_rest_on_the_head_where_configuration_is_on() {
+fn placements_are_conditional_on_head_where_configuration_is_enabled() {
     let mut c = configuration();
     assert_eq!(
         c.condition(),
         Some((HEAD, Revision(0))),
         "also before the first change"
     );
-    c.take(changed(HEAD, 5, &head(1)));
-    c.settle();
+    c.stored.apply(&changed(HEAD, 5, &head(1)));
+    c.refresh_effective();
     assert_eq!(c.condition(), Some((HEAD, Revision(5))));
     assert_eq!(
-        c.runs_until(),
+        c.starts_allowed_until(),
         Some(Time::default()),
         "never read as a whole"
     );
     let settings = Settings::parse("t", settings::SAMPLE).expect("sound");
     let off = Configuration::new(&settings, false, 7);
-    assert!(off.condition().is_none() && off.runs_until().is_none() && off.ready());
+    assert!(off.condition().is_none() && off.starts_allowed_until().is_none() && off.is_ready());
 }
 
 #[test]
-fn stored_configuration_keeps_its_form() {
+fn stored_configuration_matches_golden_file() {
     let mut golden = crate::golden::Golden::new("tests/golden/configuration.hex");
     let keys = [
         HEAD.into(),
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -1,143 +1,74 @@
-//! Drains and freezes: the operators' will as state, under `o/`.
+//! Directives: the drains and freezes that operators set, stored under `o/`.
 //!
-//! Every controller keeps a copy, so that whoever leads obeys it and whoever is
-//! asked can tell it. A change is one conditional write; a lost reply means
-//! that the copy is read again, and the change is tried anew only if it is not
-//! there. The loops that work out wanted against actual take it from here.
+//! Each controller holds a replica of all directives: the leader acts on them, and any
+//! controller answers queries about them. A change is one conditional write. When its reply is
+//! lost, the replica is read again, and the change is tried anew only if it is not in force.
+//!
+//! Invariant: a transaction that arrives late never sets a directive that was lifted
+//! meanwhile, since a lifted directive keeps its key and revision ([`DirectiveRecord`]).
+
+mod active;
+
+pub use active::ActiveDirectives;
 
 use crate::calls::{ReplicaCall, Tag};
-use crate::replica::{Freshness, ReplicaCache, ReplicaConfig};
+use crate::pending_changes::{PendingChange, PendingChanges};
+use crate::replica::{self, Freshness, ReplicaCache, ReplicaConfig};
+use crate::replica_scan::ScanCoverage;
 use crate::store::{Committed, Outcome, Priority, Reply, StoreClient};
 use beamhinge_admin_api::directives::{Change, Changed, Directive, Target, VERSION};
-use beamhinge_core::types::{MachineId, RequestId, Revision, Time, WallMs};
+use beamhinge_core::types::{RequestId, Revision, Time, WallMs};
 use beamhinge_core::wire;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
+/// Prefix of all directives in the key-value store.
 pub const PREFIX: &str = "o/";
-/// Directives that may stand at once; guards memory and every scan of them.
-const MOST: usize = 512;
-/// Targets that are kept, lifted ones included; of these the oldest go.
-const MAX_KEPT: usize = 4_096;
-/// Changes that may wait here.
-const WAITING_LIMIT: usize = 32;
-/// How long a change may take before its operator is told to come back.
-const PATIENCE_S: f64 = 3.0;
+/// Directives that may be in force at once; bounds memory and the length of a scan.
+const MAX_ACTIVE: usize = 512;
+/// Records that are kept, lifted ones included; beyond it the oldest lifted one goes.
+const MAX_RECORDS: usize = 4_096;
 
+/// A directive as it is stored.
 #[derive(Serialize, Deserialize)]
-struct Record {
+struct DirectiveRecord {
     v: u32,
-    /// None: lifted. The key stays, since a key that is gone and made again has
-    /// the version that it had before it was first made: a transaction that
-    /// comes late would set again what was lifted meanwhile.
+    /// `None`: lifted. The key stays, since a key that is deleted and created again has the
+    /// revision that it had before it was first created: a transaction that arrives late would
+    /// set again what was lifted meanwhile.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     directive: Option<Directive>,
 }
 
-/// What stands, as the loops use it.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct ActiveDirectives {
-    directives: BTreeMap<Target, Rc<Directive>>,
-}
-
-impl ActiveDirectives {
-    pub fn is_empty(&self) -> bool {
-        self.directives.is_empty()
-    }
-    pub fn len(&self) -> usize {
-        self.directives.len()
-    }
-    pub fn iter(&self) -> impl Iterator<Item = &Rc<Directive>> {
-        self.directives.values()
-    }
-    fn get(&self, target: &Target) -> Option<&Rc<Directive>> {
-        self.directives.get(target)
-    }
-
-    /// The drain that a machine is under; its own goes before that of its type
-    /// and zone, since it says most exactly what to do with it.
-    pub fn drain_of(
-        &self,
-        machine: MachineId,
-        machine_type: &str,
-        zone: &str,
-    ) -> Option<&Rc<Directive>> {
-        if self.is_empty() {
-            return None;
-        }
-        self.get(&Target::Machine(machine.to_string()))
-            .or_else(|| self.market(machine_type, zone))
-    }
-
-    /// The drain under which nothing is rented of a type in a zone.
-    pub fn market(&self, machine_type: &str, zone: &str) -> Option<&Rc<Directive>> {
-        if self.is_empty() {
-            return None;
-        }
-        self.get(&Target::MachineType(machine_type.to_string()))
-            .or_else(|| self.get(&Target::Zone(zone.to_string())))
-    }
-
-    /// The freeze that a job is under.
-    pub fn freeze_of(&self, team: &str, class: &str) -> Option<&Rc<Directive>> {
-        if self.is_empty() {
-            return None;
-        }
-        self.get(&Target::Team(team.to_string()))
-            .or_else(|| self.get(&Target::Class(class.to_string())))
-    }
-
-    /// Whether some controller is drained.
-    pub fn any_node(&self) -> bool {
-        self.directives.keys().any(|t| matches!(t, Target::Node(_)))
-    }
-
-    pub fn node_drained(&self, label: &str) -> bool {
-        !self.is_empty() && self.get(&Target::Node(label.to_string())).is_some()
-    }
-
-    #[cfg(test)]
-    pub fn of(directives: Vec<Directive>) -> ActiveDirectives {
-        let directives = directives
-            .into_iter()
-            .map(|d| (d.target.clone(), Rc::new(d)))
-            .collect();
-        ActiveDirectives { directives }
-    }
-}
-
-/// What an operator is told of his change.
+/// The answer to the operator who requested a change.
 #[derive(Debug, PartialEq)]
-pub enum Told {
-    Made(Changed),
-    /// As many stand as may.
-    Full,
+pub enum DirectiveResponse {
+    /// The directive is in force, or lifted, as requested.
+    Applied(Changed),
+    /// [`MAX_ACTIVE`] directives are in force.
+    LimitReached,
+    /// Not decided in time; the reason.
     Busy(&'static str),
 }
 
-struct Pending {
-    serial: u64,
-    request: RequestId,
+/// A change that an operator requested.
+struct RequestedChange {
     change: Change,
+    /// Name of the operator's key.
     by: String,
-    began: Time,
-    /// The copy must be newer than this to decide on.
-    since: Time,
-    in_flight: bool,
-    /// A transaction of ours may have made it.
+    /// Whether a transaction of this controller may have made the change.
     sent: bool,
 }
 
+/// Replica of the stored directives, and the changes to them that are under way.
 pub struct Directives {
     replica: ReplicaCache,
     entries: BTreeMap<Target, (Revision, Option<Rc<Directive>>)>,
-    /// Targets that the running scan has shown.
-    seen: BTreeSet<Target>,
+    scan: ScanCoverage<Target>,
     active_directives: Rc<ActiveDirectives>,
     changed: bool,
-    pending: VecDeque<Pending>,
-    next: u64,
+    pending: PendingChanges<RequestedChange>,
 }
 
 impl Default for Directives {
@@ -146,254 +77,277 @@
             replica: ReplicaCache::new(ReplicaConfig {
                 prefix: PREFIX,
                 tag: Tag::Directives,
-                // A change ends the wait at once; a longer one costs fewer
-                // requests of the shared limit.
+                // A change ends the wait at once; a longer wait costs fewer requests of the
+                // limit that all controllers share.
                 wait_s: 10.0,
                 wait_priority: Priority::Read,
                 stale_s: 30.0,
             }),
             entries: BTreeMap::new(),
-            seen: BTreeSet::new(),
+            scan: ScanCoverage::default(),
             active_directives: Rc::default(),
             changed: false,
-            pending: VecDeque::new(),
-            next: 0,
+            pending: PendingChanges::default(),
         }
     }
 }
 
+/// The key under which the directive of a target is stored.
 fn key(target: &Target) -> String {
     format!("{PREFIX}{}/{}", target.kind(), target.name())
 }
 
+/// The target that a key names; `None` for a kind or name this program does not know.
 fn target(path: &str) -> Option<Target> {
     let (kind, name) = path.strip_prefix(PREFIX)?.split_once('/')?;
     Target::parse(kind, name)
 }
 
 impl Directives {
+    /// The directives in force.
     pub fn active_directives(&self) -> &Rc<ActiveDirectives> {
         &self.active_directives
     }
-    pub fn fresh(&self) -> Option<Time> {
+
+    /// The replica holds all that was committed before this moment.
+    pub fn fresh_as_of(&self) -> Option<Time> {
         self.replica.fresh()
     }
+
+    /// Has the replica read again soon.
     pub fn request_refresh(&mut self) {
         self.replica.request_refresh();
     }
-    /// Whether something stands otherwise than when last asked.
+
+    /// Whether the directives in force differ from those at the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Takes a change in; `false` when too many wait.
+    /// Queues a change; `false` when too many are pending.
     #[must_use]
     pub fn change(&mut self, now: Time, request: RequestId, change: Change, by: String) -> bool {
-        if self.pending.len() >= WAITING_LIMIT {
-            return false;
-        }
-        self.next += 1;
-        self.pending.push_back(Pending {
-            serial: self.next,
-            request,
-            change,
-            by,
-            began: now,
-            since: now,
-            in_flight: false,
-            sent: false,
-        });
-        true
+        let sent = false;
+        self.pending
+            .push(now, request, RequestedChange { change, by, sent })
     }
 
+    /// Decides on pending changes and keeps the replica fresh. `query_waits`: a query of an
+    /// operator needs a replica that is newer than itself.
     pub fn tick(
         &mut self,
         now: Time,
         wall: WallMs,
-        ask: bool,
+        query_waits: bool,
         store: &mut StoreClient<Tag>,
-        told: &mut Vec<(RequestId, Told)>,
+        responses: &mut Vec<(RequestId, DirectiveResponse)>,
     ) {
-        let fresh = self.fresh();
-        let decidable = |p: &Pending| fresh.is_some_and(|f| f >= p.since) && !p.in_flight;
-        let waits = self.pending.iter().any(|p| !p.in_flight && !decidable(p));
-        let mut left = VecDeque::new();
-        while let Some(mut p) = self.pending.pop_front() {
-            let late = now.since(p.began) > PATIENCE_S;
-            if p.in_flight || !decidable(&p) {
-                if late && !p.in_flight {
-                    told.push((p.request, Told::Busy("the state service does not answer")));
-                } else {
-                    left.push_back(p);
-                }
-                continue;
+        let fresh = self.fresh_as_of();
+        let change_waits = self
+            .pending
+            .any(|pending| !pending.in_flight && !pending.is_decidable(fresh));
+        let mut queue = std::mem::take(&mut self.pending);
+        responses.extend(queue.advance(|pending| {
+            if pending.is_decidable(fresh) {
+                return self.decide(now, wall, pending, store);
             }
-            let kept = self.entries.get(&p.change.target);
-            let found = kept.and_then(|(_, d)| d.as_ref());
-            let same = match (found, p.change.set) {
-                (None, set) => !set,
-                (Some(_), false) => false,
-                (Some(d), true) => {
-                    d.within_s == p.change.within_s && d.afterwards == p.change.afterwards
-                }
-            };
-            let changed = Changed {
-                target: p.change.target.clone(),
-                set: p.change.set,
-                changed: p.sent,
-            };
-            if same {
-                told.push((p.request, Told::Made(changed)));
-            } else if late {
-                told.push((p.request, Told::Busy("others change it at the same time")));
-            } else if p.change.set && found.is_none() && self.active_directives.len() >= MOST {
-                told.push((p.request, Told::Full));
-            } else {
-                let revision = kept.map_or(Revision(0), |(s, _)| *s);
-                let mut transaction = store.transaction();
-                // A drain that is changed counts its time anew.
-                let directive = p.change.set.then(|| Directive {
-                    target: p.change.target.clone(),
-                    since_ms: wall.0,
-                    within_s: p.change.within_s,
-                    afterwards: p.change.afterwards,
-                    by: p.by.clone(),
-                    note: p.change.note.clone(),
-                });
-                let value = wire::to_value(&Record {
-                    v: VERSION,
-                    directive,
-                });
-                if let Err(full) = transaction.put(key(&p.change.target), revision, value, None) {
-                    tracing::error!("{:?} cannot be kept: {full}", p.change.target);
-                    told.push((p.request, Told::Busy("it is longer than can be kept")));
-                    continue;
-                }
-                if kept.is_none() && self.entries.len() >= MAX_KEPT {
-                    let lifted = self.entries.iter().filter(|(_, (_, d))| d.is_none());
-                    if let Some((target, (revision, _))) = lifted.min_by_key(|(_, (s, _))| *s) {
-                        // Where it does not fit, the oldest goes next time.
-                        let _ = transaction.delete(key(target), *revision);
-                    }
-                }
-                p.in_flight = true;
-                p.sent = true;
-                store.commit(
-                    now,
-                    Priority::Admission,
-                    Tag::DirectiveChange(p.serial),
-                    transaction,
-                );
-                left.push_back(p);
+            let given_up = !pending.in_flight && pending.is_late(now);
+            given_up.then_some(DirectiveResponse::Busy("the state service does not answer"))
+        }));
+        self.pending = queue;
+        self.replica
+            .tick(now, query_waits || change_waits, true, store);
+    }
+
+    /// Sends the transaction of a change, or answers it; `None`: the transaction is in flight.
+    fn decide(
+        &self,
+        now: Time,
+        wall: WallMs,
+        pending: &mut PendingChange<RequestedChange>,
+        store: &mut StoreClient<Tag>,
+    ) -> Option<DirectiveResponse> {
+        let late = pending.is_late(now);
+        let RequestedChange { change, by, sent } = &mut pending.change;
+        let stored = self.entries.get(&change.target);
+        let in_force = stored.and_then(|(_, directive)| directive.as_deref());
+        if matches(in_force, change) {
+            return Some(DirectiveResponse::Applied(Changed {
+                target: change.target.clone(),
+                set: change.set,
+                changed: *sent,
+            }));
+        }
+        if late {
+            let reason = "others change it at the same time";
+            return Some(DirectiveResponse::Busy(reason));
+        }
+        if change.set && in_force.is_none() && self.active_directives.len() >= MAX_ACTIVE {
+            return Some(DirectiveResponse::LimitReached);
+        }
+        let revision = stored.map_or(Revision(0), |(revision, _)| *revision);
+        let mut transaction = store.transaction();
+        let value = wire::to_value(&DirectiveRecord {
+            v: VERSION,
+            directive: change.set.then(|| directive(change, by, wall)),
+        });
+        if let Err(error) = transaction.put(key(&change.target), revision, value, None) {
+            tracing::error!(target = %change.target, %error, "directive does not fit into a transaction");
+            return Some(DirectiveResponse::Busy("it is longer than can be kept"));
+        }
+        if stored.is_none() && self.entries.len() >= MAX_RECORDS {
+            if let Some((target, revision)) = self.oldest_lifted() {
+                // Where the transaction has no space for it, the next one deletes it.
+                let _ = transaction.delete(key(target), revision);
             }
         }
-        self.pending = left;
-        self.replica.tick(now, ask || waits, true, store);
+        *sent = true;
+        pending.in_flight = true;
+        store.commit(
+            now,
+            Priority::Admission,
+            Tag::DirectiveChange(pending.serial),
+            transaction,
+        );
+        None
     }
 
+    fn oldest_lifted(&self) -> Option<(&Target, Revision)> {
+        self.entries
+            .iter()
+            .filter(|(_, (_, directive))| directive.is_none())
+            .min_by_key(|(_, (revision, _))| *revision)
+            .map(|(target, (revision, _))| (target, *revision))
+    }
+
+    /// The key-value store replied to the transaction of a change.
     pub fn on_written(
         &mut self,
         now: Time,
         serial: u64,
         reply: Reply<Tag>,
-        told: &mut Vec<(RequestId, Told)>,
+        responses: &mut Vec<(RequestId, DirectiveResponse)>,
     ) {
-        let Some(at) = self.pending.iter().position(|p| p.serial == serial) else {
+        let Some(pending) = self.pending.get_mut(serial) else {
             return;
         };
-        let committed = match reply.outcome {
-            Outcome::Ok(body) => wire::decode::<Committed>(&body).is_ok(),
+        let response = match reply.outcome {
+            Outcome::Ok(body) if wire::decode::<Committed>(&body).is_ok() => {
+                let change = &pending.change.change;
+                Some(DirectiveResponse::Applied(Changed {
+                    target: change.target.clone(),
+                    set: change.set,
+                    changed: true,
+                }))
+            }
             Outcome::Refused | Outcome::Malformed => {
-                let p = self.pending.remove(at);
-                told.extend(
-                    p.map(|p| (p.request, Told::Busy("the state service cannot be reached"))),
-                );
+                let reason = "the state service cannot be reached";
+                responses.push((pending.request, DirectiveResponse::Busy(reason)));
+                self.pending.remove(serial);
                 return;
             }
-            // Changed by another, or of unknown fate: what stands decides.
+            // Changed by another controller: what is stored decides.
             Outcome::Conflict(_) => {
-                self.pending[at].sent = false;
-                false
+                pending.change.sent = false;
+                None
             }
-            _ => false,
+            // Of unknown fate: likewise.
+            _ => None,
         };
         self.replica.request_refresh();
-        if committed {
-            if let Some(p) = self.pending.remove(at) {
-                let (target, set) = (p.change.target, p.change.set);
-                told.push((
-                    p.request,
-                    Told::Made(Changed {
-                        target,
-                        set,
-                        changed: true,
-                    }),
-                ));
+        match response {
+            Some(response) => {
+                let removed = self.pending.remove(serial);
+                responses.extend(removed.map(|pending| (pending.request, response)));
             }
-            return;
-        }
-        if let Some(p) = self.pending.get_mut(at) {
-            p.in_flight = false;
-            p.since = now;
+            None => self.pending.retry(now, serial),
         }
     }
 
+    /// Takes a reply for the replica in.
     pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Freshness {
         let update = self.replica.on_reply(now, call, reply);
-        let scanning = call == ReplicaCall::Scan;
         for change in update.changes {
-            let Some(target) = target(&change.path) else {
-                tracing::error!("{} is no directive this program knows", change.path);
-                continue;
-            };
-            if scanning {
-                self.seen.insert(target.clone());
-            }
-            // A reply that overtook another must not take us back.
-            if self
-                .entries
-                .get(&target)
-                .is_some_and(|(s, _)| s.0 >= change.revision)
-            {
-                continue;
-            }
-            match change.value.as_ref().map(wire::from_value::<Record>) {
-                None => {
-                    self.entries.remove(&target);
-                }
-                Some(Ok(r))
-                    if r.v == VERSION
-                        && r.directive.as_ref().is_none_or(|d| d.target == target) =>
-                {
-                    let directive = r.directive.map(Rc::new);
-                    self.entries
-                        .insert(target, (Revision(change.revision), directive));
-                }
-                // Unknown forms lift nothing: what stood goes on standing.
-                Some(_) => tracing::error!(
-                    "{} has a form or version this program does not know and is left alone",
-                    change.path
-                ),
+            match target(&change.path) {
+                Some(target) => self.apply(call, target, &change),
+                None => tracing::error!(key = change.path, "unknown kind of directive"),
             }
         }
-        if let Some(rev) = update.scanned {
-            let seen = std::mem::take(&mut self.seen);
+        if let Some(scan) = self.scan.finish(call, update.scanned, update.freshness) {
             self.entries
-                .retain(|t, (revision, _)| seen.contains(t) || revision.0 > rev);
-        } else if scanning && update.freshness == Freshness::Failed {
-            self.seen.clear();
+                .retain(|target, (revision, _)| scan.confirms(target, *revision));
         }
-        let stands = self
-            .entries
-            .iter()
-            .filter_map(|(t, (_, d))| Some((t.clone(), d.clone()?)));
-        let directives = stands.collect();
-        let active_directives = ActiveDirectives { directives };
+        self.rebuild_active();
+        update.freshness
+    }
+
+    /// Puts one stored record into the replica.
+    fn apply(&mut self, call: ReplicaCall, target: Target, change: &replica::Change) {
+        self.scan.record(call, || target.clone());
+        let revision = Revision(change.revision);
+        // A reply that overtook another must not bring an older state back.
+        let known = self.entries.get(&target);
+        if known.is_some_and(|(known, _)| *known >= revision) {
+            return;
+        }
+        let record = change
+            .value
+            .as_ref()
+            .map(wire::from_value::<DirectiveRecord>);
+        match record {
+            None => {
+                self.entries.remove(&target);
+            }
+            Some(Ok(record))
+                if record.v == VERSION
+                    && record.directive.as_ref().is_none_or(|d| d.target == target) =>
+            {
+                let directive = record.directive.map(Rc::new);
+                self.entries.insert(target, (revision, directive));
+            }
+            // A record of an unknown form lifts nothing: what was in force stays so.
+            Some(_) => tracing::error!(
+                key = change.path,
+                "ignored directive of unknown form or version"
+            ),
+        }
+    }
+
+    fn rebuild_active(&mut self) {
+        let in_force = self.entries.iter().filter_map(|(target, (_, directive))| {
+            let directive = directive.clone()?;
+            Some((target.clone(), directive))
+        });
+        let active_directives = ActiveDirectives {
+            directives: in_force.collect(),
+        };
         if *self.active_directives != active_directives {
             self.active_directives = Rc::new(active_directives);
             self.changed = true;
         }
-        update.freshness
+    }
+}
+
+/// Whether what is in force for the target of a change is what the change wants.
+fn matches(in_force: Option<&Directive>, change: &Change) -> bool {
+    match (in_force, change.set) {
+        (None, set) => !set,
+        (Some(_), false) => false,
+        (Some(directive), true) => {
+            directive.within_s == change.within_s && directive.afterwards == change.afterwards
+        }
+    }
+}
+
+/// The directive that a change sets. The time limit of a drain that is changed begins anew.
+fn directive(change: &Change, by: &str, wall: WallMs) -> Directive {
+    Directive {
+        target: change.target.clone(),
+        since_ms: wall.0,
+        within_s: change.within_s,
+        afterwards: change.afterwards,
+        by: by.to_string(),
+        note: change.note.clone(),
     }
 }
 
--- a/crates/controller/src/directives/tests.rs
+++ b/crates/controller/src/directives/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use beamhinge_admin_api::directives::Afterwards;
+use beamhinge_core::types::MachineId;
 
 fn drain(target: Target) -> Directive {
     Directive {
@@ -13,7 +14,7 @@
 }
 
 #[test]
-fn the_most_exact_drain_decides() {
+fn drain_of_machine_and_zone_most_specific_decides() {
     let id = MachineId::parse("n-000007").expect("a name");
     let mut own = drain(Target::Machine("n-000007".into()));
     own.afterwards = Afterwards::Keep;
@@ -30,7 +31,7 @@
 /// A transaction that sets a directive and comes minutes late, after it was
 /// set again and lifted, once would have set it a second time.
 #[test]
-fn a_lifted_directive_keeps_its_key_and_version() {
+fn lifted_directive_keeps_its_key_and_revision() {
     use beamhinge_core::messages::Effect;
     use beamhinge_core::settings::{Settings, SAMPLE};
     let settings = Settings::parse("t", SAMPLE).expect("sound");
@@ -68,8 +69,8 @@
         change,
         "night".into()
     ));
-    let mut told = Vec::new();
-    d.tick(at.plus(1.0), WallMs(1), false, &mut store, &mut told);
+    let mut responses = Vec::new();
+    d.tick(at.plus(1.0), WallMs(1), false, &mut store, &mut responses);
     let (mut calls, mut out) = (0, Vec::new());
     store.flush(at.plus(2.0), &mut calls, &mut out);
     let commit = out.iter().find_map(|o| match o {
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn keys_name_their_targets() {
+fn key_of_target_parses_back() {
     for t in [Target::Machine("n-1".into()), Target::Team("two".into())] {
         assert_eq!(target(&key(&t)), Some(t));
     }
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn stored_directives_keep_their_form() {
+fn stored_directive_matches_golden_file() {
     let mut golden = crate::golden::Golden::new("tests/golden/directives.hex");
     let targets = ["machine", "shape", "zone", "node", "team", "class"];
     for (i, kind) in targets.into_iter().enumerate() {
@@ -116,7 +117,7 @@
         };
         golden.stored(
             kind,
-            &Record {
+            &DirectiveRecord {
                 v: VERSION,
                 directive: Some(directive),
             },
@@ -124,7 +125,7 @@
     }
     golden.stored(
         "lifted",
-        &Record {
+        &DirectiveRecord {
             v: VERSION,
             directive: None,
         },
@@ -134,9 +135,9 @@
 
 /// What may be left out is left out.
 #[test]
-fn a_stored_directive_is_read_field_by_field() {
+fn stored_directive_without_optional_fields_is_read() {
     let stored = serde_json::json!({"v": 1, "directive": {"target": {"zone": "a"}, "since_ms": 9}});
-    let read: Record = wire::decode(&wire::encode(&stored)).expect("a record");
+    let read: DirectiveRecord = wire::decode(&wire::encode(&stored)).expect("a record");
     assert_eq!(
         read.directive,
         Some(Directive {
@@ -146,7 +147,7 @@
     );
     let stored = serde_json::json!({"v": 1, "directive": {"target": {"machine": "n-1"},
         "since_ms": 9, "within_s": 2.5, "afterwards": "keep", "by": "bob", "note": "why"}});
-    let read: Record = wire::decode(&wire::encode(&stored)).expect("a record");
+    let read: DirectiveRecord = wire::decode(&wire::encode(&stored)).expect("a record");
     let directive = Directive {
         since_ms: 9,
         within_s: Some(2.5),
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -217,17 +217,17 @@
             self.user_api
                 .tick(now, &self.job_store, &mut self.store, out);
             let may_place = self.entitled(now);
-            let directed = self.directives.fresh();
+            let directed = self.directives.fresh_as_of();
             if let Some(scheduler) = &mut self.scheduler {
                 // Drains as of before the takeover would be forgotten else.
-                let known = !self.configuration.is_on()
+                let known = !self.configuration.is_enabled()
                     || self
                         .configuration
-                        .fresh()
+                        .fresh_as_of()
                         .is_some_and(|f| f >= scheduler.took());
                 let may_place =
                     may_place && known && directed.is_some_and(|f| f >= scheduler.took());
-                let runs_until = self.configuration.runs_until();
+                let runs_until = self.configuration.starts_allowed_until();
                 scheduler.rest_on(self.configuration.condition(), runs_until);
                 scheduler.tick(
                     now,
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -5,8 +5,8 @@
 use crate::admin_api::{
     self, Asked, Asker, Copies, Local, Merge, Route, Want, ANSWER_LIMIT, MAX_LOOKED_AT,
 };
-use crate::configuration::Told as Configured;
-use crate::directives::Told;
+use crate::configuration::ChangeResponse;
+use crate::directives::DirectiveResponse;
 use crate::job_store::{Entry, JobState};
 use crate::user_api;
 use beamhinge_admin_api::auth::Caller;
@@ -107,7 +107,7 @@
                 admin_api.wait(now, id, Want::Job { id: job, explain })
             }
             Route::Directives => admin_api.wait(now, id, Want::Directives),
-            Route::Configuration if self.configuration.is_on() => {
+            Route::Configuration if self.configuration.is_enabled() => {
                 admin_api.wait(now, id, Want::Configuration);
             }
             Route::Configuration => {
@@ -306,8 +306,8 @@
         }
         let copies = Copies {
             jobs: self.job_store.fresh(),
-            directives: self.directives.fresh(),
-            configuration: self.configuration.fresh(),
+            directives: self.directives.fresh_as_of(),
+            configuration: self.configuration.fresh_as_of(),
         };
         for local in admin_api.ready_local(&copies) {
             self.answer_local(now, wall, local, out);
@@ -518,7 +518,7 @@
             store_age_s: store,
             heard_s: Some(0.0),
             ready: self.job_store.loaded(),
-            drained: self.directives.active_directives().node_drained(own),
+            drained: self.directives.active_directives().controller_drained(own),
             stuck_ago_s: self.stuck.get(own).map(|at| now.since(*at)),
         };
         let others = self.settings.members.iter().map(|m| {
@@ -537,7 +537,10 @@
                     // Said outright only while a controller is drained.
                     heard < 3.0 && (ready || age < 3.0)
                 }),
-                drained: self.directives.active_directives().node_drained(&m.label),
+                drained: self
+                    .directives
+                    .active_directives()
+                    .controller_drained(&m.label),
                 stuck_ago_s: self.stuck.get(&m.label).map(|at| now.since(*at)),
             }
         });
@@ -688,7 +691,7 @@
     }
 
     fn tell_configuration(&self) -> ConfigurationView {
-        let in_force = self.configuration.in_force();
+        let rollout = self.configuration.rollout();
         let effective = self.configuration.effective();
         let behind = |(label, version)| BehindRow { label, version };
         let row = |team: &EffectiveTeam| QuotaRow {
@@ -696,19 +699,19 @@
             quota: team.quota,
             removed: team.removed,
         };
-        let on = self.configuration.is_on();
+        let on = self.configuration.is_enabled();
         ConfigurationView {
             on,
             version: effective.version,
-            author: in_force.author,
-            in_force_everywhere_since_ms: in_force.everywhere_since_ms.filter(|_| on),
-            behind: in_force
+            author: rollout.author,
+            in_force_everywhere_since_ms: rollout.everywhere_since_ms.filter(|_| on),
+            behind: rollout
                 .behind
                 .into_iter()
                 .filter(|_| on)
                 .map(behind)
                 .collect(),
-            unknown_fields: in_force.unknown_fields,
+            unknown_fields: rollout.unknown_fields,
             teams: effective.teams.iter().map(row).collect(),
         }
     }
@@ -721,7 +724,7 @@
         by: String,
         out: &mut Vec<Effect>,
     ) {
-        if !self.configuration.is_on() {
+        if !self.configuration.is_enabled() {
             let why = "changes are not turned on here: set `[configuration] on = yes` in the \
                        operators' file of every controller";
             return admin_api::refuse(out, id, 409, Code::Refused, why);
@@ -738,28 +741,32 @@
 
     pub(super) fn answer_configured(
         &self,
-        told: Vec<(RequestId, Configured)>,
+        told: Vec<(RequestId, ChangeResponse)>,
         out: &mut Vec<Effect>,
     ) {
         for (request, told) in told {
             match told {
-                Configured::Made { version, warning } => {
+                ChangeResponse::Applied { version, warning } => {
                     admin_api::say(out, request, 200, &ConfigurationMade { version, warning });
                 }
-                Configured::Refused(refusal) => {
+                ChangeResponse::Refused(refusal) => {
                     admin_api::refuse(out, request, 409, Code::Refused, &refusal.to_string());
                 }
-                Configured::Busy(why) => admin_api::busy(out, request, &why),
+                ChangeResponse::Busy(why) => admin_api::busy(out, request, &why),
             }
         }
     }
 
-    pub(super) fn answer_changes(&mut self, told: Vec<(RequestId, Told)>, out: &mut Vec<Effect>) {
+    pub(super) fn answer_changes(
+        &mut self,
+        told: Vec<(RequestId, DirectiveResponse)>,
+        out: &mut Vec<Effect>,
+    ) {
         for (request, told) in told {
             match told {
-                Told::Made(changed) => admin_api::say(out, request, 200, &changed),
-                Told::Busy(why) => admin_api::busy(out, request, why),
-                Told::Full => {
+                DirectiveResponse::Applied(changed) => admin_api::say(out, request, 200, &changed),
+                DirectiveResponse::Busy(why) => admin_api::busy(out, request, why),
+                DirectiveResponse::LimitReached => {
                     let why = "as many directives stand as may: lift some first";
                     admin_api::refuse(out, request, 409, Code::Refused, why);
                 }
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -189,7 +189,7 @@
                 if let Some(scheduler) = &mut self.scheduler {
                     scheduler.faults = self.faults;
                 }
-                if self.configuration.is_on() {
+                if self.configuration.is_enabled() {
                     self.configuration.request_refresh();
                     let effective = self.configuration.effective().clone();
                     if let Some(scheduler) = &mut self.scheduler {
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -143,7 +143,7 @@
     pub(super) fn drained(&self) -> bool {
         self.directives
             .active_directives()
-            .node_drained(&self.settings.label)
+            .controller_drained(&self.settings.label)
     }
 
     pub(super) fn store_age(&self, now: Time) -> f64 {
@@ -177,7 +177,7 @@
     /// Whether a job can ever run here, by the teams that count now. One who does not
     /// know them yet does not decide: a team may have been added.
     pub(super) fn judge(&self, spec: &JobSpec) -> user_api::Verdict {
-        if !self.configuration.ready() {
+        if !self.configuration.is_ready() {
             return user_api::Verdict::Undecided;
         }
         let team = self.configuration.effective().team(&spec.team);
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -53,7 +53,7 @@
             });
             // Only where it matters: the version before this one does not know
             // the frame, and breaks the link at it.
-            if self.directives.active_directives().any_node() {
+            if self.directives.active_directives().any_controller_drained() {
                 let ready = Frame::Readiness {
                     label: self.settings.label.clone(),
                     ready: self.job_store.loaded() && age < 3.0,
--- /dev/null
+++ b/crates/controller/src/pending_changes.rs
@@ -0,0 +1,126 @@
+//! Queue of requested changes to versioned state that is held in a
+//! [`ReplicaCache`](crate::replica::ReplicaCache).
+//!
+//! A change is decided on only by a replica that is at least as fresh as the change itself
+//! ([`PendingChange::is_decidable`]), then committed as one conditional transaction. A commit
+//! that lost its condition, or whose fate is unknown, is decided on again from a replica that
+//! is read afterwards ([`PendingChanges::retry`]). The queue is bounded in length
+//! ([`MAX_PENDING`]); how a change that has waited for too long ends is for its owner to say.
+
+use beamhinge_core::types::{RequestId, Time};
+use std::collections::VecDeque;
+
+/// Changes that may wait in one queue; more are refused.
+const MAX_PENDING: usize = 32;
+/// How long a change may take before its author is told to try again, seconds.
+const TIMEOUT_S: f64 = 3.0;
+
+/// One requested change and how far it got.
+pub(crate) struct PendingChange<T> {
+    /// Identifies the change among all that this queue ever held; replies of the key-value
+    /// store name it.
+    pub(crate) serial: u64,
+    /// The request that is answered once the change is decided.
+    pub(crate) request: RequestId,
+    /// What is to be changed.
+    pub(crate) change: T,
+    /// Whether a transaction with this change awaits its reply.
+    pub(crate) in_flight: bool,
+    started: Time,
+    /// The replica must be at least this fresh to decide on the change.
+    needs_fresh_as_of: Time,
+}
+
+impl<T> PendingChange<T> {
+    /// Whether the change has waited for longer than its author is kept waiting.
+    pub(crate) fn is_late(&self, now: Time) -> bool {
+        now.since(self.started) > TIMEOUT_S
+    }
+
+    /// Whether a replica of this freshness shows all that the decision depends on.
+    pub(crate) fn is_decidable(&self, fresh_as_of: Option<Time>) -> bool {
+        !self.in_flight && fresh_as_of.is_some_and(|fresh| fresh >= self.needs_fresh_as_of)
+    }
+}
+
+/// Pending changes in their order of arrival.
+pub(crate) struct PendingChanges<T> {
+    queue: VecDeque<PendingChange<T>>,
+    last_serial: u64,
+}
+
+impl<T> Default for PendingChanges<T> {
+    fn default() -> PendingChanges<T> {
+        PendingChanges {
+            queue: VecDeque::new(),
+            last_serial: 0,
+        }
+    }
+}
+
+impl<T> PendingChanges<T> {
+    /// Appends a change; `false` when the queue is full and the change was dropped.
+    #[must_use]
+    pub(crate) fn push(&mut self, now: Time, request: RequestId, change: T) -> bool {
+        if self.queue.len() >= MAX_PENDING {
+            return false;
+        }
+        self.last_serial += 1;
+        self.queue.push_back(PendingChange {
+            serial: self.last_serial,
+            request,
+            change,
+            in_flight: false,
+            started: now,
+            needs_fresh_as_of: now,
+        });
+        true
+    }
+
+    /// Whether a condition holds for any change of the queue.
+    pub(crate) fn any(&self, condition: impl Fn(&PendingChange<T>) -> bool) -> bool {
+        self.queue.iter().any(condition)
+    }
+
+    pub(crate) fn get(&self, serial: u64) -> Option<&PendingChange<T>> {
+        self.queue.iter().find(|pending| pending.serial == serial)
+    }
+
+    pub(crate) fn get_mut(&mut self, serial: u64) -> Option<&mut PendingChange<T>> {
+        self.queue
+            .iter_mut()
+            .find(|pending| pending.serial == serial)
+    }
+
+    /// Takes one change off the queue.
+    pub(crate) fn remove(&mut self, serial: u64) -> Option<PendingChange<T>> {
+        let at = self.queue.iter().position(|p| p.serial == serial)?;
+        self.queue.remove(at)
+    }
+
+    /// Examines all changes in their order. Those for which `decide` returns a response leave
+    /// the queue, and their responses are returned by request.
+    pub(crate) fn advance<R>(
+        &mut self,
+        mut decide: impl FnMut(&mut PendingChange<T>) -> Option<R>,
+    ) -> Vec<(RequestId, R)> {
+        let mut responses = Vec::new();
+        self.queue.retain_mut(|pending| match decide(pending) {
+            Some(response) => {
+                responses.push((pending.request, response));
+                false
+            }
+            None => true,
+        });
+        responses
+    }
+
+    /// The transaction of a change did not make it: it is decided on anew, by a replica that
+    /// is read from `now` on.
+    pub(crate) fn retry(&mut self, now: Time, serial: u64) {
+        if let Some(pending) = self.get_mut(serial) {
+            pending.in_flight = false;
+            pending.needs_fresh_as_of = now;
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/replica_scan.rs
@@ -0,0 +1,62 @@
+//! What a running scan of a replicated prefix has shown, so that keys that are gone from the
+//! key-value store are dropped from the replica when the scan ends.
+
+use crate::calls::ReplicaCall;
+use crate::replica::Freshness;
+use beamhinge_core::types::Revision;
+use std::collections::BTreeSet;
+
+/// Keys that the running scan has shown so far.
+pub(crate) struct ScanCoverage<K> {
+    seen: BTreeSet<K>,
+}
+
+impl<K> Default for ScanCoverage<K> {
+    fn default() -> ScanCoverage<K> {
+        ScanCoverage {
+            seen: BTreeSet::new(),
+        }
+    }
+}
+
+impl<K: Ord> ScanCoverage<K> {
+    /// Notes a key of a reply, if the reply is a page of a scan.
+    pub(crate) fn record(&mut self, call: ReplicaCall, key: impl FnOnce() -> K) {
+        if call == ReplicaCall::Scan {
+            self.seen.insert(key());
+        }
+    }
+
+    /// Called after the changes of each reply. Returns the coverage of a scan that has just
+    /// ended; a scan that failed is forgotten, since the next one begins from the first key.
+    pub(crate) fn finish(
+        &mut self,
+        call: ReplicaCall,
+        scanned: Option<u64>,
+        freshness: Freshness,
+    ) -> Option<CompletedScan<K>> {
+        if let Some(revision) = scanned {
+            return Some(CompletedScan {
+                seen: std::mem::take(&mut self.seen),
+                revision: Revision(revision),
+            });
+        }
+        if call == ReplicaCall::Scan && freshness == Freshness::Failed {
+            self.seen.clear();
+        }
+        None
+    }
+}
+
+/// A scan that has shown every key as of one revision.
+pub(crate) struct CompletedScan<K> {
+    seen: BTreeSet<K>,
+    revision: Revision,
+}
+
+impl<K: Ord> CompletedScan<K> {
+    /// Whether a key of the replica still exists: the scan showed it, or it was written later.
+    pub(crate) fn confirms(&self, key: &K, revision: Revision) -> bool {
+        revision > self.revision || self.seen.contains(key)
+    }
+}
--- a/crates/controller/src/scheduler/drain.rs
+++ b/crates/controller/src/scheduler/drain.rs
@@ -2,7 +2,7 @@
 //! of frozen teams and classes, and what is there ends, saves or moves in time.
 
 use super::*;
-use crate::configuration::Effective;
+use crate::configuration::EffectiveTeams;
 
 impl Scheduler {
     /// Takes a changed will in. What was placed against it, and whose `run`
@@ -30,7 +30,7 @@
 
     /// Takes changed teams in. A limit that was lowered stops nothing; what was placed
     /// above it, and whose `run` never went out, returns.
-    pub fn set_teams(&mut self, now: Time, effective: &Effective) {
+    pub fn set_teams(&mut self, now: Time, effective: &EffectiveTeams) {
         for team in &effective.teams {
             let quota = &team.quota;
             let limits = (quota.cpus, quota.cpus_max, quota.gpus, quota.gpus_max);
