--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -4,7 +4,7 @@
 use crate::arguments::UpOptions;
 use beamhinge_client::{Client, Patience};
 use beamhinge_dev_cluster::{Cluster, ClusterError, ClusterPlan};
-use beamhinge_emulator::Doubles;
+use beamhinge_emulator::ProtocolFaults;
 use rustix::process::{getpgrp, kill_process_group, set_parent_process_death_signal, Signal};
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -125,7 +125,7 @@
         controller: (program, vec!["controller".into()]),
         keeper: Some(vec![text, "task".into()]),
         teams: vec![(TEAM.into(), 8.0, 0.0), ("guests".into(), 0.0, 8.0)],
-        doubles: Doubles::default(),
+        protocol_faults: ProtocolFaults::default(),
         operators: CONFIGURATION.into(),
         log_level: std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into()),
         seed: 1,
--- a/crates/dev-cluster/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -19,10 +19,11 @@
 use crate::controllers::{ControllerProgram, Controllers};
 use crate::deployment::{Deployment, Links, NodePlace, PlatformLimits, TeamPlan};
 use beamhinge_core::settings;
-use beamhinge_emulator::cloud::Kind;
-use beamhinge_emulator::platform::{Plan, Platform, Trouble, Watcher};
+use beamhinge_emulator::cloud::{CapacityPool, InstanceType};
+use beamhinge_emulator::platform::{Platform, PlatformConfig, PlatformFault};
 use beamhinge_emulator::processes::Processes;
-use beamhinge_emulator::Doubles;
+use beamhinge_emulator::worker_pool::MachineObserver;
+use beamhinge_emulator::ProtocolFaults;
 use beamhinge_transport::{Listener, ListenerKind, Net, NetError, Wiring};
 use std::io;
 use std::net::SocketAddrV4;
@@ -63,7 +64,7 @@
     /// How tasks' command lines are run; without it every task sleeps.
     pub keeper: Option<Vec<String>>,
     pub teams: Vec<(String, f64, f64)>,
-    pub doubles: Doubles,
+    pub protocol_faults: ProtocolFaults,
     /// Beside `[operators] listen`, lines of the operators' INI.
     pub operators: String,
     pub log_level: String,
@@ -71,7 +72,7 @@
 }
 
 /// Doors for workers: as many machines may be there at once.
-const WORKER_DOORS: u16 = 58;
+const MAX_WORKERS: u16 = 58;
 const ZONES: [&str; 2] = ["north", "south"];
 /// The platform of a newcomer's cluster: quick, so that a first look shows something.
 const LIMITS: PlatformLimits = PlatformLimits {
@@ -93,7 +94,7 @@
     controllers: Controllers,
     go: Arc<AtomicBool>,
     platform: Option<JoinHandle<()>>,
-    troubles: mpsc::Sender<Trouble>,
+    faults: mpsc::Sender<PlatformFault>,
 }
 
 fn local(port: u16) -> SocketAddrV4 {
@@ -155,24 +156,25 @@
         }
     }
 
-    fn platform(&self, settings: &settings::Settings) -> Plan {
+    fn platform(&self, settings: &settings::Settings) -> PlatformConfig {
         let p = &settings.params;
         let zone = |i: usize| ZONES[i % 2].to_string();
-        let each = |spot: bool, n: u32| (0..2).map(move |z| ("m".into(), zone(z), spot, n));
-        Plan {
+        let each =
+            |spot: bool, n: u32| (0..2).map(move |z| (CapacityPool::new("m", zone(z), spot), n));
+        PlatformConfig {
             controllers: (0..self.nodes).map(|n| self.users_of(n)).collect(),
-            worker_doors: (0..WORKER_DOORS)
+            worker_addresses: (0..MAX_WORKERS)
                 .map(|w| local(self.port + 42 + w))
                 .collect(),
             workers: p.workers.clone(),
             state: p.state.clone(),
             cloud: p.cloud.clone(),
-            kinds: vec![Kind {
+            instance_types: vec![InstanceType {
                 label: "m".into(),
                 cpus: self.cpus,
                 memory_gb: self.cpus * 4.0,
-                rate: 1.0,
-                low: 0.3,
+                price: 1.0,
+                spot_price: 0.3,
                 boot_s: self.boot_s,
             }],
             zones: ZONES.iter().map(|z| z.to_string()).collect(),
@@ -180,23 +182,23 @@
                 .chain(each(false, self.rentable / 2))
                 .collect(),
             owned: (0..self.machines)
-                .map(|i| ("m".to_string(), zone(i)))
+                .map(|i| CapacityPool::new("m", zone(i), false))
                 .collect(),
-            kept: self.kept.then(|| self.dir.join("state.log")),
+            state_log: self.kept.then(|| self.dir.join("state.log")),
             processes: self
                 .keeper
                 .clone()
                 .map(|keeper| Processes::new(Some(self.dir.join("output")), keeper)),
-            doubles: self.doubles,
+            protocol_faults: self.protocol_faults,
             seed: self.seed,
-            troubles: None,
+            faults: None,
         }
     }
 }
 
 impl Cluster {
     /// Writes the settings, starts the platform and all controllers.
-    pub fn start(plan: ClusterPlan, watcher: Watcher) -> Result<Cluster, ClusterError> {
+    pub fn start(plan: ClusterPlan, observer: MachineObserver) -> Result<Cluster, ClusterError> {
         std::fs::create_dir_all(&plan.dir).map_err(|e| ClusterError::File(plan.dir.clone(), e))?;
         let (deployment, links) = (plan.deployment(), plan.links());
         let mut controllers = Controllers::new(ControllerProgram {
@@ -211,13 +213,13 @@
         let text = deployment.settings(0, &links);
         let sound = settings::Settings::parse("the cluster's settings", &text)
             .map_err(|e| ClusterError::Kept(io::Error::other(e)))?;
-        let (troubles, suffered) = mpsc::channel();
-        let platform = Plan {
-            troubles: Some(suffered),
+        let (faults, suffered) = mpsc::channel();
+        let platform = PlatformConfig {
+            faults: Some(suffered),
             ..plan.platform(&sound)
         };
         let mut listeners = vec![plan.state(), plan.cloud()];
-        listeners.extend(&platform.worker_doors);
+        listeners.extend(&platform.worker_addresses);
         let wiring = Wiring {
             listeners: listeners
                 .into_iter()
@@ -240,7 +242,7 @@
         // The loop is made where it runs: what it holds stays on one thread.
         let thread = std::thread::spawn(move || {
             let mut made = Ok(());
-            let net = Net::try_new(wiring, |now| Platform::new(platform, watcher, now));
+            let net = Net::try_new(wiring, |now| Platform::new(platform, observer, now));
             match net {
                 Ok(Ok(net)) => {
                     let _ = told.send(made);
@@ -262,7 +264,7 @@
             controllers,
             go,
             platform: Some(thread),
-            troubles,
+            faults,
         };
         for node in 0..cluster.plan.nodes {
             cluster.start_node(node)?;
@@ -283,9 +285,9 @@
         self.controllers.kill(node);
     }
 
-    pub fn trouble(&self, trouble: Trouble) {
+    pub fn trouble(&self, trouble: PlatformFault) {
         // A platform that is gone has no more troubles.
-        let _ = self.troubles.send(trouble);
+        let _ = self.faults.send(trouble);
     }
 
     /// Controllers that ended by themselves, which they never should.
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,17 +1,13 @@
-//! Stand-ins for what beamhinge meets outside: the state service, the cloud and
-//! the workers, written from the published protocol. Sans-IO, so that the same
-//! models serve simulated time and real processes.
-
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
+//! Emulators of what beamhinge meets outside: the state service, the cloud, the workers
+//! and the users, written from the published protocol.
+//!
+//! The models ([`state`], [`cloud`], [`worker`], [`user`]) do no input or output and take
+//! the time as an argument, so that the same models serve simulated time (`beamhinge-sim`)
+//! and real processes ([`platform`], [`state_server`], [`worker_pool`]). They know nothing
+//! of the controller: what they check and report is a second opinion on the protocol.
+//!
+//! The wire's words are confined to one module a protocol: `worker::protocol`,
+//! `state::protocol`, `cloud::protocol` and [`job`].
 
 use beamhinge_core::messages::Effect;
 use beamhinge_core::types::{RequestId, Time};
@@ -19,6 +15,7 @@
 use serde_json::{json, Value};
 
 pub mod cloud;
+pub mod job;
 pub mod platform;
 pub mod processes;
 pub mod state;
@@ -27,26 +24,41 @@
 pub mod worker;
 pub mod worker_pool;
 
-/// Microseconds of simulated time.
-pub type Us = u64;
-pub const SECOND: Us = 1_000_000;
+pub use job::{job_id, JobPlan};
+
+/// Microseconds on the emulated clock.
+pub type Micros = u64;
+
+/// One second on the emulated clock.
+pub const SECOND: Micros = 1_000_000;
+
+/// An answer as an emulated service gives it: HTTP status and encoded body.
+pub type Response = (u16, Vec<u8>);
 
-/// A time of the loop in the models' microseconds.
-pub fn micros(now: Time) -> Us {
-    (now.since(Time::default()) * 1e6) as Us
+/// A time of the event loop on the emulated clock.
+#[must_use]
+pub fn micros(now: Time) -> Micros {
+    (now.since(Time::default()) * 1e6) as Micros
 }
 
-/// Answers a request with a status and nothing else.
-pub fn refuse(out: &mut Vec<Effect>, to: RequestId, status: u16) {
+/// Emits the answer to a request.
+pub fn respond(out: &mut Vec<Effect>, to: RequestId, (status, body): Response) {
     out.push(Effect::Answer {
         to,
         status,
         retry_after: None,
-        body: wire::encode(&json!({})),
+        body,
     });
 }
 
-/// A body as JSON; null for what is no CBOR, which no model takes for a request.
+/// Answers a request with a status and an empty map.
+pub fn refuse(out: &mut Vec<Effect>, to: RequestId, status: u16) {
+    respond(out, to, response(status, &json!({})));
+}
+
+/// Decodes a CBOR body into a JSON value; null for anything else, which no model takes for
+/// a request.
+#[must_use]
 pub fn decode(body: &[u8]) -> Value {
     let value = wire::decode::<ciborium::Value>(body).ok();
     value
@@ -54,25 +66,21 @@
         .unwrap_or(Value::Null)
 }
 
-#[derive(Clone, Debug)]
-pub struct JobPlan {
-    pub body: Value,
-    pub run_s: f64,
-    pub fails: bool,
-    /// What a task runs where workers run commands; else it sleeps.
-    pub command: Option<String>,
-    /// When its user sends it first.
-    pub sent: Us,
+/// A response with an encoded body.
+fn response(status: u16, body: &Value) -> Response {
+    (status, wire::encode(body))
 }
 
-#[derive(Default, Clone, Copy)]
-pub struct Doubles {
+/// Deliberate violations of the protocol by the emulators, to prove that the checks of the
+/// experiments can fail.
+#[derive(Default, Clone, Copy, Debug)]
+pub struct ProtocolFaults {
     /// Workers leave running tasks out of their reports.
     pub hide_tasks: bool,
-    /// Workers do not kill what they are told to.
-    pub deaf_to_kill: bool,
-    /// The state service forgets jobs after a while.
+    /// Workers ignore commands to kill a task.
+    pub ignore_kill: bool,
+    /// The state service loses job records some seconds after they were written.
     pub forgets_jobs: bool,
-    /// Workers report tasks done that still run.
+    /// Workers report running tasks as done.
     pub early_done: bool,
 }
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -1,20 +1,19 @@
-//! The platform as one process on loopback: state service, cloud and workers,
-//! each behind a door of its own, made of the same models that the scenarios
-//! use in simulated time.
+//! The whole platform as one service on loopback: state service, cloud and workers, each
+//! behind a listener of its own, made of the same models that the scenarios use in simulated
+//! time.
 
-use crate::cloud::{Cloud, Kind};
+use crate::cloud::{CapacityPool, Cloud, InstanceType};
+use crate::job::JobPlan;
 use crate::processes::Processes;
-use crate::state::State;
+use crate::state::StateService;
 use crate::state_server::StateServer;
-use crate::worker_pool::WorkerPool;
-pub use crate::worker_pool::{Seen, Watcher};
-use crate::{micros, refuse, Doubles, JobPlan, Us, SECOND};
+use crate::worker_pool::{MachineObserver, WorkerPool, WorkerPoolConfig};
+use crate::{micros, refuse, respond, Micros, ProtocolFaults, Response, SECOND};
 use beamhinge_core::http::Request;
 use beamhinge_core::job::{JobKind, JobRecord, PREFIX};
 use beamhinge_core::messages::{Effect, Service};
 use beamhinge_core::settings;
 use beamhinge_core::types::{CallId, RequestId, Time, WallMs};
-use beamhinge_core::wire;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use serde_json::json;
@@ -24,122 +23,148 @@
 use std::path::PathBuf;
 use std::sync::mpsc::Receiver;
 
-/// Doors of the platform, by their place; workers' follow.
-pub const STATE_DOOR: usize = 0;
-pub const CLOUD_DOOR: usize = 1;
-pub const FIRST_WORKER_DOOR: usize = 2;
+/// Number of the state service's listener.
+pub const STATE_LISTENER: usize = 0;
+/// Number of the cloud's listener.
+pub const CLOUD_LISTENER: usize = 1;
+/// Number of the first worker's listener; the others follow.
+pub const FIRST_WORKER_LISTENER: usize = 2;
+
+/// Boot time of the machines that are there from the start.
+const OWNED_BOOT: Micros = SECOND / 5;
+/// How often job records are lost, where that is asked for.
+const FORGET_INTERVAL: Micros = SECOND;
 
 /// What a platform is made of.
-pub struct Plan {
-    /// The controllers' public addresses, in the order of their labels, which
-    /// are single letters from `a`.
+pub struct PlatformConfig {
+    /// The controllers' public addresses, in the order of their labels, which are single
+    /// letters from `a`.
     pub controllers: Vec<SocketAddrV4>,
-    /// One address per machine that may be there at once.
-    pub worker_doors: Vec<SocketAddrV4>,
+    /// One address for each machine that may be there at once.
+    pub worker_addresses: Vec<SocketAddrV4>,
+    /// The workers' published timing.
     pub workers: settings::Workers,
+    /// The state service's published limits.
     pub state: settings::State,
+    /// The cloud's published limits.
     pub cloud: settings::Cloud,
-    pub kinds: Vec<Kind>,
+    /// What the cloud offers.
+    pub instance_types: Vec<InstanceType>,
+    /// The cloud's zones.
     pub zones: Vec<String>,
-    /// Type, zone, spot: how many the cloud has of them.
-    pub capacity: Vec<(String, String, bool, u32)>,
-    /// Machines that are there from the start: type and zone.
-    pub owned: Vec<(String, String)>,
-    /// Where changes are kept; nowhere when there is none.
-    pub kept: Option<PathBuf>,
+    /// How many instances of each pool there can be at once.
+    pub capacity: Vec<(CapacityPool, u32)>,
+    /// On-demand machines that are there from the start.
+    pub owned: Vec<CapacityPool>,
+    /// The state service's log; without one it forgets everything with the process.
+    pub state_log: Option<PathBuf>,
+    /// Where tasks run commands.
     pub processes: Option<Processes>,
-    pub doubles: Doubles,
+    /// Violations of the protocol that are asked for.
+    pub protocol_faults: ProtocolFaults,
+    /// Of all draws.
     pub seed: u64,
-    pub troubles: Option<Receiver<Trouble>>,
+    /// Faults are taken from here while the platform runs.
+    pub faults: Option<Receiver<PlatformFault>>,
 }
 
-/// Troubles that a running platform can be told to have.
+/// Faults that a running platform can be told to have.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum PlatformFault {
     /// The cloud answers 503 for so many seconds.
     CloudDown(f64),
-    /// The state service does.
+    /// The state service answers 503 for so many seconds.
     StateDown(f64),
-    /// A machine neither reports nor listens for so many seconds.
-    Hang { machine: u64, seconds: f64 },
+    /// A machine neither reports nor listens.
+    Hang {
+        /// Its number.
+        machine: u64,
+        /// For how long.
+        seconds: f64,
+    },
 }
 
+/// The platform.
 pub struct Platform {
     state: StateServer,
     cloud: Cloud,
     pool: WorkerPool,
-    /// Machines by the door of their worker.
+    /// The machine whose worker has the address of that index.
     slots: Vec<Option<u64>>,
-    worker_doors: Vec<SocketAddrV4>,
-    /// Rented, and without a door of their own yet.
-    booting: BTreeMap<u64, Us>,
-    doubles: Doubles,
+    worker_addresses: Vec<SocketAddrV4>,
+    /// Machines without an address yet, and when they are up.
+    booting: BTreeMap<u64, Micros>,
+    protocol_faults: ProtocolFaults,
     rng: StdRng,
-    forgot_at: Us,
-    troubles: Option<Receiver<Trouble>>,
+    forgot_at: Micros,
+    faults: Option<Receiver<PlatformFault>>,
 }
 
 impl Platform {
-    pub fn new(plan: Plan, watcher: Watcher, now: Time) -> io::Result<Platform> {
-        let mut cloud = Cloud::new(plan.cloud.rps, plan.cloud.list_lag_s);
-        cloud.kinds = plan.kinds;
-        cloud.zones = plan.zones;
-        for (machine_type, zone, spot, n) in plan.capacity {
-            cloud.capacity.insert((machine_type, zone, spot), n);
-        }
-        // Machines that are there from the start have the same names each
-        // time: whatever ran on them ended with the last process.
-        let (state, after_owned) = match &plan.kept {
-            Some(path) => StateServer::from_log(&plan.state, path)?,
-            None => (StateServer::new(&plan.state), 0),
+    /// A platform with its owned machines booting.
+    ///
+    /// # Errors
+    /// When the state service's log cannot be read or written.
+    pub fn new(
+        config: PlatformConfig,
+        observer: MachineObserver,
+        now: Time,
+    ) -> io::Result<Platform> {
+        let mut cloud = Cloud::new(config.cloud.rps, config.cloud.list_lag_s);
+        cloud.instance_types = config.instance_types;
+        cloud.zones = config.zones;
+        cloud.capacity.extend(config.capacity);
+        // Machines that are there from the start have the same names each time: whatever
+        // ran on them ended with the last process.
+        let (state, next_machine) = match &config.state_log {
+            Some(path) => StateServer::from_log(&config.state, path)?,
+            None => (StateServer::new(&config.state), 0),
         };
-        for (machine_type, zone) in plan.owned {
-            cloud.add(micros(now), &machine_type, &zone, false, Some(SECOND / 5));
+        for pool in &config.owned {
+            cloud.add(micros(now), pool, Some(OWNED_BOOT));
         }
-        cloud.go_on_from(after_owned);
-        let pool = WorkerPool::new(
-            plan.controllers,
-            plan.workers,
-            plan.processes,
-            plan.doubles,
-            watcher,
-        );
+        cloud.skip_machines_below(next_machine);
+        let pool = WorkerPool::new(WorkerPoolConfig {
+            controllers: config.controllers,
+            settings: config.workers,
+            processes: config.processes,
+            protocol_faults: config.protocol_faults,
+            observer,
+        });
         let mut platform = Platform {
             state,
             cloud,
             pool,
-            slots: vec![None; plan.worker_doors.len()],
-            worker_doors: plan.worker_doors,
+            slots: vec![None; config.worker_addresses.len()],
+            worker_addresses: config.worker_addresses,
             booting: BTreeMap::new(),
-            doubles: plan.doubles,
-            rng: StdRng::seed_from_u64(plan.seed),
+            protocol_faults: config.protocol_faults,
+            rng: StdRng::seed_from_u64(config.seed),
             forgot_at: 0,
-            troubles: plan.troubles,
+            faults: config.faults,
         };
-        platform.booting.extend(platform.cloud.take_booted());
+        platform.booting.extend(platform.cloud.take_created());
         platform.state.write_log(platform.cloud.next_machine());
         Ok(platform)
     }
 
-    fn answer_cloud(&mut self, now: Time, id: RequestId, r: &Request, out: &mut Vec<Effect>) {
-        let us = micros(now);
-        let (status, body) = self
-            .cloud
-            .handle(us, r.method, &r.path, &r.body, &mut self.rng);
-        self.booting.extend(self.cloud.take_booted());
+    fn on_cloud_request(&mut self, now: Micros, request: &Request) -> Response {
+        let answer = self.cloud.handle(
+            now,
+            request.method,
+            &request.path,
+            &request.body,
+            &mut self.rng,
+        );
+        self.booting.extend(self.cloud.take_created());
         for gone in self.cloud.take_gone() {
-            self.remove(us, gone);
+            self.remove(now, gone);
         }
         self.state.write_log(self.cloud.next_machine());
-        out.push(Effect::Answer {
-            to: id,
-            status,
-            retry_after: None,
-            body,
-        });
+        answer
     }
 
-    fn remove(&mut self, now: Us, machine: u64) {
+    fn remove(&mut self, now: Micros, machine: u64) {
         self.pool.remove(now, machine);
         self.booting.remove(&machine);
         self.cloud.endpoints.remove(&machine);
@@ -148,7 +173,8 @@
         }
     }
 
-    fn boot(&mut self, now: Us) {
+    /// Machines that are up get an address and a worker.
+    fn start_booted(&mut self, now: Micros) {
         let ready: Vec<u64> = self
             .booting
             .iter()
@@ -156,7 +182,7 @@
             .map(|(id, _)| *id)
             .collect();
         for machine in ready {
-            // Without a free door it goes on booting.
+            // Without a free address it goes on booting.
             let Some(slot) = self.slots.iter().position(Option::is_none) else {
                 return;
             };
@@ -164,21 +190,21 @@
             let Some(booted) = self.cloud.booted(now, machine) else {
                 continue;
             };
-            let endpoint = self.worker_doors[slot].to_string();
+            let endpoint = self.worker_addresses[slot].to_string();
             self.cloud.endpoints.insert(machine, endpoint.clone());
             self.slots[slot] = Some(machine);
             self.pool.add(now, machine, booted, endpoint);
         }
     }
 
-    fn suffer(&mut self, now: Us, trouble: Trouble) {
-        let until = |s: f64| now + (s.max(0.0) * 1e6) as Us;
-        match trouble {
-            Trouble::CloudDown(s) => self.cloud.down_until = until(s),
-            Trouble::StateDown(s) => self.state.state.outage(until(s)),
-            Trouble::Hang { machine, seconds } => {
-                if let Some(w) = self.pool.worker_mut(machine) {
-                    w.hang_until = until(seconds);
+    fn apply_fault(&mut self, now: Micros, fault: PlatformFault) {
+        let until = |seconds: f64| now + (seconds.max(0.0) * 1e6) as Micros;
+        match fault {
+            PlatformFault::CloudDown(seconds) => self.cloud.down_until = until(seconds),
+            PlatformFault::StateDown(seconds) => self.state.state.outage(until(seconds)),
+            PlatformFault::Hang { machine, seconds } => {
+                if let Some(worker) = self.pool.worker_mut(machine) {
+                    worker.faults.hang_until = until(seconds);
                 }
             }
         }
@@ -186,11 +212,11 @@
 }
 
 /// A job's description for the workers, from its record in the state service.
-fn describe(state: &State, job: &str) -> Option<JobPlan> {
+fn describe(state: &StateService, job: &str) -> Option<JobPlan> {
     let record = state.get(&format!("{PREFIX}{job}")).cloned();
     let spec = record
-        .and_then(|v| serde_json::from_value::<JobRecord>(v).ok())
-        .and_then(|r| r.spec)?;
+        .and_then(|value| serde_json::from_value::<JobRecord>(value).ok())
+        .and_then(|record| record.spec)?;
     let kind = if spec.kind == JobKind::Service {
         "standing"
     } else {
@@ -199,7 +225,7 @@
     let body = json!({"vcpus": spec.cpus, "memoryGb": spec.memory_gb,
         "bundle": spec.image, "jobKind": kind});
     Some(JobPlan {
-        sent: 0,
+        submitted_at: 0,
         body,
         run_s: spec.expected_run_s,
         fails: false,
@@ -214,32 +240,21 @@
         _wall: WallMs,
         listener: usize,
         id: RequestId,
-        r: Request,
+        request: Request,
         out: &mut Vec<Effect>,
     ) {
         match listener {
-            STATE_DOOR => self.state.answer(now, id, &r, out),
-            CLOUD_DOOR => self.answer_cloud(now, id, &r, out),
+            STATE_LISTENER => self.state.on_request(now, id, &request, out),
+            CLOUD_LISTENER => {
+                let answer = self.on_cloud_request(micros(now), &request);
+                respond(out, id, answer);
+            }
             _ => {
-                let machine = self
-                    .slots
-                    .get(listener - FIRST_WORKER_DOOR)
-                    .copied()
-                    .flatten();
-                let Some(machine) = machine else {
-                    return refuse(out, id, 404);
-                };
-                if r.path != "/do" || wire::decode::<ciborium::Value>(&r.body).is_err() {
-                    return refuse(out, id, 400);
-                }
-                match self.pool.direct(micros(now), machine, &r.body) {
-                    Some((status, body)) => {
-                        out.push(Effect::Answer {
-                            to: id,
-                            status,
-                            retry_after: None,
-                            body,
-                        });
+                let slot = self.slots.get(listener - FIRST_WORKER_LISTENER);
+                match slot.copied().flatten() {
+                    Some(machine) => {
+                        let answer = self.pool.on_request(micros(now), machine, &request);
+                        respond(out, id, answer);
                     }
                     None => refuse(out, id, 404),
                 }
@@ -252,24 +267,26 @@
         now: Time,
         _wall: WallMs,
         id: CallId,
-        result: Option<(u16, Vec<u8>)>,
+        result: Option<Response>,
         _out: &mut Vec<Effect>,
     ) {
         let state = &self.state.state;
         self.pool
-            .on_reply(micros(now), id, result, &mut |job| describe(state, job));
+            .on_reply(micros(now), id, result.as_ref(), &mut |job| {
+                describe(state, job)
+            });
     }
 
     fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
-        let us = micros(now);
-        while let Some(trouble) = self.troubles.as_ref().and_then(|t| t.try_recv().ok()) {
-            self.suffer(us, trouble);
+        let now_us = micros(now);
+        while let Some(fault) = self.faults.as_ref().and_then(|f| f.try_recv().ok()) {
+            self.apply_fault(now_us, fault);
         }
-        self.boot(us);
-        self.pool.step(us, out);
-        if self.doubles.forgets_jobs && us > self.forgot_at + SECOND {
-            self.forgot_at = us;
-            self.state.state.forget_jobs(us);
+        self.start_booted(now_us);
+        self.pool.step(now_us, out);
+        if self.protocol_faults.forgets_jobs && now_us > self.forgot_at + FORGET_INTERVAL {
+            self.forgot_at = now_us;
+            self.state.state.forget_jobs(now_us);
         }
         self.state.answer_watches(now, out);
     }
--- a/crates/emulator/src/processes.rs
+++ b/crates/emulator/src/processes.rs
@@ -1,5 +1,5 @@
-//! Tasks as processes of this machine: started, watched, and ended with all
-//! that they started.
+//! Tasks as processes of this machine: started, watched, and ended with everything that
+//! they started themselves.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -7,91 +7,120 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// Most processes at once; beyond it a task fails, as on a full machine.
-const MOST: usize = 512;
+/// Processes at once; beyond it a task fails, as on a full machine.
+const MAX_PROCESSES: usize = 512;
 
+/// A process that ended by itself.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ProcessExit {
+    /// Of its task.
+    pub task_id: String,
+    /// Number of the attempt.
+    pub attempt: u64,
+    /// Whether its status was zero.
+    pub success: bool,
+}
+
+/// The processes of tasks, by task id and attempt. All are ended when this is dropped.
 pub struct Processes {
     running: BTreeMap<(String, u64), Child>,
     /// Where each task's output goes; nowhere when there is none.
     output: Option<PathBuf>,
-    /// Program and first arguments that end with us and run the line behind
-    /// them; a plain shell when there is none.
-    keeper: Vec<String>,
+    /// Program and first arguments that run the command line behind them and end with this
+    /// process; a plain shell when there is none.
+    supervisor: Vec<String>,
 }
 
 impl Processes {
-    pub fn new(output: Option<PathBuf>, keeper: Vec<String>) -> Processes {
+    /// No processes yet.
+    #[must_use]
+    pub fn new(output: Option<PathBuf>, supervisor: Vec<String>) -> Processes {
         Processes {
             running: BTreeMap::new(),
             output,
-            keeper,
+            supervisor,
         }
     }
 
-    /// Starts a task's command line; false when it could not be started.
-    pub fn start(&mut self, piece: &str, attempt: u64, line: &str) -> bool {
-        if self.running.len() >= MOST {
+    /// Starts a task's command line; returns whether it could be started.
+    #[must_use]
+    pub fn start(&mut self, task_id: &str, attempt: u64, line: &str) -> bool {
+        if self.running.len() >= MAX_PROCESSES {
             return false;
         }
-        let (job, index) = piece.split_once('/').unwrap_or((piece, "0"));
-        let mut command = match self.keeper.split_first() {
-            Some((program, rest)) => {
-                let mut c = Command::new(program);
-                c.args(rest);
-                c
-            }
-            None => {
-                let mut c = Command::new("/bin/sh");
-                c.arg("-c");
-                c
-            }
-        };
-        command.arg(line);
+        let (job, index) = task_id.split_once('/').unwrap_or((task_id, "0"));
+        let mut command = self.shell();
         command
+            .arg(line)
             .env("BEAMHINGE_JOB", job)
             .env("BEAMHINGE_TASK", index)
             .env("BEAMHINGE_ATTEMPT", attempt.to_string())
             .stdin(Stdio::null())
             // A group of its own, so that what it starts ends with it.
             .process_group(0);
-        let file = self.output.as_ref().and_then(|dir| {
-            let dir = dir.join(job);
-            std::fs::create_dir_all(&dir).ok()?;
-            File::create(dir.join(format!("{index}.out"))).ok()
-        });
-        match file.and_then(|f| Some((f.try_clone().ok()?, f))) {
+        match self.output_files(job, index) {
             Some((out, err)) => command.stdout(out).stderr(err),
             None => command.stdout(Stdio::null()).stderr(Stdio::null()),
         };
         match command.spawn() {
             Ok(child) => {
-                self.running.insert((piece.to_string(), attempt), child);
+                self.running.insert((task_id.to_string(), attempt), child);
                 true
             }
             Err(_) => false,
         }
     }
 
-    pub fn stop(&mut self, piece: &str, attempt: u64) {
-        if let Some(child) = self.running.remove(&(piece.to_string(), attempt)) {
+    /// What runs a command line that follows as its last argument.
+    fn shell(&self) -> Command {
+        match self.supervisor.split_first() {
+            Some((program, arguments)) => {
+                let mut command = Command::new(program);
+                command.args(arguments);
+                command
+            }
+            None => {
+                let mut command = Command::new("/bin/sh");
+                command.arg("-c");
+                command
+            }
+        }
+    }
+
+    /// One file for both outputs of a task; none if there is no place for it.
+    fn output_files(&self, job: &str, index: &str) -> Option<(File, File)> {
+        let folder = self.output.as_ref()?.join(job);
+        std::fs::create_dir_all(&folder).ok()?;
+        let file = File::create(folder.join(format!("{index}.out"))).ok()?;
+        Some((file.try_clone().ok()?, file))
+    }
+
+    /// Ends a task's process, if it runs.
+    pub fn stop(&mut self, task_id: &str, attempt: u64) {
+        if let Some(child) = self.running.remove(&(task_id.to_string(), attempt)) {
             end(child);
         }
     }
 
-    /// Those that have ended by themselves, and whether well.
-    pub fn ended(&mut self) -> Vec<(String, u64, bool)> {
-        let mut over = Vec::new();
-        for ((piece, attempt), child) in &mut self.running {
-            match child.try_wait() {
-                Ok(None) => {}
-                Ok(Some(status)) => over.push((piece.clone(), *attempt, status.success())),
-                Err(_) => over.push((piece.clone(), *attempt, false)),
-            }
+    /// The processes that have ended by themselves since the last call.
+    pub fn take_exited(&mut self) -> Vec<ProcessExit> {
+        let mut exited = Vec::new();
+        for ((task_id, attempt), child) in &mut self.running {
+            let success = match child.try_wait() {
+                Ok(None) => continue,
+                Ok(Some(status)) => status.success(),
+                Err(_) => false,
+            };
+            exited.push(ProcessExit {
+                task_id: task_id.clone(),
+                attempt: *attempt,
+                success,
+            });
         }
-        for (piece, attempt, _) in &over {
-            self.running.remove(&(piece.clone(), *attempt));
+        for exit in &exited {
+            self.running.remove(&(exit.task_id.clone(), exit.attempt));
         }
-        over
+        exited
     }
 }
 
--- a/crates/emulator/src/processes/tests.rs
+++ b/crates/emulator/src/processes/tests.rs
@@ -2,26 +2,28 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_command_runs_and_its_end_is_seen() {
+fn command_that_ends_is_returned_with_its_success() {
     let mut p = Processes::new(None, Vec::new());
     assert!(p.start("job-1/0", 1, "exit 0") && p.start("job-1/1", 2, "exit 3"));
     let until = Instant::now() + Duration::from_secs(20);
     let mut seen = Vec::new();
     while seen.len() < 2 && Instant::now() < until {
-        seen.extend(p.ended());
+        seen.extend(p.take_exited());
         std::thread::sleep(Duration::from_millis(5));
     }
     seen.sort();
-    let want = [
-        ("job-1/0".to_string(), 1, true),
-        ("job-1/1".to_string(), 2, false),
-    ];
+    let exit = |task_id: &str, attempt, success| ProcessExit {
+        task_id: task_id.to_string(),
+        attempt,
+        success,
+    };
+    let want = [exit("job-1/0", 1, true), exit("job-1/1", 2, false)];
     assert_eq!(seen, want);
 }
 
 /// What a task started in the background once outlived its task.
 #[test]
-fn what_a_command_started_ends_with_it() {
+fn background_process_ends_with_its_task() {
     let dir = std::env::temp_dir().join(format!("beamhinge-group-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let file = dir.join("pid");
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -1,434 +1,563 @@
-//! Stand-in for the state service: limits, leases, watches, outages.
+//! Emulator of the state service: a key-value store with revisions, transactions, leases and
+//! watches, with the published limits and outages.
+//!
+//! Invariants: a revision is never given twice; a key that is bound to a lease is gone when
+//! the lease expires; a transaction is applied as a whole or not at all.
 
-use crate::{decode, Us, SECOND};
+mod protocol;
+
+use crate::{decode, Micros, Response, SECOND};
 use beamhinge_core::http::Method;
+use beamhinge_core::settings;
 use beamhinge_core::types::CallId;
-use beamhinge_core::wire;
-use serde_json::{json, Value};
+pub(crate) use protocol::COMMIT_PATH;
+use protocol::{Call, ScanQuery, Transaction, WatchQuery, WriteKind};
+use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
-type Caller = (usize, u64, CallId);
+/// Changes that a watch can go back to.
+const HISTORY: usize = 10_000;
+/// Largest transaction, bytes as text.
+const MAX_TRANSACTION: usize = 64 * 1024;
+/// Conditions of a transaction, for each write that it may have.
+const MAX_CONDITIONS_PER_WRITE: usize = 4;
+/// [`StateService::forget_jobs`] loses records that are older.
+const FORGOTTEN_AFTER: Micros = 8 * SECOND;
+/// Keys of job records begin so.
+const JOB_PREFIX: &str = "j/";
+/// The expiry of a lease is noticed this long after it.
+const EXPIRY_MARGIN: Micros = 1_000;
+
+/// Who waits for an answer. The state service only hands it back.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Caller {
+    /// The connection, or the controller in simulated time.
+    pub connection: usize,
+    /// Tells users of the same connection apart, one after the other.
+    pub generation: u64,
+    /// The call.
+    pub call: CallId,
+}
+
+/// A change of a key; without a value it was deleted.
+#[derive(Clone, Debug)]
+pub struct Change {
+    /// Revision of the store after it.
+    pub revision: u64,
+    /// The key.
+    pub key: String,
+    /// Its new value.
+    pub value: Option<Value>,
+}
+
+/// The published limits of the state service.
+#[derive(Clone, Copy, Debug)]
+pub struct Limits {
+    /// Requests a second.
+    pub rps: f64,
+    /// Writes a second.
+    pub write_rps: f64,
+    /// Largest value, bytes as text.
+    pub value_bytes: usize,
+    /// Writes of a transaction.
+    pub transaction_writes: usize,
+}
+
+impl From<&settings::State> for Limits {
+    fn from(settings: &settings::State) -> Limits {
+        Limits {
+            rps: settings.rps,
+            write_rps: settings.write_rps,
+            value_bytes: (settings.value_kb * 1024.0) as usize,
+            transaction_writes: settings.txn_ops,
+        }
+    }
+}
+
+/// Writes of keys with a prefix are called malformed for a while.
+#[derive(Clone, Copy, Debug)]
+pub struct RejectedWrites {
+    /// The prefix.
+    pub prefix: &'static str,
+    /// Until when.
+    pub until: Micros,
+}
+
+/// What can be answered to watches now.
+#[derive(Debug, Default)]
+pub struct ReadyWatches {
+    /// The encoded answers, all with status 200.
+    pub answers: Vec<(Caller, Vec<u8>)>,
+    /// When to look again.
+    pub next_due: Option<Micros>,
+}
 
-struct Key {
+struct Entry {
     value: Value,
     revision: u64,
     lease_id: Option<u64>,
-    since: Us,
+    created: Micros,
 }
 
-pub struct State {
-    keys: BTreeMap<String, Key>,
-    rev: u64,
-    history: VecDeque<(u64, String, Option<Value>)>,
-    forgotten: u64,
-    leases: BTreeMap<u64, (Us, Us)>,
-    next_lease: u64,
-    waiting: Vec<(Caller, String, u64, Us)>,
-    pub down_until: Us,
-    /// Writes of keys that begin so are called malformed, until then.
-    pub refuses: (&'static str, Us),
-    limits: (f64, f64),
-    levels: (f64, f64),
-    filled: Us,
-    value_limit: usize,
-    txn_ops: usize,
-    /// What a client did wrong, for the runner to fail on.
-    pub abused: Vec<String>,
-    pub refused: u64,
-    /// Puts and deletes that were applied.
-    pub writes: u64,
-    pub keep_changes: usize,
-    /// Changes to be kept, where somebody keeps them: revision, key, value.
-    pub applied: Vec<(u64, String, Option<Value>)>,
-    pub keeps: bool,
+struct Lease {
+    expires: Micros,
+    duration: Micros,
+}
+
+struct PendingWatch {
+    caller: Caller,
+    prefix: String,
+    after_revision: u64,
+    until: Micros,
 }
 
-fn query(path: &str, name: &str) -> Option<String> {
-    let (_, q) = path.split_once('?')?;
-    q.split('&')
-        .filter_map(|p| p.split_once('='))
-        .find(|(k, _)| *k == name)
-        .map(|(_, v)| v.to_string())
+/// The state service.
+pub struct StateService {
+    keys: BTreeMap<String, Entry>,
+    revision: u64,
+    /// The last changes, oldest first.
+    history: VecDeque<Change>,
+    /// Changes up to this revision are no longer in the history.
+    compacted: u64,
+    leases: BTreeMap<u64, Lease>,
+    last_lease: u64,
+    watches: Vec<PendingWatch>,
+    /// It answers 503 until then.
+    pub down_until: Micros,
+    /// Writes that are called malformed.
+    pub rejected_writes: RejectedWrites,
+    limits: Limits,
+    /// Requests and writes that may come at once now.
+    tokens: (f64, f64),
+    refilled: Micros,
+    /// What a controller did against the protocol.
+    pub violations: Vec<String>,
+    /// Requests beyond the rate limit.
+    pub throttled: u64,
+    /// Puts and deletes that were applied.
+    pub writes: u64,
+    /// Changes that a watch can go back to.
+    pub history_limit: usize,
+    /// Changes that are to be made durable; none where nobody does that.
+    journal: Option<Vec<Change>>,
 }
 
-impl State {
-    pub fn new(rps: f64, write_rps: f64, value_kb: f64, txn_ops: usize) -> State {
-        State {
+impl StateService {
+    /// An empty store.
+    #[must_use]
+    pub fn new(limits: Limits) -> StateService {
+        StateService {
             keys: BTreeMap::new(),
-            rev: 0,
+            revision: 0,
             history: VecDeque::new(),
-            forgotten: 0,
+            compacted: 0,
             leases: BTreeMap::new(),
-            next_lease: 0,
-            waiting: Vec::new(),
+            last_lease: 0,
+            watches: Vec::new(),
             down_until: 0,
-            refuses: ("", 0),
-            limits: (rps, write_rps),
-            levels: (rps, write_rps),
-            filled: 0,
-            value_limit: (value_kb * 1024.0) as usize,
-            txn_ops,
-            abused: Vec::new(),
-            refused: 0,
+            rejected_writes: RejectedWrites {
+                prefix: "",
+                until: 0,
+            },
+            limits,
+            tokens: (limits.rps, limits.write_rps),
+            refilled: 0,
+            violations: Vec::new(),
+            throttled: 0,
             writes: 0,
-            keep_changes: 10_000,
-            applied: Vec::new(),
-            keeps: false,
+            history_limit: HISTORY,
+            journal: None,
         }
     }
 
-    /// A trouble that begins now; leases get their full time again after it.
-    pub fn outage(&mut self, until: Us) {
+    /// An outage that begins now; leases get their full time again after it.
+    pub fn outage(&mut self, until: Micros) {
         self.down_until = until;
-        for (ends, life) in self.leases.values_mut() {
-            *ends = until + *life;
+        for lease in self.leases.values_mut() {
+            lease.expires = until + lease.duration;
         }
     }
 
-    fn expire(&mut self, now: Us) {
+    /// Removes expired leases and the keys that are bound to them.
+    fn expire(&mut self, now: Micros) {
         if now < self.down_until {
             return;
         }
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, (ends, _))| *ends < now)
+            .filter(|(_, lease)| lease.expires < now)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             self.leases.remove(&id);
-            let keys: Vec<String> = self
+            let bound: Vec<String> = self
                 .keys
                 .iter()
-                .filter(|(_, k)| k.lease_id == Some(id))
-                .map(|(n, _)| n.clone())
+                .filter(|(_, entry)| entry.lease_id == Some(id))
+                .map(|(key, _)| key.clone())
                 .collect();
-            if !keys.is_empty() {
-                self.rev += 1;
+            if !bound.is_empty() {
+                self.revision += 1;
             }
-            for key in keys {
+            for key in bound {
                 self.keys.remove(&key);
-                self.note(key, None);
+                self.record(key, None);
             }
         }
     }
 
-    /// What was kept from before: no lease outlives the process that granted
-    /// it, so keys that hung on one were never kept.
-    pub fn restore(&mut self, rev: u64, key: String, value: Option<Value>) {
-        self.rev = self.rev.max(rev);
-        self.forgotten = self.rev;
-        match value {
+    /// Applies a change that was made durable earlier. No lease outlives the process that
+    /// granted it, so keys that were bound to one were never made durable.
+    pub fn restore(&mut self, change: Change) {
+        self.revision = self.revision.max(change.revision);
+        self.compacted = self.revision;
+        match change.value {
             Some(value) => {
-                self.keys.insert(
-                    key,
-                    Key {
-                        value,
-                        revision: rev,
-                        lease_id: None,
-                        since: 0,
-                    },
-                );
+                let entry = Entry {
+                    value,
+                    revision: change.revision,
+                    lease_id: None,
+                    created: 0,
+                };
+                self.keys.insert(change.key, entry);
             }
             None => {
-                self.keys.remove(&key);
+                self.keys.remove(&change.key);
             }
         }
     }
 
-    /// Everything that is to be kept, for a log that begins anew.
-    pub fn all(&self) -> impl Iterator<Item = (u64, &String, &Value)> {
-        let kept = self.keys.iter().filter(|(_, k)| k.lease_id.is_none());
-        kept.map(|(name, k)| (k.revision, name, &k.value))
+    /// From now on changes are collected for [`StateService::take_journal`].
+    pub fn enable_journal(&mut self) {
+        self.journal = Some(Vec::new());
     }
 
-    pub fn rev(&self) -> u64 {
-        self.rev
+    /// Changes that are to be made durable, since the last call.
+    pub fn take_journal(&mut self) -> Vec<Change> {
+        self.journal
+            .as_mut()
+            .map(std::mem::take)
+            .unwrap_or_default()
     }
 
+    /// All durable keys with their revisions and values, for a journal that begins anew.
+    pub fn durable(&self) -> impl Iterator<Item = (u64, &String, &Value)> {
+        let durable = self.keys.iter().filter(|(_, e)| e.lease_id.is_none());
+        durable.map(|(key, entry)| (entry.revision, key, &entry.value))
+    }
+
+    /// The revision of the last change.
+    #[must_use]
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// The value of a key.
+    #[must_use]
     pub fn get(&self, key: &str) -> Option<&Value> {
-        self.keys.get(key).map(|k| &k.value)
+        self.keys.get(key).map(|entry| &entry.value)
+    }
+
+    /// How many keys have that prefix.
+    #[must_use]
+    pub fn keys_under(&self, prefix: &str) -> usize {
+        self.keys.keys().filter(|k| k.starts_with(prefix)).count()
+    }
+
+    /// Stores a value as another program would have left it.
+    pub fn plant(&mut self, key: &str, value: Value) {
+        self.revision += 1;
+        let entry = Entry {
+            value: value.clone(),
+            revision: self.revision,
+            lease_id: None,
+            created: 0,
+        };
+        self.keys.insert(key.to_string(), entry);
+        self.record(key.to_string(), Some(value));
     }
 
-    fn note(&mut self, key: String, value: Option<Value>) {
-        if self.keeps {
-            let leased = self.keys.get(&key).is_some_and(|k| k.lease_id.is_some());
-            let kept = if leased { None } else { value.clone() };
-            self.applied.push((self.rev, key.clone(), kept));
+    /// Notes a change of the present revision, after it was applied.
+    fn record(&mut self, key: String, value: Option<Value>) {
+        let revision = self.revision;
+        if let Some(journal) = &mut self.journal {
+            let bound = self.keys.get(&key).is_some_and(|e| e.lease_id.is_some());
+            journal.push(Change {
+                revision,
+                key: key.clone(),
+                value: if bound { None } else { value.clone() },
+            });
         }
-        self.history.push_back((self.rev, key, value));
-        while self.history.len() > self.keep_changes {
-            if let Some((rev, _, _)) = self.history.pop_front() {
-                self.forgotten = rev;
+        self.history.push_back(Change {
+            revision,
+            key,
+            value,
+        });
+        while self.history.len() > self.history_limit {
+            if let Some(oldest) = self.history.pop_front() {
+                self.compacted = oldest.revision;
             }
         }
     }
 
-    pub fn forget_jobs(&mut self, now: Us) {
+    /// Loses job records that are not new, without a trace: for the checks.
+    pub fn forget_jobs(&mut self, now: Micros) {
         let old: Vec<String> = self
             .keys
             .iter()
-            .filter(|(n, k)| n.starts_with("j/") && now > k.since + 8 * SECOND)
-            .map(|(n, _)| n.clone())
+            .filter(|(key, e)| key.starts_with(JOB_PREFIX) && now > e.created + FORGOTTEN_AFTER)
+            .map(|(key, _)| key.clone())
             .collect();
         for key in old {
             self.keys.remove(&key);
-            self.history.retain(|(_, k, _)| *k != key);
+            self.history.retain(|change| change.key != key);
         }
     }
 
-    fn spend(&mut self, now: Us, writes: f64) -> bool {
-        let passed = now.saturating_sub(self.filled) as f64 / 1e6;
-        self.filled = now;
-        self.levels.0 = (self.levels.0 + passed * self.limits.0).min(self.limits.0);
-        self.levels.1 = (self.levels.1 + passed * self.limits.1).min(self.limits.1);
-        if self.levels.0 < 1.0 || (writes > 0.0 && self.levels.1 < writes) {
-            self.refused += 1;
+    /// Whether the rate limits allow a request with so many writes now.
+    fn take_tokens(&mut self, now: Micros, writes: f64) -> bool {
+        let passed = now.saturating_sub(self.refilled) as f64 / 1e6;
+        self.refilled = now;
+        let Limits { rps, write_rps, .. } = self.limits;
+        self.tokens.0 = (self.tokens.0 + passed * rps).min(rps);
+        self.tokens.1 = (self.tokens.1 + passed * write_rps).min(write_rps);
+        if self.tokens.0 < 1.0 || (writes > 0.0 && self.tokens.1 < writes) {
+            self.throttled += 1;
             return false;
         }
-        self.levels.0 -= 1.0;
-        self.levels.1 -= writes;
+        self.tokens.0 -= 1.0;
+        self.tokens.1 -= writes;
         true
     }
 
+    /// Serves a request; none when its answer comes later, from [`StateService::ready_watches`].
     pub fn handle(
         &mut self,
-        now: Us,
+        now: Micros,
         caller: Caller,
         method: Method,
         path: &str,
         body: &[u8],
-    ) -> Option<(u16, Vec<u8>)> {
+    ) -> Option<Response> {
         self.expire(now);
-        let say = |status: u16, v: Value| Some((status, wire::encode(&v)));
         if now < self.down_until {
-            return say(503, json!({}));
+            return Some(protocol::empty(503));
         }
-        let transaction = if path == "/commit" {
-            decode(body)
-        } else {
-            Value::Null
+        let call = protocol::call(method, path);
+        let body = match call {
+            Call::Commit | Call::GrantLease => decode(body),
+            _ => Value::Null,
+        };
+        let transaction = match call {
+            Call::Commit => Transaction::decode(&body),
+            _ => Transaction::decode(&Value::Null),
         };
-        let then: Vec<Value> = transaction["then"].as_array().cloned().unwrap_or_default();
-        if !self.spend(now, then.len() as f64) {
-            return say(429, json!({}));
+        if !self.take_tokens(now, transaction.writes.len() as f64) {
+            return Some(protocol::empty(429));
         }
-        let bare = path.split('?').next().unwrap_or("");
-        match (method, bare) {
-            (Method::Post, "/commit") => self.commit(now, &transaction, &then),
-            (Method::Post, "/holds") => {
-                let life = decode(body)["lifeMs"].as_u64().unwrap_or(1_000) * 1_000;
-                self.next_lease += 1;
-                self.leases.insert(self.next_lease, (now + life, life));
-                say(200, json!({ "permit": self.next_lease }))
-            }
-            (Method::Post, p) if p.starts_with("/holds/") => {
-                let id: u64 = p
-                    .trim_start_matches("/holds/")
-                    .trim_end_matches("/renew")
-                    .parse()
-                    .unwrap_or(0);
-                match self.leases.get_mut(&id) {
-                    Some((ends, life)) => {
-                        *ends = now + *life;
-                        say(200, json!({ "permit": id }))
-                    }
-                    None => say(404, json!({})),
-                }
-            }
-            (Method::Delete, p) if p.starts_with("/holds/") => {
-                let id: u64 = p.trim_start_matches("/holds/").parse().unwrap_or(0);
-                if let Some((ends, _)) = self.leases.get_mut(&id) {
-                    *ends = 0;
-                }
-                self.expire(now);
-                say(200, json!({}))
+        match call {
+            Call::Commit => Some(self.commit(now, &transaction)),
+            Call::GrantLease => Some(self.grant_lease(now, protocol::lease_duration(&body))),
+            Call::RenewLease(id) => Some(self.renew_lease(now, id)),
+            Call::RevokeLease(id) => Some(self.revoke_lease(now, id)),
+            Call::Scan => Some(self.scan(&ScanQuery::decode(path)?)),
+            Call::Watch => self.watch(now, caller, WatchQuery::decode(path)?),
+            Call::Unknown => {
+                self.violations.push(format!("{} {path}", method.name()));
+                Some(protocol::empty(400))
             }
-            (Method::Get, "/store") => {
-                let (under, since) = (query(path, "under")?, query(path, "since"));
-                let most: usize = query(path, "most")
-                    .and_then(|m| m.parse().ok())
-                    .unwrap_or(1_000);
-                let all: Vec<(&String, &Key)> = self
-                    .keys
-                    .iter()
-                    .filter(|(k, _)| k.starts_with(&under) && since.as_ref().is_none_or(|s| *k > s))
-                    .collect();
-                let more = all.len() > most;
-                let pairs: Vec<Value> = all
-                    .into_iter()
-                    .take(most)
-                    .map(|(k, v)| json!({"path": k, "value": v.value, "stamp": v.revision}))
-                    .collect();
-                say(
-                    200,
-                    json!({"pairs": pairs, "more": more, "ledgerRev": self.rev}),
-                )
-            }
-            (Method::Get, "/watch") => {
-                let under = query(path, "under")?;
-                let since: u64 = query(path, "since")?.parse().ok()?;
-                let wait: u64 = query(path, "waitMs")
-                    .and_then(|w| w.parse().ok())
-                    .unwrap_or(0);
-                if since < self.forgotten {
-                    return say(410, json!({}));
-                }
-                match self.news(&under, since, wait == 0) {
-                    Some(body) => Some((200, body)),
-                    None => {
-                        self.waiting
-                            .push((caller, under, since, now + wait * 1_000));
-                        None
-                    }
-                }
-            }
-            _ => {
-                self.abused.push(format!("{} {path}", method.name()));
-                say(400, json!({}))
+        }
+    }
+
+    fn grant_lease(&mut self, now: Micros, duration: Micros) -> Response {
+        self.last_lease += 1;
+        let lease = Lease {
+            expires: now + duration,
+            duration,
+        };
+        self.leases.insert(self.last_lease, lease);
+        protocol::lease(self.last_lease)
+    }
+
+    fn renew_lease(&mut self, now: Micros, id: u64) -> Response {
+        match self.leases.get_mut(&id) {
+            Some(lease) => {
+                lease.expires = now + lease.duration;
+                protocol::lease(id)
             }
+            None => protocol::empty(404),
+        }
+    }
+
+    fn revoke_lease(&mut self, now: Micros, id: u64) -> Response {
+        if let Some(lease) = self.leases.get_mut(&id) {
+            lease.expires = 0;
         }
+        self.expire(now);
+        protocol::empty(200)
+    }
+
+    fn scan(&self, query: &ScanQuery) -> Response {
+        let after = |key: &String| query.after.as_ref().is_none_or(|after| key > after);
+        let found: Vec<(&String, &Entry)> = self
+            .keys
+            .iter()
+            .filter(|(key, _)| key.starts_with(&query.prefix) && after(key))
+            .collect();
+        let more = found.len() > query.page_size;
+        let pairs: Vec<Value> = found
+            .into_iter()
+            .take(query.page_size)
+            .map(|(key, entry)| protocol::pair(key, &entry.value, entry.revision))
+            .collect();
+        protocol::page(&pairs, more, self.revision)
     }
 
-    fn news(&self, under: &str, since: u64, now_or_never: bool) -> Option<Vec<u8>> {
-        let mut last: BTreeMap<&String, (u64, &Option<Value>)> = BTreeMap::new();
-        let from = self.history.partition_point(|(rev, ..)| *rev <= since);
-        for (rev, key, value) in self.history.range(from..) {
-            if key.starts_with(under) {
-                last.insert(key, (*rev, value));
+    fn watch(&mut self, now: Micros, caller: Caller, query: WatchQuery) -> Option<Response> {
+        if query.after_revision < self.compacted {
+            return Some(protocol::empty(410));
+        }
+        match self.events(&query.prefix, query.after_revision, query.wait == 0) {
+            Some(body) => Some((200, body)),
+            None => {
+                self.watches.push(PendingWatch {
+                    caller,
+                    prefix: query.prefix,
+                    after_revision: query.after_revision,
+                    until: now + query.wait,
+                });
+                None
             }
         }
-        if last.is_empty() && !now_or_never {
+    }
+
+    /// The encoded last change of each key with the prefix after a revision; none if there
+    /// is none and the answer need not be `immediate`.
+    fn events(&self, prefix: &str, after_revision: u64, immediate: bool) -> Option<Vec<u8>> {
+        let from = self
+            .history
+            .partition_point(|change| change.revision <= after_revision);
+        let changes = self.history.range(from..);
+        let last: BTreeMap<&String, &Change> = changes
+            .filter(|change| change.key.starts_with(prefix))
+            .map(|change| (&change.key, change))
+            .collect();
+        if last.is_empty() && !immediate {
             return None;
         }
-        let news: Vec<Value> = last
+        let events: Vec<Value> = last
             .into_iter()
-            .map(|(key, (rev, value))| match value {
-                Some(v) => json!({"write": key, "value": v, "stamp": rev}),
-                None => json!({"delete": key, "stamp": rev}),
-            })
+            .map(|(key, change)| protocol::watch_event(key, change.value.as_ref(), change.revision))
             .collect();
-        Some(wire::encode(&json!({"ledgerRev": self.rev, "news": news})))
+        Some(protocol::watch_events(&events, self.revision))
     }
 
-    /// Watches that can be answered, and when the next one runs out. Those of a node
-    /// that is refused (`held`) wait as in an outage.
-    pub fn watches(
+    /// Watches that can be answered. Those that are `held`, by their connection and prefix,
+    /// wait as in an outage.
+    pub fn ready_watches(
         &mut self,
-        now: Us,
+        now: Micros,
         held: impl Fn(usize, &str) -> bool,
-    ) -> (Vec<(Caller, Vec<u8>)>, Option<Us>) {
+    ) -> ReadyWatches {
         self.expire(now);
         if now < self.down_until {
-            return (Vec::new(), Some(self.down_until));
+            return ReadyWatches {
+                answers: Vec::new(),
+                next_due: Some(self.down_until),
+            };
         }
-        let mut ready = Vec::new();
-        let waiting = std::mem::take(&mut self.waiting);
-        for (caller, under, since, until) in waiting {
-            if held(caller.0, &under) {
-                self.waiting.push((caller, under, since, until));
-                continue;
+        let is_held = |watch: &PendingWatch| held(watch.caller.connection, &watch.prefix);
+        let mut answers = Vec::new();
+        for watch in std::mem::take(&mut self.watches) {
+            let body = if is_held(&watch) {
+                None
+            } else {
+                self.events(&watch.prefix, watch.after_revision, now >= watch.until)
+            };
+            match body {
+                Some(body) => answers.push((watch.caller, body)),
+                None => self.watches.push(watch),
             }
-            match self.news(&under, since, now >= until) {
-                Some(body) => ready.push((caller, body)),
-                None => self.waiting.push((caller, under, since, until)),
+        }
+        let leases = self.leases.values().map(|l| l.expires + EXPIRY_MARGIN);
+        let open = self.watches.iter().filter(|watch| !is_held(watch));
+        let next_due = open.map(|watch| watch.until).chain(leases).min();
+        ReadyWatches { answers, next_due }
+    }
+
+    fn commit(&mut self, now: Micros, transaction: &Transaction) -> Response {
+        if let Some(rejection) = self.reject(now, transaction) {
+            return rejection;
+        }
+        let revision = |key: &str| self.keys.get(key).map_or(0, |entry| entry.revision);
+        let failed: Vec<&str> = transaction
+            .conditions()
+            .filter(|(key, expected)| revision(key) != *expected)
+            .map(|(key, _)| key)
+            .collect();
+        if !failed.is_empty() {
+            return protocol::conflict(&failed, self.revision);
+        }
+        if !transaction.writes.is_empty() {
+            self.revision += 1;
+        }
+        self.writes += transaction.writes.len() as u64;
+        for write in &transaction.writes {
+            match write.kind {
+                WriteKind::Put => {
+                    let entry = Entry {
+                        value: write.value.clone(),
+                        revision: self.revision,
+                        lease_id: write.lease_id,
+                        created: self.keys.get(write.key).map_or(now, |e| e.created),
+                    };
+                    self.keys.insert(write.key.to_string(), entry);
+                    self.record(write.key.to_string(), Some(write.value.clone()));
+                }
+                WriteKind::Delete => {
+                    self.keys.remove(write.key);
+                    self.record(write.key.to_string(), None);
+                }
+                WriteKind::Malformed => {}
             }
         }
-        let leases = self.leases.values().map(|(ends, _)| ends + 1_000);
-        let open = self.waiting.iter().filter(|w| !held(w.0 .0, &w.1));
-        let next = open.map(|w| w.3).chain(leases).min();
-        (ready, next)
+        protocol::committed(self.revision)
     }
 
-    fn commit(&mut self, now: Us, transaction: &Value, then: &[Value]) -> Option<(u16, Vec<u8>)> {
-        let say = |status: u16, v: Value| Some((status, wire::encode(&v)));
-        let when: Vec<Value> = transaction["when"].as_array().cloned().unwrap_or_default();
-        if then.len() > self.txn_ops
-            || when.len() > 4 * self.txn_ops
-            || transaction.to_string().len() > 64 * 1024
+    /// The refusal of a transaction that is beyond a limit or malformed.
+    fn reject(&mut self, now: Micros, transaction: &Transaction) -> Option<Response> {
+        let (writes, conditions) = (transaction.writes.len(), transaction.condition_count());
+        let max_writes = self.limits.transaction_writes;
+        if writes > max_writes
+            || conditions > MAX_CONDITIONS_PER_WRITE * max_writes
+            || transaction.size > MAX_TRANSACTION
         {
-            self.abused.push(format!(
-                "a transaction of {} writes and {} conditions",
-                then.len(),
-                when.len()
+            self.violations.push(format!(
+                "a transaction of {writes} writes and {conditions} conditions"
             ));
-            return say(400, json!({"error": "too large"}));
+            return Some(protocol::error(400, "too large"));
         }
-        for t in then {
-            let key = t["write"].as_str().or(t["delete"].as_str()).unwrap_or("");
-            if now < self.refuses.1 && key.starts_with(self.refuses.0) {
-                return say(400, json!({"error": "so it is"}));
+        let rejected = self.rejected_writes;
+        for write in &transaction.writes {
+            let key = write.key;
+            if now < rejected.until && key.starts_with(rejected.prefix) {
+                return Some(protocol::error(400, "so it is"));
             }
-            if !when.iter().any(|w| w["path"] == key) {
-                self.abused
+            if !transaction.guards(key) {
+                self.violations
                     .push(format!("{key} is written without a condition on it"));
             }
-            if t["value"].to_string().len() > self.value_limit {
-                self.abused
+            if write.value.to_string().len() > self.limits.value_bytes {
+                self.violations
                     .push(format!("{key} is larger than a value may be"));
-                return say(400, json!({"error": "too large"}));
+                return Some(protocol::error(400, "too large"));
             }
-            if t["permit"]
-                .as_u64()
-                .is_some_and(|p| !self.leases.contains_key(&p))
-            {
-                return say(400, json!({"error": "no such lease"}));
+            let lease = write.lease_id;
+            if lease.is_some_and(|id| !self.leases.contains_key(&id)) {
+                return Some(protocol::error(400, "no such lease"));
             }
         }
-        let revision = |s: &State, key: &str| s.keys.get(key).map_or(0, |k| k.revision);
-        let failed: Vec<&str> = when
-            .iter()
-            .filter_map(|w| Some((w["path"].as_str()?, w["stamp"].as_u64()?)))
-            .filter(|(k, s)| revision(self, k) != *s)
-            .map(|(k, _)| k)
-            .collect();
-        if !failed.is_empty() {
-            return say(409, json!({"failed": failed, "ledgerRev": self.rev}));
-        }
-        if !then.is_empty() {
-            self.rev += 1;
-        }
-        self.writes += then.len() as u64;
-        for t in then {
-            if let Some(key) = t["write"].as_str() {
-                let value = t["value"].clone();
-                let lease_id = t["permit"].as_u64();
-                let since = self.keys.get(key).map_or(now, |k| k.since);
-                self.keys.insert(
-                    key.to_string(),
-                    Key {
-                        value: value.clone(),
-                        revision: self.rev,
-                        lease_id,
-                        since,
-                    },
-                );
-                self.note(key.to_string(), Some(value));
-            } else if let Some(key) = t["delete"].as_str() {
-                self.keys.remove(key);
-                self.note(key.to_string(), None);
-            }
-        }
-        say(200, json!({"ledgerRev": self.rev}))
-    }
-
-    pub fn keys_under(&self, prefix: &str) -> usize {
-        self.keys.keys().filter(|k| k.starts_with(prefix)).count()
-    }
-
-    /// Puts a value there as another program would have left it.
-    pub fn plant(&mut self, key: &str, value: Value) {
-        self.rev += 1;
-        let revision = self.rev;
-        self.keys.insert(
-            key.to_string(),
-            Key {
-                value: value.clone(),
-                revision,
-                lease_id: None,
-                since: 0,
-            },
-        );
-        self.note(key.to_string(), Some(value));
+        None
     }
 }
--- a/crates/emulator/src/user/tests.rs
+++ b/crates/emulator/src/user/tests.rs
@@ -1,16 +1,34 @@
 use super::*;
 
+fn answer<'a>(
+    (received, asked): (Micros, Micros),
+    request: UserRequest,
+    (status, state): (u16, &'a str),
+    complete: bool,
+) -> UserAnswer<'a> {
+    UserAnswer {
+        asked,
+        received,
+        request,
+        status,
+        state,
+        complete,
+    }
+}
+
 #[test]
-fn each_rule_about_answers_can_be_broken() {
+fn answer_that_breaks_a_rule_is_reported_by_its_name() {
     let case = |first: (u16, &str), then: (u16, &str), complete| {
-        let mut told = Told {
+        let mut view = UserJobView {
             submitted: true,
-            ..Told::default()
+            ..UserJobView::default()
         };
-        let (broken, _) = told.answered((1, 0), What::Submit, first.0, first.1, true);
-        assert!(broken.is_empty(), "{broken:?}");
-        told.answered((2, 1), What::Poll, then.0, then.1, complete)
-            .0
+        let violations = view
+            .on_answer(&answer((1, 0), UserRequest::Submit, first, true))
+            .violations;
+        assert!(violations.is_empty(), "{violations:?}");
+        view.on_answer(&answer((2, 1), UserRequest::Poll, then, complete))
+            .violations
     };
     assert_eq!(case((201, "pending"), (404, ""), true), ["forgotten"]);
     assert_eq!(case((201, "pending"), (200, "done"), false), ["not_done"]);
@@ -20,9 +38,11 @@
         ["went_back"]
     );
     assert!(case((201, "pending"), (200, "done"), true).is_empty());
-    let mut nobody = Told::default();
+    let mut never_submitted = UserJobView::default();
     assert_eq!(
-        nobody.answered((1, 0), What::Poll, 200, "done", true).0,
+        never_submitted
+            .on_answer(&answer((1, 0), UserRequest::Poll, (200, "done"), true))
+            .violations,
         ["invented"]
     );
 }
@@ -30,20 +50,24 @@
 /// Day meet-41-189: a poll that waited out an outage was answered a millisecond after
 /// the cancellation that the same user sent to another controller meanwhile.
 #[test]
-fn only_what_is_asked_later_may_not_be_older() {
+fn older_answer_breaks_a_rule_only_if_asked_after_the_end_was_told() {
     for (asked, broken) in [(4, false), (5, true), (9, true)] {
-        let mut told = Told {
+        let mut view = UserJobView {
             submitted: true,
             asked_cancel: true,
-            ..Told::default()
+            ..UserJobView::default()
+        };
+        let mut told = |times, request, reply, complete| {
+            view.on_answer(&answer(times, request, reply, complete))
+                .violations
         };
-        told.answered((2, 1), What::Submit, 201, "pending", false);
-        told.answered((5, 3), What::Cancel, 200, "cancelled", false);
-        let (found, _) = told.answered((10, asked), What::Poll, 200, "running", false);
+        told((2, 1), UserRequest::Submit, (201, "pending"), false);
+        told((5, 3), UserRequest::Cancel, (200, "cancelled"), false);
+        let found = told((10, asked), UserRequest::Poll, (200, "running"), false);
         assert_eq!(found == ["went_back"], broken, "{asked}");
-        let (found, _) = told.answered((11, 4), What::Poll, 200, "done", true);
+        let found = told((11, 4), UserRequest::Poll, (200, "done"), true);
         assert_eq!(found, ["went_back"], "one of two ends is wrong");
-        let (found, _) = told.answered((13, 12), What::Poll, 200, "running", false);
+        let found = told((13, 12), UserRequest::Poll, (200, "running"), false);
         assert_eq!(found, ["went_back"]);
     }
 }
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -1,543 +1,726 @@
-//! Stand-in for a worker: sessions, tokens, leases and commands.
+//! Emulator of a worker: its incarnation, fencing token, lease, images and tasks.
+//!
+//! A worker reports to one controller at a time and moves on to the next when it gets no
+//! answer. Its lease is renewed by each answer that it accepts, from the time at which the
+//! answered report was sent; when it expires, everything on the machine ends and a new
+//! incarnation begins. Invariants that the controllers rely on (PROTOCOL, "Workers"):
+//!
+//! - an answer or a direct message with an older fencing token changes nothing;
+//! - an answer to a report of an earlier incarnation changes nothing;
+//! - one attempt of a task runs at most once.
 
-use crate::cloud::{Host, Kind};
-use crate::{decode, Doubles, JobPlan, Us, SECOND};
+pub(crate) mod protocol;
+
+use crate::cloud::{Instance, InstanceType};
+use crate::job::{job_id, JobPlan, MachineAttributes};
+use crate::{decode, response, Micros, ProtocolFaults, Response, SECOND};
 use beamhinge_core::settings;
-use beamhinge_core::wire;
+use protocol::{Command, Verb};
+use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Tolerance in comparisons of summed resources.
+const EPSILON: f64 = 1e-6;
+/// How long it takes to start a task whose image is on the machine.
+const CACHED_IMAGE_START: Micros = SECOND / 100;
+/// How long it takes to fetch an image.
+const IMAGE_FETCH: Micros = SECOND;
+/// After this long a task that fails has failed.
+const FAILURE_DELAY: Micros = SECOND / 2;
+/// The tasks of a service are looked at again after this long.
+const SERVICE_CHECK: Micros = 3_600 * SECOND;
+/// An answer that changed something is followed by a report after this long.
+const PROMPT_REPORT: Micros = SECOND / 2;
+/// A redirected worker reports to the leader after this long.
+const REDIRECT_DELAY: Micros = SECOND / 10;
+/// Shortest time between two reports that nothing triggered.
+const MIN_REPORT_GAP: Micros = SECOND / 2;
+/// A worker that got no answer reports to the next controller after this long.
+const NEXT_CONTROLLER_DELAY: Micros = SECOND;
+/// The expiry of a lease is noticed this long after it.
+const EXPIRY_MARGIN: Micros = 1_000;
+/// Port of the simulated address of machine number zero.
+const BASE_PORT: u64 = 10_000;
+
+/// Why a task is no longer on the machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ExitReason {
+    Done,
+    Error,
+    /// By a command.
+    Stopped,
+    /// Refused: another attempt of the task is there.
+    AlreadyOnMachine,
+    /// Refused: the worker does not know the job.
+    UnknownJob,
+    /// Refused: too little is free.
+    NoCapacity,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum TaskStatus {
+    FetchingImage,
+    Running,
+    Exited(ExitReason),
+}
+
+/// One attempt of a task on the machine.
 #[derive(Clone, Debug)]
 pub struct Task {
-    pub piece: String,
+    /// `JOB/INDEX`.
+    pub task_id: String,
+    /// Number of the attempt, counted by the controllers.
     pub attempt: u64,
-    status: &'static str,
-    cause: Option<&'static str>,
-    until: Us,
+    status: TaskStatus,
+    /// When its status changes next by itself.
+    until: Micros,
 }
 
-/// Something began or ended on a machine.
+impl Task {
+    fn is(&self, task_id: &str, attempt: u64) -> bool {
+        self.task_id == task_id && self.attempt == attempt
+    }
+
+    fn has_exited(&self) -> bool {
+        matches!(self.status, TaskStatus::Exited(_))
+    }
+
+    fn event(&self, transition: TaskTransition) -> TaskEvent {
+        TaskEvent {
+            task_id: self.task_id.clone(),
+            attempt: self.attempt,
+            transition,
+        }
+    }
+}
+
+/// A task started or ended on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Event {
-    pub piece: String,
+pub struct TaskEvent {
+    /// `JOB/INDEX`.
+    pub task_id: String,
+    /// Number of the attempt.
     pub attempt: u64,
-    pub what: Happened,
+    /// What happened to it.
+    pub transition: TaskTransition,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happened {
+/// What happened to a task on a machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum TaskTransition {
     /// It runs from here on.
-    Began,
+    #[serde(rename = "Began")]
+    Started,
     /// It came to its own end.
-    Ended,
-    /// It was stopped, by command or since the lease ran out.
+    #[serde(rename = "Ended")]
+    Finished,
+    /// It was stopped, by command or since the lease expired.
     Stopped,
 }
 
+/// Faults of one machine and its links.
+#[derive(Clone, Copy, Debug)]
+pub struct MachineFaults {
+    /// The machine has no network until then.
+    pub cut_until: Micros,
+    /// The machine stands still until then.
+    pub hang_until: Micros,
+    /// Its reports go out, and neither answers nor commands reach it until then.
+    pub inbound_cut_until: Micros,
+    /// Its reports reach no controller, while direct commands reach it, until then.
+    pub outbound_cut_until: Micros,
+    /// When the cloud reclaims it, as it was told.
+    pub reclaim_at: Option<Micros>,
+    /// Every task fails on it.
+    pub tasks_fail: bool,
+    /// Tasks take this many times as long.
+    pub slowdown: f64,
+}
+
+impl Default for MachineFaults {
+    fn default() -> MachineFaults {
+        MachineFaults {
+            cut_until: 0,
+            hang_until: 0,
+            inbound_cut_until: 0,
+            outbound_cut_until: 0,
+            reclaim_at: None,
+            tasks_fail: false,
+            slowdown: 1.0,
+        }
+    }
+}
+
+impl MachineFaults {
+    /// Until when messages to the worker are lost.
+    #[must_use]
+    pub fn unreachable_until(&self) -> Micros {
+        self.cut_until.max(self.inbound_cut_until)
+    }
+
+    /// Until when its reports are lost.
+    #[must_use]
+    pub fn silent_until(&self) -> Micros {
+        self.cut_until.max(self.outbound_cut_until)
+    }
+
+    /// Until when it hangs or one of its links is cut.
+    #[must_use]
+    pub fn faulty_until(&self) -> Micros {
+        let cut = self
+            .cut_until
+            .max(self.inbound_cut_until)
+            .max(self.outbound_cut_until);
+        self.hang_until.max(cut)
+    }
+
+    /// Nothing is wrong with the machine at that time.
+    #[must_use]
+    pub fn is_healthy(&self, now: Micros) -> bool {
+        now >= self.faulty_until()
+            && !self.tasks_fail
+            && self.slowdown <= 1.0
+            && self.reclaim_at.is_none()
+    }
+}
+
+/// CPUs and memory in GB.
+#[derive(Clone, Copy, Debug)]
+pub struct Capacity {
+    /// CPUs.
+    pub cpus: f64,
+    /// Memory, GB.
+    pub memory_gb: f64,
+}
+
+impl Capacity {
+    /// Whether a task of the job fits into it.
+    #[must_use]
+    pub fn fits(&self, plan: &JobPlan) -> bool {
+        plan.cpus() <= self.cpus + EPSILON && plan.memory_gb() <= self.memory_gb + EPSILON
+    }
+}
+
+/// What a worker remembers of its exchange with the controllers.
+struct Session {
+    incarnation: u64,
+    /// Of the last report within the incarnation.
+    sequence: u64,
+    /// The highest that it has seen.
+    fencing_token: u64,
+    /// When the last report that was answered had been sent; the lease runs from then.
+    renewed: Micros,
+}
+
+/// A report that is not answered yet.
+#[derive(Clone, Copy)]
+struct InFlightReport {
+    serial: u64,
+    sent: Micros,
+    incarnation: u64,
+}
+
+/// What a worker needs to know beside its own state.
+#[derive(Clone, Copy)]
+pub struct Environment<'a> {
+    /// The present.
+    pub now: Micros,
+    /// The jobs whose descriptions the worker can read.
+    pub jobs: &'a BTreeMap<String, JobPlan>,
+    /// How many controllers there are.
+    pub controllers: usize,
+    /// Violations of the protocol that are asked for.
+    pub protocol_faults: ProtocolFaults,
+}
+
+/// A report to be sent.
+pub struct OutgoingReport {
+    /// Number of the controller; reduced to their count by the sender.
+    pub controller: usize,
+    /// Identifies the report when its answer comes.
+    pub serial: u64,
+    /// The report.
+    pub body: Value,
+}
+
+/// The answer to a report.
+#[derive(Clone, Copy)]
+pub struct ReportAnswer<'a> {
+    /// Of the report.
+    pub serial: u64,
+    /// HTTP status.
+    pub status: u16,
+    /// Encoded body.
+    pub body: &'a [u8],
+}
+
+/// The worker of one machine.
 pub struct Worker {
     name: String,
     endpoint: String,
     machine_type: String,
+    /// Zone of its machine.
     pub zone: String,
+    /// Whether the cloud may reclaim its machine.
     pub spot: bool,
-    room: (f64, f64),
+    capacity: Capacity,
+    /// Time between reports, seconds.
     pub report_s: f64,
-    lease: Us,
-    tenure: u64,
-    tick: u64,
-    baton: u64,
+    lease: Micros,
+    session: Session,
     tasks: Vec<Task>,
     images: BTreeSet<String>,
-    node: usize,
-    in_flight: Option<(u64, Us, u64)>,
-    serial: u64,
-    renewed: Us,
-    next_report: Us,
-    pub cut_until: Us,
-    pub hang_until: Us,
-    /// Its reports go out, and neither answers nor commands reach it until then.
-    pub inbound_cut_until: Us,
-    /// Its reports reach no controller, while direct commands reach it, until then.
-    pub outbound_cut_until: Us,
-    pub reclaim_at: Option<Us>,
-    pub sick: bool,
-    pub slow: f64,
+    /// Number of the controller that it reports to.
+    controller: usize,
+    in_flight: Option<InFlightReport>,
+    last_serial: u64,
+    next_report: Micros,
+    /// Faults of its machine.
+    pub faults: MachineFaults,
+    /// Tasks that started.
     pub started: u64,
-    /// Tasks that ended since the lease ran out.
+    /// Tasks that ended since the lease expired or the machine restarted.
     pub expired: u64,
+    /// Ids of tasks that ended well.
     pub finished: Vec<String>,
-    /// What began and ended on the machine, for whoever runs or watches it.
-    pub events: Vec<Event>,
-    /// What a controller did wrong, for the runner to fail on.
-    pub abused: Vec<String>,
-    /// Commands run outside: a running task ends when it is told to.
+    /// What started and ended on the machine, for whoever runs or watches it.
+    pub events: Vec<TaskEvent>,
+    /// What a controller did against the protocol.
+    pub violations: Vec<String>,
+    /// Commands run outside: a running task ends when [`Worker::on_process_exit`] says so.
     pub runs_commands: bool,
 }
 
 impl Worker {
-    pub fn new(id: u64, (host, kind): (Host, Kind), w: &settings::Workers, now: Us) -> Worker {
+    /// A worker whose machine is up and empty.
+    #[must_use]
+    pub fn new(
+        id: u64,
+        (instance, instance_type): (Instance, InstanceType),
+        settings: &settings::Workers,
+        now: Micros,
+    ) -> Worker {
         Worker {
-            name: format!("n-{id:06}"),
-            endpoint: format!("127.0.0.1:{}", 10_000 + id),
-            machine_type: host.machine_type,
-            zone: host.zone,
-            spot: host.spot,
-            room: (kind.cpus, kind.memory_gb),
-            report_s: w.report_s,
-            lease: (w.lease_s * 1e6) as u64,
-            tenure: 1,
-            tick: 0,
-            baton: 0,
+            name: crate::cloud::name(id),
+            endpoint: simulated_endpoint(id),
+            machine_type: instance.machine_type,
+            zone: instance.zone,
+            spot: instance.spot,
+            capacity: Capacity {
+                cpus: instance_type.cpus,
+                memory_gb: instance_type.memory_gb,
+            },
+            report_s: settings.report_s,
+            lease: (settings.lease_s * 1e6) as Micros,
+            session: Session {
+                incarnation: 1,
+                sequence: 0,
+                fencing_token: 0,
+                renewed: now,
+            },
             tasks: Vec::new(),
             images: BTreeSet::new(),
-            node: id as usize,
+            controller: id as usize,
             in_flight: None,
-            serial: 0,
-            renewed: now,
+            last_serial: 0,
             next_report: now,
-            cut_until: 0,
-            hang_until: 0,
-            inbound_cut_until: 0,
-            outbound_cut_until: 0,
-            reclaim_at: None,
-            sick: false,
-            slow: 1.0,
+            faults: MachineFaults::default(),
             started: 0,
             expired: 0,
             finished: Vec::new(),
             events: Vec::new(),
-            abused: Vec::new(),
+            violations: Vec::new(),
             runs_commands: false,
         }
     }
 
-    pub fn listens_on(&mut self, endpoint: String) {
+    /// Reports this address instead of the simulated one.
+    pub fn set_endpoint(&mut self, endpoint: String) {
         self.endpoint = endpoint;
     }
 
-    /// Tasks that are on this machine in the protocol's sense.
-    pub fn on_machine(&self) -> impl Iterator<Item = &Task> {
+    /// Tasks that run on this machine in the protocol's sense.
+    pub fn running(&self) -> impl Iterator<Item = &Task> {
         self.tasks
             .iter()
-            .filter(|t| t.status == "running" || t.status == "saving")
+            .filter(|t| t.status == TaskStatus::Running)
     }
 
-    /// Tasks that take their room: those too that still fetch their image.
-    pub fn taking_room(&self) -> impl Iterator<Item = &Task> {
-        self.tasks.iter().filter(|t| t.status != "exited")
+    /// Tasks that occupy resources: also those that still fetch their image.
+    pub fn occupying(&self) -> impl Iterator<Item = &Task> {
+        self.tasks.iter().filter(|t| !t.has_exited())
     }
 
-    /// CPUs and memory beside what takes room.
-    pub fn free(&self, jobs: &BTreeMap<String, JobPlan>) -> (f64, f64) {
-        self.taking_room().fold(self.room, |free, t| {
-            let plan = jobs.get(t.piece.split('/').next().unwrap_or(""));
-            let of = |k: &str| plan.and_then(|p| p.body[k].as_f64()).unwrap_or(0.0);
-            (free.0 - of("vcpus"), free.1 - of("memoryGb"))
+    /// What is left beside the tasks that occupy resources.
+    #[must_use]
+    pub fn free(&self, jobs: &BTreeMap<String, JobPlan>) -> Capacity {
+        self.occupying().fold(self.capacity, |free, task| {
+            let plan = jobs.get(job_id(&task.task_id));
+            Capacity {
+                cpus: free.cpus - plan.map_or(0.0, JobPlan::cpus),
+                memory_gb: free.memory_gb - plan.map_or(0.0, JobPlan::memory_gb),
+            }
         })
     }
 
-    pub fn machine_type(&self) -> &str {
-        &self.machine_type
+    /// What a job may constrain of its machine.
+    #[must_use]
+    pub fn attributes(&self) -> MachineAttributes<'_> {
+        MachineAttributes {
+            machine_type: &self.machine_type,
+            zone: &self.zone,
+            spot: self.spot,
+        }
     }
 
-    fn expire(&mut self, now: Us) {
-        if now > self.renewed + self.lease {
-            for t in self
-                .tasks
-                .drain(..)
-                .filter(|t| t.status == "running" || t.status == "saving")
-            {
-                let (piece, attempt) = (t.piece, t.attempt);
-                self.events.push(Event {
-                    piece,
-                    attempt,
-                    what: Happened::Stopped,
-                });
-                self.expired += 1;
-            }
-            self.tenure += 1;
-            self.renewed = now;
-            self.in_flight = None;
-        }
+    /// The highest fencing token that it has seen.
+    #[must_use]
+    pub fn fencing_token(&self) -> u64 {
+        self.session.fencing_token
     }
 
-    fn body(&mut self, now: Us, doubles: Doubles) -> Value {
-        self.tick += 1;
-        let pieces: Vec<Value> = self
-            .tasks
-            .iter()
-            .filter(|t| !(doubles.hide_tasks && t.status == "running"))
-            .map(|t| match t.status {
-                "running" if doubles.early_done => {
-                    json!({"piece": t.piece, "try": t.attempt, "status": "exited", "cause": "done"})
-                }
-                "exited" => json!({"piece": t.piece, "try": t.attempt, "status": t.status, "cause": t.cause}),
-                _ => json!({"piece": t.piece, "try": t.attempt, "status": t.status}),
-            })
-            .collect();
-        let reclaim = self
-            .reclaim_at
-            .map(|at| at.saturating_sub(now) as f64 / 1e6);
-        json!({"host": self.name, "endpoint": self.endpoint, "shape": self.machine_type, "yard": self.zone,
-            "loaners": self.spot, "tenure": self.tenure, "tick": self.tick, "baton": self.baton,
-            "reclaimInS": reclaim, "pieces": pieces, "surprise": {"a": [1, null]}})
+    /// Whether a controller has answered a report that was sent later than this.
+    #[must_use]
+    pub fn answered_since(&self, at: Micros) -> bool {
+        self.session.renewed > at
     }
 
-    /// Until when it hangs or one of its links is cut.
-    pub fn troubled_until(&self) -> Us {
-        let cut = self
-            .cut_until
-            .max(self.inbound_cut_until)
-            .max(self.outbound_cut_until);
-        self.hang_until.max(cut)
+    /// When the lease runs out.
+    fn lease_end(&self) -> Micros {
+        self.session.renewed + self.lease
     }
 
-    /// The highest token it has seen.
-    pub fn token(&self) -> u64 {
-        self.baton
+    /// Ends everything on the machine if the lease has expired.
+    fn expire(&mut self, now: Micros) {
+        if now > self.lease_end() {
+            self.drop_tasks();
+            self.session.incarnation += 1;
+            self.session.renewed = now;
+            self.in_flight = None;
+        }
     }
 
-    /// Whether a controller has answered a report that was sent later than this.
-    pub fn answered_since(&self, at: Us) -> bool {
-        self.renewed > at
+    /// All tasks end, without a command of a controller.
+    fn drop_tasks(&mut self) {
+        for task in self.tasks.drain(..) {
+            if task.status == TaskStatus::Running {
+                self.events.push(task.event(TaskTransition::Stopped));
+                self.expired += 1;
+            }
+        }
+    }
+
+    fn report(&mut self, now: Micros, protocol_faults: ProtocolFaults) -> Value {
+        self.session.sequence += 1;
+        protocol::encode_report(self, now, protocol_faults)
     }
 
     /// The next report, if one may go out now.
-    pub fn send(&mut self, now: Us, doubles: Doubles) -> Option<(usize, u64, Value)> {
-        if now < self.hang_until {
-            self.next_report = self.hang_until;
+    pub fn next_report(
+        &mut self,
+        now: Micros,
+        protocol_faults: ProtocolFaults,
+    ) -> Option<OutgoingReport> {
+        if now < self.faults.hang_until {
+            self.next_report = self.faults.hang_until;
             return None;
         }
         self.expire(now);
         if self.in_flight.is_some() || now < self.next_report {
             return None;
         }
-        self.serial += 1;
-        self.in_flight = Some((self.serial, now, self.tenure));
-        self.next_report = now + SECOND / 2;
-        let body = self.body(now, doubles);
-        Some((self.node, self.serial, body))
+        self.last_serial += 1;
+        self.in_flight = Some(InFlightReport {
+            serial: self.last_serial,
+            sent: now,
+            incarnation: self.session.incarnation,
+        });
+        self.next_report = now + MIN_REPORT_GAP;
+        Some(OutgoingReport {
+            controller: self.controller,
+            serial: self.last_serial,
+            body: self.report(now, protocol_faults),
+        })
     }
 
-    /// Takes an answer; says when to report next, if soon.
-    #[allow(clippy::too_many_arguments)]
-    pub fn answered(
-        &mut self,
-        now: Us,
-        serial: u64,
-        status: u16,
-        body: &[u8],
-        nodes: usize,
-        jobs: &BTreeMap<String, JobPlan>,
-        doubles: Doubles,
-    ) -> Option<Us> {
-        if now < self.hang_until {
+    /// Takes the answer to a report; returns when to report next, if that is soon.
+    pub fn on_answer(&mut self, answer: ReportAnswer, environment: &Environment) -> Option<Micros> {
+        let now = environment.now;
+        if now < self.faults.hang_until {
             return None;
         }
         self.expire(now);
-        let (in_flight, sent, tenure) = self.in_flight?;
-        if in_flight != serial {
-            return None;
-        }
+        let report = self.in_flight.filter(|r| r.serial == answer.serial)?;
         self.in_flight = None;
-        let value = decode(body);
-        match status {
-            200 => {
-                let baton = value["baton"].as_u64().unwrap_or(0);
-                if baton < self.baton || tenure != self.tenure || baton == 0 {
-                    return None;
-                }
-                let higher = baton > self.baton;
-                self.baton = baton;
-                self.renewed = sent;
-                let before = self.tasks.len();
-                for order in value["orders"].as_array().into_iter().flatten() {
-                    self.execute(now, order, jobs, doubles);
+        let message = decode(answer.body);
+        match answer.status {
+            200 => self.on_accepted(report, &message, environment),
+            421 => {
+                let leader = protocol::leader_label(&message).and_then(controller_number);
+                match leader {
+                    Some(leader) if leader != self.controller % environment.controllers => {
+                        self.controller = leader;
+                        self.next_report = now;
+                        Some(now + REDIRECT_DELAY)
+                    }
+                    _ => self.next_controller(now, environment.controllers),
                 }
-                (higher || before != self.tasks.len()).then_some(now + SECOND / 2)
             }
-            421 => match value["foreman"].as_str().and_then(node_of) {
-                Some(node) if node != self.node % nodes => {
-                    self.node = node;
-                    self.next_report = now;
-                    Some(now + 100_000)
-                }
-                _ => self.next_node(now, nodes),
-            },
-            _ => self.next_node(now, nodes),
+            _ => self.next_controller(now, environment.controllers),
         }
     }
 
-    fn next_node(&mut self, now: Us, nodes: usize) -> Option<Us> {
-        self.node = (self.node + 1) % nodes;
-        self.next_report = now + SECOND;
-        Some(now + SECOND)
-    }
-
-    pub fn timed_out(&mut self, now: Us, serial: u64, nodes: usize) -> Option<Us> {
-        let (in_flight, _, _) = self.in_flight?;
-        if in_flight != serial {
+    /// A controller accepted the report: the lease is renewed, its commands are executed.
+    fn on_accepted(
+        &mut self,
+        report: InFlightReport,
+        message: &Value,
+        environment: &Environment,
+    ) -> Option<Micros> {
+        let token = protocol::fencing_token(message).unwrap_or(0);
+        let stale_token = token < self.session.fencing_token || token == 0;
+        if stale_token || report.incarnation != self.session.incarnation {
             return None;
         }
+        let higher = token > self.session.fencing_token;
+        self.session.fencing_token = token;
+        self.session.renewed = report.sent;
+        let before = self.tasks.len();
+        for order in protocol::commands(message) {
+            self.execute(order, environment);
+        }
+        (higher || before != self.tasks.len()).then_some(environment.now + PROMPT_REPORT)
+    }
+
+    fn next_controller(&mut self, now: Micros, controllers: usize) -> Option<Micros> {
+        self.controller = (self.controller + 1) % controllers;
+        self.next_report = now + NEXT_CONTROLLER_DELAY;
+        Some(now + NEXT_CONTROLLER_DELAY)
+    }
+
+    /// No answer to a report came in time; returns when to report next.
+    pub fn on_timeout(&mut self, now: Micros, serial: u64, controllers: usize) -> Option<Micros> {
+        self.in_flight.filter(|r| r.serial == serial)?;
         self.in_flight = None;
-        self.next_node(now, nodes)
+        self.next_controller(now, controllers)
     }
 
-    pub fn direct(
-        &mut self,
-        now: Us,
-        body: &Value,
-        jobs: &BTreeMap<String, JobPlan>,
-        doubles: Doubles,
-    ) -> (u16, Vec<u8>) {
+    /// Takes commands that a controller sent directly; returns the answer.
+    pub fn on_direct_command(&mut self, body: &[u8], environment: &Environment) -> Response {
+        let now = environment.now;
         self.expire(now);
-        let (Some(baton), Some(tenure)) = (body["baton"].as_u64(), body["tenure"].as_u64()) else {
-            return (400, wire::encode(&json!({})));
-        };
-        let status = if baton < self.baton || tenure != self.tenure {
-            409
-        } else {
-            200
+        let message = decode(body);
+        let token = protocol::fencing_token(&message);
+        let (Some(token), Some(incarnation)) = (token, protocol::incarnation(&message)) else {
+            return response(400, &json!({}));
         };
-        self.baton = self.baton.max(baton);
-        if status == 200 {
-            for order in body["orders"].as_array().into_iter().flatten() {
+        let current =
+            token >= self.session.fencing_token && incarnation == self.session.incarnation;
+        self.session.fencing_token = self.session.fencing_token.max(token);
+        if current {
+            for order in protocol::commands(&message) {
                 // Guard 2: `run` must never come this way, since it could act late.
-                if order["verb"] == "run" {
-                    self.abused
-                        .push(format!("a direct `run` of {}", order["piece"]));
+                if let Some(task) = protocol::task_to_run(order) {
+                    self.violations.push(format!("a direct `run` of {task}"));
                     continue;
                 }
-                self.execute(now, order, jobs, doubles);
+                self.execute(order, environment);
             }
         }
-        (status, wire::encode(&self.body(now, Doubles::default())))
+        let status = if current { 200 } else { 409 };
+        response(status, &self.report(now, ProtocolFaults::default()))
     }
 
-    fn execute(
-        &mut self,
-        now: Us,
-        order: &Value,
-        jobs: &BTreeMap<String, JobPlan>,
-        doubles: Doubles,
-    ) {
-        let (Some(verb), Some(piece), Some(attempt)) = (
-            order["verb"].as_str(),
-            order["piece"].as_str(),
-            order["try"].as_u64(),
-        ) else {
+    fn execute(&mut self, order: &Value, environment: &Environment) {
+        let Some(command) = Command::decode(order) else {
             return;
         };
-        match verb {
-            "run" => {
-                if self
-                    .tasks
-                    .iter()
-                    .any(|t| t.piece == piece && t.attempt == attempt)
-                {
-                    return;
-                }
-                let job = piece.split('/').next().unwrap_or("");
-                let plan = jobs.get(job);
-                let free = self.free(jobs);
-                let refusal = if self.taking_room().any(|t| t.piece == piece) {
-                    Some("in_use")
-                } else if plan.is_none() {
-                    Some("unknown")
-                } else if plan.is_some_and(|p| {
-                    let of = |k: &str| p.body[k].as_f64().unwrap_or(0.0);
-                    of("vcpus") > free.0 + 1e-6 || of("memoryGb") > free.1 + 1e-6
-                }) {
-                    Some("full")
-                } else {
-                    None
-                };
-                let image = plan
-                    .and_then(|p| p.body["bundle"].as_str())
-                    .unwrap_or("")
-                    .to_string();
-                let fetch = if self.images.contains(&image) {
-                    SECOND / 100
-                } else {
-                    SECOND
-                };
-                self.tasks.push(Task {
-                    piece: piece.into(),
-                    attempt,
-                    status: if refusal.is_some() {
-                        "exited"
-                    } else {
-                        "pulling"
-                    },
-                    cause: refusal,
-                    until: now + fetch,
-                });
-            }
-            "kill" if !doubles.deaf_to_kill => {
-                for t in self
-                    .tasks
-                    .iter_mut()
-                    .filter(|t| t.piece == piece && t.attempt == attempt)
-                {
-                    if t.status != "exited" {
-                        if t.status == "running" || t.status == "saving" {
-                            let (piece, attempt) = (t.piece.clone(), t.attempt);
-                            self.events.push(Event {
-                                piece,
-                                attempt,
-                                what: Happened::Stopped,
-                            });
-                        }
-                        t.status = "exited";
-                        t.cause = Some("stopped");
-                    }
-                }
+        match command.verb {
+            Verb::Run => self.run(command.task_id, command.attempt, environment),
+            Verb::Kill if !environment.protocol_faults.ignore_kill => {
+                self.kill(command.task_id, command.attempt);
             }
-            "clear" => {
-                self.tasks.retain(|t| {
-                    !(t.piece == piece && t.attempt == attempt && t.status == "exited")
-                });
+            Verb::Kill => {}
+            Verb::Clear => self
+                .tasks
+                .retain(|t| !(t.is(command.task_id, command.attempt) && t.has_exited())),
+        }
+    }
+
+    /// Starts to fetch the image of a task, or refuses it.
+    fn run(&mut self, task_id: &str, attempt: u64, environment: &Environment) {
+        if self.tasks.iter().any(|t| t.is(task_id, attempt)) {
+            return;
+        }
+        let plan = environment.jobs.get(job_id(task_id));
+        let refusal = if self.occupying().any(|t| t.task_id == task_id) {
+            Some(ExitReason::AlreadyOnMachine)
+        } else if plan.is_none() {
+            Some(ExitReason::UnknownJob)
+        } else if plan.is_some_and(|p| !self.free(environment.jobs).fits(p)) {
+            Some(ExitReason::NoCapacity)
+        } else {
+            None
+        };
+        let image = plan.and_then(JobPlan::image).unwrap_or("");
+        let fetch = if self.images.contains(image) {
+            CACHED_IMAGE_START
+        } else {
+            IMAGE_FETCH
+        };
+        self.tasks.push(Task {
+            task_id: task_id.into(),
+            attempt,
+            status: refusal.map_or(TaskStatus::FetchingImage, TaskStatus::Exited),
+            until: environment.now + fetch,
+        });
+    }
+
+    fn kill(&mut self, task_id: &str, attempt: u64) {
+        let live = |t: &&mut Task| t.is(task_id, attempt) && !t.has_exited();
+        for task in self.tasks.iter_mut().filter(live) {
+            if task.status == TaskStatus::Running {
+                self.events.push(task.event(TaskTransition::Stopped));
             }
-            _ => {}
+            task.status = TaskStatus::Exited(ExitReason::Stopped);
         }
     }
 
-    /// Time passes on the machine; true when something changed.
-    pub fn step(&mut self, now: Us, jobs: &BTreeMap<String, JobPlan>) -> bool {
+    /// Advances the tasks to `now`; returns whether something changed.
+    pub fn step(&mut self, now: Micros, jobs: &BTreeMap<String, JobPlan>) -> bool {
         // A machine that hangs beyond its lease resumes without its tasks.
         self.expire(now);
-        if now < self.hang_until {
+        if now < self.faults.hang_until {
             return false;
         }
         let mut changed = false;
-        for t in &mut self.tasks {
-            if t.until > now || t.status == "exited" {
+        for index in 0..self.tasks.len() {
+            let task = &self.tasks[index];
+            if task.until > now {
                 continue;
             }
-            let plan = jobs.get(t.piece.split('/').next().unwrap_or(""));
-            match t.status {
-                "pulling" => {
-                    if let Some(image) = plan.and_then(|p| p.body["bundle"].as_str()) {
-                        self.images.insert(image.into());
-                    }
-                    t.status = "running";
-                    self.started += 1;
-                    let (piece, attempt) = (t.piece.clone(), t.attempt);
-                    self.events.push(Event {
-                        piece,
-                        attempt,
-                        what: Happened::Began,
-                    });
-                    let fails = self.sick || plan.is_some_and(|p| p.fails);
-                    let run_s = plan.map_or(1.0, |p| p.run_s) * self.slow;
-                    t.until = now
-                        + if fails {
-                            SECOND / 2
-                        } else {
-                            (run_s * 1e6) as u64
-                        };
-                    if self.runs_commands && plan.is_some_and(|p| p.command.is_some()) {
-                        // Its process tells when it ends.
-                        t.until = u64::MAX;
-                    }
+            let plan = jobs.get(job_id(&task.task_id));
+            changed |= match task.status {
+                TaskStatus::FetchingImage => {
+                    self.start(index, now, plan);
+                    true
                 }
-                "running" => {
-                    if plan.is_some_and(|p| p.body["jobKind"] == "standing") {
-                        t.until = now + 3_600 * SECOND;
-                        continue;
-                    }
-                    t.status = "exited";
-                    let (piece, attempt) = (t.piece.clone(), t.attempt);
-                    self.events.push(Event {
-                        piece,
-                        attempt,
-                        what: Happened::Ended,
-                    });
-                    let fails = self.sick || plan.is_some_and(|p| p.fails);
-                    t.cause = Some(if fails { "error" } else { "done" });
-                    if !fails {
-                        self.finished.push(t.piece.clone());
-                    }
-                }
-                _ => {}
-            }
-            changed = true;
+                TaskStatus::Running => self.finish(index, now, plan),
+                TaskStatus::Exited(_) => false,
+            };
         }
         changed
     }
 
-    /// The process of a task has ended.
-    pub fn process_ended(&mut self, piece: &str, attempt: u64, well: bool) {
-        let found = self
-            .tasks
-            .iter_mut()
-            .find(|t| t.piece == piece && t.attempt == attempt && t.status == "running");
-        let Some(t) = found else { return };
-        t.status = "exited";
-        t.cause = Some(if well { "done" } else { "error" });
-        let what = Happened::Ended;
-        self.events.push(Event {
-            piece: piece.into(),
-            attempt,
-            what,
+    /// The image of a task is there: it runs from now on.
+    fn start(&mut self, index: usize, now: Micros, plan: Option<&JobPlan>) {
+        if let Some(image) = plan.and_then(JobPlan::image) {
+            self.images.insert(image.into());
+        }
+        self.started += 1;
+        let fails = self.faults.tasks_fail || plan.is_some_and(|p| p.fails);
+        let run_s = plan.map_or(1.0, |p| p.run_s) * self.faults.slowdown;
+        let task = &mut self.tasks[index];
+        task.status = TaskStatus::Running;
+        self.events.push(task.event(TaskTransition::Started));
+        task.until = if self.runs_commands && plan.is_some_and(|p| p.command.is_some()) {
+            // Until its process ends.
+            Micros::MAX
+        } else if fails {
+            now + FAILURE_DELAY
+        } else {
+            now + (run_s * 1e6) as Micros
+        };
+    }
+
+    /// The time of a running task is over; returns whether that ends it.
+    fn finish(&mut self, index: usize, now: Micros, plan: Option<&JobPlan>) -> bool {
+        let task = &mut self.tasks[index];
+        if plan.is_some_and(JobPlan::is_service) {
+            task.until = now + SERVICE_CHECK;
+            return false;
+        }
+        let fails = self.faults.tasks_fail || plan.is_some_and(|p| p.fails);
+        self.exit(index, !fails);
+        true
+    }
+
+    /// A running task ends by itself.
+    fn exit(&mut self, index: usize, success: bool) {
+        let task = &mut self.tasks[index];
+        task.status = TaskStatus::Exited(if success {
+            ExitReason::Done
+        } else {
+            ExitReason::Error
         });
-        if well {
-            self.finished.push(piece.into());
+        self.events.push(task.event(TaskTransition::Finished));
+        if success {
+            self.finished.push(task.task_id.clone());
         }
     }
 
-    /// The machine is switched off and on again: its worker knows nothing of its
-    /// tasks, its images or any token, and begins its next session.
-    pub fn reboot(&mut self, now: Us) {
-        let lost = self
-            .tasks
-            .drain(..)
-            .filter(|t| t.status == "running" || t.status == "saving");
-        for (piece, attempt) in lost.map(|t| (t.piece, t.attempt)) {
-            self.events.push(Event {
-                piece,
-                attempt,
-                what: Happened::Stopped,
-            });
-            // Like what a lease ends: no controller stopped it.
-            self.expired += 1;
+    /// The process of a task has ended.
+    pub fn on_process_exit(&mut self, task_id: &str, attempt: u64, success: bool) {
+        let running = |t: &Task| t.is(task_id, attempt) && t.status == TaskStatus::Running;
+        if let Some(index) = self.tasks.iter().position(running) {
+            self.exit(index, success);
         }
+    }
+
+    /// The machine restarts: its worker knows nothing of its tasks, its images or any
+    /// fencing token, and begins its next incarnation.
+    pub fn reboot(&mut self, now: Micros) {
+        // Counted like those that a lease ends: no controller stopped them.
+        self.drop_tasks();
         // Away for a moment, which explains the loss.
-        self.hang_until = now;
+        self.faults.hang_until = now;
         self.images.clear();
-        self.tenure += 1;
-        self.baton = 0;
+        self.session.incarnation += 1;
+        self.session.fencing_token = 0;
+        self.session.renewed = now;
         self.in_flight = None;
-        (self.renewed, self.next_report) = (now, now);
+        self.next_report = now;
     }
 
-    /// As before, and its counts begin anew as well: what it reports looks old.
-    pub fn begin_anew(&mut self, now: Us) {
+    /// As [`Worker::reboot`], and its counts begin anew as well: what it reports looks old.
+    pub fn reset(&mut self, now: Micros) {
         self.reboot(now);
-        (self.tenure, self.tick) = (1, 0);
+        self.session.incarnation = 1;
+        self.session.sequence = 0;
     }
 
     /// The machine goes: whatever runs on it ends with it.
-    pub fn stop_all(&mut self) -> Vec<Event> {
-        self.renewed = 0;
-        self.expire(u64::MAX / 2);
+    pub fn shut_down(&mut self) -> Vec<TaskEvent> {
+        self.session.renewed = 0;
+        self.expire(Micros::MAX / 2);
         std::mem::take(&mut self.events)
     }
 
-    pub fn next_step(&self, now: Us) -> Option<Us> {
-        let tasks = self
-            .tasks
-            .iter()
-            .filter(|t| t.status != "exited")
-            .map(|t| t.until);
-        let lease = (!self.tasks.is_empty()).then_some(self.renewed + self.lease + 1_000);
-        let hang = (self.hang_until > now).then_some(self.hang_until);
+    /// When [`Worker::step`] has something to do next.
+    #[must_use]
+    pub fn next_step(&self, now: Micros) -> Option<Micros> {
+        let tasks = self.occupying().map(|t| t.until);
+        let lease = (!self.tasks.is_empty()).then_some(self.lease_end() + EXPIRY_MARGIN);
+        let hang = (self.faults.hang_until > now).then_some(self.faults.hang_until);
         tasks.chain(lease).chain(hang).filter(|t| *t > now).min()
     }
 }
 
-/// Labels of controllers in the scenarios are single letters.
-fn node_of(label: &str) -> Option<usize> {
-    let c = label.bytes().next()?;
-    (label.len() == 1 && c.is_ascii_lowercase()).then(|| usize::from(c - b'a'))
+/// Where the worker of a machine listens in simulated time.
+#[must_use]
+pub fn simulated_endpoint(machine: u64) -> String {
+    format!("127.0.0.1:{}", BASE_PORT + machine)
+}
+
+/// The machine whose worker listens on that port in simulated time.
+#[must_use]
+pub fn machine_at_port(port: u16) -> u64 {
+    u64::from(port) - BASE_PORT
+}
+
+/// The number of the controller with this label: labels are single letters from `a`.
+fn controller_number(label: &str) -> Option<usize> {
+    let letter = label.bytes().next()?;
+    (label.len() == 1 && letter.is_ascii_lowercase()).then(|| usize::from(letter - b'a'))
 }
--- a/crates/emulator/src/worker_pool.rs
+++ b/crates/emulator/src/worker_pool.rs
@@ -1,19 +1,20 @@
-//! The workers of one process: each with a connection and an address of its own, and
-//! timers, session, token, images and lease as the model has them.
+//! The workers of one process: each with a connection and an address of its own, and with
+//! the timers, incarnation, fencing token, images and lease of the model.
 //!
-//! Where [`Processes`] are given, tasks run command lines; else they are timers, and the
-//! workers are hollow. Nothing else differs between the two.
+//! Where [`Processes`] are given, tasks run command lines; else they are timers. Nothing
+//! else differs between the two.
 
-use crate::cloud::{Host, Kind};
+use crate::cloud::{Instance, InstanceType};
+use crate::job::{job_id, JobPlan};
 use crate::processes::Processes;
-use crate::worker::{Event, Happened, Worker};
-use crate::{decode, Doubles, JobPlan, Us, SECOND};
-use beamhinge_core::http::Method;
+use crate::worker::protocol::{tasks_to_run, COMMAND_PATH, REPORT_PATH};
+use crate::worker::{Environment, ReportAnswer, TaskEvent, TaskTransition, Worker};
+use crate::{decode, Micros, ProtocolFaults, Response, SECOND};
+use beamhinge_core::http::{Method, Request};
 use beamhinge_core::messages::{Destination, Effect};
 use beamhinge_core::settings;
 use beamhinge_core::types::CallId;
 use beamhinge_core::wire;
-use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
@@ -21,130 +22,155 @@
 const MAX_PLANS: usize = 20_000;
 /// How long a worker waits for an answer, seconds (PROTOCOL, "Workers").
 const ANSWER_TIMEOUT_S: f64 = 4.0;
+/// A worker reports this long after a direct command.
+const REPORT_AFTER_COMMAND: Micros = SECOND / 10;
 
 /// Something happened on a machine; for whoever keeps a history.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    pub at: Us,
+pub struct MachineEvent {
+    /// When.
+    pub at: Micros,
+    /// Number of the machine.
     pub machine: u64,
-    pub event: Event,
+    /// What.
+    pub event: TaskEvent,
 }
 
-/// Hears of everything that happens on machines.
-pub type Watcher = Box<dyn FnMut(Seen) + Send>;
+/// Is called with everything that happens on machines.
+pub type MachineObserver = Box<dyn FnMut(MachineEvent) + Send>;
 
+/// A report that is not answered yet.
+struct InFlightReport {
+    machine: u64,
+    serial: u64,
+}
+
+/// What a pool of workers is made of.
+pub struct WorkerPoolConfig {
+    /// The controllers' public addresses, in the order of their labels.
+    pub controllers: Vec<SocketAddrV4>,
+    /// The workers' published timing.
+    pub settings: settings::Workers,
+    /// Where tasks run commands.
+    pub processes: Option<Processes>,
+    /// Violations of the protocol that are asked for.
+    pub protocol_faults: ProtocolFaults,
+    /// Hears of what happens on machines.
+    pub observer: MachineObserver,
+}
+
+/// Workers by the number of their machine.
 pub struct WorkerPool {
     workers: BTreeMap<u64, Worker>,
     /// When each worker reports next.
-    due: BTreeMap<u64, Us>,
+    report_due: BTreeMap<u64, Micros>,
     plans: BTreeMap<String, JobPlan>,
     controllers: Vec<SocketAddrV4>,
     settings: settings::Workers,
-    doubles: Doubles,
-    /// Reports under way: machine and serial number.
-    calls: BTreeMap<CallId, (u64, u64)>,
-    next_call: u64,
+    protocol_faults: ProtocolFaults,
+    in_flight: BTreeMap<CallId, InFlightReport>,
+    last_call: u64,
     processes: Option<Processes>,
-    watcher: Watcher,
+    observer: MachineObserver,
 }
 
 impl WorkerPool {
-    /// `controllers`: their public addresses in the order of their labels.
-    pub fn new(
-        controllers: Vec<SocketAddrV4>,
-        settings: settings::Workers,
-        processes: Option<Processes>,
-        doubles: Doubles,
-        watcher: Watcher,
-    ) -> WorkerPool {
+    /// A pool without workers.
+    #[must_use]
+    pub fn new(config: WorkerPoolConfig) -> WorkerPool {
         WorkerPool {
             workers: BTreeMap::new(),
-            due: BTreeMap::new(),
+            report_due: BTreeMap::new(),
             plans: BTreeMap::new(),
-            controllers,
-            settings,
-            doubles,
-            calls: BTreeMap::new(),
-            next_call: 0,
-            processes,
-            watcher,
+            controllers: config.controllers,
+            settings: config.settings,
+            protocol_faults: config.protocol_faults,
+            in_flight: BTreeMap::new(),
+            last_call: 0,
+            processes: config.processes,
+            observer: config.observer,
         }
     }
 
     /// A machine is up: its worker begins to report.
-    pub fn add(&mut self, now: Us, machine: u64, booted: (Host, Kind), endpoint: String) {
+    pub fn add(
+        &mut self,
+        now: Micros,
+        machine: u64,
+        booted: (Instance, InstanceType),
+        endpoint: String,
+    ) {
         let mut worker = Worker::new(machine, booted, &self.settings, now);
-        worker.listens_on(endpoint);
+        worker.set_endpoint(endpoint);
         worker.runs_commands = self.processes.is_some();
         self.workers.insert(machine, worker);
-        self.due.insert(machine, now);
+        self.report_due.insert(machine, now);
     }
 
     /// The machine is gone, with everything on it.
-    pub fn remove(&mut self, now: Us, machine: u64) {
+    pub fn remove(&mut self, now: Micros, machine: u64) {
         if let Some(mut worker) = self.workers.remove(&machine) {
-            for event in worker.stop_all() {
-                self.happened(now, machine, event);
+            for event in worker.shut_down() {
+                self.on_event(now, machine, event);
             }
         }
-        self.due.remove(&machine);
+        self.report_due.remove(&machine);
     }
 
+    /// The worker of a machine.
     pub fn worker_mut(&mut self, machine: u64) -> Option<&mut Worker> {
         self.workers.get_mut(&machine)
     }
 
+    /// All workers, by the number of their machine.
     pub fn workers(&self) -> impl Iterator<Item = (&u64, &Worker)> {
         self.workers.iter()
     }
 
-    /// The machine is switched off and on again.
-    pub fn reboot(&mut self, now: Us, machine: u64) {
+    /// The machine restarts.
+    pub fn reboot(&mut self, now: Micros, machine: u64) {
         if let Some(worker) = self.workers.get_mut(&machine) {
             worker.reboot(now);
         }
-        self.gather(now, machine);
-        self.soon(machine, now);
+        self.handle_events(now, machine);
+        self.report_by(machine, now);
     }
 
     /// Commands begin and end with what happens to their tasks.
-    fn happened(&mut self, at: Us, machine: u64, event: Event) {
+    fn on_event(&mut self, at: Micros, machine: u64, event: TaskEvent) {
         if let Some(processes) = &mut self.processes {
-            let line = self
-                .plans
-                .get(job_of(&event.piece))
-                .and_then(|p| p.command.clone());
-            match (event.what, line) {
-                (Happened::Began, Some(line))
-                    if !processes.start(&event.piece, event.attempt, &line) =>
+            let plan = self.plans.get(job_id(&event.task_id));
+            let line = plan.and_then(|p| p.command.clone());
+            match (event.transition, line) {
+                (TaskTransition::Started, Some(line))
+                    if !processes.start(&event.task_id, event.attempt, &line) =>
                 {
                     if let Some(worker) = self.workers.get_mut(&machine) {
-                        worker.process_ended(&event.piece, event.attempt, false);
+                        worker.on_process_exit(&event.task_id, event.attempt, false);
                     }
                 }
-                (Happened::Stopped, _) => processes.stop(&event.piece, event.attempt),
+                (TaskTransition::Stopped, _) => processes.stop(&event.task_id, event.attempt),
                 _ => {}
             }
         }
-        (self.watcher)(Seen { at, machine, event });
+        (self.observer)(MachineEvent { at, machine, event });
     }
 
-    fn gather(&mut self, now: Us, machine: u64) {
+    fn handle_events(&mut self, now: Micros, machine: u64) {
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
         };
         let events = std::mem::take(&mut worker.events);
         worker.finished.clear();
         for event in events {
-            self.happened(now, machine, event);
+            self.on_event(now, machine, event);
         }
     }
 
-    /// What a worker knows of a job: its description, as its user uploaded it.
-    fn learn(&mut self, answer: &Value, describe: &mut dyn FnMut(&str) -> Option<JobPlan>) {
-        for order in answer["orders"].as_array().into_iter().flatten() {
-            let job = job_of(order["piece"].as_str().unwrap_or(""));
-            if order["verb"] != "run" || self.plans.contains_key(job) {
+    /// Keeps the descriptions of the jobs that an answer asks to run.
+    fn learn_jobs(&mut self, answer: &[u8], describe: &mut dyn FnMut(&str) -> Option<JobPlan>) {
+        for job in tasks_to_run(&decode(answer)).map(job_id) {
+            if self.plans.contains_key(job) {
                 continue;
             }
             let Some(plan) = describe(job) else { continue };
@@ -155,19 +181,21 @@
         }
     }
 
-    fn report(&mut self, now: Us, machine: u64, out: &mut Vec<Effect>) {
-        let every = (self.settings.report_s * 1e6) as Us;
+    fn report(&mut self, now: Micros, machine: u64, out: &mut Vec<Effect>) {
+        let interval = (self.settings.report_s * 1e6) as Micros;
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
         };
-        let Some((node, serial, body)) = worker.send(now, self.doubles) else {
+        let Some(report) = worker.next_report(now, self.protocol_faults) else {
             return;
         };
-        self.due.insert(machine, now + every);
-        self.next_call += 1;
-        let id = CallId(self.next_call);
-        self.calls.insert(id, (machine, serial));
-        let address = self.controllers[node % self.controllers.len()];
+        self.report_due.insert(machine, now + interval);
+        self.last_call += 1;
+        let id = CallId(self.last_call);
+        let serial = report.serial;
+        self.in_flight
+            .insert(id, InFlightReport { machine, serial });
+        let address = self.controllers[report.controller % self.controllers.len()];
         out.push(Effect::Call {
             id,
             destination: Destination::Node {
@@ -175,61 +203,83 @@
                 caller: machine,
             },
             method: Method::Post,
-            path: "/hello".into(),
-            body: wire::encode(&body),
+            path: REPORT_PATH.into(),
+            body: wire::encode(&report.body),
             timeout_s: ANSWER_TIMEOUT_S,
         });
     }
 
-    /// A direct command came for a machine; its status and report.
-    pub fn direct(&mut self, now: Us, machine: u64, body: &[u8]) -> Option<(u16, Vec<u8>)> {
-        let worker = self.workers.get_mut(&machine)?;
-        let answer = worker.direct(now, &decode(body), &self.plans, self.doubles);
-        self.gather(now, machine);
-        self.soon(machine, now + SECOND / 10);
-        Some(answer)
+    /// Answers a request that came to the address of a machine's worker.
+    pub fn on_request(&mut self, now: Micros, machine: u64, request: &Request) -> Response {
+        if request.path != COMMAND_PATH || wire::decode::<ciborium::Value>(&request.body).is_err() {
+            return crate::response(400, &serde_json::json!({}));
+        }
+        let Some(worker) = self.workers.get_mut(&machine) else {
+            return crate::response(404, &serde_json::json!({}));
+        };
+        let environment = Environment {
+            now,
+            jobs: &self.plans,
+            controllers: self.controllers.len(),
+            protocol_faults: self.protocol_faults,
+        };
+        let answer = worker.on_direct_command(&request.body, &environment);
+        self.handle_events(now, machine);
+        self.report_by(machine, now + REPORT_AFTER_COMMAND);
+        answer
     }
 
-    /// The answer to a report, or none in time; `describe` knows the jobs.
+    /// Takes the answer to a report, or none in time; `describe` knows the jobs.
     pub fn on_reply(
         &mut self,
-        now: Us,
+        now: Micros,
         id: CallId,
-        result: Option<(u16, Vec<u8>)>,
+        result: Option<&Response>,
         describe: &mut dyn FnMut(&str) -> Option<JobPlan>,
     ) {
-        let Some((machine, serial)) = self.calls.remove(&id) else {
+        let Some(InFlightReport { machine, serial }) = self.in_flight.remove(&id) else {
             return;
         };
-        let nodes = self.controllers.len();
-        if let Some((200, body)) = &result {
-            self.learn(&decode(body), describe);
+        if let Some((200, body)) = result {
+            self.learn_jobs(body, describe);
         }
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
         };
-        let again = match result {
+        let controllers = self.controllers.len();
+        let next_report = match result {
             Some((status, body)) => {
-                worker.answered(now, serial, status, &body, nodes, &self.plans, self.doubles)
+                let answer = ReportAnswer {
+                    serial,
+                    status: *status,
+                    body,
+                };
+                let environment = Environment {
+                    now,
+                    jobs: &self.plans,
+                    controllers,
+                    protocol_faults: self.protocol_faults,
+                };
+                worker.on_answer(answer, &environment)
             }
-            None => worker.timed_out(now, serial, nodes),
+            None => worker.on_timeout(now, serial, controllers),
         };
-        self.gather(now, machine);
-        if let Some(at) = again {
-            self.soon(machine, at);
+        self.handle_events(now, machine);
+        if let Some(at) = next_report {
+            self.report_by(machine, at);
         }
     }
 
-    /// Time passes on all machines, and reports that are due go out.
-    pub fn step(&mut self, now: Us, out: &mut Vec<Effect>) {
-        let ended = self
+    /// Advances all machines to `now`; reports that are due go out.
+    pub fn step(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let exited = self
             .processes
             .as_mut()
-            .map(Processes::ended)
+            .map(Processes::take_exited)
             .unwrap_or_default();
-        for (piece, attempt, well) in ended {
+        for exit in exited {
             for worker in self.workers.values_mut() {
-                worker.process_ended(&piece, attempt, well);
+                worker.on_process_exit(&exit.task_id, exit.attempt, exit.success);
             }
         }
         let machines: Vec<u64> = self.workers.keys().copied().collect();
@@ -238,26 +288,22 @@
                 continue;
             };
             let changed = worker.step(now, &self.plans) || !worker.events.is_empty();
-            self.gather(now, machine);
+            self.handle_events(now, machine);
             if changed {
-                self.soon(machine, now);
+                self.report_by(machine, now);
             }
-            if self.due.get(&machine).is_some_and(|at| *at <= now) {
+            if self.report_due.get(&machine).is_some_and(|at| *at <= now) {
                 self.report(now, machine, out);
             }
         }
     }
 
-    fn soon(&mut self, machine: u64, at: Us) {
-        let due = self.due.entry(machine).or_insert(at);
+    /// The machine's worker reports at that time, or before.
+    fn report_by(&mut self, machine: u64, at: Micros) {
+        let due = self.report_due.entry(machine).or_insert(at);
         *due = (*due).min(at);
     }
 }
 
-/// The job of a task's name.
-fn job_of(piece: &str) -> &str {
-    piece.split('/').next().unwrap_or("")
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/emulator/src/worker_pool/tests.rs
+++ b/crates/emulator/src/worker_pool/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use serde_json::json;
+use serde_json::{json, Value};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -8,17 +8,17 @@
 /// A pool of one worker and what was seen of it, without times.
 struct Watched {
     pool: WorkerPool,
-    events: Arc<Mutex<Vec<(String, u64, Happened)>>>,
+    events: Arc<Mutex<Vec<(String, u64, TaskTransition)>>>,
     /// Each change of what it reports.
     reported: Vec<String>,
     answered: usize,
 }
 
 fn watched(real: bool) -> Watched {
-    let events: Arc<Mutex<Vec<(String, u64, Happened)>>> = Arc::default();
+    let events: Arc<Mutex<Vec<(String, u64, TaskTransition)>>> = Arc::default();
     let seen = events.clone();
-    let watcher = Box::new(move |s: Seen| {
-        let event = (s.event.piece, s.event.attempt, s.event.what);
+    let observer = Box::new(move |s: MachineEvent| {
+        let event = (s.event.task_id, s.event.attempt, s.event.transition);
         seen.lock().expect("one thread").push(event);
     });
     let settings = settings::Workers {
@@ -27,31 +27,30 @@
         cancel_s: 9.0,
     };
     let processes = real.then(|| Processes::new(None, Vec::new()));
-    let controllers = vec![SocketAddrV4::new([127, 0, 0, 1].into(), 1)];
-    let mut pool = WorkerPool::new(
-        controllers,
+    let mut pool = WorkerPool::new(WorkerPoolConfig {
+        controllers: vec![SocketAddrV4::new([127, 0, 0, 1].into(), 1)],
         settings,
         processes,
-        Doubles::default(),
-        watcher,
-    );
-    let host = Host {
+        protocol_faults: ProtocolFaults::default(),
+        observer,
+    });
+    let instance = Instance {
         machine_type: "m".into(),
         zone: "z".into(),
         spot: false,
-        rented: 0,
+        created: 0,
         up: 0,
         failed_at: None,
     };
-    let kind = Kind {
+    let instance_type = InstanceType {
         label: "m".into(),
         cpus: 4.0,
         memory_gb: 16.0,
-        rate: 1.0,
-        low: 0.3,
+        price: 1.0,
+        spot_price: 0.3,
         boot_s: 0.0,
     };
-    pool.add(SECOND, 1, (host, kind), "127.0.0.1:2".into());
+    pool.add(SECOND, 1, (instance, instance_type), "127.0.0.1:2".into());
     Watched {
         pool,
         events,
@@ -74,13 +73,13 @@
         run_s,
         fails: false,
         command,
-        sent: 0,
+        submitted_at: 0,
     })
 }
 
 /// What a controller answers, by the number of the answer; none from some time on.
 fn orders(answer: usize) -> Option<Value> {
-    let order = |verb: &str, piece: &str| json!({"verb": verb, "piece": piece, "try": 1});
+    let order = |verb: &str, task_id: &str| json!({"verb": verb, "piece": task_id, "try": 1});
     Some(match answer {
         0 => json!([
             order("run", "job-1/0"),
@@ -99,16 +98,16 @@
 }
 
 impl Watched {
-    fn turn(&mut self, now: Us) {
+    fn turn(&mut self, now: Micros) {
         let mut out = Vec::new();
         self.pool.step(now, &mut out);
         for call in out {
             let Effect::Call { id, body, .. } = call else {
                 continue;
             };
-            let pieces = decode(&body)["pieces"].to_string();
-            if self.reported.last() != Some(&pieces) {
-                self.reported.push(pieces);
+            let task_ids = decode(&body)["pieces"].to_string();
+            if self.reported.last() != Some(&task_ids) {
+                self.reported.push(task_ids);
             }
             let answer = orders(self.answered).map(|orders| {
                 (
@@ -117,15 +116,15 @@
                 )
             });
             self.answered += 1;
-            self.pool.on_reply(now, id, answer, &mut describe);
+            self.pool.on_reply(now, id, answer.as_ref(), &mut describe);
         }
     }
 }
 
-/// A hollow worker differs from a real one in nothing but that its tasks are timers: on
-/// the same script both say and do the same, to the end of their lease.
+/// Workers whose tasks are timers report and do the same as workers whose tasks are
+/// processes, to the end of their lease.
 #[test]
-fn hollow_and_real_workers_do_the_same_on_the_same_script() {
+fn emulated_and_real_tasks_behave_alike_on_the_same_script() {
     let (mut hollow, mut real) = (watched(false), watched(true));
     let began = Instant::now();
     let both_ended = |a: &Watched, b: &Watched| {
@@ -133,12 +132,12 @@
             let events = w.events.lock().expect("one thread");
             events
                 .iter()
-                .any(|(p, _, what)| p == "job-3/0" && *what == Happened::Stopped)
+                .any(|(p, _, what)| p == "job-3/0" && *what == TaskTransition::Stopped)
         };
         stopped(a) && stopped(b)
     };
     while !both_ended(&hollow, &real) && began.elapsed() < Duration::from_secs(30) {
-        let now = SECOND + began.elapsed().as_micros() as Us;
+        let now = SECOND + began.elapsed().as_micros() as Micros;
         hollow.turn(now);
         real.turn(now);
         std::thread::sleep(Duration::from_millis(5));
@@ -150,9 +149,9 @@
     let count = |what| of_hollow.iter().filter(|(_, _, w)| *w == what).count();
     assert_eq!(
         (
-            count(Happened::Began),
-            count(Happened::Ended),
-            count(Happened::Stopped)
+            count(TaskTransition::Started),
+            count(TaskTransition::Finished),
+            count(TaskTransition::Stopped)
         ),
         (3, 1, 2),
         "{of_hollow:?}"
--- a/crates/sim/src/cluster.rs
+++ b/crates/sim/src/cluster.rs
@@ -7,12 +7,12 @@
 mod links;
 mod users;
 
+use crate::effective_quotas::EffectiveQuotas;
+use crate::fault_injection::FaultInjection;
 use crate::fingerprint::Fingerprinter;
-use crate::limits_in_force::LimitsInForce;
-use crate::rules::{OnMachines, Place};
-use crate::stopped::{self, Stops};
-use crate::troubles::Troubles;
-use crate::waiting::Waiting;
+use crate::machine_contents::MachineContents;
+use crate::preemptions::{self, PreemptionTracker};
+use crate::starvation::StarvationTracker;
 use beamhinge_admin_api::messages::What as Decided;
 use beamhinge_controller::faults::Faults;
 use beamhinge_controller::node::Node;
@@ -23,11 +23,11 @@
 use beamhinge_core::types::{CallId, RequestId, Time, WallMs};
 use beamhinge_core::wire;
 use beamhinge_emulator::cloud::Cloud;
-use beamhinge_emulator::state::State;
-use beamhinge_emulator::user::{Next, Told, What};
-use beamhinge_emulator::worker::{Happened, Worker};
-use beamhinge_emulator::{decode, Doubles, JobPlan, Us, SECOND};
-use links::Far;
+use beamhinge_emulator::state::{Caller, StateService};
+use beamhinge_emulator::user::{Assessment, FollowUp, UserAnswer, UserJobView, UserRequest};
+use beamhinge_emulator::worker::{Environment, ReportAnswer, TaskTransition, Worker};
+use beamhinge_emulator::{decode, JobPlan, Micros, ProtocolFaults, SECOND};
+use links::LinkEnd;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -62,7 +62,7 @@
         body: Vec<u8>,
         quiet: bool,
         /// How much longer its answer takes.
-        slow: Us,
+        slow: Micros,
     },
     ToCloud {
         node: usize,
@@ -113,13 +113,13 @@
     /// A question of a user who looks closely: asked once, at this node.
     UserLooks {
         job: String,
-        what: What,
+        what: UserRequest,
         node: usize,
     },
     UserSends {
         job: String,
-        what: What,
-        since: Us,
+        what: UserRequest,
+        since: Micros,
     },
     UserGivesUp {
         request: u64,
@@ -129,7 +129,7 @@
         life: u64,
         body: Vec<u8>,
     },
-    OperatorAsks(Question),
+    OperatorAsks(OperatorRequest),
     Crash(usize),
     Start(usize),
     Script(usize),
@@ -150,7 +150,7 @@
 
 /// A request at an operators' door, asked again while it is told to come back.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct OperatorRequest {
     pub name: String,
     /// A certain controller, or any that is up.
     pub node: Option<usize>,
@@ -161,30 +161,30 @@
 }
 
 /// A line of the script that is due.
-pub enum Due {
+pub enum ScriptStep {
     Line(usize),
     /// One that waited for something to happen.
     Armed(Vec<String>),
 }
 
-enum Caller {
+enum Requester {
     User {
         job: String,
-        what: What,
-        since: Us,
-        asked: Us,
+        what: UserRequest,
+        since: Micros,
+        asked: Micros,
         look: bool,
     },
     Worker {
         machine: u64,
         serial: u64,
     },
-    Operator(Question),
+    Operator(OperatorRequest),
 }
 
 /// What happened to machines and tasks, by what really was the case.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct LossCounts {
     /// Machines that were up when their link was cut.
     pub cut_off: u64,
     /// Healthy machines that were given back busy, or while they were cut off.
@@ -199,9 +199,9 @@
 }
 
 pub struct Sim {
-    pub now: Us,
+    pub now: Micros,
     seq: u64,
-    queue: BinaryHeap<Reverse<(Us, u64)>>,
+    queue: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, Event>,
     pub rng: StdRng,
     /// Draws for frames between controllers, apart from all others: how often they
@@ -210,60 +210,60 @@
     pub settings: Vec<Settings>,
     nodes: Vec<Option<Node>>,
     lives: Vec<u64>,
-    pub state: State,
+    pub state: StateService,
     pub cloud: Cloud,
     pub workers: BTreeMap<u64, Worker>,
     pub jobs: BTreeMap<String, JobPlan>,
-    pub told: BTreeMap<String, Told>,
-    callers: BTreeMap<(usize, u64), Caller>,
+    pub told: BTreeMap<String, UserJobView>,
+    callers: BTreeMap<(usize, u64), Requester>,
     next_request: u64,
     pub broken: BTreeSet<String>,
     pub started: u64,
     /// Broken links of controllers: until when, and whether what is sent
     /// meanwhile is held and delivered late.
-    pub cuts: BTreeMap<(usize, String), (Us, bool)>,
+    pub cuts: BTreeMap<(usize, String), (Micros, bool)>,
     /// Zones without any link to the outside.
-    pub zone_cuts: BTreeMap<String, (Us, bool)>,
+    pub zone_cuts: BTreeMap<String, (Micros, bool)>,
     /// Controllers that stand still while their clocks run on.
-    pub frozen: Vec<Us>,
+    pub frozen: Vec<Micros>,
     /// What is done when something happens next: what that is, how long after it, and
     /// the action.
-    pub armed: Vec<(String, Us, Vec<String>)>,
+    pub armed: Vec<(String, Micros, Vec<String>)>,
     /// The block's key as it was last seen.
     block: Option<serde_json::Value>,
     /// Who is asked by the next user that sends something.
     pub asks_at: Option<usize>,
     /// Part of the messages of which a copy comes late, by how much at most, and
     /// until when. Requests that were carried out are repeated likewise.
-    pub copies: (f64, Us, Us),
+    pub copies: (f64, Micros, Micros),
     /// Troubles with state of their own.
-    pub troubles: Troubles,
+    pub fault_injection: FaultInjection,
     /// Jobs that wait beside room that fits, once all troubles are over.
-    pub waiting: Waiting,
+    pub starvation: StarvationTracker,
     /// Tasks that began after a user was told that their job is cancelled.
     pub late_starts: u64,
     /// Jobs that cannot run or lack a field, and those of them that were accepted.
     pub odd: BTreeSet<String>,
     pub invalid: BTreeSet<String>,
     /// When the last trouble ended: from then on every question has an answer.
-    pub healed: Option<Us>,
+    pub healed: Option<Micros>,
     /// Users who ask about this job are told nothing: for the check of that rule.
     pub untold: Option<String>,
     /// The longest that a cancelled job's task was on a machine, as a part of its time.
     pub cancelled_left: f64,
     /// The longest that a question was open after the last trouble.
-    pub longest_open: Us,
+    pub longest_open: Micros,
     /// Jobs about which a question is open since then.
-    asked: BTreeMap<String, Us>,
+    asked: BTreeMap<String, Micros>,
     /// How much longer the state service takes, and until when.
-    pub state_slow: (f64, Us),
+    pub state_slow: (f64, Micros),
     /// Troubles of controllers and links explain what is lost until then.
-    pub explained_until: Us,
-    pub tally: Tally,
+    pub explained_until: Micros,
+    pub losses: LossCounts,
     /// What was stopped for others.
-    pub stops: Stops,
+    pub stops: PreemptionTracker,
     /// Users ask so many times as often, and until when.
-    pub storm: (f64, Us),
+    pub storm: (f64, Micros),
     /// What the operators' file holds beside the door.
     pub operator: String,
     /// Users ask for a job no more often than this, seconds.
@@ -271,27 +271,27 @@
     /// Jobs that have not started.
     pub unstarted: BTreeSet<String>,
     /// When each job started first.
-    pub first_starts: Vec<(String, Us)>,
-    checked: Us,
+    pub first_starts: Vec<(String, Micros)>,
+    checked: Micros,
     /// When the watches are looked at next.
-    next_watch: Us,
-    on_machines: OnMachines,
+    next_watch: Micros,
+    on_machines: MachineContents,
     /// Limits of teams, where operators change them.
-    pub limits: LimitsInForce,
+    pub limits: EffectiveQuotas,
     faults: Faults,
     /// Machines with a lower number were there from the start.
     pub owned: u64,
     pub lose_replies: f64,
     pub late: f64,
-    pub doubles: Doubles,
+    pub protocol_faults: ProtocolFaults,
     pub log: Vec<String>,
     pub unanswered: u64,
     results: BTreeMap<String, BTreeSet<String>>,
     /// What operators were told, by the name of their question.
     pub answers: BTreeMap<String, (u16, serde_json::Value)>,
     /// When the lead was last seen, and the longest time nobody had it.
-    led: Us,
-    pub leaderless: Us,
+    led: Micros,
+    pub leaderless: Micros,
     /// Who had it last, and how often another came to have it.
     led_by: Option<usize>,
     pub moves: u64,
@@ -301,7 +301,11 @@
 
 /// When a copy of what is sent now arrives, if one is made: its part, the latest, and
 /// until when copies are made.
-fn copied(rng: &mut StdRng, now: Us, (part, most, until): (f64, Us, Us)) -> Option<Us> {
+fn copied(
+    rng: &mut StdRng,
+    now: Micros,
+    (part, most, until): (f64, Micros, Micros),
+) -> Option<Micros> {
     let made = now < until && rng.gen_bool(part);
     made.then(|| now + rng.gen_range(SECOND / 2..most.max(SECOND)))
 }
@@ -320,12 +324,7 @@
             frame_rng: StdRng::seed_from_u64(seed ^ FRAME_DRAWS),
             nodes: (0..n).map(|_| None).collect(),
             lives: vec![0; n],
-            state: State::new(
-                s.state.rps,
-                s.state.write_rps,
-                s.state.value_kb,
-                s.state.txn_ops,
-            ),
+            state: StateService::new((&s.state).into()),
             cloud: Cloud::new(s.cloud.rps, s.cloud.list_lag_s),
             workers: BTreeMap::new(),
             jobs: BTreeMap::new(),
@@ -341,8 +340,8 @@
             block: None,
             asks_at: None,
             copies: (0.0, 0, 0),
-            troubles: Troubles::default(),
-            waiting: Waiting::default(),
+            fault_injection: FaultInjection::default(),
+            starvation: StarvationTracker::default(),
             late_starts: 0,
             odd: BTreeSet::new(),
             invalid: BTreeSet::new(),
@@ -353,20 +352,20 @@
             asked: BTreeMap::new(),
             state_slow: (1.0, 0),
             explained_until: 0,
-            tally: Tally::default(),
-            stops: Stops::default(),
+            losses: LossCounts::default(),
+            stops: PreemptionTracker::default(),
             storm: (1.0, 0),
             operator: String::new(),
             polls_s: 0.0,
             unstarted: BTreeSet::new(),
             first_starts: Vec::new(),
             checked: 0,
-            next_watch: Us::MAX,
-            on_machines: OnMachines::default(),
-            limits: LimitsInForce::default(),
+            next_watch: Micros::MAX,
+            on_machines: MachineContents::default(),
+            limits: EffectiveQuotas::default(),
             lose_replies: 0.0,
             late: 0.0,
-            doubles: Doubles::default(),
+            protocol_faults: ProtocolFaults::default(),
             log: Vec::new(),
             unanswered: 0,
             results: BTreeMap::new(),
@@ -382,7 +381,7 @@
         }
     }
 
-    pub fn push(&mut self, at: Us, event: Event) {
+    pub fn push(&mut self, at: Micros, event: Event) {
         self.seq += 1;
         self.queue.push(Reverse((at, self.seq)));
         self.events.insert(self.seq, event);
@@ -417,12 +416,12 @@
             .collect();
         for key in gone {
             match self.callers.remove(&key) {
-                Some(Caller::User { look: true, .. }) => {}
-                Some(Caller::User {
+                Some(Requester::User { look: true, .. }) => {}
+                Some(Requester::User {
                     job, what, since, ..
                 }) => self.retry(job, what, since, 1.0),
-                Some(Caller::Operator(q)) => self.ask_again(q),
-                Some(Caller::Worker { machine, serial }) => {
+                Some(Requester::Operator(q)) => self.ask_again(q),
+                Some(Requester::Worker { machine, serial }) => {
                     self.push(self.now + 2_000, Event::ReportTimedOut { machine, serial })
                 }
                 None => {}
@@ -442,12 +441,12 @@
 
     /// A trouble of controllers or links, or of what they need: losses until a
     /// while after its end have a cause.
-    pub fn explain_until(&mut self, until: Us) {
-        let lease = (self.settings[0].params.workers.lease_s * 2e6) as Us;
+    pub fn explain_until(&mut self, until: Micros) {
+        let lease = (self.settings[0].params.workers.lease_s * 2e6) as Micros;
         self.explained_until = self.explained_until.max(until + lease);
     }
 
-    pub fn run_until(&mut self, end: Us) {
+    pub fn run_until(&mut self, end: Micros) {
         while let Some(Reverse((at, seq))) = self.queue.peek().copied() {
             if at > end {
                 break;
@@ -483,7 +482,7 @@
     }
 
     /// The end of the standstill of the controller that an event is for.
-    fn frozen_until(&self, event: &Event) -> Option<Us> {
+    fn frozen_until(&self, event: &Event) -> Option<Micros> {
         let node = match event {
             Event::Tick(node, _)
             | Event::ToNode { node, .. }
@@ -517,7 +516,7 @@
     }
 
     /// Where `run_until` stopped for the script, the line that is due.
-    pub fn due_script(&mut self) -> Option<Due> {
+    pub fn due_script(&mut self) -> Option<ScriptStep> {
         let Reverse((at, seq)) = self.queue.peek().copied()?;
         let script = matches!(
             self.events.get(&seq),
@@ -528,8 +527,8 @@
         }
         self.queue.pop();
         match self.events.remove(&seq)? {
-            Event::Script(line) => Some(Due::Line(line)),
-            Event::Armed(words) => Some(Due::Armed(words)),
+            Event::Script(line) => Some(ScriptStep::Line(line)),
+            Event::Armed(words) => Some(ScriptStep::Armed(words)),
             _ => None,
         }
     }
@@ -544,7 +543,7 @@
     }
 
     /// When a copy of what is sent now arrives, if one is made.
-    fn copied(&mut self) -> Option<Us> {
+    fn copied(&mut self) -> Option<Micros> {
         copied(&mut self.rng, self.now, self.copies)
     }
 
@@ -593,7 +592,7 @@
                         let delay = self.state_delay();
                         let back = delay > 0 && self.rng.gen_bool(0.5);
                         let (there, slow) = if back { (0, delay) } else { (delay, 0) };
-                        let Some(at) = self.passes(i, Far::State, at + there) else {
+                        let Some(at) = self.passes(i, LinkEnd::State, at + there) else {
                             return;
                         };
                         let lost = path == "/commit" && self.rng.gen_bool(self.lose_replies);
@@ -623,7 +622,7 @@
                         self.push(at, to_state(path, body, quiet, slow));
                     }
                     Destination::Cloud => {
-                        if let Some(then) = self.passes(i, Far::Cloud, at) {
+                        if let Some(then) = self.passes(i, LinkEnd::Cloud, at) {
                             let late = then > at;
                             let call = id;
                             let again = self.copied();
@@ -660,7 +659,7 @@
                     Destination::Worker(addr) => {
                         let machine = u64::from(addr.port()) - 10_000;
                         let zone = self.worker_zone(machine);
-                        if let Some(at) = self.passes(i, Far::Worker(&zone), at) {
+                        if let Some(at) = self.passes(i, LinkEnd::Worker(&zone), at) {
                             let call = id;
                             if let Some(again) = self.copied() {
                                 let body = body.clone();
@@ -690,19 +689,19 @@
             Effect::Answer {
                 to, status, body, ..
             } => match self.callers.remove(&(i, to.generation)) {
-                Some(Caller::User {
+                Some(Requester::User {
                     job,
                     what,
                     since,
                     asked,
                     look,
                 }) => self.user_answered(job, what, (since, asked), look, status, &body),
-                Some(Caller::Operator(q)) => {
+                Some(Requester::Operator(q)) => {
                     self.answers.insert(q.name, (status, decode(&body)));
                 }
-                Some(Caller::Worker { machine, serial }) => {
+                Some(Requester::Worker { machine, serial }) => {
                     let zone = self.worker_zone(machine);
-                    if let Some(at) = self.passes(i, Far::Worker(&zone), self.now + hop) {
+                    if let Some(at) = self.passes(i, LinkEnd::Worker(&zone), self.now + hop) {
                         let e = Event::ReportAnswered {
                             machine,
                             serial,
@@ -717,7 +716,7 @@
             Effect::OperatorAnswer {
                 to, status, body, ..
             } => {
-                if let Some(Caller::Operator(q)) = self.callers.remove(&(i, to.generation)) {
+                if let Some(Requester::Operator(q)) = self.callers.remove(&(i, to.generation)) {
                     if status == 503 && q.tries > 0 {
                         return self.ask_again(q);
                     }
@@ -731,7 +730,7 @@
                     if to == i || !meant {
                         continue;
                     }
-                    if let Some(at) = self.passes(i, Far::Peer(to), self.now + hop) {
+                    if let Some(at) = self.passes(i, LinkEnd::Peer(to), self.now + hop) {
                         let at = self.frame_arrives(i, to, at);
                         let life = self.lives[to];
                         self.push(
@@ -806,13 +805,22 @@
                     }
                     Some((503, wire::encode(&json!({}))))
                 } else {
-                    self.state
-                        .handle(self.now, (node, life, call), method, &path, &body)
+                    self.state.handle(
+                        self.now,
+                        Caller {
+                            connection: node,
+                            generation: life,
+                            call,
+                        },
+                        method,
+                        &path,
+                        &body,
+                    )
                 };
                 if let Some((status, body)) = reply {
                     if !quiet {
                         let hop = self.rng.gen_range(1_000..4_000) + slow;
-                        if let Some(at) = self.passes(node, Far::State, self.now + hop) {
+                        if let Some(at) = self.passes(node, LinkEnd::State, self.now + hop) {
                             let reply = Some((status, body));
                             self.push(
                                 at,
@@ -826,7 +834,7 @@
                         }
                     }
                 }
-                if self.doubles.forgets_jobs {
+                if self.protocol_faults.forgets_jobs {
                     self.state.forget_jobs(self.now);
                 }
                 let base = (
@@ -846,16 +854,21 @@
                 if self.next_watch > self.now {
                     return;
                 }
-                self.next_watch = Us::MAX;
+                self.next_watch = Micros::MAX;
                 let cut = |what| (0..self.nodes.len()).map(|i| self.cut(i, what)).collect();
                 let (all, jobs): (Vec<bool>, Vec<bool>) = (cut("refused"), cut("jobs"));
                 let teams: Vec<bool> = cut("configuration");
                 let held = |i: usize, under: &str| {
                     all[i] || jobs[i] && under == "j/" || teams[i] && under == "c/"
                 };
-                let (ready, next) = self.state.watches(self.now, held);
-                for ((node, life, call), body) in ready {
-                    if let Some(at) = self.passes(node, Far::State, self.now + 2_000) {
+                let ready = self.state.ready_watches(self.now, held);
+                for (caller, body) in ready.answers {
+                    let Caller {
+                        connection: node,
+                        generation: life,
+                        call,
+                    } = caller;
+                    if let Some(at) = self.passes(node, LinkEnd::State, self.now + 2_000) {
                         let reply = Some((200, body));
                         self.push(
                             at,
@@ -868,7 +881,7 @@
                         );
                     }
                 }
-                if let Some(next) = next {
+                if let Some(next) = ready.next_due {
                     self.watch_at(next.max(self.now + 1_000));
                 }
             }
@@ -884,16 +897,16 @@
                 let reply = self
                     .cloud
                     .handle(self.now, method, &path, &body, &mut self.rng);
-                for m in self.cloud.take_booted() {
+                for m in self.cloud.take_created() {
                     self.push(m.1, Event::Report { machine: m.0 });
                 }
                 for gone in self.cloud.take_gone() {
                     self.given_back(node, gone, late);
                 }
-                let part = self.troubles.lose_cloud;
+                let part = self.fault_injection.lose_cloud;
                 let lost = part > 0.0 && method != Method::Get && self.rng.gen_bool(part);
                 if let Some(at) = self
-                    .passes(node, Far::Cloud, self.now + 50_000)
+                    .passes(node, LinkEnd::Cloud, self.now + 50_000)
                     .filter(|_| !lost)
                 {
                     self.push(
@@ -914,11 +927,19 @@
                 machine,
                 body,
             } => {
-                let reached = |w: &&mut Worker| self.now >= w.cut_until.max(w.inbound_cut_until);
+                let reached = |w: &&mut Worker| {
+                    self.now >= w.faults.cut_until.max(w.faults.inbound_cut_until)
+                };
                 let Some(w) = self.workers.get_mut(&machine).filter(reached) else {
                     return;
                 };
-                let reply = w.direct(self.now, &decode(&body), &self.jobs, self.doubles);
+                let environment = Environment {
+                    now: self.now,
+                    jobs: &self.jobs,
+                    controllers: self.nodes.len(),
+                    protocol_faults: self.protocol_faults,
+                };
+                let reply = w.on_direct_command(&body, &environment);
                 let at = self.now + 3_000;
                 self.push(
                     at,
@@ -956,7 +977,7 @@
                 }
                 let id = self.next_request + 1;
                 self.callers
-                    .insert((node, id), Caller::Worker { machine, serial });
+                    .insert((node, id), Requester::Worker { machine, serial });
                 self.request(node, Method::Post, "/hello", body);
             }
             Event::ReportAnswered {
@@ -965,17 +986,28 @@
                 status,
                 body,
             } => {
-                let doubles = self.doubles;
+                let protocol_faults = self.protocol_faults;
                 let n = self.nodes.len();
                 let Some(w) = self.workers.get_mut(&machine) else {
                     return;
                 };
-                if self.now < w.cut_until.max(w.inbound_cut_until) {
+                if self.now < w.faults.cut_until.max(w.faults.inbound_cut_until) {
                     return;
                 }
-                let before = w.token();
-                let again = w.answered(self.now, serial, status, &body, n, &self.jobs, doubles);
-                let heard = w.token() > before;
+                let before = w.fencing_token();
+                let answer = ReportAnswer {
+                    serial,
+                    status,
+                    body: &body,
+                };
+                let environment = Environment {
+                    now: self.now,
+                    jobs: &self.jobs,
+                    controllers: n,
+                    protocol_faults,
+                };
+                let again = w.on_answer(answer, &environment);
+                let heard = w.fencing_token() > before;
                 if let Some(at) = again {
                     self.push(at, Event::Report { machine });
                 }
@@ -987,7 +1019,7 @@
             Event::ReportTimedOut { machine, serial } => {
                 let n = self.nodes.len();
                 if let Some(w) = self.workers.get_mut(&machine) {
-                    if let Some(at) = w.timed_out(self.now, serial, n) {
+                    if let Some(at) = w.on_timeout(self.now, serial, n) {
                         self.push(at, Event::Report { machine });
                     }
                 }
@@ -1011,7 +1043,7 @@
             }
             Event::UserGivesUp { request } => {
                 let key = self.callers.keys().find(|(_, r)| *r == request).copied();
-                if let Some(Caller::User {
+                if let Some(Requester::User {
                     job,
                     what,
                     since,
@@ -1048,16 +1080,16 @@
             let worker = Worker::new(machine, m, &self.settings[0].params.workers, self.now);
             self.workers.insert(machine, worker);
         }
-        let doubles = self.doubles;
+        let protocol_faults = self.protocol_faults;
         let count = self.nodes.len();
         let Some(w) = self.workers.get_mut(&machine) else {
             return;
         };
-        let Some((node, serial, body)) = w.send(self.now, doubles) else {
+        let Some(report) = w.next_report(self.now, protocol_faults) else {
             return;
         };
-        let node = node % count;
-        let cut = self.now < w.cut_until.max(w.outbound_cut_until);
+        let (node, serial, body) = (report.controller % count, report.serial, report.body);
+        let cut = self.now < w.faults.cut_until.max(w.faults.outbound_cut_until);
         let every = (w.report_s * 1e6) as u64;
         self.push(self.now + every, Event::Report { machine });
         self.push(
@@ -1067,7 +1099,7 @@
         self.push(self.now, Event::WorkerStep { machine });
         if !cut {
             let zone = self.worker_zone(machine);
-            if let Some(at) = self.passes(node, Far::Worker(&zone), self.now + 2_000) {
+            if let Some(at) = self.passes(node, LinkEnd::Worker(&zone), self.now + 2_000) {
                 let body = wire::encode(&body);
                 self.keep_report(machine, &body);
                 if let Some(again) = self.copied() {
@@ -1088,7 +1120,7 @@
 
     /// Looks at the watches then, or before: one event at a time, or each request
     /// would add another that comes again for ever.
-    pub fn watch_at(&mut self, at: Us) {
+    pub fn watch_at(&mut self, at: Micros) {
         if at < self.next_watch {
             self.next_watch = at;
             self.push(at, Event::Watch);
@@ -1096,9 +1128,9 @@
     }
 
     /// How much longer the state service takes now, in microseconds.
-    fn state_delay(&self) -> Us {
+    fn state_delay(&self) -> Micros {
         match self.state_slow {
-            (factor, until) if self.now < until => (factor * 3_000.0) as Us,
+            (factor, until) if self.now < until => (factor * 3_000.0) as Micros,
             _ => 0,
         }
     }
@@ -1110,23 +1142,24 @@
         // when it wakes while the call is on its way: until a controller has
         // answered it again, nobody can know. Whoever does not within a lease has
         // given a healthy machine away.
-        let lease = (self.settings[0].params.workers.lease_s * 1e6) as Us;
-        let woken = self.now >= w.hang_until + lease || w.answered_since(w.hang_until);
-        let ill = (w.hang_until > 0 && !woken)
-            || self.now < w.cut_until
-            || self.now < w.inbound_cut_until.max(w.outbound_cut_until) + lease
-            || w.sick
-            || w.slow > 1.0
-            || w.reclaim_at.is_some();
-        self.tally.given_back_ill += u64::from(ill && self.now >= w.hang_until);
-        let busy = w.on_machine().count() as u64;
-        let heard = self.passes(node, Far::Worker(&w.zone), self.now);
+        let lease = (self.settings[0].params.workers.lease_s * 1e6) as Micros;
+        let woken =
+            self.now >= w.faults.hang_until + lease || w.answered_since(w.faults.hang_until);
+        let ill = (w.faults.hang_until > 0 && !woken)
+            || self.now < w.faults.cut_until
+            || self.now < w.faults.inbound_cut_until.max(w.faults.outbound_cut_until) + lease
+            || w.faults.tasks_fail
+            || w.faults.slowdown > 1.0
+            || w.faults.reclaim_at.is_some();
+        self.losses.given_back_ill += u64::from(ill && self.now >= w.faults.hang_until);
+        let busy = w.running().count() as u64;
+        let heard = self.passes(node, LinkEnd::Worker(&w.zone), self.now);
         let cut = heard.is_none_or(|at| at > self.now);
         // Nothing ran on it and nobody needed it: that costs nothing.
         let idle = busy == 0 && self.why_returned(node, machine).as_deref() == Some("idle");
         if !ill && !late && !idle && (busy > 0 || cut) {
-            self.tally.healthy_returned += 1;
-            self.tally.unexplained += busy;
+            self.losses.healthy_returned += 1;
+            self.losses.unexplained += busy;
         }
     }
 
@@ -1144,7 +1177,7 @@
     /// The machine stops with all that is on it; the cloud notices later.
     pub fn die(&mut self, machine: u64) {
         self.lose(machine);
-        if let Some(h) = self.cloud.hosts.get_mut(&machine) {
+        if let Some(h) = self.cloud.instances.get_mut(&machine) {
             h.failed_at = Some(self.now + 30 * SECOND);
         }
     }
@@ -1164,12 +1197,12 @@
         self.zone_cuts.values_mut().for_each(|c| c.0 = c.0.min(now));
         self.frozen.iter_mut().for_each(|f| *f = (*f).min(now));
         (self.lose_replies, self.late) = (0.0, 0.0);
-        self.troubles = Troubles::default();
+        self.fault_injection = FaultInjection::default();
         self.state_slow = (1.0, 0);
         self.copies.2 = self.copies.2.min(now);
         for w in self.workers.values_mut() {
-            w.inbound_cut_until = w.inbound_cut_until.min(now);
-            w.outbound_cut_until = w.outbound_cut_until.min(now);
+            w.faults.inbound_cut_until = w.faults.inbound_cut_until.min(now);
+            w.faults.outbound_cut_until = w.faults.outbound_cut_until.min(now);
         }
         // An outage that is cut short gives the leases their full time from now on, not
         // from when it was to end: nobody could take a lead that was left for a minute.
@@ -1177,7 +1210,7 @@
             self.state.outage(now);
         }
         self.cloud.down_until = self.cloud.down_until.min(now);
-        self.cloud.part = 1.0;
+        self.cloud.capacity_fraction = 1.0;
         (0..self.settings.len()).for_each(|i| self.start(i));
         self.healed = Some(now);
         // Users may ask at any later time, also about what is over.
@@ -1193,7 +1226,7 @@
                 at,
                 Event::UserSends {
                     job,
-                    what: What::Poll,
+                    what: UserRequest::Poll,
                     since: at,
                 },
             );
--- a/crates/sim/src/cluster/judging.rs
+++ b/crates/sim/src/cluster/judging.rs
@@ -5,7 +5,7 @@
 impl Sim {
     /// What each class and each team got of the work it may have done.
     pub fn served(&self) -> Vec<(String, f64)> {
-        stopped::served(
+        preemptions::served(
             &self.jobs,
             |id, plan| self.counts(id, plan),
             |id| self.results_of(id),
@@ -22,15 +22,15 @@
     /// The longest that one of its class's largest jobs waited until it began, or
     /// has waited by now, seconds.
     pub fn largest_wait(&self) -> Option<(String, f64)> {
-        let started: BTreeMap<&str, Us> = self
+        let started: BTreeMap<&str, Micros> = self
             .first_starts
             .iter()
             .map(|(job, at)| (job.as_str(), *at))
             .collect();
-        let largest = stopped::largest(&self.jobs, |id, plan| self.counts(id, plan));
+        let largest = preemptions::largest(&self.jobs, |id, plan| self.counts(id, plan));
         let waits = largest.iter().filter_map(|id| {
             let began = started.get(id.as_str()).copied().unwrap_or(self.now);
-            let waited = began.saturating_sub(self.jobs.get(id)?.sent);
+            let waited = began.saturating_sub(self.jobs.get(id)?.submitted_at);
             Some((id.clone(), waited as f64 / 1e6))
         });
         waits.max_by(|a, b| a.1.total_cmp(&b.1))
@@ -51,7 +51,7 @@
     /// troubles are over, however others fare.
     pub(super) fn look_for_forgotten(&mut self) {
         let Some(healed) = self.healed else { return };
-        let late = |(job, at): (&String, &Us)| {
+        let late = |(job, at): (&String, &Micros)| {
             let kept = self.told.get(job).is_some_and(|t| t.accepted);
             (kept && self.now > (*at).max(healed) + FORGOTTEN_S * SECOND).then(|| job.clone())
         };
@@ -70,7 +70,7 @@
     pub fn rented_machines(&self) -> usize {
         let owned = self.owned;
         self.cloud
-            .hosts
+            .instances
             .iter()
             .filter(|(id, h)| **id >= owned && h.failed_at.is_none())
             .count()
@@ -90,7 +90,7 @@
 
     /// Accepted jobs that are neither done nor cancelled, and should be.
     pub fn unfinished(&self) -> Vec<&str> {
-        let over = |t: &Told| t.done || t.cancelled.is_some();
+        let over = |t: &UserJobView| t.done || t.cancelled.is_some();
         let batch = |j: &JobPlan| j.body["jobKind"] == "batch" && !j.fails;
         let open = self.told.iter().filter(|(_, t)| t.accepted && !over(t));
         open.filter(|(id, _)| self.jobs.get(*id).is_some_and(batch))
@@ -114,13 +114,13 @@
         let Some(w) = self.workers.get_mut(&machine) else {
             return;
         };
-        if !w.abused.is_empty() {
-            self.state.abused.append(&mut w.abused);
+        if !w.violations.is_empty() {
+            self.state.violations.append(&mut w.violations);
         }
         if w.events.is_empty() && w.expired == 0 && w.finished.is_empty() {
             return;
         }
-        let pieces = w.on_machine().map(|t| t.piece.clone()).collect();
+        let task_ids = w.running().map(|t| t.task_id.clone()).collect();
         let teams = &self.settings[0].params.teams;
         let base = |name: &str| {
             teams
@@ -138,43 +138,43 @@
         };
         let broken = self
             .on_machines
-            .set(machine, Place::of(w), pieces, &self.jobs, limit);
-        let lease = (self.settings[0].params.workers.lease_s * 2e6) as Us;
+            .set(machine, &w.attributes(), task_ids, &self.jobs, limit);
+        let lease = (self.settings[0].params.workers.lease_s * 2e6) as Micros;
         let expired = std::mem::take(&mut w.expired);
-        self.tally.expired += expired;
-        let ill = self.now < w.troubled_until() + lease;
+        self.losses.expired += expired;
+        let ill = self.now < w.faults.faulty_until() + lease;
         if expired > 0 && !ill && self.now > self.explained_until {
-            self.tally.unexplained += expired;
+            self.losses.unexplained += expired;
         }
         self.started += std::mem::take(&mut w.started);
         let events = std::mem::take(&mut w.events);
         // What a lease ended, nobody stopped.
         if expired == 0 {
-            let leaving = w.reclaim_at.is_some();
+            let leaving = w.faults.reclaim_at.is_some();
             let over = |job: &str| self.told.get(job).is_some_and(|t| t.asked_cancel);
             self.stops
                 .saw(self.now, machine, leaving, &events, &self.jobs, over);
         }
         if !self.unstarted.is_empty() {
-            for t in w.on_machine() {
-                let job = t.piece.split('/').next().unwrap_or("");
+            for t in w.running() {
+                let job = t.task_id.split('/').next().unwrap_or("");
                 if self.unstarted.remove(job) {
                     self.first_starts.push((job.to_string(), self.now));
                 }
             }
         }
-        let told = |piece: &str| {
-            let job = piece.split('/').next().unwrap_or("");
+        let told = |task_id: &str| {
+            let job = task_id.split('/').next().unwrap_or("");
             self.told.get(job).and_then(|t| t.cancelled)
         };
         let late = events
             .iter()
-            .filter(|e| e.what == Happened::Began && told(&e.piece).is_some());
+            .filter(|e| e.transition == TaskTransition::Started && told(&e.task_id).is_some());
         self.late_starts += late.count() as u64;
         // Results are kept outside the machines.
         let mut ended = Vec::new();
-        for piece in w.finished.drain(..) {
-            if let Some((job, index)) = piece.split_once('/') {
+        for task_id in w.finished.drain(..) {
+            if let Some((job, index)) = task_id.split_once('/') {
                 let results = self.results.entry(job.to_string()).or_default();
                 let first = results.insert(index.to_string());
                 let total = self.jobs.get(job).and_then(|j| j.body["pieces"].as_u64());
@@ -184,8 +184,10 @@
             }
         }
         ended.into_iter().for_each(|job| self.job_ended(&job));
-        let above = events.iter().filter(|e| e.what == Happened::Began);
-        let above: Vec<String> = above.filter_map(|e| self.above_limit(&e.piece)).collect();
+        let above = events
+            .iter()
+            .filter(|e| e.transition == TaskTransition::Started);
+        let above: Vec<String> = above.filter_map(|e| self.above_limit(&e.task_id)).collect();
         for (rule, what) in broken {
             self.break_rule(rule, &what);
         }
@@ -195,17 +197,17 @@
     }
 
     /// A task that began beyond a limit that has been in force for long enough.
-    pub(super) fn above_limit(&self, piece: &str) -> Option<String> {
+    pub(super) fn above_limit(&self, task_id: &str) -> Option<String> {
         if !self.limits.is_changed() {
             return None;
         }
-        let plan = self.jobs.get(piece.split('/').next()?)?;
+        let plan = self.jobs.get(task_id.split('/').next()?)?;
         let team = plan.body["owner"].as_str()?;
         let (used, allowed) = (
             self.on_machines.used(team),
             self.limits.allowed(self.now, team)?,
         );
-        (used > allowed + 1e-6).then(|| format!("{piece}: {team} uses {used} of {allowed}"))
+        (used > allowed + 1e-6).then(|| format!("{task_id}: {team} uses {used} of {allowed}"))
     }
 
     /// The machine is gone, whoever took it.
@@ -221,7 +223,7 @@
         self.stops.look(self.now);
         self.look_for_forgotten();
         self.look_for_waiting();
-        let cancel = (self.settings[0].params.workers.cancel_s * 1e6) as Us;
+        let cancel = (self.settings[0].params.workers.cancel_s * 1e6) as Micros;
         let told = |job: &str| self.told.get(job).and_then(|t| t.cancelled);
         let since = self.on_machines.jobs().filter_map(|(job, _)| told(job));
         if let Some(at) = since.min() {
@@ -231,9 +233,9 @@
         }
         let late = |job: &str| told(job).is_some_and(|at| self.now > at + cancel);
         let jobs = self.on_machines.jobs().filter(|(job, _)| late(job));
-        let broken: Vec<String> = jobs.map(|(_, piece)| piece.to_string()).collect();
-        for piece in broken {
-            self.break_rule("ran_cancelled", &piece);
+        let broken: Vec<String> = jobs.map(|(_, task_id)| task_id.to_string()).collect();
+        for task_id in broken {
+            self.break_rule("ran_cancelled", &task_id);
         }
     }
 }
--- a/crates/sim/src/cluster/links.rs
+++ b/crates/sim/src/cluster/links.rs
@@ -4,7 +4,7 @@
 
 /// The far end of a controller's link.
 #[derive(Clone, Copy)]
-pub(super) enum Far<'a> {
+pub(super) enum LinkEnd<'a> {
     State,
     Cloud,
     Peer(usize),
@@ -31,16 +31,16 @@
 
     /// When a message over a controller's link arrives that would do so at `at`;
     /// none: it is lost.
-    pub(super) fn passes(&self, node: usize, far: Far, at: Us) -> Option<Us> {
+    pub(super) fn passes(&self, node: usize, far: LinkEnd, at: Micros) -> Option<Micros> {
         let (what, elsewhere) = match far {
-            Far::State => ("state", None),
-            Far::Cloud => ("cloud", None),
-            Far::Peer(p) => ("peers", Some(self.area(p))),
-            Far::Worker(zone) => ("workers", Some(zone)),
+            LinkEnd::State => ("state", None),
+            LinkEnd::Cloud => ("cloud", None),
+            LinkEnd::Peer(p) => ("peers", Some(self.area(p))),
+            LinkEnd::Worker(zone) => ("workers", Some(zone)),
         };
-        let mut broken: Vec<(Us, bool)> = Vec::new();
+        let mut broken: Vec<(Micros, bool)> = Vec::new();
         broken.extend(self.cuts.get(&(node, what.to_string())));
-        if let Far::Peer(p) = far {
+        if let LinkEnd::Peer(p) = far {
             broken.extend(self.cuts.get(&(p, what.to_string())));
         }
         let at = at + self.link_delay();
--- a/crates/sim/src/cluster/users.rs
+++ b/crates/sim/src/cluster/users.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 impl Sim {
-    pub(super) fn ask_again(&mut self, mut q: Question) {
+    pub(super) fn ask_again(&mut self, mut q: OperatorRequest) {
         q.tries = q.tries.saturating_sub(1);
         if q.tries > 0 {
             self.push(self.now + SECOND / 2, Event::OperatorAsks(q));
         }
     }
 
-    pub(super) fn operator_asks(&mut self, q: Question) {
+    pub(super) fn operator_asks(&mut self, q: OperatorRequest) {
         let up: Vec<usize> = (0..self.nodes.len())
             .filter(|i| self.nodes[*i].is_some())
             .collect();
@@ -38,7 +38,7 @@
             beamhinge_controller::node::ADMIN_LISTENER
         };
         self.callers
-            .insert((node, id.generation), Caller::Operator(q));
+            .insert((node, id.generation), Requester::Operator(q));
         self.with_node(node, |n, now, wall, out| {
             n.on_request(now, wall, listener, id, req, out)
         });
@@ -46,10 +46,7 @@
 
     /// Words that stand for what is there at the moment.
     pub fn expand(&self, text: &str) -> String {
-        let busiest = self
-            .workers
-            .iter()
-            .max_by_key(|(_, w)| w.on_machine().count());
+        let busiest = self.workers.iter().max_by_key(|(_, w)| w.running().count());
         let machine = busiest.map_or(String::new(), |(id, _)| format!("n-{id:06}"));
         let leader = self
             .leader()
@@ -58,7 +55,7 @@
             .replace("$leader", &leader)
     }
 
-    pub(super) fn user_sends(&mut self, job: String, what: What, since: Us) {
+    pub(super) fn user_sends(&mut self, job: String, what: UserRequest, since: Micros) {
         let up: Vec<usize> = (0..self.nodes.len())
             .filter(|i| self.nodes[*i].is_some() && self.now >= self.frozen[*i])
             .filter(|i| !self.zone_is_cut(self.area(*i)))
@@ -76,13 +73,20 @@
     }
 
     /// A user's question goes to this node; who only looks asks once.
-    pub(super) fn ask(&mut self, node: usize, job: String, what: What, since: Us, look: bool) {
+    pub(super) fn ask(
+        &mut self,
+        node: usize,
+        job: String,
+        what: UserRequest,
+        since: Micros,
+        look: bool,
+    ) {
         if self.healed.is_some() && !look {
             self.asked.entry(job.clone()).or_insert(self.now);
         }
         let told = self.told.entry(job.clone()).or_default();
         let (method, path, body) = match what {
-            What::Submit => {
+            UserRequest::Submit => {
                 told.submitted = true;
                 let body = self
                     .jobs
@@ -91,8 +95,8 @@
                     .unwrap_or_default();
                 (Method::Post, "/api/jobs".to_string(), body)
             }
-            What::Poll => (Method::Get, format!("/api/jobs/{job}"), Vec::new()),
-            What::Cancel => {
+            UserRequest::Poll => (Method::Get, format!("/api/jobs/{job}"), Vec::new()),
+            UserRequest::Cancel => {
                 told.asked_cancel = true;
                 (Method::Post, format!("/api/jobs/{job}/cancel"), Vec::new())
             }
@@ -101,7 +105,7 @@
         let asked = self.now;
         self.callers.insert(
             (node, serial),
-            Caller::User {
+            Requester::User {
                 job,
                 what,
                 since,
@@ -109,16 +113,20 @@
                 look,
             },
         );
-        let patience = if what == What::Poll { 2 } else { 5 } * SECOND;
+        let patience = if what == UserRequest::Poll { 2 } else { 5 } * SECOND;
         self.push(self.now + patience, Event::UserGivesUp { request: serial });
         self.request(node, method, &path, body);
     }
 
-    pub(super) fn retry(&mut self, job: String, what: What, since: Us, after_s: f64) {
-        if what != What::Poll && self.now > since + 60 * SECOND {
+    pub(super) fn retry(&mut self, job: String, what: UserRequest, since: Micros, after_s: f64) {
+        if what != UserRequest::Poll && self.now > since + 60 * SECOND {
             return;
         }
-        let after_s = if what == What::Poll { 5.0 } else { after_s };
+        let after_s = if what == UserRequest::Poll {
+            5.0
+        } else {
+            after_s
+        };
         self.push(
             self.now + (after_s * 1e6) as u64,
             Event::UserSends { job, what, since },
@@ -128,13 +136,13 @@
     pub(super) fn user_answered(
         &mut self,
         job: String,
-        what: What,
-        (since, asked): (Us, Us),
+        what: UserRequest,
+        (since, asked): (Micros, Micros),
         look: bool,
         status: u16,
         body: &[u8],
     ) {
-        if what == What::Poll && self.untold.as_ref() == Some(&job) {
+        if what == UserRequest::Poll && self.untold.as_ref() == Some(&job) {
             return self.retry(job, what, since, 1.0);
         }
         let value = decode(body);
@@ -154,7 +162,17 @@
         let told = self.told.entry(job.clone()).or_default();
         let before = (told.accepted, told.over);
         let cancelled = told.cancelled;
-        let (broken, next) = told.answered((now, asked), what, status, &state, done >= total);
+        let Assessment {
+            violations: broken,
+            follow_up: next,
+        } = told.on_answer(&UserAnswer {
+            asked,
+            received: now,
+            request: what,
+            status,
+            state: &state,
+            complete: done >= total,
+        });
         let news = (told.accepted, told.over) != before;
         let cancelled = told.cancelled != cancelled;
         if told.accepted && self.odd.contains(&job) {
@@ -171,12 +189,12 @@
             self.break_rule(rule, &job);
         }
         match next {
-            Some(Next::Again(after_s)) => self.retry(job, what, since, after_s),
-            Some(Next::Poll(after_s)) => self.push(
+            Some(FollowUp::Retry(after_s)) => self.retry(job, what, since, after_s),
+            Some(FollowUp::Poll(after_s)) => self.push(
                 now + (after_s.max(self.polls_s) / self.often() * 1e6) as u64,
                 Event::UserSends {
                     job,
-                    what: What::Poll,
+                    what: UserRequest::Poll,
                     since: now,
                 },
             ),
--- a/crates/sim/src/meetings.rs
+++ b/crates/sim/src/combined_faults.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-struct Drawn {
+struct DayGenerator {
     rng: StdRng,
     machines: f64,
     lease: f64,
@@ -21,14 +21,14 @@
     /// The ids of long jobs, which users cancel.
     long: u64,
     lines: String,
-    troubles: BTreeMap<&'static str, u32>,
+    fault_counts: BTreeMap<&'static str, u32>,
 }
 
 /// Ids of long jobs begin here.
 const LONG: u64 = 900_000;
 const EVENTS: [&str; 3] = ["take", "cancelled", "heard"];
 
-impl Drawn {
+impl DayGenerator {
     fn between(&mut self, a: f64, b: f64) -> f64 {
         self.rng.gen_range(a..b.max(a + 1e-6))
     }
@@ -44,7 +44,7 @@
 
     /// At this time, or so long after what happens next from then on.
     fn at(&mut self, at: f64, kind: &'static str, line: &str) {
-        *self.troubles.entry(kind).or_default() += 1;
+        *self.fault_counts.entry(kind).or_default() += 1;
         if self.rng.gen_bool(0.35) {
             let (event, after) = (self.of(&EVENTS), self.of(&[0.0, 0.002, 0.005, 0.05, 0.6]));
             return self.line(at, &format!("when {event} {after} {line}"));
@@ -80,7 +80,7 @@
         let refused = self.between(1.0, 60.0);
         let between = self.between(0.0, 10.0);
         let down = self.cancel * self.between(0.5, 3.0);
-        *self.troubles.entry("gap").or_default() += 1;
+        *self.fault_counts.entry("gap").or_default() += 1;
         self.line(at, &format!("cut leader refused {refused:.1}"));
         let confirmed = at + self.between(0.0, between + 0.5);
         self.cancels(confirmed, 6);
@@ -251,7 +251,7 @@
 }
 
 /// The day that belongs to this seed and number: always the same.
-pub fn draw(seed: u64, number: u64, machines: (f64, f64)) -> Day {
+pub fn generate(seed: u64, number: u64, machines: (f64, f64)) -> Day {
     let mix = seed
         .wrapping_mul(0x9e37_79b9_7f4a_7c15)
         .wrapping_add(number)
@@ -274,15 +274,15 @@
         .unwrap_or(2.0);
     // Long tasks take half of the room at most, short ones a third.
     let long = (room * 0.5 / (2.0 * many)).clamp(2.0, 400.0) as u64;
-    let (lines, troubles) = (String::new(), BTreeMap::new());
-    let mut d = Drawn {
+    let (lines, fault_counts) = (String::new(), BTreeMap::new());
+    let mut d = DayGenerator {
         rng,
         machines,
         lease,
         cancel,
         long,
         lines,
-        troubles,
+        fault_counts,
     };
     let owned = (machines * 0.4).ceil();
     let nodes = d.of(&[3, 3, 3, 2]);
@@ -345,7 +345,7 @@
         name,
         text,
         machines: machines as u64,
-        troubles: d.troubles,
+        fault_counts: d.fault_counts,
     }
 }
 
--- a/crates/sim/src/days.rs
+++ b/crates/sim/src/days.rs
@@ -2,7 +2,7 @@
 //! alone and together, written as scenarios, so that a day which fails can be
 //! made smaller and kept.
 
-use crate::scenario::{self, Outcome, Wrong};
+use crate::scenario::{self, Outcome, ScenarioError};
 use beamhinge_controller::faults::Faults;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -37,21 +37,21 @@
     pub text: String,
     pub machines: u64,
     /// How often each kind of trouble occurs.
-    pub troubles: BTreeMap<&'static str, u32>,
+    pub fault_counts: BTreeMap<&'static str, u32>,
 }
 
 /// What a day is drawn from, and what troubles are scaled by.
-struct Drawn {
+struct DayGenerator {
     rng: StdRng,
     machines: f64,
     lease: f64,
     end: f64,
     next_job: u64,
     lines: String,
-    troubles: BTreeMap<&'static str, u32>,
+    fault_counts: BTreeMap<&'static str, u32>,
 }
 
-impl Drawn {
+impl DayGenerator {
     fn between(&mut self, a: f64, b: f64) -> f64 {
         if b <= a {
             return a;
@@ -67,7 +67,7 @@
         // Writing to a string cannot fail.
         let _ = writeln!(self.lines, "at {at:.1} {line}");
         if !kind.is_empty() {
-            *self.troubles.entry(kind).or_default() += 1;
+            *self.fault_counts.entry(kind).or_default() += 1;
         }
     }
 
@@ -190,7 +190,7 @@
     }
 }
 
-impl Drawn {
+impl DayGenerator {
     /// A team without a guarantee, with work of some of these kinds: one huge
     /// array, very many single tasks, idle-time work on large machines; and jobs
     /// with a mistake, users who ask often.
@@ -248,21 +248,21 @@
 }
 
 /// The day that belongs to this seed and number: always the same.
-pub fn draw(seed: u64, number: u64, size: Size) -> Day {
+pub fn generate(seed: u64, number: u64, size: Size) -> Day {
     let mix = seed
         .wrapping_mul(0x9e37_79b9_7f4a_7c15)
         .wrapping_add(number);
     let mut rng = StdRng::seed_from_u64(mix);
     let span = (size.machines.0.ln(), size.machines.1.ln());
     let machines = rng.gen_range(span.0..=span.1).exp().round();
-    let mut d = Drawn {
+    let mut d = DayGenerator {
         rng,
         machines,
         lease: 0.0,
         end: 0.0,
         next_job: 1,
         lines: String::new(),
-        troubles: BTreeMap::new(),
+        fault_counts: BTreeMap::new(),
     };
     d.end = d.between(size.seconds.0, size.seconds.1).round();
     let report = d.of(&[1.0, 2.0, 2.5, 4.0, 5.0]);
@@ -334,7 +334,7 @@
         name,
         text,
         machines: machines as u64,
-        troubles: d.troubles,
+        fault_counts: d.fault_counts,
     }
 }
 
@@ -375,7 +375,7 @@
 
 /// More healthy machines were given back than a fiftieth of those cut off.
 pub fn given_away(o: &Outcome) -> bool {
-    o.tally.healthy_returned > (o.tally.cut_off / 50).max(2)
+    o.losses.healthy_returned > (o.losses.cut_off / 50).max(2)
 }
 
 /// Makes a failing day smaller: leaves out what it fails without, line by line,
@@ -383,9 +383,9 @@
 ///
 /// # Errors
 /// When a line cannot be understood.
-pub fn reduce(text: &str, faults: Faults, mut tries: u32) -> Result<String, Wrong> {
+pub fn reduce(text: &str, faults: Faults, mut tries: u32) -> Result<String, ScenarioError> {
     let mut lines: Vec<String> = text.lines().map(String::from).collect();
-    let fails = |lines: &[String]| -> Result<bool, Wrong> {
+    let fails = |lines: &[String]| -> Result<bool, ScenarioError> {
         Ok(faulty(&scenario::play(&(lines.join("\n") + "\n"), faults)?))
     };
     let mut at = 0;
@@ -454,9 +454,9 @@
 ///
 /// # Errors
 /// When the file cannot be read, or names a kind that is not known.
-pub fn from_toml(text: &str, seed: u64, number: u64, size: Size) -> Result<Day, Wrong> {
+pub fn from_toml(text: &str, seed: u64, number: u64, size: Size) -> Result<Day, ScenarioError> {
     let file: DayFile = toml::from_str(text).map_err(|e| e.to_string())?;
-    let base = draw(seed, number, size);
+    let base = generate(seed, number, size);
     let quiet = |l: &&str| !l.starts_with("at ") || l.contains(" stream ") && l.contains("class=");
     let mut lines: Vec<String> = base
         .text
--- a/crates/sim/src/days/tests.rs
+++ b/crates/sim/src/days/tests.rs
@@ -2,17 +2,20 @@
 
 #[test]
 fn a_day_is_always_the_same_and_days_differ() {
-    let (a, b) = (draw(3, 5, FULL), draw(3, 5, FULL));
+    let (a, b) = (generate(3, 5, FULL), generate(3, 5, FULL));
     assert_eq!(a.text, b.text);
-    assert_ne!(a.text, draw(3, 6, FULL).text);
-    let kinds: BTreeMap<&str, u32> =
-        (0..200)
-            .flat_map(|n| draw(9, n, FULL).troubles)
-            .fold(BTreeMap::new(), |mut m, (k, n)| {
-                *m.entry(k).or_default() += n;
-                m
-            });
-    assert_eq!(kinds.len(), 29, "every kind is drawn: {kinds:?}");
+    assert_ne!(a.text, generate(3, 6, FULL).text);
+    let instance_types: BTreeMap<&str, u32> = (0..200)
+        .flat_map(|n| generate(9, n, FULL).fault_counts)
+        .fold(BTreeMap::new(), |mut m, (k, n)| {
+            *m.entry(k).or_default() += n;
+            m
+        });
+    assert_eq!(
+        instance_types.len(),
+        29,
+        "every kind is drawn: {instance_types:?}"
+    );
 }
 
 #[test]
--- a/crates/sim/src/limits_in_force.rs
+++ b/crates/sim/src/effective_quotas.rs
@@ -1,8 +1,8 @@
 //! Limits of teams as they really are: by what the state service holds, at every moment.
 
 use beamhinge_core::settings::Team;
-use beamhinge_emulator::state::State;
-use beamhinge_emulator::{Us, SECOND};
+use beamhinge_emulator::state::StateService;
+use beamhinge_emulator::{Micros, SECOND};
 use std::collections::BTreeMap;
 
 /// A limit that was lowered counts for every start from then on, seconds.
@@ -14,16 +14,16 @@
 type Limits = BTreeMap<String, f64>;
 
 #[derive(Default)]
-pub struct LimitsInForce {
+pub struct EffectiveQuotas {
     head: Option<serde_json::Value>,
-    log: Vec<(Us, Limits)>,
+    log: Vec<(Micros, Limits)>,
     /// Versions that some controller does not serve by yet, and when they were made.
-    pending: Vec<(u64, Us)>,
+    pending: Vec<(u64, Micros)>,
     /// How long each version took until all controllers served by it or a newer one.
-    pub took: Vec<Us>,
+    pub took: Vec<Micros>,
 }
 
-impl LimitsInForce {
+impl EffectiveQuotas {
     /// Whether anything was ever changed.
     pub fn is_changed(&self) -> bool {
         !self.log.is_empty()
@@ -35,7 +35,7 @@
     }
 
     /// Looks at the state service after a transaction.
-    pub fn look(&mut self, now: Us, state: &State, (base, nodes): (&[Team], usize)) {
+    pub fn look(&mut self, now: Micros, state: &StateService, (base, nodes): (&[Team], usize)) {
         let head = state.get("c/head");
         if head == self.head.as_ref() {
             return self.look_at_members(now, state, nodes);
@@ -60,7 +60,7 @@
     }
 
     /// Which versions all controllers serve by, by the keys that they keep.
-    fn look_at_members(&mut self, now: Us, state: &State, nodes: usize) {
+    fn look_at_members(&mut self, now: Micros, state: &StateService, nodes: usize) {
         if self.pending.is_empty() {
             return;
         }
@@ -90,7 +90,7 @@
 
     /// The most that a start may bring a team to: the highest limit of the last seconds.
     /// None: no bound.
-    pub fn allowed(&self, now: Us, team: &str) -> Option<f64> {
+    pub fn allowed(&self, now: Micros, team: &str) -> Option<f64> {
         let since = now.saturating_sub(IN_FORCE_S * SECOND);
         // Those that came since, and the one that stood then.
         let stood = self
