--- a/crates/sim/src/troubles.rs
+++ b/crates/sim/src/fault_injection.rs
@@ -3,8 +3,8 @@
 //! the very end or just now.
 
 use crate::cluster::{Event, Sim};
-use beamhinge_emulator::user::What;
-use beamhinge_emulator::{Us, SECOND};
+use beamhinge_emulator::user::UserRequest;
+use beamhinge_emulator::{Micros, SECOND};
 use rand::Rng;
 use std::collections::BTreeMap;
 
@@ -16,32 +16,32 @@
 const CALLED_OFF: f64 = 0.1;
 
 #[derive(Default)]
-pub struct Troubles {
+pub struct FaultInjection {
     /// Part of the reports of which a copy is kept for the next leader, and until when.
-    pub keeps: (f64, Us),
+    pub keeps: (f64, Micros),
     kept: BTreeMap<u64, Vec<Vec<u8>>>,
     /// Part of the jobs that are cancelled as their last task ends, and until when.
-    pub at_end: (f64, Us),
+    pub at_end: (f64, Micros),
     /// Until when users ask all nodes right after they were told something.
-    pub looks: Us,
+    pub looks: Micros,
     /// Links of controllers take so much longer, and until when.
-    pub slow: (Us, Us),
+    pub slow: (Micros, Micros),
     /// Part of the cloud's answers to rentals and releases that are lost.
     pub lose_cloud: f64,
     /// Part of the frames between controllers that are lost and sent again, the longest
     /// that this takes, and until when.
-    pub frame_loss: (f64, Us, Us),
+    pub frame_loss: (f64, Micros, Micros),
     /// Until when each link between two controllers, from and to, is held up by that.
-    held_links: BTreeMap<(usize, usize), Us>,
+    held_links: BTreeMap<(usize, usize), Micros>,
 }
 
 /// The shortest time after which TCP sends a lost packet again.
-const RETRANSMIT_MIN: Us = SECOND / 5;
+const RETRANSMIT_MIN: Micros = SECOND / 5;
 
 impl Sim {
     /// How much longer a message over a controller's link takes now.
-    pub fn link_delay(&self) -> Us {
-        let (more, until) = self.troubles.slow;
+    pub fn link_delay(&self) -> Micros {
+        let (more, until) = self.fault_injection.slow;
         if self.now < until {
             more
         } else {
@@ -51,25 +51,29 @@
 
     /// When a frame arrives that would do so at `at`: behind a lost one that is being
     /// sent again, since a link keeps the order.
-    pub fn frame_arrives(&mut self, from: usize, to: usize, at: Us) -> Us {
-        let (part, most, until) = self.troubles.frame_loss;
+    pub fn frame_arrives(&mut self, from: usize, to: usize, at: Micros) -> Micros {
+        let (part, most, until) = self.fault_injection.frame_loss;
         if self.now >= until {
             return at;
         }
         let lost = self.frame_rng.gen_bool(part);
         let again = lost.then(|| at + self.frame_rng.gen_range(RETRANSMIT_MIN..=most));
-        let held = self.troubles.held_links.entry((from, to)).or_default();
+        let held = self
+            .fault_injection
+            .held_links
+            .entry((from, to))
+            .or_default();
         *held = (*held).max(again.unwrap_or(0));
         at.max(*held)
     }
 
     /// A report goes out: whether a copy is kept for the next leader.
     pub fn keep_report(&mut self, machine: u64, body: &[u8]) {
-        let (part, until) = self.troubles.keeps;
+        let (part, until) = self.fault_injection.keeps;
         if self.now >= until || !self.rng.gen_bool(part) {
             return;
         }
-        let kept = self.troubles.kept.entry(machine).or_default();
+        let kept = self.fault_injection.kept.entry(machine).or_default();
         if kept.len() < MAX_KEPT {
             kept.push(body.to_vec());
         }
@@ -77,7 +81,7 @@
 
     /// A new leader begins: what was kept reaches every controller, all at once.
     pub fn deliver_kept(&mut self) {
-        let kept = std::mem::take(&mut self.troubles.kept);
+        let kept = std::mem::take(&mut self.fault_injection.kept);
         for (machine, bodies) in kept {
             for body in bodies {
                 for node in 0..self.settings.len() {
@@ -91,11 +95,11 @@
 
     /// All nodes are asked within milliseconds, and the submission is sent again.
     pub fn look_closely(&mut self, job: &str) {
-        if self.now >= self.troubles.looks {
+        if self.now >= self.fault_injection.looks {
             return;
         }
         for node in 0..self.settings.len() {
-            for what in [What::Poll, What::Submit, What::Poll] {
+            for what in [UserRequest::Poll, UserRequest::Submit, UserRequest::Poll] {
                 let at = self.now + self.rng.gen_range(0..8_000);
                 self.push(
                     at,
@@ -113,7 +117,7 @@
                 at,
                 Event::UserSends {
                     job: job.to_string(),
-                    what: What::Cancel,
+                    what: UserRequest::Cancel,
                     since: at,
                 },
             );
@@ -122,14 +126,14 @@
 
     /// The last task of a job has just ended on its machine.
     pub fn job_ended(&mut self, job: &str) {
-        let (part, until) = self.troubles.at_end;
+        let (part, until) = self.fault_injection.at_end;
         if self.now < until && self.rng.gen_bool(part) {
             let at = self.now + self.rng.gen_range(0..200_000);
             self.push(
                 at,
                 Event::UserSends {
                     job: job.to_string(),
-                    what: What::Cancel,
+                    what: UserRequest::Cancel,
                     since: at,
                 },
             );
@@ -138,11 +142,11 @@
 
     /// Users call off so many of the jobs that run and have long to go, within a fifth
     /// of a second; with `hang`, up to eight of their machines hang for so long.
-    pub fn cancel_now(&mut self, count: usize, hang: Us) {
+    pub fn cancel_now(&mut self, count: usize, hang: Micros) {
         let mut running: BTreeMap<String, Vec<u64>> = BTreeMap::new();
         for (id, w) in &self.workers {
-            for t in w.on_machine() {
-                let job = t.piece.split('/').next().unwrap_or("").to_string();
+            for t in w.running() {
+                let job = t.task_id.split('/').next().unwrap_or("").to_string();
                 let on = running.entry(job).or_default();
                 if on.last() != Some(id) {
                     on.push(*id);
@@ -166,7 +170,7 @@
                 at,
                 Event::UserSends {
                     job,
-                    what: What::Cancel,
+                    what: UserRequest::Cancel,
                     since: at,
                 },
             );
@@ -174,10 +178,10 @@
                 let Some(w) = self.workers.get_mut(&machine).filter(|_| hang > 0) else {
                     continue;
                 };
-                if hung < MAX_HUNG && w.hang_until < self.now {
+                if hung < MAX_HUNG && w.faults.hang_until < self.now {
                     hung += 1;
-                    w.hang_until = self.now + hang;
-                    let until = w.hang_until;
+                    w.faults.hang_until = self.now + hang;
+                    let until = w.faults.hang_until;
                     self.push(until, Event::WorkerStep { machine });
                     self.push(until, Event::Report { machine });
                 }
--- a/crates/sim/src/fingerprint/days.rs
+++ b/crates/sim/src/fingerprint/days.rs
@@ -6,9 +6,9 @@
 //! records it anew with `beamhinge-testbed days --fingerprint --record`.
 
 use super::Fingerprint;
+use crate::combined_faults;
 use crate::days::{self, Day};
-use crate::meetings;
-use crate::scenario::{self, Wrong};
+use crate::scenario::{self, ScenarioError};
 use beamhinge_controller::faults::Faults;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -67,7 +67,7 @@
     /// The day's name.
     pub day: String,
     /// What is wrong with its text.
-    pub wrong: Wrong,
+    pub wrong: ScenarioError,
 }
 
 /// Fingerprints by the names of their days.
@@ -75,15 +75,20 @@
 
 /// The fixed days.
 pub fn fixed() -> Vec<Day> {
-    let drawn = DRAWN.map(|(seed, number)| days::draw(seed, number, days::SMALL));
-    let meetings = MEETINGS.map(|(seed, number)| meetings::draw(seed, number, MEETING_MACHINES));
+    let drawn = DRAWN.map(|(seed, number)| days::generate(seed, number, days::SMALL));
+    let combined_faults =
+        MEETINGS.map(|(seed, number)| combined_faults::generate(seed, number, MEETING_MACHINES));
     let scenarios = SCENARIOS.map(|(name, text)| Day {
         name: name.to_string(),
         text: text.to_string(),
         machines: 0,
-        troubles: BTreeMap::new(),
+        fault_counts: BTreeMap::new(),
     });
-    drawn.into_iter().chain(meetings).chain(scenarios).collect()
+    drawn
+        .into_iter()
+        .chain(combined_faults)
+        .chain(scenarios)
+        .collect()
 }
 
 /// Plays all days, some at the same time, and takes their fingerprints; `faults` puts
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -14,12 +14,12 @@
 )]
 
 pub mod cluster;
+pub mod combined_faults;
 pub mod days;
+pub mod effective_quotas;
+pub mod fault_injection;
 pub mod fingerprint;
-pub mod limits_in_force;
-pub mod meetings;
-pub mod rules;
+pub mod machine_contents;
+pub mod preemptions;
 pub mod scenario;
-pub mod stopped;
-pub mod troubles;
-pub mod waiting;
+pub mod starvation;
--- a/crates/sim/src/rules/tests.rs
+++ b/crates/sim/src/machine_contents/tests.rs
@@ -7,7 +7,7 @@
         run_s: 1.0,
         fails: false,
         command: None,
-        sent: 0,
+        submitted_at: 0,
     };
     [
         (
@@ -41,16 +41,16 @@
 
 #[test]
 fn each_rule_can_be_broken_and_what_left_counts_no_more() {
-    let (plans, mut on) = (plans(), OnMachines::default());
-    let mut set = |m: u64, zone: &str, pieces: &[&str]| -> Vec<&'static str> {
-        let pieces = pieces.iter().map(|p| (*p).to_string()).collect();
+    let (plans, mut on) = (plans(), MachineContents::default());
+    let mut set = |m: u64, zone: &str, task_ids: &[&str]| -> Vec<&'static str> {
+        let task_ids = task_ids.iter().map(|p| (*p).to_string()).collect();
         let limit = |t: &str| if t == "one" { 12.0 } else { 0.0 };
-        let scheduler = Place {
+        let attributes = MachineAttributes {
             machine_type: "c8",
             zone,
             spot: true,
         };
-        let broken = on.set(m, scheduler, pieces, &plans, limit);
+        let broken = on.set(m, &attributes, task_ids, &plans, limit);
         broken.into_iter().map(|(rule, _)| rule).collect()
     };
     assert!(set(1, "north", &["job-1/0", "job-1/1"]).is_empty());
--- a/crates/sim/src/stopped.rs
+++ b/crates/sim/src/preemptions.rs
@@ -1,16 +1,16 @@
 //! What was stopped for others, and whether anybody started in its place; what
 //! each class and team was served. Judged by what really happened on machines.
 
-use beamhinge_emulator::worker::{Event, Happened};
-use beamhinge_emulator::{JobPlan, Us, SECOND};
+use beamhinge_emulator::worker::{TaskEvent, TaskTransition};
+use beamhinge_emulator::{JobPlan, Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A start later than this is not in the stopped task's place.
-const IN_PLACE: Us = 30 * SECOND;
+const IN_PLACE: Micros = 30 * SECOND;
 
 /// A task that was stopped by command though nobody cancelled it.
 struct Stop {
-    at: Us,
+    at: Micros,
     cpus: f64,
     urgency: u8,
     team: String,
@@ -18,7 +18,7 @@
 
 /// Stops whose outcome is open, by machine.
 #[derive(Default)]
-pub struct Stops {
+pub struct PreemptionTracker {
     open: BTreeMap<u64, VecDeque<Stop>>,
     /// Tasks stopped for others.
     pub stopped: u64,
@@ -26,8 +26,8 @@
     pub in_vain: u64,
 }
 
-pub fn job_of(piece: &str) -> &str {
-    piece.split('/').next().unwrap_or("")
+pub fn job_of(task_id: &str) -> &str {
+    task_id.split('/').next().unwrap_or("")
 }
 
 fn text<'a>(plan: &'a JobPlan, field: &str) -> &'a str {
@@ -41,24 +41,24 @@
         .unwrap_or(1) as u8
 }
 
-impl Stops {
+impl PreemptionTracker {
     /// What happened on a machine, in order. `leaving`: it goes anyway, so what is
     /// stopped there is stopped for nobody; `over`: its user cancelled the job.
     pub fn saw(
         &mut self,
-        now: Us,
+        now: Micros,
         machine: u64,
         leaving: bool,
-        events: &[Event],
+        events: &[TaskEvent],
         jobs: &BTreeMap<String, JobPlan>,
         over: impl Fn(&str) -> bool,
     ) {
         for e in events {
-            let job = job_of(&e.piece);
+            let job = job_of(&e.task_id);
             let Some(plan) = jobs.get(job) else { continue };
             let cpus = plan.body["vcpus"].as_f64().unwrap_or(0.0);
-            match e.what {
-                Happened::Stopped if !leaving && !over(job) => {
+            match e.transition {
+                TaskTransition::Stopped if !leaving && !over(job) => {
                     self.stopped += 1;
                     let team = text(plan, "owner").to_string();
                     let stop = Stop {
@@ -69,7 +69,7 @@
                     };
                     self.open.entry(machine).or_default().push_back(stop);
                 }
-                Happened::Began => {
+                TaskTransition::Started => {
                     let Some(open) = self.open.get_mut(&machine) else {
                         continue;
                     };
@@ -92,7 +92,7 @@
     }
 
     /// Stops in whose place nobody started in time.
-    pub fn look(&mut self, now: Us) {
+    pub fn look(&mut self, now: Micros) {
         for open in self.open.values_mut() {
             while open.front().is_some_and(|s| now > s.at + IN_PLACE) {
                 open.pop_front();
--- a/crates/sim/src/stopped/tests.rs
+++ b/crates/sim/src/preemptions/tests.rs
@@ -7,7 +7,7 @@
         run_s: 1.0,
         fails: false,
         command: None,
-        sent: 0,
+        submitted_at: 0,
     };
     [
         ("job-1", plan(2.0, "best_effort", "one")),
@@ -18,19 +18,19 @@
     .into()
 }
 
-fn event(piece: &str, what: Happened) -> Event {
-    Event {
-        piece: piece.into(),
+fn event(task_id: &str, what: TaskTransition) -> TaskEvent {
+    TaskEvent {
+        task_id: task_id.into(),
         attempt: 1,
-        what,
+        transition: what,
     }
 }
 
 #[test]
 fn a_stop_counts_by_who_starts_in_its_place() {
-    let (plans, mut s) = (plans(), Stops::default());
-    let six: Vec<Event> = (0..6)
-        .map(|i| event(&format!("job-1/{i}"), Happened::Stopped))
+    let (plans, mut s) = (plans(), PreemptionTracker::default());
+    let six: Vec<TaskEvent> = (0..6)
+        .map(|i| event(&format!("job-1/{i}"), TaskTransition::Stopped))
         .collect();
     s.saw(0, 1, false, &six, &plans, |_| false);
     s.saw(0, 2, false, &six, &plans, |_| false);
@@ -39,7 +39,7 @@
         SECOND,
         1,
         false,
-        &[event("job-2/0", Happened::Began)],
+        &[event("job-2/0", TaskTransition::Started)],
         &plans,
         |_| false,
     );
@@ -47,7 +47,7 @@
         SECOND,
         2,
         false,
-        &[event("job-1/7", Happened::Began)],
+        &[event("job-1/7", TaskTransition::Started)],
         &plans,
         |_| false,
     );
@@ -55,7 +55,7 @@
         SECOND,
         2,
         false,
-        &[event("job-3/0", Happened::Began)],
+        &[event("job-3/0", TaskTransition::Started)],
         &plans,
         |_| false,
     );
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -17,12 +17,12 @@
 use judging::{judge, settle, waited};
 use words::{number, seconds};
 
-use crate::cluster::{Due, Event, Sim, Tally};
+use crate::cluster::{Event, LossCounts, ScriptStep, Sim};
 use crate::fingerprint::Fingerprint;
 use beamhinge_controller::faults::Faults;
 use beamhinge_core::settings::{Operator, Settings, Team};
-use beamhinge_emulator::cloud::Kind;
-use beamhinge_emulator::{Us, SECOND};
+use beamhinge_emulator::cloud::{CapacityPool, InstanceType};
+use beamhinge_emulator::{Micros, SECOND};
 use serde_json::json;
 
 /// Longest time from the end of the last trouble until all that fits is done.
@@ -35,17 +35,17 @@
 /// Why a scenario failed, or could not be played.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{0}")]
-pub struct Wrong(String);
+pub struct ScenarioError(String);
 
-impl From<String> for Wrong {
-    fn from(text: String) -> Wrong {
-        Wrong(text)
+impl From<String> for ScenarioError {
+    fn from(text: String) -> ScenarioError {
+        ScenarioError(text)
     }
 }
 
-impl From<&str> for Wrong {
-    fn from(text: &str) -> Wrong {
-        Wrong(text.to_string())
+impl From<&str> for ScenarioError {
+    fn from(text: &str) -> ScenarioError {
+        ScenarioError(text.to_string())
     }
 }
 
@@ -71,7 +71,7 @@
     pub idle_machines: usize,
     /// Seconds from the last trouble until all was done.
     pub settled_s: f64,
-    pub tally: Tally,
+    pub losses: LossCounts,
     pub started: u64,
     pub most_machines: u32,
     /// Each job's wait for its first start, seconds; those that never started are
@@ -111,7 +111,7 @@
     pub cpus: f64,
 }
 
-const START: Us = 3_600 * SECOND;
+const START: Micros = 3_600 * SECOND;
 const ZONES: [&str; 2] = ["north", "south"];
 
 fn settings(nodes: usize, team_max: f64) -> Vec<Settings> {
@@ -141,7 +141,7 @@
 ///
 /// # Errors
 /// When a line cannot be understood.
-pub fn play(text: &str, faults: Faults) -> Result<Outcome, Wrong> {
+pub fn play(text: &str, faults: Faults) -> Result<Outcome, ScenarioError> {
     let lines: Vec<Vec<&str>> = text
         .lines()
         .map(|l| {
@@ -215,15 +215,15 @@
     let (zones, mut end) = (ZONES, 60 * SECOND);
     sim.cloud.zones = zones.iter().map(|z| z.to_string()).collect();
     let boot_s = get("boot", 5.0);
-    let kind = |label: &str, cpus, rate, low| Kind {
+    let kind = |label: &str, cpus, price, spot_price| InstanceType {
         label: label.into(),
         cpus,
         memory_gb: cpus * 4.0,
-        rate,
-        low,
+        price,
+        spot_price,
         boot_s,
     };
-    sim.cloud.kinds = vec![kind("c8", 8.0, 1.0, 0.3), kind("c32", 32.0, 4.0, 1.2)];
+    sim.cloud.instance_types = vec![kind("c8", 8.0, 1.0, 0.3), kind("c32", 32.0, 4.0, 1.2)];
     for zone in zones {
         for (machine_type, spot, n) in [
             ("c8", true, get("spot", 4.0)),
@@ -232,16 +232,18 @@
         ] {
             sim.cloud
                 .capacity
-                .insert((machine_type.into(), zone.into(), spot), n as u32);
+                .insert(CapacityPool::new(machine_type, zone, spot), n as u32);
         }
     }
     for i in 0..get("owned", 2.0) as usize {
-        let id = sim
-            .cloud
-            .add(START, "c8", zones[i % 2], false, Some(SECOND / 10));
+        let id = sim.cloud.add(
+            START,
+            &CapacityPool::new("c8", zones[i % 2], false),
+            Some(SECOND / 10),
+        );
         sim.push(START + SECOND / 10, Event::Report { machine: id });
     }
-    let _ = sim.cloud.take_booted();
+    let _ = sim.cloud.take_created();
     sim.owned = sim.cloud.next_machine();
     let mut actions: Vec<&[&str]> = Vec::new();
     let mut expect: Vec<&[&str]> = Vec::new();
@@ -256,10 +258,10 @@
             "expect" => expect.push(&w[1..]),
             // What is broken on purpose need not end well.
             "double" => match w.get(1).copied().unwrap_or("") {
-                "hide-tasks" => sim.doubles.hide_tasks = true,
-                "deaf-to-kill" => sim.doubles.deaf_to_kill = true,
-                "forgets-jobs" => sim.doubles.forgets_jobs = true,
-                "early-done" => sim.doubles.early_done = true,
+                "hide-tasks" => sim.protocol_faults.hide_tasks = true,
+                "deaf-to-kill" => sim.protocol_faults.ignore_kill = true,
+                "forgets-jobs" => sim.protocol_faults.forgets_jobs = true,
+                "early-done" => sim.protocol_faults.early_done = true,
                 other => return Err(format!("unknown double '{other}'").into()),
             },
             "plant" => sim.state.plant(w[1], json!({"v": 999})),
@@ -277,8 +279,8 @@
     loop {
         sim.run_until(START + end);
         match sim.due_script() {
-            Some(Due::Line(line)) => act(&mut sim, actions[line])?,
-            Some(Due::Armed(words)) => {
+            Some(ScriptStep::Line(line)) => act(&mut sim, actions[line])?,
+            Some(ScriptStep::Armed(words)) => {
                 act(
                     &mut sim,
                     &words.iter().map(String::as_str).collect::<Vec<_>>(),
@@ -292,8 +294,8 @@
         wrong: judge(&mut sim, &expect),
         ..Outcome::default()
     };
-    let doubles = lines.iter().any(|w| w[0] == "double");
-    if settles && !doubles {
+    let protocol_faults = lines.iter().any(|w| w[0] == "double");
+    if settles && !protocol_faults {
         settle(
             &mut sim,
             get("settle", SETTLE_S as f64) as u64,
@@ -317,22 +319,28 @@
     if !outcome.violations.is_empty() {
         outcome.wrong.push(format!("rules broken: {:?}", sim.log));
     }
-    for abused in sim.state.abused.iter().chain(&sim.cloud.abused).take(3) {
+    for abused in sim
+        .state
+        .violations
+        .iter()
+        .chain(&sim.cloud.violations)
+        .take(3)
+    {
         outcome.wrong.push(format!("misused: {abused}"));
     }
-    outcome.tally = sim.tally.clone();
+    outcome.losses = sim.losses.clone();
     for words in &expect {
         let most: f64 = words.get(1).and_then(|w| w.parse().ok()).unwrap_or(0.0);
         let figure = match words[0] {
-            "healthy-returned-at-most" => outcome.tally.healthy_returned as f64,
-            "unexplained-at-most" => outcome.tally.unexplained as f64,
+            "healthy-returned-at-most" => outcome.losses.healthy_returned as f64,
+            "unexplained-at-most" => outcome.losses.unexplained as f64,
             "settled-within" => outcome.settled_s,
             "late-starts-at-most" => outcome.late_starts as f64,
             "older-within" => outcome.late_older_s,
             "waits-beside-room-at-most" => outcome.beside_room_s,
             "answered-within" => outcome.unanswered_s,
             "largest-begin-within" => outcome.largest.as_ref().map_or(0.0, |(_, s)| *s),
-            "expired-at-most" => outcome.tally.expired as f64,
+            "expired-at-most" => outcome.losses.expired as f64,
             "stopped-at-most" => sim.stops.stopped as f64,
             "in-vain-at-most" => sim.stops.in_vain as f64,
             // The other way round: a part that everybody got.
@@ -352,7 +360,7 @@
                 .push(format!("expected {}; it was {figure}", words.join(" ")));
         }
     }
-    (outcome.started, outcome.most_machines) = (sim.started, sim.cloud.most);
+    (outcome.started, outcome.most_machines) = (sim.started, sim.cloud.peak_instances);
     outcome.leaderless_s = sim.leaderless as f64 / 1e6;
     (outcome.stopped, outcome.in_vain) = (sim.stops.stopped, sim.stops.in_vain);
     outcome.waits = sim
--- a/crates/sim/src/scenario/actions.rs
+++ b/crates/sim/src/scenario/actions.rs
@@ -1,11 +1,13 @@
 //! Actions of a scenario: what its `at` lines do.
 
 use super::words::{number, option, seconds};
-use super::Wrong;
-use crate::cluster::{Event, Question, Sim};
+use super::ScenarioError;
+use crate::cluster::{Event, OperatorRequest, Sim};
 use beamhinge_core::http::Method;
-use beamhinge_emulator::user::What;
-use beamhinge_emulator::{JobPlan, Us, SECOND};
+use beamhinge_emulator::cloud::CapacityPool;
+use beamhinge_emulator::state::RejectedWrites;
+use beamhinge_emulator::user::UserRequest;
+use beamhinge_emulator::{JobPlan, Micros, SECOND};
 use rand::Rng;
 use serde_json::json;
 
@@ -15,7 +17,7 @@
     words: &[&str],
     tasks: u64,
     expect_s: f64,
-) -> Result<serde_json::Value, Wrong> {
+) -> Result<serde_json::Value, ScenarioError> {
     let flag = |name: &str| words.contains(&name);
     let kind = if flag("standing") {
         "standing"
@@ -34,7 +36,13 @@
     }))
 }
 
-pub(super) fn plan_job(sim: &mut Sim, body: serde_json::Value, run_s: f64, fails: bool, at: Us) {
+pub(super) fn plan_job(
+    sim: &mut Sim,
+    body: serde_json::Value,
+    run_s: f64,
+    fails: bool,
+    at: Micros,
+) {
     let id = body["nameId"].as_str().unwrap_or_default().to_string();
     sim.unstarted.insert(id.clone());
     sim.jobs.insert(
@@ -44,20 +52,20 @@
             run_s,
             fails,
             command: None,
-            sent: at,
+            submitted_at: at,
         },
     );
     sim.push(
         at,
         Event::UserSends {
             job: id,
-            what: What::Submit,
+            what: UserRequest::Submit,
             since: at,
         },
     );
 }
 
-pub(super) fn submit(sim: &mut Sim, words: &[&str]) -> Result<(), Wrong> {
+pub(super) fn submit(sim: &mut Sim, words: &[&str]) -> Result<(), ScenarioError> {
     let id = words.first().ok_or("submit needs a job")?;
     let run_s = number(words, "run", 5.0)?;
     let tasks = number(words, "tasks", 1.0)? as u64;
@@ -74,16 +82,16 @@
 }
 
 /// WHAT PART for=SECONDS: that part of what is sent, until then.
-pub(super) fn part_until(sim: &Sim, words: &[&str]) -> Result<(f64, Us), Wrong> {
+pub(super) fn part_until(sim: &Sim, words: &[&str]) -> Result<(f64, Micros), ScenarioError> {
     let part: f64 = words
         .get(1)
         .and_then(|w| w.parse().ok())
         .ok_or("which part?")?;
-    let until = sim.now + (number(words, "for", 30.0)? * 1e6) as Us;
+    let until = sim.now + (number(words, "for", 30.0)? * 1e6) as Micros;
     Ok((part.clamp(0.0, 1.0), until))
 }
 
-pub(super) fn node(sim: &Sim, word: &str) -> Result<usize, Wrong> {
+pub(super) fn node(sim: &Sim, word: &str) -> Result<usize, ScenarioError> {
     match word {
         "leader" => Ok(sim.leader().unwrap_or(0)),
         "follower" => {
@@ -97,12 +105,12 @@
     }
 }
 
-pub(super) fn act(sim: &mut Sim, words: &[&str]) -> Result<(), Wrong> {
+pub(super) fn act(sim: &mut Sim, words: &[&str]) -> Result<(), ScenarioError> {
     let arg = |i: usize| {
         words
             .get(i)
             .copied()
-            .ok_or_else(|| Wrong::from(format!("too few words: {words:?}")))
+            .ok_or_else(|| ScenarioError::from(format!("too few words: {words:?}")))
     };
     match arg(0)? {
         "submit" => submit(sim, &words[1..])?,
@@ -113,9 +121,9 @@
                 sim.asks_at = Some(node(sim, on)?);
             }
             let what = match what {
-                "poll" => What::Poll,
-                "again" => What::Submit,
-                _ => What::Cancel,
+                "poll" => UserRequest::Poll,
+                "again" => UserRequest::Submit,
+                _ => UserRequest::Cancel,
             };
             let since = sim.now;
             sim.push(since, Event::UserSends { job, what, since });
@@ -136,7 +144,7 @@
             };
             let (path, body) = (sim.expand(word(1)), sim.expand(word(2)));
             let name = arg(1)?.to_string();
-            let q = Question {
+            let q = OperatorRequest {
                 name,
                 node,
                 method,
@@ -168,7 +176,7 @@
             // copies PART most=SECONDS for=SECONDS: of reports, frames, commands and
             // requests that change something, a copy comes late.
             let (part, until) = part_until(sim, words)?;
-            let most = (number(words, "most", 10.0)? * 1e6) as Us;
+            let most = (number(words, "most", 10.0)? * 1e6) as Micros;
             sim.copies = (part, most, until);
         }
         "crash-all" => {
@@ -196,14 +204,14 @@
                 }
             }
             if matches!(arg(2)?, "workers" | "all") {
-                sim.tally.cut_off += sim.up(None);
+                sim.losses.cut_off += sim.up(None);
             }
             sim.explain_until(until);
         }
         "zone-cut" => {
             // zone-cut ZONE SECONDS [hold]
             let until = sim.now + seconds(arg(2)?)?;
-            sim.tally.cut_off += sim.up(Some(arg(1)?));
+            sim.losses.cut_off += sim.up(Some(arg(1)?));
             sim.zone_cuts
                 .insert(arg(1)?.to_string(), (until, words.contains(&"hold")));
             sim.explain_until(until);
@@ -222,27 +230,27 @@
         }
         "roll" => {
             // All controllers restart, one after the other.
-            let every = (number(words, "every", 20.0)? * 1e6) as Us;
+            let every = (number(words, "every", 20.0)? * 1e6) as Micros;
             for i in 0..sim.settings.len() {
-                let at = sim.now + i as Us * every;
+                let at = sim.now + i as Micros * every;
                 sim.push(at, Event::Crash(i));
                 sim.push(at + 4 * SECOND, Event::Start(i));
                 sim.explain_until(at);
             }
         }
         "state-slow" => {
-            let until = sim.now + (number(words, "for", 30.0)? * 1e6) as Us;
+            let until = sim.now + (number(words, "for", 30.0)? * 1e6) as Micros;
             sim.state_slow = (number(words, "factor", 10.0)?, until);
             sim.explain_until(until);
         }
         "capacity" => {
             // capacity PART: of what the cloud has, from now on.
             let part: f64 = arg(1)?.parse().map_err(|_| "capacity PART")?;
-            sim.cloud.part = part;
+            sim.cloud.capacity_fraction = part;
         }
         "stream" => stream(sim, &words[1..])?,
         "poll-storm" => {
-            let until = sim.now + (number(words, "for", 30.0)? * 1e6) as Us;
+            let until = sim.now + (number(words, "for", 30.0)? * 1e6) as Micros;
             sim.storm = (number(words, "factor", 8.0)?, until);
         }
         "when" => {
@@ -263,47 +271,50 @@
             sim.explain_until(until);
         }
         "cloud-down" => sim.cloud.down_until = sim.now + seconds(arg(1)?)?,
-        "refuse-rents" => sim.cloud.refuses_until = sim.now + seconds(arg(1)?)?,
-        "refuse-pages" => sim.state.refuses = ("p/", sim.now + seconds(arg(1)?)?),
+        "refuse-rents" => sim.cloud.rejects_scale_out_until = sim.now + seconds(arg(1)?)?,
+        "refuse-pages" => {
+            sim.state.rejected_writes = RejectedWrites {
+                prefix: "p/",
+                until: sim.now + seconds(arg(1)?)?,
+            }
+        }
         "lose-replies" => sim.lose_replies = number(words, "part", 0.2)?,
         "late-commits" => sim.late = number(words, "part", 0.2)?,
         "calm" => {
-            (sim.lose_replies, sim.late, sim.troubles.lose_cloud) = (0.0, 0.0, 0.0);
+            (sim.lose_replies, sim.late, sim.fault_injection.lose_cloud) = (0.0, 0.0, 0.0);
         }
-        "forget-changes" => sim.state.keep_changes = number(words, "keep", 3.0)? as usize,
-        "stuck-boots" => sim.cloud.stuck = number(words, "count", 2.0)? as u32,
+        "forget-changes" => sim.state.history_limit = number(words, "keep", 3.0)? as usize,
+        "stuck-boots" => sim.cloud.stuck_boots = number(words, "count", 2.0)? as u32,
         "unlisted" => {
-            let zone = sim.cloud.zones[0].clone();
-            let machine_type = sim.cloud.kinds[0].label.clone();
-            let id = sim
-                .cloud
-                .add(sim.now, &machine_type, &zone, true, Some(SECOND));
-            let _ = sim.cloud.take_booted();
+            let machine_type = sim.cloud.instance_types[0].label.clone();
+            let pool = CapacityPool::new(machine_type, sim.cloud.zones[0].clone(), true);
+            let id = sim.cloud.add(sim.now, &pool, Some(SECOND));
+            let _ = sim.cloud.take_created();
             sim.push(sim.now + SECOND, Event::Report { machine: id });
         }
         "keep-reports" => {
             // keep-reports PART for=SECONDS: copies that reach all at the next take.
-            sim.troubles.keeps = part_until(sim, words)?;
+            sim.fault_injection.keeps = part_until(sim, words)?;
         }
-        "cancel-at-end" => sim.troubles.at_end = part_until(sim, words)?,
-        "close-looks" => sim.troubles.looks = sim.now + seconds(arg(1)?)?,
+        "cancel-at-end" => sim.fault_injection.at_end = part_until(sim, words)?,
+        "close-looks" => sim.fault_injection.looks = sim.now + seconds(arg(1)?)?,
         "cancel-now" => {
-            let hang = (number(words, "hang", 0.0)? * 1e6) as Us;
+            let hang = (number(words, "hang", 0.0)? * 1e6) as Micros;
             sim.cancel_now(number(words, "count", 5.0)? as usize, hang);
         }
         "links-lossy" => {
             // links-lossy PART most=SECONDS for=SECONDS: so many frames between
             // controllers are lost and sent again, which holds up those behind them.
             let (part, until) = part_until(sim, words)?;
-            let most = (number(words, "most", 1.0)?.max(0.3) * 1e6) as Us;
-            sim.troubles.frame_loss = (part, most, until);
+            let most = (number(words, "most", 1.0)?.max(0.3) * 1e6) as Micros;
+            sim.fault_injection.frame_loss = (part, most, until);
         }
         "links-slow" => {
             // links-slow SECONDS for=SECONDS: every message of a controller takes longer.
-            let until = sim.now + (number(words, "for", 30.0)? * 1e6) as Us;
-            sim.troubles.slow = (seconds(arg(1)?)?, until);
+            let until = sim.now + (number(words, "for", 30.0)? * 1e6) as Micros;
+            sim.fault_injection.slow = (seconds(arg(1)?)?, until);
         }
-        "lose-cloud-replies" => sim.troubles.lose_cloud = number(words, "part", 0.2)?,
+        "lose-cloud-replies" => sim.fault_injection.lose_cloud = number(words, "part", 0.2)?,
         what @ ("take" | "notice" | "hang" | "cut-machines" | "sick" | "slow" | "die"
         | "cut-inbound" | "cut-outbound" | "reboot") => {
             // The machines with the most on them, as the bench would choose.
@@ -314,7 +325,7 @@
                 .workers
                 .iter()
                 .filter(|(_, w)| zone.is_none_or(|z| z == w.zone))
-                .map(|(id, w)| (w.on_machine().count(), *id))
+                .map(|(id, w)| (w.running().count(), *id))
                 .collect();
             busy.sort_by(|a, b| b.cmp(a));
             for (_, id) in busy.into_iter().take(count) {
@@ -323,7 +334,7 @@
                     continue;
                 }
                 if what == "take" {
-                    sim.cloud.hosts.remove(&id);
+                    sim.cloud.instances.remove(&id);
                     sim.lose(id);
                     continue;
                 }
@@ -331,15 +342,15 @@
                     continue;
                 };
                 match what {
-                    "notice" => w.reclaim_at = Some(until),
-                    "hang" => w.hang_until = until,
-                    "cut-machines" => w.cut_until = until,
-                    "cut-inbound" => w.inbound_cut_until = until,
-                    "cut-outbound" => w.outbound_cut_until = until,
-                    "reboot" if words.contains(&"anew") => w.begin_anew(sim.now),
+                    "notice" => w.faults.reclaim_at = Some(until),
+                    "hang" => w.faults.hang_until = until,
+                    "cut-machines" => w.faults.cut_until = until,
+                    "cut-inbound" => w.faults.inbound_cut_until = until,
+                    "cut-outbound" => w.faults.outbound_cut_until = until,
+                    "reboot" if words.contains(&"anew") => w.reset(sim.now),
                     "reboot" => w.reboot(sim.now),
-                    "sick" => w.sick = true,
-                    _ => w.slow = 4.0,
+                    "sick" => w.faults.tasks_fail = true,
+                    _ => w.faults.slowdown = 4.0,
                 }
                 sim.push(until, Event::WorkerStep { machine: id });
                 sim.push(until, Event::Report { machine: id });
@@ -352,7 +363,7 @@
 
 /// stream FIRST count= every= tasks= cpus= run= ...: jobs at even distances, of
 /// drawn width and length, numbered from FIRST.
-pub(super) fn stream(sim: &mut Sim, words: &[&str]) -> Result<(), Wrong> {
+pub(super) fn stream(sim: &mut Sim, words: &[&str]) -> Result<(), ScenarioError> {
     let first: u64 = words
         .first()
         .and_then(|w| w.parse().ok())
@@ -366,18 +377,18 @@
         let width = (tasks * sim.rng.gen_range(0.5..1.5)).round().max(1.0);
         let run_s = run * sim.rng.gen_range(0.6..1.4);
         let body = plan_body(&format!("job-{}", first + i), words, width as u64, run_s)?;
-        let at = sim.now + (every * i as f64 * 1e6) as Us;
+        let at = sim.now + (every * i as f64 * 1e6) as Micros;
         // A job with a mistake; its user sees that after a while, and cancels it.
         let broken = broken > 0.0 && sim.rng.gen_bool(broken.min(1.0));
         plan_job(sim, body, run_s, broken, at);
         if cancelled > 0.0 && sim.rng.gen_bool(cancelled.min(1.0)) {
-            let seen = at + (sim.rng.gen_range(0.2..run * 1.2 + 0.3) * 1e6) as Us;
+            let seen = at + (sim.rng.gen_range(0.2..run * 1.2 + 0.3) * 1e6) as Micros;
             let job = format!("job-{}", first + i);
             sim.push(
                 seen,
                 Event::UserSends {
                     job,
-                    what: What::Cancel,
+                    what: UserRequest::Cancel,
                     since: seen,
                 },
             );
@@ -389,7 +400,7 @@
                 seen,
                 Event::UserSends {
                     job,
-                    what: What::Cancel,
+                    what: UserRequest::Cancel,
                     since: seen,
                 },
             );
--- a/crates/sim/src/scenario/judging.rs
+++ b/crates/sim/src/scenario/judging.rs
@@ -2,8 +2,8 @@
 
 use super::{Outcome, Wait, IDLE_S, SERVED_S, START};
 use crate::cluster::Sim;
-use crate::waiting::WAITS_S;
-use beamhinge_emulator::{Us, SECOND};
+use crate::starvation::WAITS_S;
+use beamhinge_emulator::{Micros, SECOND};
 
 /// Liveness: once all troubles have ended, everything that fits is done within a
 /// stated time, and no money goes on being spent on nothing.
@@ -29,8 +29,8 @@
         sim.run_until(sim.now + 2 * SECOND);
         while sim.due_script().is_some() {}
     }
-    outcome.beside_room_s = sim.waiting.longest as f64 / 1e6;
-    outcome.left_waiting = sim.waiting.left.iter().cloned().collect();
+    outcome.beside_room_s = sim.starvation.longest as f64 / 1e6;
+    outcome.left_waiting = sim.starvation.left.iter().cloned().collect();
     if !outcome.left_waiting.is_empty() {
         let jobs = &outcome.left_waiting;
         outcome.wrong.push(format!(
@@ -61,14 +61,14 @@
     }
 }
 
-pub(super) fn waited(sim: &Sim, job: &str, started: Us) -> Option<Wait> {
+pub(super) fn waited(sim: &Sim, job: &str, started: Micros) -> Option<Wait> {
     let plan = sim.jobs.get(job)?;
     let number = |name: &str| plan.body[name].as_f64().unwrap_or(0.0);
     Some(Wait {
         job: job.to_string(),
         urgency: plan.body["urgency"].as_str().unwrap_or("").to_string(),
-        sent_s: plan.sent.saturating_sub(START) as f64 / 1e6,
-        wait_s: started.saturating_sub(plan.sent) as f64 / 1e6,
+        sent_s: plan.submitted_at.saturating_sub(START) as f64 / 1e6,
+        wait_s: started.saturating_sub(plan.submitted_at) as f64 / 1e6,
         tasks: number("pieces") as u64,
         cpus: number("vcpus"),
     })
@@ -86,11 +86,11 @@
             "not-done" => told.as_ref().is_some_and(|t| t.accepted && !t.done),
             "status" => {
                 told.as_ref()
-                    .and_then(|t| t.final_status)
+                    .and_then(|t| t.submit_status)
                     .map(|s| s.to_string())
                     == Some(arg(2).to_string())
             }
-            "empty" => sim.workers.values().all(|w| w.on_machine().count() == 0),
+            "empty" => sim.workers.values().all(|w| w.running().count() == 0),
             // What operators were told.
             "told" => sim.answers.get(arg(1)).map(|a| a.0.to_string()).as_deref() == Some(arg(2)),
             "reason" | "no-reason" => {
@@ -109,12 +109,12 @@
             "running" => {
                 sim.workers
                     .values()
-                    .map(|w| w.on_machine().count())
+                    .map(|w| w.running().count())
                     .sum::<usize>()
                     == arg(1).parse().unwrap_or(0)
             }
-            "machines-at-most" => sim.cloud.most <= arg(1).parse().unwrap_or(0),
-            "machines-left-at-most" => sim.cloud.hosts.len() <= arg(1).parse().unwrap_or(0),
+            "machines-at-most" => sim.cloud.peak_instances <= arg(1).parse().unwrap_or(0),
+            "machines-left-at-most" => sim.cloud.instances.len() <= arg(1).parse().unwrap_or(0),
             "starts-at-most" => sim.started <= arg(1).parse().unwrap_or(0),
             "starts-at-least" => sim.started >= arg(1).parse().unwrap_or(u64::MAX),
             // Changes of the state service: work counted, not time.
@@ -164,13 +164,13 @@
     if wrong.is_empty() {
         return wrong;
     }
-    let hosts = sim.cloud.hosts.len();
+    let hosts = sim.cloud.instances.len();
     for (name, (status, body)) in &sim.answers {
         wrong.push(format!("{name} was told {status}: {body}"));
     }
     wrong.push(format!(
         "{} tasks started; {hosts} machines left, at most {}; {} writes",
-        sim.started, sim.cloud.most, sim.state.writes
+        sim.started, sim.cloud.peak_instances, sim.state.writes
     ));
     wrong
 }
--- a/crates/sim/src/scenario/words.rs
+++ b/crates/sim/src/scenario/words.rs
@@ -1,11 +1,11 @@
 //! Words of a scenario's lines: times, options and numbers.
 
-use super::Wrong;
-use beamhinge_emulator::Us;
+use super::ScenarioError;
+use beamhinge_emulator::Micros;
 
-pub(super) fn seconds(text: &str) -> Result<Us, Wrong> {
+pub(super) fn seconds(text: &str) -> Result<Micros, ScenarioError> {
     let s: f64 = text.parse().map_err(|_| format!("'{text}' is no time"))?;
-    Ok((s * 1e6) as Us)
+    Ok((s * 1e6) as Micros)
 }
 
 pub(super) fn option<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
@@ -14,7 +14,7 @@
         .find_map(|w| w.strip_prefix(name)?.strip_prefix('='))
 }
 
-pub(super) fn number(words: &[&str], name: &str, default: f64) -> Result<f64, Wrong> {
+pub(super) fn number(words: &[&str], name: &str, default: f64) -> Result<f64, ScenarioError> {
     match option(words, name) {
         Some(text) => text
             .parse()
--- a/crates/sim/src/waiting.rs
+++ b/crates/sim/src/starvation.rs
@@ -3,9 +3,8 @@
 //! never by the controllers' books.
 
 use crate::cluster::Sim;
-use crate::rules::Place;
-use beamhinge_emulator::worker::Worker;
-use beamhinge_emulator::{JobPlan, Us, SECOND};
+use beamhinge_emulator::worker::{Capacity, Worker};
+use beamhinge_emulator::{JobPlan, Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// So long a job may wait beside room that fits, seconds.
@@ -13,13 +12,13 @@
 
 /// What is known of jobs that wait beside room.
 #[derive(Default)]
-pub struct Waiting {
+pub struct StarvationTracker {
     /// Since when, and how many tasks had begun by then.
-    since: BTreeMap<String, (Us, u64)>,
+    since: BTreeMap<String, (Micros, u64)>,
     /// Jobs that waited for too long.
     pub left: BTreeSet<String>,
     /// The longest that any has.
-    pub longest: Us,
+    pub longest: Micros,
 }
 
 fn amount(plan: &JobPlan, name: &str) -> f64 {
@@ -33,8 +32,8 @@
         let mut used: BTreeMap<String, f64> = BTreeMap::new();
         let mut live: BTreeMap<&str, Vec<&Worker>> = BTreeMap::new();
         for w in self.workers.values() {
-            for t in w.taking_room() {
-                let job = t.piece.split('/').next().unwrap_or("");
+            for t in w.occupying() {
+                let job = t.task_id.split('/').next().unwrap_or("");
                 let Some(plan) = self.jobs.get(job) else {
                     continue;
                 };
@@ -44,9 +43,12 @@
             }
         }
         let healthy = |w: &&Worker| {
-            self.now >= w.troubled_until() && !w.sick && w.slow <= 1.0 && w.reclaim_at.is_none()
+            self.now >= w.faults.faulty_until()
+                && !w.faults.tasks_fail
+                && w.faults.slowdown <= 1.0
+                && w.faults.reclaim_at.is_none()
         };
-        let rooms: Vec<(&Worker, (f64, f64))> = self
+        let rooms: Vec<(&Worker, Capacity)> = self
             .workers
             .values()
             .filter(healthy)
@@ -77,12 +79,11 @@
             if most > 0.0 && used.get(owner).unwrap_or(&0.0) + cpus > most + 1e-6 {
                 continue;
             }
-            let fits = |(w, (free, memory)): &(&Worker, (f64, f64))| {
+            let fits = |(w, free): &(&Worker, Capacity)| {
                 let zones = || on.iter().map(|o| &o.zone);
                 let there = zones().filter(|z| **z == w.zone).count() as u64;
-                cpus <= free + 1e-6
-                    && amount(plan, "memoryGb") <= memory + 1e-6
-                    && Place::of(w).allows(&plan.body)
+                free.fits(plan)
+                    && plan.allows(&w.attributes())
                     && !(plan.body["oneZone"] == true && zones().any(|z| *z != w.zone))
                     && !(plan.body["apart"] == true && there >= total.div_ceil(2))
             };
@@ -90,16 +91,16 @@
                 waits.insert(id.clone(), ended + on.len() as u64);
             }
         }
-        let since = std::mem::take(&mut self.waiting.since);
+        let since = std::mem::take(&mut self.starvation.since);
         for (id, begun) in waits {
             // A task more that began or ended: it is served.
             let before = since.get(&id).filter(|(_, then)| *then >= begun);
             let at = before.map_or(self.now, |(at, _)| *at).max(healed);
-            self.waiting.longest = self.waiting.longest.max(self.now - at);
+            self.starvation.longest = self.starvation.longest.max(self.now - at);
             if self.now - at > WAITS_S * SECOND {
-                self.waiting.left.insert(id.clone());
+                self.starvation.left.insert(id.clone());
             }
-            self.waiting.since.insert(id, (at, begun));
+            self.starvation.since.insert(id, (at, begun));
         }
     }
 }
--- a/crates/sim/tests/found.rs
+++ b/crates/sim/tests/found.rs
@@ -13,7 +13,7 @@
 )]
 
 use beamhinge_controller::faults::Faults;
-use beamhinge_sim::{days, meetings, scenario};
+use beamhinge_sim::{combined_faults, days, scenario};
 
 fn both(text: &str, faults: Faults) -> (bool, scenario::Outcome) {
     let with = scenario::play(text, faults).expect("a scenario");
@@ -58,7 +58,7 @@
     let sound = scenario::play(day, Faults::default()).expect("a scenario");
     assert!(!days::faulty(&sound), "{sound:?}");
     assert!(
-        sound.tally.given_back_ill > 0,
+        sound.losses.given_back_ill > 0,
         "the day no longer shows it: {sound:?}"
     );
 }
@@ -101,7 +101,9 @@
 /// A fixed few of the drawn meetings; `beamhinge-testbed days --meetings` draws more.
 #[test]
 fn drawn_meetings_keep_the_rules() {
-    let days: Vec<_> = (0..24).map(|n| meetings::draw(4, n, (6.0, 30.0))).collect();
+    let days: Vec<_> = (0..24)
+        .map(|n| combined_faults::generate(4, n, (6.0, 30.0)))
+        .collect();
     std::thread::scope(|scope| {
         for part in days.chunks(6) {
             scope.spawn(move || {
--- a/crates/testbed/src/ageing.rs
+++ b/crates/testbed/src/ageing.rs
@@ -150,7 +150,7 @@
     let plan: Vec<(u64, bool)> = (0..o.nights)
         .flat_map(|n| [(seed + n, false), (seed + n, true)])
         .collect();
-    let played: Vec<Result<Outcome, scenario::Wrong>> = std::thread::scope(|scope| {
+    let played: Vec<Result<Outcome, scenario::ScenarioError>> = std::thread::scope(|scope| {
         let runs: Vec<_> = plan
             .iter()
             .map(|(s, on)| {
@@ -162,16 +162,17 @@
                 })
             })
             .collect();
-        let ended = |r: std::thread::ScopedJoinHandle<'_, Result<Outcome, scenario::Wrong>>| {
-            r.join()
-                .unwrap_or_else(|_| Err("the night ended by itself".to_string().into()))
-        };
+        let ended =
+            |r: std::thread::ScopedJoinHandle<'_, Result<Outcome, scenario::ScenarioError>>| {
+                r.join()
+                    .unwrap_or_else(|_| Err("the night ended by itself".to_string().into()))
+            };
         runs.into_iter().map(ended).collect()
     });
     let policy = Policy::new(ageing);
     let (mut nights, mut failed) = (Vec::new(), Vec::new());
     for (pair, seeds) in played.chunks(2).zip(plan.chunks(2)) {
-        let told = |r: &Result<Outcome, scenario::Wrong>| match r {
+        let told = |r: &Result<Outcome, scenario::ScenarioError>| match r {
             Ok(o) => Ok(o.clone()),
             Err(e) => Err(LabError::Other(e.to_string())),
         };
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -2,9 +2,9 @@
 
 use crate::LabError;
 use beamhinge_controller::faults::Faults;
+use beamhinge_sim::combined_faults;
 use beamhinge_sim::days::{self, Day, Size};
 use beamhinge_sim::fingerprint::days as fingerprints;
-use beamhinge_sim::meetings;
 use beamhinge_sim::scenario::{self, Outcome};
 use clap::Args;
 use serde_json::{json, Value};
@@ -64,7 +64,7 @@
     Faults::named(name).ok_or_else(|| "no guard or fault is called so".into())
 }
 
-type Played = Result<Outcome, scenario::Wrong>;
+type Played = Result<Outcome, scenario::ScenarioError>;
 
 pub fn run(seed: u64, quick: bool, o: &Options) -> Result<Value, LabError> {
     let size = if quick { days::SMALL } else { days::FULL };
@@ -93,7 +93,7 @@
     played.sort_by_key(|(n, ..)| *n);
     let mut troubles: BTreeMap<&str, u32> = BTreeMap::new();
     plan.iter()
-        .flat_map(|d| &d.troubles)
+        .flat_map(|d| &d.fault_counts)
         .for_each(|(k, n)| *troubles.entry(k).or_default() += n);
     let (mut violations, mut stuck, mut idle, mut failed) = (0, 0, 0, Vec::new());
     let (mut slowest_largest, mut latest, mut unanswered) = (0.0, 0.0, 0.0);
@@ -108,9 +108,9 @@
         violations += outcome.violations.len();
         stuck += usize::from(!outcome.stuck.is_empty());
         idle += usize::from(outcome.idle_machines > 0);
-        healthy += outcome.tally.healthy_returned;
-        cut_off += outcome.tally.cut_off;
-        unexplained += outcome.tally.unexplained;
+        healthy += outcome.losses.healthy_returned;
+        cut_off += outcome.losses.cut_off;
+        unexplained += outcome.losses.unexplained;
         started += outcome.started;
         slowest = f64::max(slowest, outcome.settled_s);
         latest = f64::max(latest, outcome.cancelled_left);
@@ -142,9 +142,9 @@
             outcome.most_machines,
             outcome.started,
             outcome.settled_s,
-            outcome.tally.cut_off,
-            outcome.tally.healthy_returned,
-            outcome.tally.unexplained,
+            outcome.losses.cut_off,
+            outcome.losses.healthy_returned,
+            outcome.losses.unexplained,
             outcome.stopped,
             outcome.in_vain,
             served.1,
@@ -220,13 +220,13 @@
         let machines = if few { (6.0, 60.0) } else { (40.0, 1_500.0) };
         return Ok(numbers
             .into_iter()
-            .map(|n| meetings::draw(seed, n, machines))
+            .map(|n| combined_faults::generate(seed, n, machines))
             .collect());
     }
     let Some(path) = &o.file else {
         return Ok(numbers
             .into_iter()
-            .map(|n| days::draw(seed, n, size))
+            .map(|n| days::generate(seed, n, size))
             .collect());
     };
     let text = std::fs::read_to_string(path)?;
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -4,8 +4,8 @@
 //! controller that is wrong cannot hide it here.
 
 use beamhinge_admin_api::messages::State;
-use beamhinge_emulator::platform::Seen;
-use beamhinge_emulator::worker::Happened;
+use beamhinge_emulator::worker::TaskTransition;
+use beamhinge_emulator::worker_pool::MachineEvent;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An answer about one job; times in seconds of the experiment.
@@ -58,24 +58,24 @@
 }
 
 impl Machines {
-    pub fn saw(&mut self, at: f64, seen: &Seen) {
-        let piece = &seen.event.piece;
-        match seen.event.what {
-            Happened::Began => {
+    pub fn saw(&mut self, at: f64, seen: &MachineEvent) {
+        let task_id = &seen.event.task_id;
+        match seen.event.transition {
+            TaskTransition::Started => {
                 self.begins.push(at);
-                if let Some(other) = self.on.insert(piece.clone(), seen.machine) {
+                if let Some(other) = self.on.insert(task_id.clone(), seen.machine) {
                     self.twice.push(format!(
-                        "{piece} began on machine {} while on {other}, at {at:.3} s",
+                        "{task_id} began on machine {} while on {other}, at {at:.3} s",
                         seen.machine
                     ));
                 }
             }
-            Happened::Ended => {
-                self.on.remove(piece);
-                self.ended.entry(piece.clone()).or_insert(at);
+            TaskTransition::Finished => {
+                self.on.remove(task_id);
+                self.ended.entry(task_id.clone()).or_insert(at);
             }
-            Happened::Stopped => {
-                self.on.remove(piece);
+            TaskTransition::Stopped => {
+                self.on.remove(task_id);
             }
         }
     }
--- a/crates/testbed/src/history/tests.rs
+++ b/crates/testbed/src/history/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use beamhinge_emulator::worker::Event;
+use beamhinge_emulator::worker::TaskEvent;
 
 fn answer(asked: f64, got: f64, what: Said) -> Answer {
     Answer {
@@ -48,17 +48,17 @@
 #[test]
 fn a_task_on_two_machines_and_an_early_done_are_found() {
     let mut m = Machines::default();
-    let seen = |machine, what| Seen {
+    let seen = |machine, what| MachineEvent {
         at: 0,
         machine,
-        event: Event {
-            piece: "job-1/0".into(),
+        event: TaskEvent {
+            task_id: "job-1/0".into(),
             attempt: 1,
-            what,
+            transition: what,
         },
     };
-    m.saw(1.0, &seen(1, Happened::Began));
-    m.saw(2.0, &seen(2, Happened::Began));
+    m.saw(1.0, &seen(1, TaskTransition::Started));
+    m.saw(2.0, &seen(2, TaskTransition::Started));
     assert_eq!(m.twice.len(), 1);
     let answers = vec![answer(2.0, 2.5, Said::State(State::Done))];
     let h = JobHistory {
@@ -70,6 +70,6 @@
     let jobs = BTreeMap::from([("job-1".to_string(), h)]);
     assert_eq!(wrong(&jobs, &m).len(), 2, "twice, and done with one open");
     m.twice.clear();
-    m.saw(2.2, &seen(2, Happened::Ended));
+    m.saw(2.2, &seen(2, TaskTransition::Finished));
     assert!(wrong(&jobs, &m).is_empty());
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -23,7 +23,7 @@
 mod restart;
 mod scale;
 
-use beamhinge_emulator::Doubles;
+use beamhinge_emulator::ProtocolFaults;
 use clap::{Parser, Subcommand, ValueEnum};
 use serde_json::Value;
 use std::path::PathBuf;
@@ -121,14 +121,14 @@
     let quick = arguments.quick;
     let result = match arguments.experiment {
         Experiment::Restart { broken } => {
-            let mut doubles = Doubles::default();
+            let mut protocol_faults = ProtocolFaults::default();
             match broken {
-                Some(Broken::HideTasks) => doubles.hide_tasks = true,
-                Some(Broken::ForgetJobs) => doubles.forgets_jobs = true,
-                Some(Broken::EarlyDone) => doubles.early_done = true,
+                Some(Broken::HideTasks) => protocol_faults.hide_tasks = true,
+                Some(Broken::ForgetJobs) => protocol_faults.forgets_jobs = true,
+                Some(Broken::EarlyDone) => protocol_faults.early_done = true,
                 None => {}
             }
-            restart::run(&lab, quick, doubles)
+            restart::run(&lab, quick, protocol_faults)
         }
         Experiment::Explain => explain::run(&lab),
         Experiment::Days(options) => days::run(arguments.seed, quick, &options),
--- a/crates/testbed/src/place.rs
+++ b/crates/testbed/src/place.rs
@@ -3,8 +3,8 @@
 use crate::LabError;
 use beamhinge_client::{Client, Patience};
 use beamhinge_dev_cluster::{Cluster, ClusterPlan};
-use beamhinge_emulator::platform::Watcher;
-use beamhinge_emulator::Doubles;
+use beamhinge_emulator::worker_pool::MachineObserver;
+use beamhinge_emulator::ProtocolFaults;
 use std::net::{SocketAddrV4, TcpListener};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -72,15 +72,15 @@
         controller: lab.controller.clone(),
         keeper: None,
         teams: vec![("home".into(), 0.0, 0.0), ("small".into(), 0.0, 4.0)],
-        doubles: Doubles::default(),
+        protocol_faults: ProtocolFaults::default(),
         operators: "rps = 2000\nconnections = 64\nwaiting = 512\n".into(),
         log_level: "info".into(),
         seed: lab.seed,
     }
 }
 
-pub fn start(plan: ClusterPlan, watcher: Watcher) -> Result<Cluster, LabError> {
-    let cluster = Cluster::start(plan, watcher)?;
+pub fn start(plan: ClusterPlan, observer: MachineObserver) -> Result<Cluster, LabError> {
+    let cluster = Cluster::start(plan, observer)?;
     let mut client = client(&cluster, 30.0);
     match client.summary() {
         Ok(_) => Ok(cluster),
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -11,7 +11,7 @@
 use beamhinge_core::http::{Content, Method};
 use beamhinge_core::wire;
 use beamhinge_dev_cluster::Cluster;
-use beamhinge_emulator::Doubles;
+use beamhinge_emulator::ProtocolFaults;
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -66,7 +66,7 @@
     kills: usize,
 }
 
-pub fn run(lab: &Lab, quick: bool, doubles: Doubles) -> Result<Value, LabError> {
+pub fn run(lab: &Lab, quick: bool, protocol_faults: ProtocolFaults) -> Result<Value, LabError> {
     let size = if quick {
         Size {
             clients: 4,
@@ -93,7 +93,7 @@
     });
     let watching = record.clone();
     let mut plan = place::plan(lab, &folder.0);
-    plan.doubles = doubles;
+    plan.protocol_faults = protocol_faults;
     let mut cluster = place::start(
         plan,
         Box::new(move |seen| {
--- a/crates/testbed/src/scale/checker.rs
+++ b/crates/testbed/src/scale/checker.rs
@@ -1,7 +1,7 @@
 //! The rules of the protocol, judged by what workers did and users were told, never by
 //! what controllers believe.
 
-use super::messages::{Record, TaskEvent, UserEvent, WallUs};
+use super::messages::{Record, TaskTransition, UserEvent, WallUs};
 use super::workload::{ScaleJob, Workload};
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -105,11 +105,11 @@
                 Record::Task {
                     at,
                     machine,
-                    piece,
+                    task_id,
                     attempt,
                     event,
                 } => {
-                    self.task(at, (machine, attempt), piece, event);
+                    self.task(at, (machine, attempt), task_id, event);
                 }
                 Record::User { at, job, event } => self.user(at, job, event),
                 _ => {}
@@ -137,32 +137,32 @@
         })
     }
 
-    fn task(&mut self, at: WallUs, attempt: Attempt, piece: String, event: TaskEvent) {
-        let id = piece.split('/').next().unwrap_or("");
+    fn task(&mut self, at: WallUs, attempt: Attempt, task_id: String, event: TaskTransition) {
+        let id = task_id.split('/').next().unwrap_or("");
         let Some(number) = id.strip_prefix("job-").and_then(|n| n.parse::<u64>().ok()) else {
-            return self.break_rule("invented", piece);
+            return self.break_rule("invented", task_id);
         };
         match event {
-            TaskEvent::Began => self.began(at, number, attempt, piece),
-            TaskEvent::Ended | TaskEvent::Stopped => {
-                self.left(at, number, attempt, &piece);
-                if event == TaskEvent::Ended {
-                    self.seen(number).ended.insert(piece);
+            TaskTransition::Started => self.began(at, number, attempt, task_id),
+            TaskTransition::Finished | TaskTransition::Stopped => {
+                self.left(at, number, attempt, &task_id);
+                if event == TaskTransition::Finished {
+                    self.seen(number).ended.insert(task_id);
                 }
             }
         }
     }
 
-    fn began(&mut self, at: WallUs, number: u64, attempt: Attempt, piece: String) {
+    fn began(&mut self, at: WallUs, number: u64, attempt: Attempt, task_id: String) {
         *self.starts.entry(at / 1_000_000).or_default() += 1;
         self.counts.tasks_started += 1;
-        let live = self.live.entry(piece.clone()).or_default();
+        let live = self.live.entry(task_id.clone()).or_default();
         let elsewhere: Vec<Attempt> = live.iter().copied().collect();
         live.insert(attempt);
         if !elsewhere.is_empty() {
             self.break_rule(
                 "ran_twice",
-                format!("{piece} on {attempt:?} and {elsewhere:?}"),
+                format!("{task_id} on {attempt:?} and {elsewhere:?}"),
             );
         }
         let seen = self.seen(number);
@@ -183,27 +183,27 @@
             let limit = self.team_limit;
             self.break_rule(
                 "quota",
-                format!("{team} uses {used:.2} of {limit:.2} by {piece}"),
+                format!("{team} uses {used:.2} of {limit:.2} by {task_id}"),
             );
         }
         if let Some(cancelled) = cancelled {
             self.late_starts += 1;
             self.leaving.insert(number, cancelled);
             if at > cancelled + self.cancel_us {
-                self.break_rule("ran_cancelled", format!("{piece} began"));
+                self.break_rule("ran_cancelled", format!("{task_id} began"));
             }
         }
     }
 
-    fn left(&mut self, at: WallUs, number: u64, attempt: Attempt, piece: &str) {
-        let Some(live) = self.live.get_mut(piece) else {
+    fn left(&mut self, at: WallUs, number: u64, attempt: Attempt, task_id: &str) {
+        let Some(live) = self.live.get_mut(task_id) else {
             return;
         };
         if !live.remove(&attempt) {
             return;
         }
         if live.is_empty() {
-            self.live.remove(piece);
+            self.live.remove(task_id);
         }
         let seen = self.seen(number);
         let (team, cpus) = (seen.job.team.clone(), seen.job.cpus);
@@ -212,7 +212,7 @@
             *used -= cpus;
         }
         if cancelled.is_some_and(|told| at > told + self.cancel_us) {
-            self.break_rule("ran_cancelled", format!("{piece} was there until then"));
+            self.break_rule("ran_cancelled", format!("{task_id} was there until then"));
         }
     }
 
@@ -253,11 +253,11 @@
             self.leaving.remove(&number);
             let prefix = format!("job-{number:06}/");
             let left = self.live.range(prefix.clone()..).next();
-            if let Some(piece) = left
+            if let Some(task_id) = left
                 .map(|(p, _)| p.clone())
                 .filter(|p| p.starts_with(&prefix))
             {
-                self.break_rule("ran_cancelled", format!("{piece} is still there"));
+                self.break_rule("ran_cancelled", format!("{task_id} is still there"));
             }
         }
     }
--- a/crates/testbed/src/scale/checker/tests.rs
+++ b/crates/testbed/src/scale/checker/tests.rs
@@ -11,12 +11,19 @@
     Checker::new(workload, limit, CANCEL_S)
 }
 
-fn task(checker: &mut Checker, s: u64, machine: u64, piece: &str, attempt: u64, event: TaskEvent) {
-    let (at, piece) = (s * SECOND, piece.to_string());
+fn task(
+    checker: &mut Checker,
+    s: u64,
+    machine: u64,
+    task_id: &str,
+    attempt: u64,
+    event: TaskTransition,
+) {
+    let (at, task_id) = (s * SECOND, task_id.to_string());
     checker.take(Record::Task {
         at,
         machine,
-        piece,
+        task_id,
         attempt,
         event,
     });
@@ -46,15 +53,15 @@
 #[test]
 fn an_attempt_after_the_end_of_the_last_is_sound_and_one_beside_it_is_not() {
     let mut c = checker();
-    task(&mut c, 1, 1, "job-000001/0", 1, TaskEvent::Began);
-    task(&mut c, 2, 1, "job-000001/0", 1, TaskEvent::Stopped);
-    task(&mut c, 3, 2, "job-000001/0", 2, TaskEvent::Began);
+    task(&mut c, 1, 1, "job-000001/0", 1, TaskTransition::Started);
+    task(&mut c, 2, 1, "job-000001/0", 1, TaskTransition::Stopped);
+    task(&mut c, 3, 2, "job-000001/0", 2, TaskTransition::Started);
     assert!(broken(c).is_empty());
     let mut c = checker();
     // Told in another order than it happened.
-    task(&mut c, 3, 2, "job-000001/0", 2, TaskEvent::Began);
-    task(&mut c, 1, 1, "job-000001/0", 1, TaskEvent::Began);
-    task(&mut c, 4, 1, "job-000001/0", 1, TaskEvent::Stopped);
+    task(&mut c, 3, 2, "job-000001/0", 2, TaskTransition::Started);
+    task(&mut c, 1, 1, "job-000001/0", 1, TaskTransition::Started);
+    task(&mut c, 4, 1, "job-000001/0", 1, TaskTransition::Stopped);
     assert_eq!(broken(c), ["ran_twice"]);
 }
 
@@ -68,14 +75,14 @@
             n,
             &format!("job-000001/{n}"),
             1,
-            TaskEvent::Began,
+            TaskTransition::Started,
         )
     });
-    task(&mut c, 2, 0, "job-000001/0", 1, TaskEvent::Ended);
-    task(&mut c, 3, 3, "job-000001/2", 1, TaskEvent::Began);
+    task(&mut c, 2, 0, "job-000001/0", 1, TaskTransition::Finished);
+    task(&mut c, 3, 3, "job-000001/2", 1, TaskTransition::Started);
     c.judge_until(100 * SECOND);
     assert!(c.broken.is_empty());
-    task(&mut c, 101, 4, "job-000001/3", 1, TaskEvent::Began);
+    task(&mut c, 101, 4, "job-000001/3", 1, TaskTransition::Started);
     assert_eq!(broken(c), ["quota"]);
 }
 
@@ -83,10 +90,10 @@
 fn a_cancelled_task_must_be_gone_in_time_and_not_begin_after_it() {
     for (left, want) in [(Some(11), false), (Some(13), true), (None, true)] {
         let mut c = checker();
-        task(&mut c, 1, 1, "job-000001/0", 1, TaskEvent::Began);
+        task(&mut c, 1, 1, "job-000001/0", 1, TaskTransition::Started);
         user(&mut c, 2, 1, UserEvent::Cancelled);
         if let Some(s) = left {
-            task(&mut c, s, 1, "job-000001/0", 1, TaskEvent::Stopped);
+            task(&mut c, s, 1, "job-000001/0", 1, TaskTransition::Stopped);
         }
         for s in 3..30 {
             c.judge_until(s * SECOND);
@@ -95,11 +102,11 @@
     }
     let mut c = checker();
     user(&mut c, 2, 1, UserEvent::Cancelled);
-    task(&mut c, 3, 1, "job-000001/0", 1, TaskEvent::Began);
-    task(&mut c, 4, 1, "job-000001/0", 1, TaskEvent::Stopped);
+    task(&mut c, 3, 1, "job-000001/0", 1, TaskTransition::Started);
+    task(&mut c, 4, 1, "job-000001/0", 1, TaskTransition::Stopped);
     c.judge_until(30 * SECOND);
     assert!(c.late_starts == 1 && c.broken.is_empty());
-    task(&mut c, 31, 1, "job-000001/1", 1, TaskEvent::Began);
+    task(&mut c, 31, 1, "job-000001/1", 1, TaskTransition::Started);
     assert_eq!(broken(c), ["ran_cancelled"]);
 }
 
@@ -107,14 +114,14 @@
 fn a_job_is_done_when_all_its_tasks_have_ended() {
     let number = job_where(|j| j.tasks == 2);
     let mut c = checker();
-    let piece = |n: u32| format!("job-{number:06}/{n}");
-    task(&mut c, 1, 1, &piece(0), 1, TaskEvent::Began);
-    task(&mut c, 2, 1, &piece(0), 1, TaskEvent::Ended);
+    let task_id = |n: u32| format!("job-{number:06}/{n}");
+    task(&mut c, 1, 1, &task_id(0), 1, TaskTransition::Started);
+    task(&mut c, 2, 1, &task_id(0), 1, TaskTransition::Finished);
     user(&mut c, 3, number, UserEvent::Done);
     assert_eq!(broken(c), ["not_done"]);
     let mut c = checker();
-    (0..2).for_each(|n| task(&mut c, 1, 1, &piece(n), 1, TaskEvent::Began));
-    (0..2).for_each(|n| task(&mut c, 2, 1, &piece(n), 1, TaskEvent::Ended));
+    (0..2).for_each(|n| task(&mut c, 1, 1, &task_id(n), 1, TaskTransition::Started));
+    (0..2).for_each(|n| task(&mut c, 2, 1, &task_id(n), 1, TaskTransition::Finished));
     user(&mut c, 3, number, UserEvent::Done);
     assert!(broken(c).is_empty());
 }
@@ -130,7 +137,7 @@
         1,
         &format!("job-{number:06}/1"),
         1,
-        TaskEvent::Began,
+        TaskTransition::Started,
     );
     task(
         &mut c,
@@ -138,7 +145,7 @@
         1,
         &format!("job-{number:06}/0"),
         1,
-        TaskEvent::Began,
+        TaskTransition::Started,
     );
     c.judge_until(100 * SECOND);
     assert_eq!(c.urgent_waits, [(5 * SECOND, 2_000.0)]);
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -3,7 +3,7 @@
 //! records on its standard output.
 
 use super::workload::Workload;
-use beamhinge_emulator::worker::Happened;
+pub use beamhinge_emulator::worker::TaskTransition;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -125,24 +125,6 @@
 /// the child.
 pub type Flows = BTreeMap<String, Flow>;
 
-/// What happened on a machine.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TaskEvent {
-    Began,
-    Ended,
-    Stopped,
-}
-
-impl From<Happened> for TaskEvent {
-    fn from(what: Happened) -> TaskEvent {
-        match what {
-            Happened::Began => TaskEvent::Began,
-            Happened::Ended => TaskEvent::Ended,
-            Happened::Stopped => TaskEvent::Stopped,
-        }
-    }
-}
-
 /// What a user was told or did.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum UserEvent {
@@ -164,9 +146,10 @@
     Task {
         at: WallUs,
         machine: u64,
-        piece: String,
+        #[serde(rename = "piece")]
+        task_id: String,
         attempt: u64,
-        event: TaskEvent,
+        event: TaskTransition,
     },
     User {
         at: WallUs,
--- a/crates/testbed/src/scale/role/cloud.rs
+++ b/crates/testbed/src/scale/role/cloud.rs
@@ -6,8 +6,8 @@
 use beamhinge_core::http::{Method, Request};
 use beamhinge_core::messages::{Effect, Service};
 use beamhinge_core::types::{RequestId, Time, WallMs};
-use beamhinge_emulator::cloud::{Cloud, Kind};
-use beamhinge_emulator::{micros, Us, SECOND};
+use beamhinge_emulator::cloud::{CapacityPool, Cloud, InstanceType};
+use beamhinge_emulator::{micros, Micros, SECOND};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use std::collections::BTreeMap;
@@ -15,12 +15,12 @@
 /// The one type of machine.
 pub const SHAPE: &str = "m";
 /// A machine that stopped by itself is listed so after this long.
-const FAILED_LISTED: Us = 30 * SECOND;
+const FAILED_LISTED: Micros = 30 * SECOND;
 
 pub struct CloudRole {
     cloud: Cloud,
     rng: StdRng,
-    booting: BTreeMap<u64, Us>,
+    booting: BTreeMap<u64, Micros>,
     flows: FlowCounter,
     links: Links,
     cut_off: HeldControllers,
@@ -36,23 +36,23 @@
         links: Links,
     ) -> CloudRole {
         let mut cloud = Cloud::new(rps, list_lag_s);
-        cloud.kinds = vec![Kind {
+        cloud.instance_types = vec![InstanceType {
             label: SHAPE.into(),
             cpus: machines.cpus,
             memory_gb: machines.memory_gb,
-            rate: 1.0,
-            low: 0.3,
+            price: 1.0,
+            spot_price: 0.3,
             boot_s: machines.boot_s,
         }];
         for zone in &zones {
             let owned = machines.owned.iter().filter(|z| *z == zone).count() as u32;
-            let key = |spot| (SHAPE.to_string(), zone.clone(), spot);
+            let key = |spot| CapacityPool::new(SHAPE, zone.clone(), spot);
             cloud.capacity.insert(key(false), owned + machines.spare);
             cloud.capacity.insert(key(true), machines.spare);
         }
         cloud.zones = zones;
         for zone in &machines.owned {
-            cloud.add(micros(now), SHAPE, zone, false, Some(0));
+            cloud.add(micros(now), &CapacityPool::new(SHAPE, zone, false), Some(0));
         }
         let rng = StdRng::seed_from_u64(seed);
         let flows = FlowCounter::default();
@@ -68,13 +68,13 @@
         }
     }
 
-    fn obey(&mut self, now: Us, command: Command) {
+    fn obey(&mut self, now: Micros, command: Command) {
         match command {
             Command::Endpoint { machine, address } => {
                 self.cloud.endpoints.insert(machine, address.to_string());
             }
             Command::Failed { machine } => {
-                if let Some(host) = self.cloud.hosts.get_mut(&machine) {
+                if let Some(host) = self.cloud.instances.get_mut(&machine) {
                     host.failed_at = Some(now + FAILED_LISTED);
                 }
             }
@@ -82,15 +82,16 @@
                 controllers,
                 seconds,
             } => {
-                self.cut_off.hold(&controllers, now + (seconds * 1e6) as Us);
+                self.cut_off
+                    .hold(&controllers, now + (seconds * 1e6) as Micros);
             }
             _ => {}
         }
     }
 
     /// Tells which machines are up or gone.
-    fn tell_machines(&mut self, now: Us) {
-        self.booting.extend(self.cloud.take_booted());
+    fn tell_machines(&mut self, now: Micros) {
+        self.booting.extend(self.cloud.take_created());
         for machine in self.cloud.take_gone() {
             self.booting.remove(&machine);
             self.cloud.endpoints.remove(&machine);
@@ -162,10 +163,10 @@
             self.obey(us, command);
         }
         self.tell_machines(us);
-        for what in self.cloud.abused.drain(..) {
+        for what in self.cloud.violations.drain(..) {
             self.links.records.send(&Record::Abused { what });
         }
-        let gauges = [("machines", self.cloud.hosts.len() as f64)];
+        let gauges = [("machines", self.cloud.instances.len() as f64)];
         self.links.tell_counts(now, self.flows.flows(), &gauges);
     }
 }
--- a/crates/testbed/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -13,7 +13,7 @@
 use beamhinge_core::messages::Service;
 use beamhinge_core::settings::External;
 use beamhinge_core::types::Time;
-use beamhinge_emulator::Us;
+use beamhinge_emulator::Micros;
 use beamhinge_transport::{Listener, ListenerKind, Net, NetError, Wiring};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Stdout, Write};
@@ -101,11 +101,11 @@
 /// Controllers whose requests are held up, and until when.
 #[derive(Default)]
 pub struct HeldControllers {
-    until: Vec<Us>,
+    until: Vec<Micros>,
 }
 
 impl HeldControllers {
-    pub fn hold(&mut self, controllers: &[usize], until: Us) {
+    pub fn hold(&mut self, controllers: &[usize], until: Micros) {
         for controller in controllers {
             if self.until.len() <= *controller {
                 self.until.resize(controller + 1, 0);
@@ -114,7 +114,7 @@
         }
     }
 
-    pub fn is_held(&self, controller: usize, now: Us) -> bool {
+    pub fn is_held(&self, controller: usize, now: Micros) -> bool {
         self.until.get(controller).is_some_and(|until| now < *until)
     }
 }
--- a/crates/testbed/src/scale/role/state.rs
+++ b/crates/testbed/src/scale/role/state.rs
@@ -8,7 +8,7 @@
 use beamhinge_core::settings;
 use beamhinge_core::types::{RequestId, Time, WallMs};
 use beamhinge_emulator::state_server::StateServer;
-use beamhinge_emulator::{micros, Us};
+use beamhinge_emulator::{micros, Micros};
 use std::collections::VecDeque;
 
 /// The key that says who leads.
@@ -24,8 +24,8 @@
     cut_off: HeldControllers,
     held: VecDeque<(usize, RequestId, Request)>,
     /// Answers take so much longer, until when.
-    delay: (Us, Us),
-    delayed: VecDeque<(Us, Effect)>,
+    delay: (Micros, Micros),
+    delayed: VecDeque<(Micros, Effect)>,
 }
 
 impl StateRole {
@@ -53,8 +53,8 @@
         }
     }
 
-    fn obey(&mut self, now: Us, command: Command) {
-        let until = |seconds: f64| now + (seconds * 1e6) as Us;
+    fn obey(&mut self, now: Micros, command: Command) {
+        let until = |seconds: f64| now + (seconds * 1e6) as Micros;
         match command {
             Command::HoldControllers {
                 controllers,
@@ -63,7 +63,7 @@
                 self.cut_off.hold(&controllers, until(seconds));
             }
             Command::Slow { delay_s, seconds } => {
-                self.delay = ((delay_s * 1e6) as Us, until(seconds));
+                self.delay = ((delay_s * 1e6) as Micros, until(seconds));
             }
             Command::Refuse { seconds } => self.server.state.outage(until(seconds)),
             _ => {}
@@ -80,13 +80,13 @@
             if self.cut_off.is_held(controller, us) {
                 self.held.push_back((controller, id, request));
             } else {
-                self.server.answer(now, id, &request, out);
+                self.server.on_request(now, id, &request, out);
             }
         }
     }
 
     /// Counts answers, and holds back those that are to be late.
-    fn pass(&mut self, now: Us, before: usize, out: &mut Vec<Effect>) {
+    fn pass(&mut self, now: Micros, before: usize, out: &mut Vec<Effect>) {
         let (delay, until) = self.delay;
         for answer in out.split_off(before) {
             if let Effect::Answer {
@@ -148,7 +148,7 @@
             return;
         }
         let before = out.len();
-        self.server.answer(now, id, &request, out);
+        self.server.on_request(now, id, &request, out);
         self.pass(micros(now), before, out);
         self.note_lead();
     }
@@ -166,13 +166,13 @@
             out.extend(self.delayed.pop_front().map(|(_, answer)| answer));
         }
         self.note_lead();
-        for what in self.server.state.abused.drain(..) {
+        for what in self.server.state.violations.drain(..) {
             self.links.records.send(&Record::Abused { what });
         }
         let state = &self.server.state;
         let gauges = [
             ("changes", state.writes as f64),
-            ("refused", state.refused as f64),
+            ("refused", state.throttled as f64),
             ("keys", state.keys_under("") as f64),
             ("held", self.held.len() as f64),
         ];
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -10,8 +10,8 @@
 use beamhinge_core::types::{CallId, RequestId, Time, WallMs};
 use beamhinge_core::wire;
 use beamhinge_emulator::decode;
-use beamhinge_emulator::user::{Next, Told, What};
-use beamhinge_emulator::{micros, Us};
+use beamhinge_emulator::user::{Assessment, FollowUp, UserAnswer, UserJobView, UserRequest};
+use beamhinge_emulator::{micros, Micros};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -39,11 +39,11 @@
 /// A request that is due at some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Ask {
-    at: Us,
+    at: Micros,
     job: u64,
     kind: Kind,
     /// When it was due first.
-    due: Us,
+    due: Micros,
     /// How many nodes refused the connection.
     refused: u32,
 }
@@ -64,33 +64,33 @@
         }
     }
 
-    fn what(self) -> What {
+    fn what(self) -> UserRequest {
         match self {
-            Kind::Submit => What::Submit,
-            Kind::Poll => What::Poll,
-            Kind::Cancel => What::Cancel,
+            Kind::Submit => UserRequest::Submit,
+            Kind::Poll => UserRequest::Poll,
+            Kind::Cancel => UserRequest::Cancel,
         }
     }
 }
 
 struct InFlight {
     ask: Ask,
-    sent: Us,
+    sent: Micros,
 }
 
 pub struct UsersRole {
     controllers: Vec<SocketAddrV4>,
     workload: Workload,
-    began: Us,
+    began: Micros,
     /// No job is due after this.
-    until: Us,
+    until: Micros,
     next_job: u64,
     queue: BinaryHeap<Reverse<Ask>>,
     in_flight: BTreeMap<CallId, InFlight>,
     next_call: u64,
-    told: BTreeMap<u64, Told>,
+    told: BTreeMap<u64, UserJobView>,
     /// Accepted jobs that are not over, and when their user was last told anything.
-    last_told: BTreeMap<u64, Us>,
+    last_told: BTreeMap<u64, Micros>,
     open: usize,
     rng: StdRng,
     flows: FlowCounter,
@@ -111,7 +111,7 @@
             controllers,
             workload,
             began,
-            until: began + (seconds * 1e6) as Us,
+            until: began + (seconds * 1e6) as Micros,
             next_job: 0,
             queue: BinaryHeap::new(),
             in_flight: BTreeMap::new(),
@@ -126,10 +126,10 @@
     }
 
     /// Jobs that are due are submitted, whatever became of those before them.
-    fn submit_due(&mut self, now: Us) {
+    fn submit_due(&mut self, now: Micros) {
         loop {
             let job = self.workload.job(self.next_job);
-            let due = self.began + (job.due_s * 1e6) as Us;
+            let due = self.began + (job.due_s * 1e6) as Micros;
             if due > now || due > self.until {
                 return;
             }
@@ -138,9 +138,9 @@
             self.open += 1;
             self.told.insert(
                 number,
-                Told {
+                UserJobView {
                     submitted: true,
-                    ..Told::default()
+                    ..UserJobView::default()
                 },
             );
             let ask = |at, kind| {
@@ -155,12 +155,12 @@
             self.queue.push(ask(due, Kind::Submit));
             if let Some(after_s) = job.cancel_s {
                 self.queue
-                    .push(ask(due + (after_s * 1e6) as Us, Kind::Cancel));
+                    .push(ask(due + (after_s * 1e6) as Micros, Kind::Cancel));
             }
         }
     }
 
-    fn send(&mut self, now: Us, ask: Ask, out: &mut Vec<Effect>) {
+    fn send(&mut self, now: Micros, ask: Ask, out: &mut Vec<Effect>) {
         let job = self.workload.job(ask.job);
         let (method, path, body, timeout_s) = match ask.kind {
             Kind::Submit => (
@@ -215,13 +215,13 @@
         });
     }
 
-    fn again(&mut self, now: Us, ask: Ask, after_s: f64, refused: u32) {
-        let too_late = now > ask.due + (GIVE_UP_S * 1e6) as Us;
+    fn again(&mut self, now: Micros, ask: Ask, after_s: f64, refused: u32) {
+        let too_late = now > ask.due + (GIVE_UP_S * 1e6) as Micros;
         if ask.kind != Kind::Poll && too_late {
             self.answered_at_last(now, ask, 0);
             return;
         }
-        let at = now + (after_s * 1e6) as Us;
+        let at = now + (after_s * 1e6) as Micros;
         // A poll is a new question each time.
         let due = if ask.kind == Kind::Poll && refused == 0 {
             at
@@ -236,7 +236,7 @@
         }));
     }
 
-    fn answered_at_last(&self, now: Us, ask: Ask, status: u16) {
+    fn answered_at_last(&self, now: Micros, ask: Ask, status: u16) {
         let ms = now.saturating_sub(ask.due) as f64 / 1e3;
         let kind = ask.kind.name().to_string();
         self.links
@@ -244,12 +244,12 @@
             .send(&Record::Answered { kind, ms, status });
     }
 
-    fn take_reply(&mut self, now: Us, id: CallId, result: Option<(u16, Vec<u8>)>) {
+    fn take_reply(&mut self, now: Micros, id: CallId, result: Option<(u16, Vec<u8>)>) {
         let Some(InFlight { ask, sent }) = self.in_flight.remove(&id) else {
             return;
         };
         let Some((status, body)) = result else {
-            let refused = now.saturating_sub(sent) < (REFUSED_S * 1e6) as Us;
+            let refused = now.saturating_sub(sent) < (REFUSED_S * 1e6) as Micros;
             return match refused && ask.refused + 1 < NODES_TRIED {
                 true => self.again(now, ask, 0.0, ask.refused + 1),
                 false => self.again(now, ask, self.pause_s(ask.kind), 0),
@@ -269,8 +269,8 @@
     }
 
     /// An accepted job about which nothing was told for so long counts as forgotten.
-    fn look_for_forgotten(&mut self, now: Us) {
-        let late = (FORGOTTEN_S * 1e6) as Us;
+    fn look_for_forgotten(&mut self, now: Micros) {
+        let late = (FORGOTTEN_S * 1e6) as Micros;
         let forgotten: Vec<u64> = self
             .last_told
             .iter()
@@ -291,7 +291,7 @@
         }
     }
 
-    fn take_answer(&mut self, now: Us, sent: Us, ask: Ask, status: u16, body: &[u8]) {
+    fn take_answer(&mut self, now: Micros, sent: Micros, ask: Ask, status: u16, body: &[u8]) {
         let value = decode(body);
         let state = value["status"].as_str().unwrap_or("");
         let Some(told) = self.told.get_mut(&ask.job) else {
@@ -299,7 +299,17 @@
         };
         let before = (told.accepted, told.over, told.done);
         // Whether all tasks have ended is for the checker, who sees the machines.
-        let (broken, next) = told.answered((now, sent), ask.kind.what(), status, state, true);
+        let Assessment {
+            violations: broken,
+            follow_up: next,
+        } = told.on_answer(&UserAnswer {
+            asked: sent,
+            received: now,
+            request: ask.kind.what(),
+            status,
+            state,
+            complete: true,
+        });
         let after = (told.accepted, told.over, told.done);
         for rule in broken {
             self.record(ask.job, UserEvent::Broken(rule.to_string()));
@@ -324,9 +334,9 @@
             );
         }
         match next {
-            Some(Next::Again(after_s)) => self.again(now, ask, after_s, 0),
-            Some(Next::Poll(after_s)) => {
-                let at = now + (after_s * 1e6) as Us;
+            Some(FollowUp::Retry(after_s)) => self.again(now, ask, after_s, 0),
+            Some(FollowUp::Poll(after_s)) => {
+                let at = now + (after_s * 1e6) as Micros;
                 let poll = Ask {
                     at,
                     job: ask.job,
--- a/crates/testbed/src/scale/role/workers.rs
+++ b/crates/testbed/src/scale/role/workers.rs
@@ -9,10 +9,10 @@
 use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::settings;
 use beamhinge_core::types::{CallId, RequestId, Time, WallMs};
-use beamhinge_emulator::cloud::{Host, Kind};
+use beamhinge_emulator::cloud::{Instance, InstanceType};
 use beamhinge_emulator::processes::Processes;
-use beamhinge_emulator::worker_pool::{Seen, WorkerPool};
-use beamhinge_emulator::{micros, refuse, Doubles, Us};
+use beamhinge_emulator::worker_pool::{MachineEvent, WorkerPool, WorkerPoolConfig};
+use beamhinge_emulator::{micros, refuse, respond, Micros, ProtocolFaults};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
@@ -20,7 +20,7 @@
 struct Cut {
     zones: Vec<String>,
     controllers: Vec<SocketAddrV4>,
-    until: Us,
+    until: Micros,
 }
 
 /// A report under way: whose, and to whom.
@@ -40,7 +40,7 @@
     served_by: BTreeMap<u64, SocketAddrV4>,
     reports: BTreeMap<CallId, Report>,
     /// Reports into a cut: they get no answer, from then on.
-    lost: VecDeque<(Us, CallId)>,
+    lost: VecDeque<(Micros, CallId)>,
     cuts: Vec<Cut>,
     workload: Workload,
     real: bool,
@@ -58,22 +58,27 @@
         links: Links,
     ) -> WorkersRole {
         let records = links.records.clone();
-        let watcher = Box::new(move |seen: Seen| {
-            let event = seen.event.what.into();
+        let observer = Box::new(move |seen: MachineEvent| {
+            let event = seen.event.transition;
             let (machine, attempt) = (seen.machine, seen.event.attempt);
-            let piece = seen.event.piece;
+            let task_id = seen.event.task_id;
             records.send(&Record::Task {
                 at: wall_us(),
                 machine,
-                piece,
+                task_id,
                 attempt,
                 event,
             });
         });
         let processes = real.then(|| Processes::new(None, Vec::new()));
-        let doubles = Doubles::default();
         WorkersRole {
-            pool: WorkerPool::new(controllers.clone(), settings, processes, doubles, watcher),
+            pool: WorkerPool::new(WorkerPoolConfig {
+                controllers: controllers.clone(),
+                settings,
+                processes,
+                protocol_faults: ProtocolFaults::default(),
+                observer,
+            }),
             controllers,
             places: vec![None; addresses.len()],
             addresses,
@@ -89,7 +94,7 @@
         }
     }
 
-    fn is_cut(&self, now: Us, machine: u64, controller: SocketAddrV4) -> bool {
+    fn is_cut(&self, now: Micros, machine: u64, controller: SocketAddrV4) -> bool {
         let Some(zone) = self.zones.get(&machine) else {
             return false;
         };
@@ -98,7 +103,7 @@
             .any(|c| now < c.until && c.zones.contains(zone) && c.controllers.contains(&controller))
     }
 
-    fn obey(&mut self, now: Us, command: Command) {
+    fn obey(&mut self, now: Micros, command: Command) {
         match command {
             Command::Boot {
                 machine,
@@ -114,20 +119,20 @@
                 self.places[place] = Some(machine);
                 self.zones.insert(machine, zone.clone());
                 let machine_type = SHAPE.to_string();
-                let host = Host {
+                let host = Instance {
                     machine_type: machine_type.clone(),
                     zone,
                     spot,
-                    rented: now,
+                    created: now,
                     up: now,
                     failed_at: None,
                 };
-                let kind = Kind {
+                let kind = InstanceType {
                     label: machine_type,
                     cpus,
                     memory_gb,
-                    rate: 1.0,
-                    low: 0.3,
+                    price: 1.0,
+                    spot_price: 0.3,
                     boot_s: 0.0,
                 };
                 self.pool
@@ -147,7 +152,7 @@
                 controllers,
                 seconds,
             } => {
-                let until = now + (seconds * 1e6) as Us;
+                let until = now + (seconds * 1e6) as Micros;
                 let controllers = controllers
                     .iter()
                     .filter_map(|c| self.controllers.get(*c).copied())
@@ -164,7 +169,7 @@
     }
 
     /// Counts reports, and keeps back those whose way is cut.
-    fn send(&mut self, now: Us, before: usize, out: &mut Vec<Effect>) {
+    fn send(&mut self, now: Micros, before: usize, out: &mut Vec<Effect>) {
         for call in out.split_off(before) {
             if let Effect::Call {
                 id,
@@ -184,7 +189,8 @@
                         },
                     );
                     if self.is_cut(now, *caller, *address) {
-                        self.lost.push_back((now + (timeout_s * 1e6) as Us, *id));
+                        self.lost
+                            .push_back((now + (timeout_s * 1e6) as Micros, *id));
                         continue;
                     }
                 }
@@ -194,7 +200,7 @@
         }
     }
 
-    fn take_reply(&mut self, now: Us, id: CallId, result: Option<(u16, Vec<u8>)>) {
+    fn take_reply(&mut self, now: Micros, id: CallId, result: Option<(u16, Vec<u8>)>) {
         if let Some((status, body)) = &result {
             self.flows.reply("report", *status, body.len());
         }
@@ -204,8 +210,9 @@
             }
         }
         let (workload, real) = (&self.workload, self.real);
-        self.pool
-            .on_reply(now, id, result, &mut |job| workload.plan(job, real));
+        self.pool.on_reply(now, id, result.as_ref(), &mut |job| {
+            workload.plan(job, real)
+        });
     }
 }
 
@@ -226,9 +233,6 @@
         let Some(machine) = self.places.get(door).copied().flatten() else {
             return refuse(out, id, 404);
         };
-        if path != "/do" {
-            return refuse(out, id, 400);
-        }
         // Only the controller that serves the machine commands it.
         if self
             .served_by
@@ -237,18 +241,9 @@
         {
             return;
         }
-        match self.pool.direct(us, machine, &request.body) {
-            Some((status, body)) => {
-                self.flows.answer(id, status, body.len());
-                out.push(Effect::Answer {
-                    to: id,
-                    status,
-                    retry_after: None,
-                    body,
-                });
-            }
-            None => refuse(out, id, 404),
-        }
+        let (status, body) = self.pool.on_request(us, machine, &request);
+        self.flows.answer(id, status, body.len());
+        respond(out, id, (status, body));
     }
 
     fn on_reply(
@@ -276,11 +271,7 @@
         self.pool.step(us, out);
         self.send(us, before, out);
         let workers = self.pool.workers().count();
-        let on_machines: usize = self
-            .pool
-            .workers()
-            .map(|(_, w)| w.on_machine().count())
-            .sum();
+        let on_machines: usize = self.pool.workers().map(|(_, w)| w.running().count()).sum();
         let gauges = [("workers", workers as f64), ("running", on_machines as f64)];
         self.links.tell_counts(now, self.flows.flows(), &gauges);
     }
--- a/crates/testbed/src/scale/workload.rs
+++ b/crates/testbed/src/scale/workload.rs
@@ -157,7 +157,7 @@
             run_s: job.run_s,
             fails: false,
             command,
-            sent: 0,
+            submitted_at: 0,
         })
     }
 }
