--- /dev/null
+++ b/crates/controller/src/fleet/cloud_calls.rs
@@ -0,0 +1,235 @@
+//! Calls to the cloud: their queue, their rate, and where each reply goes.
+
+use super::cloud_protocol::{Catalog, CloudRequest, HostList, ScaleOutReply, ScaleOutRequest};
+use super::term::LeaderTerm;
+use super::Fleet;
+use crate::scheduler::Scheduler;
+use crate::split::MachineType;
+use beamhinge_core::messages::{Destination, Effect};
+use beamhinge_core::types::{CallId, MachineId, Time};
+use beamhinge_core::wire;
+
+/// How long the cloud may take for a reply, seconds.
+const CALL_TIMEOUT_S: f64 = 4.0;
+/// Part of the rate that the cloud allows which is used.
+const RATE_FRACTION: f64 = 0.9;
+/// Pause after the catalog could not be read, seconds.
+const CATALOG_RETRY_S: f64 = 1.0;
+/// Age from which a leader asks for the catalog again, seconds.
+const CATALOG_MAX_AGE_S: f64 = 30.0;
+/// The same of a controller that does not lead.
+const FOLLOWER_CATALOG_MAX_AGE_S: f64 = 120.0;
+
+/// A call to the cloud.
+#[derive(Debug)]
+pub(super) enum CloudCall {
+    /// Reads the machine types on offer.
+    Catalog,
+    /// Reads the next page of the machine list.
+    ListHosts,
+    /// Rents machines, by the rental's name.
+    ScaleOut(String),
+    /// Releases machines.
+    ScaleIn(Vec<MachineId>),
+}
+
+/// Token bucket that keeps calls below the rate that the cloud allows.
+pub(super) struct CallRate {
+    per_s: f64,
+    level: f64,
+    filled_at: Time,
+}
+
+impl CallRate {
+    /// `allowed_per_s`: the cloud's limit, calls a second.
+    pub(super) fn new(allowed_per_s: f64) -> CallRate {
+        CallRate {
+            per_s: allowed_per_s * RATE_FRACTION,
+            level: 1.0,
+            filled_at: Time::default(),
+        }
+    }
+
+    fn refill(&mut self, now: Time) {
+        self.level = (self.level + now.since(self.filled_at) * self.per_s).min(self.per_s);
+        self.filled_at = now;
+    }
+
+    fn has_token(&self) -> bool {
+        self.level >= 1.0
+    }
+
+    fn take_token(&mut self) {
+        self.level -= 1.0;
+    }
+
+    /// The cloud refused a call for its rate.
+    fn drain(&mut self) {
+        self.level = self.level.min(0.0);
+    }
+}
+
+/// When the catalog of machine types was read, and when it is read next.
+#[derive(Default)]
+pub(super) struct CatalogRefresh {
+    in_flight: bool,
+    read_at: Option<Time>,
+    retry_at: Time,
+}
+
+impl CatalogRefresh {
+    /// Whether the catalog is to be read now; if so, the call counts as in flight.
+    pub(super) fn begin(&mut self, now: Time, leading: bool) -> bool {
+        let max_age_s = if leading {
+            CATALOG_MAX_AGE_S
+        } else {
+            FOLLOWER_CATALOG_MAX_AGE_S
+        };
+        let stale = self.read_at.is_none_or(|at| now.since(at) > max_age_s);
+        let due = stale && !self.in_flight && now >= self.retry_at;
+        self.in_flight |= due;
+        due
+    }
+}
+
+impl LeaderTerm {
+    /// The request for a call; none if its rental was dropped meanwhile.
+    fn scale_out_request(&self, name: &str) -> Option<CloudRequest> {
+        let rental = self.rentals.open.iter().find(|r| r.entry.name == name)?;
+        Some(CloudRequest::scale_out(&ScaleOutRequest {
+            rental: &rental.entry.name,
+            machine_type: &rental.entry.machine_type,
+            zone: &rental.entry.zone,
+            spot: rental.entry.spot,
+            count: rental.entry.count,
+        }))
+    }
+}
+
+impl Fleet {
+    /// Whether a reply belongs to the fleet.
+    pub fn owns_call(&self, id: CallId) -> bool {
+        self.calls.contains_key(&id)
+    }
+
+    /// Sends queued calls as far as their rate allows.
+    pub fn flush(&mut self, now: Time, next_call: &mut u64, out: &mut Vec<Effect>) {
+        self.call_rate.refill(now);
+        while self.call_rate.has_token() {
+            let Some(call) = self.queue.pop_front() else {
+                break;
+            };
+            let Some(request) = self.request_for(&call) else {
+                continue;
+            };
+            self.call_rate.take_token();
+            *next_call += 1;
+            let id = CallId(*next_call);
+            self.calls.insert(id, call);
+            out.push(Effect::Call {
+                id,
+                destination: Destination::Cloud,
+                method: request.method,
+                path: request.path,
+                body: request.body,
+                timeout_s: CALL_TIMEOUT_S,
+            });
+        }
+    }
+
+    fn request_for(&self, call: &CloudCall) -> Option<CloudRequest> {
+        let term = self.term.as_ref();
+        match call {
+            CloudCall::Catalog => Some(CloudRequest::catalog()),
+            CloudCall::ListHosts => Some(CloudRequest::list_hosts(
+                term.and_then(|t| t.listing.next_page_after()),
+            )),
+            CloudCall::ScaleOut(name) => term?.scale_out_request(name),
+            CloudCall::ScaleIn(machines) => Some(CloudRequest::scale_in(machines)),
+        }
+    }
+
+    /// Takes in the cloud's reply to a call: status and body, or none if it was lost.
+    pub fn on_cloud_reply(
+        &mut self,
+        now: Time,
+        id: CallId,
+        result: Option<(u16, Vec<u8>)>,
+        scheduler: Option<&mut Scheduler>,
+    ) {
+        let Some(call) = self.calls.remove(&id) else {
+            return;
+        };
+        match call {
+            CloudCall::Catalog => self.on_catalog(now, ok_body(&result)),
+            CloudCall::ListHosts => self.on_host_list(now, ok_body(&result)),
+            CloudCall::ScaleOut(name) => {
+                let reply = ScaleOutReply::from(result);
+                if matches!(reply, ScaleOutReply::RateLimited) && self.has_open_rental(&name) {
+                    self.call_rate.drain();
+                }
+                if let Some(term) = &mut self.term {
+                    term.on_scale_out_reply(now, &name, reply, scheduler);
+                }
+            }
+            CloudCall::ScaleIn(machines) => {
+                if let Some(term) = &mut self.term {
+                    let status = result.map(|(status, _)| status);
+                    term.on_scale_in_reply(now, machines, status, scheduler);
+                }
+            }
+        }
+    }
+
+    fn has_open_rental(&self, name: &str) -> bool {
+        self.term
+            .as_ref()
+            .is_some_and(|t| t.rentals.open.iter().any(|r| r.entry.name == name))
+    }
+
+    fn on_catalog(&mut self, now: Time, body: Option<&[u8]>) {
+        self.catalog_refresh.in_flight = false;
+        match body.and_then(|b| wire::decode::<Catalog>(b).ok()) {
+            Some(catalog) => {
+                self.catalog_refresh.read_at = Some(now);
+                self.update_machine_types(catalog);
+            }
+            None => self.catalog_refresh.retry_at = now.plus(CATALOG_RETRY_S),
+        }
+    }
+
+    /// Machines refer to types by index: the order is kept, and prices are replaced.
+    fn update_machine_types(&mut self, catalog: Catalog) {
+        let offered = catalog.machine_types.into_iter().map(MachineType::from);
+        if self.machine_types.is_empty() {
+            self.machine_types = offered.collect();
+            return;
+        }
+        for machine_type in offered {
+            let known = self
+                .machine_types
+                .iter_mut()
+                .find(|t| t.label == machine_type.label);
+            match known {
+                Some(known) => *known = machine_type,
+                None => self.machine_types.push(machine_type),
+            }
+        }
+    }
+
+    fn on_host_list(&mut self, now: Time, body: Option<&[u8]>) {
+        let Some(term) = &mut self.term else { return };
+        match body.and_then(|b| wire::decode::<HostList>(b).ok()) {
+            Some(list) => term.apply_host_list(now, self.list_lag_s, &list, &self.machine_types),
+            None => term.listing.restart(now),
+        }
+    }
+}
+
+/// The body of a reply with status 200.
+fn ok_body(result: &Option<(u16, Vec<u8>)>) -> Option<&[u8]> {
+    match result {
+        Some((200, body)) => Some(body),
+        _ => None,
+    }
+}
--- a/crates/controller/src/fleet/forecast.rs
+++ b/crates/controller/src/fleet/forecast.rs
@@ -1,27 +1,62 @@
-//! What operators are told of the fleet: the machines there are, those on their
-//! way, and what the cloud refused.
+//! What the admin API shows of the fleet: the machines there are, those on their way, and what
+//! stands between a pending job and machines that it could use.
 
-use super::*;
-use crate::split::{self, Demand};
-use beamhinge_admin_api::messages::{MachinePage, MachineRow, PairRow, Splits as SplitsTold};
+use super::instance::{Instance, InstanceStatus};
+use super::scale_plan::BOOT_SPREAD;
+use super::term::LeaderTerm;
+use super::Fleet;
+use crate::scheduler::Scheduler;
+use crate::split::{self, Demand, MachineType};
+use beamhinge_admin_api::directives::{Directive, Target};
+use beamhinge_admin_api::messages::{MachinePage, MachineRow, PairRow, Splits as SplitPage};
 use beamhinge_admin_api::reasons::Reason;
 use beamhinge_core::job::JobSpec;
+use beamhinge_core::settings::Settings;
+use beamhinge_core::types::{MachineId, Time, WallMs};
+use std::collections::BTreeMap;
 
-/// Whether a machine of this market could ever serve the job.
-fn serves(
-    spec: &JobSpec,
-    resources: &split::Resources,
-    machine_type: &MachineType,
-    zone: &str,
-    spot: bool,
-) -> bool {
-    let here = spec.zone.as_ref().is_none_or(|z| z == zone);
-    here && (spec.spot || !spot)
-        && split::allowed_fit(machine_type, resources, &spec.machine_types, &spec.zone) > 0
+/// What a job requires of machines.
+struct Requirements<'a> {
+    spec: &'a JobSpec,
+    resources: &'a split::Resources,
+}
+
+impl Requirements<'_> {
+    /// Whether machines of this market could ever serve the job.
+    fn are_met_by(&self, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
+        let spec = self.spec;
+        let zone_allowed = spec.zone.as_ref().is_none_or(|z| z == zone);
+        zone_allowed
+            && (spec.spot || !spot)
+            && split::allowed_fit(
+                machine_type,
+                self.resources,
+                &spec.machine_types,
+                &spec.zone,
+            ) > 0
+    }
+}
+
+/// Which machines are asked for.
+#[derive(Clone, Copy)]
+pub struct MachineQuery<'a> {
+    /// Only machines of the type with this label.
+    pub machine_type: Option<&'a str>,
+    /// Only machines of this zone.
+    pub zone: Option<&'a str>,
+    /// Only machines whose names come after this one.
+    pub after: Option<MachineId>,
+    /// Most rows of the page.
+    pub limit: usize,
+}
+
+/// The type at an index; none if it is unknown or has no label.
+fn labelled(machine_types: &[MachineType], index: usize) -> Option<&MachineType> {
+    machine_types.get(index).filter(|t| !t.label.is_empty())
 }
 
 impl Fleet {
-    /// What is under way for a waiting job, and what its split says.
+    /// What is under way for a pending job, what keeps it from machines, and how it is split.
     pub fn explain_pending_job(
         &self,
         now: Time,
@@ -29,102 +64,38 @@
         (demand, spec): (&Demand, &JobSpec),
         settings: &Settings,
         scheduler: &Scheduler,
-        reasons: &mut Vec<Reason>,
-    ) {
-        let Some(term) = &self.term else { return };
-        let machine_types = &self.machine_types;
-        let shape_of = |i: usize| machine_types.get(i).filter(|s| !s.label.is_empty());
-        let mut boots: BTreeMap<(usize, &str, bool), (u32, f64)> = BTreeMap::new();
-        for (id, i) in &term.instances {
-            let up = scheduler
-                .machine(*id)
-                .is_some_and(|m| m.last_heartbeat.is_some());
-            let Some(s) = shape_of(i.machine_type).filter(|_| !up && i.release == Release::No)
-            else {
-                continue;
-            };
-            if i.status != Status::Failed && serves(spec, &demand.resources, s, &i.zone, i.spot) {
-                // Boots vary: by this factor half as long again is expected.
-                let left = (s.boot_s * 1.2 - now.since(i.rented)).max(1.0);
-                let b = boots
-                    .entry((i.machine_type, &i.zone, i.spot))
-                    .or_insert((0, left));
-                *b = (b.0 + 1, b.1.min(left));
-            }
-        }
-        for ((machine_type, zone, spot), (machines, expected_s)) in boots {
-            let machine_type = shape_of(machine_type).map_or(String::new(), |s| s.label.clone());
-            let zone = zone.to_string();
-            reasons.push(Reason::Booting {
-                machine_type,
-                zone,
-                spot,
-                machines,
-                expected_s,
-            });
-        }
-        for r in &term.rentals {
-            let fits = shape_of(r.machine_type)
-                .is_some_and(|s| serves(spec, &demand.resources, s, &r.row.zone, r.row.spot));
-            if fits {
-                reasons.push(Reason::Renting {
-                    machine_type: r.row.machine_type.clone(),
-                    zone: r.row.zone.clone(),
-                    spot: r.row.spot,
-                    machines: r.row.count,
-                });
-            }
-        }
-        for ((machine_type, zone, spot), until) in &term.refused {
-            let Some(s) = shape_of(*machine_type) else {
-                continue;
-            };
-            if *until > now && serves(spec, &demand.resources, s, zone, *spot) {
-                reasons.push(Reason::MarketRefused {
-                    machine_type: s.label.clone(),
-                    zone: zone.clone(),
-                    spot: *spot,
-                    again_s: until.until(now),
-                });
-            }
-        }
-        // Drains that stand between the job and machines it could use.
-        for d in scheduler.active_directives().iter() {
-            let hit = machine_types.iter().any(|s| {
-                s.zones.iter().any(|z| {
-                    serves(spec, &demand.resources, s, z, false)
-                        && scheduler
-                            .active_directives()
-                            .market(&s.label, z)
-                            .is_some_and(|m| m.target == d.target)
-                })
-            }) || MachineId::parse(d.target.name()).is_some_and(|id| {
-                term.instances.get(&id).is_some_and(|i| {
-                    shape_of(i.machine_type)
-                        .is_some_and(|s| serves(spec, &demand.resources, s, &i.zone, i.spot))
-                })
-            });
-            if hit && d.target.is_drain() {
-                let since_s = (wall.0 as f64 - d.since_ms as f64) / 1e3;
-                let (target, by) = (d.target.to_string(), d.by.clone());
+    ) -> Vec<Reason> {
+        let mut reasons = Vec::new();
+        let Some(term) = &self.term else {
+            return reasons;
+        };
+        let machine_types = self.machine_types.as_slice();
+        let requirements = Requirements {
+            spec,
+            resources: &demand.resources,
+        };
+        term.explain_booting(now, machine_types, &requirements, scheduler, &mut reasons);
+        term.explain_rentals(now, machine_types, &requirements, &mut reasons);
+        for directive in scheduler.active_directives().iter() {
+            let blocks = directive.target.is_drain()
+                && term.drain_blocks(directive, machine_types, &requirements, scheduler);
+            if blocks {
                 reasons.push(Reason::Drained {
-                    target,
-                    since_s,
-                    by,
+                    target: directive.target.to_string(),
+                    since_s: (wall.0 as f64 - directive.since_ms as f64) / 1e3,
+                    by: directive.by.clone(),
                 });
             }
         }
         reasons.extend(term.splits.tell(demand, machine_types, settings));
+        reasons
     }
 
-    /// Machines in the order of their names, from behind `after`.
+    /// One page of the machines, in the order of their names.
     pub fn render_machines(
         &self,
         now: Time,
-        machine_type: Option<&str>,
-        zone: Option<&str>,
-        after: Option<MachineId>,
-        limit: usize,
+        query: &MachineQuery,
         scheduler: &Scheduler,
     ) -> MachinePage {
         let mut page = MachinePage {
@@ -140,39 +111,17 @@
         let mut ids: Vec<MachineId> = term.instances.keys().copied().chain(reporting).collect();
         ids.sort();
         ids.dedup();
+        let after = query.after;
         for id in ids.into_iter().filter(|id| after.is_none_or(|a| *id > a)) {
-            let i = term.instances.get(&id);
-            let m = scheduler.machine(id);
-            let index = i
-                .map(|i| i.machine_type)
-                .or(m.and_then(|m| m.machine_type()));
-            let Some(s) = index.and_then(|s| self.machine_types.get(s)) else {
+            let Some(row) = self.render_machine(now, id, term, scheduler) else {
                 continue;
             };
-            let mut row = MachineRow {
-                machine: id.to_string(),
-                machine_type: s.label.clone(),
-                zone: i.map(|i| i.zone.clone()).unwrap_or_default(),
-                spot: i.map(|i| i.spot).or(m.map(|m| m.spot)).unwrap_or(false),
-                owned: i.is_some_and(|i| i.owned),
-                state: "starting".into(),
-                tasks: 0,
-                cpus: s.cpus,
-                free_cpus: 0.0,
-                free_memory_gb: 0.0,
-                heard_s: None,
-                age_s: i.map(|i| now.since(i.rented)),
-            };
-            scheduler.describe_machine(now, id, &self.machine_types, &mut row);
-            if i.is_some_and(|i| i.release != Release::No) {
-                row.state = "leaving".into();
-            }
-            let wanted = machine_type.is_none_or(|s| s == row.machine_type)
-                && zone.is_none_or(|z| z == row.zone);
-            if !wanted {
+            let selected = query.machine_type.is_none_or(|t| t == row.machine_type)
+                && query.zone.is_none_or(|z| z == row.zone);
+            if !selected {
                 continue;
             }
-            if page.machines.len() >= limit {
+            if page.machines.len() >= query.limit {
                 page.next = page.machines.last().map(|r| r.machine.clone());
                 break;
             }
@@ -181,42 +130,197 @@
         page
     }
 
-    /// Machines rented that have not reported yet.
+    /// A machine's row; none if its type is unknown.
+    fn render_machine(
+        &self,
+        now: Time,
+        id: MachineId,
+        term: &LeaderTerm,
+        scheduler: &Scheduler,
+    ) -> Option<MachineRow> {
+        let instance = term.instances.get(&id);
+        let machine = scheduler.machine(id);
+        let index = instance
+            .map(|i| i.machine_type)
+            .or(machine.and_then(|m| m.machine_type()))?;
+        let machine_type = self.machine_types.get(index)?;
+        let mut row = MachineRow {
+            machine: id.to_string(),
+            machine_type: machine_type.label.clone(),
+            zone: instance.map(|i| i.zone.clone()).unwrap_or_default(),
+            spot: instance
+                .map(|i| i.spot)
+                .or(machine.map(|m| m.spot))
+                .unwrap_or(false),
+            owned: instance.is_some_and(|i| i.owned),
+            state: "starting".into(),
+            tasks: 0,
+            cpus: machine_type.cpus,
+            free_cpus: 0.0,
+            free_memory_gb: 0.0,
+            heard_s: None,
+            age_s: instance.map(|i| now.since(i.rented_at)),
+        };
+        scheduler.describe_machine(now, id, &self.machine_types, &mut row);
+        if instance.is_some_and(|i| !i.is_retained()) {
+            row.state = "leaving".into();
+        }
+        Some(row)
+    }
+
+    /// Number of machines that were rented and have not reported yet.
     pub fn starting_machines(&self, scheduler: &Scheduler) -> u32 {
         let Some(term) = &self.term else { return 0 };
-        let waits = |id: &MachineId| {
-            scheduler
-                .machine(*id)
-                .and_then(|m| m.last_heartbeat)
-                .is_none()
-        };
-        let open = term
-            .instances
+        term.instances
             .iter()
-            .filter(|(_, i)| i.release == Release::No);
-        open.filter(|(id, i)| i.status != Status::Failed && waits(id))
+            .filter(|(id, i)| is_starting(**id, i, scheduler))
             .count() as u32
     }
 
-    pub fn render_splits(&self) -> SplitsTold {
-        match &self.term {
-            Some(term) => SplitsTold {
-                update_s: term.splits.update_s(),
-                pairs: term
-                    .splits
-                    .pairs()
-                    .map(|(beta0, beta, weight, jobs)| PairRow {
-                        beta0,
-                        beta,
-                        weight,
-                        jobs,
-                    })
-                    .collect(),
-            },
-            None => SplitsTold {
+    /// The learner's pairs, for the admin API.
+    pub fn render_splits(&self) -> SplitPage {
+        let Some(term) = &self.term else {
+            return SplitPage {
                 update_s: 0.0,
                 pairs: Vec::new(),
-            },
+            };
+        };
+        SplitPage {
+            update_s: term.splits.update_s(),
+            pairs: term
+                .splits
+                .pairs()
+                .map(|(beta0, beta, weight, jobs)| PairRow {
+                    beta0,
+                    beta,
+                    weight,
+                    jobs,
+                })
+                .collect(),
+        }
+    }
+}
+
+/// Whether a machine is to be expected that has not reported yet.
+fn is_starting(id: MachineId, instance: &Instance, scheduler: &Scheduler) -> bool {
+    let reported = scheduler
+        .machine(id)
+        .is_some_and(|m| m.last_heartbeat.is_some());
+    instance.is_retained() && instance.status != InstanceStatus::Failed && !reported
+}
+
+/// Machines of one market that boot.
+struct Booting {
+    count: u32,
+    /// Until the first of them is expected, seconds.
+    first_in_s: f64,
+}
+
+impl LeaderTerm {
+    /// Machines that boot and could serve the job.
+    fn explain_booting(
+        &self,
+        now: Time,
+        machine_types: &[MachineType],
+        requirements: &Requirements,
+        scheduler: &Scheduler,
+        reasons: &mut Vec<Reason>,
+    ) {
+        let mut booting: BTreeMap<(usize, &str, bool), Booting> = BTreeMap::new();
+        for (id, instance) in &self.instances {
+            let Some(machine_type) = labelled(machine_types, instance.machine_type) else {
+                continue;
+            };
+            let (zone, spot) = (instance.zone.as_str(), instance.spot);
+            if is_starting(*id, instance, scheduler)
+                && requirements.are_met_by(machine_type, zone, spot)
+            {
+                let left_s = machine_type.boot_s * BOOT_SPREAD - now.since(instance.rented_at);
+                let left_s = left_s.max(1.0);
+                let market = booting
+                    .entry((instance.machine_type, zone, spot))
+                    .or_insert(Booting {
+                        count: 0,
+                        first_in_s: left_s,
+                    });
+                market.count += 1;
+                market.first_in_s = market.first_in_s.min(left_s);
+            }
+        }
+        for ((machine_type, zone, spot), market) in booting {
+            reasons.push(Reason::Booting {
+                machine_type: labelled(machine_types, machine_type)
+                    .map_or(String::new(), |t| t.label.clone()),
+                zone: zone.to_string(),
+                spot,
+                machines: market.count,
+                expected_s: market.first_in_s,
+            });
         }
     }
+
+    /// Open rentals that could serve the job, and markets that refused lately.
+    fn explain_rentals(
+        &self,
+        now: Time,
+        machine_types: &[MachineType],
+        requirements: &Requirements,
+        reasons: &mut Vec<Reason>,
+    ) {
+        for rental in &self.rentals.open {
+            let entry = &rental.entry;
+            let serves = labelled(machine_types, rental.machine_type)
+                .is_some_and(|t| requirements.are_met_by(t, &entry.zone, entry.spot));
+            if serves {
+                reasons.push(Reason::Renting {
+                    machine_type: entry.machine_type.clone(),
+                    zone: entry.zone.clone(),
+                    spot: entry.spot,
+                    machines: entry.count,
+                });
+            }
+        }
+        for (market, until) in &self.rentals.refused {
+            let Some(machine_type) = labelled(machine_types, market.machine_type) else {
+                continue;
+            };
+            if *until > now && requirements.are_met_by(machine_type, &market.zone, market.spot) {
+                reasons.push(Reason::MarketRefused {
+                    machine_type: machine_type.label.clone(),
+                    zone: market.zone.clone(),
+                    spot: market.spot,
+                    again_s: until.until(now),
+                });
+            }
+        }
+    }
+
+    /// Whether a drain stands between the job and machines that it could use: types and zones
+    /// where nothing is rented, or a machine that is there.
+    fn drain_blocks(
+        &self,
+        drain: &Directive,
+        machine_types: &[MachineType],
+        requirements: &Requirements,
+        scheduler: &Scheduler,
+    ) -> bool {
+        let directives = scheduler.active_directives();
+        let is_target = |target: &Target| *target == drain.target;
+        let market_blocked = machine_types.iter().any(|t| {
+            t.zones.iter().any(|zone| {
+                requirements.are_met_by(t, zone, false)
+                    && directives
+                        .market(&t.label, zone)
+                        .is_some_and(|d| is_target(&d.target))
+            })
+        });
+        let machine = MachineId::parse(drain.target.name());
+        market_blocked
+            || machine
+                .and_then(|id| self.instances.get(&id))
+                .is_some_and(|i| {
+                    labelled(machine_types, i.machine_type)
+                        .is_some_and(|t| requirements.are_met_by(t, &i.zone, i.spot))
+                })
+    }
 }
--- /dev/null
+++ b/crates/controller/src/fleet/instance.rs
@@ -0,0 +1,173 @@
+//! One machine as the cloud and the leader know it, and the states it passes through.
+
+use super::cloud_protocol::HostRow;
+use crate::directives::ActiveDirectives;
+use crate::scheduler::Machine;
+use crate::split::{Class, MachineType};
+use beamhinge_admin_api::directives::Directive;
+use beamhinge_core::types::{MachineId, Time};
+use std::fmt;
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+
+/// Boot time assumed of a machine whose type is unknown, seconds.
+const DEFAULT_BOOT_S: f64 = 60.0;
+
+/// State of a machine by the cloud's list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum InstanceStatus {
+    Booting,
+    Running,
+    Failed,
+}
+
+/// How far the return of a machine to the cloud has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ScaleInState {
+    /// The machine stays.
+    Retained,
+    /// To be released; the call was not sent yet.
+    Pending,
+    /// Like `Pending`, because the machine is silent: called off if it reports again.
+    PendingSilent,
+    /// The call is under way.
+    InFlight,
+}
+
+/// Why a machine is returned. The texts are part of the admin API.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ScaleInReason {
+    Silent,
+    /// It reported before, and complete lists no longer name it.
+    Unlisted,
+    /// It reports, and acknowledges nothing that it is sent.
+    Unacknowledging,
+    Failed,
+    Quarantined,
+    NeverBooted,
+    /// It never reported, and complete lists do not name it.
+    NeverListed,
+    Drained,
+    Slow,
+    Idle,
+}
+
+impl ScaleInReason {
+    pub(super) fn as_str(self) -> &'static str {
+        match self {
+            ScaleInReason::Silent => "silent",
+            ScaleInReason::Unlisted => "gone from the list",
+            ScaleInReason::Unacknowledging => "takes no answers",
+            ScaleInReason::Failed => "failed",
+            ScaleInReason::Quarantined => "fails its tasks",
+            ScaleInReason::NeverBooted => "never came up",
+            ScaleInReason::NeverListed => "vanished from the list",
+            ScaleInReason::Drained => "drained",
+            ScaleInReason::Slow => "slow",
+            ScaleInReason::Idle => "idle",
+        }
+    }
+
+    /// The state in which a machine waits for its release.
+    pub(super) fn pending_state(self) -> ScaleInState {
+        match self {
+            ScaleInReason::Silent => ScaleInState::PendingSilent,
+            _ => ScaleInState::Pending,
+        }
+    }
+}
+
+impl fmt::Display for ScaleInReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
+/// One machine of the inventory.
+#[derive(Debug)]
+pub(super) struct Instance {
+    /// Index into the machine types.
+    pub(super) machine_type: usize,
+    pub(super) zone: String,
+    pub(super) spot: bool,
+    pub(super) status: InstanceStatus,
+    /// When it was rented, or first seen.
+    pub(super) rented_at: Time,
+    /// When the list last named it.
+    pub(super) listed_at: Option<Time>,
+    pub(super) endpoint: Option<SocketAddrV4>,
+    /// Provided by the operators, not rented by the service: it is kept while idle.
+    pub(super) owned: bool,
+    /// Complete lists in a row that do not name it, though they must.
+    pub(super) missed_listings: u32,
+    pub(super) scale_in: ScaleInState,
+}
+
+impl Instance {
+    /// A machine of a class in a zone that was not seen in any list yet.
+    pub(super) fn unlisted(class: Class, zone: String, rented_at: Time) -> Instance {
+        Instance {
+            machine_type: class.machine_type,
+            zone,
+            spot: class.spot,
+            status: InstanceStatus::Booting,
+            rented_at,
+            listed_at: None,
+            endpoint: None,
+            owned: false,
+            missed_listings: 0,
+            scale_in: ScaleInState::Retained,
+        }
+    }
+
+    /// A machine that was first seen in the list.
+    pub(super) fn from_listing(row: &HostRow, machine_type: usize, now: Time) -> Instance {
+        let class = Class {
+            machine_type,
+            spot: row.spot,
+        };
+        Instance {
+            status: row.instance_status(),
+            endpoint: row.socket_address(),
+            ..Instance::unlisted(class, row.zone.clone(), now.minus(row.held_s))
+        }
+    }
+
+    pub(super) fn class(&self) -> Class {
+        Class {
+            machine_type: self.machine_type,
+            spot: self.spot,
+        }
+    }
+
+    /// Whether no return of it is pending or under way.
+    pub(super) fn is_retained(&self) -> bool {
+        self.scale_in == ScaleInState::Retained
+    }
+
+    /// Whether it has been up: the list calls it running, or the job store has tasks on it. If
+    /// such a machine never reported to this leader it is silent, and may yet recover.
+    pub(super) fn was_up(&self, machine: Option<&Machine>) -> bool {
+        self.status == InstanceStatus::Running || machine.is_some_and(|m| !m.is_empty())
+    }
+
+    /// Its type's boot time, seconds.
+    pub(super) fn boot_s(&self, machine_types: &[MachineType]) -> f64 {
+        machine_types
+            .get(self.machine_type)
+            .map_or(DEFAULT_BOOT_S, |t| t.boot_s)
+    }
+
+    /// The drain that it is under, if any.
+    pub(super) fn active_drain<'a>(
+        &self,
+        id: MachineId,
+        machine_types: &[MachineType],
+        active_directives: &'a ActiveDirectives,
+    ) -> Option<&'a Rc<Directive>> {
+        let label = machine_types
+            .get(self.machine_type)
+            .map_or("", |t| t.label.as_str());
+        active_directives.drain_of(id, label, &self.zone)
+    }
+}
--- /dev/null
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -0,0 +1,346 @@
+//! Finds machines that failed, never booted, vanished or fell silent, and marks them for return.
+
+use super::instance::{Instance, InstanceStatus, ScaleInReason, ScaleInState};
+use super::term::LeaderTerm;
+use super::{silence_thresholds, LivenessView, TickContext};
+use crate::scheduler::{Machine, Scheduler};
+use crate::split::{Class, MachineType};
+use beamhinge_core::settings::Settings;
+use beamhinge_core::types::{MachineId, Time};
+#[cfg(feature = "faults")]
+use beamhinge_failure_detection::FleetAssessment;
+use beamhinge_failure_detection::{
+    Connectivity, FailureDomain, Liveness, MachineObservation, SilenceDetector, SilenceThresholds,
+};
+use std::collections::BTreeMap;
+
+/// Complete lists in a row without a machine after which it counts as gone.
+const UNLISTED_AFTER_PASSES: u32 = 2;
+/// Time that machines have after a failover to find the new leader, seconds.
+const FAILOVER_GRACE_S: f64 = 2.0;
+/// Leases without an acknowledgement, or of silence, after which a machine is surely dead.
+const SURELY_DEAD_LEASES: f64 = 4.0;
+/// Reports that may be missed by a machine which is adopted without having been listed.
+const ADOPTION_REPORTS: f64 = 3.0;
+
+/// What is concluded from machines' silence.
+pub(super) struct MachineHealth {
+    detector: SilenceDetector,
+    /// Reachability of the machines, as of the last assessment.
+    pub(super) connectivity: Connectivity,
+    /// Silent machines that are not given up, and how long their failure domain is suspected,
+    /// seconds.
+    pub(super) shielded: BTreeMap<MachineId, f64>,
+    /// Failure domains that are silent as a whole, and for how long, seconds.
+    suspected: Vec<(FailureDomain, f64)>,
+}
+
+impl MachineHealth {
+    pub(super) fn new(thresholds: SilenceThresholds) -> MachineHealth {
+        MachineHealth {
+            detector: SilenceDetector::new(thresholds),
+            connectivity: Connectivity::default(),
+            shielded: BTreeMap::new(),
+            suspected: Vec::new(),
+        }
+    }
+
+    /// Whether this controller's own link to the machines is taken for broken.
+    pub(super) fn is_own_link_suspected(&self) -> bool {
+        self.suspected
+            .iter()
+            .any(|(domain, _)| *domain == FailureDomain::OwnLink)
+    }
+
+    /// Logs a domain once when it falls silent and once when it is heard again.
+    fn update_suspected(
+        &mut self,
+        settings: &Settings,
+        machine_types: &[MachineType],
+        suspected: Vec<(FailureDomain, f64)>,
+    ) {
+        let contains = |list: &[(FailureDomain, f64)], domain: &FailureDomain| {
+            list.iter().any(|(other, _)| other == domain)
+        };
+        for (domain, _) in &suspected {
+            if !contains(&self.suspected, domain) {
+                let domain = domain_name(*domain, settings, machine_types);
+                tracing::warn!(%domain, "suspecting broken link: machines are silent together");
+            }
+        }
+        for (domain, elapsed_s) in &self.suspected {
+            if !contains(&suspected, domain) {
+                let domain = domain_name(*domain, settings, machine_types);
+                tracing::info!(%domain, elapsed_s, "recovered link: machines are heard again");
+            }
+        }
+        self.suspected = suspected;
+    }
+}
+
+/// A failure domain for log lines.
+fn domain_name(
+    domain: FailureDomain,
+    settings: &Settings,
+    machine_types: &[MachineType],
+) -> String {
+    match domain {
+        FailureDomain::OwnLink => "own link".to_string(),
+        FailureDomain::Zone(index) => {
+            let zones = &settings.params.zones;
+            format!("zone {}", zones.get(index).map_or("?", String::as_str))
+        }
+        FailureDomain::MachineType(index) => {
+            let label = machine_types.get(index).map_or("?", |t| t.label.as_str());
+            format!("machine type {label}")
+        }
+    }
+}
+
+/// The fault of old: silent is dead, as long as more machines are heard than silent.
+#[cfg(feature = "faults")]
+fn assess_without_shields(
+    observations: &[MachineObservation],
+    dead_after_s: f64,
+) -> FleetAssessment {
+    let silent = |o: &&MachineObservation| o.silent_s > dead_after_s;
+    let few = observations.iter().filter(silent).count() * 2 < observations.len();
+    let classify = |o: &MachineObservation| {
+        if few && silent(&o) {
+            Liveness::Dead
+        } else {
+            Liveness::Alive
+        }
+    };
+    FleetAssessment {
+        findings: observations.iter().map(|o| (o.id, classify(o))).collect(),
+        ..FleetAssessment::default()
+    }
+}
+
+impl LeaderTerm {
+    /// Assesses all machines, marks those that are lost for return, and adopts those that report
+    /// though no list names them yet.
+    pub(super) fn check_machines(
+        &mut self,
+        context: &TickContext,
+        machine_types: &[MachineType],
+        scheduler: &mut Scheduler,
+    ) {
+        let now = context.now;
+        let settings = context.settings;
+        let observations = self.observe_machines(context, machine_types, scheduler);
+        let assessment = self
+            .health
+            .detector
+            .assess(now, scheduler.overdue_s(), &observations);
+        #[cfg(feature = "faults")]
+        let assessment = if self.faults.hasty {
+            assess_without_shields(&observations, silence_thresholds(settings).dead_after_s)
+        } else {
+            assessment
+        };
+        self.health.connectivity = assessment.connectivity;
+        self.health
+            .update_suspected(settings, machine_types, assessment.suspected);
+        let lease_s = settings.params.workers.lease_s;
+        let mut lost: BTreeMap<MachineId, ScaleInReason> = BTreeMap::new();
+        self.health.shielded.clear();
+        for (observation, (_, liveness)) in observations.iter().zip(&assessment.findings) {
+            let lost_by_silence = self.apply_liveness(now, observation, *liveness);
+            let lost_by_acknowledgement =
+                self.check_acknowledgements(now, observation.id, lease_s, scheduler);
+            if let Some(reason) = lost_by_acknowledgement.or(lost_by_silence) {
+                lost.insert(observation.id, reason);
+            }
+        }
+        self.scale_in_lost(now, lease_s, machine_types, &lost, scheduler);
+        self.adopt_unlisted(now, settings.params.workers.report_s, scheduler);
+    }
+
+    /// What this controller observes of each machine that was up and is not being returned.
+    fn observe_machines(
+        &mut self,
+        context: &TickContext,
+        machine_types: &[MachineType],
+        scheduler: &mut Scheduler,
+    ) -> Vec<MachineObservation> {
+        let now = context.now;
+        let dead_after_s = silence_thresholds(context.settings).dead_after_s;
+        let mut observations = Vec::new();
+        for (id, instance) in &mut self.instances {
+            let last_heartbeat = scheduler.machine(*id).and_then(|m| m.last_heartbeat);
+            // It reports again: the return is called off while it can be.
+            if instance.scale_in == ScaleInState::PendingSilent
+                && last_heartbeat.is_some_and(|at| now.since(at) < dead_after_s / 2.0)
+            {
+                tracing::info!(machine = %id, "called off scale-in: machine reports again");
+                instance.scale_in = ScaleInState::Retained;
+                scheduler.undrain(*id);
+            }
+            if !instance.is_retained() {
+                continue;
+            }
+            let machine = scheduler.machine(*id);
+            let silent_since = match last_heartbeat {
+                Some(at) => at,
+                // After a failover, what was up and does not report to this leader has been
+                // silent since then; it is given time to find the leader.
+                None if instance.was_up(machine) => scheduler
+                    .took()
+                    .plus(FAILOVER_GRACE_S)
+                    .max(instance.rented_at.plus(instance.boot_s(machine_types))),
+                None => continue,
+            };
+            observations.push(observe(context, *id, instance, machine, silent_since));
+        }
+        observations
+    }
+
+    /// Shields the machine, or returns why it is lost.
+    fn apply_liveness(
+        &mut self,
+        now: Time,
+        observation: &MachineObservation,
+        liveness: Liveness,
+    ) -> Option<ScaleInReason> {
+        match liveness {
+            Liveness::Dead => Some(ScaleInReason::Silent),
+            Liveness::Unlisted => Some(ScaleInReason::Unlisted),
+            Liveness::Shielded(_) | Liveness::HeardByPeer | Liveness::RemovalDeferred => {
+                let suspected_s = self.health.detector.suspected_for_s(
+                    now,
+                    observation.zone,
+                    observation.machine_type,
+                );
+                self.health
+                    .shielded
+                    .insert(observation.id, suspected_s.unwrap_or(0.0));
+                None
+            }
+            Liveness::Alive | Liveness::Overdue => None,
+        }
+    }
+
+    /// A machine that reports and acknowledges nothing is treated like one behind a broken link:
+    /// shielded, thus replaced little by little, and lost when that lasts.
+    fn check_acknowledgements(
+        &mut self,
+        now: Time,
+        id: MachineId,
+        lease_s: f64,
+        scheduler: &Scheduler,
+    ) -> Option<ScaleInReason> {
+        let unacknowledged_for_s = scheduler
+            .machine(id)
+            .and_then(|m| m.ack_tracker.unacknowledged_for_s(now))?;
+        if unacknowledged_for_s > lease_s * SURELY_DEAD_LEASES
+            && !self.instances.get(&id).is_some_and(|i| i.owned)
+        {
+            return Some(ScaleInReason::Unacknowledging);
+        }
+        self.health.shielded.insert(id, unacknowledged_for_s);
+        None
+    }
+
+    /// Marks for return what failed, never booted or is lost.
+    fn scale_in_lost(
+        &mut self,
+        now: Time,
+        lease_s: f64,
+        machine_types: &[MachineType],
+        lost: &BTreeMap<MachineId, ScaleInReason>,
+        scheduler: &mut Scheduler,
+    ) {
+        let leading_s = now.since(self.began);
+        let mut marked = Vec::new();
+        for (id, instance) in &mut self.instances {
+            if !instance.is_retained() {
+                continue;
+            }
+            let machine = scheduler.machine(*id);
+            let boot_s = instance.boot_s(machine_types);
+            let never_reported = machine.and_then(|m| m.last_heartbeat).is_none();
+            let boot_overdue = now.since(instance.rented_at) > boot_s * 1.9 + 5.0
+                && leading_s > boot_s * 0.5 + lease_s;
+            let reason = if instance.status == InstanceStatus::Failed {
+                ScaleInReason::Failed
+            } else if machine.is_some_and(|m| m.quarantined) {
+                ScaleInReason::Quarantined
+            } else if never_reported && !instance.was_up(machine) && boot_overdue {
+                ScaleInReason::NeverBooted
+            // By lists that were read and do not name it, not by time alone: a leader that did
+            // not reach the cloud for a while returned whatever it had not heard.
+            } else if never_reported && instance.missed_listings >= UNLISTED_AFTER_PASSES {
+                ScaleInReason::NeverListed
+            } else if let Some(reason) = lost.get(id) {
+                *reason
+            } else {
+                continue;
+            };
+            tracing::info!(machine = %id, %reason, "scaling in machine");
+            instance.scale_in = reason.pending_state();
+            marked.push((*id, reason));
+        }
+        for (id, reason) in marked {
+            scheduler.drain(id, reason.as_str());
+        }
+    }
+
+    /// Adopts machines that report, though no list and no rental named them yet.
+    fn adopt_unlisted(&mut self, now: Time, report_s: f64, scheduler: &Scheduler) {
+        for (id, machine) in scheduler.machines() {
+            let known = self.instances.contains_key(id) || self.released.contains_key(id);
+            let reports = machine
+                .last_heartbeat
+                .is_some_and(|at| now.since(at) < report_s * ADOPTION_REPORTS);
+            let Some(machine_type) = machine.machine_type().filter(|_| !known && reports) else {
+                continue;
+            };
+            let class = Class {
+                machine_type,
+                spot: machine.spot,
+            };
+            let instance = Instance {
+                status: InstanceStatus::Running,
+                endpoint: machine.endpoint,
+                ..Instance::unlisted(class, machine.zone().to_string(), now)
+            };
+            self.instances.insert(*id, instance);
+        }
+    }
+}
+
+/// What is observed of a machine that is silent since `silent_since`.
+fn observe(
+    context: &TickContext,
+    id: MachineId,
+    instance: &Instance,
+    machine: Option<&Machine>,
+    silent_since: Time,
+) -> MachineObservation {
+    let TickContext { now, settings, .. } = *context;
+    let LivenessView {
+        pause_detector,
+        peer_observations,
+        ..
+    } = context.liveness;
+    let mut silent_s = now.since(pause_detector.silence_counts_from(silent_since));
+    // Not rented by the service: returned only when it is surely dead.
+    if instance.owned && silent_s < settings.params.workers.lease_s * SURELY_DEAD_LEASES {
+        silent_s = silent_s.min(silence_thresholds(settings).dead_after_s);
+    }
+    let zones = &settings.params.zones;
+    MachineObservation {
+        id,
+        zone: zones
+            .iter()
+            .position(|z| *z == instance.zone)
+            .unwrap_or(zones.len()),
+        machine_type: instance.machine_type,
+        silent_s,
+        peer_heard_age_s: peer_observations.age_s(now, id),
+        unlisted: instance.missed_listings >= UNLISTED_AFTER_PASSES,
+        rotates_controllers: machine.is_some_and(|m| m.rotates_controllers(now)),
+    }
+}
--- /dev/null
+++ b/crates/controller/src/fleet/rentals.rs
@@ -0,0 +1,357 @@
+//! Requests for machines that are not settled yet, and their record in the key-value store.
+//!
+//! Invariant: a name is sent to the cloud only after it was recorded, and a name that is in use
+//! stays in the record until every list must show its machines.
+
+use super::cloud_calls::CloudCall;
+use super::rental_record::{
+    consecutive_ranges, RentalEntry, RentalRecord, RECORD_VERSION, RENTALS_KEY, RENTALS_PREFIX,
+};
+use crate::calls::{FleetCall, Tag};
+use crate::leader_election::BLOCK_KEY;
+use crate::split::Class;
+use crate::store::{Committed, Outcome, Priority, Scan, StoreClient};
+use beamhinge_core::types::{FencingToken, MachineId, Revision, Time};
+use beamhinge_core::wire;
+use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction, Transaction, TransactionError};
+use std::collections::BTreeMap;
+
+/// How long nothing is recorded after a rental that could not be, seconds.
+const RECORD_PAUSE_S: f64 = 5.0;
+/// Pause after a write that was refused, failed or lost, seconds.
+const WRITE_RETRY_S: f64 = 0.2;
+/// Pause after a read that failed, seconds.
+const READ_RETRY_S: f64 = 0.3;
+/// Pause after a record that this version cannot read, seconds.
+const UNREADABLE_RECORD_PAUSE_S: f64 = 3_600.0;
+
+/// Where one type's spot or on-demand machines are rented.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Market {
+    /// Index into the machine types.
+    pub(super) machine_type: usize,
+    pub(super) zone: String,
+    pub(super) spot: bool,
+}
+
+/// How far a rental has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RentalState {
+    /// Its name is not in the record, so that it must not be sent.
+    Unrecorded,
+    /// It may be sent.
+    Recorded,
+    /// The call is under way.
+    InFlight,
+}
+
+/// A request for machines whose outcome is open.
+#[derive(Debug)]
+pub(super) struct Rental {
+    pub(super) entry: RentalEntry,
+    /// Index into the machine types.
+    pub(super) machine_type: usize,
+    pub(super) state: RentalState,
+    /// A call under this name had no reply: it may yet take effect.
+    pub(super) outcome_unknown: bool,
+    pub(super) retry_at: Time,
+}
+
+impl Rental {
+    pub(super) fn class(&self) -> Class {
+        Class {
+            machine_type: self.machine_type,
+            spot: self.entry.spot,
+        }
+    }
+
+    pub(super) fn market(&self) -> Market {
+        Market {
+            machine_type: self.machine_type,
+            zone: self.entry.zone.clone(),
+            spot: self.entry.spot,
+        }
+    }
+
+    /// The call is over; it is sent again after a pause.
+    pub(super) fn retry(&mut self, at: Time) {
+        self.state = RentalState::Recorded;
+        self.retry_at = at;
+    }
+}
+
+/// Reads and writes of the record.
+struct RecordSync {
+    /// Revision of the stored record; none while it is unknown.
+    revision: Option<Revision>,
+    in_flight: bool,
+    /// Names in the record as last read or written.
+    written: Vec<String>,
+    retry_at: Time,
+    backoff: AdaptiveBackoff,
+}
+
+/// All rentals that are open or recent.
+pub(super) struct Rentals {
+    /// Those whose outcome is open.
+    pub(super) open: Vec<Rental>,
+    last_number: u64,
+    /// Markets that refused lately, and until when they are not asked again.
+    pub(super) refused: BTreeMap<Market, Time>,
+    /// Granted lately to this leader: kept in the record until every list shows them.
+    pub(super) recent: Vec<(Time, RentalEntry)>,
+    /// Recorded by an earlier leader: the list may not show them yet.
+    pub(super) inherited: Vec<RentalEntry>,
+    /// The operators' own machines; none until known.
+    pub(super) owned: Option<Vec<MachineId>>,
+    record: RecordSync,
+}
+
+impl Rentals {
+    pub(super) fn new() -> Rentals {
+        Rentals {
+            open: Vec::new(),
+            last_number: 0,
+            refused: BTreeMap::new(),
+            recent: Vec::new(),
+            inherited: Vec::new(),
+            owned: None,
+            record: RecordSync {
+                revision: None,
+                in_flight: false,
+                written: Vec::new(),
+                retry_at: Time::default(),
+                backoff: AdaptiveBackoff::new(0.2, 5.0),
+            },
+        }
+    }
+
+    /// Whether the stored record is known, so that machines may be rented and returned.
+    pub(super) fn is_record_known(&self) -> bool {
+        self.record.revision.is_some()
+    }
+
+    /// Whether nothing was ever recorded.
+    pub(super) fn is_record_absent(&self) -> bool {
+        self.record.revision == Some(Revision(0))
+    }
+
+    /// Adds a request, which is sent once it is recorded. Its name begins with the leader's
+    /// fencing token, so that no other leader can ever use the same.
+    pub(super) fn request(&mut self, now: Time, token: FencingToken, market: &Market, ask: Ask) {
+        self.last_number += 1;
+        self.open.push(Rental {
+            entry: RentalEntry {
+                name: format!("{}{}", name_prefix(token), self.last_number),
+                machine_type: ask.label,
+                zone: market.zone.clone(),
+                spot: market.spot,
+                count: ask.count,
+            },
+            machine_type: market.machine_type,
+            state: RentalState::Unrecorded,
+            outcome_unknown: false,
+            retry_at: now,
+        });
+    }
+
+    /// Marks the rentals that may be sent now as in flight, and returns their calls.
+    pub(super) fn take_ready(&mut self, now: Time) -> Vec<CloudCall> {
+        let ready = self
+            .open
+            .iter_mut()
+            .filter(|r| r.state == RentalState::Recorded && now >= r.retry_at);
+        ready
+            .map(|r| {
+                r.state = RentalState::InFlight;
+                CloudCall::ScaleOut(r.entry.name.clone())
+            })
+            .collect()
+    }
+
+    /// Reads the record if it is unknown, and writes it if a rental is not in it.
+    pub(super) fn persist(&mut self, now: Time, token: FencingToken, store: &mut StoreClient<Tag>) {
+        let record = &mut self.record;
+        if record.in_flight || now < record.retry_at || !record.backoff.is_due(now) {
+            return;
+        }
+        let Some(revision) = record.revision else {
+            record.in_flight = true;
+            let tag = Tag::Fleet(FleetCall::ReadRentals);
+            return store.scan(now, Priority::Background, tag, RENTALS_PREFIX, None);
+        };
+        let unrecorded = self.open.iter().any(|r| r.state == RentalState::Unrecorded);
+        if !unrecorded || self.owned.is_none() {
+            return;
+        }
+        match self.build_write(token, revision, store) {
+            Ok((transaction, written)) => {
+                self.record.written = written;
+                self.record.in_flight = true;
+                let tag = Tag::Fleet(FleetCall::WriteRentals);
+                store.commit(now, Priority::Scheduler, tag, transaction);
+            }
+            Err(error) => {
+                tracing::error!(key = RENTALS_KEY, %error, "rental does not fit into the record");
+                self.abandon_unrecorded(now);
+            }
+        }
+    }
+
+    /// The write of the record, and the names in it. Every name that is in use must stay in the
+    /// record; of the new ones as many are added as fit, and the others wait.
+    ///
+    /// Fails if not even one new name fits.
+    fn build_write(
+        &self,
+        token: FencingToken,
+        revision: Revision,
+        store: &StoreClient<Tag>,
+    ) -> Result<(Transaction, Vec<String>), TransactionError> {
+        let (recorded, new): (Vec<&Rental>, Vec<&Rental>) = self
+            .open
+            .iter()
+            .partition(|r| r.state != RentalState::Unrecorded);
+        let mut added = (new.len() / self.record.backoff.divisor()).max(1);
+        let mut as_ranges = false;
+        loop {
+            let rentals: Vec<RentalEntry> = recorded
+                .iter()
+                .chain(new.iter().take(added))
+                .map(|r| r.entry.clone())
+                .chain(self.recent.iter().map(|(_, entry)| entry.clone()))
+                .collect();
+            let written = rentals.iter().map(|r| r.name.clone()).collect();
+            let record = self.record_of(rentals, as_ranges);
+            let mut transaction = store.transaction();
+            let built = transaction
+                .when(BLOCK_KEY, Revision(token.0))
+                .and_then(|()| {
+                    transaction.put(RENTALS_KEY, revision, wire::to_value(&record), None)
+                });
+            match built {
+                Ok(()) => return Ok((transaction, written)),
+                Err(_) if !as_ranges => as_ranges = true,
+                Err(_) if added > 1 => added /= 2,
+                Err(error) => return Err(error),
+            }
+        }
+    }
+
+    fn record_of(&self, rentals: Vec<RentalEntry>, as_ranges: bool) -> RentalRecord {
+        let mut record = RentalRecord {
+            version: RECORD_VERSION,
+            rentals,
+            owned: Vec::new(),
+            owned_ranges: Vec::new(),
+        };
+        let owned = self.owned.iter().flatten().copied();
+        if as_ranges {
+            record.owned_ranges = consecutive_ranges(owned);
+        } else {
+            record.owned = owned.map(|m| m.to_string()).collect();
+        }
+        record
+    }
+
+    /// Drops rentals that cannot be recorded: they are not made, and the next plan asks for what
+    /// is wanted then.
+    fn abandon_unrecorded(&mut self, now: Time) {
+        let before = self.open.len();
+        self.open.retain(|r| r.state != RentalState::Unrecorded);
+        let count = before - self.open.len();
+        tracing::error!(count, "abandoned rentals that could not be recorded");
+        self.record.backoff.on_success();
+        self.record.retry_at = now.plus(RECORD_PAUSE_S);
+    }
+
+    /// Takes over the stored record.
+    pub(super) fn on_read(&mut self, now: Time, token: FencingToken, outcome: Outcome) {
+        self.record.in_flight = false;
+        let Outcome::Ok(body) = outcome else {
+            self.record.retry_at = now.plus(READ_RETRY_S);
+            return;
+        };
+        let Ok(scan) = wire::decode::<Scan>(&body) else {
+            return;
+        };
+        let found = scan.pairs.iter().find(|p| p.path == RENTALS_KEY);
+        self.record.revision = Some(Revision(found.map_or(0, |p| p.revision)));
+        self.record.written.clear();
+        if let Some(found) = found {
+            match wire::from_value::<RentalRecord>(&found.value) {
+                Ok(record) if record.version == RECORD_VERSION => self.inherit(token, record),
+                _ => {
+                    tracing::error!(
+                        key = RENTALS_KEY,
+                        "stopped scaling: the record of rentals has an unknown form or version"
+                    );
+                    self.record.revision = None;
+                    self.record.retry_at = now.plus(UNREADABLE_RECORD_PAUSE_S);
+                }
+            }
+        }
+        // A write whose reply was lost may have landed: what it named is recorded.
+        self.mark_written();
+    }
+
+    fn inherit(&mut self, token: FencingToken, record: RentalRecord) {
+        self.record.written = record.rentals.iter().map(|r| r.name.clone()).collect();
+        let own_prefix = name_prefix(token);
+        let owned = record.owned_machines();
+        self.inherited = record.rentals;
+        self.inherited.retain(|r| !r.name.starts_with(&own_prefix));
+        self.owned.get_or_insert(owned);
+    }
+
+    fn mark_written(&mut self) {
+        for rental in &mut self.open {
+            if rental.state == RentalState::Unrecorded
+                && self.record.written.contains(&rental.entry.name)
+            {
+                rental.state = RentalState::Recorded;
+            }
+        }
+    }
+
+    /// Takes in how a write of the record ended.
+    pub(super) fn on_written(&mut self, now: Time, outcome: Outcome) {
+        self.record.in_flight = false;
+        match outcome {
+            Outcome::Ok(body) => match wire::decode::<Committed>(&body) {
+                Ok(committed) => {
+                    self.record.backoff.on_success();
+                    self.record.revision = Some(Revision(committed.rev));
+                    self.mark_written();
+                }
+                Err(_) => self.record.revision = None,
+            },
+            Outcome::Refused => {
+                self.record.backoff.on_refused(now);
+                self.record.retry_at = now.plus(WRITE_RETRY_S);
+            }
+            // Half of the new names go into the next write; in the end none.
+            Outcome::Malformed => {
+                if self.record.backoff.malformed(now) == RetryAction::SetAside {
+                    self.abandon_unrecorded(now);
+                }
+            }
+            _ => {
+                self.record.revision = None;
+                self.record.retry_at = now.plus(WRITE_RETRY_S);
+            }
+        }
+    }
+}
+
+/// What a rental asks for.
+pub(super) struct Ask {
+    /// Label of the machine type.
+    pub(super) label: String,
+    pub(super) count: u32,
+}
+
+/// How the names of a leader's rentals begin.
+fn name_prefix(token: FencingToken) -> String {
+    format!("r-{}-", token.0)
+}
--- /dev/null
+++ b/crates/controller/src/fleet/term.rs
@@ -0,0 +1,62 @@
+//! What the leader knows of the fleet for as long as it leads.
+
+use super::instance::Instance;
+use super::inventory::Listing;
+use super::machine_health::MachineHealth;
+use super::rentals::Rentals;
+use super::scale_in::ScaleInCalls;
+use super::silence_thresholds;
+use crate::market::Splits;
+use beamhinge_core::settings::{Operator, Settings};
+use beamhinge_core::types::{FencingToken, MachineId, Time};
+use std::collections::BTreeMap;
+
+/// State of one term as leader; dropped when the term ends.
+pub(super) struct LeaderTerm {
+    pub(super) token: FencingToken,
+    pub(super) began: Time,
+    /// The inventory.
+    pub(super) instances: BTreeMap<MachineId, Instance>,
+    /// Machines that the cloud confirmed as released, and when: a lagging list may still name
+    /// them.
+    pub(super) released: BTreeMap<MachineId, Time>,
+    pub(super) listing: Listing,
+    pub(super) rentals: Rentals,
+    pub(super) scale_in: ScaleInCalls,
+    pub(super) health: MachineHealth,
+    /// When the fleet was last compared with what is wanted.
+    pub(super) planned_at: Time,
+    pub(super) splits: Splits,
+    #[cfg(feature = "faults")]
+    pub(super) faults: crate::faults::Faults,
+}
+
+impl LeaderTerm {
+    pub(super) fn new(
+        now: Time,
+        token: FencingToken,
+        operator: &Operator,
+        settings: &Settings,
+    ) -> LeaderTerm {
+        LeaderTerm {
+            token,
+            began: now,
+            instances: BTreeMap::new(),
+            released: BTreeMap::new(),
+            listing: Listing::default(),
+            rentals: Rentals::new(),
+            scale_in: ScaleInCalls::new(),
+            health: MachineHealth::new(silence_thresholds(settings)),
+            planned_at: Time::default(),
+            splits: Splits::new(operator, token, now),
+            #[cfg(feature = "faults")]
+            faults: crate::faults::Faults::default(),
+        }
+    }
+}
+
+/// Time after which every list shows a machine that was rented, seconds: none is older than
+/// twice the lag that the cloud states.
+pub(super) fn listing_delay_s(list_lag_s: f64) -> f64 {
+    list_lag_s * 2.0 + 2.0
+}
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -8,7 +8,7 @@
 use crate::configuration::Configuration;
 use crate::directives::Directives;
 use crate::faults::{broken, Faults};
-use crate::fleet::{Fleet, LivenessView};
+use crate::fleet::{Fleet, LivenessView, TickContext};
 use crate::job_store::JobStore;
 use crate::leader_election::LeaderElection;
 use crate::metrics::Metrics;
@@ -247,15 +247,15 @@
                 peer_observations: &self.peer_observations,
                 leadership_confirmed: self.acting(now),
             };
-            self.fleet.tick(
+            let context = TickContext {
                 now,
                 wall,
-                &self.operator,
-                &self.settings,
-                &liveness,
-                self.scheduler.as_mut(),
-                &mut self.store,
-            );
+                operator: &self.operator,
+                settings: &self.settings,
+                liveness: &liveness,
+            };
+            self.fleet
+                .tick(&context, self.scheduler.as_mut(), &mut self.store);
             self.stop_tasks(now, out);
             self.store.flush(now, &mut self.next_call, out);
             self.fleet.flush(now, &mut self.next_call, out);
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -7,6 +7,7 @@
 };
 use crate::configuration::ChangeResponse;
 use crate::directives::DirectiveResponse;
+use crate::fleet::MachineQuery;
 use crate::job_store::{Entry, JobState};
 use crate::user_api;
 use beamhinge_admin_api::auth::Caller;
@@ -568,14 +569,13 @@
                     .any(|r| matches!(r.name(), "frozen" | "team_limit"));
                 if placed.waiting > 0 && !frozen {
                     if let Some((demand, spec)) = scheduler.demand_of(wall, id) {
-                        self.fleet.explain_pending_job(
+                        placed.reasons.extend(self.fleet.explain_pending_job(
                             now,
                             wall,
                             (&demand, &spec),
                             &self.settings,
                             scheduler,
-                            &mut placed.reasons,
-                        );
+                        ));
                     }
                 }
                 encoded(&placed)
@@ -587,15 +587,13 @@
                 limit,
             } => {
                 let after = after.as_deref().and_then(MachineId::parse);
-                let (machine_type, zone) = (machine_type.as_deref(), zone.as_deref());
-                encoded(&self.fleet.render_machines(
-                    now,
-                    machine_type,
-                    zone,
+                let query = MachineQuery {
+                    machine_type: machine_type.as_deref(),
+                    zone: zone.as_deref(),
                     after,
-                    *limit,
-                    scheduler,
-                ))
+                    limit: *limit,
+                };
+                encoded(&self.fleet.render_machines(now, &query, scheduler))
             }
             Query::Teams => encoded(&scheduler.describe_teams(now, &self.settings, machine_types)),
             Query::Splits => encoded(&self.fleet.render_splits()),
