--- a/crates/admin-api/tests/golden.rs
+++ b/crates/admin-api/tests/golden.rs
@@ -20,7 +20,7 @@
 use beamhinge_admin_api::messages::*;
 use beamhinge_admin_api::reasons::{Near, Reason, Tally};
 use beamhinge_configuration::stored::Author;
-use beamhinge_configuration::{Change as ConfigurationChange, Quota, TeamChange, Version};
+use beamhinge_configuration::{ConfigurationChange, Quota, TeamChange, Version};
 use beamhinge_core::job::{JobKind, JobSpec, Urgency};
 use golden::Golden;
 use serde::de::DeserializeOwned;
--- a/crates/cli/src/verbs.rs
+++ b/crates/cli/src/verbs.rs
@@ -7,7 +7,7 @@
 use beamhinge_admin_api::directives::{Afterwards, Change, Target};
 use beamhinge_admin_api::messages::{JobPage, JobRequest, MachinePage, State};
 use beamhinge_client::{draw_job_id, Client, ClientError};
-use beamhinge_configuration::{Change as ConfigurationChange, Version};
+use beamhinge_configuration::{ConfigurationChange, Version};
 use beamhinge_core::job::JobKind;
 use serde::Serialize;
 use std::io::{self, IsTerminal, Write};
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -25,7 +25,7 @@
     JobDetail, JobPage, JobRequest, JobTold, MachinePage, NodeRow, Problem, Splits, Summary,
     TeamRow,
 };
-use beamhinge_configuration::Change as ConfigurationChange;
+use beamhinge_configuration::ConfigurationChange;
 use beamhinge_core::http::Method;
 use rand::Rng;
 use routing::{Next, Outcome, Routing};
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -1,307 +1,156 @@
-//! Changes: checked against what is, and turned into what is to be written.
+//! Changes of the configuration as operators request them, and the checks of their form.
 
 use crate::quota::Quota;
-use crate::stored::{
-    chunk_of, effective, Author, Chunk, Head, RecordPart, Snapshot, TeamState, Version, FORM, KEPT,
-};
-use beamhinge_core::settings;
+use crate::stored::Version;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
-use validator::Validate;
+use std::collections::BTreeMap;
+use validator::{Validate, ValidationErrors, ValidationErrorsKind};
 
 /// Teams that one change may name, and teams that there may be.
 pub const MAX_TEAMS: usize = 2_000;
-/// Bytes of a reason.
-const MAX_WHY: usize = 200;
-/// Bytes of a team's name; it is a part of many values.
-const MAX_NAME: usize = 64;
-/// Teams whose former state one part of a record holds: about 4 KB.
-const TEAMS_A_PART: usize = 40;
+/// Longest reason, bytes.
+const MAX_REASON_BYTES: usize = 200;
+/// Longest name of a team, bytes; the name is part of many stored values.
+const MAX_TEAM_NAME_BYTES: usize = 64;
 
-/// What becomes of one team.
+/// What a change does to one team.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TeamChange {
-    /// Its quota is this from now on.
+    /// Sets the quota of an existing team.
     Set(Quota),
-    /// A new team, or one that was removed.
+    /// Adds a team that is new, or was removed.
     Add(Quota),
-    /// New jobs of it are refused; accepted ones run on.
+    /// Removes the team: its new jobs are refused, accepted ones run on.
     Remove,
-    /// As the settings say.
+    /// Drops the overlay of the team: the settings apply again.
     Restore,
 }
 
-/// What an author wants: teams, or an earlier version.
+/// A change that an operator requests: of teams, or back to an earlier version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Change {
-    /// The version that its author saw.
+pub struct ConfigurationChange {
+    /// The version that its author saw; the change is refused if another is in force.
     pub seen: Version,
+    /// What changes, by name of the team.
     #[serde(default)]
     pub teams: BTreeMap<String, TeamChange>,
-    /// Go back to what was in force at this version.
+    /// Restores what was in force at this version, in place of `teams`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub restore_version: Option<Version>,
+    /// The author's reason, at most 200 bytes.
     #[serde(default)]
     pub why: String,
 }
 
-/// Why a change is not made; what is in force stays so.
+/// Why a change is not made; what is in force stays so. The texts are shown to operators.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refusal {
+pub enum ChangeError {
+    /// Another version is in force than the author saw.
     #[error("version {current} is in force and {seen} was seen: look again and decide anew")]
-    Conflict { seen: Version, current: Version },
+    VersionConflict {
+        /// The version that the author saw.
+        seen: Version,
+        /// The version in force.
+        current: Version,
+    },
+    /// The change names neither teams nor a version.
     #[error("it names no team and no version to go back to")]
     Empty,
+    /// The change names both teams and a version.
     #[error("it names teams and a version to go back to: make two changes of it")]
-    Both,
+    TeamsAndVersion,
+    /// More than [`MAX_TEAMS`] teams.
     #[error("{0} teams at once; {MAX_TEAMS} is the most")]
-    TooMany(usize),
-    #[error("the reason is longer than {MAX_WHY} bytes")]
-    Reason,
-    #[error("'{0}' is no name of a team: letters, digits, - _ . and at most {MAX_NAME} of them")]
-    Name(String),
+    TooManyTeams(usize),
+    /// The reason is too long.
+    #[error("the reason is longer than {MAX_REASON_BYTES} bytes")]
+    ReasonTooLong,
+    /// A name that no team may have.
+    #[error(
+        "'{0}' is no name of a team: letters, digits, - _ . and at most {MAX_TEAM_NAME_BYTES} of \
+         them"
+    )]
+    InvalidTeamName(String),
+    /// A team to be changed does not exist.
     #[error("there is no team {0}: `add` makes one")]
-    Unknown(String),
+    UnknownTeam(String),
+    /// A team to be added exists.
     #[error("there is a team {0} already: `set` changes it")]
-    Exists(String),
+    TeamExists(String),
+    /// A quota that is not valid.
     #[error("team {team}: {problem}")]
-    Quota { team: String, problem: String },
+    InvalidQuota {
+        /// Name of the team.
+        team: String,
+        /// What is wrong, for the author.
+        problem: String,
+    },
+    /// The version to be restored is not retained.
     #[error("version {0} is not kept any more, or never was")]
-    NotKept(Version),
+    VersionNotRetained(Version),
+    /// The change would alter nothing.
     #[error("that is in force already")]
-    Nothing,
+    Unchanged,
 }
 
-/// What a change writes.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
-    pub head: Head,
-    /// Chunks that change, whole.
-    pub chunks: BTreeMap<usize, Chunk>,
-    pub record: Vec<RecordPart>,
-    /// A version that is not kept any more.
-    pub expired: Option<Version>,
-}
-
-fn check_name(name: &str) -> Result<(), Refusal> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    let sound = !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(plain);
-    if sound {
-        Ok(())
-    } else {
-        Err(Refusal::Name(name.to_string()))
-    }
-}
-
-fn check_quota(team: &str, quota: &Quota) -> Result<(), Refusal> {
-    quota.validate().map_err(|errors| {
-        let all = errors.errors().iter().flat_map(|(field, kind)| match kind {
-            validator::ValidationErrorsKind::Field(errors) => errors
-                .iter()
-                .map(|e| match e.message.as_deref() {
-                    Some(why) if *field == "__all__" => why.to_string(),
-                    Some(why) => format!("{field}: {why}"),
-                    None => format!("{field} is not sound"),
-                })
-                .collect::<Vec<_>>(),
-            _ => Vec::new(),
-        });
-        let problem = all.collect::<Vec<_>>().join("; ");
-        Refusal::Quota {
-            team: team.to_string(),
-            problem,
-        }
-    })
-}
-
-impl Change {
-    /// Whether its form is sound, whatever is in force.
-    pub fn check_form(&self) -> Result<(), Refusal> {
-        if self.why.len() > MAX_WHY {
-            return Err(Refusal::Reason);
+impl ConfigurationChange {
+    /// Checks the form of the change, independently of what is in force.
+    ///
+    /// # Errors
+    /// The first fault that is found.
+    pub fn check_form(&self) -> Result<(), ChangeError> {
+        if self.why.len() > MAX_REASON_BYTES {
+            return Err(ChangeError::ReasonTooLong);
         }
         match (self.teams.len(), self.restore_version) {
-            (0, None) => return Err(Refusal::Empty),
-            (1.., Some(_)) => return Err(Refusal::Both),
-            (n, _) if n > MAX_TEAMS => return Err(Refusal::TooMany(n)),
+            (0, None) => return Err(ChangeError::Empty),
+            (1.., Some(_)) => return Err(ChangeError::TeamsAndVersion),
+            (count, _) if count > MAX_TEAMS => return Err(ChangeError::TooManyTeams(count)),
             _ => {}
         }
         for (team, change) in &self.teams {
-            check_name(team)?;
+            check_team_name(team)?;
             if let TeamChange::Set(quota) | TeamChange::Add(quota) = change {
                 check_quota(team, quota)?;
             }
         }
         Ok(())
     }
-
-    /// What it writes over `now`, or why it is not made.
-    pub fn plan(
-        &self,
-        now: &Snapshot,
-        base: &[settings::Team],
-        author: Author,
-    ) -> Result<Plan, Refusal> {
-        self.check_form()?;
-        let current = now.version();
-        if self.seen != current {
-            return Err(Refusal::Conflict {
-                seen: self.seen,
-                current,
-            });
-        }
-        let wanted = match self.restore_version {
-            Some(version) => {
-                let before = now.overlay_at(version).ok_or(Refusal::NotKept(version))?;
-                keep_added(before, now, base)
-            }
-            None => self.apply(now, base)?,
-        };
-        let teams: BTreeSet<&String> = now.overlay.keys().chain(wanted.keys()).collect();
-        let changed: Vec<&String> = teams
-            .into_iter()
-            .filter(|t| now.overlay.get(*t) != wanted.get(*t))
-            .collect();
-        if changed.is_empty() {
-            return Err(Refusal::Nothing);
-        }
-        if effective(&wanted, base).len() > MAX_TEAMS {
-            return Err(Refusal::TooMany(wanted.len()));
-        }
-        let version = current.next();
-        let author = Author {
-            restores: self.restore_version,
-            ..author
-        };
-        let unknown = now
-            .head
-            .as_ref()
-            .map(|h| h.unknown.clone())
-            .unwrap_or_default();
-        Ok(Plan {
-            head: Head {
-                v: FORM,
-                version,
-                author: author.clone(),
-                unknown,
-            },
-            chunks: chunks(&wanted, &changed),
-            record: record(now, &changed, &author),
-            expired: version
-                .0
-                .checked_sub(KEPT as u64)
-                .filter(|v| *v > 0)
-                .map(Version),
-        })
-    }
-
-    fn apply(
-        &self,
-        now: &Snapshot,
-        base: &[settings::Team],
-    ) -> Result<BTreeMap<String, TeamState>, Refusal> {
-        let there = now.effective(base);
-        let mut wanted = now.overlay.clone();
-        for (name, change) in &self.teams {
-            let found = there.iter().find(|team| team.name == *name);
-            let lives = found.is_some_and(|team| !team.removed);
-            let state = |quota: Quota, removed| TeamState { quota, removed };
-            match change {
-                TeamChange::Set(_) | TeamChange::Remove if !lives => {
-                    return Err(Refusal::Unknown(name.clone()));
-                }
-                TeamChange::Add(_) if lives => return Err(Refusal::Exists(name.clone())),
-                TeamChange::Set(quota) | TeamChange::Add(quota) => {
-                    wanted.insert(name.clone(), state(*quota, false));
-                }
-                TeamChange::Remove => {
-                    let quota = found.map(|team| team.quota).unwrap_or_default();
-                    wanted.insert(name.clone(), state(quota, true));
-                }
-                TeamChange::Restore => {
-                    // What the settings do not know would be forgotten with its jobs.
-                    if !base.iter().any(|team| team.name == *name) {
-                        return Err(Refusal::Unknown(name.clone()));
-                    }
-                    wanted.remove(name);
-                }
-            }
-        }
-        Ok(wanted)
-    }
-}
-
-/// Teams that were added since are removed, not forgotten: their accepted jobs go on
-/// counting for their quota.
-fn keep_added(
-    mut wanted: BTreeMap<String, TeamState>,
-    now: &Snapshot,
-    base: &[settings::Team],
-) -> BTreeMap<String, TeamState> {
-    let in_base = |name: &String| base.iter().any(|team| team.name == *name);
-    for (name, state) in now.overlay.iter().filter(|(name, _)| !in_base(name)) {
-        let removed = || TeamState {
-            removed: true,
-            ..state.clone()
-        };
-        wanted.entry(name.clone()).or_insert_with(removed);
-    }
-    wanted
 }
 
-/// The chunks with a changed team, as they are to be.
-fn chunks(wanted: &BTreeMap<String, TeamState>, changed: &[&String]) -> BTreeMap<usize, Chunk> {
-    let touched: BTreeSet<usize> = changed.iter().map(|team| chunk_of(team)).collect();
-    let mut chunks: BTreeMap<usize, Chunk> = touched
-        .into_iter()
-        .map(|n| {
-            (
-                n,
-                Chunk {
-                    v: FORM,
-                    ..Chunk::default()
-                },
-            )
-        })
-        .collect();
-    for (team, state) in wanted {
-        if let Some(chunk) = chunks.get_mut(&chunk_of(team)) {
-            chunk.teams.insert(team.clone(), state.clone());
-        }
+fn check_team_name(name: &str) -> Result<(), ChangeError> {
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    let valid = !name.is_empty() && name.len() <= MAX_TEAM_NAME_BYTES && name.bytes().all(allowed);
+    if valid {
+        Ok(())
+    } else {
+        Err(ChangeError::InvalidTeamName(name.to_string()))
     }
-    chunks
 }
 
-fn record(now: &Snapshot, changed: &[&String], author: &Author) -> Vec<RecordPart> {
-    let parts = changed.chunks(TEAMS_A_PART);
-    let count = parts.len() as u32;
-    parts
-        .map(|teams| {
-            let before = teams
-                .iter()
-                .map(|t| ((*t).clone(), now.overlay.get(*t).cloned()));
-            let before = before.collect();
-            RecordPart {
-                v: FORM,
-                author: author.clone(),
-                parts: count,
-                before,
-            }
+fn check_quota(team: &str, quota: &Quota) -> Result<(), ChangeError> {
+    quota
+        .validate()
+        .map_err(|errors| ChangeError::InvalidQuota {
+            team: team.to_string(),
+            problem: describe(&errors),
         })
-        .collect()
 }
 
-/// Guarantees above what the fleet has can't all be kept; told, not refused.
-pub fn guarantees_above(teams: &[crate::EffectiveTeam], fleet_cpus: f64) -> Option<f64> {
-    let all: f64 = teams
-        .iter()
-        .filter(|t| !t.removed)
-        .map(|t| t.quota.cpus)
-        .sum();
-    (all > fleet_cpus).then_some(all)
+/// All faults of a quota in one line.
+fn describe(errors: &ValidationErrors) -> String {
+    let mut problems = Vec::new();
+    for (field, kind) in errors.errors() {
+        let ValidationErrorsKind::Field(errors) = kind else {
+            continue;
+        };
+        problems.extend(errors.iter().map(|error| match error.message.as_deref() {
+            Some(message) if *field == "__all__" => message.to_string(),
+            Some(message) => format!("{field}: {message}"),
+            None => format!("{field} is not sound"),
+        }));
+    }
+    problems.join("; ")
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/configuration/src/change/tests.rs
+++ b/crates/configuration/src/plan/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::quota::Quota;
 use crate::stored::Record;
 
 fn base() -> Vec<settings::Team> {
@@ -30,12 +31,12 @@
     }
 }
 
-fn change(seen: u64, teams: &[(&str, TeamChange)]) -> Change {
+fn change(seen: u64, teams: &[(&str, TeamChange)]) -> ConfigurationChange {
     let teams = teams
         .iter()
         .map(|(n, c)| (n.to_string(), c.clone()))
         .collect();
-    Change {
+    ConfigurationChange {
         seen: Version(seen),
         teams,
         restore_version: None,
@@ -43,8 +44,8 @@
     }
 }
 
-/// What the state service would hold after a plan.
-fn made(mut now: Snapshot, plan: Plan) -> Snapshot {
+/// What the key-value store holds after a plan.
+fn made(mut now: Snapshot, plan: ChangePlan) -> Snapshot {
     let version = plan.head.version;
     now.overlay
         .retain(|team, _| !plan.chunks.contains_key(&chunk_of(team)));
@@ -70,7 +71,7 @@
     now
 }
 
-fn apply(now: Snapshot, change: &Change) -> Snapshot {
+fn apply(now: Snapshot, change: &ConfigurationChange) -> Snapshot {
     let plan = change.plan(&now, &base(), author("x")).expect("sound");
     made(now, plan)
 }
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn what_nobody_changed_is_as_the_settings_say() {
+fn empty_overlay_leaves_settings_in_effect() {
     let teams = Snapshot::default().effective(&base());
     let want: Vec<Quota> = base().iter().map(Quota::from).collect();
     assert_eq!(teams.iter().map(|t| t.quota).collect::<Vec<_>>(), want);
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn two_who_saw_the_same_version_get_one_success_and_one_conflict() {
+fn second_change_of_same_version_conflicts() {
     let now = Snapshot::default();
     let first = change(0, &[("one", TeamChange::Set(quota(5.0, 20.0)))]);
     let now = apply(now, &first);
@@ -101,7 +102,7 @@
     let refusal = second.plan(&now, &base(), author("y")).expect_err("late");
     assert_eq!(
         refusal,
-        Refusal::Conflict {
+        ChangeError::VersionConflict {
             seen: Version(0),
             current: Version(1)
         }
@@ -109,12 +110,12 @@
 }
 
 #[test]
-fn a_batch_is_made_as_one_or_not_at_all() {
+fn batch_with_one_invalid_team_changes_nothing() {
     let sound = ("one", TeamChange::Set(quota(1.0, 2.0)));
     let wrong = ("three", TeamChange::Set(quota(1.0, 2.0)));
     let refusal =
         change(0, &[sound.clone(), wrong]).plan(&Snapshot::default(), &base(), author("x"));
-    assert_eq!(refusal, Err(Refusal::Unknown("three".into())));
+    assert_eq!(refusal, Err(ChangeError::UnknownTeam("three".into())));
     let many: Vec<(String, TeamChange)> = (0..240)
         .map(|n| (format!("t-{n}"), TeamChange::Add(quota(1.0, 9.0))))
         .collect();
@@ -134,8 +135,8 @@
 }
 
 #[test]
-fn each_mistake_is_named_with_what_would_do() {
-    let cases: Vec<(Change, &str)> = vec![
+fn invalid_change_is_refused_with_its_remedy() {
+    let cases: Vec<(ConfigurationChange, &str)> = vec![
         (change(0, &[]), "names no team"),
         (
             change(0, &[("three", TeamChange::Remove)]),
@@ -175,14 +176,14 @@
             "in force already",
         ),
         (
-            Change {
+            ConfigurationChange {
                 why: "x".repeat(201),
                 ..change(0, &[("one", TeamChange::Remove)])
             },
             "reason",
         ),
         (
-            Change {
+            ConfigurationChange {
                 restore_version: Some(Version(3)),
                 ..change(0, &[])
             },
@@ -198,7 +199,7 @@
 }
 
 #[test]
-fn a_removed_team_keeps_its_quota_for_what_was_accepted_and_can_come_back() {
+fn removed_team_keeps_quota_and_can_be_added_again() {
     let now = apply(
         Snapshot::default(),
         &change(0, &[("one", TeamChange::Remove)]),
@@ -222,13 +223,13 @@
 }
 
 #[test]
-fn any_kept_version_can_be_gone_back_to_as_a_new_one() {
+fn retained_version_is_restored_as_new_version() {
     let mut now = Snapshot::default();
     for n in 1..=30u32 {
         let teams = [("one", TeamChange::Set(quota(0.0, 100.0 + f64::from(n))))];
         now = apply(now, &change(u64::from(n) - 1, &teams));
     }
-    let back = |to| Change {
+    let back = |to| ConfigurationChange {
         restore_version: Some(Version(to)),
         ..change(30, &[])
     };
@@ -241,15 +242,18 @@
         restored.head.expect("made").author.restores,
         Some(Version(20))
     );
-    let oldest = 30 - KEPT as u64;
+    let oldest = 30 - MAX_RETAINED_VERSIONS as u64;
     assert!(back(oldest).plan(&now, &base(), author("x")).is_ok());
     let refusal = back(oldest - 1).plan(&now, &base(), author("x"));
-    assert_eq!(refusal, Err(Refusal::NotKept(Version(oldest - 1))));
+    assert_eq!(
+        refusal,
+        Err(ChangeError::VersionNotRetained(Version(oldest - 1)))
+    );
 }
 
-/// What a newer program wrote beside what we know stays there.
+/// Fields that a newer program wrote stay.
 #[test]
-fn unknown_fields_are_kept() {
+fn unknown_fields_of_head_are_written_back() {
     let mut now = apply(
         Snapshot::default(),
         &change(0, &[("one", TeamChange::Remove)]),
@@ -264,7 +268,7 @@
 }
 
 #[test]
-fn guarantees_above_the_fleet_are_told() {
+fn guarantees_above_fleet_are_reported() {
     let teams = Snapshot::default().effective(&base());
     assert_eq!(guarantees_above(&teams, 9.0), Some(10.0));
     assert_eq!(guarantees_above(&teams, 10.0), None);
@@ -272,12 +276,12 @@
 
 /// Going back before a team was added once forgot it, and its open jobs had no limit.
 #[test]
-fn a_team_that_was_added_since_is_removed_and_not_forgotten() {
+fn restore_removes_team_added_since_and_keeps_its_quota() {
     let now = apply(
         Snapshot::default(),
         &change(0, &[("new", TeamChange::Add(quota(0.0, 5.0)))]),
     );
-    let back = Change {
+    let back = ConfigurationChange {
         restore_version: Some(Version(0)),
         ..change(1, &[])
     };
@@ -289,12 +293,12 @@
         .expect("kept");
     assert!(new.removed && new.quota.cpus_max == 5.0);
     // Once more there is nothing to go back from.
-    let again = Change {
+    let again = ConfigurationChange {
         seen: Version(2),
         ..back
     };
     assert_eq!(
         again.plan(&now, &base(), author("x")),
-        Err(Refusal::Nothing)
+        Err(ChangeError::Unchanged)
     );
 }
--- a/crates/configuration/src/quota.rs
+++ b/crates/configuration/src/quota.rs
@@ -1,4 +1,4 @@
-//! What a team is guaranteed and may use.
+//! Quotas: what a team is guaranteed and may use.
 
 use beamhinge_core::settings;
 use serde::{Deserialize, Serialize};
@@ -7,20 +7,24 @@
 /// No team has more CPUs or GPUs.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// CPUs and GPUs that a team is guaranteed, and may use at most; 0: none.
+/// CPUs and GPUs that a team is guaranteed, and may use at most; 0: no guarantee, no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-#[validate(schema(function = "limits_hold_guarantees"))]
+#[validate(schema(function = "limits_cover_guarantees"))]
 pub struct Quota {
+    /// Guaranteed CPUs.
     #[serde(default)]
     #[validate(custom(function = "is_amount"))]
     pub cpus: f64,
+    /// Limit of CPUs.
     #[serde(default)]
     #[validate(custom(function = "is_amount"))]
     pub cpus_max: f64,
+    /// Guaranteed GPUs.
     #[serde(default)]
     #[validate(custom(function = "is_amount"))]
     pub gpus: f64,
+    /// Limit of GPUs.
     #[serde(default)]
     #[validate(custom(function = "is_amount"))]
     pub gpus_max: f64,
@@ -30,15 +34,15 @@
     if value.is_finite() && (0.0..=MAX_AMOUNT).contains(&value) {
         return Ok(());
     }
-    let why = "it must be finite and between 0 and a thousand million";
-    Err(ValidationError::new("amount").with_message(why.into()))
+    let message = "it must be finite and between 0 and a thousand million";
+    Err(ValidationError::new("amount").with_message(message.into()))
 }
 
-fn limits_hold_guarantees(quota: &Quota) -> Result<(), ValidationError> {
+fn limits_cover_guarantees(quota: &Quota) -> Result<(), ValidationError> {
     let below = |guaranteed: f64, limit: f64| limit > 0.0 && limit < guaranteed;
     if below(quota.cpus, quota.cpus_max) || below(quota.gpus, quota.gpus_max) {
-        let why = "a limit is below its guarantee: raise the limit, or 0 for none";
-        return Err(ValidationError::new("limits").with_message(why.into()));
+        let message = "a limit is below its guarantee: raise the limit, or 0 for none";
+        return Err(ValidationError::new("limits").with_message(message.into()));
     }
     Ok(())
 }
@@ -61,10 +65,12 @@
     }
 }
 
-/// A team as it counts now.
+/// A team as it is in effect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveTeam {
+    /// Name of the team.
     pub name: String,
+    /// What it is guaranteed and may use.
     pub quota: Quota,
     /// Its accepted jobs run on; new ones are refused.
     pub removed: bool,
--- a/crates/configuration/src/stored.rs
+++ b/crates/configuration/src/stored.rs
@@ -1,8 +1,8 @@
-//! The form in the state service.
+//! The configuration as it is stored in the key-value store.
 //!
-//! `c/head` names the version; each change writes it, so that its stamp stands for the
-//! whole. `c/t/N` are chunks of the overlay, `c/h/VERSION/PART` say who made a version,
-//! why, and what was before it.
+//! `c/head` names the version; every change writes it, so its revision stands for the whole.
+//! `c/t/N` are chunks of the overlay; `c/h/VERSION/PART` record who made a version, why, and
+//! what was before it. Field names are part of the stored format.
 
 use crate::quota::{EffectiveTeam, Quota};
 use beamhinge_core::settings;
@@ -12,15 +12,15 @@
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Version of the stored form.
-pub const FORM: u32 = 1;
-/// Chunks of the overlay: a team's is found by its name, and a value of 8 KB holds some
-/// hundred and fifty teams.
+/// Version of the stored format.
+pub const FORMAT_VERSION: u32 = 1;
+/// Number of chunks of the overlay. The chunk of a team follows from its name; a value of 8 KB
+/// holds about 150 teams.
 pub const CHUNKS: usize = 8;
-/// Versions that can be gone back to.
-pub const KEPT: usize = 16;
+/// Versions whose records are retained, so that they can be restored.
+pub const MAX_RETAINED_VERSIONS: usize = 16;
 
-/// How many changes were made; 0: none ever.
+/// A version of the configuration: the number of changes made so far; 0: the settings alone.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -28,13 +28,15 @@
 pub struct Version(pub u64);
 
 impl Version {
+    /// The version that the next change makes.
+    #[must_use]
     pub fn next(self) -> Version {
         Version(self.0 + 1)
     }
 }
 
 impl fmt::Display for Version {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
     }
 }
@@ -42,13 +44,16 @@
 /// Who made a version, when and why.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Author {
-    /// Tells this change from every other, also after a lost answer.
+    /// Identifies the change, so that it is recognized when the reply to its transaction was
+    /// lost.
     pub id: String,
     /// Time of day, milliseconds.
     pub at_ms: u64,
+    /// Name of the operator's key.
     pub by: String,
+    /// The reason that the operator gave.
     pub why: String,
-    /// The version that it goes back to, if it does.
+    /// The version that this one restores, if it does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub restores: Option<Version>,
 }
@@ -56,10 +61,13 @@
 /// The value of `c/head`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Head {
+    /// [`FORMAT_VERSION`].
     pub v: u32,
+    /// The newest version.
     pub version: Version,
+    /// Who made it.
     pub author: Author,
-    /// Fields of a newer program: kept as they are.
+    /// Fields of a newer program, written back as they are.
     #[serde(flatten)]
     pub unknown: BTreeMap<String, Value>,
 }
@@ -67,58 +75,94 @@
 /// A team in the overlay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TeamState {
+    /// What it is guaranteed and may use.
     #[serde(rename = "q")]
     pub quota: Quota,
-    /// Gone; the quota goes on for its accepted jobs.
+    /// The team is removed; the quota still applies to its accepted jobs.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub removed: bool,
 }
 
-/// The value of a chunk.
+impl TeamState {
+    /// A team with this quota.
+    #[must_use]
+    pub fn active(quota: Quota) -> TeamState {
+        TeamState {
+            quota,
+            removed: false,
+        }
+    }
+
+    /// A removed team whose accepted jobs are subject to this quota.
+    #[must_use]
+    pub fn removed(quota: Quota) -> TeamState {
+        TeamState {
+            quota,
+            removed: true,
+        }
+    }
+}
+
+/// The value of a chunk of the overlay.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Chunk {
+    /// [`FORMAT_VERSION`].
     pub v: u32,
+    /// The teams of the chunk, by name.
     #[serde(rename = "t")]
     pub teams: BTreeMap<String, TeamState>,
 }
 
-/// A part of what was before a version; none: as the settings say.
+/// One part of the record of a version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordPart {
+    /// [`FORMAT_VERSION`].
     pub v: u32,
+    /// Who made the version.
     pub author: Author,
+    /// How many parts the record has.
     pub parts: u32,
+    /// Former state of the changed teams; `None`: the settings applied.
     #[serde(rename = "b")]
     pub before: BTreeMap<String, Option<TeamState>>,
 }
 
-/// The chunk that holds a team.
+/// The number of the chunk that holds a team.
+#[must_use]
 pub fn chunk_of(team: &str) -> usize {
     (xxh3_64(team.as_bytes()) % CHUNKS as u64) as usize
 }
 
-/// A version's author and what was before it, once all of its parts are there.
+/// The record of a version, put together from all of its parts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
+    /// Who made the version.
     pub author: Author,
+    /// Former state of the changed teams; `None`: the settings applied.
     pub before: BTreeMap<String, Option<TeamState>>,
 }
 
-/// The whole as of one moment.
+/// The whole stored configuration as of one version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
+    /// The head; `None` before the first change.
     pub head: Option<Head>,
+    /// Teams that differ from the settings, by name.
     pub overlay: BTreeMap<String, TeamState>,
+    /// Records of the retained versions.
     pub records: BTreeMap<Version, Record>,
 }
 
 impl Snapshot {
+    /// The version in force.
+    #[must_use]
     pub fn version(&self) -> Version {
-        self.head.as_ref().map_or(Version(0), |h| h.version)
+        self.head.as_ref().map_or(Version(0), |head| head.version)
     }
 
-    /// The overlay as it was at an earlier version; none if what is kept does not reach
-    /// back so far.
+    /// The overlay as it was at an earlier version; `None` if the retained records do not reach
+    /// back to it.
+    #[must_use]
     pub fn overlay_at(&self, version: Version) -> Option<BTreeMap<String, TeamState>> {
         if version > self.version() {
             return None;
@@ -137,37 +181,38 @@
         Some(overlay)
     }
 
-    /// The teams that count: those of the settings in their order, then added ones.
+    /// The teams in effect: those of the settings in their order, then added ones by name.
+    #[must_use]
     pub fn effective(&self, base: &[settings::Team]) -> Vec<EffectiveTeam> {
         effective(&self.overlay, base)
     }
 }
 
-/// The teams of the settings with an overlay over them.
+/// The teams of the settings with an overlay over them; added ones last, by name.
+#[must_use]
 pub fn effective(
     overlay: &BTreeMap<String, TeamState>,
     base: &[settings::Team],
 ) -> Vec<EffectiveTeam> {
-    let of_base = base.iter().map(|team| match overlay.get(&team.name) {
-        Some(TeamState { quota, removed }) => EffectiveTeam {
-            name: team.name.clone(),
-            quota: *quota,
-            removed: *removed,
-        },
+    let in_base = base.iter().map(|team| match overlay.get(&team.name) {
+        Some(state) => effective_team(&team.name, state),
         None => EffectiveTeam {
             name: team.name.clone(),
             quota: Quota::from(team),
             removed: false,
         },
     });
-    let in_base = |name: &String| base.iter().any(|team| team.name == *name);
     let added = overlay
         .iter()
-        .filter(|(name, _)| !in_base(name))
-        .map(|(name, state)| EffectiveTeam {
-            name: name.clone(),
-            quota: state.quota,
-            removed: state.removed,
-        });
-    of_base.chain(added).collect()
+        .filter(|(name, _)| !base.iter().any(|team| team.name == **name))
+        .map(|(name, state)| effective_team(name, state));
+    in_base.chain(added).collect()
+}
+
+fn effective_team(name: &str, state: &TeamState) -> EffectiveTeam {
+    EffectiveTeam {
+        name: name.to_string(),
+        quota: state.quota,
+        removed: state.removed,
+    }
 }
--- a/crates/controller/src/admin_api.rs
+++ b/crates/controller/src/admin_api.rs
@@ -12,7 +12,7 @@
     Code, JobFilter, JobRequest, JobRow, Problem, Query, SpecView, State, BODY_LIMIT, MAX_ROWS,
     PAGE_ROWS,
 };
-use beamhinge_configuration::Change as ConfigurationChange;
+use beamhinge_configuration::ConfigurationChange;
 use beamhinge_core::http::{Content, Method, Request};
 use beamhinge_core::job::Urgency;
 use beamhinge_core::messages::Effect;
--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -18,9 +18,9 @@
 use crate::replica::{Freshness, ReplicaCache, ReplicaConfig};
 use crate::replica_scan::ScanCoverage;
 use crate::store::{Committed, Outcome, Priority, Reply, StoreClient};
-use beamhinge_configuration::change::{guarantees_above, Change, Refusal};
-use beamhinge_configuration::stored::{Author, Snapshot, FORM};
-use beamhinge_configuration::{EffectiveTeam, Version};
+use beamhinge_configuration::plan::guarantees_above;
+use beamhinge_configuration::stored::{Author, Snapshot, FORMAT_VERSION};
+use beamhinge_configuration::{ChangeError, ConfigurationChange, EffectiveTeam, Version};
 use beamhinge_core::settings::{Settings, Team};
 use beamhinge_core::types::{RequestId, Time, WallMs};
 use beamhinge_core::{types::Revision, wire};
@@ -50,7 +50,7 @@
         warning: Option<String>,
     },
     /// The change is not valid, or not by the version that is in force.
-    Refused(Refusal),
+    Refused(ChangeError),
     /// Not decided in time; the reason.
     Busy(String),
 }
@@ -89,7 +89,7 @@
 
 /// A change that an operator requested.
 struct RequestedChange {
-    change: Change,
+    change: ConfigurationChange,
     /// Name of the operator's key.
     by: String,
     /// CPUs of the fleet as the leader knows them; `None` on other controllers.
@@ -204,7 +204,7 @@
         &mut self,
         now: Time,
         request: RequestId,
-        change: Change,
+        change: ConfigurationChange,
         by: String,
         fleet_cpus: Option<f64>,
     ) -> bool {
@@ -259,7 +259,7 @@
             return;
         }
         let member = Member {
-            v: FORM,
+            v: FORMAT_VERSION,
             version,
             nonce: self.nonce,
             at_ms: wall.0,
@@ -353,7 +353,7 @@
         };
         let plan = match requested.change.plan(&self.snapshot, &self.base, author) {
             Ok(plan) => plan,
-            Err(refusal) => return Some(ChangeResponse::Refused(refusal)),
+            Err(error) => return Some(ChangeResponse::Refused(error)),
         };
         let transaction = store.unpaced_transaction();
         match self.stored.transaction(&plan, &self.labels, transaction) {
@@ -369,7 +369,7 @@
             }
             Err(error) => {
                 tracing::warn!(%error, "configuration change does not fit into a transaction");
-                Some(ChangeResponse::Refused(Refusal::Quota {
+                Some(ChangeResponse::Refused(ChangeError::InvalidQuota {
                     team: "all".into(),
                     problem: format!(
                         "the state service takes no change so large ({error}): make two"
--- a/crates/controller/src/configuration/stored_copy.rs
+++ b/crates/controller/src/configuration/stored_copy.rs
@@ -4,8 +4,10 @@
 //! head, so a chunk that is newer than the head belongs to a change that is not read yet.
 
 use super::{HEAD, PREFIX};
-use beamhinge_configuration::stored::{Chunk, Head, Record, RecordPart, Snapshot, CHUNKS, FORM};
-use beamhinge_configuration::{Plan, Version};
+use beamhinge_configuration::stored::{
+    Chunk, Head, Record, RecordPart, Snapshot, CHUNKS, FORMAT_VERSION,
+};
+use beamhinge_configuration::{ChangePlan, Version};
 use beamhinge_core::types::Revision;
 use beamhinge_core::wire;
 use beamhinge_rate_limit::{Transaction, TransactionError};
@@ -161,7 +163,7 @@
     /// Where the change does not fit into one transaction.
     pub(super) fn transaction(
         &self,
-        plan: &Plan,
+        plan: &ChangePlan,
         labels: &[String],
         mut transaction: Transaction,
     ) -> Result<Transaction, TransactionError> {
@@ -210,7 +212,7 @@
         return true;
     };
     match wire::from_value::<T>(value) {
-        Ok(read) if form(&read) == FORM => {
+        Ok(read) if form(&read) == FORMAT_VERSION => {
             *stored = Some((revision, read));
             true
         }
--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -32,7 +32,7 @@
         restores: None,
     };
     Head {
-        v: FORM,
+        v: FORMAT_VERSION,
         version: Version(version),
         author,
         unknown: BTreeMap::new(),
@@ -54,7 +54,13 @@
             removed: false,
         },
     )]);
-    (path, Chunk { v: FORM, teams })
+    (
+        path,
+        Chunk {
+            v: FORMAT_VERSION,
+            teams,
+        },
+    )
 }
 
 fn limit(configuration: &Configuration) -> f64 {
@@ -86,7 +92,7 @@
         HEAD,
         5,
         &Head {
-            v: FORM + 1,
+            v: FORMAT_VERSION + 1,
             ..head(3)
         },
     ));
@@ -104,7 +110,7 @@
     c.stored.apply(&changed(HEAD, 5, &head(2)));
     let labels = c.labels.clone();
     let member = |version, at_ms| Member {
-        v: FORM,
+        v: FORMAT_VERSION,
         version: Version(version),
         nonce: 1,
         at_ms,
@@ -184,7 +190,7 @@
     };
     let unknown = [("later".to_string(), wire::to_value(&"kept"))];
     let head = Head {
-        v: FORM,
+        v: FORMAT_VERSION,
         version: Version(41),
         author: author(None),
         unknown: [].into(),
@@ -203,7 +209,7 @@
     golden.stored(
         "chunk",
         &Chunk {
-            v: FORM,
+            v: FORMAT_VERSION,
             teams: teams.into(),
         },
     );
@@ -212,14 +218,14 @@
         ("two".to_string(), None),
     ];
     let part = RecordPart {
-        v: FORM,
+        v: FORMAT_VERSION,
         author: author(None),
         parts: 3,
         before: before.into(),
     };
     golden.stored("part of a record", &part);
     let member = Member {
-        v: FORM,
+        v: FORMAT_VERSION,
         version: Version(41),
         nonce: 70_000,
         at_ms: 1_700_000_000_456,
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -16,7 +16,7 @@
     Hello, JobDetail, JobFilter, JobPage, JobRequest, JobRow, JobTold, NodeRow, Placed, Query,
     QuotaRow, SpecView, State, Summary,
 };
-use beamhinge_configuration::{Change, EffectiveTeam};
+use beamhinge_configuration::{ConfigurationChange, EffectiveTeam};
 use beamhinge_core::http::{Content, Request};
 use beamhinge_core::messages::Effect;
 use beamhinge_core::peers::{encode, Frame};
@@ -718,7 +718,7 @@
         &mut self,
         now: Time,
         id: RequestId,
-        change: Change,
+        change: ConfigurationChange,
         by: String,
         out: &mut Vec<Effect>,
     ) {
--- a/crates/testbed/src/scale/config_changes.rs
+++ b/crates/testbed/src/scale/config_changes.rs
@@ -7,7 +7,7 @@
 use crate::place;
 use crate::LabError;
 use beamhinge_client::Client;
-use beamhinge_configuration::{Change, Quota, TeamChange};
+use beamhinge_configuration::{ConfigurationChange, Quota, TeamChange};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -130,7 +130,7 @@
         };
         let teams = BTreeMap::from([(team.team.clone(), TeamChange::Set(quota))]);
         let why = "scale run".to_string();
-        let change = Change {
+        let change = ConfigurationChange {
             seen: view.version,
             teams,
             restore_version: None,
