--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -668,21 +668,21 @@
                 ("cpus_used", t.cpus_used),
             ]);
             let (kept, window) = scheduler.places();
-            let room = scheduler.room_made();
+            let room = scheduler.preemption_stats();
             gauges.extend([
                 ("places_kept", kept as f64),
                 ("places_window", window as f64),
-                ("room_start_seconds_p50", room.took_s(0.5)),
-                ("room_start_seconds_p99", room.took_s(0.99)),
+                ("room_start_seconds_p50", room.start_latency_s(0.5)),
+                ("room_start_seconds_p99", room.start_latency_s(0.99)),
                 ("room_lost_cpu_seconds", room.lost_cpu_s),
             ]);
             counters = scheduler.event_log.counts().collect();
             counters.extend([
-                ("stopped_for_others", room.stops),
-                ("places_asked", room.asked),
+                ("stopped_for_others", room.victims),
+                ("places_asked", room.opened),
                 ("places_started", room.started),
-                ("places_lapsed", room.lapsed),
-                ("stopped_for_nobody", room.in_vain),
+                ("places_lapsed", room.abandoned),
+                ("stopped_for_nobody", room.wasted_victims),
             ]);
         }
         self.metrics.render(&gauges, counters.into_iter())
--- a/crates/controller/src/node/operators/tests.rs
+++ b/crates/controller/src/node/operators/tests.rs
@@ -5,7 +5,7 @@
 use crate::store::{Outcome, Reply};
 use beamhinge_core::settings::{Operator, Settings, SAMPLE};
 use beamhinge_core::types::FencingToken;
-use beamhinge_priority_aging::Policy;
+use beamhinge_priority_aging::AgingPolicy;
 
 /// Names and types of all figures on the page of a controller that leads.
 #[test]
@@ -13,7 +13,7 @@
     let now = Time::from_micros(1_000_000);
     let settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
     let operator = Operator::parse("t", "[operators]\nlisten = 127.0.0.1:1\n").expect("sound");
-    let policy = Policy::new(Default::default());
+    let policy = AgingPolicy::new(Default::default());
     let log = EventLog::new(true);
     let mut scheduler = Scheduler::new(
         &settings,
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -13,7 +13,7 @@
 use beamhinge_core::types::{CallId, FencingToken, JobId, MachineId, Time, WallMs};
 use beamhinge_core::wire;
 use beamhinge_failure_detection::PeerObservations;
-use beamhinge_priority_aging::Policy;
+use beamhinge_priority_aging::AgingPolicy;
 
 struct Own<'a>(Option<&'a Scheduler>);
 
@@ -176,7 +176,7 @@
                 self.directives.request_refresh();
                 let active_directives = self.directives.active_directives().clone();
                 self.metrics.took(now);
-                let aging = Policy::new(self.operator.aging);
+                let aging = AgingPolicy::new(self.operator.aging);
                 let scheduler = Scheduler::new(
                     &self.settings,
                     token,
--- a/crates/controller/src/scheduler/aging.rs
+++ b/crates/controller/src/scheduler/aging.rs
@@ -14,7 +14,7 @@
 use crate::split::MachineType;
 use beamhinge_admin_api::reasons::Reason;
 use beamhinge_core::types::{JobId, MachineId, TaskId, Time, WallMs};
-use beamhinge_priority_aging::{soonest, Held, Lane, Running};
+use beamhinge_priority_aging::{earliest_fit_s, PriorityLane, Reservation, RunningTask};
 
 /// One machine in so many may be reserved for starving jobs.
 const MACHINES_PER_STARVING_RESERVATION: usize = 20;
@@ -25,13 +25,13 @@
     fn boosted_at_ms(&self, spec: &JobSpec) -> Option<u64> {
         let ends_by_itself = spec.kind == JobKind::Batch;
         ends_by_itself
-            .then(|| self.aging.rises_at_ms(spec.urgency, spec.submitted()))
+            .then(|| self.aging.boosted_at_ms(spec.urgency, spec.submitted()))
             .flatten()
     }
 
     /// Pending jobs that are boosted, the one that has been so for longest in front.
     pub(super) fn boosted_jobs(&self, now: Time, wall: WallMs) -> Vec<JobId> {
-        if !self.aging.on() {
+        if !self.aging.is_enabled() {
             return Vec::new();
         }
         let pending = self
@@ -49,7 +49,7 @@
     }
 
     /// The lane with what its tasks hold now.
-    pub(super) fn priority_lane(&self, now: Time, machine_types: &[MachineType]) -> Lane {
+    pub(super) fn priority_lane(&self, now: Time, machine_types: &[MachineType]) -> PriorityLane {
         let usable = self
             .machines
             .values()
@@ -58,14 +58,14 @@
             .filter_map(|machine| machine_types.get(machine.machine_type?))
             .map(|machine_type| machine_type.cpus)
             .sum();
-        let mut lane = Lane::new(self.aging.width(cpus));
+        let mut lane = PriorityLane::new(self.aging.lane_width_cpus(cpus));
         for allocation in self
             .machines
             .values()
             .flat_map(|machine| machine.allocations.values())
             .filter(|allocation| allocation.lane)
         {
-            lane.take(allocation.resources.cpus);
+            lane.add(allocation.resources.cpus);
         }
         lane
     }
@@ -95,11 +95,11 @@
                 }
                 if self.place_first_fit(now, cycle, id, PlacementPass::Any, 1) == 0 {
                     if self.reserve_machine(now, cycle, id).is_some() {
-                        lane.take(resources.cpus);
+                        lane.add(resources.cpus);
                     }
                     break;
                 }
-                lane.take(resources.cpus);
+                lane.add(resources.cpus);
             }
         }
         cycle.filling_lane = false;
@@ -133,7 +133,7 @@
             return;
         }
         let mut reserved = std::mem::take(&mut self.reserved);
-        reserved.keep(|id, reservation| {
+        reserved.retain(|id, reservation| {
             let (Some(job), Some(machine)) =
                 (self.jobs.get(&id), self.machines.get(&reservation.machine))
             else {
@@ -152,8 +152,13 @@
 
     /// Reserves the machine that will have room first for the job's next task. A reservation that
     /// the job has already is kept.
-    fn reserve_machine(&mut self, now: Time, cycle: &SchedulingCycle, id: JobId) -> Option<Held> {
-        if let Some(reservation) = self.reserved.of(id) {
+    fn reserve_machine(
+        &mut self,
+        now: Time,
+        cycle: &SchedulingCycle,
+        id: JobId,
+    ) -> Option<Reservation> {
+        if let Some(reservation) = self.reserved.get(id) {
             return Some(reservation);
         }
         let job = self.jobs.get(&id)?;
@@ -169,11 +174,11 @@
                 Some((*machine_id, available_in_s))
             })
             .collect();
-        let reservation = self.reserved.hold(now, id, available.into_iter())?;
+        let reservation = self.reserved.reserve(now, id, available.into_iter())?;
         tracing::info!(
             machine = %reservation.machine,
             job = %id,
-            available_in_s = reservation.at.until(now),
+            available_in_s = reservation.available_at.until(now),
             "reserved machine"
         );
         self.withdraw_nominations(now, reservation.machine);
@@ -193,9 +198,9 @@
         if !is_feasible(&job.spec, machine_type, machine) {
             return None;
         }
-        let free = machine.unpromised(cycle.machine_types).to_vector();
+        let free = machine.unpromised(cycle.machine_types);
         let mut running = self.running_tasks(now, machine);
-        soonest(free, &mut running, job.resources().to_vector())
+        earliest_fit_s(free, &mut running, job.resources())
     }
 
     /// What was nominated for the machine has not begun: it goes elsewhere.
@@ -215,7 +220,7 @@
     }
 
     /// What occupies a machine, and for how long by the estimates.
-    fn running_tasks(&self, now: Time, machine: &Machine) -> Vec<Running> {
+    fn running_tasks(&self, now: Time, machine: &Machine) -> Vec<RunningTask> {
         let allocations = machine
             .allocations
             .iter()
@@ -224,9 +229,9 @@
             .filter_map(|(task, allocation)| {
                 let job = self.jobs.get(&task.job)?;
                 // A service ends when it is told to, which nobody can foresee.
-                (job.spec.kind == JobKind::Batch).then(|| Running {
-                    left_s: (self.run_s(job) - allocation.ran_s(now)).max(0.0),
-                    size: allocation.resources.to_vector(),
+                (job.spec.kind == JobKind::Batch).then(|| RunningTask {
+                    remaining_s: (self.run_s(job) - allocation.ran_s(now)).max(0.0),
+                    resources: allocation.resources,
                 })
             })
             .collect()
@@ -241,20 +246,20 @@
         id: JobId,
         machine_types: &[MachineType],
     ) -> Option<Reason> {
-        let job = self.jobs.get(&id).filter(|_| self.aging.on())?;
+        let job = self.jobs.get(&id).filter(|_| self.aging.is_enabled())?;
         let boost = self
             .aging
-            .rise(job.spec.urgency, job.spec.submitted(), wall);
+            .boost(job.spec.urgency, job.spec.submitted(), wall);
         let boosted = self.boosted_jobs(now, wall);
         let lane = self.priority_lane(now, machine_types);
-        let reservation = self.reserved.of(id);
+        let reservation = self.reserved.get(id);
         Some(Reason::PriorityAging {
             priority: boost.priority,
             age_s: age_s(wall, &job.spec).max(0.0),
-            rises_in_s: self.boosted_at_ms(&job.spec).and(boost.rises_in_s),
+            rises_in_s: self.boosted_at_ms(&job.spec).and(boost.boosted_in_s),
             ahead: boosted.iter().position(|other| *other == id).unwrap_or(0) as u32,
-            lane_cpus: lane.width(),
-            held_cpus: lane.held(),
+            lane_cpus: lane.width_cpus(),
+            held_cpus: lane.used_cpus(),
             kept: reservation.map(|reservation| reservation.machine.to_string()),
         })
     }
@@ -262,14 +267,14 @@
     /// Whether a machine is reserved for another job, and a task of this one would stay there
     /// beyond the time at which it is needed.
     pub(super) fn is_reserved_for_other(&self, now: Time, machine: MachineId, id: JobId) -> bool {
-        let Some((owner, reservation)) = self.reserved.leader(machine) else {
+        let Some((owner, reservation)) = self.reserved.owner(machine) else {
             return false;
         };
         let Some(job) = self.jobs.get(&id) else {
             return false;
         };
         let ends_in_time =
-            job.spec.kind == JobKind::Batch && reservation.lets_pass(now, self.run_s(job));
+            job.spec.kind == JobKind::Batch && reservation.admits_backfill(now, self.run_s(job));
         owner != id && !ends_in_time
     }
 
@@ -279,6 +284,6 @@
             self.boosted_at_ms(&job.spec)
                 .is_some_and(|at_ms| at_ms <= wall.0)
         };
-        self.aging.on() && (allocation.lane || boosted_by_age())
+        self.aging.is_enabled() && (allocation.lane || boosted_by_age())
     }
 }
--- a/crates/controller/src/scheduler/cycle.rs
+++ b/crates/controller/src/scheduler/cycle.rs
@@ -65,13 +65,6 @@
     pub(super) preemption_plan: Option<PreemptionPlan>,
 }
 
-impl Resources {
-    /// CPUs, GPUs and gigabytes of memory, in this order.
-    pub(super) fn to_vector(self) -> [f64; 3] {
-        [self.cpus, self.gpus, self.memory_gb]
-    }
-}
-
 impl SchedulingCycle<'_> {
     /// Counts one task more of the job in a zone.
     pub(super) fn count_in_zone(&mut self, job: JobId, zone: &str) {
@@ -91,7 +84,7 @@
             self.team_usage[team].add(resources);
         }
         if let (Some(plan), false) = (&mut self.preemption_plan, nominated) {
-            plan.candidates.used(machine, &resources.to_vector());
+            plan.candidates.allocate(machine, resources);
         }
         self.remaining_placements -= 1;
     }
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -27,8 +27,8 @@
 };
 use beamhinge_core::wire;
 use beamhinge_failure_detection::{AckTracker, FaultAttribution, ReportInterval};
-use beamhinge_preemption::{Figures, Places, Stops};
-use beamhinge_priority_aging::{Policy, Reservations};
+use beamhinge_preemption::{Nominations, PreemptionHistory, PreemptionStats};
+use beamhinge_priority_aging::{AgingPolicy, Reservations};
 use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -88,22 +88,22 @@
     margin_s: f64,
     value_limit: usize,
     /// How waiting jobs rise.
-    aging: Policy,
+    aging: AgingPolicy,
     /// Machines kept for risen tasks that fit nowhere now.
     reserved: Reservations,
     /// Tasks that were stopped for others.
-    made_room: Stops,
+    preemption_history: PreemptionHistory,
     /// Whose fault failures are.
     fault_attribution: FaultAttribution,
     /// Places that are kept for those they were stopped for.
-    places: Places,
+    nominations: Nominations,
     /// The CPUs of the largest job that was seen of each class.
     largest: BTreeMap<String, f64>,
     /// Machines that the cloud has confirmed to be gone: reports in their names are
     /// copies that come late.
     gone: BTreeSet<MachineId>,
     /// When all that could be stopped was looked at last.
-    room_at: Time,
+    last_preemption_check: Time,
     /// When we ourselves came back from standing still.
     pub back_at: Option<Time>,
     /// The state service answered a moment ago: what is planned will be committed.
@@ -168,7 +168,7 @@
         token: FencingToken,
         active_directives: Rc<ActiveDirectives>,
         event_log: EventLog,
-        aging: Policy,
+        aging: AgingPolicy,
         now: Time,
     ) -> Scheduler {
         let w = &settings.params.workers;
@@ -186,12 +186,12 @@
             margin_s: settings.margin_s(),
             aging,
             reserved: Reservations::default(),
-            made_room: Stops::new(MAX_STOPPED_TASKS),
+            preemption_history: PreemptionHistory::new(MAX_STOPPED_TASKS),
             fault_attribution: FaultAttribution::default(),
-            places: Places::default(),
+            nominations: Nominations::default(),
             largest: BTreeMap::new(),
             gone: BTreeSet::new(),
-            room_at: Time::default(),
+            last_preemption_check: Time::default(),
             back_at: None,
             in_touch: false,
             machines: BTreeMap::new(),
@@ -287,13 +287,13 @@
     }
 
     /// What making room came to in this term.
-    pub fn room_made(&self) -> &Figures {
-        &self.places.figures
+    pub fn preemption_stats(&self) -> &PreemptionStats {
+        self.nominations.stats()
     }
 
     /// Places kept now, and how many there may be.
     pub fn places(&self) -> (usize, usize) {
-        (self.places.open(), self.places.window())
+        (self.nominations.open_count(), self.nominations.window())
     }
 
     /// When the books last moved.
@@ -554,8 +554,8 @@
         }
         // Those who wait for its end wait no longer; its own place, if it never
         // began there, came to nothing.
-        self.places.ended(machine, task);
-        if self.places.lapsed(now, task, e.attempt) {
+        self.nominations.on_task_ended(machine, task);
+        if self.nominations.on_abandoned(now, task, e.attempt) {
             tracing::info!("{task} gives up its place on {machine}, for which others were stopped");
         }
         if m.allocations.is_empty() {
@@ -643,7 +643,7 @@
             self.jobs.remove(&id);
             self.progress_pages.forget(id);
             self.fault_attribution.forget_job(id);
-            self.made_room.keep(|t| t.job != id);
+            self.preemption_history.retain(|t| t.job != id);
         }
     }
 }
--- a/crates/controller/src/scheduler/nomination.rs
+++ b/crates/controller/src/scheduler/nomination.rs
@@ -59,7 +59,7 @@
                 if fits {
                     (allocation.ahead, allocation.kept) = (None, false);
                 } else if now.since(since) > max_wait_s
-                    && !self.places.owed(*task, allocation.attempt)
+                    && !self.nominations.awaits_victims(*task, allocation.attempt)
                 {
                     expired.push((*id, *task));
                 }
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -190,7 +190,7 @@
         FencingToken(9),
         active_directives,
         EventLog::new(false),
-        Policy::new(Default::default()),
+        AgingPolicy::new(Default::default()),
         now,
     );
     scheduler.loaded = true;
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -16,7 +16,7 @@
 use beamhinge_admin_api::messages::What;
 use beamhinge_core::job::Urgency;
 use beamhinge_core::types::{JobId, MachineId, TaskId, Time, WallMs};
-use beamhinge_preemption::Offer;
+use beamhinge_preemption::PreemptionOffer;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -38,7 +38,7 @@
 
 /// Where tasks of a preemptor can go.
 struct SearchResult {
-    offers: Vec<(MachineId, Offer)>,
+    offers: Vec<PreemptionOffer>,
     /// The search ended for lack of machines, not of budget.
     exhausted: bool,
 }
@@ -97,7 +97,7 @@
         // Out of touch with the key-value store no allocation can be committed: whoever is
         // preempted now is preempted for nobody.
         if !self.may_preempt_for(claim.job, job)
-            || self.places.room() == 0
+            || self.nominations.remaining_budget() == 0
             || cycle.remaining_placements == 0
             || !self.in_touch
         {
@@ -106,9 +106,9 @@
         let (pending_tasks, preemptor) = (job.waiting(), self.preemptor(claim, job));
         let mut plan = match cycle.preemption_plan.take() {
             Some(plan) => plan,
-            None if now.since(self.room_at) < SURVEY_INTERVAL_S => return,
+            None if now.since(self.last_preemption_check) < SURVEY_INTERVAL_S => return,
             None => {
-                self.room_at = now;
+                self.last_preemption_check = now;
                 self.survey_victims(now, wall, cycle.machine_types, guaranteed)
             }
         };
@@ -159,7 +159,7 @@
         pending_tasks: u32,
     ) -> SearchResult {
         let mut wanted = pending_tasks;
-        let (claim, resources) = (preemptor.claim, preemptor.resources.to_vector());
+        let (claim, resources) = (preemptor.claim, preemptor.resources);
         let excluded = self.fault_attribution.avoided_machines(now, claim.job);
         let allowed = |id: MachineId| {
             self.may_nominate(now, cycle, preemptor, id)
@@ -169,28 +169,26 @@
         if claim.reason != PreemptionReason::Guarantee {
             wanted -= plan
                 .candidates
-                .coming(resources, wanted, claim.within_s, allowed);
+                .claim_exits(resources, wanted, claim.within_s, allowed);
         }
         let mut preempting = 0;
         let mut offers = Vec::new();
         let within_budget = |preempting: usize, offers: usize| {
-            preempting < self.places.room() && offers < cycle.remaining_placements
+            preempting < self.nominations.remaining_budget() && offers < cycle.remaining_placements
         };
         while wanted > 0 && within_budget(preempting, offers.len()) {
             let victims = &plan.victims;
-            let Some((machine, offer)) = plan.candidates.take(
+            let Some(offer) = plan.candidates.take_best(
                 resources,
-                |resident| {
-                    victims.may_preempt(resident, claim, &preemptor.scope, preemptor.above_ceiling)
-                },
+                |task| victims.may_preempt(task, claim, &preemptor.scope, preemptor.above_ceiling),
                 allowed,
                 |id| self.fetch_cost(cycle, preemptor, id),
             ) else {
                 break;
             };
-            plan.victims.record_preempted(&offer);
-            preempting += usize::from(!offer.victims.is_empty());
-            offers.push((machine, offer));
+            plan.victims.record_preempted(&offer.victims);
+            preempting += usize::from(!offer.victims.tasks.is_empty());
+            offers.push(offer);
             wanted -= 1;
         }
         SearchResult {
@@ -240,10 +238,11 @@
         now: Time,
         cycle: &mut SchedulingCycle,
         claim: &PreemptionClaim,
-        offers: Vec<(MachineId, Offer)>,
+        offers: Vec<PreemptionOffer>,
     ) {
         let reason = claim.reason.describe();
-        for (machine, offer) in offers {
+        for offer in offers {
+            let machine = offer.machine;
             let Some(preemptor) = self.allocate(now, cycle, machine, claim.job, Some(now)) else {
                 break;
             };
@@ -252,12 +251,13 @@
             };
             allocation.kept = true;
             let attempt = allocation.attempt;
-            self.places.ask(now, preemptor, attempt, machine, &offer);
-            for victim in offer.victims {
+            self.nominations
+                .open(now, preemptor, attempt, machine, &offer.victims);
+            for victim in offer.victims.tasks {
                 tracing::info!(
                     task = %victim.task, %machine, %preemptor, reason, "preempted task"
                 );
-                self.made_room.stopped(victim.task);
+                self.preemption_history.record(victim.task);
                 self.stop_task(machine, victim.task, reason);
             }
         }
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -289,7 +289,7 @@
         for (task, attempt, state) in tasks {
             let here = listed(task, attempt);
             if here.is_some_and(began) {
-                self.places.started(now, task, attempt);
+                self.nominations.on_started(now, task, attempt);
             }
             match here {
                 Some(p) => match p.status.as_str() {
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -21,7 +21,7 @@
     job_store.wrote(job(id), Revision(5), JobState::Open, Some(spec.clone()));
     let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
-    let policy = Policy::new(Default::default());
+    let policy = AgingPolicy::new(Default::default());
     let event_log = EventLog::new(false);
     let active_directives = Rc::default();
     let mut scheduler = Scheduler::new(
@@ -613,6 +613,10 @@
         job: job("job-1"),
         index: index as u32,
     };
-    (0..2 * 8_192).for_each(|n| scheduler.made_room.stopped(task(n)));
-    assert!((0..2 * 8_192).all(|n| !scheduler.made_room.may_stop(task(n), 1.0, 1, 60.0)));
+    (0..2 * 8_192).for_each(|n| scheduler.preemption_history.record(task(n)));
+    assert!(
+        (0..2 * 8_192).all(|n| !scheduler
+            .preemption_history
+            .may_preempt(task(n), 1.0, 1, 60.0))
+    );
 }
--- a/crates/controller/src/scheduler/victims.rs
+++ b/crates/controller/src/scheduler/victims.rs
@@ -9,7 +9,10 @@
 use crate::split::{MachineType, Resources};
 use beamhinge_core::job::Urgency;
 use beamhinge_core::types::{JobId, MachineId, TaskId, Time, WallMs};
-use beamhinge_preemption::{End, Keep, Offer, Party, Resident, Site, Sites};
+use beamhinge_preemption::{
+    CandidateMachine, CandidateMachines, ExpectedExit, PreemptibleTask, ReservedCapacity,
+    TenantKey, VictimSet,
+};
 use std::collections::BTreeSet;
 
 /// Part of its run time up to which a task counts as only just started.
@@ -69,7 +72,7 @@
 pub(super) struct VictimProfile {
     urgency: Urgency,
     team: Option<usize>,
-    tenant: Party,
+    tenant: TenantKey,
     /// It has only just started, so little is lost with it.
     only_just_started: bool,
     /// Best effort, and nobody waits for it by a time.
@@ -85,12 +88,12 @@
     boosted: bool,
 }
 
-/// Running tasks by the index that a [`Resident`] carries, and what limits their preemption.
+/// Running tasks by the index that a [`PreemptibleTask`] carries, and what limits their preemption.
 pub(super) struct Victims {
     profiles: Vec<VictimProfile>,
     /// CPUs that each team uses beyond its guarantee, without what is being stopped.
     over_guarantee: Vec<f64>,
-    reserved: Keep,
+    reserved: ReservedCapacity,
 }
 
 impl Victims {
@@ -98,20 +101,20 @@
     /// ahead of boosted jobs.
     pub(super) fn may_preempt(
         &self,
-        resident: &Resident,
+        task: &PreemptibleTask,
         claim: &PreemptionClaim,
         scope: &ClaimScope,
         above_ceiling: bool,
     ) -> bool {
-        let Some(victim) = self.profiles.get(resident.who as usize) else {
+        let Some(victim) = self.profiles.get(task.profile as usize) else {
             return false;
         };
         if victim.protected || victim.boosted && !above_ceiling {
             return false;
         }
-        let cpus = resident.size[0];
+        let cpus = task.resources.cpus;
         let less_urgent =
-            victim.urgency < scope.urgency && self.reserved.may_take(&victim.tenant, cpus);
+            victim.urgency < scope.urgency && self.reserved.may_preempt(&victim.tenant, cpus);
         match claim.reason {
             PreemptionReason::Guarantee => {
                 let borrowed = victim
@@ -135,14 +138,14 @@
         }
     }
 
-    /// The victims of an offer are being stopped: their tenants and teams hold less from now on.
-    pub(super) fn record_preempted(&mut self, offer: &Offer) {
-        for resident in &offer.victims {
-            let Some(victim) = self.profiles.get(resident.who as usize) else {
+    /// These tasks are being stopped: their tenants and teams hold less from now on.
+    pub(super) fn record_preempted(&mut self, preempted: &VictimSet) {
+        for task in &preempted.tasks {
+            let Some(victim) = self.profiles.get(task.profile as usize) else {
                 continue;
             };
-            let cpus = resident.size[0];
-            self.reserved.took(&victim.tenant, cpus);
+            let cpus = task.resources.cpus;
+            self.reserved.record_preempted(&victim.tenant, cpus);
             if let Some(over) = victim
                 .team
                 .and_then(|team| self.over_guarantee.get_mut(team))
@@ -155,7 +158,7 @@
 
 /// Where preemption can make room in this cycle.
 pub(super) struct PreemptionPlan {
-    pub(super) candidates: Sites,
+    pub(super) candidates: CandidateMachines,
     pub(super) victims: Victims,
     /// What was looked for and not found: the same or more in the same scope is not there either.
     unsatisfied: Vec<(ClaimScope, Resources)>,
@@ -203,7 +206,7 @@
         let mut victims = Victims {
             profiles: Vec::new(),
             over_guarantee: self.teams.iter().map(|team| -team.0).collect(),
-            reserved: Keep::new(RESERVED_FRACTION),
+            reserved: ReservedCapacity::new(RESERVED_FRACTION),
         };
         let mut candidates = Vec::new();
         let mut usable_cpus = vec![0.0; machine_types.len()];
@@ -234,7 +237,7 @@
         }
         self.reserve_for_tenants(machine_types, &usable_cpus, &mut victims.reserved);
         PreemptionPlan {
-            candidates: Sites::new(candidates),
+            candidates: CandidateMachines::new(candidates),
             victims,
             unsatisfied: Vec::new(),
         }
@@ -247,9 +250,9 @@
         id: MachineId,
         machine: &Machine,
         victims: &mut Victims,
-    ) -> Site {
+    ) -> CandidateMachine {
         let mut free = machine.unpromised(survey.machine_types);
-        let (mut residents, mut exits) = (Vec::new(), Vec::new());
+        let (mut preemptible, mut exits) = (Vec::new(), Vec::new());
         for (task, allocation) in &machine.allocations {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
@@ -261,38 +264,42 @@
                 }
                 continue;
             }
-            let tenant = (allocation.team, job.spec.class.clone());
-            victims.reserved.holds(&tenant, allocation.resources.cpus);
+            let tenant = TenantKey {
+                team: allocation.team,
+                class: job.spec.class.clone(),
+            };
+            victims
+                .reserved
+                .add_usage(&tenant, allocation.resources.cpus);
             if !matches!(allocation.state, TaskState::Observed(_)) {
                 continue;
             }
             let profile = self.victim_profile(survey, *task, job, allocation);
-            let size = allocation.resources.to_vector();
-            residents.push(Resident {
+            preemptible.push(PreemptibleTask {
                 task: *task,
-                size,
-                loss: self.lost_s(survey.now, job, allocation) * allocation.resources.cpus,
-                who: victims.profiles.len() as u32,
+                resources: allocation.resources,
+                lost_cpu_s: self.lost_s(survey.now, job, allocation) * allocation.resources.cpus,
+                profile: victims.profiles.len() as u32,
             });
             let ends_by_itself = job.spec.kind == JobKind::Batch && allocation.started.is_some();
             if ends_by_itself
                 && profile.run_time_known
                 && profile.remaining_s < survey.exit_horizon_s
             {
-                exits.push(End {
+                exits.push(ExpectedExit {
                     task: *task,
-                    left_s: profile.remaining_s,
-                    size,
+                    remaining_s: profile.remaining_s,
+                    resources: allocation.resources,
                 });
             }
             victims.profiles.push(profile);
         }
-        exits.sort_by(|a: &End, b| a.left_s.total_cmp(&b.left_s));
-        Site {
+        exits.sort_by(|a: &ExpectedExit, b| a.remaining_s.total_cmp(&b.remaining_s));
+        CandidateMachine {
             machine: id,
-            free: free.to_vector(),
-            yields: residents,
-            ends: exits,
+            free,
+            preemptible,
+            exits,
         }
     }
 
@@ -309,7 +316,10 @@
         VictimProfile {
             urgency: spec.urgency,
             team: allocation.team,
-            tenant: (allocation.team, spec.class.clone()),
+            tenant: TenantKey {
+                team: allocation.team,
+                class: spec.class.clone(),
+            },
             // After a failover nobody knows the age of what runs. What may not wait may still
             // have it stopped for a while, at the price of half its time, after all that is known
             // to be young: taken for the youngest of all, it was stopped first; taken for old, a
@@ -322,11 +332,11 @@
             remaining_s: (run_s - ran_s).max(0.0),
             guaranteed: survey.guaranteed.contains(&task.job),
             run_time_known: !allocation.inherited,
-            protected: !self.made_room.may_stop(
+            protected: !self.preemption_history.may_preempt(
                 task,
                 ran_s,
-                self.aging.stops(),
-                self.aging.spared_s(),
+                self.aging.max_preemptions(),
+                self.aging.protected_run_s(),
             ),
             boosted: self.is_boosted(survey.wall, allocation, job),
         }
@@ -348,7 +358,7 @@
         &self,
         machine_types: &[MachineType],
         usable_cpus: &[f64],
-        reserved: &mut Keep,
+        reserved: &mut ReservedCapacity,
     ) {
         for job in self
             .jobs
@@ -365,10 +375,13 @@
                 .filter(|(machine_type, _)| allowed(machine_type))
                 .map(|(_, cpus)| *cpus)
                 .sum();
-            let tenant = (self.team(&job.spec), job.spec.class.clone());
-            reserved.fits_into(&tenant, cpus);
+            let tenant = TenantKey {
+                team: self.team(&job.spec),
+                class: job.spec.class.clone(),
+            };
+            reserved.add_eligible_capacity(&tenant, cpus);
         }
-        reserved.divide();
+        reserved.divide_among_tenants();
     }
 }
 
--- a/crates/controller/src/split.rs
+++ b/crates/controller/src/split.rs
@@ -2,6 +2,7 @@
 //!
 //! Pure functions: demand, types and prices in, wanted counts out.
 
+pub use beamhinge_core::resources::{Resources, EPSILON};
 use beamhinge_core::types::JobId;
 use std::rc::Rc;
 
@@ -20,35 +21,6 @@
     pub zones: Vec<String>,
 }
 
-/// What a task takes of its machine.
-#[derive(Clone, Copy, Debug, PartialEq, Default)]
-pub struct Resources {
-    pub cpus: f64,
-    pub gpus: f64,
-    pub memory_gb: f64,
-}
-
-/// Sums of decimal amounts may miss a bound by a rounding error.
-pub const EPSILON: f64 = 1e-6;
-
-impl Resources {
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + EPSILON
-            && self.gpus <= room.gpus + EPSILON
-            && self.memory_gb <= room.memory_gb + EPSILON
-    }
-    pub fn add(&mut self, other: &Resources) {
-        self.cpus += other.cpus;
-        self.gpus += other.gpus;
-        self.memory_gb += other.memory_gb;
-    }
-    pub fn sub(&mut self, other: &Resources) {
-        self.cpus -= other.cpus;
-        self.gpus -= other.gpus;
-        self.memory_gb -= other.memory_gb;
-    }
-}
-
 impl MachineType {
     pub fn room(&self) -> Resources {
         Resources {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod job;
 pub mod messages;
 pub mod peers;
+pub mod resources;
 pub mod settings;
 pub mod types;
 pub mod wire;
--- /dev/null
+++ b/crates/preemption/src/budget/tests.rs
@@ -0,0 +1,26 @@
+use super::*;
+
+#[test]
+fn window_follows_the_starts_it_brings() {
+    let at = |seconds: f64| Time::default().plus(100.0 + seconds);
+    let mut budget = PreemptionBudget::default();
+    let first = budget.window();
+    for _ in 0..first {
+        budget.on_started();
+    }
+    assert_eq!(budget.window(), first * 2);
+    // A hundred that were opened together and abandoned count once.
+    for _ in 0..100 {
+        budget.on_abandoned(at(5.0), at(0.0));
+    }
+    assert_eq!(budget.window(), first);
+    for round in 1..20 {
+        let now = 10.0 * f64::from(round);
+        budget.on_abandoned(at(now), at(now - 1.0));
+    }
+    assert_eq!(budget.window(), MIN_WINDOW as usize, "never none at all");
+    for _ in 0..10_000 {
+        budget.on_started();
+    }
+    assert_eq!(budget.window(), MAX_WINDOW as usize);
+}
--- /dev/null
+++ b/crates/preemption/src/nominations/tests.rs
@@ -0,0 +1,87 @@
+use super::*;
+use crate::PreemptibleTask;
+use beamhinge_core::resources::Resources;
+use beamhinge_core::types::JobId;
+
+fn at(seconds: f64) -> Time {
+    Time::default().plus(100.0 + seconds)
+}
+
+fn task(index: u32) -> TaskId {
+    TaskId {
+        job: JobId::parse("job-1").expect("an id"),
+        index,
+    }
+}
+
+fn victims(count: u32) -> VictimSet {
+    let victim = |index| PreemptibleTask {
+        task: task(100 + index),
+        resources: Resources {
+            cpus: 1.0,
+            gpus: 0.0,
+            memory_gb: 1.0,
+        },
+        lost_cpu_s: 1.0,
+        profile: 0,
+    };
+    VictimSet {
+        lost_cpu_s: 3.0,
+        tasks: (0..count).map(victim).collect(),
+    }
+}
+
+#[test]
+fn nomination_ends_once_in_a_start_or_abandoned() {
+    let machine = MachineId::parse("n-000001").expect("a name");
+    let mut nominations = Nominations::default();
+    let budget = nominations.remaining_budget();
+    nominations.open(at(0.0), task(0), Attempt(5), machine, &victims(2));
+    nominations.open(at(0.0), task(1), Attempt(6), machine, &victims(1));
+    assert_eq!(
+        (nominations.remaining_budget(), nominations.open_count()),
+        (budget - 2, 2)
+    );
+    nominations.open(at(0.0), task(2), Attempt(7), machine, &victims(0));
+    assert_eq!(
+        (nominations.remaining_budget(), nominations.open_count()),
+        (budget - 2, 3),
+        "it has no victims"
+    );
+    assert!(!nominations.on_abandoned(at(0.1), task(2), Attempt(7)));
+    assert_eq!(nominations.window(), budget, "nor does it tell anything");
+    assert!(
+        nominations.awaits_victims(task(0), Attempt(5))
+            && !nominations.awaits_victims(task(0), Attempt(4))
+    );
+    nominations.on_task_ended(machine, task(100));
+    assert!(
+        nominations.awaits_victims(task(0), Attempt(5)),
+        "another has yet to end"
+    );
+    nominations.on_task_ended(machine, task(101));
+    assert!(!nominations.awaits_victims(task(0), Attempt(5)));
+    // What is told of another attempt changes nothing.
+    nominations.on_started(at(1.0), task(0), Attempt(4));
+    nominations.on_started(at(1.0), task(0), Attempt(5));
+    nominations.on_started(at(2.0), task(0), Attempt(5));
+    nominations.on_abandoned(at(2.0), task(0), Attempt(5));
+    nominations.on_abandoned(at(2.0), task(1), Attempt(6));
+    let stats = nominations.stats();
+    assert_eq!(
+        (
+            stats.opened,
+            stats.started,
+            stats.abandoned,
+            stats.victims,
+            stats.wasted_victims
+        ),
+        (3, 1, 2, 3, 1)
+    );
+    assert!((stats.start_latency_s(0.5) - 1.0).abs() < 0.05);
+    assert_eq!(nominations.open_count(), 0);
+    assert!(
+        nominations.remaining_budget() < budget,
+        "an abandoned nomination narrows the window"
+    );
+}
--- /dev/null
+++ b/crates/preemption/src/victim_selection/tests.rs
@@ -0,0 +1,66 @@
+use super::*;
+use beamhinge_core::types::JobId;
+use proptest::prelude::*;
+
+fn resources(cpus: f64) -> Resources {
+    Resources {
+        cpus,
+        gpus: 0.0,
+        memory_gb: cpus,
+    }
+}
+
+fn preemptible(index: usize, cpus: f64, lost_cpu_s: f64) -> PreemptibleTask {
+    PreemptibleTask {
+        task: TaskId {
+            job: JobId::parse("job-1").expect("an id"),
+            index: index as u32,
+        },
+        resources: resources(cpus),
+        lost_cpu_s,
+        profile: 0,
+    }
+}
+
+/// What is free once all of these have ended.
+fn freed(free: Resources, ended: &[PreemptibleTask]) -> Resources {
+    ended.iter().fold(free, |mut freed, task| {
+        freed.add(&task.resources);
+        freed
+    })
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 4_000,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(23),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
+    /// Whatever is offered fits, none of the victims is superfluous, and where nothing is offered
+    /// nothing could be.
+    #[test]
+    fn victims_suffice_and_none_is_superfluous(
+        free in -8.0..8.0f64,
+        sizes in prop::collection::vec((0.25..16.0f64, 0.0..100.0f64), 0..9),
+        wanted in 0.25..24.0f64,
+    ) {
+        let running: Vec<PreemptibleTask> = sizes
+            .iter()
+            .enumerate()
+            .map(|(index, (cpus, lost_cpu_s))| preemptible(index, *cpus, *lost_cpu_s))
+            .collect();
+        let (free, wanted) = (resources(free), resources(wanted));
+        match cheapest_victims(free, &running, wanted) {
+            None => prop_assert!(!wanted.fits(&freed(free, &running))),
+            Some(victims) => {
+                prop_assert!(wanted.fits(&freed(free, &victims.tasks)));
+                for index in 0..victims.tasks.len() {
+                    let mut fewer = victims.tasks.clone();
+                    fewer.remove(index);
+                    prop_assert!(!wanted.fits(&freed(free, &fewer)), "{} is superfluous", index);
+                }
+            }
+        }
+    }
+}
--- a/crates/priority-aging/src/lib.rs
+++ b/crates/priority-aging/src/lib.rs
@@ -1,32 +1,23 @@
-//! Order and fairness: what has waited long enough gets room, and costs the
-//! urgent a stated part of it at most.
+//! Priority aging: what has waited long enough gets room, and costs urgent work a stated part of
+//! the cluster at most.
 //!
-//! A job rises when it has waited as long as its urgency is patient. Risen jobs
-//! form a lane: one behind the other by the moment at which they rose, ahead of
-//! all that is not more urgent than the ceiling, and never wider than a share of
-//! the room. A task for which no machine has room reserves one. From these three
-//! rules follows a bound on the longest wait, [`longest_wait_s`].
+//! A job is *boosted* once it has waited as long as its urgency allows ([`AgingPolicy`]). Boosted
+//! jobs form a lane ([`PriorityLane`]): one behind the other by the moment at which they were
+//! boosted, ahead of all that is not more urgent than the ceiling, and never wider than a share of
+//! the cluster. A task that fits on no machine now reserves one ([`Reservations`]). From these
+//! three rules follows a bound on the longest wait, [`max_wait_s`].
 //!
-//! Sans-IO: ages and sizes come in, decisions go out. `docs/ageing.md` has the
-//! argument, the ways that were weighed, and where no bound exists.
-
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
+//! Sans-IO: ages and resources come in, decisions go out. `docs/priority-aging.md` has the
+//! argument, the alternatives that were weighed, and where no bound exists.
 
 mod bound;
 mod lane;
 mod policy;
-mod reserve;
+mod reservations;
 
-pub use bound::{carried_per_s, longest_wait_s, Crowd, Flow, Room, Unbounded};
-pub use lane::Lane;
-pub use policy::{Policy, Rise};
-pub use reserve::{soonest, Held, Reservations, Running};
+pub use bound::{
+    lane_throughput_per_s, max_wait_s, ArrivalCurve, BoostedLoad, ClusterCapacity, UnboundedWait,
+};
+pub use lane::PriorityLane;
+pub use policy::{AgingPolicy, PriorityBoost};
+pub use reservations::{earliest_fit_s, Reservation, Reservations, RunningTask};
--- a/crates/testbed/src/ageing.rs
+++ b/crates/testbed/src/ageing.rs
@@ -5,7 +5,9 @@
 use beamhinge_controller::faults::Faults;
 use beamhinge_core::job::Urgency;
 use beamhinge_core::settings::PriorityAging;
-use beamhinge_priority_aging::{carried_per_s, longest_wait_s, Crowd, Flow, Policy, Room};
+use beamhinge_priority_aging::{
+    lane_throughput_per_s, max_wait_s, AgingPolicy, ArrivalCurve, BoostedLoad, ClusterCapacity,
+};
 use beamhinge_sim::scenario::{self, Outcome, Wait};
 use clap::Args;
 use serde_json::{json, Value};
@@ -103,7 +105,7 @@
 
 /// The bound for what rose in this night: the tightest flow of the rate that the
 /// lane is sure to carry.
-fn bound(policy: &Policy, outcome: &Outcome, takeovers: f64) -> Result<f64, LabError> {
+fn bound(policy: &AgingPolicy, outcome: &Outcome, takeovers: f64) -> Result<f64, LabError> {
     let low = |w: &&Wait| w.urgency == "best_effort" || w.urgency == "standard";
     let mut rises: Vec<(f64, f64)> = Vec::new();
     let mut widest: f64 = 0.0;
@@ -114,23 +116,24 @@
             Urgency::BestEffort
         };
         rises.push((
-            w.sent_s + policy.patience_s(urgency).unwrap_or(0.0),
+            w.sent_s + policy.boost_after_s(urgency).unwrap_or(0.0),
             w.tasks as f64,
         ));
         widest = widest.max(w.cpus);
     }
     rises.sort_by(|a, b| a.0.total_cmp(&b.0));
     let cpus = MACHINES as f64 * 8.0;
-    let per_s = carried_per_s(policy, widest, LONGEST_S, cpus);
-    let flow = Flow::tightest(per_s, &rises);
-    let crowd = Crowd {
-        flow,
-        widest_cpus: widest,
-        longest_s: LONGEST_S,
+    let rate_per_s = lane_throughput_per_s(policy, widest, LONGEST_S, cpus);
+    let load = BoostedLoad {
+        arrivals: ArrivalCurve::tightest(rate_per_s, &rises),
+        max_task_cpus: widest,
+        max_task_s: LONGEST_S,
     };
-    let standstill_s = takeovers * (outcome.leaderless_s + 2.0 * LONGEST_S);
-    let room = Room { cpus, standstill_s };
-    longest_wait_s(policy, Urgency::BestEffort, &crowd, &room)
+    let capacity = ClusterCapacity {
+        cpus,
+        downtime_s: takeovers * (outcome.leaderless_s + 2.0 * LONGEST_S),
+    };
+    max_wait_s(policy, Urgency::BestEffort, &load, &capacity)
         .map_err(|e| LabError::Other(e.to_string()))
 }
 
@@ -169,7 +172,7 @@
             };
         runs.into_iter().map(ended).collect()
     });
-    let policy = Policy::new(ageing);
+    let policy = AgingPolicy::new(ageing);
     let (mut nights, mut failed) = (Vec::new(), Vec::new());
     for (pair, seeds) in played.chunks(2).zip(plan.chunks(2)) {
         let told = |r: &Result<Outcome, scenario::ScenarioError>| match r {
