--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -28,7 +28,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlacementCall {
+pub enum SchedulerCall {
     Pages,
     Progress,
     Commit,
@@ -61,7 +61,7 @@
     /// A change of configuration, by its place among those that wait.
     ConfigurationChange(u64),
     Election(ElectionCall),
-    Scheduler(PlacementCall),
+    Scheduler(SchedulerCall),
     UserApi(UserApiCall),
     Fleet(FleetCall),
 }
--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -17,7 +17,7 @@
 use crate::pending_changes::{PendingChange, PendingChanges};
 use crate::replica::{Freshness, ReplicaCache, ReplicaConfig};
 use crate::replica_scan::ScanCoverage;
-use crate::store::{Committed, Outcome, Priority, Reply, StoreClient};
+use crate::store::{CommitResponse, Outcome, Priority, Reply, StoreClient};
 use beamhinge_configuration::plan::guarantees_above;
 use beamhinge_configuration::stored::{Author, Snapshot, FORMAT_VERSION};
 use beamhinge_configuration::{ChangeError, ConfigurationChange, EffectiveTeam, Version};
@@ -134,9 +134,9 @@
             replica: ReplicaCache::new(ReplicaConfig {
                 prefix: PREFIX,
                 tag: Tag::Configuration,
-                wait_s: 10.0,
-                wait_priority: Priority::Read,
-                stale_s: STALE_S,
+                watch_wait_s: 10.0,
+                watch_priority: Priority::Read,
+                max_age_s: STALE_S,
             }),
             stored: StoredCopy::default(),
             scan: ScanCoverage::default(),
@@ -418,7 +418,7 @@
         self.replica.request_refresh();
         let busy = |reason: &str| Some(ChangeResponse::Busy(reason.into()));
         let response = match reply.outcome {
-            Outcome::Ok(body) if wire::decode::<Committed>(&body).is_ok() => {
+            Outcome::Ok(body) if wire::decode::<CommitResponse>(&body).is_ok() => {
                 Some(ChangeResponse::Applied {
                     version: pending.change.change.seen.next(),
                     warning: self.warning(&pending.change),
@@ -443,10 +443,13 @@
     pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Freshness {
         let update = self.replica.on_reply(now, call, reply);
         for change in update.changes {
-            self.scan.record(call, || change.path.clone());
+            self.scan.record(call, || change.key.clone());
             self.stored.apply(&change);
         }
-        if let Some(scan) = self.scan.finish(call, update.scanned, update.freshness) {
+        if let Some(scan) = self
+            .scan
+            .finish(call, update.scan_revision, update.freshness)
+        {
             self.stored.retain_scanned(&scan);
         }
         self.refresh_effective();
--- a/crates/controller/src/configuration/stored_copy.rs
+++ b/crates/controller/src/configuration/stored_copy.rs
@@ -68,8 +68,8 @@
     }
 
     /// Takes one key in, as a reply showed it.
-    pub(super) fn apply(&mut self, change: &replica::Change) {
-        let Some(rest) = change.path.strip_prefix(PREFIX) else {
+    pub(super) fn apply(&mut self, change: &replica::ReplicaChange) {
+        let Some(rest) = change.key.strip_prefix(PREFIX) else {
             return;
         };
         let revision = Revision(change.revision);
@@ -97,7 +97,7 @@
             _ => true,
         };
         if !known {
-            tracing::error!(key = change.path, "unknown form of stored configuration");
+            tracing::error!(key = change.key, "unknown form of stored configuration");
             self.unreadable = true;
         }
     }
--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -1,6 +1,6 @@
 use super::stored_copy::{chunk_key, record_key};
 use super::*;
-use crate::replica::Change as Changed;
+use crate::replica::ReplicaChange as Changed;
 use beamhinge_configuration::stored::{chunk_of, Chunk, Head, RecordPart, TeamState, CHUNKS};
 use beamhinge_configuration::Quota;
 use beamhinge_core::settings;
@@ -17,7 +17,7 @@
 
 fn changed<T: Serialize>(path: &str, revision: u64, value: &T) -> Changed {
     Changed {
-        path: path.into(),
+        key: path.into(),
         revision,
         value: Some(wire::to_value(value)),
     }
@@ -130,7 +130,7 @@
     assert_eq!(c.rollout().everywhere_since_ms, Some(last));
     // One whose lease ended is named.
     c.stored.apply(&Changed {
-        path: member_key(&labels[0]),
+        key: member_key(&labels[0]),
         revision: 8,
         value: None,
     });
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -15,7 +15,7 @@
 use crate::pending_changes::{PendingChange, PendingChanges};
 use crate::replica::{self, Freshness, ReplicaCache, ReplicaConfig};
 use crate::replica_scan::ScanCoverage;
-use crate::store::{Committed, Outcome, Priority, Reply, StoreClient};
+use crate::store::{CommitResponse, Outcome, Priority, Reply, StoreClient};
 use beamhinge_admin_api::directives::{Change, Changed, Directive, Target, VERSION};
 use beamhinge_core::types::{RequestId, Revision, Time, WallMs};
 use beamhinge_core::wire;
@@ -79,9 +79,9 @@
                 tag: Tag::Directives,
                 // A change ends the wait at once; a longer wait costs fewer requests of the
                 // limit that all controllers share.
-                wait_s: 10.0,
-                wait_priority: Priority::Read,
-                stale_s: 30.0,
+                watch_wait_s: 10.0,
+                watch_priority: Priority::Read,
+                max_age_s: 30.0,
             }),
             entries: BTreeMap::new(),
             scan: ScanCoverage::default(),
@@ -232,7 +232,7 @@
             return;
         };
         let response = match reply.outcome {
-            Outcome::Ok(body) if wire::decode::<Committed>(&body).is_ok() => {
+            Outcome::Ok(body) if wire::decode::<CommitResponse>(&body).is_ok() => {
                 let change = &pending.change.change;
                 Some(DirectiveResponse::Applied(Changed {
                     target: change.target.clone(),
@@ -268,12 +268,15 @@
     pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Freshness {
         let update = self.replica.on_reply(now, call, reply);
         for change in update.changes {
-            match target(&change.path) {
+            match target(&change.key) {
                 Some(target) => self.apply(call, target, &change),
-                None => tracing::error!(key = change.path, "unknown kind of directive"),
+                None => tracing::error!(key = change.key, "unknown kind of directive"),
             }
         }
-        if let Some(scan) = self.scan.finish(call, update.scanned, update.freshness) {
+        if let Some(scan) = self
+            .scan
+            .finish(call, update.scan_revision, update.freshness)
+        {
             self.entries
                 .retain(|target, (revision, _)| scan.confirms(target, *revision));
         }
@@ -282,7 +285,7 @@
     }
 
     /// Puts one stored record into the replica.
-    fn apply(&mut self, call: ReplicaCall, target: Target, change: &replica::Change) {
+    fn apply(&mut self, call: ReplicaCall, target: Target, change: &replica::ReplicaChange) {
         self.scan.record(call, || target.clone());
         let revision = Revision(change.revision);
         // A reply that overtook another must not bring an older state back.
@@ -307,7 +310,7 @@
             }
             // A record of an unknown form lifts nothing: what was in force stays so.
             Some(_) => tracing::error!(
-                key = change.path,
+                key = change.key,
                 "ignored directive of unknown form or version"
             ),
         }
--- a/crates/controller/src/directives/tests.rs
+++ b/crates/controller/src/directives/tests.rs
@@ -49,7 +49,7 @@
     let reply = Reply {
         tag,
         outcome: Outcome::Ok(body),
-        sent: at.plus(1.0),
+        sent_at: at.plus(1.0),
     };
     d.on_reply(at.plus(1.0), ReplicaCall::Scan, reply);
     d.entries = kept;
--- a/crates/controller/src/fleet/rentals.rs
+++ b/crates/controller/src/fleet/rentals.rs
@@ -10,7 +10,7 @@
 use crate::calls::{FleetCall, Tag};
 use crate::leader_election::BLOCK_KEY;
 use crate::split::Class;
-use crate::store::{Committed, Outcome, Priority, Scan, StoreClient};
+use crate::store::{CommitResponse, Outcome, Priority, ScanResponse, StoreClient};
 use beamhinge_core::types::{FencingToken, MachineId, Revision, Time};
 use beamhinge_core::wire;
 use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction, Transaction, TransactionError};
@@ -272,10 +272,10 @@
             self.record.retry_at = now.plus(READ_RETRY_S);
             return;
         };
-        let Ok(scan) = wire::decode::<Scan>(&body) else {
+        let Ok(scan) = wire::decode::<ScanResponse>(&body) else {
             return;
         };
-        let found = scan.pairs.iter().find(|p| p.path == RENTALS_KEY);
+        let found = scan.entries.iter().find(|p| p.key == RENTALS_KEY);
         self.record.revision = Some(Revision(found.map_or(0, |p| p.revision)));
         self.record.written.clear();
         if let Some(found) = found {
@@ -318,10 +318,10 @@
     pub(super) fn on_written(&mut self, now: Time, outcome: Outcome) {
         self.record.in_flight = false;
         match outcome {
-            Outcome::Ok(body) => match wire::decode::<Committed>(&body) {
+            Outcome::Ok(body) => match wire::decode::<CommitResponse>(&body) {
                 Ok(committed) => {
                     self.record.backoff.on_success();
-                    self.record.revision = Some(Revision(committed.rev));
+                    self.record.revision = Some(Revision(committed.revision));
                     self.mark_written();
                 }
                 Err(_) => self.record.revision = None,
--- a/crates/controller/src/job_store.rs
+++ b/crates/controller/src/job_store.rs
@@ -24,7 +24,7 @@
 const MAX_SHARED_NAMES: usize = 16_384;
 
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct JobEntry {
     pub revision: Revision,
     pub state: JobState,
     pub spec: Option<Rc<JobSpec>>,
@@ -44,7 +44,7 @@
 }
 
 pub struct JobStore {
-    entries: BTreeMap<JobId, Entry>,
+    entries: BTreeMap<JobId, JobEntry>,
     replica: ReplicaCache,
     /// A record of a version we don't know: answers about jobs would be guesses.
     unreadable: bool,
@@ -61,9 +61,9 @@
             replica: ReplicaCache::new(ReplicaConfig {
                 prefix: PREFIX,
                 tag: Tag::Job,
-                wait_s: 2.0,
-                wait_priority: Priority::Admission,
-                stale_s: 15.0,
+                watch_wait_s: 2.0,
+                watch_priority: Priority::Admission,
+                max_age_s: 15.0,
             }),
             unreadable: false,
             changed: Vec::new(),
@@ -74,20 +74,20 @@
 }
 
 impl JobStore {
-    pub fn get(&self, id: JobId) -> Option<&Entry> {
+    pub fn get(&self, id: JobId) -> Option<&JobEntry> {
         self.entries.get(&id)
     }
-    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &Entry)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &JobEntry)> {
         self.entries.iter()
     }
     /// The jobs behind `after` in the order of their ids, which never changes:
     /// a cursor stays good whatever comes or ends meanwhile.
-    pub fn behind(&self, after: Option<JobId>) -> impl Iterator<Item = (&JobId, &Entry)> {
+    pub fn after(&self, after: Option<JobId>) -> impl Iterator<Item = (&JobId, &JobEntry)> {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.entries.range((start, Bound::Unbounded))
     }
     /// Whose a job is or was, as far as its record tells.
-    pub fn summary(&self, entry: &Entry) -> Option<JobSummary> {
+    pub fn summary(&self, entry: &JobEntry) -> Option<JobSummary> {
         if let Some(spec) = &entry.spec {
             return Some(JobSummary::from(&**spec));
         }
@@ -104,7 +104,7 @@
         self.replica.loaded() && !self.unreadable
     }
     /// The copy holds all that was committed before this moment.
-    pub fn fresh(&self) -> Option<Time> {
+    pub fn fresh_as_of(&self) -> Option<Time> {
         if self.unreadable {
             return None;
         }
@@ -181,7 +181,7 @@
                 let spec = r.spec.map(|s| Rc::new(self.share(s)));
                 self.entries.insert(
                     id,
-                    Entry {
+                    JobEntry {
                         revision: Revision(revision),
                         state: r.state,
                         tasks: r.task_count.or(spec.as_ref().map(|s| s.tasks)).unwrap_or(0),
@@ -203,14 +203,14 @@
         for change in &update.changes {
             // A job's key is never deleted: that one is missing proves nothing.
             if let Some(value) = &change.value {
-                self.put(&change.path, change.revision, value);
+                self.put(&change.key, change.revision, value);
             }
         }
         update.freshness
     }
 
     /// What our own committed transaction wrote, known before any watch.
-    pub fn wrote(
+    pub fn on_committed(
         &mut self,
         id: JobId,
         revision: Revision,
@@ -242,7 +242,7 @@
         };
         self.entries.insert(
             id,
-            Entry {
+            JobEntry {
                 revision,
                 state,
                 spec,
--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -9,7 +9,8 @@
 use crate::calls::{ElectionCall, Tag};
 use crate::faults::{broken, Faults};
 use crate::store::{
-    Committed, LeaseGrant, News, Outcome, Priority, Reply, Scan, StoreClient, TransactionError,
+    CommitResponse, LeaseResponse, Outcome, Priority, Reply, ScanResponse, StoreClient,
+    TransactionError, WatchResponse,
 };
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{FencingToken, Revision, Time};
@@ -223,7 +224,7 @@
         match self.lease_id {
             None if !self.lease_grant_in_flight => {
                 self.lease_grant_in_flight = true;
-                store.lease(
+                store.grant_lease(
                     now,
                     Tag::Election(ElectionCall::GrantLease),
                     self.lease_duration_s,
@@ -234,7 +235,7 @@
                     && now.since(self.lease_renewed_at) > self.lease_duration_s * 0.25 =>
             {
                 self.lease_renewal_in_flight = true;
-                store.renew(now, Tag::Election(ElectionCall::RenewLease), lease_id);
+                store.renew_lease(now, Tag::Election(ElectionCall::RenewLease), lease_id);
             }
             _ => {}
         }
@@ -387,9 +388,9 @@
                 self.lease_grant_in_flight = false;
                 match reply.outcome {
                     Outcome::Ok(body) => {
-                        if let Ok(p) = wire::decode::<LeaseGrant>(&body) {
+                        if let Ok(p) = wire::decode::<LeaseResponse>(&body) {
                             self.lease_id = Some(p.lease_id);
-                            self.lease_renewed_at = reply.sent;
+                            self.lease_renewed_at = reply.sent_at;
                         }
                     }
                     _ => self.retry_at = now.plus(0.2),
@@ -398,24 +399,24 @@
             ElectionCall::RenewLease => {
                 self.lease_renewal_in_flight = false;
                 match reply.outcome {
-                    Outcome::Ok(_) => self.lease_renewed_at = reply.sent,
-                    Outcome::Missing => self.lease_id = None,
+                    Outcome::Ok(_) => self.lease_renewed_at = reply.sent_at,
+                    Outcome::NotFound => self.lease_id = None,
                     _ => self.retry_at = now.plus(0.1),
                 }
             }
             ElectionCall::ReadLeadership => {
                 self.leadership_read_in_flight = false;
                 match reply.outcome {
-                    Outcome::Ok(body) => match wire::decode::<Scan>(&body) {
+                    Outcome::Ok(body) => match wire::decode::<ScanResponse>(&body) {
                         Ok(scan) => {
                             self.leadership = scan
-                                .pairs
+                                .entries
                                 .iter()
-                                .find(|p| p.path == LEADERSHIP_KEY)
+                                .find(|p| p.key == LEADERSHIP_KEY)
                                 .and_then(|p| {
                                     Some((wire::from_value(&p.value).ok()?, Revision(p.revision)))
                                 });
-                            self.leadership_revision = Some(scan.rev);
+                            self.leadership_revision = Some(scan.revision);
                         }
                         Err(_) => self.retry_at = now.plus(0.5),
                     },
@@ -425,9 +426,9 @@
             ElectionCall::WatchLeadership => {
                 self.leadership_read_in_flight = false;
                 match reply.outcome {
-                    Outcome::Ok(body) => match wire::decode::<News>(&body) {
+                    Outcome::Ok(body) => match wire::decode::<WatchResponse>(&body) {
                         Ok(news) => {
-                            for change in &news.news {
+                            for change in &news.events {
                                 // News from before our own take is old.
                                 if self
                                     .leadership
@@ -445,7 +446,7 @@
                                     _ => None,
                                 };
                             }
-                            self.leadership_revision = Some(news.rev);
+                            self.leadership_revision = Some(news.revision);
                         }
                         Err(_) => self.leadership_revision = None,
                     },
@@ -463,19 +464,19 @@
             ElectionCall::ReadBlock => {
                 self.block_read_in_flight = false;
                 match reply.outcome {
-                    Outcome::Ok(body) => match wire::decode::<Scan>(&body) {
+                    Outcome::Ok(body) => match wire::decode::<ScanResponse>(&body) {
                         Ok(scan) => {
                             if let Some((_, at)) =
                                 self.leadership.as_ref().filter(|l| l.0 == self.identity)
                             {
                                 // A block from before that lead says nothing of it.
-                                self.block_read_for = if scan.rev >= at.0 {
+                                self.block_read_for = if scan.revision >= at.0 {
                                     *at
                                 } else {
                                     self.block_read_for
                                 };
                             }
-                            let found = scan.pairs.iter().find(|p| p.path == BLOCK_KEY);
+                            let found = scan.entries.iter().find(|p| p.key == BLOCK_KEY);
                             let name = found
                                 .and_then(|p| wire::from_value::<ProcessIdentity>(&p.value).ok());
                             let revision = Revision(found.map_or(0, |p| p.revision));
@@ -489,7 +490,7 @@
                                 && (revision.0 > self.last_token.0
                                     || broken!(self.faults, old_term))
                             {
-                                return self.acquired(revision, reply.sent);
+                                return self.acquired(revision, reply.sent_at);
                             }
                             self.block = Some((name, revision));
                         }
@@ -502,13 +503,13 @@
                 self.acquiring = false;
                 match reply.outcome {
                     Outcome::Ok(body) => {
-                        if let Ok(c) = wire::decode::<Committed>(&body) {
-                            self.leadership = Some((self.identity.clone(), Revision(c.rev)));
-                            return self.acquired(Revision(c.rev), reply.sent);
+                        if let Ok(c) = wire::decode::<CommitResponse>(&body) {
+                            self.leadership = Some((self.identity.clone(), Revision(c.revision)));
+                            return self.acquired(Revision(c.revision), reply.sent_at);
                         }
                         self.reload(now);
                     }
-                    Outcome::NoLease => self.lease_id = None,
+                    Outcome::LeaseNotFound => self.lease_id = None,
                     Outcome::Malformed => {
                         self.reload(now);
                         self.retry_at = now.plus(MALFORMED_RETRY_S);
@@ -520,12 +521,12 @@
                 self.acquiring = false;
                 match reply.outcome {
                     Outcome::Ok(body) => {
-                        if let Ok(c) = wire::decode::<Committed>(&body) {
-                            self.leadership = Some((self.identity.clone(), Revision(c.rev)));
-                            self.confirm_block(reply.sent);
+                        if let Ok(c) = wire::decode::<CommitResponse>(&body) {
+                            self.leadership = Some((self.identity.clone(), Revision(c.revision)));
+                            self.confirm_block(reply.sent_at);
                         }
                     }
-                    Outcome::NoLease => self.lease_id = None,
+                    Outcome::LeaseNotFound => self.lease_id = None,
                     Outcome::Conflict(failed) if failed.iter().any(|k| k == BLOCK_KEY) => {
                         return self.step_down_deposed(now);
                     }
@@ -536,7 +537,7 @@
             ElectionCall::CheckBlock => {
                 self.block_check_in_flight = false;
                 match reply.outcome {
-                    Outcome::Ok(_) => self.confirm_block(reply.sent),
+                    Outcome::Ok(_) => self.confirm_block(reply.sent_at),
                     Outcome::Conflict(_) => return self.step_down_deposed(now),
                     _ => {}
                 }
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -77,7 +77,7 @@
                 Reply {
                     tag,
                     outcome,
-                    sent: now,
+                    sent_at: now,
                 },
             )
         };
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -16,7 +16,6 @@
 )]
 
 pub mod admin_api;
-pub mod blocks;
 pub mod calls;
 pub mod configuration;
 pub mod directives;
@@ -30,6 +29,7 @@
 pub mod node;
 pub mod peers;
 mod pending_changes;
+pub mod placement_pages;
 pub mod progress;
 pub mod replica;
 mod replica_scan;
--- a/crates/controller/src/market.rs
+++ b/crates/controller/src/market.rs
@@ -9,7 +9,7 @@
 
 use crate::calls::{FleetCall, Tag};
 use crate::split::{self, Demand, Learner, MachineType, MarketSlot, Past, Resources};
-use crate::store::{Committed, Outcome, Priority, Reply, Scan, StoreClient};
+use crate::store::{CommitResponse, Outcome, Priority, Reply, ScanResponse, StoreClient};
 use beamhinge_admin_api::reasons::Reason;
 use beamhinge_core::settings::{Operator, Settings};
 use beamhinge_core::types::{FencingToken, JobId, Revision, Time};
@@ -683,10 +683,10 @@
             self.retry_at = now.plus(0.5);
             return;
         };
-        let Ok(scan) = wire::decode::<Scan>(&body) else {
+        let Ok(scan) = wire::decode::<ScanResponse>(&body) else {
             return;
         };
-        let found = scan.pairs.iter().find(|p| p.path == KEY);
+        let found = scan.entries.iter().find(|p| p.key == KEY);
         self.record = Some(Revision(found.map_or(0, |p| p.revision)));
         let Some(found) = found else { return };
         match wire::from_value::<Record>(&found.value) {
@@ -748,9 +748,9 @@
         self.in_flight = false;
         match reply.outcome {
             Outcome::Ok(body) => {
-                self.record = wire::decode::<Committed>(&body)
+                self.record = wire::decode::<CommitResponse>(&body)
                     .ok()
-                    .map(|c| Revision(c.rev))
+                    .map(|c| Revision(c.revision))
             }
             Outcome::Refused => {
                 self.dirty = true;
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -12,7 +12,7 @@
 use crate::job_store::JobStore;
 use crate::leader_election::LeaderElection;
 use crate::metrics::Metrics;
-use crate::peers::Peers;
+use crate::peers::PeerTable;
 use crate::scheduler::Scheduler;
 use crate::store::StoreClient;
 use crate::user_api::UserApi;
@@ -41,7 +41,7 @@
     election: LeaderElection,
     scheduler: Option<Scheduler>,
     fleet: Fleet,
-    peers: Peers,
+    peers: PeerTable,
     next_call: u64,
     /// Silent machines that were asked directly, and when.
     asked: BTreeMap<MachineId, Time>,
@@ -109,7 +109,7 @@
             election: LeaderElection::new(&settings, nonce),
             scheduler: None,
             fleet: Fleet::new(&settings),
-            peers: Peers::default(),
+            peers: PeerTable::default(),
             next_call: 0,
             nudged: BTreeMap::new(),
             asked: BTreeMap::new(),
@@ -260,7 +260,7 @@
             self.store.flush(now, &mut self.next_call, out);
             self.fleet.flush(now, &mut self.next_call, out);
             self.run_admin_api(now, wall, out);
-            let refused = self.store.drain_refused();
+            let refused = self.store.take_refused();
             if refused.is_empty() {
                 break;
             }
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -8,7 +8,7 @@
 use crate::configuration::ChangeResponse;
 use crate::directives::DirectiveResponse;
 use crate::fleet::MachineQuery;
-use crate::job_store::{Entry, JobState};
+use crate::job_store::{JobEntry, JobState};
 use crate::user_api;
 use beamhinge_admin_api::auth::Caller;
 use beamhinge_admin_api::messages::{
@@ -306,7 +306,7 @@
             self.election.request_block_check(now);
         }
         let copies = Copies {
-            jobs: self.job_store.fresh(),
+            jobs: self.job_store.fresh_as_of(),
             directives: self.directives.fresh_as_of(),
             configuration: self.configuration.fresh_as_of(),
         };
@@ -320,7 +320,7 @@
         };
         let seen = self
             .job_store
-            .fresh()
+            .fresh_as_of()
             .map(|f| f.min(self.election.block_confirmed_at()));
         let ready = if entitled && loaded {
             admin_api.ready_asked(seen)
@@ -427,7 +427,7 @@
         }
     }
 
-    fn row(&self, wall: WallMs, id: JobId, entry: &Entry) -> JobRow {
+    fn row(&self, wall: WallMs, id: JobId, entry: &JobEntry) -> JobRow {
         let counts = match entry.state {
             JobState::Open => self
                 .scheduler
@@ -472,7 +472,7 @@
             next: None,
         };
         let mut last = None;
-        for (looked, (id, entry)) in self.job_store.behind(after).enumerate() {
+        for (looked, (id, entry)) in self.job_store.after(after).enumerate() {
             if looked >= MAX_LOOKED_AT || page.jobs.len() >= filter.limit {
                 page.next = last.map(|id: JobId| id.to_string());
                 break;
@@ -523,7 +523,7 @@
             stuck_ago_s: self.stuck.get(own).map(|at| now.since(*at)),
         };
         let others = self.settings.members.iter().map(|m| {
-            let told = self.peers.told(now, &m.label);
+            let told = self.peers.status(now, &m.label);
             NodeRow {
                 label: m.label.clone(),
                 answering: false,
--- a/crates/controller/src/node/operators/tests.rs
+++ b/crates/controller/src/node/operators/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::calls::{PlacementCall, ReplicaCall, Tag};
+use crate::calls::{ReplicaCall, SchedulerCall, Tag};
 use crate::event_log::EventLog;
 use crate::scheduler::Scheduler;
 use crate::store::{Outcome, Reply};
@@ -30,7 +30,7 @@
         Reply {
             tag,
             outcome: Outcome::Ok(beamhinge_core::wire::encode(&body)),
-            sent: now,
+            sent_at: now,
         }
     };
     node.job_store.tick(now, true, true, &mut node.store);
@@ -45,7 +45,7 @@
         &node.job_store,
         &mut node.store,
     );
-    for call in [PlacementCall::Pages, PlacementCall::Progress] {
+    for call in [SchedulerCall::Pages, SchedulerCall::Progress] {
         scheduler.on_reply(now, call, empty(Tag::Scheduler(call)), &mut node.job_store);
     }
     assert!(scheduler.loaded());
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -207,7 +207,7 @@
                 self.store
                     .set_rate_share(leader_share(&self.settings), LEADER_ADMISSION_SHARE);
                 self.nudged.clear();
-                self.peers.sent = Time::default();
+                self.peers.last_sent = Time::default();
                 self.heartbeat_sent = Time::default();
                 self.job_store.request_refresh();
             }
@@ -221,14 +221,15 @@
                 store_age_ms,
                 ..
             } => {
-                self.peers.pulse(now, &label, store_age_ms as f64 / 1e3);
+                self.peers
+                    .on_heartbeat(now, &label, store_age_ms as f64 / 1e3);
             }
             Frame::Readiness {
                 label,
                 ready,
                 drained,
             } => {
-                self.peers.ready(now, &label, ready, drained);
+                self.peers.on_readiness(now, &label, ready, drained);
             }
             Frame::Query {
                 from,
@@ -245,7 +246,7 @@
                 self.on_leader_response(serial, status, body, out);
             }
             Frame::Progress(rows) => {
-                if let Some(list) = self.peers.progress.came(rows) {
+                if let Some(list) = self.peers.progress.add_frame(rows) {
                     self.user_api.shown = list;
                 }
             }
@@ -272,7 +273,8 @@
                 }
                 self.leader_detector
                     .on_heartbeat(now, &label, FencingToken(token));
-                self.peers.holds(now, &label, FencingToken(token));
+                self.peers
+                    .on_leader_announcement(now, &label, FencingToken(token));
                 // Guard 1: a higher token was taken, so ours is over.
                 let change = self.election.on_token_claim(now, token);
                 self.on_leadership_change(now, change);
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -96,7 +96,7 @@
         // stepping aside would only prolong it for the users afterwards. But
         // where others still reach it, they serve better than we can.
         let age = self.store_age(now);
-        if self.drained() && self.peers.successor(now) {
+        if self.drained() && self.peers.has_successor(now) {
             refuse(out, id, 503, "operators have drained this controller");
         } else if self.stall_detector.stalled_for_s(now).is_some()
             && self.peers.peers_reach_store(now)
@@ -136,7 +136,7 @@
         !refused
             && !self.settings.members.is_empty()
             && now.since(self.started) > 5.0
-            && self.peers.silent_s(now).is_none_or(|s| s > 2.5)
+            && self.peers.silence_s(now).is_none_or(|s| s > 2.5)
     }
 
     /// Operators want this controller out of the way.
@@ -260,7 +260,7 @@
         }
         let seen = self
             .job_store
-            .fresh()
+            .fresh_as_of()
             .is_some_and(|jobs| now.since(jobs) < limit);
         self.scheduler.is_some() && seen && now.since(self.election.block_confirmed_at()) < limit
     }
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -39,8 +39,8 @@
         }
         // Every tick: half a second more would be a part of the time of an urgent start.
         self.consider_taking_early(now);
-        if now.since(self.peers.sent) >= 1.0 {
-            self.peers.sent = now;
+        if now.since(self.peers.last_sent) >= 1.0 {
+            self.peers.last_sent = now;
             let age = self.store_age(now);
             let pulse = Frame::Heartbeat {
                 label: self.settings.label.clone(),
@@ -65,7 +65,7 @@
                 });
             }
             if let Some(scheduler) = self.scheduler.as_ref().filter(|p| p.loaded()) {
-                for frame in peers::progress(scheduler.all_counts()) {
+                for frame in peers::progress_frames(scheduler.all_counts()) {
                     out.push(Effect::SendFrame {
                         to: None,
                         frame: encode(&frame),
@@ -128,7 +128,7 @@
     /// while there is such a one. Without one it goes on: that somebody leads
     /// matters more.
     pub(super) fn obey_drain(&mut self, now: Time) {
-        if !self.drained() || !self.peers.successor(now) {
+        if !self.drained() || !self.peers.has_successor(now) {
             return;
         }
         if self.scheduler.is_some() {
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -11,30 +11,30 @@
 
 /// What we last heard from each peer.
 #[derive(Default)]
-pub struct Peers {
+pub struct PeerTable {
     heard: Vec<(String, Time, f64)>,
     /// Label, when it said so, whether it could take over, whether drained.
     ready: Vec<(String, Time, bool, bool)>,
-    pub sent: Time,
+    pub last_sent: Time,
     /// The progress of jobs, as far as its frames are here.
-    pub progress: ProgressList,
+    pub progress: ProgressAssembler,
     /// Who last said that it holds the block, with which token, and when.
     leader: Option<(String, FencingToken, Time)>,
 }
 
-impl Peers {
-    pub fn pulse(&mut self, now: Time, label: &str, store_age_s: f64) {
+impl PeerTable {
+    pub fn on_heartbeat(&mut self, now: Time, label: &str, store_age_s: f64) {
         self.heard.retain(|(l, _, _)| l != label);
         self.heard.push((label.to_string(), now, store_age_s));
     }
 
-    pub fn ready(&mut self, now: Time, label: &str, ready: bool, drained: bool) {
+    pub fn on_readiness(&mut self, now: Time, label: &str, ready: bool, drained: bool) {
         self.ready.retain(|(l, ..)| l != label);
         self.ready.push((label.to_string(), now, ready, drained));
     }
 
     /// Some peer could take over at once, and operators have not drained it.
-    pub fn successor(&self, now: Time) -> bool {
+    pub fn has_successor(&self, now: Time) -> bool {
         let reaches = |label: &str| {
             self.heard
                 .iter()
@@ -47,7 +47,7 @@
 
     /// What was last heard of a peer: seconds since, its age of the ledger,
     /// whether it could take over, whether it is drained.
-    pub fn told(&self, now: Time, label: &str) -> Option<(f64, f64, bool, bool)> {
+    pub fn status(&self, now: Time, label: &str) -> Option<(f64, f64, bool, bool)> {
         let (_, at, age) = self.heard.iter().find(|(l, ..)| l == label)?;
         let ready = self.ready.iter().find(|(l, ..)| l == label);
         let (ready, drained) = ready.map_or((false, false), |(_, _, r, d)| (*r, *d));
@@ -57,7 +57,7 @@
     /// A word of a lower token than one heard before is a former holder's; but one that
     /// nobody has repeated for so long was none. A token that was made up kept all real
     /// holders from being named.
-    pub fn holds(&mut self, now: Time, label: &str, token: FencingToken) {
+    pub fn on_leader_announcement(&mut self, now: Time, label: &str, token: FencingToken) {
         let lapsed = |at: &Time| now.since(*at) > LAPSED_S;
         if self
             .leader
@@ -87,7 +87,7 @@
     }
 
     /// Seconds since any peer was last heard; none if none ever was.
-    pub fn silent_s(&self, now: Time) -> Option<f64> {
+    pub fn silence_s(&self, now: Time) -> Option<f64> {
         self.heard
             .iter()
             .map(|(_, at, _)| now.since(*at))
@@ -103,7 +103,7 @@
 }
 
 /// Frames that tell the progress of jobs with tasks done or running.
-pub fn progress(counts: impl Iterator<Item = (JobId, TaskCounts)>) -> Vec<Frame> {
+pub fn progress_frames(counts: impl Iterator<Item = (JobId, TaskCounts)>) -> Vec<Frame> {
     let moving = counts.filter(|(_, c)| c.done > 0 || c.running > 0);
     Frame::progress(
         moving
@@ -114,18 +114,21 @@
 
 /// The holder's list of progress, put together from the frames that carry it.
 #[derive(Default)]
-pub struct ProgressList {
+pub struct ProgressAssembler {
     /// What came of a list whose last frame is still on its way.
     begun: BTreeMap<JobId, TaskCounts>,
 }
 
-impl ProgressList {
+impl ProgressAssembler {
     /// Jobs of one list that are kept: four for each of 8,192 machines. What is beyond it is
     /// not displayed, and a warning says so.
     const MAX_JOBS: usize = 32_768;
 
     /// Takes a frame's rows. Returns the whole list once its last frame is here.
-    pub fn came(&mut self, rows: Vec<(String, u32, u32)>) -> Option<BTreeMap<JobId, TaskCounts>> {
+    pub fn add_frame(
+        &mut self,
+        rows: Vec<(String, u32, u32)>,
+    ) -> Option<BTreeMap<JobId, TaskCounts>> {
         let last = rows.len() < Frame::MAX_ROWS;
         let parsed = rows.into_iter().filter_map(|(id, done, running)| {
             Some((JobId::parse(&id)?, TaskCounts { done, running }))
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -2,15 +2,15 @@
 
 #[test]
 fn a_token_that_was_made_up_is_forgotten_and_a_former_holder_is_not_named() {
-    let mut peers = Peers::default();
+    let mut peers = PeerTable::default();
     let at = |s: f64| Time::from_micros(1_000_000_000).plus(s);
-    peers.holds(at(0.0), "a", FencingToken(7));
-    peers.holds(at(0.5), "b", FencingToken(5));
+    peers.on_leader_announcement(at(0.0), "a", FencingToken(7));
+    peers.on_leader_announcement(at(0.5), "b", FencingToken(5));
     assert_eq!(peers.leader(at(1.0)), Some("a"));
-    peers.holds(at(2.0), "b", FencingToken(u64::MAX));
-    peers.holds(at(4.0), "a", FencingToken(9));
+    peers.on_leader_announcement(at(2.0), "b", FencingToken(u64::MAX));
+    peers.on_leader_announcement(at(4.0), "a", FencingToken(9));
     assert_eq!(peers.leader(at(6.0)), None);
-    peers.holds(at(2.0 + LAPSED_S + 0.1), "a", FencingToken(9));
+    peers.on_leader_announcement(at(2.0 + LAPSED_S + 0.1), "a", FencingToken(9));
     assert_eq!(peers.leader(at(3.0 + LAPSED_S)), Some("a"));
 }
 
@@ -60,13 +60,13 @@
 }
 
 /// What a peer knows after these frames, taken one after the other.
-fn shown(list: &mut ProgressList, frames: Vec<Frame>) -> Option<BTreeMap<JobId, TaskCounts>> {
+fn shown(list: &mut ProgressAssembler, frames: Vec<Frame>) -> Option<BTreeMap<JobId, TaskCounts>> {
     let mut whole = None;
     for frame in frames {
         let Frame::Progress(rows) = frame else {
             panic!("another frame")
         };
-        whole = list.came(rows).or(whole);
+        whole = list.add_frame(rows).or(whole);
     }
     whole
 }
@@ -76,31 +76,34 @@
 fn the_progress_of_more_jobs_than_a_frame_holds_comes_whole() {
     for count in [0, 1, 3_999, 4_000, 4_001, 8_000, 12_345] {
         let told = counts(0..count, 7);
-        let got = shown(&mut ProgressList::default(), progress(told.iter().copied()));
+        let got = shown(
+            &mut ProgressAssembler::default(),
+            progress_frames(told.iter().copied()),
+        );
         assert_eq!(got, Some(told.into_iter().collect()));
     }
 }
 
 #[test]
 fn each_list_replaces_the_one_before_also_when_a_last_frame_was_lost() {
-    let mut list = ProgressList::default();
-    let mut broken = progress(counts(0..9_000, 1).into_iter());
+    let mut list = ProgressAssembler::default();
+    let mut broken = progress_frames(counts(0..9_000, 1).into_iter());
     broken.pop();
     assert_eq!(shown(&mut list, broken), None);
     let told = counts(0..5_000, 2);
-    let got = shown(&mut list, progress(told.iter().copied()));
+    let got = shown(&mut list, progress_frames(told.iter().copied()));
     assert_eq!(got, Some(told.into_iter().collect()));
     let few = counts(7..9, 3);
     assert_eq!(
-        shown(&mut list, progress(few.iter().copied())),
+        shown(&mut list, progress_frames(few.iter().copied())),
         Some(few.into_iter().collect())
     );
 }
 
 #[test]
 fn memory_for_a_list_is_bounded() {
-    let mut list = ProgressList::default();
-    let frames = progress(counts(0..100_000, 1).into_iter());
+    let mut list = ProgressAssembler::default();
+    let frames = progress_frames(counts(0..100_000, 1).into_iter());
     let got = shown(&mut list, frames).expect("the list");
-    assert_eq!(got.len(), ProgressList::MAX_JOBS);
+    assert_eq!(got.len(), ProgressAssembler::MAX_JOBS);
 }
--- a/crates/controller/src/blocks.rs
+++ b/crates/controller/src/placement_pages.rs
@@ -20,7 +20,7 @@
 const ROW_BYTES: usize = 44;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Row {
+pub struct PlacementRow {
     pub machine: MachineId,
     pub task: TaskId,
     pub attempt: Attempt,
@@ -28,7 +28,7 @@
 
 /// Our own number of a page; its key never serves for another page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct PageNo(u64);
+pub struct PageId(u64);
 
 #[derive(Debug)]
 struct Page {
@@ -39,16 +39,16 @@
 }
 
 /// The pages that the state service holds.
-pub struct Pages {
+pub struct PlacementPages {
     token: FencingToken,
     next: u64,
-    pages: BTreeMap<PageNo, Page>,
-    dead: BTreeSet<PageNo>,
+    pages: BTreeMap<PageId, Page>,
+    dead: BTreeSet<PageId>,
 }
 
-impl Pages {
-    pub fn new(token: FencingToken) -> Pages {
-        Pages {
+impl PlacementPages {
+    pub fn new(token: FencingToken) -> PlacementPages {
+        PlacementPages {
             token,
             next: 0,
             pages: BTreeMap::new(),
@@ -56,18 +56,18 @@
         }
     }
 
-    fn number(&mut self) -> PageNo {
+    fn number(&mut self) -> PageId {
         self.next += 1;
-        PageNo(self.next)
+        PageId(self.next)
     }
 
     /// A key that no page ever had: it holds our token and a running number.
-    pub fn fresh_key(&mut self) -> String {
-        let PageNo(n) = self.number();
+    pub fn new_key(&mut self) -> String {
+        let PageId(n) = self.number();
         format!("{PAGE_PREFIX}{}-{n}", self.token.0)
     }
 
-    pub fn add(&mut self, key: String, revision: Revision) -> PageNo {
+    pub fn insert(&mut self, key: String, revision: Revision) -> PageId {
         let no = self.number();
         self.pages.insert(
             no,
@@ -81,14 +81,14 @@
         no
     }
 
-    pub fn hold(&mut self, no: PageNo) {
+    pub fn retain(&mut self, no: PageId) {
         if let Some(p) = self.pages.get_mut(&no) {
             p.live += 1;
             self.dead.remove(&no);
         }
     }
 
-    pub fn release(&mut self, no: PageNo) {
+    pub fn release(&mut self, no: PageId) {
         if let Some(p) = self.pages.get_mut(&no) {
             p.live = p.live.saturating_sub(1);
             if p.live == 0 {
@@ -98,8 +98,8 @@
     }
 
     /// Pages all of whose tasks have ended.
-    pub fn dead(&self) -> impl Iterator<Item = (PageNo, &str, Revision)> {
-        let page = |no: &PageNo| {
+    pub fn unreferenced(&self) -> impl Iterator<Item = (PageId, &str, Revision)> {
+        let page = |no: &PageId| {
             self.pages
                 .get(no)
                 .map(|p| (*no, p.key.as_str(), p.revision))
@@ -107,11 +107,11 @@
         self.dead.iter().filter_map(page)
     }
 
-    pub fn dead_count(&self) -> usize {
+    pub fn unreferenced_count(&self) -> usize {
         self.dead.len()
     }
 
-    pub fn removed(&mut self, no: PageNo) {
+    pub fn on_removed(&mut self, no: PageId) {
         self.pages.remove(&no);
         self.dead.remove(&no);
     }
@@ -138,7 +138,7 @@
     m: Rows,
 }
 
-pub fn encode_page(rows: &[Row]) -> Value {
+pub fn encode_page(rows: &[PlacementRow]) -> Value {
     let base = rows.iter().map(|r| r.attempt.0).min().unwrap_or(0);
     let mut m = Rows::new();
     for row in rows {
@@ -157,7 +157,7 @@
 
 /// A page of an unknown version is refused whole: a guess at what runs where
 /// could start a task twice. The version before differs only in its attempts.
-pub fn decode_page(value: &Value) -> Result<Vec<Row>, DecodeError> {
+pub fn decode_page(value: &Value) -> Result<Vec<PlacementRow>, DecodeError> {
     let record: PageRecord = wire::from_value(value)?;
     let base = match record.v {
         1 => 0,
@@ -170,7 +170,7 @@
         for (job, tasks) in jobs {
             let job = JobId::parse(&job).ok_or(DecodeError)?;
             for (index, attempt) in tasks {
-                rows.push(Row {
+                rows.push(PlacementRow {
                     machine,
                     task: TaskId { job, index },
                     attempt: Attempt(base.checked_add(attempt).ok_or(DecodeError)?),
@@ -184,8 +184,10 @@
 /// Of several rows for one task only that of its highest attempt can still be
 /// on a machine: a second placement is committed only after proof that the
 /// first has ended.
-pub fn newest_rows(rows: impl Iterator<Item = (Row, PageNo)>) -> Vec<(Row, PageNo)> {
-    let mut best: BTreeMap<TaskId, (Row, PageNo)> = BTreeMap::new();
+pub fn newest_rows(
+    rows: impl Iterator<Item = (PlacementRow, PageId)>,
+) -> Vec<(PlacementRow, PageId)> {
+    let mut best: BTreeMap<TaskId, (PlacementRow, PageId)> = BTreeMap::new();
     for (row, page) in rows {
         match best.get(&row.task) {
             Some((known, _)) if known.attempt >= row.attempt => {}
--- a/crates/controller/src/blocks/tests.rs
+++ b/crates/controller/src/placement_pages/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn row(machine: &str, task: &str, attempt: u64) -> Row {
-    Row {
+fn row(machine: &str, task: &str, attempt: u64) -> PlacementRow {
+    PlacementRow {
         machine: MachineId::parse(machine).expect("machine"),
         task: TaskId::parse(task).expect("task"),
         attempt: Attempt(attempt),
@@ -10,7 +10,7 @@
 
 #[test]
 fn a_page_comes_back_as_written_and_fits_its_bound() {
-    let rows: Vec<Row> = (0..160)
+    let rows: Vec<PlacementRow> = (0..160)
         .map(|i| {
             row(
                 &format!("n-{i:06}"),
@@ -45,17 +45,23 @@
 
 #[test]
 fn a_page_is_dead_once_nothing_rests_on_it_and_only_the_newest_row_counts() {
-    let mut pages = Pages::new(FencingToken(5));
-    let (first, second) = (pages.fresh_key(), pages.fresh_key());
+    let mut pages = PlacementPages::new(FencingToken(5));
+    let (first, second) = (pages.new_key(), pages.new_key());
     assert_ne!(first, second);
     let (a, b) = (
-        pages.add(first, Revision(1)),
-        pages.add(second, Revision(2)),
+        pages.insert(first, Revision(1)),
+        pages.insert(second, Revision(2)),
     );
-    pages.hold(a);
-    pages.hold(b);
+    pages.retain(a);
+    pages.retain(b);
     pages.release(a);
-    assert_eq!(pages.dead().map(|(no, _, _)| no).collect::<Vec<_>>(), [a]);
+    assert_eq!(
+        pages
+            .unreferenced()
+            .map(|(no, _, _)| no)
+            .collect::<Vec<_>>(),
+        [a]
+    );
     let rows = [(row("n-1", "job-1/3", 7), a), (row("n-2", "job-1/3", 9), b)];
     for order in [rows, [rows[1], rows[0]]] {
         assert_eq!(newest_rows(order.into_iter()), [rows[1]]);
@@ -65,10 +71,10 @@
 #[test]
 fn pages_keep_their_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/pages.hex");
-    let mut pages = Pages::new(FencingToken(41));
+    let mut pages = PlacementPages::new(FencingToken(41));
     golden.text("prefixes", &format!("{PAGE_PREFIX} {PROGRESS_PREFIX}"));
-    golden.text("first key", &pages.fresh_key());
-    golden.text("second key", &pages.fresh_key());
+    golden.text("first key", &pages.new_key());
+    golden.text("second key", &pages.new_key());
     let rows = [
         row("n-000231", "job-000412/3", (41 << 20) + 7),
         row("n-000231", "job-000412/4", (41 << 20) + 300),
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -4,7 +4,7 @@
 //! A shelf is one value that holds the progress of many jobs, so that a second
 //! in which fifty tasks end costs one or two writes rather than one per job.
 
-use crate::blocks::PROGRESS_PREFIX;
+use crate::placement_pages::PROGRESS_PREFIX;
 use beamhinge_core::types::{JobId, Revision};
 use beamhinge_core::wire::{self, DecodeError};
 use ciborium::Value;
@@ -22,7 +22,7 @@
 
 /// Which tasks of a job are done, in chunks that are stored one by one.
 #[derive(Clone, Debug)]
-pub struct Progress {
+pub struct JobProgress {
     /// Tasks per chunk.
     size: u32,
     chunks: BTreeMap<u32, Chunk>,
@@ -43,9 +43,9 @@
     in_flight: bool,
 }
 
-impl Progress {
-    pub fn new(size: u32) -> Progress {
-        Progress {
+impl JobProgress {
+    pub fn new(size: u32) -> JobProgress {
+        JobProgress {
             size,
             chunks: BTreeMap::new(),
             count: 0,
@@ -53,15 +53,15 @@
     }
 
     /// The first task of a chunk.
-    pub fn first_of(&self, chunk: u32) -> u32 {
+    pub fn first_task_of(&self, chunk: u32) -> u32 {
         chunk * self.size
     }
 
-    pub fn count(&self) -> u32 {
+    pub fn done_count(&self) -> u32 {
         self.count
     }
 
-    pub fn has(&self, index: u32) -> bool {
+    pub fn is_done(&self, index: u32) -> bool {
         let (chunk, at) = (index / self.size, index % self.size);
         let byte = self
             .chunks
@@ -70,8 +70,8 @@
         byte.is_some_and(|b| b & (1 << (at % 8)) != 0)
     }
 
-    pub fn set(&mut self, index: u32) {
-        if self.has(index) {
+    pub fn mark_done(&mut self, index: u32) {
+        if self.is_done(index) {
             return;
         }
         let (chunk, at) = (index / self.size, (index % self.size) as usize);
@@ -87,15 +87,15 @@
     }
 
     /// Whether the state service knows that this task is done.
-    pub fn durable(&self, index: u32) -> bool {
-        self.has(index)
+    pub fn is_durable(&self, index: u32) -> bool {
+        self.is_done(index)
             && self
                 .chunks
                 .get(&(index / self.size))
                 .is_some_and(|c| !c.dirty && !c.in_flight)
     }
 
-    pub fn dirty(&self) -> impl Iterator<Item = u32> + '_ {
+    pub fn dirty_chunks(&self) -> impl Iterator<Item = u32> + '_ {
         self.chunks.iter().filter(|(_, c)| c.dirty).map(|(n, _)| *n)
     }
 
@@ -185,9 +185,9 @@
 }
 
 /// Open jobs, by whose progress shelves are filled and read.
-pub trait Open {
+pub trait OpenJobs {
     /// The number of tasks and the progress of a job that is open.
-    fn progress(&mut self, job: JobId) -> Option<(u32, &mut Progress)>;
+    fn progress(&mut self, job: JobId) -> Option<(u32, &mut JobProgress)>;
 }
 
 /// Where each job's progress is kept, and what has to be written.
@@ -211,7 +211,7 @@
 
 impl ProgressWrite {
     /// An empty shelf goes with this transaction.
-    pub fn remove(&mut self, progress_page: usize) {
+    pub fn remove_page(&mut self, progress_page: usize) {
         self.removed.push(progress_page);
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// So does a key of the form before.
-    pub fn clean(&mut self, key: String) {
+    pub fn remove_legacy_key(&mut self, key: String) {
         self.cleaned.push(key);
     }
 }
@@ -252,7 +252,7 @@
     }
 
     /// A task of this chunk is newly done: its shelf has to be written.
-    pub fn touch(&mut self, job: JobId, index: u32, tasks: u32) {
+    pub fn mark_dirty(&mut self, job: JobId, index: u32, tasks: u32) {
         let item = (job, index / self.chunk);
         let progress_page = match self.home.get(&item) {
             Some(progress_page) => *progress_page,
@@ -305,7 +305,7 @@
     }
 
     /// Shelves to write, and empty ones to remove.
-    pub fn due(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn dirty_pages(&self) -> impl Iterator<Item = usize> + '_ {
         let due = |s: &ProgressPage| s.dirty && !s.items.is_empty();
         self.progress_pages
             .iter()
@@ -314,7 +314,7 @@
             .map(|(n, _)| n)
     }
 
-    pub fn empty(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn empty_pages(&self) -> impl Iterator<Item = usize> + '_ {
         let empty = |s: &ProgressPage| s.items.is_empty() && s.revision != Revision(0);
         self.progress_pages
             .iter()
@@ -324,7 +324,7 @@
     }
 
     /// Old keys whose job is over.
-    pub fn outdated<'a>(
+    pub fn obsolete_keys<'a>(
         &'a self,
         open: &'a dyn Fn(JobId) -> bool,
     ) -> impl Iterator<Item = (&'a String, Revision)> + 'a {
@@ -341,11 +341,11 @@
     }
 
     /// The shelf as it is now goes out with a transaction.
-    pub fn send(
+    pub fn begin_write(
         &mut self,
         progress_page: usize,
         sent: &mut ProgressWrite,
-        open: &mut impl Open,
+        open: &mut impl OpenJobs,
     ) -> Option<Value> {
         let s = self.progress_pages.get_mut(progress_page)?;
         s.dirty = false;
@@ -368,7 +368,12 @@
         Some(wire::to_value(&record))
     }
 
-    pub fn written(&mut self, sent: ProgressWrite, revision: Revision, open: &mut impl Open) {
+    pub fn on_written(
+        &mut self,
+        sent: ProgressWrite,
+        revision: Revision,
+        open: &mut impl OpenJobs,
+    ) {
         for (progress_page, items) in sent.written {
             if let Some(s) = self.progress_pages.get_mut(progress_page) {
                 s.revision = revision;
@@ -389,7 +394,7 @@
         }
     }
 
-    pub fn unwritten(&mut self, sent: &ProgressWrite, open: &mut impl Open) {
+    pub fn on_write_failed(&mut self, sent: &ProgressWrite, open: &mut impl OpenJobs) {
         for (progress_page, items) in &sent.written {
             if let Some(s) = self.progress_pages.get_mut(*progress_page) {
                 s.dirty = true;
@@ -403,7 +408,7 @@
     }
 
     /// What the state service holds replaces what we thought of the stamps.
-    pub fn begin_reading(&mut self) {
+    pub fn begin_load(&mut self) {
         self.old.clear();
         for s in &mut self.progress_pages {
             s.revision = Revision(0);
@@ -412,12 +417,12 @@
     }
 
     /// Takes in one stored value, of this form or the one before.
-    pub fn read(
+    pub fn load(
         &mut self,
         key: &str,
         revision: Revision,
         value: &Value,
-        open: &mut impl Open,
+        open: &mut impl OpenJobs,
     ) -> Result<(), DecodeError> {
         let rest = key.strip_prefix(PROGRESS_PREFIX).ok_or(DecodeError)?;
         if let Some(number) = rest.strip_prefix('s') {
--- a/crates/controller/src/progress/tests.rs
+++ b/crates/controller/src/progress/tests.rs
@@ -3,19 +3,19 @@
 #[derive(Default)]
 struct Jobs {
     tasks: u32,
-    jobs: BTreeMap<JobId, Progress>,
+    jobs: BTreeMap<JobId, JobProgress>,
 }
 
 impl Jobs {
-    fn of(&mut self, n: u32) -> &mut Progress {
+    fn of(&mut self, n: u32) -> &mut JobProgress {
         self.jobs
             .entry(job(n))
-            .or_insert_with(|| Progress::new(CHUNK))
+            .or_insert_with(|| JobProgress::new(CHUNK))
     }
 }
 
-impl Open for Jobs {
-    fn progress(&mut self, job: JobId) -> Option<(u32, &mut Progress)> {
+impl OpenJobs for Jobs {
+    fn progress(&mut self, job: JobId) -> Option<(u32, &mut JobProgress)> {
         Some((self.tasks, self.jobs.get_mut(&job)?))
     }
 }
@@ -32,37 +32,37 @@
     };
     let mut progress_pages = ProgressPages::new(8 * 1024);
     for i in (0..100_000).step_by(2) {
-        ours.of(1).set(i);
-        progress_pages.touch(job(1), i, 100_000);
+        ours.of(1).mark_done(i);
+        progress_pages.mark_dirty(job(1), i, 100_000);
     }
     let mut theirs = Jobs {
         tasks: 100_000,
         ..Jobs::default()
     };
-    theirs.of(1).set(1);
+    theirs.of(1).mark_done(1);
     let mut copy = ProgressPages::new(8 * 1024);
-    let due: Vec<usize> = progress_pages.due().collect();
+    let due: Vec<usize> = progress_pages.dirty_pages().collect();
     assert_eq!(due.len(), 4, "three chunks of 2,048 digits fit one shelf");
     for progress_page in due {
         let mut sent = ProgressWrite::default();
         let value = progress_pages
-            .send(progress_page, &mut sent, &mut ours)
+            .begin_write(progress_page, &mut sent, &mut ours)
             .expect("value");
         assert!(wire::json_len(&value) <= 8 * 1024);
-        copy.read(
+        copy.load(
             &progress_page_key(progress_page),
             Revision(5),
             &value,
             &mut theirs,
         )
         .expect("sound");
-        progress_pages.written(sent, Revision(5), &mut ours);
+        progress_pages.on_written(sent, Revision(5), &mut ours);
     }
     let (p, q) = (ours.of(1), theirs.of(1));
-    assert_eq!((p.count(), q.count()), (50_000, 50_001));
-    assert!(p.durable(8_192 * 2));
+    assert_eq!((p.done_count(), q.done_count()), (50_000, 50_001));
+    assert!(p.is_durable(8_192 * 2));
     assert!(
-        q.durable(8_192 * 2) && !q.durable(1),
+        q.is_durable(8_192 * 2) && !q.is_durable(1),
         "what only we know is not durable"
     );
 }
@@ -73,15 +73,15 @@
     let size = chunk_size(limit);
     assert!((64..2_048).contains(&size), "{size}");
     assert_eq!(chunk_size(32 * 1024), CHUNK);
-    let mut p = Progress::new(size);
-    (0..10 * size).for_each(|i| p.set(i));
+    let mut p = JobProgress::new(size);
+    (0..10 * size).for_each(|i| p.mark_done(i));
     assert!(item_bytes(size, 0, 100_000) <= limit - FRAME_BYTES);
-    let mut q = Progress::new(size);
+    let mut q = JobProgress::new(size);
     let long: String = "ff".repeat((size / 8 * 3) as usize);
     q.merge(0, &long).expect("digits");
-    assert_eq!(q.count(), size);
+    assert_eq!(q.done_count(), size);
     q.merge(1, &long).expect("digits");
-    assert_eq!(q.count(), 2 * size);
+    assert_eq!(q.done_count(), 2 * size);
 }
 
 #[test]
@@ -92,22 +92,24 @@
     };
     let mut progress_pages = ProgressPages::new(8 * 1024);
     for n in 0..100 {
-        all.of(n).set(n % 60);
-        progress_pages.touch(job(n), n % 60, 60);
+        all.of(n).mark_done(n % 60);
+        progress_pages.mark_dirty(job(n), n % 60, 60);
     }
-    assert_eq!(progress_pages.due().count(), 1);
+    assert_eq!(progress_pages.dirty_pages().count(), 1);
     let mut sent = ProgressWrite::default();
-    let value = progress_pages.send(0, &mut sent, &mut all).expect("value");
+    let value = progress_pages
+        .begin_write(0, &mut sent, &mut all)
+        .expect("value");
     assert!(wire::json_len(&value) <= 8 * 1024);
     // What is set while the write is on its way is not taken for durable.
-    all.of(3).set(59);
-    progress_pages.touch(job(3), 59, 60);
-    progress_pages.written(sent, Revision(9), &mut all);
-    assert!(all.of(4).durable(4) && !all.of(3).durable(59));
-    assert_eq!(progress_pages.due().collect::<Vec<_>>(), [0]);
+    all.of(3).mark_done(59);
+    progress_pages.mark_dirty(job(3), 59, 60);
+    progress_pages.on_written(sent, Revision(9), &mut all);
+    assert!(all.of(4).is_durable(4) && !all.of(3).is_durable(59));
+    assert_eq!(progress_pages.dirty_pages().collect::<Vec<_>>(), [0]);
     (0..100).for_each(|n| progress_pages.forget(job(n)));
-    assert_eq!(progress_pages.due().count(), 0);
-    assert_eq!(progress_pages.empty().collect::<Vec<_>>(), [0]);
+    assert_eq!(progress_pages.dirty_pages().count(), 0);
+    assert_eq!(progress_pages.empty_pages().collect::<Vec<_>>(), [0]);
 }
 
 #[test]
@@ -120,13 +122,13 @@
     let mut progress_pages = ProgressPages::new(8 * 1024);
     let old = wire::to_value(&serde_json::json!({"v": 1, "b": "05"}));
     progress_pages
-        .read("d/job-000007/0", Revision(3), &old, &mut jobs)
+        .load("d/job-000007/0", Revision(3), &old, &mut jobs)
         .expect("sound");
     let p = jobs.of(7);
-    assert!(p.has(0) && !p.has(1) && p.has(2));
+    assert!(p.is_done(0) && !p.is_done(1) && p.is_done(2));
     let open = |_: JobId| false;
     assert_eq!(
-        progress_pages.outdated(&open).count(),
+        progress_pages.obsolete_keys(&open).count(),
         1,
         "removed once the job is over"
     );
@@ -138,7 +140,7 @@
         let value = wire::to_value(&value);
         assert!(
             progress_pages
-                .read(key, Revision(1), &value, &mut jobs)
+                .load(key, Revision(1), &value, &mut jobs)
                 .is_err(),
             "{key}"
         );
@@ -157,14 +159,14 @@
     };
     let mut progress_pages = ProgressPages::new(8 * 1024);
     for (n, index) in [(1, 0), (1, 9), (1, 8_193), (2, 4), (2, 7)] {
-        ours.of(n).set(index);
-        progress_pages.touch(job(n), index, ours.tasks);
+        ours.of(n).mark_done(index);
+        progress_pages.mark_dirty(job(n), index, ours.tasks);
     }
-    let due: Vec<usize> = progress_pages.due().collect();
+    let due: Vec<usize> = progress_pages.dirty_pages().collect();
     for progress_page in due {
         let mut sent = ProgressWrite::default();
         let value = progress_pages
-            .send(progress_page, &mut sent, &mut ours)
+            .begin_write(progress_page, &mut sent, &mut ours)
             .expect("something to write");
         let record: ProgressPageRecord = wire::from_value(&value).expect("sound");
         assert_eq!(wire::to_value(&record), value);
@@ -191,11 +193,11 @@
     ] {
         let value: Value = wire::decode(&wire::encode(&stored)).expect("CBOR");
         progress_pages
-            .read(key, Revision(5), &value, &mut ours)
+            .load(key, Revision(5), &value, &mut ours)
             .expect(key);
     }
-    let done: Vec<u32> = (0..16).filter(|index| ours.of(1).has(*index)).collect();
+    let done: Vec<u32> = (0..16).filter(|index| ours.of(1).is_done(*index)).collect();
     assert_eq!(done, [0, 7, 9]);
     assert_eq!(progress_pages.revision(3), Revision(5));
-    assert_eq!(progress_pages.outdated(&|_| false).count(), 1);
+    assert_eq!(progress_pages.obsolete_keys(&|_| false).count(), 1);
 }
--- a/crates/controller/src/replica.rs
+++ b/crates/controller/src/replica.rs
@@ -7,7 +7,7 @@
 //! the operators' directives.
 
 use crate::calls::{ReplicaCall, Tag};
-use crate::store::{News, Outcome, Priority, Reply, Scan, StoreClient};
+use crate::store::{Outcome, Priority, Reply, ScanResponse, StoreClient, WatchResponse};
 use beamhinge_core::types::Time;
 use beamhinge_core::wire;
 use beamhinge_rate_limit::AdaptiveBackoff;
@@ -22,26 +22,26 @@
 }
 
 /// One key as a reply showed it; no value: it was deleted.
-pub struct Change {
-    pub path: String,
+pub struct ReplicaChange {
+    pub key: String,
     pub revision: u64,
     pub value: Option<Value>,
 }
 
-pub struct Update {
-    pub changes: Vec<Change>,
+pub struct ReplicaUpdate {
+    pub changes: Vec<ReplicaChange>,
     pub freshness: Freshness,
     /// A scan has ended: what it did not show, and is not newer than this
     /// revision, is gone.
-    pub scanned: Option<u64>,
+    pub scan_revision: Option<u64>,
 }
 
-impl Update {
-    fn nothing(freshness: Freshness) -> Update {
-        Update {
+impl ReplicaUpdate {
+    fn nothing(freshness: Freshness) -> ReplicaUpdate {
+        ReplicaUpdate {
             changes: Vec::new(),
             freshness,
-            scanned: None,
+            scan_revision: None,
         }
     }
 }
@@ -52,24 +52,24 @@
     pub prefix: &'static str,
     pub tag: fn(ReplicaCall) -> Tag,
     /// Longest that a watch may wait, seconds.
-    pub wait_s: f64,
-    pub wait_priority: Priority,
+    pub watch_wait_s: f64,
+    pub watch_priority: Priority,
     /// Age at which the copy is refreshed unasked, seconds.
-    pub stale_s: f64,
+    pub max_age_s: f64,
 }
 
 struct ScanState {
     in_flight: bool,
     after: Option<String>,
-    rev: Option<u64>,
+    revision: Option<u64>,
     started: Time,
 }
 
 pub struct ReplicaCache {
     config: ReplicaConfig,
-    rev: u64,
+    revision: u64,
     loaded: bool,
-    fresh: Option<Time>,
+    fresh_as_of: Option<Time>,
     refresh_in_flight: bool,
     watch_in_flight: bool,
     scan: Option<ScanState>,
@@ -87,9 +87,9 @@
     pub fn new(config: ReplicaConfig) -> ReplicaCache {
         ReplicaCache {
             config,
-            rev: 0,
+            revision: 0,
             loaded: false,
-            fresh: None,
+            fresh_as_of: None,
             refresh_in_flight: false,
             watch_in_flight: false,
             scan: None,
@@ -104,7 +104,7 @@
 
     /// The copy holds all that was committed before this moment.
     pub fn fresh(&self) -> Option<Time> {
-        self.fresh
+        self.fresh_as_of
     }
 
     /// Something else showed that our copy is old.
@@ -121,15 +121,15 @@
         let ReplicaConfig {
             prefix,
             tag,
-            wait_s,
-            wait_priority,
-            stale_s,
+            watch_wait_s: wait_s,
+            watch_priority: wait_priority,
+            max_age_s: stale_s,
         } = self.config;
         if !self.loaded {
             let scan = self.scan.get_or_insert(ScanState {
                 in_flight: false,
                 after: None,
-                rev: None,
+                revision: None,
                 started: now,
             });
             if !scan.in_flight {
@@ -145,7 +145,7 @@
             }
             return;
         }
-        let stale = self.fresh.is_none_or(|f| now.since(f) > stale_s);
+        let stale = self.fresh_as_of.is_none_or(|f| now.since(f) > stale_s);
         if (ask || stale || self.wanted) && !self.refresh_in_flight {
             self.refresh_in_flight = true;
             self.wanted = false;
@@ -154,7 +154,7 @@
                 Priority::Read,
                 tag(ReplicaCall::Refresh),
                 prefix,
-                self.rev,
+                self.revision,
                 0.0,
             );
         }
@@ -165,13 +165,13 @@
                 wait_priority,
                 tag(ReplicaCall::Watch),
                 prefix,
-                self.rev,
+                self.revision,
                 wait_s,
             );
         }
     }
 
-    pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Update {
+    pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> ReplicaUpdate {
         match call {
             ReplicaCall::Refresh => self.refresh_in_flight = false,
             ReplicaCall::Watch => self.watch_in_flight = false,
@@ -184,47 +184,50 @@
         // A watch from before a scan began anew says nothing of what the scan has
         // shown meanwhile: it starts over from the scan's own revision.
         if call != ReplicaCall::Scan && !self.loaded {
-            return Update::nothing(Freshness::Unchanged);
+            return ReplicaUpdate::nothing(Freshness::Unchanged);
         }
         match reply.outcome {
             Outcome::Ok(body) if call == ReplicaCall::Scan => {
-                let Ok(page) = wire::decode::<Scan>(&body) else {
+                let Ok(page) = wire::decode::<ScanResponse>(&body) else {
                     self.backoff.on_refused(now);
-                    return Update::nothing(Freshness::Failed);
+                    return ReplicaUpdate::nothing(Freshness::Failed);
                 };
                 // Not yet a success: a watch that is refused after every scan would
                 // have the whole copy read again and again without a pause.
-                self.on_page(page, reply.sent)
+                self.on_page(page, reply.sent_at)
             }
             Outcome::Ok(body) => {
-                let Ok(news) = wire::decode::<News>(&body) else {
+                let Ok(news) = wire::decode::<WatchResponse>(&body) else {
                     self.backoff.on_refused(now);
-                    return Update::nothing(Freshness::Failed);
+                    return ReplicaUpdate::nothing(Freshness::Failed);
                 };
                 // Two watches may be out, and the older answer come last. What is
                 // not newer than the copy is in it; taken once more, it would
                 // bring back a key that was deleted since.
                 self.backoff.on_success();
-                let newer = news.news.into_iter().filter(|c| c.revision > self.rev);
+                let newer = news
+                    .events
+                    .into_iter()
+                    .filter(|c| c.revision > self.revision);
                 let changes = newer.filter_map(|c| {
                     let value = if c.write.is_some() {
                         Some(c.value?)
                     } else {
                         None
                     };
-                    Some(Change {
-                        path: c.write.or(c.delete)?,
+                    Some(ReplicaChange {
+                        key: c.write.or(c.delete)?,
                         revision: c.revision,
                         value,
                     })
                 });
                 let changes = changes.collect();
-                self.rev = self.rev.max(news.rev);
-                self.fresh = self.fresh.max(Some(reply.sent));
-                Update {
+                self.revision = self.revision.max(news.revision);
+                self.fresh_as_of = self.fresh_as_of.max(Some(reply.sent_at));
+                ReplicaUpdate {
                     changes,
                     freshness: Freshness::Fresh,
-                    scanned: None,
+                    scan_revision: None,
                 }
             }
             // Changes from before the kept ones are not to be had, nor those after a
@@ -235,7 +238,7 @@
                 }
                 self.loaded = false;
                 self.scan = None;
-                Update::nothing(Freshness::Failed)
+                ReplicaUpdate::nothing(Freshness::Failed)
             }
             _ => {
                 self.backoff.on_refused(now);
@@ -243,7 +246,7 @@
                     self.scan = None;
                 }
                 let quiet = call == ReplicaCall::Watch;
-                Update::nothing(if quiet {
+                ReplicaUpdate::nothing(if quiet {
                     Freshness::Unchanged
                 } else {
                     Freshness::Failed
@@ -252,27 +255,27 @@
         }
     }
 
-    fn on_page(&mut self, page: Scan, sent: Time) -> Update {
-        let last = page.pairs.last().map(|p| p.path.clone());
+    fn on_page(&mut self, page: ScanResponse, sent: Time) -> ReplicaUpdate {
+        let last = page.entries.last().map(|p| p.key.clone());
         let changes = page
-            .pairs
+            .entries
             .into_iter()
-            .map(|p| Change {
-                path: p.path,
+            .map(|p| ReplicaChange {
+                key: p.key,
                 revision: p.revision,
                 value: Some(p.value),
             })
             .collect();
-        let mut update = Update {
+        let mut update = ReplicaUpdate {
             changes,
             freshness: Freshness::Unchanged,
-            scanned: None,
+            scan_revision: None,
         };
         let Some(scan) = &mut self.scan else {
             return update;
         };
-        if scan.rev.is_none() {
-            scan.rev = Some(page.rev);
+        if scan.revision.is_none() {
+            scan.revision = Some(page.revision);
             scan.started = sent;
         }
         match last {
@@ -280,15 +283,15 @@
             _ => {
                 // Changes during the scan come again with the watch, which
                 // starts from the revision of the first page.
-                let rev = scan.rev.unwrap_or(page.rev);
+                let rev = scan.revision.unwrap_or(page.revision);
                 // Also where it is lower than what we had: a revision that the service
                 // never gave out would have all that follows taken for old.
-                self.rev = rev;
-                self.fresh = Some(scan.started);
+                self.revision = rev;
+                self.fresh_as_of = Some(scan.started);
                 self.loaded = true;
                 self.scan = None;
                 update.freshness = Freshness::Fresh;
-                update.scanned = Some(rev);
+                update.scan_revision = Some(rev);
             }
         }
         update
--- a/crates/controller/src/replica/tests.rs
+++ b/crates/controller/src/replica/tests.rs
@@ -5,9 +5,9 @@
     ReplicaCache::new(ReplicaConfig {
         prefix: "o/",
         tag: Tag::Directives,
-        wait_s: 10.0,
-        wait_priority: Priority::Read,
-        stale_s: 30.0,
+        watch_wait_s: 10.0,
+        watch_priority: Priority::Read,
+        max_age_s: 30.0,
     })
 }
 
@@ -21,13 +21,13 @@
         Reply {
             tag: Tag::Directives(call),
             outcome,
-            sent: at,
+            sent_at: at,
         },
     );
     update
         .changes
         .into_iter()
-        .map(|c| (c.path, c.value.is_some()))
+        .map(|c| (c.key, c.value.is_some()))
         .collect()
 }
 
@@ -38,7 +38,7 @@
     m.scan = Some(ScanState {
         in_flight: true,
         after: None,
-        rev: None,
+        revision: None,
         started: Time::default(),
     });
     let page = json!({"pairs": [], "more": false, "ledgerRev": 3});
@@ -63,19 +63,19 @@
 #[test]
 fn a_revision_that_was_never_given_out_is_forgotten() {
     let mut m = replica();
-    (m.loaded, m.rev) = (true, u64::MAX - 1);
+    (m.loaded, m.revision) = (true, u64::MAX - 1);
     let at = Time::from_micros(1_000_000);
     let refused = Reply {
         tag: Tag::Directives(ReplicaCall::Refresh),
         outcome: Outcome::Malformed,
-        sent: at,
+        sent_at: at,
     };
     let update = m.on_reply(at, ReplicaCall::Refresh, refused);
     assert!(update.freshness == Freshness::Failed && !m.loaded());
     m.scan = Some(ScanState {
         in_flight: true,
         after: None,
-        rev: None,
+        revision: None,
         started: at,
     });
     take(
@@ -102,7 +102,7 @@
         let reply = Reply {
             tag: Tag::Directives(ReplicaCall::Refresh),
             outcome: Outcome::Refused,
-            sent: now,
+            sent_at: now,
         };
         m.on_reply(now, ReplicaCall::Refresh, reply);
         let gap = (1..30)
@@ -119,8 +119,8 @@
 #[test]
 fn a_watch_from_before_a_new_scan_is_left_out() {
     let mut m = replica();
-    m.rev = 7;
+    m.revision = 7;
     let old = json!({"ledgerRev": 9, "news": [{"delete": "o/zone/a", "stamp": 9}]});
     assert!(take(&mut m, ReplicaCall::Watch, old).is_empty());
-    assert_eq!(m.rev, 7, "what it covers is read again after the scan");
+    assert_eq!(m.revision, 7, "what it covers is read again after the scan");
 }
--- a/crates/controller/src/scheduler/cycle.rs
+++ b/crates/controller/src/scheduler/cycle.rs
@@ -6,8 +6,8 @@
 use super::types::Machine;
 use super::victims::PreemptionPlan;
 use super::Scheduler;
-use crate::blocks;
 use crate::faults::broken;
+use crate::placement_pages;
 use crate::split::{MachineType, Resources, EPSILON};
 use beamhinge_core::job::Urgency;
 use beamhinge_core::settings::Settings;
@@ -104,7 +104,7 @@
         settings: &'a Settings,
         machine_types: &'a [MachineType],
     ) -> SchedulingCycle<'a> {
-        let max_placements = blocks::rows_per_page(self.value_limit) * MAX_PAGES;
+        let max_placements = placement_pages::rows_per_page(self.value_limit) * MAX_PAGES;
         let mut cycle = SchedulingCycle {
             settings,
             machine_types,
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -119,7 +119,7 @@
     ) -> Option<Placed> {
         let job = self.jobs.get(&id)?;
         let mut placed = Placed {
-            done: job.progress.count(),
+            done: job.progress.done_count(),
             waiting: job.waiting(),
             ..Placed::default()
         };
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -5,18 +5,19 @@
 //! that bring the state service and the workers towards it. The numbered
 //! guards are those of `docs/safety.md`.
 
-use crate::blocks::{self, PageNo, Pages, Row};
-use crate::calls::{PlacementCall, Tag};
+use crate::calls::{SchedulerCall, Tag};
 use crate::configuration;
 use crate::directives::ActiveDirectives;
 use crate::event_log::EventLog;
 use crate::faults::{broken, Faults};
 use crate::job_store::{self, JobKind, JobSpec, JobState, JobStore};
 use crate::leader_election::BLOCK_KEY;
-use crate::progress::{self, Open, Progress, ProgressPages, ProgressWrite};
+use crate::placement_pages::{self, PageId, PlacementPages, PlacementRow};
+use crate::progress::{self, JobProgress, OpenJobs, ProgressPages, ProgressWrite};
 use crate::split::{Demand, MachineType, Resources, EPSILON};
 use crate::store::{
-    Committed, Item, Outcome, Priority, Reply, Scan, StoreClient, Transaction, TransactionError,
+    CommitResponse, KeyValue, Outcome, Priority, Reply, ScanResponse, StoreClient, Transaction,
+    TransactionError,
 };
 use beamhinge_admin_api::directives::Directive;
 use beamhinge_admin_api::messages::What;
@@ -110,7 +111,7 @@
     in_touch: bool,
     machines: BTreeMap<MachineId, Machine>,
     jobs: BTreeMap<JobId, Job>,
-    pages: Pages,
+    pages: PlacementPages,
     progress_pages: ProgressPages,
     progress_written_at: Time,
     /// Machines on which something is to be stopped without delay.
@@ -196,7 +197,7 @@
             in_touch: false,
             machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            pages: Pages::new(token),
+            pages: PlacementPages::new(token),
             progress_pages: ProgressPages::new(settings.value_limit()),
             progress_written_at: Time::default(),
             stops: BTreeSet::new(),
@@ -346,7 +347,7 @@
     pub fn counts(&self, id: JobId) -> Option<TaskCounts> {
         let job = self.jobs.get(&id)?;
         Some(TaskCounts {
-            done: job.progress.count(),
+            done: job.progress.done_count(),
             running: job.busy(),
         })
     }
@@ -379,7 +380,7 @@
 
     /// One job's open work.
     fn demand(&self, wall: WallMs, id: JobId, job: &Job) -> Demand {
-        let left = job.spec.tasks - job.progress.count().min(job.spec.tasks);
+        let left = job.spec.tasks - job.progress.done_count().min(job.spec.tasks);
         // A job that fails everywhere earns no machines while it waits.
         let left = if self.fault_attribution.is_job_faulty(id) {
             left.min(1)
@@ -564,7 +565,7 @@
         self.replan = true;
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.release(task.index);
-            if !done && !job.progress.has(task.index) {
+            if !done && !job.progress.is_done(task.index) {
                 job.retry.insert(task.index, now.plus(delay));
             }
         }
@@ -578,9 +579,9 @@
             return;
         };
         job.retry.remove(&task.index);
-        job.progress.set(task.index);
+        job.progress.mark_done(task.index);
         self.progress_pages
-            .touch(task.job, task.index, job.spec.tasks);
+            .mark_dirty(task.job, task.index, job.spec.tasks);
         if job.complete() && job.state == JobState::Open {
             self.complete.insert(task.job);
         }
@@ -604,7 +605,7 @@
         }
         if !self.loaded {
             // Jobs first: pages mean nothing without them.
-            if job_store.loaded() && job_store.fresh().is_some_and(|f| f >= self.took) {
+            if job_store.loaded() && job_store.fresh_as_of().is_some_and(|f| f >= self.took) {
                 self.reload();
             }
             self.drive_load(now, store);
@@ -653,7 +654,7 @@
         spec,
         revision,
         state: JobState::Open,
-        progress: Progress::new(chunk),
+        progress: JobProgress::new(chunk),
         next_fresh: 0,
         retry: BTreeMap::new(),
         live: BTreeMap::new(),
--- a/crates/controller/src/scheduler/persistence.rs
+++ b/crates/controller/src/scheduler/persistence.rs
@@ -40,7 +40,7 @@
             self.load = Some(RecoveryLoad {
                 pages: Vec::new(),
                 progress: Vec::new(),
-                stage: PlacementCall::Pages,
+                stage: SchedulerCall::Pages,
                 in_flight: false,
                 after: None,
             });
@@ -54,8 +54,8 @@
         }
         load.in_flight = true;
         let prefix = match load.stage {
-            PlacementCall::Pages => blocks::PAGE_PREFIX,
-            _ => blocks::PROGRESS_PREFIX,
+            SchedulerCall::Pages => placement_pages::PAGE_PREFIX,
+            _ => placement_pages::PROGRESS_PREFIX,
         };
         store.scan(
             now,
@@ -69,7 +69,7 @@
     pub(super) fn on_load(
         &mut self,
         now: Time,
-        call: PlacementCall,
+        call: SchedulerCall,
         reply: Reply<Tag>,
         job_store: &JobStore,
     ) {
@@ -79,26 +79,26 @@
             self.loads.on_refused(now);
             return;
         };
-        let Ok(scan) = wire::decode::<Scan>(&body) else {
+        let Ok(scan) = wire::decode::<ScanResponse>(&body) else {
             self.loads.on_refused(now);
             return;
         };
         self.loads.on_success();
         self.moved = now;
         load.after = if scan.more {
-            scan.pairs.last().map(|p| p.path.clone())
+            scan.entries.last().map(|p| p.key.clone())
         } else {
             None
         };
         match call {
-            PlacementCall::Pages => load.pages.extend(scan.pairs),
-            _ => load.progress.extend(scan.pairs),
+            SchedulerCall::Pages => load.pages.extend(scan.entries),
+            _ => load.progress.extend(scan.entries),
         }
         if load.after.is_some() {
             return;
         }
-        if call == PlacementCall::Pages {
-            load.stage = PlacementCall::Progress;
+        if call == SchedulerCall::Pages {
+            load.stage = SchedulerCall::Progress;
             return;
         }
         let Some(load) = self.load.take() else { return };
@@ -121,33 +121,36 @@
         for id in ids {
             self.sync_job(now, id, job_store);
         }
-        self.progress_pages.begin_reading();
+        self.progress_pages.begin_load();
         for item in &load.progress {
-            let (path, revision) = (&item.path, Revision(item.revision));
+            let (path, revision) = (&item.key, Revision(item.revision));
             if self
                 .progress_pages
-                .read(path, revision, &item.value, &mut self.jobs)
+                .load(path, revision, &item.value, &mut self.jobs)
                 .is_err()
             {
-                return self.unreadable(&item.path);
+                return self.unreadable(&item.key);
             }
         }
         for (id, job) in &self.jobs {
-            for chunk in job.progress.dirty() {
-                self.progress_pages
-                    .touch(*id, job.progress.first_of(chunk), job.spec.tasks);
+            for chunk in job.progress.dirty_chunks() {
+                self.progress_pages.mark_dirty(
+                    *id,
+                    job.progress.first_task_of(chunk),
+                    job.spec.tasks,
+                );
             }
             if job.complete() && job.state == JobState::Open {
                 self.complete.insert(*id);
             }
         }
         self.pages.clear();
-        let mut rows: Vec<(Row, PageNo)> = Vec::new();
+        let mut rows: Vec<(PlacementRow, PageId)> = Vec::new();
         for item in &load.pages {
-            let Ok(page) = blocks::decode_page(&item.value) else {
-                return self.unreadable(&item.path);
+            let Ok(page) = placement_pages::decode_page(&item.value) else {
+                return self.unreadable(&item.key);
             };
-            let no = self.pages.add(item.path.clone(), Revision(item.revision));
+            let no = self.pages.insert(item.key.clone(), Revision(item.revision));
             rows.extend(page.into_iter().map(|r| (r, no)));
         }
         if self.loaded {
@@ -163,7 +166,7 @@
     ///
     /// Only we can have written pages since we hold the block, and rows that we
     /// do not know have ended, or were plans given up before any `run`.
-    fn rejoin(&mut self, now: Time, rows: Vec<(Row, PageNo)>) {
+    fn rejoin(&mut self, now: Time, rows: Vec<(PlacementRow, PageId)>) {
         for m in self.machines.values_mut() {
             for e in m.allocations.values_mut() {
                 e.page = None;
@@ -179,7 +182,7 @@
                 if e.state == TaskState::Planned {
                     e.state = TaskState::Committed;
                 }
-                self.pages.hold(no);
+                self.pages.retain(no);
             }
         }
         self.plans.clear();
@@ -201,12 +204,15 @@
     }
 
     /// After a takeover: what earlier holders placed may or may not be there.
-    fn inherit(&mut self, now: Time, rows: Vec<(Row, PageNo)>, job_store: &JobStore) {
+    fn inherit(&mut self, now: Time, rows: Vec<(PlacementRow, PageId)>, job_store: &JobStore) {
         // Guard 3: a task that is done has exited, and of several rows for one
         // task only the newest can be on a machine.
         let jobs = &self.jobs;
-        let done = |t: &TaskId| jobs.get(&t.job).is_some_and(|j| j.progress.has(t.index));
-        let rows = blocks::newest_rows(rows.into_iter().filter(|(r, _)| !done(&r.task)));
+        let done = |t: &TaskId| {
+            jobs.get(&t.job)
+                .is_some_and(|j| j.progress.is_done(t.index))
+        };
+        let rows = placement_pages::newest_rows(rows.into_iter().filter(|(r, _)| !done(&r.task)));
         for (row, no) in rows {
             let spec = job_store.get(row.task.job).and_then(|e| e.spec.clone());
             let over = job_store
@@ -238,7 +244,7 @@
                     lane: false,
                 },
             );
-            self.pages.hold(no);
+            self.pages.retain(no);
             if let Some(job) = self.jobs.get_mut(&row.task.job) {
                 *job.live.entry(row.task.index).or_insert(0) += 1;
             }
@@ -264,7 +270,7 @@
         if !self.backoff.is_due(now) {
             return;
         }
-        let limits = store.limits().part(self.backoff.divisor());
+        let limits = store.limits().divided_by(self.backoff.divisor());
         let limits = match broken!(self.faults, unbounded) {
             true => beamhinge_rate_limit::TransactionLimits {
                 conditions: limits.conditions * 2,
@@ -321,7 +327,7 @@
             progress_pages = in_flight.progress_write.written_pages().count(),
             removals = in_flight.dead.len(),
             left = self.plans.len(),
-            dead = self.pages.dead_count(),
+            dead = self.pages.unreferenced_count(),
             "commit"
         );
         self.in_flight = Some(in_flight);
@@ -329,7 +335,7 @@
         store.commit(
             now,
             Priority::Scheduler,
-            Tag::Scheduler(PlacementCall::Commit),
+            Tag::Scheduler(SchedulerCall::Commit),
             transaction,
         );
     }
@@ -391,15 +397,15 @@
         transaction: &mut Transaction,
         in_flight: &mut InFlightCommit,
     ) -> bool {
-        let key = self.pages.fresh_key();
+        let key = self.pages.new_key();
         let most_bytes = transaction
             .remaining_value_bytes(key.len())
             .min(self.value_limit);
         // A condition stays for each write that may follow: a page that took
         // them all left a transaction that was refused as too large, for ever.
         let keep = transaction.remaining_writes();
-        let mut rows: Vec<Row> = Vec::new();
-        while rows.len() < blocks::rows_per_page(most_bytes)
+        let mut rows: Vec<PlacementRow> = Vec::new();
+        while rows.len() < placement_pages::rows_per_page(most_bytes)
             && transaction.remaining_conditions() > keep
         {
             let Some((machine, task)) = self.plans.pop_front() else {
@@ -426,7 +432,7 @@
             }
             if let Some(e) = self.entry(machine, task) {
                 e.in_flight = true;
-                rows.push(Row {
+                rows.push(PlacementRow {
                     machine,
                     task,
                     attempt: e.attempt,
@@ -436,12 +442,12 @@
         if rows.is_empty() {
             return false;
         }
-        let mut value = blocks::encode_page(&rows);
+        let mut value = placement_pages::encode_page(&rows);
         // Longer names than usual: fewer rows fit.
         while wire::json_len(&value) > most_bytes && rows.len() > 1 {
             let rest = rows.split_off(rows.len() / 2);
             self.not_placed(rest);
-            value = blocks::encode_page(&rows);
+            value = placement_pages::encode_page(&rows);
         }
         match transaction.put(key.clone(), Revision(0), value, None) {
             Ok(()) => in_flight.pages.push((key, rows)),
@@ -461,7 +467,7 @@
     }
 
     /// Rows that did not go out are planned as before, in the same order.
-    fn not_placed(&mut self, rows: Vec<Row>) {
+    fn not_placed(&mut self, rows: Vec<PlacementRow>) {
         for row in rows.into_iter().rev() {
             let Some(e) = self.entry(row.machine, row.task) else {
                 continue;
@@ -493,7 +499,7 @@
         }
         let due: Vec<usize> = self
             .progress_pages
-            .due()
+            .dirty_pages()
             .filter(|s| !self.resting(WorkUnit::ProgressPage(*s)))
             .collect();
         // After the one written last, so that many full ones all get their turn.
@@ -508,9 +514,9 @@
             }
             let revision = self.progress_pages.revision(progress_page);
             let mut one = ProgressWrite::default();
-            let Some(value) = self
-                .progress_pages
-                .send(progress_page, &mut one, &mut self.jobs)
+            let Some(value) =
+                self.progress_pages
+                    .begin_write(progress_page, &mut one, &mut self.jobs)
             else {
                 continue;
             };
@@ -520,7 +526,7 @@
                     (self.progress_written_at, self.last_progress_page) = (now, progress_page);
                 }
                 Err(full) => {
-                    self.progress_pages.unwritten(&one, &mut self.jobs);
+                    self.progress_pages.on_write_failed(&one, &mut self.jobs);
                     if full != TransactionError::Full {
                         tracing::error!("shelf {progress_page} cannot be written: {full}");
                         self.deferred
@@ -541,14 +547,18 @@
         transaction: &mut Transaction,
         in_flight: &mut InFlightCommit,
     ) {
-        let (level, rate) = store.writes_left(now);
+        let (level, rate) = store.write_budget(now);
         let spare = (level - transaction.write_count() as f64 - rate * 0.4).max(0.0) as usize;
         let due = (now.since(self.cleaned_at) * rate * CROWD_PART).min(rate) as usize;
-        let crowded = self.pages.dead_count().saturating_sub(DEAD_PAGES).min(due);
+        let crowded = self
+            .pages
+            .unreferenced_count()
+            .saturating_sub(DEAD_PAGES)
+            .min(due);
         let mut room = transaction.remaining_writes().min(spare.max(crowded));
         let dead = self
             .pages
-            .dead()
+            .unreferenced()
             .filter(|(no, _, _)| !self.resting(WorkUnit::Page(*no)));
         for (no, key, revision) in dead.take(room) {
             if transaction.delete(key, revision).is_err() {
@@ -557,7 +567,7 @@
             in_flight.dead.push(no);
         }
         room = room.saturating_sub(in_flight.dead.len());
-        let empty: Vec<usize> = self.progress_pages.empty().take(room).collect();
+        let empty: Vec<usize> = self.progress_pages.empty_pages().take(room).collect();
         for progress_page in empty {
             if transaction
                 .delete(
@@ -566,7 +576,7 @@
                 )
                 .is_ok()
             {
-                in_flight.progress_write.remove(progress_page);
+                in_flight.progress_write.remove_page(progress_page);
                 room -= 1;
             }
         }
@@ -574,13 +584,13 @@
             let open = |id: JobId| self.jobs.contains_key(&id);
             let keys: Vec<(String, Revision)> = self
                 .progress_pages
-                .outdated(&open)
+                .obsolete_keys(&open)
                 .take(room)
                 .map(|(k, s)| (k.clone(), s))
                 .collect();
             for (key, revision) in keys {
                 if transaction.delete(key.clone(), revision).is_ok() {
-                    in_flight.progress_write.clean(key);
+                    in_flight.progress_write.remove_legacy_key(key);
                 }
             }
         }
@@ -620,28 +630,28 @@
     pub fn on_reply(
         &mut self,
         now: Time,
-        call: PlacementCall,
+        call: SchedulerCall,
         reply: Reply<Tag>,
         job_store: &mut JobStore,
     ) -> CommitOutcome {
-        if call != PlacementCall::Commit {
+        if call != SchedulerCall::Commit {
             self.on_load(now, call, reply, job_store);
             return CommitOutcome::Unchanged;
         }
         let Some(in_flight) = self.in_flight.take() else {
             return CommitOutcome::Unchanged;
         };
-        let sent = reply.sent;
+        let sent = reply.sent_at;
         match reply.outcome {
             Outcome::Ok(body) => {
-                let Ok(done) = wire::decode::<Committed>(&body) else {
+                let Ok(done) = wire::decode::<CommitResponse>(&body) else {
                     self.not_committed(now, in_flight);
                     self.reload();
                     return CommitOutcome::Unchanged;
                 };
                 self.backoff.on_success();
                 self.moved = now;
-                self.committed(now, in_flight, Revision(done.rev), job_store);
+                self.committed(now, in_flight, Revision(done.revision), job_store);
                 CommitOutcome::Confirmed(sent)
             }
             Outcome::Conflict(failed) => {
@@ -727,7 +737,7 @@
     ) {
         let mut ended = Vec::new();
         for (key, rows) in in_flight.pages {
-            let no = self.pages.add(key, revision);
+            let no = self.pages.insert(key, revision);
             for row in rows {
                 // What was given up meanwhile never gets its `run`.
                 let Some(e) = self.entry(row.machine, row.task) else {
@@ -742,16 +752,16 @@
                 if e.kill.is_some() {
                     ended.push((row.machine, row.task));
                 }
-                self.pages.hold(no);
+                self.pages.retain(no);
             }
         }
         for (machine, task) in ended {
             self.end(now, machine, task, false, 0.0);
         }
         self.progress_pages
-            .written(in_flight.progress_write, revision, &mut self.jobs);
+            .on_written(in_flight.progress_write, revision, &mut self.jobs);
         for id in in_flight.finals {
-            job_store.wrote(id, revision, JobState::Done, None);
+            job_store.on_committed(id, revision, JobState::Done, None);
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.state = JobState::Done;
                 job.revision = revision;
@@ -763,7 +773,7 @@
             });
         }
         for no in in_flight.dead {
-            self.pages.removed(no);
+            self.pages.on_removed(no);
         }
     }
 
@@ -772,7 +782,7 @@
             self.not_placed(rows);
         }
         self.progress_pages
-            .unwritten(&in_flight.progress_write, &mut self.jobs);
+            .on_write_failed(&in_flight.progress_write, &mut self.jobs);
         for id in in_flight.finals {
             if self
                 .jobs
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -87,7 +87,7 @@
         }
     }
     for n in 0..b.dead {
-        scheduler.pages.add(format!("p/1-{n}"), Revision(3));
+        scheduler.pages.insert(format!("p/1-{n}"), Revision(3));
     }
 }
 
@@ -217,12 +217,15 @@
                 (200, wire::encode(&json!({ "ledgerRev": rev })))
             };
             let reply = store.on_reply(id, Some(reply)).ok_or("no such call")?;
-            scheduler.on_reply(now, PlacementCall::Commit, reply, &mut job_store);
+            scheduler.on_reply(now, SchedulerCall::Commit, reply, &mut job_store);
         }
         let left = scheduler.plans.len()
             + scheduler.complete.len()
-            + scheduler.progress_pages.due().count()
-            + scheduler.pages.dead_count().saturating_sub(DEAD_PAGES);
+            + scheduler.progress_pages.dirty_pages().count()
+            + scheduler
+                .pages
+                .unreferenced_count()
+                .saturating_sub(DEAD_PAGES);
         if left == 0 && scheduler.in_flight.is_none() {
             return Ok(round);
         }
--- a/crates/controller/src/scheduler/queue.rs
+++ b/crates/controller/src/scheduler/queue.rs
@@ -133,7 +133,7 @@
             let Some(team) = self.team(&job.spec) else {
                 continue;
             };
-            let unfinished = f64::from(job.spec.tasks.saturating_sub(job.progress.count()));
+            let unfinished = f64::from(job.spec.tasks.saturating_sub(job.progress.done_count()));
             used[team].0 += unfinished * job.spec.cpus;
             used[team].1 += unfinished * job.spec.gpus;
             let (cpus, _, gpus, _) = self.teams[team];
@@ -228,7 +228,7 @@
         let largest = || self.largest.get(&*spec.class).copied().unwrap_or(0.0);
         age > MAX_START_DELAY_S * STARVATION_FRACTION
             && job.live.is_empty()
-            && job.progress.count() == 0
+            && job.progress.done_count() == 0
             && size_of(spec) >= largest() * LARGE_JOB_FRACTION
     }
 }
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -417,7 +417,7 @@
     fn release_orphans(&mut self, now: Time, orphans: Vec<Orphan>) {
         for Orphan { task, .. } in orphans {
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                if job.release(task.index) && !job.progress.has(task.index) {
+                if job.release(task.index) && !job.progress.is_done(task.index) {
                     job.retry.insert(task.index, now);
                     self.replan = true;
                 }
@@ -529,7 +529,10 @@
     /// Weighs a failure: is it the machine's fault or the job's? Returns how
     /// long the task waits before its next try.
     fn failed(&mut self, now: Time, id: MachineId, job: JobId) -> f64 {
-        let sound = self.jobs.get(&job).is_some_and(|j| j.progress.count() > 0);
+        let sound = self
+            .jobs
+            .get(&job)
+            .is_some_and(|j| j.progress.done_count() > 0);
         let verdict = self
             .fault_attribution
             .record_failure(now, id, (job, sound), self.report_s);
@@ -762,8 +765,8 @@
             return true;
         }
         let live = job.live.contains_key(&task.index);
-        let durable = job.progress.durable(task.index);
-        if !live && !job.progress.has(task.index) {
+        let durable = job.progress.is_durable(task.index);
+        if !live && !job.progress.is_done(task.index) {
             self.mark_done(task);
         }
         live || durable || broken!(self.faults, early_clear)
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -18,7 +18,7 @@
         "ap": false, "sp": true, "ex": 5.0, "ce": 0.0, "cs": 0.0, "at": 0});
     let spec: Rc<JobSpec> = Rc::new(serde_json::from_value(body).expect("a description"));
     let mut job_store = JobStore::default();
-    job_store.wrote(job(id), Revision(5), JobState::Open, Some(spec.clone()));
+    job_store.on_committed(job(id), Revision(5), JobState::Open, Some(spec.clone()));
     let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
     let policy = AgingPolicy::new(Default::default());
@@ -33,7 +33,7 @@
         at(NOW - 1.0),
     );
     scheduler.sync_job(at(NOW - 1.0), job(id), &job_store);
-    job_store.wrote(job(id), Revision(7), JobState::Cancelled, Some(spec));
+    job_store.on_committed(job(id), Revision(7), JobState::Cancelled, Some(spec));
     (job_store, scheduler)
 }
 
@@ -286,7 +286,7 @@
     let load = RecoveryLoad {
         pages: Vec::new(),
         progress: Vec::new(),
-        stage: PlacementCall::Progress,
+        stage: SchedulerCall::Progress,
         in_flight: false,
         after: None,
     };
@@ -445,7 +445,7 @@
     );
     assert_eq!((used(&scheduler, at(NOW)), free(&scheduler)), (1.0, 7.0));
     // Of a job that is done only its end is kept: the machine counts as full.
-    job_store.wrote(job("job-3"), Revision(8), JobState::Done, None);
+    job_store.on_committed(job("job-3"), Revision(8), JobState::Done, None);
     scheduler.report(
         at(NOW + 2.0),
         &report(9, 9, &["job-3/0"]),
@@ -579,7 +579,7 @@
 fn orders_keep_their_form() {
     let (mut job_store, mut scheduler) = cancelled("job-1");
     let spec = job_store.get(job("job-1")).and_then(|e| e.spec.clone());
-    job_store.wrote(job("job-2"), Revision(6), JobState::Open, spec);
+    job_store.on_committed(job("job-2"), Revision(6), JobState::Open, spec);
     scheduler.sync_job(at(NOW), job("job-2"), &job_store);
     scheduler.loaded = true;
     scheduler.report(at(NOW), &report(1, 9, &[]), &[], &job_store);
--- a/crates/controller/src/scheduler/types.rs
+++ b/crates/controller/src/scheduler/types.rs
@@ -88,7 +88,7 @@
     /// Started under an earlier holder: how long it has run is unknown.
     pub(super) inherited: bool,
     /// The page that names it, once committed.
-    pub(super) page: Option<PageNo>,
+    pub(super) page: Option<PageId>,
     pub(super) placed: Time,
     /// Placed before there was room, and when: it runs as soon as something
     /// else ends there.
@@ -268,7 +268,7 @@
     pub(super) spec: Rc<JobSpec>,
     pub(super) revision: Revision,
     pub(super) state: JobState,
-    pub(super) progress: Progress,
+    pub(super) progress: JobProgress,
     pub(super) next_fresh: u32,
     pub(super) retry: BTreeMap<u32, Time>,
     /// Tasks with an entry or an orphan somewhere, and how many.
@@ -280,19 +280,22 @@
 
 impl Job {
     pub(super) fn complete(&self) -> bool {
-        self.spec.kind == JobKind::Batch && self.progress.count() >= self.spec.tasks
+        self.spec.kind == JobKind::Batch && self.progress.done_count() >= self.spec.tasks
     }
     pub(super) fn resources(&self) -> Resources {
         resources_of(&self.spec)
     }
     /// Tasks with a place that are not done yet.
     pub(super) fn busy(&self) -> u32 {
-        self.live.keys().filter(|i| !self.progress.has(**i)).count() as u32
+        self.live
+            .keys()
+            .filter(|i| !self.progress.is_done(**i))
+            .count() as u32
     }
     pub(super) fn waiting(&self) -> u32 {
         self.spec
             .tasks
-            .saturating_sub(self.progress.count() + self.busy())
+            .saturating_sub(self.progress.done_count() + self.busy())
     }
     /// One entry or orphan of the task less; true when none is left.
     pub(super) fn release(&mut self, index: u32) -> bool {
@@ -311,14 +314,17 @@
         let ready = self
             .retry
             .iter()
-            .find(|(i, at)| **at <= now && !self.live.contains_key(i) && !self.progress.has(**i))
+            .find(|(i, at)| {
+                **at <= now && !self.live.contains_key(i) && !self.progress.is_done(**i)
+            })
             .map(|(i, _)| *i);
         if ready.is_some() {
             return ready;
         }
         while self.next_fresh < self.spec.tasks {
             let i = self.next_fresh;
-            if self.progress.has(i) || self.live.contains_key(&i) || self.retry.contains_key(&i) {
+            if self.progress.is_done(i) || self.live.contains_key(&i) || self.retry.contains_key(&i)
+            {
                 self.next_fresh += 1;
             } else {
                 return Some(i);
@@ -328,8 +334,8 @@
     }
 }
 
-impl Open for BTreeMap<JobId, Job> {
-    fn progress(&mut self, job: JobId) -> Option<(u32, &mut Progress)> {
+impl OpenJobs for BTreeMap<JobId, Job> {
+    fn progress(&mut self, job: JobId) -> Option<(u32, &mut JobProgress)> {
         self.get_mut(&job).map(|j| (j.spec.tasks, &mut j.progress))
     }
 }
@@ -357,10 +363,10 @@
 #[derive(Default)]
 pub(super) struct InFlightCommit {
     /// The new pages with what they place.
-    pub(super) pages: Vec<(String, Vec<Row>)>,
+    pub(super) pages: Vec<(String, Vec<PlacementRow>)>,
     pub(super) progress_write: ProgressWrite,
     pub(super) finals: Vec<JobId>,
-    pub(super) dead: Vec<PageNo>,
+    pub(super) dead: Vec<PageId>,
 }
 
 /// A part of the work that can be set aside.
@@ -368,13 +374,13 @@
 pub(super) enum WorkUnit {
     Job(JobId),
     ProgressPage(usize),
-    Page(PageNo),
+    Page(PageId),
 }
 
 pub(super) struct RecoveryLoad {
-    pub(super) pages: Vec<Item>,
-    pub(super) progress: Vec<Item>,
-    pub(super) stage: PlacementCall,
+    pub(super) pages: Vec<KeyValue>,
+    pub(super) progress: Vec<KeyValue>,
+    pub(super) stage: SchedulerCall,
     pub(super) in_flight: bool,
     pub(super) after: Option<String>,
 }
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -34,19 +34,19 @@
 pub enum Outcome {
     Ok(Vec<u8>),
     /// 404: no such key, or no such lease.
-    Missing,
+    NotFound,
     /// 409: conditions that failed.
     Conflict(Vec<String>),
     /// 410: the watch's revision is too old.
     Gone,
     /// 400 "no such lease".
-    NoLease,
+    LeaseNotFound,
     /// Certainly not executed: the rate is spent, or the service is away.
     Refused,
     /// 400: not executed, and the same again would not be either.
     Malformed,
     /// May have been executed, or may be later.
-    Lost,
+    Indeterminate,
 }
 
 #[derive(Debug)]
@@ -54,28 +54,30 @@
     pub tag: T,
     pub outcome: Outcome,
     /// When the request was sent: what it shows is no older than this.
-    pub sent: Time,
+    pub sent_at: Time,
 }
 
 #[derive(Deserialize)]
-pub struct Item {
-    pub path: String,
+pub struct KeyValue {
+    #[serde(rename = "path")]
+    pub key: String,
     pub value: Value,
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
 #[derive(Deserialize)]
-pub struct Scan {
-    pub pairs: Vec<Item>,
+pub struct ScanResponse {
+    #[serde(rename = "pairs")]
+    pub entries: Vec<KeyValue>,
     #[serde(default)]
     pub more: bool,
     #[serde(rename = "ledgerRev")]
-    pub rev: u64,
+    pub revision: u64,
 }
 
 #[derive(Deserialize)]
-pub struct Change {
+pub struct WatchEvent {
     #[serde(default)]
     pub write: Option<String>,
     #[serde(default)]
@@ -87,26 +89,27 @@
 }
 
 #[derive(Deserialize)]
-pub struct News {
+pub struct WatchResponse {
     #[serde(rename = "ledgerRev")]
-    pub rev: u64,
-    pub news: Vec<Change>,
+    pub revision: u64,
+    #[serde(rename = "news")]
+    pub events: Vec<WatchEvent>,
 }
 
 #[derive(Deserialize)]
-pub struct LeaseGrant {
+pub struct LeaseResponse {
     #[serde(rename = "permit")]
     pub lease_id: u64,
 }
 
 #[derive(Deserialize)]
-pub struct Committed {
+pub struct CommitResponse {
     #[serde(rename = "ledgerRev")]
-    pub rev: u64,
+    pub revision: u64,
 }
 
 #[derive(Deserialize)]
-struct Failed {
+struct ErrorResponse {
     #[serde(default)]
     failed: Vec<String>,
     #[serde(default)]
@@ -191,7 +194,8 @@
 
     /// What one transaction may hold and still ever be sent.
     pub fn limits(&self) -> TransactionLimits {
-        self.limits.paced((self.writes.rate as usize).max(2))
+        self.limits
+            .with_max_writes((self.writes.rate as usize).max(2))
     }
 
     /// An empty transaction within these limits.
@@ -206,7 +210,7 @@
     }
 
     /// Writes that could be sent now, and the rate at which they come back.
-    pub fn writes_left(&mut self, now: Time) -> (f64, f64) {
+    pub fn write_budget(&mut self, now: Time) -> (f64, f64) {
         self.writes.fill(now);
         (self.writes.level, self.writes.rate)
     }
@@ -225,7 +229,7 @@
             self.refused.push(Reply {
                 tag,
                 outcome: Outcome::Refused,
-                sent: now,
+                sent_at: now,
             });
             return;
         }
@@ -273,7 +277,7 @@
         self.push(now, p, (tag, Method::Get, path, Vec::new()), 0, 2.5);
     }
 
-    pub fn lease(&mut self, now: Time, tag: T, life_s: f64) {
+    pub fn grant_lease(&mut self, now: Time, tag: T, life_s: f64) {
         #[derive(Serialize)]
         #[serde(rename_all = "camelCase")]
         struct Hold {
@@ -291,7 +295,7 @@
         );
     }
 
-    pub fn renew(&mut self, now: Time, tag: T, lease_id: u64) {
+    pub fn renew_lease(&mut self, now: Time, tag: T, lease_id: u64) {
         let path = format!("/holds/{lease_id}/renew");
         self.push(
             now,
@@ -343,7 +347,7 @@
                     self.refused.push(Reply {
                         tag: op.tag,
                         outcome: Outcome::Refused,
-                        sent: now,
+                        sent_at: now,
                     });
                     continue;
                 }
@@ -368,7 +372,7 @@
     }
 
     /// Requests that were given up here, for their slices to decide anew.
-    pub fn drain_refused(&mut self) -> Vec<Reply<T>> {
+    pub fn take_refused(&mut self) -> Vec<Reply<T>> {
         std::mem::take(&mut self.refused)
     }
 
@@ -396,11 +400,11 @@
             self.last_response = self.last_response.max(Some(sent));
         }
         let outcome = match result {
-            None => Outcome::Lost,
+            None => Outcome::Indeterminate,
             Some((200, body)) => Outcome::Ok(body),
-            Some((404, _)) => Outcome::Missing,
+            Some((404, _)) => Outcome::NotFound,
             Some((409, body)) => Outcome::Conflict(
-                wire::decode::<Failed>(&body)
+                wire::decode::<ErrorResponse>(&body)
                     .map(|f| f.failed)
                     .unwrap_or_default(),
             ),
@@ -413,18 +417,24 @@
             }
             Some((503, _)) => Outcome::Refused,
             Some((400, body)) => {
-                let error = wire::decode::<Failed>(&body).ok().and_then(|f| f.error);
+                let error = wire::decode::<ErrorResponse>(&body)
+                    .ok()
+                    .and_then(|f| f.error);
                 if error.as_deref() == Some("no such lease") {
-                    Outcome::NoLease
+                    Outcome::LeaseNotFound
                 } else {
                     tracing::error!("state service calls our request malformed: {error:?}");
                     Outcome::Malformed
                 }
             }
             // An unknown status says nothing about whether it was executed.
-            Some((_, _)) => Outcome::Lost,
+            Some((_, _)) => Outcome::Indeterminate,
         };
-        Some(Reply { tag, outcome, sent })
+        Some(Reply {
+            tag,
+            outcome,
+            sent_at: sent,
+        })
     }
 }
 
--- a/crates/controller/src/store/tests.rs
+++ b/crates/controller/src/store/tests.rs
@@ -11,7 +11,7 @@
     for i in 0..30 {
         store.scan(start, Priority::Read, i, "j/", None);
     }
-    store.renew(start, 99, 7);
+    store.renew_lease(start, 99, 7);
     store.flush(start, &mut calls, &mut out);
     assert!(
         out.len() <= 10,
@@ -22,7 +22,7 @@
     store.flush(start.plus(2.0), &mut calls, &mut out);
     assert!(out.len() <= 20);
     assert!(
-        !store.drain_refused().is_empty(),
+        !store.take_refused().is_empty(),
         "what waited too long is given back"
     );
 }
@@ -34,18 +34,21 @@
     let (mut calls, mut out) = (0, Vec::new());
     let now = Time::from_micros(5_000_000);
     for i in 0..3 {
-        store.renew(now, i, 1);
+        store.renew_lease(now, i, 1);
     }
     store.flush(now, &mut calls, &mut out);
     let outcome = |l: &mut StoreClient<u32>, id, r| l.on_reply(CallId(id), r).map(|r| r.outcome);
-    assert!(matches!(outcome(&mut store, 1, None), Some(Outcome::Lost)));
+    assert!(matches!(
+        outcome(&mut store, 1, None),
+        Some(Outcome::Indeterminate)
+    ));
     assert!(matches!(
         outcome(&mut store, 2, Some((503, vec![]))),
         Some(Outcome::Refused)
     ));
     assert!(matches!(
         outcome(&mut store, 3, Some((502, vec![]))),
-        Some(Outcome::Lost)
+        Some(Outcome::Indeterminate)
     ));
 }
 
@@ -56,7 +59,7 @@
     let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
     let mut store: StoreClient<u32> = StoreClient::new(&settings);
     let (mut calls, mut out) = (0, Vec::new());
-    store.renew(Time::from_micros(5_000_000), 1, 1);
+    store.renew_lease(Time::from_micros(5_000_000), 1, 1);
     store.flush(Time::from_micros(5_000_000), &mut calls, &mut out);
     for id in [0, 2, u64::MAX] {
         assert!(store.on_reply(CallId(id), Some((200, vec![]))).is_none());
@@ -103,8 +106,8 @@
         .expect("room");
     store.commit(now, Priority::Lease, 1, transaction);
     store.commit(now, Priority::Lease, 2, check);
-    store.lease(now, 3, 5.25);
-    store.renew(now, 4, 70_000);
+    store.grant_lease(now, 3, 5.25);
+    store.renew_lease(now, 4, 70_000);
     store.revoke_lease(now, 5, 70_000);
     store.scan(now, Priority::Lease, 6, "c/", None);
     store.scan(now, Priority::Lease, 7, "c/", Some("c/t/7"));
@@ -133,21 +136,21 @@
     fn read<T: serde::de::DeserializeOwned>(body: serde_json::Value) -> T {
         wire::decode(&wire::encode(&body)).expect("an answer")
     }
-    let scan: Scan = read(
+    let scan: ScanResponse = read(
         serde_json::json!({"pairs": [{"path": "a/b", "value": "kept",
         "stamp": 412, "permit": 7}], "more": true, "ledgerRev": 431}),
     );
-    let item = &scan.pairs[0];
+    let item = &scan.entries[0];
     assert_eq!(
-        (scan.rev, scan.more, item.path.as_str(), item.revision),
+        (scan.revision, scan.more, item.key.as_str(), item.revision),
         (431, true, "a/b", 412)
     );
     assert_eq!(item.value.as_text(), Some("kept"));
-    let news: News = read(serde_json::json!({"ledgerRev": 433, "news": [
+    let news: WatchResponse = read(serde_json::json!({"ledgerRev": 433, "news": [
         {"write": "c/9", "value": "new", "stamp": 433}, {"delete": "c/d", "stamp": 432}]}));
-    let (write, delete) = (&news.news[0], &news.news[1]);
+    let (write, delete) = (&news.events[0], &news.events[1]);
     assert_eq!(
-        (news.rev, write.write.as_deref(), write.revision),
+        (news.revision, write.write.as_deref(), write.revision),
         (433, Some("c/9"), 433)
     );
     assert_eq!(write.value.as_ref().and_then(Value::as_text), Some("new"));
@@ -156,15 +159,15 @@
         (Some("c/d"), 432, &None)
     );
     assert_eq!(
-        read::<LeaseGrant>(serde_json::json!({"permit": 7})).lease_id,
+        read::<LeaseResponse>(serde_json::json!({"permit": 7})).lease_id,
         7
     );
     assert_eq!(
-        read::<Committed>(serde_json::json!({"ledgerRev": 432})).rev,
+        read::<CommitResponse>(serde_json::json!({"ledgerRev": 432})).revision,
         432
     );
-    let failed: Failed = read(serde_json::json!({"failed": ["a/b"], "ledgerRev": 431}));
+    let failed: ErrorResponse = read(serde_json::json!({"failed": ["a/b"], "ledgerRev": 431}));
     assert_eq!(failed.failed, ["a/b"]);
-    let failed: Failed = read(serde_json::json!({"error": "no such lease"}));
+    let failed: ErrorResponse = read(serde_json::json!({"error": "no such lease"}));
     assert_eq!(failed.error.as_deref(), Some("no such lease"));
 }
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -9,7 +9,7 @@
 use crate::job_store::{self, JobKind, JobSpec, JobState, JobStore, Urgency};
 use crate::replica::Freshness;
 use crate::split::{self, MachineType, Resources};
-use crate::store::{Committed, Outcome, Priority, Reply, StoreClient, TransactionError};
+use crate::store::{CommitResponse, Outcome, Priority, Reply, StoreClient, TransactionError};
 use beamhinge_configuration::EffectiveTeam;
 use beamhinge_core::messages::{Effect, TaskCounts};
 use beamhinge_core::settings::Settings;
@@ -323,7 +323,7 @@
         out: &mut Vec<Effect>,
         to: RequestId,
         id: JobId,
-        entry: &job_store::Entry,
+        entry: &job_store::JobEntry,
         own: Option<TaskCounts>,
     ) {
         let counts = match entry.state {
@@ -513,7 +513,7 @@
         if freshness == Freshness::Unchanged {
             return;
         }
-        let fresh = job_store.fresh();
+        let fresh = job_store.fresh_as_of();
         let mut left = VecDeque::new();
         while let Some(w) = self.waiters.pop_front() {
             // Only a copy read after the question came can answer it.
@@ -730,13 +730,20 @@
                 self.accepts_in_flight = self.accepts_in_flight.saturating_sub(1);
                 match reply.outcome {
                     Outcome::Ok(body) => {
-                        let rev = wire::decode::<Committed>(&body).map(|c| c.rev).unwrap_or(0);
+                        let rev = wire::decode::<CommitResponse>(&body)
+                            .map(|c| c.revision)
+                            .unwrap_or(0);
                         for id in ids {
                             let Some(a) = self.accepts.remove(&id) else {
                                 continue;
                             };
                             if rev > 0 {
-                                job_store.wrote(id, Revision(rev), JobState::Open, Some(a.spec));
+                                job_store.on_committed(
+                                    id,
+                                    Revision(rev),
+                                    JobState::Open,
+                                    Some(a.spec),
+                                );
                             }
                             let mut status = 201;
                             for to in a.requests {
@@ -783,8 +790,8 @@
             UserApiCall::Cancel(id) => match reply.outcome {
                 Outcome::Ok(body) => {
                     let spec = job_store.get(id).and_then(|e| e.spec.clone());
-                    if let Ok(c) = wire::decode::<Committed>(&body) {
-                        job_store.wrote(id, Revision(c.rev), JobState::Cancelled, spec);
+                    if let Ok(c) = wire::decode::<CommitResponse>(&body) {
+                        job_store.on_committed(id, Revision(c.revision), JobState::Cancelled, spec);
                     }
                     if let Some(c) = self.cancels.remove(&id) {
                         for to in c.requests {
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -260,7 +260,7 @@
         let (mut copy, mut user_api, mut out) =
             (Copy::new(at(0.0)), UserApi::default(), Vec::new());
         copy.job_store
-            .wrote(id, Revision(4), JobState::Open, Some(Rc::new(spec.clone())));
+            .on_committed(id, Revision(4), JobState::Open, Some(Rc::new(spec.clone())));
         let request = |generation| RequestId {
             slot: 0,
             generation,
--- a/crates/rate-limit/src/backoff.rs
+++ b/crates/rate-limit/src/backoff.rs
@@ -26,7 +26,7 @@
 pub struct AdaptiveBackoff {
     /// Shortest and longest pause, seconds.
     pauses: (f64, f64),
-    malformed: u32,
+    on_malformed: u32,
     refused: u32,
     until: Time,
 }
@@ -37,7 +37,7 @@
         let pauses = (shortest_s, longest_s.max(shortest_s));
         AdaptiveBackoff {
             pauses,
-            malformed: 0,
+            on_malformed: 0,
             refused: 0,
             until: Time::default(),
         }
@@ -50,22 +50,22 @@
 
     /// By how much the next try is to be smaller than the first.
     pub fn divisor(&self) -> usize {
-        1 << self.malformed.min(MAX_HALVINGS)
+        1 << self.on_malformed.min(MAX_HALVINGS)
     }
 
     /// Refusals in a row, of either kind.
     pub fn refusals(&self) -> u32 {
-        self.malformed + self.refused
+        self.on_malformed + self.refused
     }
 
     /// Begins at the smallest size: elsewhere larger ones got nowhere.
     pub fn slow_start(&mut self) {
-        self.malformed = ASIDE;
+        self.on_malformed = ASIDE;
     }
 
     /// It was taken.
     pub fn on_success(&mut self) {
-        (self.malformed, self.refused) = (0, 0);
+        (self.on_malformed, self.refused) = (0, 0);
     }
 
     /// It was not executed for lack of rate, or since the service is away.
@@ -76,9 +76,9 @@
 
     /// The service calls it malformed, and would do so again.
     pub fn malformed(&mut self, now: Time) -> RetryAction {
-        self.malformed = self.malformed.saturating_add(1);
-        self.pause(now, self.malformed);
-        if self.malformed > ASIDE {
+        self.on_malformed = self.on_malformed.saturating_add(1);
+        self.pause(now, self.on_malformed);
+        if self.on_malformed > ASIDE {
             RetryAction::SetAside
         } else {
             RetryAction::Reduce
--- a/crates/rate-limit/src/transaction.rs
+++ b/crates/rate-limit/src/transaction.rs
@@ -45,7 +45,7 @@
     }
 
     /// At most so many writes: what the pacing could ever send at once.
-    pub fn paced(self, writes: usize) -> TransactionLimits {
+    pub fn with_max_writes(self, writes: usize) -> TransactionLimits {
         TransactionLimits {
             writes: self.writes.min(writes),
             ..self
@@ -54,7 +54,7 @@
 
     /// A transaction of about the `part`-th size, never below one write with
     /// the conditions that belong to it.
-    pub fn part(self, part: usize) -> TransactionLimits {
+    pub fn divided_by(self, part: usize) -> TransactionLimits {
         let part = part.max(1);
         TransactionLimits {
             writes: (self.writes / part).max(1),
