--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -21,7 +21,7 @@
 use crate::scheduler::Scheduler;
 use crate::split::MachineType;
 use crate::store::{Reply, StoreClient};
-use beamhinge_core::settings::{Operator, Settings};
+use beamhinge_core::settings::{OperatorSettings, Settings};
 use beamhinge_core::types::{CallId, FencingToken, MachineId, Time, WallMs};
 use beamhinge_failure_detection::{
     Connectivity, PauseDetector, PeerObservations, SilenceThresholds,
@@ -81,7 +81,7 @@
     /// Time of day.
     pub wall: WallMs,
     /// The operators' parameters.
-    pub operator: &'a Operator,
+    pub operator: &'a OperatorSettings,
     /// The platform's settings.
     pub settings: &'a Settings,
     /// What is known of this controller itself.
@@ -150,7 +150,7 @@
         &mut self,
         now: Time,
         token: FencingToken,
-        operator: &Operator,
+        operator: &OperatorSettings,
         settings: &Settings,
     ) {
         self.queue.clear();
--- a/crates/controller/src/fleet/rental_record.rs
+++ b/crates/controller/src/fleet/rental_record.rs
@@ -44,7 +44,7 @@
     /// All owned machines, listed and by ranges. Names that cannot be parsed are left out.
     pub(super) fn owned_machines(&self) -> Vec<MachineId> {
         let ranges = self.owned_ranges.iter().filter_map(|(first, last)| {
-            Some(MachineId::parse(first)?.row_to(MachineId::parse(last)?))
+            Some(MachineId::parse(first)?.range_to(MachineId::parse(last)?))
         });
         self.owned
             .iter()
--- a/crates/controller/src/fleet/term.rs
+++ b/crates/controller/src/fleet/term.rs
@@ -7,7 +7,7 @@
 use super::scale_in::ScaleInCalls;
 use super::silence_thresholds;
 use crate::market::Splits;
-use beamhinge_core::settings::{Operator, Settings};
+use beamhinge_core::settings::{OperatorSettings, Settings};
 use beamhinge_core::types::{FencingToken, MachineId, Time};
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
     pub(super) fn new(
         now: Time,
         token: FencingToken,
-        operator: &Operator,
+        operator: &OperatorSettings,
         settings: &Settings,
     ) -> LeaderTerm {
         LeaderTerm {
--- a/crates/controller/src/market.rs
+++ b/crates/controller/src/market.rs
@@ -11,7 +11,7 @@
 use crate::split::{self, Demand, Learner, MachineType, MarketSlot, Past, Resources};
 use crate::store::{CommitResponse, Outcome, Priority, Reply, ScanResponse, StoreClient};
 use beamhinge_admin_api::reasons::Reason;
-use beamhinge_core::settings::{Operator, Settings};
+use beamhinge_core::settings::{OperatorSettings, Settings};
 use beamhinge_core::types::{FencingToken, JobId, Revision, Time};
 use beamhinge_core::wire;
 use rand::rngs::SmallRng;
@@ -240,7 +240,7 @@
 /// A deadline array's bound, by its user or by its class's aim, seconds from
 /// its submission.
 fn due_s(d: &Demand, settings: &Settings) -> Option<f64> {
-    let aim = settings.aim("finished", &d.class);
+    let aim = settings.tightest_objective_s("finished", &d.class);
     let due = d.due_s.into_iter().chain(aim).min_by(f64::total_cmp);
     due.filter(|_| d.deadline_array)
 }
@@ -298,7 +298,7 @@
 }
 
 impl Splits {
-    pub fn new(operator: &Operator, token: FencingToken, now: Time) -> Splits {
+    pub fn new(operator: &OperatorSettings, token: FencingToken, now: Time) -> Splits {
         let seed = if operator.seed == 0 {
             rand::random()
         } else {
@@ -402,7 +402,7 @@
             let want = wants.entry(machine_type).or_default();
             let fit_f = f64::from(fit.max(1));
             let left = f64::from(d.left);
-            let wait = settings.aim("wait", &d.class);
+            let wait = settings.tightest_objective_s("wait", &d.class);
             if wait.is_some() {
                 *open.entry(d.class.clone()).or_default() += left;
                 self.typical.insert(d.class.clone(), d.clone());
--- a/crates/controller/src/market/tests.rs
+++ b/crates/controller/src/market/tests.rs
@@ -55,7 +55,7 @@
     let load = Load::of(&mut a, &d, at(60.0)).expect("it is not dry");
     let stored: Load = wire::from_value(&wire::to_value(&load)).expect("what was written");
     assert!(stored == load && stored.sound());
-    let operator = Operator::default();
+    let operator = OperatorSettings::default();
     let mut next = Splits::new(&operator, FencingToken(9), at(60.0));
     next.resume(at(60.0), "prompt".into(), &stored);
     let machine_type = MachineType {
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -20,7 +20,7 @@
 use beamhinge_core::http::Request;
 use beamhinge_core::messages::{Effect, Service};
 use beamhinge_core::peers::{encode, Frame};
-use beamhinge_core::settings::{Operator, Settings};
+use beamhinge_core::settings::{OperatorSettings, Settings};
 use beamhinge_core::types::{CallId, MachineId, RequestId, Time, WallMs};
 use beamhinge_failure_detection::{
     MisroutedWorkers, PauseDetector, PeerObservations, StallDetector,
@@ -34,7 +34,7 @@
 
 pub struct Node {
     settings: Settings,
-    operator: Operator,
+    operator: OperatorSettings,
     store: StoreClient<Tag>,
     job_store: JobStore,
     user_api: UserApi,
@@ -84,18 +84,18 @@
     /// `keys`: who may use the operators' door; none on loopback.
     pub fn new(
         settings: Settings,
-        operator: Operator,
+        operator: OperatorSettings,
         keys: Vec<Key>,
         nonce: u64,
         now: Time,
     ) -> Node {
         let listener = operator.listener.as_ref();
         let admin_api = listener.map(|d| {
-            let guard = Guard::new(keys, format!("{nonce:x}"), d.clock_s, MAX_NONCES);
+            let guard = Guard::new(keys, format!("{nonce:x}"), d.max_clock_skew_s, MAX_NONCES);
             AdminApi::new(
                 guard,
                 Limits {
-                    waiting: d.waiting,
+                    waiting: d.max_pending,
                     rps: d.rps,
                 },
             )
--- a/crates/controller/src/node/operators/tests.rs
+++ b/crates/controller/src/node/operators/tests.rs
@@ -3,7 +3,7 @@
 use crate::event_log::EventLog;
 use crate::scheduler::Scheduler;
 use crate::store::{Outcome, Reply};
-use beamhinge_core::settings::{Operator, Settings, SAMPLE};
+use beamhinge_core::settings::{OperatorSettings, Settings, SAMPLE};
 use beamhinge_core::types::FencingToken;
 use beamhinge_priority_aging::AgingPolicy;
 
@@ -12,7 +12,8 @@
 fn figures_keep_their_names() {
     let now = Time::from_micros(1_000_000);
     let settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
-    let operator = Operator::parse("t", "[operators]\nlisten = 127.0.0.1:1\n").expect("sound");
+    let operator =
+        OperatorSettings::parse("t", "[operators]\nlisten = 127.0.0.1:1\n").expect("sound");
     let policy = AgingPolicy::new(Default::default());
     let log = EventLog::new(true);
     let mut scheduler = Scheduler::new(
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -47,7 +47,7 @@
         to,
         status,
         retry_after,
-        body: wire::problem(why),
+        body: wire::error_body(why),
     });
 }
 
@@ -158,9 +158,9 @@
         body: &[u8],
         out: &mut Vec<Effect>,
     ) {
-        if body.len() > wire::BODY_LIMIT
+        if body.len() > wire::MAX_BODY_BYTES
             || wire::decode::<ciborium::Value>(body)
-                .is_ok_and(|v| wire::json_len(&v) > wire::BODY_LIMIT)
+                .is_ok_and(|v| wire::json_len(&v) > wire::MAX_BODY_BYTES)
         {
             return refuse(out, id, 413, "the body is too large");
         }
--- a/crates/controller/src/scheduler/queue.rs
+++ b/crates/controller/src/scheduler/queue.rs
@@ -155,7 +155,9 @@
         settings: &Settings,
         guaranteed: &BTreeSet<JobId>,
     ) -> Vec<PendingJob> {
-        let prompt_s = settings.aim("guarantee", "").unwrap_or(self.horizon_s());
+        let prompt_s = settings
+            .tightest_objective_s("guarantee", "")
+            .unwrap_or(self.horizon_s());
         let mut queue: Vec<PendingJob> = self
             .jobs
             .iter()
@@ -186,8 +188,8 @@
         let spec = &job.spec;
         let run_s = self.run_s(job);
         let age = age_s(wall, spec);
-        let wait_objective_s = settings.aim("wait", &spec.class);
-        let finish_s = settings.aim("finished", &spec.class);
+        let wait_objective_s = settings.tightest_objective_s("wait", &spec.class);
+        let finish_s = settings.tightest_objective_s("finished", &spec.class);
         let lateness = lateness(spec, run_s, age, wait_objective_s);
         let pressing = match (spec.due_s, finish_s) {
             (Some(due), _) => due - age - run_s < due * (1.0 - PATIENT_FRACTION),
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -226,7 +226,7 @@
     let body = wire::encode(&commands);
     let value: ciborium::Value = wire::decode(&body).expect("sound");
     assert!(
-        wire::json_len(&value) + 100 < wire::BODY_LIMIT,
+        wire::json_len(&value) + 100 < wire::MAX_BODY_BYTES,
         "{}",
         wire::json_len(&value)
     );
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -14,7 +14,7 @@
 use beamhinge_core::messages::{Effect, TaskCounts};
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{JobId, RequestId, Revision, Time, WallMs};
-use beamhinge_core::wire::{self, problem};
+use beamhinge_core::wire::{self, error_body};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -288,7 +288,7 @@
             to,
             status: 503,
             retry_after: Some(RETRY_AFTER_S),
-            body: problem(why),
+            body: error_body(why),
         });
     }
 
@@ -387,7 +387,7 @@
                     None if spec.urgency == Urgency::BestEffort
                         && self.order.len() >= MAX_PATIENT =>
                     {
-                        let body = problem("too many best-effort submissions wait");
+                        let body = error_body("too many best-effort submissions wait");
                         let retry_after = Some(PATIENT_AFTER_S);
                         return out.push(Effect::Answer {
                             to,
@@ -535,13 +535,13 @@
                     to: w.request,
                     status: 404,
                     retry_after: None,
-                    body: problem("no such job"),
+                    body: error_body("no such job"),
                 }),
                 (Ask::Known { refuse: Some(why) }, None) => out.push(Effect::Answer {
                     to: w.request,
                     status: 422,
                     retry_after: None,
-                    body: problem(why),
+                    body: error_body(why),
                 }),
                 (Ask::Known { refuse: None }, None) => Self::busy(out, w.request, "try again"),
                 (Ask::Cancel, Some(entry)) => match entry.state {
--- a/crates/core/src/http.rs
+++ b/crates/core/src/http.rs
@@ -4,7 +4,7 @@
 //! is accepted: bodies by `Content-Length`, or chunked answers from a server.
 
 /// Longest head of a message. Guards memory against a head that never ends.
-pub const HEAD_LIMIT: usize = 8 * 1024;
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
@@ -84,10 +84,10 @@
 fn head(buf: &[u8]) -> Result<Option<Head>, HttpError> {
     let Some(end) = buf
         .windows(4)
-        .take(HEAD_LIMIT)
+        .take(MAX_HEAD_BYTES)
         .position(|w| w == b"\r\n\r\n")
     else {
-        return if buf.len() > HEAD_LIMIT {
+        return if buf.len() > MAX_HEAD_BYTES {
             Err(HttpError::Malformed)
         } else {
             Ok(None)
@@ -298,24 +298,31 @@
     }
 }
 
-pub fn write_response(
-    out: &mut Vec<u8>,
-    status: u16,
-    retry_after: Option<u32>,
-    close: bool,
-    content: Content,
-    body: &[u8],
-) {
+/// Status line and headers of a response.
+pub struct ResponseHead {
+    /// Status code.
+    pub status: u16,
+    /// Value of the `Retry-After` header, seconds.
+    pub retry_after: Option<u32>,
+    /// Whether the server closes the connection after this response.
+    pub close: bool,
+    /// Media type of the body.
+    pub content: Content,
+}
+
+/// Appends a whole response to `out`.
+pub fn write_response(out: &mut Vec<u8>, response: &ResponseHead, body: &[u8]) {
     let mut head = format!(
-        "HTTP/1.1 {status} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
-        reason(status),
-        content.name(),
+        "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
+        response.status,
+        reason(response.status),
+        response.content.name(),
         body.len()
     );
-    if let Some(s) = retry_after {
+    if let Some(s) = response.retry_after {
         head.push_str(&format!("Retry-After: {s}\r\n"));
     }
-    if close {
+    if response.close {
         head.push_str("Connection: close\r\n");
     }
     head.push_str("\r\n");
--- a/crates/core/src/http/tests.rs
+++ b/crates/core/src/http/tests.rs
@@ -46,7 +46,10 @@
     ] {
         assert_eq!(case(bad), Err(HttpError::Malformed), "{bad}");
     }
-    assert_eq!(case(&"x".repeat(HEAD_LIMIT + 5)), Err(HttpError::Malformed));
+    assert_eq!(
+        case(&"x".repeat(MAX_HEAD_BYTES + 5)),
+        Err(HttpError::Malformed)
+    );
 }
 
 #[test]
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest frame taken from a peer; guards memory.
-pub const FRAME_LIMIT: usize = 256 * 1024;
+pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
@@ -61,7 +61,7 @@
 impl Frame {
     /// Names of machines or jobs in one [`Frame::MisroutedWorkers`] or [`Frame::JobsEnded`]. A longer list
     /// goes out as several frames. 8,192 of the longest names are 184 KB, which leaves a
-    /// quarter of [`FRAME_LIMIT`] for the label.
+    /// quarter of [`MAX_FRAME_BYTES`] for the label.
     pub const MAX_NAMES: usize = 8_192;
 
     /// Rows in one [`Frame::Progress`]; a longer list goes out as several frames, see
@@ -117,12 +117,12 @@
 pub struct InvalidFrame;
 
 /// Takes one whole frame off the front of `buf`.
-pub fn take(buf: &mut Vec<u8>) -> Result<Option<Frame>, InvalidFrame> {
+pub fn take_frame(buf: &mut Vec<u8>) -> Result<Option<Frame>, InvalidFrame> {
     let Some(head) = buf.get(..4).and_then(|h| <[u8; 4]>::try_from(h).ok()) else {
         return Ok(None);
     };
     let len = u32::from_be_bytes(head) as usize;
-    if len > FRAME_LIMIT {
+    if len > MAX_FRAME_BYTES {
         return Err(InvalidFrame);
     }
     let Some(body) = buf.get(4..4 + len) else {
--- a/crates/core/src/peers/tests.rs
+++ b/crates/core/src/peers/tests.rs
@@ -16,8 +16,8 @@
     };
     for frame in [hears, ended, Frame::Progress(rows)] {
         let mut bytes = encode(&frame);
-        assert!(bytes.len() <= FRAME_LIMIT, "{}", bytes.len());
-        assert_eq!(take(&mut bytes).ok().flatten(), Some(frame));
+        assert!(bytes.len() <= MAX_FRAME_BYTES, "{}", bytes.len());
+        assert_eq!(take_frame(&mut bytes).ok().flatten(), Some(frame));
     }
 }
 
@@ -27,11 +27,11 @@
     let bytes = encode(&frame);
     let mut buf = Vec::new();
     for (i, b) in bytes.iter().enumerate() {
-        assert!(matches!(take(&mut buf), Ok(None)), "at {i}");
+        assert!(matches!(take_frame(&mut buf), Ok(None)), "at {i}");
         buf.push(*b);
     }
-    assert_eq!(take(&mut buf).ok().flatten(), Some(frame));
-    assert!(take(&mut vec![0xff; 8]).is_err());
+    assert_eq!(take_frame(&mut buf).ok().flatten(), Some(frame));
+    assert!(take_frame(&mut vec![0xff; 8]).is_err());
 }
 
 fn machines(count: u32) -> Vec<MachineId> {
@@ -54,7 +54,7 @@
         let (all, ended) = (machines(count), jobs(count));
         let mut heard = Vec::new();
         for frame in Frame::misrouted_workers("a", &all) {
-            assert!(encode(&frame).len() <= FRAME_LIMIT);
+            assert!(encode(&frame).len() <= MAX_FRAME_BYTES);
             let Frame::MisroutedWorkers { label, machines } = frame else {
                 panic!("another frame")
             };
@@ -64,7 +64,7 @@
         assert_eq!(heard, all);
         let mut over = Vec::new();
         for frame in Frame::jobs_ended(&ended) {
-            assert!(encode(&frame).len() <= FRAME_LIMIT);
+            assert!(encode(&frame).len() <= MAX_FRAME_BYTES);
             let Frame::JobsEnded { jobs } = frame else {
                 panic!("another frame")
             };
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -34,8 +34,8 @@
     pub peer_bind: SocketAddrV4,
     #[serde(default)]
     pub members: Vec<Member>,
-    pub external: External,
-    pub params: Params,
+    pub external: ExternalServices,
+    pub params: PlatformParameters,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -47,13 +47,13 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct External {
+pub struct ExternalServices {
     pub cloud: SocketAddrV4,
     pub state: SocketAddrV4,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Params {
+pub struct PlatformParameters {
     #[serde(default)]
     pub zones: Vec<String>,
     #[serde(default)]
@@ -62,10 +62,10 @@
     pub teams: Vec<Team>,
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    pub workers: Workers,
-    pub state: State,
-    pub cloud: Cloud,
-    pub machine_limits: Limits,
+    pub workers: WorkerTimings,
+    pub state: StateLimits,
+    pub cloud: CloudLimits,
+    pub machine_limits: MachineLimits,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -94,14 +94,14 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Workers {
+pub struct WorkerTimings {
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct State {
+pub struct StateLimits {
     pub rps: f64,
     pub write_rps: f64,
     pub value_kb: f64,
@@ -109,13 +109,13 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Cloud {
+pub struct CloudLimits {
     pub rps: f64,
     pub list_lag_s: f64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Limits {
+pub struct MachineLimits {
     pub cpu_share: f64,
     pub ram_mb: f64,
     pub max_connections: usize,
@@ -123,7 +123,7 @@
 
 /// What the operators may set beyond the platform's file.
 #[derive(Clone, Debug)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// `[fleet] idle_s`: how long a rented machine may stand idle.
     pub idle_s: f64,
     /// `[split] update_s`: length of one update of the split.
@@ -181,13 +181,13 @@
     /// File with the keys; without it only loopback may be listened on.
     pub keys: Option<PathBuf>,
     /// Connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Questions that may wait at once.
-    pub waiting: usize,
+    pub max_pending: usize,
     /// Requests a second.
     pub rps: f64,
     /// How far a client's clock may be off, seconds.
-    pub clock_s: f64,
+    pub max_clock_skew_s: f64,
 }
 
 impl AdminListener {
@@ -195,17 +195,17 @@
         AdminListener {
             listen,
             keys: None,
-            connections: 16,
-            waiting: 64,
+            max_connections: 16,
+            max_pending: 64,
             rps: 50.0,
-            clock_s: 30.0,
+            max_clock_skew_s: 30.0,
         }
     }
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
-        Operator {
+        OperatorSettings {
             idle_s: 20.0,
             update_s: 15.0,
             seed: 0,
@@ -318,7 +318,7 @@
     }
 
     /// The tightest bound that an aim of this kind sets for a class.
-    pub fn aim(&self, kind: &str, class: &str) -> Option<f64> {
+    pub fn tightest_objective_s(&self, kind: &str, class: &str) -> Option<f64> {
         let aims = self.params.objectives.iter();
         aims.filter(|o| o.kind == kind && o.class == class && o.within_s > 0.0)
             .map(|o| o.within_s)
@@ -348,18 +348,18 @@
     }
 }
 
-impl Operator {
-    pub fn load(path: &Path) -> Result<Operator, SettingsError> {
+impl OperatorSettings {
+    pub fn load(path: &Path) -> Result<OperatorSettings, SettingsError> {
         let name = path.display().to_string();
         let text =
             std::fs::read_to_string(path).map_err(|e| SettingsError::Read(name.clone(), e))?;
-        Operator::parse(&name, &text)
+        OperatorSettings::parse(&name, &text)
     }
 
-    pub fn parse(name: &str, text: &str) -> Result<Operator, SettingsError> {
+    pub fn parse(name: &str, text: &str) -> Result<OperatorSettings, SettingsError> {
         let ini = ini::Ini::load_from_str(text)
             .map_err(|e| SettingsError::Form(name.into(), e.to_string()))?;
-        let mut op = Operator::default();
+        let mut op = OperatorSettings::default();
         let mut listener = AdminListener::new(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0));
         let mut listens = false;
         for (section, entries) in ini.iter() {
@@ -394,11 +394,13 @@
                     }
                     ("operators", "keys") => listener.keys = Some(PathBuf::from(value.trim())),
                     ("operators", "connections") => {
-                        listener.connections = range(1.0, 1_024.0)? as usize
+                        listener.max_connections = range(1.0, 1_024.0)? as usize
+                    }
+                    ("operators", "waiting") => {
+                        listener.max_pending = range(1.0, 4_096.0)? as usize
                     }
-                    ("operators", "waiting") => listener.waiting = range(1.0, 4_096.0)? as usize,
                     ("operators", "rps") => listener.rps = range(1.0, 10_000.0)?,
-                    ("operators", "clock_s") => listener.clock_s = range(1.0, 600.0)?,
+                    ("operators", "clock_s") => listener.max_clock_skew_s = range(1.0, 600.0)?,
                     ("ageing", "on") => op.aging.on = yes_or_no(&field, value)?,
                     ("configuration", "on") => op.configuration = yes_or_no(&field, value)?,
                     ("ageing", "best_effort_s") => op.aging.best_effort_s = range(0.0, 1e6)?,
--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -18,13 +18,13 @@
 
 #[test]
 fn an_open_door_without_keys_is_refused() {
-    let parse = |text| Operator::parse("t", text).map(|o| o.listener);
+    let parse = |text| OperatorSettings::parse("t", text).map(|o| o.listener);
     assert!(parse("[operators]\nlisten = 0.0.0.0:7900\n").is_err());
     let kept = parse("[operators]\nlisten = 0.0.0.0:7900\nkeys = k.ini\n");
     assert!(kept.is_ok_and(|d| d.is_some()));
     let local = parse("[operators]\nlisten = 127.0.0.1:7900\nrps = 5\n");
     assert_eq!(
-        local.ok().flatten().map(|d| (d.rps, d.connections)),
+        local.ok().flatten().map(|d| (d.rps, d.max_connections)),
         Some((5.0, 16))
     );
     assert_eq!(parse("[operators]\nrps = 5\n").ok().flatten(), None);
@@ -32,15 +32,17 @@
 
 #[test]
 fn ageing_is_off_until_it_is_turned_on() {
-    assert!(!Operator::default().aging.on);
+    assert!(!OperatorSettings::default().aging.on);
     let text = "[ageing]\non = yes\nshare = 0.1\nceiling = standard\n";
-    let aging = Operator::parse("t", text).map(|o| o.aging).expect("sound");
+    let aging = OperatorSettings::parse("t", text)
+        .map(|o| o.aging)
+        .expect("sound");
     assert_eq!(
         (aging.on, aging.share, aging.ceiling),
         (true, 0.1, Urgency::Standard)
     );
     let shipped = include_str!("../../../../deploy/ageing.ini");
-    let shipped = Operator::parse("ageing.ini", shipped).map(|o| o.aging);
+    let shipped = OperatorSettings::parse("ageing.ini", shipped).map(|o| o.aging);
     assert_eq!(
         shipped.ok(),
         Some(PriorityAging {
@@ -54,7 +56,7 @@
         "ceiling = best_effort",
         "stops = -1",
     ] {
-        let err = Operator::parse("t", &format!("[ageing]\n{wrong}\n"));
+        let err = OperatorSettings::parse("t", &format!("[ageing]\n{wrong}\n"));
         assert!(err.expect_err(wrong).to_string().contains("[ageing]"));
     }
 }
@@ -62,7 +64,7 @@
 #[test]
 fn the_operators_file_is_refused_with_section_and_key() {
     assert_eq!(
-        Operator::parse("t", "[fleet]\nidle_s = 5\n")
+        OperatorSettings::parse("t", "[fleet]\nidle_s = 5\n")
             .map(|o| o.idle_s)
             .ok(),
         Some(5.0)
@@ -72,7 +74,9 @@
         "[fleet]\nidle_s = soon\n",
         "[fleet]\nidel_s = 3\n",
     ] {
-        let err = Operator::parse("t", text).expect_err(text).to_string();
+        let err = OperatorSettings::parse("t", text)
+            .expect_err(text)
+            .to_string();
         assert!(err.contains("[fleet] id"), "{err}");
     }
 }
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -107,7 +107,7 @@
     }
     /// All names from this one to `last`; bounded, and none when they differ in
     /// length.
-    pub fn row_to(self, last: MachineId) -> impl Iterator<Item = MachineId> {
+    pub fn range_to(self, last: MachineId) -> impl Iterator<Item = MachineId> {
         let to = if self.width == last.width {
             last.number + 1
         } else {
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 /// The largest body of a request or of an answer to workers and users.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 #[derive(Debug, thiserror::Error)]
 #[error("not a CBOR body of the expected form")]
@@ -42,7 +42,7 @@
 }
 
 /// The body of an answer that says what is wrong.
-pub fn problem(text: &str) -> Vec<u8> {
+pub fn error_body(text: &str) -> Vec<u8> {
     encode(&Problem { error: text })
 }
 
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -14,13 +14,15 @@
 #[path = "support/golden.rs"]
 mod golden;
 
-use beamhinge_core::http::{write_request, write_response, Content, Method, RequestHead};
+use beamhinge_core::http::{
+    write_request, write_response, Content, Method, RequestHead, ResponseHead,
+};
 use beamhinge_core::job::{
     cancelled_record, done_record, key, open_record, JobKind, JobRecord, JobSpec, JobState,
     Urgency, RECORD_VERSION,
 };
-use beamhinge_core::peers::{encode, take, Frame};
-use beamhinge_core::settings::{Operator, Settings, SAMPLE};
+use beamhinge_core::peers::{encode, take_frame, Frame};
+use beamhinge_core::settings::{OperatorSettings, Settings, SAMPLE};
 use beamhinge_core::types::JobId;
 use beamhinge_core::wire;
 use golden::Golden;
@@ -210,7 +212,11 @@
     for (name, frame) in frames {
         let bytes = encode(&frame);
         golden.bytes(name, &bytes);
-        assert_eq!(take(&mut bytes.clone()).expect(name), Some(frame), "{name}");
+        assert_eq!(
+            take_frame(&mut bytes.clone()).expect(name),
+            Some(frame),
+            "{name}"
+        );
     }
     golden.check();
 }
@@ -218,7 +224,7 @@
 #[test]
 fn a_problem_keeps_its_form() {
     let mut golden = Golden::new("tests/golden/problem.hex");
-    golden.bytes("problem", &wire::problem("no such job"));
+    golden.bytes("problem", &wire::error_body("no such job"));
     golden.check();
 }
 
@@ -250,11 +256,23 @@
         200, 201, 202, 400, 401, 403, 404, 405, 409, 413, 421, 422, 429, 503, 599,
     ] {
         let mut out = Vec::new();
-        write_response(&mut out, status, None, false, Content::Cbor, b"");
+        let head = ResponseHead {
+            status,
+            retry_after: None,
+            close: false,
+            content: Content::Cbor,
+        };
+        write_response(&mut out, &head, b"");
         line("answer", &out);
     }
     let mut out = Vec::new();
-    write_response(&mut out, 503, Some(7), true, Content::Json, b"{}");
+    let head = ResponseHead {
+        status: 503,
+        retry_after: Some(7),
+        close: true,
+        content: Content::Json,
+    };
+    write_response(&mut out, &head, b"{}");
     line("last answer", &out);
     golden.check();
 }
@@ -319,16 +337,16 @@
 machine_limits = { cpu_share = 0.125, ram_mb = 64.5, max_connections = 501 }
 "#;
 
-fn operator_lines(o: &Operator) -> String {
+fn operator_lines(o: &OperatorSettings) -> String {
     let listener = o.listener.as_ref().map(|d| {
         let keys = d.keys.as_ref().map(|k| k.display().to_string());
         json!([
             d.listen.to_string(),
             keys,
-            d.connections,
-            d.waiting,
+            d.max_connections,
+            d.max_pending,
             d.rps,
-            d.clock_s
+            d.max_clock_skew_s
         ])
     });
     let a = &o.aging;
@@ -382,7 +400,7 @@
     ] {
         golden.text(
             name,
-            &operator_lines(&Operator::parse(name, text).expect(name)),
+            &operator_lines(&OperatorSettings::parse(name, text).expect(name)),
         );
     }
     let service: toml::Table = include_str!("../../../deploy/service.toml")
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -14,7 +14,7 @@
 
 use beamhinge_admin_api::auth::{Key, KeyError};
 use beamhinge_controller::node::Node;
-use beamhinge_core::settings::{Operator, Settings, SettingsError};
+use beamhinge_core::settings::{OperatorSettings, Settings, SettingsError};
 use beamhinge_transport::{Net, NetError, Wiring};
 use clap::{Args, ValueEnum};
 use rand::Rng;
@@ -92,8 +92,8 @@
 fn serve(options: &Options) -> Result<(), DaemonError> {
     let settings = Settings::load(&options.config)?;
     let operator = match options.operator.as_deref() {
-        Some(path) => Operator::load(path)?,
-        None => Operator::default(),
+        Some(path) => OperatorSettings::load(path)?,
+        None => OperatorSettings::default(),
     };
     let listener = operator.listener.clone();
     let keys = match listener.as_ref().and_then(|d| d.keys.as_deref()) {
@@ -110,7 +110,7 @@
     }
     // Tells this process from an earlier one with the same label.
     let nonce = rand::thread_rng().gen_range(1..1u64 << 52);
-    let wiring = Wiring::controller(&settings, listener.map(|d| (d.listen, d.connections)));
+    let wiring = Wiring::controller(&settings, listener.map(|d| (d.listen, d.max_connections)));
     Net::new(wiring, move |now| {
         Node::new(settings, operator, keys, nonce, now)
     })?
--- a/crates/dev-cluster/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -230,7 +230,7 @@
                 .collect(),
             peers: None,
             members: Vec::new(),
-            external: settings::External {
+            external: settings::ExternalServices {
                 cloud: plan.cloud(),
                 state: plan.state(),
             },
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -43,11 +43,11 @@
     /// One address for each machine that may be there at once.
     pub worker_addresses: Vec<SocketAddrV4>,
     /// The workers' published timing.
-    pub workers: settings::Workers,
+    pub workers: settings::WorkerTimings,
     /// The state service's published limits.
-    pub state: settings::State,
+    pub state: settings::StateLimits,
     /// The cloud's published limits.
-    pub cloud: settings::Cloud,
+    pub cloud: settings::CloudLimits,
     /// What the cloud offers.
     pub instance_types: Vec<InstanceType>,
     /// The cloud's zones.
--- a/crates/emulator/src/platform/tests.rs
+++ b/crates/emulator/src/platform/tests.rs
@@ -19,13 +19,13 @@
     let config = PlatformConfig {
         controllers: vec![SocketAddrV4::new([127, 0, 0, 1].into(), 1)],
         worker_addresses: Vec::new(),
-        workers: settings::Workers {
+        workers: settings::WorkerTimings {
             report_s: 1.0,
             lease_s: 4.0,
             cancel_s: 12.0,
         },
         state,
-        cloud: settings::Cloud {
+        cloud: settings::CloudLimits {
             rps: 5.0,
             list_lag_s: 1.0,
         },
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -63,8 +63,8 @@
     pub transaction_writes: usize,
 }
 
-impl From<&settings::State> for Limits {
-    fn from(settings: &settings::State) -> Limits {
+impl From<&settings::StateLimits> for Limits {
+    fn from(settings: &settings::StateLimits) -> Limits {
         Limits {
             rps: settings.rps,
             write_rps: settings.write_rps,
--- a/crates/emulator/src/state_server.rs
+++ b/crates/emulator/src/state_server.rs
@@ -47,7 +47,7 @@
 impl StateServer {
     /// A server that forgets everything with its process.
     #[must_use]
-    pub fn new(limits: &settings::State) -> StateServer {
+    pub fn new(limits: &settings::StateLimits) -> StateServer {
         StateServer {
             state: StateService::new(limits.into()),
             log: None,
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// When the log cannot be read or written.
-    pub fn from_log(limits: &settings::State, path: &Path) -> io::Result<(StateServer, u64)> {
+    pub fn from_log(limits: &settings::StateLimits, path: &Path) -> io::Result<(StateServer, u64)> {
         let mut server = StateServer::new(limits);
         let next_machine = restore(path, &mut server.state)?;
         server.log = Some(begin_log(path, &server.state, next_machine)?);
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -298,7 +298,7 @@
     pub fn new(
         id: u64,
         (instance, instance_type): (Instance, InstanceType),
-        settings: &settings::Workers,
+        settings: &settings::WorkerTimings,
         now: Micros,
     ) -> Worker {
         Worker {
--- a/crates/emulator/src/worker_pool.rs
+++ b/crates/emulator/src/worker_pool.rs
@@ -50,7 +50,7 @@
     /// The controllers' public addresses, in the order of their labels.
     pub controllers: Vec<SocketAddrV4>,
     /// The workers' published timing.
-    pub settings: settings::Workers,
+    pub settings: settings::WorkerTimings,
     /// Where tasks run commands.
     pub processes: Option<Processes>,
     /// Violations of the protocol that are asked for.
@@ -66,7 +66,7 @@
     report_due: BTreeMap<u64, Micros>,
     plans: BTreeMap<String, JobPlan>,
     controllers: Vec<SocketAddrV4>,
-    settings: settings::Workers,
+    settings: settings::WorkerTimings,
     protocol_faults: ProtocolFaults,
     in_flight: BTreeMap<CallId, InFlightReport>,
     last_call: u64,
--- a/crates/emulator/src/worker_pool/tests.rs
+++ b/crates/emulator/src/worker_pool/tests.rs
@@ -21,7 +21,7 @@
         let event = (s.event.task_id, s.event.attempt, s.event.transition);
         seen.lock().expect("one thread").push(event);
     });
-    let settings = settings::Workers {
+    let settings = settings::WorkerTimings {
         report_s: 0.2,
         lease_s: 2.0,
         cancel_s: 9.0,
--- a/crates/rate-limit/src/transaction.rs
+++ b/crates/rate-limit/src/transaction.rs
@@ -35,7 +35,7 @@
 
 impl TransactionLimits {
     /// The limits of a state service with these settings.
-    pub fn of(state: &settings::State) -> TransactionLimits {
+    pub fn of(state: &settings::StateLimits) -> TransactionLimits {
         TransactionLimits {
             writes: state.txn_ops,
             conditions: state.txn_ops * CONDITIONS_PER_WRITE,
--- a/crates/sim/src/cluster.rs
+++ b/crates/sim/src/cluster.rs
@@ -19,7 +19,7 @@
 use beamhinge_core::http::{Method, Request};
 use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::peers;
-use beamhinge_core::settings::{Operator, Settings};
+use beamhinge_core::settings::{OperatorSettings, Settings};
 use beamhinge_core::types::{CallId, RequestId, Time, WallMs};
 use beamhinge_core::wire;
 use beamhinge_emulator::cloud::Cloud;
@@ -394,7 +394,7 @@
         self.lives[i] += 1;
         let listener = "[operators]\nlisten = 127.0.0.1:7900\n[split]\nseed = 7\n";
         let text = format!("{listener}{}", self.operator);
-        let operator = Operator::parse("the operators' file", &text).expect("sound");
+        let operator = OperatorSettings::parse("the operators' file", &text).expect("sound");
         let nonce = self.rng.gen_range(1..1u64 << 50);
         let now = Time::from_micros(self.now);
         let mut node = Node::new(self.settings[i].clone(), operator, Vec::new(), nonce, now);
@@ -1061,7 +1061,7 @@
             Event::Frame { to, life, body } => {
                 let mut buf = body;
                 let there = life == ANY_LIFE || self.lives[to] == life;
-                if let (Ok(Some(frame)), true) = (peers::take(&mut buf), there) {
+                if let (Ok(Some(frame)), true) = (peers::take_frame(&mut buf), there) {
                     self.with_node(to, |n, now, wall, out| n.on_frame(now, wall, frame, out));
                 }
             }
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -20,7 +20,7 @@
 use crate::cluster::{Event, LossCounts, ScriptStep, Sim};
 use crate::fingerprint::Fingerprint;
 use beamhinge_controller::faults::Faults;
-use beamhinge_core::settings::{Operator, Settings, Team};
+use beamhinge_core::settings::{OperatorSettings, Settings, Team};
 use beamhinge_emulator::cloud::{CapacityPool, InstanceType};
 use beamhinge_emulator::{Micros, SECOND};
 use serde_json::json;
@@ -208,7 +208,7 @@
         let set = words[1..].iter().filter_map(|w| w.split_once('='));
         let lines: String = set.map(|(k, v)| format!("{k} = {v}\n")).collect();
         sim.operator.push_str(&format!("[ageing]\n{lines}"));
-        Operator::parse("the scenario", &sim.operator).map_err(|e| e.to_string())?;
+        OperatorSettings::parse("the scenario", &sim.operator).map_err(|e| e.to_string())?;
     }
     sim.polls_s = get("polls", 0.0);
     (0..sim.settings.len()).for_each(|i| sim.start(i));
--- a/crates/testbed/src/scale/flows.rs
+++ b/crates/testbed/src/scale/flows.rs
@@ -78,6 +78,12 @@
 
 fn answer_bytes(status: u16, body: usize) -> usize {
     let mut bytes = Vec::new();
-    http::write_response(&mut bytes, status, None, false, Content::Cbor, &[]);
+    let head = http::ResponseHead {
+        status,
+        retry_after: None,
+        close: false,
+        content: Content::Cbor,
+    };
+    http::write_response(&mut bytes, &head, &[]);
     bytes.len() + body
 }
--- a/crates/testbed/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -11,7 +11,7 @@
 
 use super::messages::{Command, Flows, Record, RolePlan};
 use beamhinge_core::messages::Service;
-use beamhinge_core::settings::External;
+use beamhinge_core::settings::ExternalServices;
 use beamhinge_core::types::Time;
 use beamhinge_emulator::Micros;
 use beamhinge_transport::{Listener, ListenerKind, Net, NetError, Wiring};
@@ -184,7 +184,7 @@
             workload,
             real,
         } => {
-            let settings = beamhinge_core::settings::Workers {
+            let settings = beamhinge_core::settings::WorkerTimings {
                 report_s,
                 lease_s,
                 cancel_s,
@@ -230,7 +230,7 @@
         listeners: addresses.iter().map(door).collect(),
         peers: None,
         members: Vec::new(),
-        external: External {
+        external: ExternalServices {
             cloud: nowhere,
             state: nowhere,
         },
--- a/crates/testbed/src/scale/role/state.rs
+++ b/crates/testbed/src/scale/role/state.rs
@@ -37,7 +37,7 @@
             txn_ops,
         } = *limits;
         StateRole {
-            server: StateServer::new(&settings::State {
+            server: StateServer::new(&settings::StateLimits {
                 rps,
                 write_rps,
                 value_kb,
--- a/crates/testbed/src/scale/role/workers.rs
+++ b/crates/testbed/src/scale/role/workers.rs
@@ -52,7 +52,7 @@
     pub fn new(
         controllers: Vec<SocketAddrV4>,
         addresses: Vec<SocketAddrV4>,
-        settings: settings::Workers,
+        settings: settings::WorkerTimings,
         workload: Workload,
         real: bool,
         links: Links,
--- a/crates/transport/src/input.rs
+++ b/crates/transport/src/input.rs
@@ -5,7 +5,7 @@
 use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::peers;
 use beamhinge_core::types::RequestId;
-use beamhinge_core::wire::{self, BODY_LIMIT};
+use beamhinge_core::wire::{self, MAX_BODY_BYTES};
 use std::io::{self, Read};
 
 /// Answers of the state service may be large; beyond this we give up on one.
@@ -44,9 +44,9 @@
             return;
         };
         let limit = match conn.kind {
-            Kind::Public { .. } => BODY_LIMIT + 2 * http::HEAD_LIMIT,
-            Kind::Call { .. } => ANSWER_LIMIT + http::HEAD_LIMIT,
-            _ => peers::FRAME_LIMIT + 4,
+            Kind::Public { .. } => MAX_BODY_BYTES + 2 * http::MAX_HEAD_BYTES,
+            Kind::Call { .. } => ANSWER_LIMIT + http::MAX_HEAD_BYTES,
+            _ => peers::MAX_FRAME_BYTES + 4,
         };
         let mut chunk = [0u8; 16 * 1024];
         let mut ended = false;
@@ -113,7 +113,7 @@
             if *waiting || *close || !conn.outbuf.is_empty() {
                 return;
             }
-            match http::take_request(&mut conn.inbuf, BODY_LIMIT) {
+            match http::take_request(&mut conn.inbuf, MAX_BODY_BYTES) {
                 Ok(None) => {
                     *partial = if conn.inbuf.is_empty() {
                         None
@@ -155,7 +155,7 @@
                             body: body.into_bytes(),
                         }
                     } else {
-                        let body = wire::problem(&error.to_string());
+                        let body = wire::error_body(&error.to_string());
                         Effect::Answer {
                             to,
                             status,
@@ -222,7 +222,7 @@
             let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
                 return;
             };
-            match peers::take(&mut conn.inbuf) {
+            match peers::take_frame(&mut conn.inbuf) {
                 Ok(Some(frame)) => {
                     let mut out = Vec::new();
                     self.service.on_frame(now, wall(), frame, &mut out);
--- a/crates/transport/src/output.rs
+++ b/crates/transport/src/output.rs
@@ -17,7 +17,7 @@
 
 /// Bytes that wait for one peer to read them before further frames to it are dropped: two of
 /// the longest, since a list of more than 8,192 machines is sent as two.
-const MAX_UNREAD_BYTES: usize = 2 * peers::FRAME_LIMIT;
+const MAX_UNREAD_BYTES: usize = 2 * peers::MAX_FRAME_BYTES;
 
 impl<S: Service> Net<S> {
     pub(crate) fn act(&mut self, out: Vec<Effect>) {
@@ -190,14 +190,13 @@
         // back does better with a new one, perhaps to a node that can answer.
         *close |= status == 503 && !*worker || crowded && *worker;
         let closing = *close;
-        http::write_response(
-            &mut conn.outbuf,
+        let head = http::ResponseHead {
             status,
             retry_after,
-            closing,
+            close: closing,
             content,
-            body,
-        );
+        };
+        http::write_response(&mut conn.outbuf, &head, body);
         let more = !conn.inbuf.is_empty();
         if self.flush(to.slot) && more && !closing {
             self.requests(to.slot);
--- a/crates/transport/src/tests.rs
+++ b/crates/transport/src/tests.rs
@@ -2,7 +2,7 @@
 use crate::connections::REOPEN_S;
 use beamhinge_core::http::{Content, Request};
 use beamhinge_core::messages::Effect;
-use beamhinge_core::settings::External;
+use beamhinge_core::settings::ExternalServices;
 use beamhinge_core::types::RequestId;
 use std::io::{Read, Write};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -63,7 +63,7 @@
         listeners: vec![Listener { addr, kind }],
         peers: None,
         members: Vec::new(),
-        external: External {
+        external: ExternalServices {
             cloud: addr,
             state: addr,
         },
@@ -102,7 +102,7 @@
         listeners: vec![Listener { addr, kind }],
         peers: None,
         members: Vec::new(),
-        external: External {
+        external: ExternalServices {
             cloud: nowhere,
             state: nowhere,
         },
--- a/crates/transport/src/wiring.rs
+++ b/crates/transport/src/wiring.rs
@@ -1,7 +1,7 @@
 //! The addresses that a process listens on and calls, and how they are opened.
 
 use crate::{NetError, DOORS};
-use beamhinge_core::settings::{External, Member, Settings};
+use beamhinge_core::settings::{ExternalServices, Member, Settings};
 use polling::{Event, PollMode, Poller};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
@@ -29,7 +29,7 @@
     /// Where the peers' frames come in.
     pub peers: Option<SocketAddrV4>,
     pub members: Vec<Member>,
-    pub external: External,
+    pub external: ExternalServices,
     pub max_connections: usize,
 }
 
