--- a/crates/controller/src/fleet/forecast.rs
+++ b/crates/controller/src/fleet/forecast.rs
@@ -150,7 +150,7 @@
             zone: instance.map(|i| i.zone.clone()).unwrap_or_default(),
             spot: instance
                 .map(|i| i.spot)
-                .or(machine.map(|m| m.spot))
+                .or(machine.map(|m| m.is_spot()))
                 .unwrap_or(false),
             owned: instance.is_some_and(|i| i.owned),
             state: "starting".into(),
@@ -205,7 +205,7 @@
 fn is_starting(id: MachineId, instance: &Instance, scheduler: &Scheduler) -> bool {
     let reported = scheduler
         .machine(id)
-        .is_some_and(|m| m.last_heartbeat.is_some());
+        .is_some_and(|m| m.last_heartbeat().is_some());
     instance.is_retained() && instance.status != InstanceStatus::Failed && !reported
 }
 
--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -169,14 +169,14 @@
         let dead_after_s = silence_thresholds(context.settings).dead_after_s;
         let mut observations = Vec::new();
         for (id, instance) in &mut self.instances {
-            let last_heartbeat = scheduler.machine(*id).and_then(|m| m.last_heartbeat);
+            let last_heartbeat = scheduler.machine(*id).and_then(|m| m.last_heartbeat());
             // It reports again: the return is called off while it can be.
             if instance.scale_in == ScaleInState::PendingSilent
                 && last_heartbeat.is_some_and(|at| now.since(at) < dead_after_s / 2.0)
             {
                 tracing::info!(machine = %id, "called off scale-in: machine reports again");
                 instance.scale_in = ScaleInState::Retained;
-                scheduler.undrain(*id);
+                scheduler.cancel_return(*id);
             }
             if !instance.is_retained() {
                 continue;
@@ -187,7 +187,7 @@
                 // After a failover, what was up and does not report to this leader has been
                 // silent since then; it is given time to find the leader.
                 None if instance.was_up(machine) => scheduler
-                    .took()
+                    .acquired_at()
                     .plus(FAILOVER_GRACE_S)
                     .max(instance.rented_at.plus(instance.boot_s(machine_types))),
                 None => continue,
@@ -233,7 +233,7 @@
     ) -> Option<ScaleInReason> {
         let unacknowledged_for_s = scheduler
             .machine(id)
-            .and_then(|m| m.ack_tracker.unacknowledged_for_s(now))?;
+            .and_then(|m| m.ack_tracker().unacknowledged_for_s(now))?;
         if unacknowledged_for_s > lease_s * SURELY_DEAD_LEASES
             && !self.instances.get(&id).is_some_and(|i| i.owned)
         {
@@ -260,12 +260,12 @@
             }
             let machine = scheduler.machine(*id);
             let boot_s = instance.boot_s(machine_types);
-            let never_reported = machine.and_then(|m| m.last_heartbeat).is_none();
+            let never_reported = machine.and_then(|m| m.last_heartbeat()).is_none();
             let boot_overdue = now.since(instance.rented_at) > boot_s * 1.9 + 5.0
                 && leading_s > boot_s * 0.5 + lease_s;
             let reason = if instance.status == InstanceStatus::Failed {
                 ScaleInReason::Failed
-            } else if machine.is_some_and(|m| m.quarantined) {
+            } else if machine.is_some_and(|m| m.is_quarantined()) {
                 ScaleInReason::Quarantined
             } else if never_reported && !instance.was_up(machine) && boot_overdue {
                 ScaleInReason::NeverBooted
@@ -283,7 +283,7 @@
             marked.push((*id, reason));
         }
         for (id, reason) in marked {
-            scheduler.drain(id, reason.as_str());
+            scheduler.begin_return(id, reason.as_str());
         }
     }
 
@@ -292,18 +292,18 @@
         for (id, machine) in scheduler.machines() {
             let known = self.instances.contains_key(id) || self.released.contains_key(id);
             let reports = machine
-                .last_heartbeat
+                .last_heartbeat()
                 .is_some_and(|at| now.since(at) < report_s * ADOPTION_REPORTS);
             let Some(machine_type) = machine.machine_type().filter(|_| !known && reports) else {
                 continue;
             };
             let class = Class {
                 machine_type,
-                spot: machine.spot,
+                spot: machine.is_spot(),
             };
             let instance = Instance {
                 status: InstanceStatus::Running,
-                endpoint: machine.endpoint,
+                endpoint: machine.endpoint(),
                 ..Instance::unlisted(class, machine.zone().to_string(), now)
             };
             self.instances.insert(*id, instance);
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -212,7 +212,7 @@
         term.splits.keep(
             now,
             term.token,
-            scheduler.runs(),
+            scheduler.run_time_ratios(),
             context.settings.value_limit(),
             store,
         );
@@ -245,7 +245,7 @@
         scheduler: &mut Scheduler,
     ) {
         if let Some(runs) = self.splits.runs.take() {
-            scheduler.restore_runs(runs);
+            scheduler.restore_run_time_ratios(runs);
         }
         self.check_machines(context, machine_types, scheduler);
         self.plan_and_scale(context, list_lag_s, machine_types, scheduler);
--- a/crates/controller/src/fleet/scale_in.rs
+++ b/crates/controller/src/fleet/scale_in.rs
@@ -149,7 +149,7 @@
             marked.push((*id, reason));
         }
         for (id, reason) in marked {
-            scheduler.drain(id, reason.as_str());
+            scheduler.begin_return(id, reason.as_str());
         }
     }
 }
@@ -164,7 +164,7 @@
     surplus: Option<&mut u32>,
 ) -> Option<ScaleInReason> {
     let machine = machine.filter(|m| m.is_empty())?;
-    if machine.slow {
+    if machine.is_slow() {
         return Some(ScaleInReason::Slow);
     }
     let surplus = surplus.filter(|n| **n > 0)?;
@@ -177,7 +177,7 @@
     };
     let charged = !instance.owned
         && context.now.since(instance.rented_at) < MIN_CHARGE_S - MIN_CHARGE_MARGIN_S;
-    if charged || context.now.since(machine.idle_since) < max_idle_s || leading_s < max_idle_s {
+    if charged || context.now.since(machine.idle_since()) < max_idle_s || leading_s < max_idle_s {
         return None;
     }
     *surplus -= 1;
--- a/crates/controller/src/fleet/scale_plan.rs
+++ b/crates/controller/src/fleet/scale_plan.rs
@@ -73,9 +73,9 @@
         let machine_type = machine_types.get(class.machine_type);
         self.add_machines(class, 1);
         let pool = self.pools.entry(class.machine_type).or_default();
-        if machine.is_some_and(|m| m.last_heartbeat.is_some()) {
+        if machine.is_some_and(|m| m.last_heartbeat().is_some()) {
             *self.up.entry(class).or_default() += 1;
-            scheduler.room_over_time(now, id, machine_types, pool);
+            scheduler.capacity_over_time(now, id, machine_types, pool);
         } else if let Some(machine_type) = machine_type {
             let boot_s = machine_type.boot_s;
             let left_s = boot_s * BOOT_SPREAD - now.since(instance.rented_at);
@@ -178,7 +178,8 @@
             let machine = scheduler.machine(*id);
             let leaving = !instance.is_retained()
                 || instance.status == InstanceStatus::Failed
-                || machine.is_some_and(|m| m.reclaim || m.quarantined || m.slow)
+                || machine
+                    .is_some_and(|m| m.reclaim_announced() || m.is_quarantined() || m.is_slow())
                 || instance
                     .active_drain(*id, machine_types, active_directives)
                     .is_some();
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -37,6 +37,7 @@
 pub mod split;
 pub mod store;
 pub mod user_api;
+pub mod worker_protocol;
 
 #[cfg(test)]
 #[path = "../../core/tests/support/golden.rs"]
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -161,7 +161,7 @@
         if let Some(away_s) = self.pause_detector.observe(now) {
             tracing::warn!("this controller stood still for {away_s:.1} s");
             if let Some(scheduler) = &mut self.scheduler {
-                scheduler.back_at = Some(now);
+                scheduler.resumed_at = Some(now);
             }
         }
     }
@@ -224,11 +224,11 @@
                     || self
                         .configuration
                         .fresh_as_of()
-                        .is_some_and(|f| f >= scheduler.took());
+                        .is_some_and(|f| f >= scheduler.acquired_at());
                 let may_place =
-                    may_place && known && directed.is_some_and(|f| f >= scheduler.took());
+                    may_place && known && directed.is_some_and(|f| f >= scheduler.acquired_at());
                 let runs_until = self.configuration.starts_allowed_until();
-                scheduler.rest_on(self.configuration.condition(), runs_until);
+                scheduler.set_configuration_condition(self.configuration.condition(), runs_until);
                 scheduler.tick(
                     now,
                     wall,
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -603,7 +603,7 @@
                 after,
                 limit,
             } => {
-                let own = scheduler.token().0;
+                let own = scheduler.fencing_token().0;
                 // Another holder's serials say nothing here: begin anew.
                 let after = if *token == own { *after } else { 0 };
                 let (decisions, missed) = scheduler.event_log.after(after, *limit);
@@ -624,7 +624,7 @@
         let t = scheduler.totals(now, wall, machine_types);
         Summary {
             leader: self.settings.label.clone(),
-            token: scheduler.token().0,
+            token: scheduler.fencing_token().0,
             jobs_open: t.jobs_open,
             jobs_running: t.jobs_running,
             tasks_running: t.tasks_running,
@@ -667,7 +667,7 @@
                 ("cpus", t.cpus),
                 ("cpus_used", t.cpus_used),
             ]);
-            let (kept, window) = scheduler.places();
+            let (kept, window) = scheduler.nomination_counts();
             let room = scheduler.preemption_stats();
             gauges.extend([
                 ("places_kept", kept as f64),
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -4,9 +4,10 @@
 use crate::calls::Tag;
 use crate::event_log::EventLog;
 use crate::leader_election::LeadershipChange;
-use crate::scheduler::{CommitOutcome, Scheduler, WorkerReport};
+use crate::scheduler::{CommitOutcome, Scheduler};
 use crate::store::Reply;
 use crate::user_api::Context;
+use crate::worker_protocol::WorkerReport;
 use beamhinge_admin_api::messages::What;
 use beamhinge_core::messages::{Effect, TaskCounts};
 use beamhinge_core::peers::Frame;
@@ -59,7 +60,7 @@
         let change = self.election.on_token_claim(now, report.fencing_token);
         self.on_leadership_change(now, change);
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.direct_answer(now, report, &self.job_store);
+            scheduler.on_direct_response(now, report, &self.job_store);
         }
     }
 
@@ -143,7 +144,7 @@
         let active_directives = self.directives.active_directives().clone();
         tracing::info!("{} drains and freezes stand", active_directives.len());
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.set_standing(now, active_directives, self.fleet.machine_types());
+            scheduler.set_active_directives(now, active_directives, self.fleet.machine_types());
         }
     }
 
@@ -202,7 +203,7 @@
                 let long = stuck_after_s(&self.settings) * 6.0;
                 let stuck = self.stuck.values().any(|at| now.since(*at) < long);
                 if let (Some(scheduler), true) = (&mut self.scheduler, stuck) {
-                    scheduler.begin_small();
+                    scheduler.slow_start();
                 }
                 self.store
                     .set_rate_share(leader_share(&self.settings), LEADER_ADMISSION_SHARE);
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -3,8 +3,8 @@
 use super::Node;
 use crate::faults::broken;
 use crate::job_store::JobSpec;
-use crate::scheduler::{WorkerCommand, WorkerReport};
 use crate::user_api;
+use crate::worker_protocol::{WorkerCommand, WorkerReport};
 use beamhinge_core::http::{Method, Request};
 use beamhinge_core::messages::Effect;
 use beamhinge_core::types::{FencingToken, JobId, MachineId, RequestId, Time, WallMs};
@@ -202,9 +202,9 @@
         let entitled = self.entitled(now);
         match (&mut self.scheduler, entitled) {
             (Some(scheduler), true) => {
-                let token = scheduler.token();
+                let token = scheduler.fencing_token();
                 let commands =
-                    scheduler.report(now, &report, self.fleet.machine_types(), &self.job_store);
+                    scheduler.on_report(now, &report, self.fleet.machine_types(), &self.job_store);
                 if !commands.is_empty() {
                     tracing::debug!("orders to {}: {commands:?}", report.host);
                 }
--- a/crates/controller/src/node/requests/tests.rs
+++ b/crates/controller/src/node/requests/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::golden::Golden;
+use crate::worker_protocol::{CommandVerb, ExitCause, ReportedStatus};
 
 /// What a worker is told: its orders, or where to report instead.
 #[test]
@@ -11,7 +12,10 @@
         attempt,
         grace_period_s,
     };
-    let commands = vec![order("run", 70_000, None), order("kill", 2, Some(10.5))];
+    let commands = vec![
+        order(CommandVerb::Run, 70_000, None),
+        order(CommandVerb::Kill, 2, Some(10.5)),
+    ];
     golden.bytes(
         "orders",
         &wire::encode(&WorkerAnswer {
@@ -62,17 +66,21 @@
     let pieces: Vec<_> = r
         .reported_tasks
         .iter()
-        .map(|p| {
+        .map(|p| (p.task.as_str(), p.attempt, p.status, p.cause.as_ref()))
+        .collect();
+    let first = ("job-000412/3", 2, ReportedStatus::Running, None);
+    assert_eq!(
+        pieces,
+        [
+            first,
             (
-                p.task.as_str(),
-                p.attempt,
-                p.status.as_str(),
-                p.cause.as_deref(),
+                "job-000398/0",
+                7,
+                ReportedStatus::Exited,
+                Some(&ExitCause::Done)
             )
-        })
-        .collect();
-    let first = ("job-000412/3", 2, "running", None);
-    assert_eq!(pieces, [first, ("job-000398/0", 7, "exited", Some("done"))]);
+        ]
+    );
 }
 
 #[test]
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::fleet::MAX_PEER_OBSERVATION_AGE_S;
 use crate::peers;
-use crate::scheduler::WorkerCommand;
+use crate::worker_protocol::WorkerCommand;
 use beamhinge_core::http::Method;
 use beamhinge_core::messages::{Destination, Effect};
 use beamhinge_core::peers::{encode, Frame};
@@ -104,7 +104,7 @@
         let label = self.settings.label.clone();
         let holds = Frame::LeaderHeartbeat {
             label,
-            fencing_token: scheduler.token().0,
+            fencing_token: scheduler.fencing_token().0,
         };
         out.push(Effect::SendFrame {
             to: None,
@@ -167,7 +167,7 @@
         let reached = self.store_age(now) < 2.5;
         let work = ProgressSnapshot {
             work_pending: scheduler.has_work(),
-            last_progress: scheduler.moved(),
+            last_progress: scheduler.last_store_progress(),
             store_reachable: reached,
         };
         if !self.stall_detector.observe(now, work) {
@@ -180,7 +180,7 @@
         self.stuck.insert(self.settings.label.clone(), now);
         if self.settings.members.is_empty() || !self.peers.peers_reach_store(now) {
             if let Some(scheduler) = &mut self.scheduler {
-                scheduler.begin_small();
+                scheduler.slow_start();
             }
             return;
         }
@@ -203,7 +203,8 @@
             return;
         };
         let w = &self.settings.params.workers;
-        if self.settings.members.is_empty() || now.since(scheduler.took()) < w.report_s * 3.0 + 3.0
+        if self.settings.members.is_empty()
+            || now.since(scheduler.acquired_at()) < w.report_s * 3.0 + 3.0
         {
             return;
         }
@@ -240,7 +241,7 @@
         {
             return;
         }
-        let (heard, silent) = scheduler.hearing(now);
+        let (heard, silent) = scheduler.liveness_counts(now);
         if silent >= 2 && silent > heard * 2 {
             self.stepped_back = Some(now);
             // Nobody is known to hear more. Whoever does takes the lead at once;
@@ -283,19 +284,19 @@
         let Some(scheduler) = &self.scheduler else {
             return;
         };
-        if now.since(scheduler.took()) > 60.0
-            || now.since(scheduler.took()) < self.settings.params.workers.report_s * 1.5
+        if now.since(scheduler.acquired_at()) > 60.0
+            || now.since(scheduler.acquired_at()) < self.settings.params.workers.report_s * 1.5
         {
             return;
         }
-        let token = scheduler.token();
+        let token = scheduler.fencing_token();
         let targets: Vec<(MachineId, SocketAddrV4)> = self
             .fleet
             .endpoints()
             .filter(|(id, _)| {
                 scheduler
                     .machine(*id)
-                    .and_then(|m| m.last_heartbeat)
+                    .and_then(|m| m.last_heartbeat())
                     .is_none()
             })
             .filter(|(id, _)| self.nudged.get(id).is_none_or(|t| now.since(*t) > 3.0))
@@ -345,8 +346,8 @@
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
-        let token = scheduler.token();
-        for (machine, endpoint, incarnation, commands) in scheduler.take_stops() {
+        let token = scheduler.fencing_token();
+        for (machine, endpoint, incarnation, commands) in scheduler.take_pending_kills() {
             self.call_worker(machine, endpoint, token, incarnation, commands, out);
         }
     }
@@ -361,14 +362,14 @@
         let Some(scheduler) = &self.scheduler else {
             return;
         };
-        let (token, room) = (scheduler.token(), MAX_ASKED - self.nudges.len());
+        let (token, room) = (scheduler.fencing_token(), MAX_ASKED - self.nudges.len());
         let asked = |id: &MachineId| {
             self.asked
                 .get(id)
                 .is_some_and(|t| now.since(*t) < ASK_AGAIN_S)
         };
         let silent = scheduler
-            .silent_with_tasks(now)
+            .silent_machines_with_tasks(now)
             .filter(|(id, ..)| !asked(id));
         let silent: Vec<_> = silent.take(room).collect();
         self.asked.retain(|_, t| now.since(*t) < ASK_AGAIN_S);
--- a/crates/controller/src/node/timers/tests.rs
+++ b/crates/controller/src/node/timers/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
+use crate::worker_protocol::CommandVerb;
 
 #[test]
 fn direct_commands_keep_their_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/direct-commands.hex");
     let order = WorkerCommand {
-        verb: "clear",
+        verb: CommandVerb::Clear,
         task: "job-9/0".into(),
         attempt: 3,
         grace_period_s: None,
--- a/crates/controller/src/scheduler/aging.rs
+++ b/crates/controller/src/scheduler/aging.rs
@@ -5,10 +5,12 @@
 //! the same order. Reservations and the counts of preemptions are made anew: the bound in
 //! `docs/ageing.md` counts a failover for that.
 
+use super::allocation::Allocation;
 use super::bin_packing::PlacementPass;
 use super::cycle::SchedulingCycle;
 use super::feasibility::{is_feasible, violates_zone_rule, ZoneCounts};
-use super::types::{Allocation, Job, Machine};
+use super::job::Job;
+use super::machine::Machine;
 use super::{age_s, Scheduler};
 use crate::job_store::{JobKind, JobSpec};
 use crate::split::MachineType;
@@ -55,15 +57,15 @@
             .values()
             .filter(|machine| self.accepts_tasks(now, machine));
         let cpus = usable
-            .filter_map(|machine| machine_types.get(machine.machine_type?))
+            .filter_map(|machine| machine_types.get(machine.identity.machine_type?))
             .map(|machine_type| machine_type.cpus)
             .sum();
         let mut lane = PriorityLane::new(self.aging.lane_width_cpus(cpus));
         for allocation in self
             .machines
             .values()
-            .flat_map(|machine| machine.allocations.values())
-            .filter(|allocation| allocation.lane)
+            .flat_map(|machine| machine.resident.allocations.values())
+            .filter(|allocation| allocation.boosted)
         {
             lane.add(allocation.resources.cpus);
         }
@@ -79,10 +81,10 @@
         let mut lane = self.priority_lane(now, cycle.machine_types);
         cycle.filling_lane = true;
         'jobs: for id in boosted {
-            while let Some(job) = self.jobs.get(&id).filter(|job| job.waiting() > 0) {
+            while let Some(job) = self.jobs.get(&id).filter(|job| job.pending_tasks() > 0) {
                 let resources = job.resources();
                 let exceeded = self
-                    .team(&job.spec)
+                    .team_index(&job.spec)
                     .and_then(|team| self.quota_exceeded(cycle.team_usage[team], team, &resources));
                 if exceeded.is_some() {
                     // Its team's limit, and no lack of room, is in its way.
@@ -115,7 +117,11 @@
     ) {
         let max_jobs = (self.machines.len() / MACHINES_PER_STARVING_RESERVATION).max(1);
         for id in starving.iter().take(max_jobs) {
-            if self.jobs.get(id).is_some_and(|job| job.live.is_empty()) {
+            if self
+                .jobs
+                .get(id)
+                .is_some_and(|job| job.attempts_by_task.is_empty())
+            {
                 let _ = self.reserve_machine(now, cycle, *id);
             }
         }
@@ -129,10 +135,10 @@
         machine_types: &[MachineType],
         wanted: &[JobId],
     ) {
-        if self.reserved.is_empty() {
+        if self.reservations.is_empty() {
             return;
         }
-        let mut reserved = std::mem::take(&mut self.reserved);
+        let mut reserved = std::mem::take(&mut self.reservations);
         reserved.retain(|id, reservation| {
             let (Some(job), Some(machine)) =
                 (self.jobs.get(&id), self.machines.get(&reservation.machine))
@@ -140,6 +146,7 @@
                 return false;
             };
             let machine_type = machine
+                .identity
                 .machine_type
                 .and_then(|index| machine_types.get(index));
             wanted.contains(&id)
@@ -147,7 +154,7 @@
                 && machine_type
                     .is_some_and(|machine_type| is_feasible(&job.spec, machine_type, machine))
         });
-        self.reserved = reserved;
+        self.reservations = reserved;
     }
 
     /// Reserves the machine that will have room first for the job's next task. A reservation that
@@ -158,7 +165,7 @@
         cycle: &SchedulingCycle,
         id: JobId,
     ) -> Option<Reservation> {
-        if let Some(reservation) = self.reserved.get(id) {
+        if let Some(reservation) = self.reservations.get(id) {
             return Some(reservation);
         }
         let job = self.jobs.get(&id)?;
@@ -168,13 +175,15 @@
             .machines
             .iter()
             .filter(|(_, machine)| self.accepts_tasks(now, machine))
-            .filter(|(_, machine)| !violates_zone_rule(&job.spec, tasks_by_zone, &machine.zone))
+            .filter(|(_, machine)| {
+                !violates_zone_rule(&job.spec, tasks_by_zone, &machine.identity.zone)
+            })
             .filter_map(|(machine_id, machine)| {
                 let available_in_s = self.available_in_s(now, cycle, job, machine)?;
                 Some((*machine_id, available_in_s))
             })
             .collect();
-        let reservation = self.reserved.reserve(now, id, available.into_iter())?;
+        let reservation = self.reservations.reserve(now, id, available.into_iter())?;
         tracing::info!(
             machine = %reservation.machine,
             job = %id,
@@ -194,7 +203,7 @@
         job: &Job,
         machine: &Machine,
     ) -> Option<f64> {
-        let machine_type = cycle.machine_types.get(machine.machine_type?)?;
+        let machine_type = cycle.machine_types.get(machine.identity.machine_type?)?;
         if !is_feasible(&job.spec, machine_type, machine) {
             return None;
         }
@@ -209,28 +218,30 @@
             return;
         };
         let nominated: Vec<TaskId> = machine
+            .resident
             .allocations
             .iter()
-            .filter(|(_, allocation)| allocation.ahead.is_some())
+            .filter(|(_, allocation)| allocation.nominated_at.is_some())
             .map(|(task, _)| *task)
             .collect();
         for task in nominated {
-            self.end(now, machine_id, task, false, 0.0);
+            self.release_allocation(now, machine_id, task, false, 0.0);
         }
     }
 
     /// What occupies a machine, and for how long by the estimates.
     fn running_tasks(&self, now: Time, machine: &Machine) -> Vec<RunningTask> {
         let allocations = machine
+            .resident
             .allocations
             .iter()
-            .filter(|(_, allocation)| allocation.ahead.is_none());
+            .filter(|(_, allocation)| allocation.nominated_at.is_none());
         allocations
             .filter_map(|(task, allocation)| {
                 let job = self.jobs.get(&task.job)?;
                 // A service ends when it is told to, which nobody can foresee.
                 (job.spec.kind == JobKind::Batch).then(|| RunningTask {
-                    remaining_s: (self.run_s(job) - allocation.ran_s(now)).max(0.0),
+                    remaining_s: (self.expected_run_s(job) - allocation.ran_s(now)).max(0.0),
                     resources: allocation.resources,
                 })
             })
@@ -252,7 +263,7 @@
             .boost(job.spec.urgency, job.spec.submitted(), wall);
         let boosted = self.boosted_jobs(now, wall);
         let lane = self.priority_lane(now, machine_types);
-        let reservation = self.reserved.get(id);
+        let reservation = self.reservations.get(id);
         Some(Reason::PriorityAging {
             priority: boost.priority,
             age_s: age_s(wall, &job.spec).max(0.0),
@@ -267,14 +278,14 @@
     /// Whether a machine is reserved for another job, and a task of this one would stay there
     /// beyond the time at which it is needed.
     pub(super) fn is_reserved_for_other(&self, now: Time, machine: MachineId, id: JobId) -> bool {
-        let Some((owner, reservation)) = self.reserved.owner(machine) else {
+        let Some((owner, reservation)) = self.reservations.owner(machine) else {
             return false;
         };
         let Some(job) = self.jobs.get(&id) else {
             return false;
         };
-        let ends_in_time =
-            job.spec.kind == JobKind::Batch && reservation.admits_backfill(now, self.run_s(job));
+        let ends_in_time = job.spec.kind == JobKind::Batch
+            && reservation.admits_backfill(now, self.expected_run_s(job));
         owner != id && !ends_in_time
     }
 
@@ -284,6 +295,6 @@
             self.boosted_at_ms(&job.spec)
                 .is_some_and(|at_ms| at_ms <= wall.0)
         };
-        self.aging.is_enabled() && (allocation.lane || boosted_by_age())
+        self.aging.is_enabled() && (allocation.boosted || boosted_by_age())
     }
 }
--- a/crates/controller/src/scheduler/bin_packing.rs
+++ b/crates/controller/src/scheduler/bin_packing.rs
@@ -1,9 +1,10 @@
 //! Bin packing: first fit of a job's tasks onto machines that have room now, and the allocation
 //! itself, which every way of placing a task goes through.
 
+use super::allocation::Allocation;
 use super::cycle::{MachineCapacity, SchedulingCycle};
 use super::feasibility::{is_feasible, violates_zone_rule};
-use super::types::{resources_of, Allocation};
+use super::job::resources_of;
 use super::Scheduler;
 use crate::job_store::JobSpec;
 use crate::split::Resources;
@@ -77,8 +78,7 @@
             let index = candidate.index;
             while placed < max_tasks && resources.fits(&cycle.capacities[index].free) {
                 let machine = cycle.capacities[index].id;
-                let Some(zone) = self.machines.get(&machine).map(|found| found.zone.as_str())
-                else {
+                let Some(zone) = self.machines.get(&machine).map(|found| found.zone()) else {
                     break;
                 };
                 if violates_zone_rule(&spec, cycle.tasks_by_zone.entry(id).or_default(), zone) {
@@ -137,7 +137,7 @@
     ) -> Option<Candidate> {
         let machine = self.machines.get(&capacity.id)?;
         let machine_type = cycle.machine_types.get(capacity.machine_type)?;
-        let has_image = machine.images.contains(&spec.image);
+        let has_image = machine.resident.cached_images.contains(&spec.image);
         let allowed = is_feasible(spec, machine_type, machine)
             && (has_image || pass != PlacementPass::WithImage);
         allowed.then(|| Candidate {
@@ -145,7 +145,7 @@
             unacknowledged: capacity.unacknowledged,
             machine_type_cpus: machine_type.cpus,
             preference: MachinePreference {
-                on_demand: !machine.spot,
+                on_demand: !machine.identity.spot,
                 lacks_image: !has_image,
                 idle: !capacity.occupied,
                 free_milli_cpus: (capacity.free.cpus * 1000.0) as i64,
@@ -173,18 +173,18 @@
         let job = self.jobs.get_mut(&job_id)?;
         let machine = self.machines.get_mut(&machine_id)?;
         let index = job.next_task(now)?;
-        if job.busy() > 0 && self.fault_attribution.is_job_faulty(job_id) {
+        if job.active_tasks() > 0 && self.fault_attribution.is_job_faulty(job_id) {
             return None;
         }
         let task = TaskId { job: job_id, index };
-        if machine.allocations.contains_key(&task) {
+        if machine.resident.allocations.contains_key(&task) {
             return None;
         }
         self.next_attempt += 1;
         let attempt = Attempt(self.next_attempt);
         let mut allocation = Allocation::planned(attempt, resources, team, now, nominated);
-        allocation.lane = cycle.filling_lane;
-        machine.allocations.insert(task, allocation);
+        allocation.boosted = cycle.filling_lane;
+        machine.resident.allocations.insert(task, allocation);
         self.event_log.placed(job.spec.submitted);
         self.event_log.note(|| What::Placed {
             task: task.to_string(),
@@ -193,10 +193,10 @@
         });
         // It will be fetched for this task: the next one need not wait.
         machine.remember_image(&job.spec.image);
-        self.plans.push_back((machine_id, task));
-        job.retry.remove(&index);
-        *job.live.entry(index).or_insert(0) += 1;
-        cycle.count_in_zone(job_id, &machine.zone);
+        self.commit_queue.push_back((machine_id, task));
+        job.retry_at.remove(&index);
+        *job.attempts_by_task.entry(index).or_insert(0) += 1;
+        cycle.count_in_zone(job_id, &machine.identity.zone);
         cycle.consume(machine_id, team, &resources, nominated.is_some());
         Some(task)
     }
--- a/crates/controller/src/scheduler/cycle.rs
+++ b/crates/controller/src/scheduler/cycle.rs
@@ -2,8 +2,8 @@
 //! learnt so far. All that places tasks shares it; nothing of it outlives the cycle.
 
 use super::feasibility::ZoneCounts;
+use super::machine::Machine;
 use super::quota::TeamUsage;
-use super::types::Machine;
 use super::victims::PreemptionPlan;
 use super::Scheduler;
 use crate::faults::broken;
@@ -104,14 +104,14 @@
         settings: &'a Settings,
         machine_types: &'a [MachineType],
     ) -> SchedulingCycle<'a> {
-        let max_placements = placement_pages::rows_per_page(self.value_limit) * MAX_PAGES;
+        let max_placements = placement_pages::rows_per_page(self.max_value_bytes) * MAX_PAGES;
         let mut cycle = SchedulingCycle {
             settings,
             machine_types,
             capacities: Vec::new(),
             team_usage: vec![TeamUsage::default(); self.teams.len()],
             tasks_by_zone: BTreeMap::new(),
-            remaining_placements: max_placements.saturating_sub(self.plans.len()),
+            remaining_placements: max_placements.saturating_sub(self.commit_queue.len()),
             max_free_cpus: 0.0,
             filling_lane: false,
             upcoming_exits: None,
@@ -126,23 +126,24 @@
 
     /// Counts what is on a machine for its teams, and for the zones of its jobs.
     fn count_tasks(&self, machine: &Machine, cycle: &mut SchedulingCycle) {
-        for (task, allocation) in &machine.allocations {
+        for (task, allocation) in &machine.resident.allocations {
             // Guard: what is to be stopped counts until the proof that it is gone.
-            let forgotten = allocation.kill.is_some() && broken!(self.faults, forget_stopped);
+            let forgotten =
+                allocation.kill_grace_s.is_some() && broken!(self.faults, forget_stopped);
             if let Some(team) = allocation.team.filter(|_| !forgotten) {
                 cycle.team_usage[team].add(&allocation.resources);
             }
             if self.has_zone_rule(task.job) {
-                cycle.count_in_zone(task.job, &machine.zone);
+                cycle.count_in_zone(task.job, &machine.identity.zone);
             }
         }
-        for orphan in &machine.orphans {
+        for orphan in &machine.resident.orphans {
             if let Some(team) = orphan.team {
                 cycle.team_usage[team].add(&orphan.resources);
             }
             // Guards against `wrong_place`: it may stand in the way of its own job.
             if self.has_zone_rule(orphan.task.job) {
-                cycle.count_in_zone(orphan.task.job, &machine.zone);
+                cycle.count_in_zone(orphan.task.job, &machine.identity.zone);
             }
         }
     }
@@ -162,13 +163,18 @@
     ) {
         let free = machine.unpromised(cycle.machine_types);
         let Some(machine_type) = machine
+            .identity
             .machine_type
             .filter(|_| free.cpus > EPSILON && self.accepts_tasks(now, machine))
         else {
             return;
         };
         cycle.max_free_cpus = cycle.max_free_cpus.max(free.cpus);
-        let unacknowledged = machine.ack_tracker.unacknowledged_for_s(now).is_some();
+        let unacknowledged = machine
+            .acknowledgement
+            .tracker
+            .unacknowledged_for_s(now)
+            .is_some();
         if unacknowledged && !machine.is_empty() {
             return;
         }
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -3,11 +3,13 @@
 //! They are given by the functions that decide: the same order, the same limits, the same checks
 //! of each machine.
 
+use super::allocation::{Allocation, TaskPhase, TaskState};
 use super::feasibility::{
     unschedulable_reason, violates_zone_rule, BlockingReason, UnschedulableReason, ZoneCounts,
 };
+use super::job::Job;
+use super::machine::Machine;
 use super::queue::PauseReason;
-use super::types::{Allocation, Job, Machine, TaskPhase, TaskState};
 use super::{age_s, Scheduler};
 use crate::directives::ActiveDirectives;
 use crate::job_store::{JobSpec, JobState};
@@ -120,12 +122,12 @@
         let job = self.jobs.get(&id)?;
         let mut placed = Placed {
             done: job.progress.done_count(),
-            waiting: job.waiting(),
+            waiting: job.pending_tasks(),
             ..Placed::default()
         };
         let counts = self.list_tasks(now, id, &mut placed);
         let reasons = &mut placed.reasons;
-        if job.waiting() > 0 {
+        if job.pending_tasks() > 0 {
             self.explain_wait(now, wall, id, settings, machine_types, reasons);
         }
         if counts.fetching > 0 {
@@ -147,7 +149,7 @@
             });
         }
         if counts.inherited > 0 {
-            let until_s = self.inherited_until.until(now).max(0.0);
+            let until_s = self.previous_leases_until.until(now).max(0.0);
             reasons.push(Reason::Inherited {
                 tasks: counts.inherited,
                 until_s,
@@ -161,19 +163,20 @@
         let mut counts = AllocationCounts::default();
         for (machine_id, machine) in &self.machines {
             for (task, allocation) in machine
+                .resident
                 .allocations
                 .iter()
                 .filter(|(task, _)| task.job == id)
             {
                 match allocation.state {
                     TaskState::Observed(TaskPhase::FetchingImage) => {
-                        let fetching_s = now.since(allocation.placed);
+                        let fetching_s = now.since(allocation.placed_at);
                         counts.fetching += 1;
                         counts.longest_fetch_s = counts.longest_fetch_s.max(fetching_s);
                     }
                     TaskState::Observed(_) => placed.running += 1,
                     TaskState::Inherited => counts.inherited += 1,
-                    _ if allocation.ahead.is_some() => counts.nominated += 1,
+                    _ if allocation.nominated_at.is_some() => counts.nominated += 1,
                     _ => counts.starting += 1,
                 }
                 if placed.tasks.len() < MAX_ROWS {
@@ -181,8 +184,8 @@
                         task: task.to_string(),
                         machine: machine_id.to_string(),
                         state: allocation.state.name().into(),
-                        running_s: allocation.started.map(|started| now.since(started)),
-                        stopping: allocation.kill.is_some(),
+                        running_s: allocation.started_at.map(|started| now.since(started)),
+                        stopping: allocation.kill_grace_s.is_some(),
                     });
                 }
             }
@@ -209,7 +212,7 @@
         }
         let cycle = self.begin_cycle(now, settings, machine_types);
         let exceeded = self
-            .team(&job.spec)
+            .team_index(&job.spec)
             .and_then(|team| self.quota_exceeded(cycle.team_usage[team], team, &job.resources()));
         if let Some(exceeded) = exceeded {
             return reasons.push(Reason::TeamLimit {
@@ -276,7 +279,7 @@
         if ahead.is_empty() {
             return None;
         }
-        let waiting = |id: &JobId| self.jobs.get(id).map_or(0, Job::waiting);
+        let waiting = |id: &JobId| self.jobs.get(id).map_or(0, Job::pending_tasks);
         Some(Reason::Behind {
             jobs: ahead.len() as u32,
             tasks: ahead.iter().map(waiting).sum(),
@@ -299,6 +302,7 @@
         let mut report = FeasibilityReport::default();
         for (id, machine) in &self.machines {
             let Some(machine_type) = machine
+                .identity
                 .machine_type
                 .and_then(|index| machine_types.get(index))
             else {
@@ -307,7 +311,7 @@
             };
             if let Some(reason) = unschedulable_reason(&job.spec, machine_type, machine) {
                 report.count_unschedulable(reason);
-            } else if violates_zone_rule(&job.spec, tasks_by_zone, &machine.zone) {
+            } else if violates_zone_rule(&job.spec, tasks_by_zone, &machine.identity.zone) {
                 report.tally.other_zone += 1;
             } else if let Some(reason) = self.blocking_reason(now, machine) {
                 report.count_blocked(reason);
@@ -346,12 +350,12 @@
             return;
         };
         let free = machine.free(machine_types);
-        row.tasks = machine.allocations.len() as u32;
-        row.heard_s = machine.last_heartbeat.map(|at| now.since(at));
-        if machine.machine_type.is_some() {
+        row.tasks = machine.resident.allocations.len() as u32;
+        row.heard_s = machine.liveness.last_heartbeat.map(|at| now.since(at));
+        if machine.identity.machine_type.is_some() {
             row.free_cpus = free.cpus.max(0.0);
             row.free_memory_gb = free.memory_gb.max(0.0);
-            row.zone.clone_from(&machine.zone);
+            row.zone.clone_from(&machine.identity.zone);
         }
         row.state = self.machine_state(now, machine).into();
     }
@@ -361,7 +365,7 @@
         match self.blocking_reason(now, machine) {
             None | Some(BlockingReason::Refusing | BlockingReason::Unsynced) => "up",
             Some(BlockingReason::Unresponsive) => "deaf",
-            Some(BlockingReason::Silent) if machine.last_heartbeat.is_none() => "starting",
+            Some(BlockingReason::Silent) if machine.liveness.last_heartbeat.is_none() => "starting",
             Some(BlockingReason::Silent) => "silent",
             Some(BlockingReason::Reclaimed) => "taken",
             Some(BlockingReason::Returning) => "leaving",
@@ -401,9 +405,12 @@
             )
             .collect();
         for job in self.unfinished_jobs() {
-            if let Some(row) = self.team(&job.spec).and_then(|team| rows.get_mut(team)) {
+            if let Some(row) = self
+                .team_index(&job.spec)
+                .and_then(|team| rows.get_mut(team))
+            {
                 row.jobs_open += 1;
-                row.tasks_waiting += job.waiting();
+                row.tasks_waiting += job.pending_tasks();
             }
         }
         rows
@@ -412,7 +419,7 @@
     fn unfinished_jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs
             .values()
-            .filter(|job| job.state == JobState::Open && !job.complete())
+            .filter(|job| job.state == JobState::Open && !job.is_complete())
     }
 
     /// Numbers of the whole cluster.
@@ -420,9 +427,9 @@
         let mut totals = Totals::default();
         for job in self.unfinished_jobs() {
             totals.jobs_open += 1;
-            totals.jobs_running += u32::from(job.busy() > 0);
-            totals.tasks_waiting += job.waiting();
-            if job.waiting() > 0 {
+            totals.jobs_running += u32::from(job.active_tasks() > 0);
+            totals.tasks_waiting += job.pending_tasks();
+            if job.pending_tasks() > 0 {
                 totals.oldest_wait_s = totals.oldest_wait_s.max(age_s(wall, &job.spec));
             }
         }
@@ -430,8 +437,14 @@
             matches!(allocation.state, TaskState::Observed(TaskPhase::Running))
         };
         for machine in self.machines.values() {
-            totals.tasks_running += machine.allocations.values().filter(running).count() as u32;
+            totals.tasks_running += machine
+                .resident
+                .allocations
+                .values()
+                .filter(running)
+                .count() as u32;
             let Some(machine_type) = machine
+                .identity
                 .machine_type
                 .and_then(|index| machine_types.get(index))
             else {
--- a/crates/controller/src/scheduler/feasibility.rs
+++ b/crates/controller/src/scheduler/feasibility.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing here compares free resources; that is the business of `bin_packing`.
 
-use super::types::Machine;
+use super::machine::Machine;
 use super::Scheduler;
 use crate::job_store::JobSpec;
 use crate::split::MachineType;
@@ -36,9 +36,13 @@
         .is_some_and(|labels| !labels.contains(&machine_type.label))
     {
         Some(UnschedulableReason::MachineType)
-    } else if spec.zone.as_ref().is_some_and(|zone| *zone != machine.zone) {
+    } else if spec
+        .zone
+        .as_ref()
+        .is_some_and(|zone| *zone != machine.identity.zone)
+    {
         Some(UnschedulableReason::Zone)
-    } else if machine.spot && !spec.spot {
+    } else if machine.identity.spot && !spec.spot {
         Some(UnschedulableReason::Spot)
     } else {
         None
@@ -93,19 +97,26 @@
     /// The first reason that keeps all tasks from a machine.
     pub(super) fn blocking_reason(&self, now: Time, machine: &Machine) -> Option<BlockingReason> {
         let alive = machine
+            .liveness
             .last_heartbeat
-            .is_some_and(|at| now.since(at) < self.silent_s());
+            .is_some_and(|at| now.since(at) < self.silence_timeout_s());
         let conditions = [
-            (machine.drain.is_some(), BlockingReason::Drained),
-            (machine.draining, BlockingReason::Returning),
-            (!alive || !machine.steady, BlockingReason::Silent),
-            (!machine.has_our_token, BlockingReason::Unsynced),
-            (machine.reclaim, BlockingReason::Reclaimed),
-            (machine.quarantined, BlockingReason::Quarantined),
-            (machine.slow, BlockingReason::Slow),
-            (now < machine.refuses_until, BlockingReason::Refusing),
+            (machine.lifecycle.drain.is_some(), BlockingReason::Drained),
+            (machine.lifecycle.returning, BlockingReason::Returning),
+            (!alive || !machine.liveness.regular, BlockingReason::Silent),
+            (
+                !machine.acknowledgement.has_current_token,
+                BlockingReason::Unsynced,
+            ),
+            (
+                machine.lifecycle.reclaim_announced,
+                BlockingReason::Reclaimed,
+            ),
+            (machine.health.quarantined, BlockingReason::Quarantined),
+            (machine.health.slow, BlockingReason::Slow),
+            (now < machine.health.refuses_until, BlockingReason::Refusing),
             (
-                machine.ack_tracker.in_backoff(now),
+                machine.acknowledgement.tracker.in_backoff(now),
                 BlockingReason::Unresponsive,
             ),
         ];
--- /dev/null
+++ b/crates/controller/src/scheduler/job.rs
@@ -0,0 +1,175 @@
+//! A job as the scheduler knows it: which of its tasks are done, placed or pending.
+
+use crate::job_store::{JobKind, JobSpec, JobState};
+use crate::progress::{JobProgress, OpenJobs};
+use crate::split::Resources;
+use beamhinge_core::types::{JobId, Revision, Time, WallMs};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// What a task takes whose job has no description: a whole machine.
+pub(super) const UNKNOWN_NEED: Resources = Resources {
+    cpus: 1e9,
+    gpus: 0.0,
+    memory_gb: 0.0,
+};
+
+/// Run times of a job's tasks over the estimate.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct RunTimeRatios {
+    /// Sum of the ratios' logarithms.
+    pub(super) log_sum: f64,
+    /// How many tasks have ended.
+    pub(super) samples: u32,
+}
+
+impl RunTimeRatios {
+    /// The geometric mean; meaningless without samples.
+    pub(super) fn mean(self) -> f64 {
+        (self.log_sum / f64::from(self.samples)).exp()
+    }
+
+    pub(super) fn record(&mut self, ratio: f64) {
+        self.log_sum += ratio.ln();
+        self.samples += 1;
+    }
+}
+
+/// A job that was accepted, until nothing of it is left on any machine.
+#[derive(Debug)]
+pub(super) struct Job {
+    /// What its user asked for.
+    pub(super) spec: Rc<JobSpec>,
+    /// Revision of its key in the state service.
+    pub(super) revision: Revision,
+    /// Whether it is open, done or cancelled.
+    pub(super) state: JobState,
+    /// Which of its tasks are done.
+    pub(super) progress: JobProgress,
+    /// No task from this index on was ever placed.
+    pub(super) next_unstarted: u32,
+    /// Tasks that ended without being done, and from when each may be tried again.
+    pub(super) retry_at: BTreeMap<u32, Time>,
+    /// Tasks with an allocation or an orphan somewhere, and how many of these.
+    pub(super) attempts_by_task: BTreeMap<u32, u32>,
+    /// How far its run times are from the estimate.
+    pub(super) run_time_ratios: RunTimeRatios,
+    /// Nothing of it is placed until then.
+    pub(super) hold_until: Time,
+}
+
+impl Job {
+    /// An open job of which nothing is placed or done.
+    pub(super) fn new(spec: Rc<JobSpec>, revision: Revision, chunk_size: u32, now: Time) -> Job {
+        Job {
+            spec,
+            revision,
+            state: JobState::Open,
+            progress: JobProgress::new(chunk_size),
+            next_unstarted: 0,
+            retry_at: BTreeMap::new(),
+            attempts_by_task: BTreeMap::new(),
+            run_time_ratios: RunTimeRatios::default(),
+            hold_until: now,
+        }
+    }
+
+    /// Whether all its tasks are done; a service never is.
+    pub(super) fn is_complete(&self) -> bool {
+        self.spec.kind == JobKind::Batch && self.progress.done_count() >= self.spec.tasks
+    }
+
+    /// What each of its tasks takes.
+    pub(super) fn resources(&self) -> Resources {
+        resources_of(&self.spec)
+    }
+
+    /// Number of tasks that are on some machine, or planned for one, and not done yet.
+    pub(super) fn active_tasks(&self) -> u32 {
+        self.attempts_by_task
+            .keys()
+            .filter(|index| !self.progress.is_done(**index))
+            .count() as u32
+    }
+
+    /// Number of tasks that wait for a machine.
+    pub(super) fn pending_tasks(&self) -> u32 {
+        self.spec
+            .tasks
+            .saturating_sub(self.progress.done_count() + self.active_tasks())
+    }
+
+    /// Counts one more allocation or orphan of the task.
+    pub(super) fn add_attempt(&mut self, index: u32) {
+        *self.attempts_by_task.entry(index).or_insert(0) += 1;
+    }
+
+    /// Counts one allocation or orphan of the task less; true when none is left.
+    pub(super) fn release_attempt(&mut self, index: u32) -> bool {
+        match self.attempts_by_task.get_mut(&index) {
+            Some(attempts) if *attempts > 1 => {
+                *attempts -= 1;
+                false
+            }
+            _ => {
+                self.attempts_by_task.remove(&index);
+                true
+            }
+        }
+    }
+
+    /// The task to place next: one that is to be tried again, else the lowest that was
+    /// never placed.
+    pub(super) fn next_task(&mut self, now: Time) -> Option<u32> {
+        let ready = self
+            .retry_at
+            .iter()
+            .find(|(index, at)| {
+                **at <= now
+                    && !self.attempts_by_task.contains_key(index)
+                    && !self.progress.is_done(**index)
+            })
+            .map(|(index, _)| *index);
+        if ready.is_some() {
+            return ready;
+        }
+        while self.next_unstarted < self.spec.tasks {
+            let index = self.next_unstarted;
+            if self.progress.is_done(index)
+                || self.attempts_by_task.contains_key(&index)
+                || self.retry_at.contains_key(&index)
+            {
+                self.next_unstarted += 1;
+            } else {
+                return Some(index);
+            }
+        }
+        None
+    }
+}
+
+impl OpenJobs for BTreeMap<JobId, Job> {
+    fn progress(&mut self, job: JobId) -> Option<(u32, &mut JobProgress)> {
+        self.get_mut(&job)
+            .map(|job| (job.spec.tasks, &mut job.progress))
+    }
+}
+
+/// CPUs that all tasks of a job take together.
+pub(super) fn total_cpus(spec: &JobSpec) -> f64 {
+    f64::from(spec.tasks) * spec.cpus
+}
+
+/// What one task of a job takes.
+pub(super) fn resources_of(spec: &JobSpec) -> Resources {
+    Resources {
+        cpus: spec.cpus,
+        gpus: spec.gpus,
+        memory_gb: spec.memory_gb,
+    }
+}
+
+/// Seconds since the submission, by the time of day.
+pub(super) fn age_s(wall: WallMs, spec: &JobSpec) -> f64 {
+    (wall.0 as f64 - spec.submitted as f64) / 1e3
+}
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -13,13 +13,12 @@
 use crate::job_store::{self, JobKind, JobSpec, JobState, JobStore};
 use crate::leader_election::BLOCK_KEY;
 use crate::placement_pages::{self, PageId, PlacementPages, PlacementRow};
-use crate::progress::{self, JobProgress, OpenJobs, ProgressPages, ProgressWrite};
+use crate::progress::{self, ProgressPages, ProgressWrite};
 use crate::split::{Demand, MachineType, Resources, EPSILON};
 use crate::store::{
-    CommitResponse, KeyValue, Outcome, Priority, Reply, ScanResponse, StoreClient, Transaction,
+    CommitResponse, Outcome, Priority, Reply, ScanResponse, StoreClient, Transaction,
     TransactionError,
 };
-use beamhinge_admin_api::directives::Directive;
 use beamhinge_admin_api::messages::What;
 use beamhinge_core::messages::TaskCounts;
 use beamhinge_core::settings::Settings;
@@ -27,24 +26,30 @@
     Attempt, FencingToken, JobId, MachineId, Revision, TaskId, Time, WallMs,
 };
 use beamhinge_core::wire;
-use beamhinge_failure_detection::{AckTracker, FaultAttribution, ReportInterval};
+use beamhinge_failure_detection::{FaultAttribution, ReportInterval};
 use beamhinge_preemption::{Nominations, PreemptionHistory, PreemptionStats};
 use beamhinge_priority_aging::{AgingPolicy, Reservations};
 use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction};
-use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use types::*;
-pub use types::{CommitOutcome, Machine, ReportedTask, WorkerCommand, WorkerReport};
+use allocation::{Allocation, OrphanTask, TaskPhase, TaskState};
+use job::{age_s, resources_of, total_cpus, Job, UNKNOWN_NEED};
+use types::{InFlightCommit, RecoveryLoad, WorkUnit};
+
+pub use machine::Machine;
+pub use types::CommitOutcome;
 
 mod aging;
+mod allocation;
 mod bin_packing;
 mod cycle;
 mod drain;
 mod explain;
 mod feasibility;
+mod job;
+mod machine;
 mod nomination;
 mod persistence;
 mod plan;
@@ -64,7 +69,7 @@
 /// How often machines are looked over for silence.
 const SILENCE_S: f64 = 0.2;
 /// Tasks of a job that must have ended before it is judged by them.
-const RATIOS: u32 = 4;
+const MIN_RUN_TIME_SAMPLES: u32 = 4;
 /// Direct calls to workers that go out together.
 const MAX_STOPS: usize = 16;
 
@@ -80,93 +85,93 @@
 const MAX_STOPPED_TASKS: usize = 16_384;
 
 pub struct Scheduler {
-    token: FencingToken,
-    took: Time,
+    fencing_token: FencingToken,
+    acquired_at: Time,
     /// Until when an earlier holder's answers may still keep tasks alive.
-    inherited_until: Time,
+    previous_leases_until: Time,
     lease_s: f64,
     report_s: f64,
     margin_s: f64,
-    value_limit: usize,
+    max_value_bytes: usize,
     /// How waiting jobs rise.
     aging: AgingPolicy,
     /// Machines kept for risen tasks that fit nowhere now.
-    reserved: Reservations,
+    reservations: Reservations,
     /// Tasks that were stopped for others.
     preemption_history: PreemptionHistory,
     /// Whose fault failures are.
     fault_attribution: FaultAttribution,
-    /// Places that are kept for those they were stopped for.
+    /// Nominations that are kept for those they were stopped for.
     nominations: Nominations,
     /// The CPUs of the largest job that was seen of each class.
-    largest: BTreeMap<String, f64>,
+    largest_job_cpus: BTreeMap<String, f64>,
     /// Machines that the cloud has confirmed to be gone: reports in their names are
     /// copies that come late.
-    gone: BTreeSet<MachineId>,
+    removed_machines: BTreeSet<MachineId>,
     /// When all that could be stopped was looked at last.
     last_preemption_check: Time,
     /// When we ourselves came back from standing still.
-    pub back_at: Option<Time>,
+    pub resumed_at: Option<Time>,
     /// The state service answered a moment ago: what is planned will be committed.
-    in_touch: bool,
+    store_reachable: bool,
     machines: BTreeMap<MachineId, Machine>,
     jobs: BTreeMap<JobId, Job>,
     pages: PlacementPages,
     progress_pages: ProgressPages,
-    progress_written_at: Time,
+    last_progress_write: Time,
     /// Machines on which something is to be stopped without delay.
-    stops: BTreeSet<MachineId>,
+    pending_kills: BTreeSet<MachineId>,
     /// Planned, in this order, and not yet in a transaction.
-    plans: VecDeque<(MachineId, TaskId)>,
+    commit_queue: VecDeque<(MachineId, TaskId)>,
     /// Jobs all of whose tasks are done, though their key does not say so yet.
-    complete: BTreeSet<JobId>,
+    completed_jobs: BTreeSet<JobId>,
     /// Jobs that are over, until nothing of them is left anywhere.
-    closing: BTreeSet<JobId>,
-    load: Option<RecoveryLoad>,
+    terminating_jobs: BTreeSet<JobId>,
+    recovery: Option<RecoveryLoad>,
     loaded: bool,
-    stopped: bool,
+    halted: bool,
     in_flight: Option<InFlightCommit>,
-    retry_at: Time,
+    next_commit_at: Time,
     /// How a refused transaction is tried again.
-    backoff: AdaptiveBackoff,
+    commit_backoff: AdaptiveBackoff,
     /// How the books are read again.
-    loads: AdaptiveBackoff,
+    load_backoff: AdaptiveBackoff,
     /// Set aside, and until when.
     deferred: BTreeMap<WorkUnit, Time>,
     /// Whose turn it is where few writes fit.
-    turn: usize,
+    next_write_kind: usize,
     last_progress_page: usize,
-    cleaned_at: Time,
+    last_cleanup: Time,
     /// When the books last moved: a commit or a reply to a load.
-    moved: Time,
+    last_store_progress: Time,
     /// Tasks that the books do not know: since when, how many, one of them.
-    strangers: Option<(Time, usize, String)>,
+    unreported_orphans: Option<(Time, usize, String)>,
     /// How long reports usually stay away.
     report_interval: ReportInterval,
     /// What tests put in.
     pub faults: Faults,
-    planned_at: Time,
-    silence_at: Time,
+    last_cycle: Time,
+    last_silence_check: Time,
     replan: bool,
     next_attempt: u64,
     teams: Vec<(f64, f64, f64, f64)>,
     /// The key and stamp of the configuration that the teams are from.
-    configuration: Option<(&'static str, Revision)>,
+    configuration_condition: Option<(&'static str, Revision)>,
     /// No `run` is sent from then on, until the configuration is read again.
-    runs_until: Option<Time>,
+    runs_allowed_until: Option<Time>,
     /// Some team uses more than a limit that was lowered.
-    above_limits: bool,
+    teams_over_quota: bool,
     active_directives: Rc<ActiveDirectives>,
     pub event_log: EventLog,
     team_names: Vec<String>,
     /// class -> run time over estimate
-    runs: BTreeMap<String, f64>,
+    run_time_ratios: BTreeMap<String, f64>,
 }
 
 impl Scheduler {
     pub fn new(
         settings: &Settings,
-        token: FencingToken,
+        fencing_token: FencingToken,
         active_directives: Rc<ActiveDirectives>,
         event_log: EventLog,
         aging: AgingPolicy,
@@ -179,55 +184,56 @@
         // may be cut off and still be answering.
         let old_answers = settings.serving_deadline_s();
         Scheduler {
-            token,
-            took: now,
-            inherited_until: now.plus((old_answers + w.lease_s) * 1.002 + settings.margin_s()),
+            fencing_token,
+            acquired_at: now,
+            previous_leases_until: now
+                .plus((old_answers + w.lease_s) * 1.002 + settings.margin_s()),
             lease_s: w.lease_s,
             report_s: w.report_s,
             margin_s: settings.margin_s(),
             aging,
-            reserved: Reservations::default(),
+            reservations: Reservations::default(),
             preemption_history: PreemptionHistory::new(MAX_STOPPED_TASKS),
             fault_attribution: FaultAttribution::default(),
             nominations: Nominations::default(),
-            largest: BTreeMap::new(),
-            gone: BTreeSet::new(),
+            largest_job_cpus: BTreeMap::new(),
+            removed_machines: BTreeSet::new(),
             last_preemption_check: Time::default(),
-            back_at: None,
-            in_touch: false,
+            resumed_at: None,
+            store_reachable: false,
             machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            pages: PlacementPages::new(token),
+            pages: PlacementPages::new(fencing_token),
             progress_pages: ProgressPages::new(settings.value_limit()),
-            progress_written_at: Time::default(),
-            stops: BTreeSet::new(),
-            plans: VecDeque::new(),
-            complete: BTreeSet::new(),
-            closing: BTreeSet::new(),
-            value_limit: settings.value_limit(),
-            load: None,
+            last_progress_write: Time::default(),
+            pending_kills: BTreeSet::new(),
+            commit_queue: VecDeque::new(),
+            completed_jobs: BTreeSet::new(),
+            terminating_jobs: BTreeSet::new(),
+            max_value_bytes: settings.value_limit(),
+            recovery: None,
             loaded: false,
-            stopped: false,
+            halted: false,
             in_flight: None,
-            retry_at: Time::default(),
-            backoff: AdaptiveBackoff::new(0.15, 4.0),
-            loads: AdaptiveBackoff::new(0.2, 2.0),
+            next_commit_at: Time::default(),
+            commit_backoff: AdaptiveBackoff::new(0.15, 4.0),
+            load_backoff: AdaptiveBackoff::new(0.2, 2.0),
             deferred: BTreeMap::new(),
-            turn: 0,
+            next_write_kind: 0,
             last_progress_page: 0,
-            cleaned_at: now,
-            moved: now,
-            strangers: None,
+            last_cleanup: now,
+            last_store_progress: now,
+            unreported_orphans: None,
             report_interval: ReportInterval::new(w.report_s),
             faults: Faults::default(),
-            planned_at: Time::default(),
-            silence_at: Time::default(),
+            last_cycle: Time::default(),
+            last_silence_check: Time::default(),
             replan: true,
-            next_attempt: token.0 << 20,
-            runs: BTreeMap::new(),
-            configuration: None,
-            runs_until: None,
-            above_limits: false,
+            next_attempt: fencing_token.0 << 20,
+            run_time_ratios: BTreeMap::new(),
+            configuration_condition: None,
+            runs_allowed_until: None,
+            teams_over_quota: false,
             active_directives,
             event_log,
             team_names: settings
@@ -245,15 +251,15 @@
         }
     }
 
-    fn team(&self, spec: &JobSpec) -> Option<usize> {
+    fn team_index(&self, spec: &JobSpec) -> Option<usize> {
         self.team_names.iter().position(|n| **n == *spec.team)
     }
 
-    pub fn token(&self) -> FencingToken {
-        self.token
+    pub fn fencing_token(&self) -> FencingToken {
+        self.fencing_token
     }
-    pub fn took(&self) -> Time {
-        self.took
+    pub fn acquired_at(&self) -> Time {
+        self.acquired_at
     }
     pub fn loaded(&self) -> bool {
         self.loaded
@@ -265,20 +271,24 @@
         self.machines.get(&id)
     }
     /// How many machines with tasks we hear, and how many we do not.
-    pub fn hearing(&self, now: Time) -> (u32, u32) {
+    pub fn liveness_counts(&self, now: Time) -> (u32, u32) {
         let patience = self.report_s * 2.5 + 2.0;
         let (mut last_heartbeat, mut silent) = (0, 0);
         let there = |m: &Machine| {
-            !m.orphans.is_empty() || m.allocations.values().any(Allocation::may_be_there)
+            !m.resident.orphans.is_empty()
+                || m.resident
+                    .allocations
+                    .values()
+                    .any(Allocation::may_be_on_machine)
         };
         for m in self
             .machines
             .values()
             .filter(|m| !m.rotates_controllers(now))
         {
-            match m.last_heartbeat.unwrap_or(self.took) {
+            match m.liveness.last_heartbeat.unwrap_or(self.acquired_at) {
                 at if now.since(at) <= patience => {
-                    last_heartbeat += u32::from(m.last_heartbeat.is_some())
+                    last_heartbeat += u32::from(m.liveness.last_heartbeat.is_some())
                 }
                 // What was never sent there tells nothing.
                 _ => silent += u32::from(there(m)),
@@ -289,35 +299,35 @@
 
     /// What making room came to in this term.
     pub fn preemption_stats(&self) -> &PreemptionStats {
-        self.nominations.stats()
+        &self.nominations.stats()
     }
 
-    /// Places kept now, and how many there may be.
-    pub fn places(&self) -> (usize, usize) {
+    /// Nominations kept now, and how many there may be.
+    pub fn nomination_counts(&self) -> (usize, usize) {
         (self.nominations.open_count(), self.nominations.window())
     }
 
     /// When the books last moved.
-    pub fn moved(&self) -> Time {
-        self.moved
+    pub fn last_store_progress(&self) -> Time {
+        self.last_store_progress
     }
 
     /// There is something to write, or to read before anything can be.
     pub fn has_work(&self) -> bool {
         !self.loaded
-            || self.load.is_some()
+            || self.recovery.is_some()
             || self.in_flight.is_some()
-            || !self.plans.is_empty()
+            || !self.commit_queue.is_empty()
             || self
-                .complete
+                .completed_jobs
                 .iter()
-                .any(|id| !self.resting(WorkUnit::Job(*id)))
-            || self.stopped
+                .any(|id| !self.is_deferred(WorkUnit::Job(*id)))
+            || self.halted
     }
 
     /// Another holder got nowhere: begin with the smallest transactions.
-    pub fn begin_small(&mut self) {
-        self.backoff.slow_start();
+    pub fn slow_start(&mut self) {
+        self.commit_backoff.slow_start();
     }
 
     /// Silence from which a machine is overdue, seconds.
@@ -326,21 +336,21 @@
     }
 
     /// It reports again before it was given back.
-    pub fn undrain(&mut self, id: MachineId) {
+    pub fn cancel_return(&mut self, id: MachineId) {
         if let Some(m) = self.machines.get_mut(&id) {
-            m.draining = false;
+            m.lifecycle.returning = false;
             self.replan = true;
         }
     }
 
     /// The machine goes back to the cloud.
-    pub fn drain(&mut self, id: MachineId, why: &str) {
+    pub fn begin_return(&mut self, id: MachineId, why: &str) {
         self.event_log.note(|| What::Returned {
             machine: id.to_string(),
             why: why.to_string(),
         });
         if let Some(m) = self.machines.get_mut(&id) {
-            m.draining = true;
+            m.lifecycle.returning = true;
         }
     }
 
@@ -348,7 +358,7 @@
         let job = self.jobs.get(&id)?;
         Some(TaskCounts {
             done: job.progress.done_count(),
-            running: job.busy(),
+            running: job.active_tasks(),
         })
     }
 
@@ -362,7 +372,7 @@
     pub fn demands(&self, wall: WallMs) -> Vec<Demand> {
         let mut out = Vec::new();
         for (id, job) in &self.jobs {
-            if job.state != JobState::Open || job.complete() {
+            if job.state != JobState::Open || job.is_complete() {
                 continue;
             }
             // Nothing is rented for what may not start.
@@ -388,7 +398,7 @@
             left
         };
         // Above its team's limit nothing of it can run.
-        let limit = self.team(&job.spec).map(|t| self.teams[t].1);
+        let limit = self.team_index(&job.spec).map(|t| self.teams[t].1);
         let most = match limit {
             Some(cpus) if cpus > 0.0 && job.spec.cpus > 0.0 => {
                 (cpus / job.spec.cpus + EPSILON) as u32
@@ -400,8 +410,8 @@
             class: job.spec.class.clone(),
             resources: job.resources(),
             left: left.min(most),
-            placed: job.busy().min(most),
-            run_s: self.run_s(job),
+            placed: job.active_tasks().min(most),
+            run_s: self.expected_run_s(job),
             age_s: age_s(wall, &job.spec),
             due_s: job.spec.due_s,
             image_gb: job.spec.image_gb,
@@ -415,7 +425,7 @@
 
     /// Room on a machine by when it is or becomes free, for the fleet's look
     /// ahead.
-    pub fn room_over_time(
+    pub fn capacity_over_time(
         &self,
         now: Time,
         id: MachineId,
@@ -425,16 +435,16 @@
         let Some(m) = self.machines.get(&id) else {
             return;
         };
-        let Some(machine_type) = m.machine_type.and_then(|s| machine_types.get(s)) else {
+        let Some(machine_type) = m.identity.machine_type.and_then(|s| machine_types.get(s)) else {
             return;
         };
         let mut free = machine_type.cpus;
-        for (task, e) in &m.allocations {
+        for (task, e) in &m.resident.allocations {
             free -= e.resources.cpus;
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            let run_s = self.run_s(job);
+            let run_s = self.expected_run_s(job);
             let ran = e.ran_s(now);
             // What runs longer than expected may go on as long again.
             let left = if ran < run_s {
@@ -453,27 +463,30 @@
 
     /// Run time of a job's task as far as known: by its own tasks that ended,
     /// else by those of its class, else as estimated.
-    fn run_s(&self, job: &Job) -> f64 {
-        let factor = match job.ratios {
-            (sum, n) if n >= RATIOS => (sum / f64::from(n)).exp(),
-            _ => self.run_factor(&job.spec.class),
+    fn expected_run_s(&self, job: &Job) -> f64 {
+        let factor = if job.run_time_ratios.samples >= MIN_RUN_TIME_SAMPLES {
+            job.run_time_ratios.mean()
+        } else {
+            self.class_run_time_ratio(&job.spec.class)
         };
         job.spec.expected_run_s * factor
     }
 
     /// How far runs of a class were from their estimates.
-    fn run_factor(&self, class: &str) -> f64 {
-        self.runs.get(class).copied().unwrap_or(1.0)
+    fn class_run_time_ratio(&self, class: &str) -> f64 {
+        self.run_time_ratios.get(class).copied().unwrap_or(1.0)
     }
 
-    pub fn runs(&self) -> &BTreeMap<String, f64> {
-        &self.runs
+    pub fn run_time_ratios(&self) -> &BTreeMap<String, f64> {
+        &self.run_time_ratios
     }
 
-    pub fn restore_runs(&mut self, runs: BTreeMap<String, f64>) {
+    pub fn restore_run_time_ratios(&mut self, runs: BTreeMap<String, f64>) {
         for (class, factor) in runs {
             if factor.is_finite() && factor > 0.0 {
-                self.runs.entry(class).or_insert(factor.clamp(0.2, 5.0));
+                self.run_time_ratios
+                    .entry(class)
+                    .or_insert(factor.clamp(0.2, 5.0));
             }
         }
     }
@@ -490,9 +503,9 @@
             job.revision = entry.revision;
             if job.state == JobState::Open && entry.state != JobState::Open {
                 job.state = entry.state;
-                self.closing.insert(id);
-                self.complete.remove(&id);
-                self.wind_up(now, id);
+                self.terminating_jobs.insert(id);
+                self.completed_jobs.remove(&id);
+                self.terminate_job(now, id);
             }
             return;
         }
@@ -500,22 +513,28 @@
             return;
         }
         if let Some(spec) = &entry.spec {
-            let chunk = progress::chunk_size(self.value_limit);
-            if self.largest.len() < CLASSES_KNOWN || self.largest.contains_key(&*spec.class) {
-                let known = self.largest.entry(spec.class.to_string()).or_default();
-                *known = known.max(size_of(spec));
+            let chunk = progress::chunk_size(self.max_value_bytes);
+            if self.largest_job_cpus.len() < CLASSES_KNOWN
+                || self.largest_job_cpus.contains_key(&*spec.class)
+            {
+                let known = self
+                    .largest_job_cpus
+                    .entry(spec.class.to_string())
+                    .or_default();
+                *known = known.max(total_cpus(spec));
             }
             self.jobs
-                .insert(id, new_job(spec.clone(), entry.revision, chunk, now));
+                .insert(id, Job::new(spec.clone(), entry.revision, chunk, now));
         }
     }
 
     /// The job is over: nothing of it may start, everything must go.
-    fn wind_up(&mut self, now: Time, id: JobId) {
+    fn terminate_job(&mut self, now: Time, id: JobId) {
         let ids: Vec<MachineId> = self.machines.keys().copied().collect();
         for machine in ids {
             let tasks: Vec<TaskId> = match self.machines.get_mut(&machine) {
                 Some(m) => m
+                    .resident
                     .allocations
                     .keys()
                     .filter(|t| t.job == id)
@@ -524,30 +543,41 @@
                 None => continue,
             };
             for task in tasks {
-                let Some(e) = self.entry(machine, task) else {
+                let Some(e) = self.allocation_mut(machine, task) else {
                     continue;
                 };
-                e.kill = Some(0.0);
+                e.kill_grace_s = Some(0.0);
                 // `run` was never sent, or proven lost: it cannot be there.
                 if matches!(e.state, TaskState::Planned | TaskState::Committed) {
-                    self.end(now, machine, task, false, 0.0);
+                    self.release_allocation(now, machine, task, false, 0.0);
                 } else {
-                    self.stops.insert(machine);
+                    self.pending_kills.insert(machine);
                 }
             }
         }
     }
 
-    fn entry(&mut self, machine: MachineId, task: TaskId) -> Option<&mut Allocation> {
-        self.machines.get_mut(&machine)?.allocations.get_mut(&task)
+    fn allocation_mut(&mut self, machine: MachineId, task: TaskId) -> Option<&mut Allocation> {
+        self.machines
+            .get_mut(&machine)?
+            .resident
+            .allocations
+            .get_mut(&task)
     }
 
     /// Guard 3: called only with proof that the task is off the machine.
-    fn end(&mut self, now: Time, machine: MachineId, task: TaskId, done: bool, delay: f64) {
+    fn release_allocation(
+        &mut self,
+        now: Time,
+        machine: MachineId,
+        task: TaskId,
+        done: bool,
+        delay: f64,
+    ) {
         let Some(m) = self.machines.get_mut(&machine) else {
             return;
         };
-        let Some(e) = m.allocations.remove(&task) else {
+        let Some(e) = m.resident.allocations.remove(&task) else {
             return;
         };
         if let Some(page) = e.page {
@@ -559,14 +589,14 @@
         if self.nominations.on_abandoned(now, task, e.attempt) {
             tracing::info!("{task} gives up its place on {machine}, for which others were stopped");
         }
-        if m.allocations.is_empty() {
-            m.idle_since = now;
+        if m.resident.allocations.is_empty() {
+            m.lifecycle.idle_since = now;
         }
         self.replan = true;
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.release(task.index);
+            job.release_attempt(task.index);
             if !done && !job.progress.is_done(task.index) {
-                job.retry.insert(task.index, now.plus(delay));
+                job.retry_at.insert(task.index, now.plus(delay));
             }
         }
         if done {
@@ -578,12 +608,12 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        job.retry.remove(&task.index);
+        job.retry_at.remove(&task.index);
         job.progress.mark_done(task.index);
         self.progress_pages
             .mark_dirty(task.job, task.index, job.spec.tasks);
-        if job.complete() && job.state == JobState::Open {
-            self.complete.insert(task.job);
+        if job.is_complete() && job.state == JobState::Open {
+            self.completed_jobs.insert(task.job);
         }
     }
 
@@ -600,12 +630,16 @@
         job_store: &JobStore,
         store: &mut StoreClient<Tag>,
     ) {
-        if self.stopped {
+        if self.halted {
             return;
         }
         if !self.loaded {
             // Jobs first: pages mean nothing without them.
-            if job_store.loaded() && job_store.fresh_as_of().is_some_and(|f| f >= self.took) {
+            if job_store.loaded()
+                && job_store
+                    .fresh_as_of()
+                    .is_some_and(|f| f >= self.acquired_at)
+            {
                 self.reload();
             }
             self.drive_load(now, store);
@@ -613,34 +647,43 @@
         }
         self.drive_load(now, store);
         self.event_log.at(wall);
-        self.in_touch = store
+        self.store_reachable = store
             .last_success()
             .is_some_and(|at| now.since(at) < IN_TOUCH_S);
         // Silence is a matter of seconds: looking after every report would cost
         // the whole fleet each time.
-        if now.since(self.silence_at) >= SILENCE_S {
-            self.silence_at = now;
+        if now.since(self.last_silence_check) >= SILENCE_S {
+            self.last_silence_check = now;
             self.check_silence(now);
-            self.tell_strangers(now);
+            self.log_orphans(now);
         }
-        if now.since(self.planned_at) >= 0.05
-            && (self.replan || now.since(self.planned_at) > 1.0)
+        if now.since(self.last_cycle) >= 0.05
+            && (self.replan || now.since(self.last_cycle) > 1.0)
             && may_place
         {
-            self.planned_at = now;
+            self.last_cycle = now;
             self.replan = false;
             self.plan(now, wall, settings, machine_types);
         }
-        self.sweep();
+        self.forget_ended_jobs();
         self.commit(now, store);
     }
 
     /// Jobs that are over and have left nothing behind.
-    fn sweep(&mut self) {
-        let gone = |id: &JobId| self.jobs.get(id).is_none_or(|j| j.live.is_empty());
-        let over: Vec<JobId> = self.closing.iter().filter(|id| gone(id)).copied().collect();
+    fn forget_ended_jobs(&mut self) {
+        let gone = |id: &JobId| {
+            self.jobs
+                .get(id)
+                .is_none_or(|j| j.attempts_by_task.is_empty())
+        };
+        let over: Vec<JobId> = self
+            .terminating_jobs
+            .iter()
+            .filter(|id| gone(id))
+            .copied()
+            .collect();
         for id in over {
-            self.closing.remove(&id);
+            self.terminating_jobs.remove(&id);
             self.jobs.remove(&id);
             self.progress_pages.forget(id);
             self.fault_attribution.forget_job(id);
@@ -648,22 +691,3 @@
         }
     }
 }
-
-fn new_job(spec: Rc<JobSpec>, revision: Revision, chunk: u32, now: Time) -> Job {
-    Job {
-        spec,
-        revision,
-        state: JobState::Open,
-        progress: JobProgress::new(chunk),
-        next_fresh: 0,
-        retry: BTreeMap::new(),
-        live: BTreeMap::new(),
-        ratios: (0.0, 0),
-        hold_until: now,
-    }
-}
-
-/// Seconds since the submission, by the time of day.
-fn age_s(wall: WallMs, spec: &JobSpec) -> f64 {
-    (wall.0 as f64 - spec.submitted as f64) / 1e3
-}
--- a/crates/controller/src/scheduler/nomination.rs
+++ b/crates/controller/src/scheduler/nomination.rs
@@ -1,10 +1,12 @@
 //! Nominations: tasks placed ahead on machines where others are about to end, so that they run
 //! with the answer to the report that says so.
 
+use super::allocation::{Allocation, TaskPhase, TaskState};
 use super::cycle::{ExpectedExit, SchedulingCycle, UpcomingExits};
 use super::feasibility::is_feasible;
+use super::job::resources_of;
+use super::machine::Machine;
 use super::queue::PendingJob;
-use super::types::{resources_of, Allocation, Machine, TaskPhase, TaskState};
 use super::Scheduler;
 use crate::job_store::{JobKind, JobSpec};
 use crate::split::{MachineType, Resources, EPSILON};
@@ -34,30 +36,32 @@
         let mut expired = Vec::new();
         for (id, machine) in &mut self.machines {
             if machine
+                .resident
                 .allocations
                 .values()
-                .all(|allocation| allocation.ahead.is_none())
+                .all(|allocation| allocation.nominated_at.is_none())
             {
                 continue;
             }
             let mut free = free_for_nominated(machine, machine_types);
             let mut nominated: Vec<(&TaskId, &mut Allocation)> = machine
+                .resident
                 .allocations
                 .iter_mut()
-                .filter(|(_, allocation)| allocation.ahead.is_some())
+                .filter(|(_, allocation)| allocation.nominated_at.is_some())
                 .collect();
             // Those with a reservation first, in the order in which they were nominated.
-            nominated.sort_by_key(|(_, allocation)| (!allocation.kept, allocation.attempt));
+            nominated.sort_by_key(|(_, allocation)| (!allocation.reserved, allocation.attempt));
             for (task, allocation) in nominated {
-                let Some(since) = allocation.ahead else {
+                let Some(since) = allocation.nominated_at else {
                     continue;
                 };
                 let fits = allocation.resources.fits(&free);
-                if fits || allocation.kept {
+                if fits || allocation.reserved {
                     free.sub(&allocation.resources);
                 }
                 if fits {
-                    (allocation.ahead, allocation.kept) = (None, false);
+                    (allocation.nominated_at, allocation.reserved) = (None, false);
                 } else if now.since(since) > max_wait_s
                     && !self.nominations.awaits_victims(*task, allocation.attempt)
                 {
@@ -66,7 +70,7 @@
             }
         }
         for (machine, task) in expired {
-            self.end(now, machine, task, false, 0.0);
+            self.release_allocation(now, machine, task, false, 0.0);
         }
     }
 
@@ -77,7 +81,11 @@
         cycle: &mut SchedulingCycle,
         pending: &PendingJob,
     ) {
-        let Some(job) = self.jobs.get(&pending.id).filter(|job| job.waiting() > 0) else {
+        let Some(job) = self
+            .jobs
+            .get(&pending.id)
+            .filter(|job| job.pending_tasks() > 0)
+        else {
             return;
         };
         let spec = job.spec.clone();
@@ -128,9 +136,9 @@
         upcoming: &UpcomingExits,
     ) -> Option<NominationCandidate> {
         let machine = self.machines.get(&upcoming.machine)?;
-        let machine_type = cycle.machine_types.get(machine.machine_type?)?;
+        let machine_type = cycle.machine_types.get(machine.identity.machine_type?)?;
         // A fetch that takes longer than the wait for a report saves nothing.
-        let has_image = machine.images.contains(&spec.image);
+        let has_image = machine.resident.cached_images.contains(&spec.image);
         let quick_fetch = spec.image_gb < self.report_s * machine_type.fetch_gb_per_s;
         let allowed = (has_image || quick_fetch || pending.pressing)
             && is_feasible(spec, machine_type, machine);
@@ -177,15 +185,15 @@
     fn expected_exits(&self, now: Time, machine: &Machine) -> Vec<ExpectedExit> {
         let horizon_s = self.horizon_s();
         let mut exits = Vec::new();
-        for (task, allocation) in &machine.allocations {
+        for (task, allocation) in &machine.resident.allocations {
             let (Some(job), TaskState::Observed(TaskPhase::Running), Some(started)) = (
                 self.jobs.get(&task.job),
                 allocation.state,
-                allocation.started,
+                allocation.started_at,
             ) else {
                 continue;
             };
-            let remaining_s = (self.run_s(job) - now.since(started)).max(0.0);
+            let remaining_s = (self.expected_run_s(job) - now.since(started)).max(0.0);
             if job.spec.kind == JobKind::Batch && remaining_s < horizon_s {
                 exits.push(ExpectedExit {
                     remaining_s,
@@ -198,9 +206,10 @@
 
     fn highest_nominated_urgency(&self, machine: &Machine) -> Option<Urgency> {
         let nominated = machine
+            .resident
             .allocations
             .iter()
-            .filter(|(_, allocation)| allocation.ahead.is_some());
+            .filter(|(_, allocation)| allocation.nominated_at.is_some());
         nominated
             .filter_map(|(task, _)| self.jobs.get(&task.job))
             .map(|job| job.spec.urgency)
@@ -211,8 +220,9 @@
 /// What nominated tasks may use of a machine: what is unpromised, and what is reserved for them.
 fn free_for_nominated(machine: &Machine, machine_types: &[MachineType]) -> Resources {
     let mut free = machine.unpromised(machine_types);
-    let reserved = |allocation: &&Allocation| allocation.kept && !allocation.may_be_there();
-    for allocation in machine.allocations.values().filter(reserved) {
+    let reserved =
+        |allocation: &&Allocation| allocation.reserved && !allocation.may_be_on_machine();
+    for allocation in machine.resident.allocations.values().filter(reserved) {
         free.add(&allocation.resources);
     }
     free
--- a/crates/controller/src/scheduler/persistence.rs
+++ b/crates/controller/src/scheduler/persistence.rs
@@ -36,8 +36,8 @@
     /// Reads pages and progress again: after a takeover, and whenever a
     /// transaction's fate is unknown.
     pub(super) fn reload(&mut self) {
-        if self.load.is_none() {
-            self.load = Some(RecoveryLoad {
+        if self.recovery.is_none() {
+            self.recovery = Some(RecoveryLoad {
                 pages: Vec::new(),
                 progress: Vec::new(),
                 stage: SchedulerCall::Pages,
@@ -48,8 +48,10 @@
     }
 
     pub(super) fn drive_load(&mut self, now: Time, store: &mut StoreClient<Tag>) {
-        let Some(load) = &mut self.load else { return };
-        if load.in_flight || !self.loads.is_due(now) {
+        let Some(load) = &mut self.recovery else {
+            return;
+        };
+        if load.in_flight || !self.load_backoff.is_due(now) {
             return;
         }
         load.in_flight = true;
@@ -73,18 +75,20 @@
         reply: Reply<Tag>,
         job_store: &JobStore,
     ) {
-        let Some(load) = &mut self.load else { return };
+        let Some(load) = &mut self.recovery else {
+            return;
+        };
         load.in_flight = false;
         let Outcome::Ok(body) = reply.outcome else {
-            self.loads.on_refused(now);
+            self.load_backoff.on_refused(now);
             return;
         };
         let Ok(scan) = wire::decode::<ScanResponse>(&body) else {
-            self.loads.on_refused(now);
+            self.load_backoff.on_refused(now);
             return;
         };
-        self.loads.on_success();
-        self.moved = now;
+        self.load_backoff.on_success();
+        self.last_store_progress = now;
         load.after = if scan.more {
             scan.entries.last().map(|p| p.key.clone())
         } else {
@@ -101,18 +105,20 @@
             load.stage = SchedulerCall::Progress;
             return;
         }
-        let Some(load) = self.load.take() else { return };
-        self.merge(now, load, job_store);
+        let Some(load) = self.recovery.take() else {
+            return;
+        };
+        self.restore(now, load, job_store);
     }
 
     /// A value of a form or version that this program does not know: nothing
     /// is guessed, placement stops.
-    fn unreadable(&mut self, path: &str) {
+    fn halt_unreadable(&mut self, path: &str) {
         tracing::error!("{path} has a form or version this program does not know; placement stops");
-        self.stopped = true;
+        self.halted = true;
     }
 
-    pub(super) fn merge(&mut self, now: Time, load: RecoveryLoad, job_store: &JobStore) {
+    pub(super) fn restore(&mut self, now: Time, load: RecoveryLoad, job_store: &JobStore) {
         let ids: Vec<JobId> = job_store
             .iter()
             .filter(|(_, e)| e.state == JobState::Open)
@@ -129,7 +135,7 @@
                 .load(path, revision, &item.value, &mut self.jobs)
                 .is_err()
             {
-                return self.unreadable(&item.key);
+                return self.halt_unreadable(&item.key);
             }
         }
         for (id, job) in &self.jobs {
@@ -140,23 +146,23 @@
                     job.spec.tasks,
                 );
             }
-            if job.complete() && job.state == JobState::Open {
-                self.complete.insert(*id);
+            if job.is_complete() && job.state == JobState::Open {
+                self.completed_jobs.insert(*id);
             }
         }
         self.pages.clear();
         let mut rows: Vec<(PlacementRow, PageId)> = Vec::new();
         for item in &load.pages {
             let Ok(page) = placement_pages::decode_page(&item.value) else {
-                return self.unreadable(&item.key);
+                return self.halt_unreadable(&item.key);
             };
             let no = self.pages.insert(item.key.clone(), Revision(item.revision));
             rows.extend(page.into_iter().map(|r| (r, no)));
         }
         if self.loaded {
-            self.rejoin(now, rows);
+            self.reattach_pages(now, rows);
         } else {
-            self.inherit(now, rows, job_store);
+            self.inherit_allocations(now, rows, job_store);
         }
         self.loaded = true;
         self.replan = true;
@@ -166,16 +172,16 @@
     ///
     /// Only we can have written pages since we hold the block, and rows that we
     /// do not know have ended, or were plans given up before any `run`.
-    fn rejoin(&mut self, now: Time, rows: Vec<(PlacementRow, PageId)>) {
+    fn reattach_pages(&mut self, now: Time, rows: Vec<(PlacementRow, PageId)>) {
         for m in self.machines.values_mut() {
-            for e in m.allocations.values_mut() {
+            for e in m.resident.allocations.values_mut() {
                 e.page = None;
                 e.in_flight = false;
             }
         }
         for (row, no) in rows {
             if let Some(e) = self
-                .entry(row.machine, row.task)
+                .allocation_mut(row.machine, row.task)
                 .filter(|e| e.attempt == row.attempt)
             {
                 e.page = Some(no);
@@ -185,26 +191,31 @@
                 self.pages.retain(no);
             }
         }
-        self.plans.clear();
+        self.commit_queue.clear();
         let mut ended = Vec::new();
         for (id, m) in &self.machines {
-            for (task, e) in &m.allocations {
+            for (task, e) in &m.resident.allocations {
                 match e.state {
-                    TaskState::Planned | TaskState::Committed if e.kill.is_some() => {
+                    TaskState::Planned | TaskState::Committed if e.kill_grace_s.is_some() => {
                         ended.push((*id, *task))
                     }
-                    TaskState::Planned => self.plans.push_back((*id, *task)),
+                    TaskState::Planned => self.commit_queue.push_back((*id, *task)),
                     _ => {}
                 }
             }
         }
         for (machine, task) in ended {
-            self.end(now, machine, task, false, 0.0);
+            self.release_allocation(now, machine, task, false, 0.0);
         }
     }
 
     /// After a takeover: what earlier holders placed may or may not be there.
-    fn inherit(&mut self, now: Time, rows: Vec<(PlacementRow, PageId)>, job_store: &JobStore) {
+    fn inherit_allocations(
+        &mut self,
+        now: Time,
+        rows: Vec<(PlacementRow, PageId)>,
+        job_store: &JobStore,
+    ) {
         // Guard 3: a task that is done has exited, and of several rows for one
         // task only the newest can be on a machine.
         let jobs = &self.jobs;
@@ -221,32 +232,17 @@
             let over = over && !broken!(self.faults, inherited_runs);
             // Without a description its size is unknown: the machine is full.
             let resources = spec.as_ref().map_or(UNKNOWN_NEED, |s| resources_of(s));
-            let team = spec.as_ref().and_then(|s| self.team(s));
+            let team = spec.as_ref().and_then(|s| self.team_index(s));
             let m = self
                 .machines
                 .entry(row.machine)
                 .or_insert_with(|| Machine::new(now));
-            m.allocations.insert(
-                row.task,
-                Allocation {
-                    attempt: row.attempt,
-                    resources,
-                    team,
-                    state: TaskState::Inherited,
-                    kill: over.then_some(0.0),
-                    in_flight: false,
-                    started: None,
-                    inherited: true,
-                    page: Some(no),
-                    placed: now,
-                    ahead: None,
-                    kept: false,
-                    lane: false,
-                },
-            );
+            let mut allocation = Allocation::inherited(row.attempt, resources, team, now, no);
+            allocation.kill_grace_s = over.then_some(0.0);
+            m.resident.allocations.insert(row.task, allocation);
             self.pages.retain(no);
             if let Some(job) = self.jobs.get_mut(&row.task.job) {
-                *job.live.entry(row.task.index).or_insert(0) += 1;
+                *job.attempts_by_task.entry(row.task.index).or_insert(0) += 1;
             }
         }
         tracing::info!(
@@ -264,13 +260,13 @@
     /// What does not fit stays for the next; where few writes fit, the kinds
     /// take turns, so that no backlog of one keeps another waiting for ever.
     pub(super) fn commit(&mut self, now: Time, store: &mut StoreClient<Tag>) {
-        if self.in_flight.is_some() || self.load.is_some() || now < self.retry_at {
+        if self.in_flight.is_some() || self.recovery.is_some() || now < self.next_commit_at {
             return;
         }
-        if !self.backoff.is_due(now) {
+        if !self.commit_backoff.is_due(now) {
             return;
         }
-        let limits = store.limits().divided_by(self.backoff.divisor());
+        let limits = store.limits().divided_by(self.commit_backoff.divisor());
         let limits = match broken!(self.faults, unbounded) {
             true => beamhinge_rate_limit::TransactionLimits {
                 conditions: limits.conditions * 2,
@@ -281,19 +277,21 @@
         let mut transaction = Transaction::new(limits);
         // Guard 1: whoever lost the block can commit nothing.
         let rests = broken!(self.faults, no_block)
-            || transaction.when(BLOCK_KEY, Revision(self.token.0)).is_ok();
+            || transaction
+                .when(BLOCK_KEY, Revision(self.fencing_token.0))
+                .is_ok();
         if !rests {
             return;
         }
         // No placement made by an older version of the teams' limits commits.
-        if let Some((key, revision)) = self.configuration {
+        if let Some((key, revision)) = self.configuration_condition {
             if !broken!(self.faults, no_configuration) && transaction.when(key, revision).is_err() {
                 return;
             }
         }
         self.deferred.retain(|_, until| *until > now);
         let few = limits.writes < KINDS.len();
-        let first = if few { self.turn } else { 0 };
+        let first = if few { self.next_write_kind } else { 0 };
         let mut in_flight = InFlightCommit::default();
         for k in 0..KINDS.len() {
             match KINDS[(first + k) % KINDS.len()] {
@@ -309,13 +307,13 @@
                 Kind::ProgressPages => {
                     self.add_progress_pages(now, &mut transaction, &mut in_flight)
                 }
-                Kind::Removals => self.clean_up(now, store, &mut transaction, &mut in_flight),
+                Kind::Removals => self.add_removals(now, store, &mut transaction, &mut in_flight),
             }
         }
         if transaction.write_count() == 0 {
             return;
         }
-        self.turn = (self.turn + 1) % KINDS.len();
+        self.next_write_kind = (self.next_write_kind + 1) % KINDS.len();
         tracing::debug!(
             finals = in_flight.finals.len(),
             pages = in_flight.pages.len(),
@@ -326,12 +324,12 @@
                 .sum::<usize>(),
             progress_pages = in_flight.progress_write.written_pages().count(),
             removals = in_flight.dead.len(),
-            left = self.plans.len(),
+            left = self.commit_queue.len(),
             dead = self.pages.unreferenced_count(),
             "commit"
         );
         self.in_flight = Some(in_flight);
-        self.retry_at = now.plus(0.02);
+        self.next_commit_at = now.plus(0.02);
         store.commit(
             now,
             Priority::Scheduler,
@@ -340,7 +338,7 @@
         );
     }
 
-    pub(super) fn resting(&self, part: WorkUnit) -> bool {
+    pub(super) fn is_deferred(&self, part: WorkUnit) -> bool {
         self.deferred.contains_key(&part)
     }
 
@@ -358,9 +356,9 @@
             transaction.remaining_writes() / 2
         };
         let mut due: Vec<JobId> = self
-            .complete
+            .completed_jobs
             .iter()
-            .filter(|id| !self.resting(WorkUnit::Job(**id)))
+            .filter(|id| !self.is_deferred(WorkUnit::Job(**id)))
             .copied()
             .collect();
         // Where more end than can be written, those are told first whose users wait
@@ -386,7 +384,7 @@
                 }
                 in_flight.finals.push(id);
             }
-            self.complete.remove(&id);
+            self.completed_jobs.remove(&id);
         }
     }
 
@@ -400,7 +398,7 @@
         let key = self.pages.new_key();
         let most_bytes = transaction
             .remaining_value_bytes(key.len())
-            .min(self.value_limit);
+            .min(self.max_value_bytes);
         // A condition stays for each write that may follow: a page that took
         // them all left a transaction that was refused as too large, for ever.
         let keep = transaction.remaining_writes();
@@ -408,14 +406,14 @@
         while rows.len() < placement_pages::rows_per_page(most_bytes)
             && transaction.remaining_conditions() > keep
         {
-            let Some((machine, task)) = self.plans.pop_front() else {
+            let Some((machine, task)) = self.commit_queue.pop_front() else {
                 break;
             };
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
             let revision = job.revision;
-            let Some(e) = self.entry(machine, task) else {
+            let Some(e) = self.allocation_mut(machine, task) else {
                 continue;
             };
             if e.state != TaskState::Planned || e.in_flight {
@@ -427,10 +425,10 @@
                 .when(job_store::key(task.job), revision)
                 .is_err()
             {
-                self.plans.push_front((machine, task));
+                self.commit_queue.push_front((machine, task));
                 break;
             }
-            if let Some(e) = self.entry(machine, task) {
+            if let Some(e) = self.allocation_mut(machine, task) {
                 e.in_flight = true;
                 rows.push(PlacementRow {
                     machine,
@@ -446,7 +444,7 @@
         // Longer names than usual: fewer rows fit.
         while wire::json_len(&value) > most_bytes && rows.len() > 1 {
             let rest = rows.split_off(rows.len() / 2);
-            self.not_placed(rest);
+            self.requeue_rows(rest);
             value = placement_pages::encode_page(&rows);
         }
         match transaction.put(key.clone(), Revision(0), value, None) {
@@ -454,12 +452,12 @@
             Err(TransactionError::TooLarge { bytes, limit }) => {
                 tracing::error!("a page of one row takes {bytes} bytes of {limit}");
                 let jobs: BTreeSet<JobId> = rows.iter().map(|r| r.task.job).collect();
-                self.not_placed(rows);
-                jobs.into_iter().for_each(|job| self.rest_job(now, job));
+                self.requeue_rows(rows);
+                jobs.into_iter().for_each(|job| self.defer_job(now, job));
                 return false;
             }
             Err(_) => {
-                self.not_placed(rows);
+                self.requeue_rows(rows);
                 return false;
             }
         }
@@ -467,22 +465,22 @@
     }
 
     /// Rows that did not go out are planned as before, in the same order.
-    fn not_placed(&mut self, rows: Vec<PlacementRow>) {
+    fn requeue_rows(&mut self, rows: Vec<PlacementRow>) {
         for row in rows.into_iter().rev() {
-            let Some(e) = self.entry(row.machine, row.task) else {
+            let Some(e) = self.allocation_mut(row.machine, row.task) else {
                 continue;
             };
             if e.attempt == row.attempt && e.state == TaskState::Planned {
                 e.in_flight = false;
-                self.plans.push_front((row.machine, row.task));
+                self.commit_queue.push_front((row.machine, row.task));
             }
         }
     }
 
     /// A job whose placement the state service does not take waits, so that
     /// the others go on.
-    fn rest_job(&mut self, now: Time, id: JobId) {
-        self.unplan_job(now, id);
+    fn defer_job(&mut self, now: Time, id: JobId) {
+        self.withdraw_planned(now, id);
         if let Some(j) = self.jobs.get_mut(&id) {
             j.hold_until = now.plus(ASIDE_S);
         }
@@ -494,13 +492,13 @@
         transaction: &mut Transaction,
         in_flight: &mut InFlightCommit,
     ) {
-        if now.since(self.progress_written_at) < PROGRESS_WRITE_INTERVAL_S {
+        if now.since(self.last_progress_write) < PROGRESS_WRITE_INTERVAL_S {
             return;
         }
         let due: Vec<usize> = self
             .progress_pages
             .dirty_pages()
-            .filter(|s| !self.resting(WorkUnit::ProgressPage(*s)))
+            .filter(|s| !self.is_deferred(WorkUnit::ProgressPage(*s)))
             .collect();
         // After the one written last, so that many full ones all get their turn.
         let (before, after): (Vec<usize>, Vec<usize>) =
@@ -508,7 +506,7 @@
         for progress_page in after.into_iter().chain(before) {
             let key = progress::progress_page_key(progress_page);
             if transaction.remaining_writes() == 0
-                || transaction.remaining_value_bytes(key.len()) < self.value_limit
+                || transaction.remaining_value_bytes(key.len()) < self.max_value_bytes
             {
                 return;
             }
@@ -523,7 +521,7 @@
             match transaction.put(key, revision, value, None) {
                 Ok(()) => {
                     in_flight.progress_write.append(one);
-                    (self.progress_written_at, self.last_progress_page) = (now, progress_page);
+                    (self.last_progress_write, self.last_progress_page) = (now, progress_page);
                 }
                 Err(full) => {
                     self.progress_pages.on_write_failed(&one, &mut self.jobs);
@@ -540,7 +538,7 @@
     /// Removals wait until writes are to spare: they only tidy up. A crowd of
     /// dead pages, as after a takeover, goes at a part of the rate, so that
     /// placing does not wait behind it.
-    fn clean_up(
+    fn add_removals(
         &mut self,
         now: Time,
         store: &mut StoreClient<Tag>,
@@ -549,7 +547,7 @@
     ) {
         let (level, rate) = store.write_budget(now);
         let spare = (level - transaction.write_count() as f64 - rate * 0.4).max(0.0) as usize;
-        let due = (now.since(self.cleaned_at) * rate * CROWD_PART).min(rate) as usize;
+        let due = (now.since(self.last_cleanup) * rate * CROWD_PART).min(rate) as usize;
         let crowded = self
             .pages
             .unreferenced_count()
@@ -559,7 +557,7 @@
         let dead = self
             .pages
             .unreferenced()
-            .filter(|(no, _, _)| !self.resting(WorkUnit::Page(*no)));
+            .filter(|(no, _, _)| !self.is_deferred(WorkUnit::Page(*no)));
         for (no, key, revision) in dead.take(room) {
             if transaction.delete(key, revision).is_err() {
                 break;
@@ -595,13 +593,13 @@
             }
         }
         if !in_flight.dead.is_empty() {
-            self.cleaned_at = now;
+            self.last_cleanup = now;
         }
     }
 
     /// What the state service keeps refusing, at the smallest size, rests and
     /// is named, so that the rest goes on.
-    fn set_aside(&mut self, now: Time, in_flight: &InFlightCommit) {
+    fn defer_work(&mut self, now: Time, in_flight: &InFlightCommit) {
         let until = now.plus(ASIDE_S);
         for id in &in_flight.finals {
             tracing::error!("the end of {id} is refused as malformed and waits");
@@ -615,7 +613,7 @@
             .collect();
         for id in placed {
             tracing::error!("placing {id} is refused as malformed; it waits");
-            self.rest_job(now, id);
+            self.defer_job(now, id);
         }
         for progress_page in in_flight.progress_write.written_pages() {
             tracing::error!("shelf {progress_page} is refused as malformed and waits");
@@ -645,17 +643,17 @@
         match reply.outcome {
             Outcome::Ok(body) => {
                 let Ok(done) = wire::decode::<CommitResponse>(&body) else {
-                    self.not_committed(now, in_flight);
+                    self.on_not_committed(now, in_flight);
                     self.reload();
                     return CommitOutcome::Unchanged;
                 };
-                self.backoff.on_success();
-                self.moved = now;
-                self.committed(now, in_flight, Revision(done.revision), job_store);
+                self.commit_backoff.on_success();
+                self.last_store_progress = now;
+                self.on_committed(now, in_flight, Revision(done.revision), job_store);
                 CommitOutcome::Confirmed(sent)
             }
             Outcome::Conflict(failed) => {
-                self.not_committed(now, in_flight);
+                self.on_not_committed(now, in_flight);
                 if failed.iter().any(|k| k == BLOCK_KEY) {
                     return CommitOutcome::Deposed;
                 }
@@ -670,7 +668,7 @@
                     .iter()
                     .filter_map(|k| JobId::parse(k.strip_prefix(job_store::PREFIX)?))
                 {
-                    self.unplan_job(now, id);
+                    self.withdraw_planned(now, id);
                     if let Some(j) = self.jobs.get_mut(&id) {
                         j.hold_until = now.plus(0.3);
                     }
@@ -681,54 +679,54 @@
                 CommitOutcome::RefreshJobs
             }
             Outcome::Refused => {
-                self.not_committed(now, in_flight);
-                self.backoff.on_refused(now);
+                self.on_not_committed(now, in_flight);
+                self.commit_backoff.on_refused(now);
                 CommitOutcome::Unchanged
             }
             // The same again would be refused again: less of it is tried, and
             // in the end what it holds is set aside.
             Outcome::Malformed => {
                 if broken!(self.faults, unbounded) {
-                    self.not_committed(now, in_flight);
+                    self.on_not_committed(now, in_flight);
                     return CommitOutcome::Unchanged;
                 }
-                let deferred = self.backoff.malformed(now) == RetryAction::SetAside;
+                let deferred = self.commit_backoff.malformed(now) == RetryAction::SetAside;
                 if deferred {
-                    self.set_aside(now, &in_flight);
+                    self.defer_work(now, &in_flight);
                 }
-                self.not_committed(now, in_flight);
+                self.on_not_committed(now, in_flight);
                 if deferred {
-                    self.backoff.on_success();
+                    self.commit_backoff.on_success();
                 }
                 CommitOutcome::Unchanged
             }
             // Whether it was or will be applied is unknown: read again.
             _ => {
-                self.not_committed(now, in_flight);
+                self.on_not_committed(now, in_flight);
                 self.reload();
                 CommitOutcome::RefreshJobs
             }
         }
     }
 
-    fn unplan_job(&mut self, now: Time, id: JobId) {
+    fn withdraw_planned(&mut self, now: Time, id: JobId) {
         let planned: Vec<(MachineId, TaskId)> = self
-            .plans
+            .commit_queue
             .iter()
             .filter(|(_, t)| t.job == id)
             .copied()
             .collect();
         for (machine, task) in planned {
             if self
-                .entry(machine, task)
+                .allocation_mut(machine, task)
                 .is_some_and(|e| e.state == TaskState::Planned)
             {
-                self.end(now, machine, task, false, 0.3);
+                self.release_allocation(now, machine, task, false, 0.3);
             }
         }
     }
 
-    fn committed(
+    fn on_committed(
         &mut self,
         now: Time,
         in_flight: InFlightCommit,
@@ -740,7 +738,7 @@
             let no = self.pages.insert(key, revision);
             for row in rows {
                 // What was given up meanwhile never gets its `run`.
-                let Some(e) = self.entry(row.machine, row.task) else {
+                let Some(e) = self.allocation_mut(row.machine, row.task) else {
                     continue;
                 };
                 if e.attempt != row.attempt {
@@ -749,14 +747,14 @@
                 e.in_flight = false;
                 e.state = TaskState::Committed;
                 e.page = Some(no);
-                if e.kill.is_some() {
+                if e.kill_grace_s.is_some() {
                     ended.push((row.machine, row.task));
                 }
                 self.pages.retain(no);
             }
         }
         for (machine, task) in ended {
-            self.end(now, machine, task, false, 0.0);
+            self.release_allocation(now, machine, task, false, 0.0);
         }
         self.progress_pages
             .on_written(in_flight.progress_write, revision, &mut self.jobs);
@@ -765,7 +763,7 @@
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.state = JobState::Done;
                 job.revision = revision;
-                self.closing.insert(id);
+                self.terminating_jobs.insert(id);
             }
             tracing::debug!("{id} is done");
             self.event_log.note(|| What::Done {
@@ -777,9 +775,9 @@
         }
     }
 
-    fn not_committed(&mut self, now: Time, in_flight: InFlightCommit) {
+    fn on_not_committed(&mut self, now: Time, in_flight: InFlightCommit) {
         for (_, rows) in in_flight.pages.into_iter().rev() {
-            self.not_placed(rows);
+            self.requeue_rows(rows);
         }
         self.progress_pages
             .on_write_failed(&in_flight.progress_write, &mut self.jobs);
@@ -789,10 +787,10 @@
                 .get(&id)
                 .is_some_and(|j| j.state == JobState::Open)
             {
-                self.complete.insert(id);
+                self.completed_jobs.insert(id);
             }
         }
-        self.retry_at = now.plus(0.05);
+        self.next_commit_at = now.plus(0.05);
     }
 }
 
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -46,7 +46,7 @@
 
 fn fill(scheduler: &mut Scheduler, b: &Backlog, now: Time) {
     let w = b.digits;
-    let chunk = progress::chunk_size(scheduler.value_limit);
+    let chunk = progress::chunk_size(scheduler.max_value_bytes);
     let mut number = 0;
     let mut id = || {
         number += 1;
@@ -56,7 +56,7 @@
         let job = id();
         scheduler
             .jobs
-            .insert(job, new_job(spec(*tasks), Revision(7), chunk, now));
+            .insert(job, Job::new(spec(*tasks), Revision(7), chunk, now));
         for index in 0..*tasks {
             let name = format!("n-{:0w$}", index * 7 % 50);
             let machine = MachineId::parse(&name).expect("a machine");
@@ -73,15 +73,15 @@
                 .machines
                 .entry(machine)
                 .or_insert_with(|| Machine::new(now));
-            m.allocations.insert(task, entry);
-            scheduler.plans.push_back((machine, task));
+            m.resident.allocations.insert(task, entry);
+            scheduler.commit_queue.push_back((machine, task));
         }
     }
     for tasks in &b.ended {
         let job = id();
         scheduler
             .jobs
-            .insert(job, new_job(spec(*tasks), Revision(7), chunk, now));
+            .insert(job, Job::new(spec(*tasks), Revision(7), chunk, now));
         for index in 0..*tasks {
             scheduler.mark_done(TaskId { job, index });
         }
@@ -219,8 +219,8 @@
             let reply = store.on_reply(id, Some(reply)).ok_or("no such call")?;
             scheduler.on_reply(now, SchedulerCall::Commit, reply, &mut job_store);
         }
-        let left = scheduler.plans.len()
-            + scheduler.complete.len()
+        let left = scheduler.commit_queue.len()
+            + scheduler.completed_jobs.len()
             + scheduler.progress_pages.dirty_pages().count()
             + scheduler
                 .pages
@@ -232,8 +232,8 @@
     }
     Err(format!(
         "{} plans, {} ends left",
-        scheduler.plans.len(),
-        scheduler.complete.len()
+        scheduler.commit_queue.len(),
+        scheduler.completed_jobs.len()
     ))
 }
 
--- a/crates/controller/src/scheduler/plan.rs
+++ b/crates/controller/src/scheduler/plan.rs
@@ -26,7 +26,7 @@
         settings: &Settings,
         machine_types: &[MachineType],
     ) {
-        self.obey(now, wall);
+        self.enforce_drains(now, wall);
         self.settle_nominations(now, machine_types);
         let mut cycle = self.begin_cycle(now, settings, machine_types);
         let guaranteed = self.guaranteed_jobs();
@@ -67,7 +67,7 @@
             let Some(job) = self.jobs.get(&id) else {
                 return false;
             };
-            self.team(&job.spec).is_some_and(|team| {
+            self.team_index(&job.spec).is_some_and(|team| {
                 self.quota_exceeded(cycle.team_usage[team], team, &job.resources())
                     .is_some()
             })
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -7,8 +7,8 @@
 
 use super::cycle::SchedulingCycle;
 use super::feasibility::is_feasible;
+use super::job::{resources_of, Job};
 use super::queue::{Lateness, PendingJob};
-use super::types::{resources_of, Job};
 use super::victims::{ClaimScope, PreemptionClaim, PreemptionPlan, PreemptionReason};
 use super::{age_s, Scheduler};
 use crate::job_store::JobSpec;
@@ -50,7 +50,10 @@
         wall: WallMs,
         pending: &PendingJob,
     ) -> Option<PreemptionClaim> {
-        let job = self.jobs.get(&pending.id).filter(|job| job.waiting() > 0)?;
+        let job = self
+            .jobs
+            .get(&pending.id)
+            .filter(|job| job.pending_tasks() > 0)?;
         let (spec, age) = (&job.spec, age_s(wall, &job.spec));
         if let Some(objective_s) = pending
             .wait_objective_s
@@ -70,7 +73,7 @@
         }
         let slack_s = pending
             .finish_objective_s
-            .map_or(0.0, |finish_s| finish_s - age - self.run_s(job));
+            .map_or(0.0, |finish_s| finish_s - age - self.expected_run_s(job));
         Some(PreemptionClaim {
             job: pending.id,
             reason: PreemptionReason::Deadline,
@@ -91,7 +94,11 @@
         if self.faults.scattered {
             return self.preempt_scattered(now, cycle, claim);
         }
-        let Some(job) = self.jobs.get(&claim.job).filter(|job| job.waiting() > 0) else {
+        let Some(job) = self
+            .jobs
+            .get(&claim.job)
+            .filter(|job| job.pending_tasks() > 0)
+        else {
             return;
         };
         // Out of touch with the key-value store no allocation can be committed: whoever is
@@ -99,11 +106,11 @@
         if !self.may_preempt_for(claim.job, job)
             || self.nominations.remaining_budget() == 0
             || cycle.remaining_placements == 0
-            || !self.in_touch
+            || !self.store_reachable
         {
             return;
         }
-        let (pending_tasks, preemptor) = (job.waiting(), self.preemptor(claim, job));
+        let (pending_tasks, preemptor) = (job.pending_tasks(), self.preemptor(claim, job));
         let mut plan = match cycle.preemption_plan.take() {
             Some(plan) => plan,
             None if now.since(self.last_preemption_check) < SURVEY_INTERVAL_S => return,
@@ -137,7 +144,7 @@
             scope: ClaimScope {
                 reason: claim.reason,
                 urgency: spec.urgency,
-                team: self.team(&spec),
+                team: self.team_index(&spec),
                 machine_types: spec.machine_types.clone(),
                 zone: spec.zone.clone(),
                 spot: spec.spot,
@@ -209,6 +216,7 @@
             return false;
         };
         let machine_type = machine
+            .identity
             .machine_type
             .and_then(|index| cycle.machine_types.get(index));
         machine_type.is_some_and(|machine_type| {
@@ -222,10 +230,15 @@
         let Some(machine) = self.machines.get(&id) else {
             return 0.0;
         };
-        if machine.images.contains(&preemptor.spec.image) {
+        if machine
+            .resident
+            .cached_images
+            .contains(&preemptor.spec.image)
+        {
             return 0.0;
         }
         let gb_per_s = machine
+            .identity
             .machine_type
             .and_then(|index| cycle.machine_types.get(index))
             .map_or(1.0, |machine_type| machine_type.fetch_gb_per_s);
@@ -246,10 +259,10 @@
             let Some(preemptor) = self.allocate(now, cycle, machine, claim.job, Some(now)) else {
                 break;
             };
-            let Some(allocation) = self.entry(machine, preemptor) else {
+            let Some(allocation) = self.allocation_mut(machine, preemptor) else {
                 continue;
             };
-            allocation.kept = true;
+            allocation.reserved = true;
             let attempt = allocation.attempt;
             self.nominations
                 .open(now, preemptor, attempt, machine, &offer.victims);
@@ -274,9 +287,9 @@
             .jobs
             .get(&task.job)
             .map_or(0.0, |job| job.spec.checkpoint_duration_s);
-        if let Some(allocation) = self.entry(machine, task) {
-            allocation.kill = Some(save_s);
+        if let Some(allocation) = self.allocation_mut(machine, task) {
+            allocation.kill_grace_s = Some(save_s);
         }
-        self.stops.insert(machine);
+        self.pending_kills.insert(machine);
     }
 }
--- a/crates/controller/src/scheduler/queue.rs
+++ b/crates/controller/src/scheduler/queue.rs
@@ -1,6 +1,6 @@
 //! The queue: which jobs wait for placement, and in which order they get it.
 
-use super::types::{size_of, Job};
+use super::job::{total_cpus, Job};
 use super::{age_s, Scheduler};
 use crate::job_store::{JobSpec, JobState};
 use crate::split::EPSILON;
@@ -100,10 +100,12 @@
         }
         // What fails everywhere is tried with one task at a time.
         let retry_at = self.fault_attribution.job_retry_at(id);
-        if job.hold_until > now || retry_at.is_some_and(|until| until > now || job.busy() > 0) {
+        if job.hold_until > now
+            || retry_at.is_some_and(|until| until > now || job.active_tasks() > 0)
+        {
             return Some(PauseReason::Failures);
         }
-        (job.waiting() == 0).then_some(PauseReason::NothingPending)
+        (job.pending_tasks() == 0).then_some(PauseReason::NothingPending)
     }
 
     /// Jobs that fit into their team's guarantee together with its earlier unfinished jobs: they
@@ -117,7 +119,7 @@
         {
             return within;
         }
-        let open = |job: &Job| job.state == JobState::Open && !job.complete();
+        let open = |job: &Job| job.state == JobState::Open && !job.is_complete();
         let mut by_age: Vec<(u64, JobId)> = self
             .jobs
             .iter()
@@ -130,7 +132,7 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let Some(team) = self.team(&job.spec) else {
+            let Some(team) = self.team_index(&job.spec) else {
                 continue;
             };
             let unfinished = f64::from(job.spec.tasks.saturating_sub(job.progress.done_count()));
@@ -186,7 +188,7 @@
         prompt_s: f64,
     ) -> PendingJob {
         let spec = &job.spec;
-        let run_s = self.run_s(job);
+        let run_s = self.expected_run_s(job);
         let age = age_s(wall, spec);
         let wait_objective_s = settings.tightest_objective_s("wait", &spec.class);
         let finish_s = settings.tightest_objective_s("finished", &spec.class);
@@ -227,11 +229,16 @@
     /// (With all of its tasks it was tried: prairie-fleet `loss` 0.69 to 0.61 and 0.63.)
     fn is_starving(&self, job: &Job, age: f64) -> bool {
         let spec = &job.spec;
-        let largest = || self.largest.get(&*spec.class).copied().unwrap_or(0.0);
+        let largest = || {
+            self.largest_job_cpus
+                .get(&*spec.class)
+                .copied()
+                .unwrap_or(0.0)
+        };
         age > MAX_START_DELAY_S * STARVATION_FRACTION
-            && job.live.is_empty()
+            && job.attempts_by_task.is_empty()
             && job.progress.done_count() == 0
-            && size_of(spec) >= largest() * LARGE_JOB_FRACTION
+            && total_cpus(spec) >= largest() * LARGE_JOB_FRACTION
     }
 }
 
@@ -264,6 +271,6 @@
         (Lateness::DeadlineMissed, _) => -run_s,
         (_, None) => -age,
         (_, Some(due)) if wait_objective_s.is_some() => due - age,
-        (_, Some(_)) => f64::from(job.waiting()) * run_s,
+        (_, Some(_)) => f64::from(job.pending_tasks()) * run_s,
     }
 }
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::split::tests::c8;
+use crate::worker_protocol::CommandVerb;
 
 const NOW: f64 = 10.0;
 
@@ -41,7 +42,7 @@
     let task = |p: &&str| ReportedTask {
         task: (*p).to_string(),
         attempt: 3,
-        status: "running".into(),
+        status: ReportedStatus::Running,
         cause: None,
     };
     WorkerReport {
@@ -61,7 +62,7 @@
 fn killed(commands: &[WorkerCommand]) -> Vec<&str> {
     let kills = commands
         .iter()
-        .filter(|o| o.verb == "kill" && o.grace_period_s == Some(0.0));
+        .filter(|o| o.verb == CommandVerb::Kill && o.grace_period_s == Some(0.0));
     kills.map(|o| o.task.as_str()).collect()
 }
 
@@ -73,7 +74,7 @@
         let (job_store, mut scheduler) = cancelled("job-1");
         scheduler.loaded = loaded;
         let said = report(1, fencing_token, &["job-1/0", "job-1/2", "job-2/0"]);
-        let commands = scheduler.report(at(NOW), &said, &[], &job_store);
+        let commands = scheduler.on_report(at(NOW), &said, &[], &job_store);
         assert_eq!(
             killed(&commands),
             ["job-1/0", "job-1/2"],
@@ -84,7 +85,7 @@
         scheduler.faults.late_stops = true;
         let said = report(2, fencing_token, &["job-1/0"]);
         assert!(scheduler
-            .report(at(NOW + 1.0), &said, &[], &job_store)
+            .on_report(at(NOW + 1.0), &said, &[], &job_store)
             .is_empty());
     }
 }
@@ -96,7 +97,7 @@
     for broken in [false, true] {
         let (job_store, mut scheduler) = cancelled("job-1");
         (scheduler.loaded, scheduler.faults.stuck_stop) = (true, broken);
-        scheduler.report(at(NOW), &report(1, 9, &[]), &[], &job_store);
+        scheduler.on_report(at(NOW), &report(1, 9, &[]), &[], &job_store);
         let id = MachineId::parse("n-000001").expect("a machine");
         let task = TaskId {
             job: job("job-1"),
@@ -116,12 +117,13 @@
             .machines
             .get_mut(&id)
             .expect("known")
+            .resident
             .allocations
             .insert(task, entry);
         scheduler.sync_job(at(NOW), task.job, &job_store);
         let kept = |scheduler: &Scheduler| scheduler.machine(id).is_some_and(|m| !m.is_empty());
         assert!(kept(&scheduler), "it may have arrived");
-        scheduler.report(at(NOW + 1.0), &report(2, 9, &[]), &[], &job_store);
+        scheduler.on_report(at(NOW + 1.0), &report(2, 9, &[]), &[], &job_store);
         assert_eq!(kept(&scheduler), broken);
     }
 }
@@ -152,7 +154,7 @@
             let (job_store, mut scheduler) = cancelled("job-1");
             scheduler.loaded = true;
             (scheduler.faults.hasty_proof, scheduler.faults.old_reports) = (hasty, old);
-            scheduler.report(at(NOW), &report(7, 9, &[]), &[], &job_store);
+            scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
             let resources = Resources {
                 cpus: 1.0,
                 gpus: 0.0,
@@ -164,11 +166,12 @@
                 .machines
                 .get_mut(&id)
                 .expect("known")
+                .resident
                 .allocations
                 .insert(task, entry);
             let mut said = report(sequence, fencing_token, &[]);
             said.incarnation = incarnation;
-            scheduler.report(at(NOW + 1.0), &said, &[], &job_store);
+            scheduler.on_report(at(NOW + 1.0), &said, &[], &job_store);
             let was = scheduler.machine(id).is_some_and(Machine::is_empty);
             let excused = (hasty && fencing_token == 4) || (old && sequence == 7);
             assert_eq!(
@@ -193,25 +196,27 @@
     );
     last_report.incarnation = u64::MAX;
     assert_eq!(
-        killed(&scheduler.report(at(NOW), &last_report, &[], &job_store)).len(),
+        killed(&scheduler.on_report(at(NOW), &last_report, &[], &job_store)).len(),
         2
     );
     for (incarnation, sequence) in [(u64::MAX, u64::MAX), (u64::MAX, 0), (0, u64::MAX), (0, 0)] {
         let mut old = report(sequence, 9, &[]);
         old.incarnation = incarnation;
         assert!(scheduler
-            .report(at(NOW + 1.0), &old, &[], &job_store)
+            .on_report(at(NOW + 1.0), &old, &[], &job_store)
             .is_empty());
     }
     let id = MachineId::parse("n-000001").expect("a machine");
     assert_eq!(
-        scheduler.machine(id).expect("known").orphans.len(),
+        scheduler.machine(id).expect("known").resident.orphans.len(),
         2,
         "nothing was freed"
     );
     let mut odd = report(1, 9, &[]);
     odd.host = "nobody".into();
-    assert!(scheduler.report(at(NOW), &odd, &[], &job_store).is_empty());
+    assert!(scheduler
+        .on_report(at(NOW), &odd, &[], &job_store)
+        .is_empty());
     assert_eq!(scheduler.machines.len(), 1);
 }
 
@@ -221,7 +226,7 @@
 fn the_longest_answer_fits_its_limit() {
     let task = TaskId::parse("job-123456789012345678/99999").expect("a task");
     let commands: Vec<WorkerCommand> = (0..MAX_ORDERS)
-        .map(|_| order("kill", task, Attempt(u64::MAX), Some(12.5)))
+        .map(|_| WorkerCommand::kill(task, Attempt(u64::MAX), 12.5))
         .collect();
     let body = wire::encode(&commands);
     let value: ciborium::Value = wire::decode(&body).expect("sound");
@@ -254,25 +259,25 @@
     let last_heartbeat = |scheduler: &Scheduler| {
         scheduler
             .machine(machine())
-            .is_some_and(|m| m.last_heartbeat.is_some())
+            .is_some_and(|m| m.liveness.last_heartbeat.is_some())
     };
     for (loaded, broken) in [(false, false), (true, false), (true, true)] {
         let (job_store, mut scheduler) = cancelled("job-1");
         (scheduler.loaded, scheduler.faults.first_word) = (loaded, broken);
-        scheduler.report(at(NOW), &report(5, 4, &[]), &[], &job_store);
+        scheduler.on_report(at(NOW), &report(5, 4, &[]), &[], &job_store);
         assert_eq!(last_heartbeat(&scheduler), broken);
         // Several that were kept come at once.
-        scheduler.report(at(NOW + 0.01), &report(6, 4, &[]), &[], &job_store);
+        scheduler.on_report(at(NOW + 0.01), &report(6, 4, &[]), &[], &job_store);
         assert_eq!(last_heartbeat(&scheduler), broken);
         let m = scheduler.machine(machine()).expect("known");
         assert!(
-            m.last_answered.is_some(),
+            m.liveness.last_answered.is_some(),
             "an answer may have renewed its lease"
         );
-        scheduler.report(at(NOW + 0.5), &report(7, 4, &[]), &[], &job_store);
+        scheduler.on_report(at(NOW + 0.5), &report(7, 4, &[]), &[], &job_store);
         assert!(last_heartbeat(&scheduler), "its own next report");
         let (job_store, mut scheduler) = cancelled("job-1");
-        scheduler.report(at(NOW), &report(5, 9, &[]), &[], &job_store);
+        scheduler.on_report(at(NOW), &report(5, 9, &[]), &[], &job_store);
         assert!(last_heartbeat(&scheduler), "one that carries our token");
     }
 }
@@ -282,7 +287,7 @@
 #[test]
 fn a_report_from_before_the_pages_were_read_makes_older_ones_old() {
     let (job_store, mut scheduler) = cancelled("job-1");
-    scheduler.report(at(NOW), &report(8, 9, &[]), &[], &job_store);
+    scheduler.on_report(at(NOW), &report(8, 9, &[]), &[], &job_store);
     let load = RecoveryLoad {
         pages: Vec::new(),
         progress: Vec::new(),
@@ -290,17 +295,19 @@
         in_flight: false,
         after: None,
     };
-    scheduler.merge(at(NOW), load, &job_store);
+    scheduler.restore(at(NOW), load, &job_store);
     assert!(scheduler.loaded);
     let task = TaskId {
         job: job("job-1"),
         index: 0,
     };
     let m = scheduler.machines.get_mut(&machine()).expect("known");
-    m.allocations.insert(task, entry(TaskState::Inherited));
-    scheduler.report(at(NOW + 0.1), &report(7, 9, &[]), &[], &job_store);
+    m.resident
+        .allocations
+        .insert(task, entry(TaskState::Inherited));
+    scheduler.on_report(at(NOW + 0.1), &report(7, 9, &[]), &[], &job_store);
     assert!(!scheduler.machine(machine()).expect("known").is_empty());
-    scheduler.report(at(NOW + 1.0), &report(9, 9, &[]), &[], &job_store);
+    scheduler.on_report(at(NOW + 1.0), &report(9, 9, &[]), &[], &job_store);
     assert!(scheduler.machine(machine()).expect("known").is_empty());
 }
 
@@ -329,22 +336,22 @@
         for (state, (incarnation, sequence, fencing_token), gone) in cases {
             let (job_store, mut scheduler) = cancelled("job-1");
             (scheduler.loaded, scheduler.faults.direct_absence) = (true, broken);
-            scheduler.report(at(NOW), &report(7, 9, &[]), &[], &job_store);
+            scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
             let task = TaskId {
                 job: job("job-1"),
                 index: 0,
             };
             let m = scheduler.machines.get_mut(&machine()).expect("known");
-            m.allocations.insert(task, entry(state));
+            m.resident.allocations.insert(task, entry(state));
             let mut said = report(sequence, fencing_token, &[]);
             said.incarnation = incarnation;
             // One that reports says so itself, and is answered.
-            scheduler.direct_answer(at(NOW + 0.5), &said, &job_store);
+            scheduler.on_direct_response(at(NOW + 0.5), &said, &job_store);
             assert!(!scheduler.machine(machine()).expect("known").is_empty());
-            let silent = at(NOW + scheduler.silent_s() + 1.0);
-            scheduler.direct_answer(silent, &said, &job_store);
+            let silent = at(NOW + scheduler.silence_timeout_s() + 1.0);
+            scheduler.on_direct_response(silent, &said, &job_store);
             let m = scheduler.machine(machine()).expect("known");
-            let left = m.allocations.get(&task).map(|e| e.state);
+            let left = m.resident.allocations.get(&task).map(|e| e.state);
             // Left out, it is given up, or taken for one whose `run` was lost, and goes
             // elsewhere while that may be on its way.
             let kept = !(gone || broken && state == sent);
@@ -357,17 +364,17 @@
                 left.is_none(),
                 gone || (broken && state == sent && incarnation == 2)
             );
-            assert_eq!(m.last_answered, Some(at(NOW)), "silence goes on");
-            assert_eq!(m.last_heartbeat, Some(at(NOW)));
+            assert_eq!(m.liveness.last_answered, Some(at(NOW)), "silence goes on");
+            assert_eq!(m.liveness.last_heartbeat, Some(at(NOW)));
             // A report that was sent before is answered still; its list is the older one.
             if gone && incarnation == 1 {
                 let late = report(8, 9, &["job-1/0"]);
                 assert_eq!(
-                    killed(&scheduler.report(silent, &late, &[], &job_store)),
+                    killed(&scheduler.on_report(silent, &late, &[], &job_store)),
                     ["job-1/0"]
                 );
                 let m = scheduler.machine(machine()).expect("known");
-                assert!(m.is_empty() && m.last_answered == Some(silent));
+                assert!(m.is_empty() && m.liveness.last_answered == Some(silent));
             }
         }
     }
@@ -378,10 +385,13 @@
 fn silent_machines_with_tasks_are_asked() {
     let (job_store, mut scheduler) = cancelled("job-1");
     scheduler.loaded = true;
-    scheduler.report(at(NOW), &report(7, 9, &[]), &[], &job_store);
-    let silent = at(NOW + scheduler.silent_s() + 0.1);
+    scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
+    let silent = at(NOW + scheduler.silence_timeout_s() + 0.1);
     assert!(
-        scheduler.silent_with_tasks(silent).next().is_none(),
+        scheduler
+            .silent_machines_with_tasks(silent)
+            .next()
+            .is_none(),
         "nothing is there"
     );
     let task = TaskId {
@@ -389,14 +399,17 @@
         index: 0,
     };
     let mut there = entry(TaskState::Observed(TaskPhase::Checkpointing));
-    there.kill = Some(0.0);
+    there.kill_grace_s = Some(0.0);
     let m = scheduler.machines.get_mut(&machine()).expect("known");
-    m.allocations.insert(task, there);
+    m.resident.allocations.insert(task, there);
     assert!(
-        scheduler.silent_with_tasks(at(NOW + 1.0)).next().is_none(),
+        scheduler
+            .silent_machines_with_tasks(at(NOW + 1.0))
+            .next()
+            .is_none(),
         "it reports"
     );
-    let asked: Vec<_> = scheduler.silent_with_tasks(silent).collect();
+    let asked: Vec<_> = scheduler.silent_machines_with_tasks(silent).collect();
     let [(id, _, incarnation, commands)] = asked.as_slice() else {
         panic!("{asked:?}")
     };
@@ -422,7 +435,7 @@
             .team_usage[0]
             .cpus
     };
-    scheduler.report(
+    scheduler.on_report(
         at(NOW),
         &report(7, 9, &["job-1/0", "job-1/2"]),
         &machine_types,
@@ -437,7 +450,7 @@
             .cpus
     };
     assert_eq!(free(&scheduler), 6.0);
-    scheduler.report(
+    scheduler.on_report(
         at(NOW + 1.0),
         &report(8, 9, &["job-1/2"]),
         &machine_types,
@@ -446,14 +459,14 @@
     assert_eq!((used(&scheduler, at(NOW)), free(&scheduler)), (1.0, 7.0));
     // Of a job that is done only its end is kept: the machine counts as full.
     job_store.on_committed(job("job-3"), Revision(8), JobState::Done, None);
-    scheduler.report(
+    scheduler.on_report(
         at(NOW + 2.0),
         &report(9, 9, &["job-3/0"]),
         &machine_types,
         &job_store,
     );
     assert!(free(&scheduler) < 0.0);
-    scheduler.report(
+    scheduler.on_report(
         at(NOW + 3.0),
         &report(10, 9, &[]),
         &machine_types,
@@ -470,7 +483,7 @@
         let (job_store, mut scheduler) = cancelled("job-1");
         scheduler.loaded = true;
         let mut said = report(7, 9, &["job-1/0"]);
-        said.reported_tasks[0].status = status.into();
+        said.reported_tasks[0].status = ReportedStatus::from(status.to_string());
         let task = TaskId {
             job: job("job-1"),
             index: 0,
@@ -479,12 +492,12 @@
             if known {
                 // As it was told to save, to make room, before it was cancelled.
                 let mut there = entry(TaskState::Observed(TaskPhase::Checkpointing));
-                there.kill = Some(4.0);
+                there.kill_grace_s = Some(4.0);
                 let m = scheduler.machines.get_mut(&machine()).expect("known");
-                m.allocations.insert(task, there);
+                m.resident.allocations.insert(task, there);
             }
             said.sequence = sequence;
-            let commands = scheduler.report(at(NOW + sequence as f64), &said, &[], &job_store);
+            let commands = scheduler.on_report(at(NOW + sequence as f64), &said, &[], &job_store);
             assert_eq!(killed(&commands), ["job-1/0"], "{status}");
             assert_eq!(commands.len(), 1);
         }
@@ -507,24 +520,29 @@
             index: 0,
         };
         let mut there = entry(TaskState::Inherited);
-        there.kill = Some(0.0);
+        there.kill_grace_s = Some(0.0);
         let mut m = Machine::new(at(NOW));
-        m.allocations.insert(task, there);
+        m.resident.allocations.insert(task, there);
         scheduler.machines.insert(machine(), m);
         scheduler.loaded = loaded;
         assert!(
-            scheduler.silent_with_tasks(at(NOW + 60.0)).next().is_none(),
+            scheduler
+                .silent_machines_with_tasks(at(NOW + 60.0))
+                .next()
+                .is_none(),
             "where it is is not known"
         );
         let said = report(5, fencing_token, if listed { &["job-1/0"] } else { &[] });
-        scheduler.direct_answer(at(NOW), &said, &job_store);
+        scheduler.on_direct_response(at(NOW), &said, &job_store);
         let m = scheduler.machine(machine()).expect("known");
         assert_eq!(m.is_empty(), loaded && fencing_token == 9 && !listed);
         assert!(
-            m.last_heartbeat.is_none() && m.last_answered.is_none() && !m.ever_had_our_token,
+            m.liveness.last_heartbeat.is_none()
+                && m.liveness.last_answered.is_none()
+                && !m.acknowledgement.ever_had_current_token,
             "silence goes on"
         );
-        let asked: Vec<_> = scheduler.silent_with_tasks(at(NOW)).collect();
+        let asked: Vec<_> = scheduler.silent_machines_with_tasks(at(NOW)).collect();
         assert_eq!(asked.len(), usize::from(listed));
         assert!(asked
             .iter()
@@ -533,13 +551,15 @@
         let left = scheduler
             .machine(machine())
             .expect("known")
+            .resident
             .allocations
             .len();
-        scheduler.direct_answer(at(NOW), &report(5, 9, &[]), &job_store);
+        scheduler.on_direct_response(at(NOW), &report(5, 9, &[]), &job_store);
         assert_eq!(
             scheduler
                 .machine(machine())
                 .expect("known")
+                .resident
                 .allocations
                 .len(),
             match loaded {
@@ -557,7 +577,7 @@
     let (_, mut scheduler) = cancelled("job-1");
     let now = at(NOW);
     assert!(scheduler.may_run(now), "nothing was ever changed");
-    scheduler.rest_on(None, Some(now.plus(7.0)));
+    scheduler.set_configuration_condition(None, Some(now.plus(7.0)));
     assert!(scheduler.may_run(now.plus(6.9)) && !scheduler.may_run(now.plus(7.0)));
 }
 
@@ -568,10 +588,12 @@
     let (_, mut scheduler) = cancelled("job-1");
     let id = |n: usize| MachineId::parse(&format!("n-{n:06}")).expect("a name");
     (0..8_192).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
-    assert!((0..8_192).all(|n| scheduler.gone.contains(&id(n))));
+    assert!((0..8_192).all(|n| scheduler.removed_machines.contains(&id(n))));
     (0..MAX_GONE_MACHINES + 100).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
-    assert_eq!(scheduler.gone.len(), MAX_GONE_MACHINES);
-    assert!(scheduler.gone.contains(&id(MAX_GONE_MACHINES + 99)));
+    assert_eq!(scheduler.removed_machines.len(), MAX_GONE_MACHINES);
+    assert!(scheduler
+        .removed_machines
+        .contains(&id(MAX_GONE_MACHINES + 99)));
 }
 
 /// Each verb that a worker knows, as its orders are encoded.
@@ -582,24 +604,33 @@
     job_store.on_committed(job("job-2"), Revision(6), JobState::Open, spec);
     scheduler.sync_job(at(NOW), job("job-2"), &job_store);
     scheduler.loaded = true;
-    scheduler.report(at(NOW), &report(1, 9, &[]), &[], &job_store);
+    scheduler.on_report(at(NOW), &report(1, 9, &[]), &[], &job_store);
     let task = TaskId {
         job: job("job-2"),
         index: 0,
     };
     let known = scheduler.machines.get_mut(&machine()).expect("known");
-    known.allocations.insert(task, entry(TaskState::Committed));
+    known
+        .resident
+        .allocations
+        .insert(task, entry(TaskState::Committed));
     let mut said = report(2, 9, &["job-1/0", "job-3/0"]);
-    said.reported_tasks[1].status = "exited".into();
-    said.reported_tasks[1].cause = Some("stopped".into());
+    said.reported_tasks[1].status = ReportedStatus::Exited;
+    said.reported_tasks[1].cause = Some(ExitCause::Stopped);
     let mut golden = crate::golden::Golden::new("tests/golden/orders.hex");
-    let commands = scheduler.report(at(NOW + 1.0), &said, &[], &job_store);
+    let commands = scheduler.on_report(at(NOW + 1.0), &said, &[], &job_store);
     assert_eq!(
-        commands.iter().map(|o| o.verb).collect::<Vec<_>>(),
+        commands
+            .iter()
+            .map(|o| o.verb.to_string())
+            .collect::<Vec<_>>(),
         ["kill", "clear", "run"]
     );
     for order in commands {
-        golden.bytes(order.verb, &beamhinge_core::wire::encode(&order));
+        golden.bytes(
+            &order.verb.to_string(),
+            &beamhinge_core::wire::encode(&order),
+        );
     }
     golden.check();
 }
--- a/crates/controller/src/scheduler/scattered_preemption.rs
+++ b/crates/controller/src/scheduler/scattered_preemption.rs
@@ -1,9 +1,9 @@
 //! A withdrawn way of preemption, which tests put back as a planted fault: CPUs of stopped tasks
 //! are added up over the whole fleet, wherever they are, and nothing reserves their room.
 
+use super::allocation::TaskState;
 use super::cycle::SchedulingCycle;
 use super::feasibility::is_feasible;
-use super::types::TaskState;
 use super::victims::{PreemptionClaim, PreemptionReason, EARLY_RUN_FRACTION};
 use super::Scheduler;
 use beamhinge_core::types::{MachineId, TaskId, Time};
@@ -31,7 +31,7 @@
             return;
         };
         let spec = job.spec.clone();
-        let mut lacking_cpus = f64::from(job.waiting()) * spec.cpus;
+        let mut lacking_cpus = f64::from(job.pending_tasks()) * spec.cpus;
         let mut victims: Vec<ScatteredVictim> = Vec::new();
         for (id, machine) in self
             .machines
@@ -39,17 +39,18 @@
             .filter(|(_, machine)| self.accepts_tasks(now, machine))
         {
             let Some(machine_type) = machine
+                .identity
                 .machine_type
                 .and_then(|index| cycle.machine_types.get(index))
             else {
                 continue;
             };
-            for (task, allocation) in &machine.allocations {
+            for (task, allocation) in &machine.resident.allocations {
                 let Some(job) = self.jobs.get(&task.job) else {
                     continue;
                 };
-                let (ran_s, run_s) = (allocation.ran_s(now), self.run_s(job));
-                if allocation.kill.is_some() {
+                let (ran_s, run_s) = (allocation.ran_s(now), self.expected_run_s(job));
+                if allocation.kill_grace_s.is_some() {
                     lacking_cpus -= allocation.resources.cpus;
                 } else if matches!(allocation.state, TaskState::Observed(_))
                     && job.spec.urgency < spec.urgency
--- a/crates/controller/src/scheduler/victims.rs
+++ b/crates/controller/src/scheduler/victims.rs
@@ -3,7 +3,9 @@
 //! A [`PreemptionPlan`] is made at most once in a cycle, from all machines; claims are then served
 //! from it one after the other, and it keeps track of what they took.
 
-use super::types::{Allocation, Job, Machine, TaskState};
+use super::allocation::{Allocation, TaskState};
+use super::job::Job;
+use super::machine::Machine;
 use super::Scheduler;
 use crate::job_store::{JobKind, JobSpec, JobState};
 use crate::split::{MachineType, Resources};
@@ -212,9 +214,10 @@
         let mut usable_cpus = vec![0.0; machine_types.len()];
         for (id, machine) in &self.machines {
             for allocation in machine
+                .resident
                 .allocations
                 .values()
-                .filter(|allocation| allocation.kill.is_none())
+                .filter(|allocation| allocation.kill_grace_s.is_none())
             {
                 if let Some(over) = allocation
                     .team
@@ -224,6 +227,7 @@
                 }
             }
             let Some(index) = machine
+                .identity
                 .machine_type
                 .filter(|_| self.accepts_tasks(now, machine))
             else {
@@ -253,13 +257,13 @@
     ) -> CandidateMachine {
         let mut free = machine.unpromised(survey.machine_types);
         let (mut preemptible, mut exits) = (Vec::new(), Vec::new());
-        for (task, allocation) in &machine.allocations {
+        for (task, allocation) in &machine.resident.allocations {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            if allocation.kill.is_some() {
+            if allocation.kill_grace_s.is_some() {
                 // It is on its way out, and its room is spoken for or free.
-                if allocation.may_be_there() {
+                if allocation.may_be_on_machine() {
                     free.add(&allocation.resources);
                 }
                 continue;
@@ -281,7 +285,7 @@
                 lost_cpu_s: self.lost_s(survey.now, job, allocation) * allocation.resources.cpus,
                 profile: victims.profiles.len() as u32,
             });
-            let ends_by_itself = job.spec.kind == JobKind::Batch && allocation.started.is_some();
+            let ends_by_itself = job.spec.kind == JobKind::Batch && allocation.started_at.is_some();
             if ends_by_itself
                 && profile.run_time_known
                 && profile.remaining_s < survey.exit_horizon_s
@@ -311,7 +315,7 @@
         allocation: &Allocation,
     ) -> VictimProfile {
         let spec = &job.spec;
-        let (run_s, ran_s) = (self.run_s(job), allocation.ran_s(survey.now));
+        let (run_s, ran_s) = (self.expected_run_s(job), allocation.ran_s(survey.now));
         let idle_time = spec.urgency == Urgency::BestEffort && spec.due_s.is_none();
         VictimProfile {
             urgency: spec.urgency,
@@ -347,7 +351,7 @@
         if job.spec.checkpoint_interval_s > 0.0 {
             job.spec.checkpoint_duration_s + RESTART_S
         } else if allocation.inherited {
-            self.run_s(job) * UNKNOWN_RUN_FRACTION
+            self.expected_run_s(job) * UNKNOWN_RUN_FRACTION
         } else {
             allocation.ran_s(now) + 1.0
         }
@@ -363,7 +367,7 @@
         for job in self
             .jobs
             .values()
-            .filter(|job| job.state == JobState::Open && !job.complete())
+            .filter(|job| job.state == JobState::Open && !job.is_complete())
         {
             let resources = job.resources();
             let allowed = |machine_type: &MachineType| {
@@ -376,7 +380,7 @@
                 .map(|(_, cpus)| *cpus)
                 .sum();
             let tenant = TenantKey {
-                team: self.team(&job.spec),
+                team: self.team_index(&job.spec),
                 class: job.spec.class.clone(),
             };
             reserved.add_eligible_capacity(&tenant, cpus);
