--- a/crates/core/src/http.rs
+++ b/crates/core/src/http.rs
@@ -1,28 +1,38 @@
 //! HTTP/1.1 messages: an incremental parser and writers for both sides.
 //!
-//! The project parses its own HTTP (house style). Only what the protocols use
-//! is accepted: bodies by `Content-Length`, or chunked answers from a server.
+//! Only what the protocols use is accepted: bodies by `Content-Length`, or chunked. The parser
+//! works on a buffer that the caller fills, removes whole messages from its front and holds no
+//! state in between.
 
-/// Longest head of a message. Guards memory against a head that never ends.
+/// Longest head of a message, bytes; bounds memory against a head that never ends.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 
+/// Why no message can be read from a connection any more.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
+    /// The bytes are no HTTP/1.x message of the accepted form.
     #[error("malformed message")]
     Malformed,
+    /// The body is over the caller's limit.
     #[error("body over the limit")]
     TooLarge,
 }
 
+/// The method of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
+    /// `GET`
     Get,
+    /// `POST`
     Post,
+    /// `DELETE`
     Delete,
+    /// Any other method; no interface accepts one.
     Other,
 }
 
 impl Method {
+    /// The method as it is written in a request line.
     pub fn name(self) -> &'static str {
         match self {
             Method::Get => "GET",
@@ -33,11 +43,14 @@
     }
 }
 
-/// The form of a body.
+/// The media type of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Content {
+    /// CBOR, for users, workers, the key-value store and the cloud.
     Cbor,
+    /// JSON, for the admin API.
     Json,
+    /// Text in the exposition format of metrics.
     Text,
 }
 
@@ -51,147 +64,191 @@
     }
 }
 
+/// A request that has arrived whole.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Request {
+    /// Its method.
     pub method: Method,
-    /// With its query.
+    /// Path with the query.
     pub path: String,
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
+    /// Whether the client closes the connection after the response.
     pub close: bool,
-    /// The `Authorization` header, as it came.
+    /// Value of the `Authorization` header.
     pub authorization: Option<String>,
 }
 
+/// A response that has arrived whole.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Response {
+    /// Status code.
     pub status: u16,
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
+    /// Whether the server closes the connection after it.
     pub close: bool,
-    /// Seconds after which the server wants to be asked again.
+    /// Value of the `Retry-After` header, seconds.
     pub retry_after: Option<u32>,
 }
 
+/// Longest line in front of a chunk, bytes.
+const MAX_CHUNK_LINE_BYTES: usize = 64;
+
+/// The parsed head of a message.
 struct Head {
-    first: String,
-    length: Option<usize>,
+    /// Request line or status line.
+    first_line: String,
+    content_length: Option<usize>,
     chunked: bool,
     close: bool,
+    /// Length of the head with the empty line that ends it, bytes.
     size: usize,
     authorization: Option<String>,
     retry_after: Option<u32>,
 }
 
-fn head(buf: &[u8]) -> Result<Option<Head>, HttpError> {
-    let Some(end) = buf
-        .windows(4)
-        .take(MAX_HEAD_BYTES)
-        .position(|w| w == b"\r\n\r\n")
-    else {
-        return if buf.len() > MAX_HEAD_BYTES {
-            Err(HttpError::Malformed)
-        } else {
-            Ok(None)
+impl Head {
+    /// Parses the head at the front of `buf`; `None` until all of it has arrived.
+    fn parse(buf: &[u8]) -> Result<Option<Head>, HttpError> {
+        let Some(end) = buf
+            .windows(4)
+            .take(MAX_HEAD_BYTES)
+            .position(|w| w == b"\r\n\r\n")
+        else {
+            return if buf.len() > MAX_HEAD_BYTES {
+                Err(HttpError::Malformed)
+            } else {
+                Ok(None)
+            };
         };
-    };
-    let text = std::str::from_utf8(&buf[..end]).map_err(|_| HttpError::Malformed)?;
-    let mut lines = text.split("\r\n");
-    let first = lines.next().ok_or(HttpError::Malformed)?.to_string();
-    let mut h = Head {
-        first,
-        length: None,
-        chunked: false,
-        close: false,
-        size: end + 4,
-        authorization: None,
-        retry_after: None,
-    };
-    for line in lines {
-        let (name, value) = line.split_once(':').ok_or(HttpError::Malformed)?;
-        if name.is_empty() || name.bytes().any(|b| b.is_ascii_whitespace()) {
+        let text = std::str::from_utf8(&buf[..end]).map_err(|_| HttpError::Malformed)?;
+        let mut lines = text.split("\r\n");
+        let first_line = lines.next().ok_or(HttpError::Malformed)?.to_string();
+        let mut head = Head {
+            first_line,
+            content_length: None,
+            chunked: false,
+            close: false,
+            size: end + 4,
+            authorization: None,
+            retry_after: None,
+        };
+        for line in lines {
+            let (name, value) = line.split_once(':').ok_or(HttpError::Malformed)?;
+            if name.is_empty() || name.bytes().any(|b| b.is_ascii_whitespace()) {
+                return Err(HttpError::Malformed);
+            }
+            head.apply_header(name, value.trim())?;
+        }
+        if head.chunked && head.content_length.is_some() {
             return Err(HttpError::Malformed);
         }
-        let value = value.trim();
+        Ok(Some(head))
+    }
+
+    /// Takes over one header; those that the protocols do not use are ignored.
+    fn apply_header(&mut self, name: &str, value: &str) -> Result<(), HttpError> {
         if name.eq_ignore_ascii_case("content-length") {
             if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
                 return Err(HttpError::Malformed);
             }
-            let n: usize = value.parse().map_err(|_| HttpError::TooLarge)?;
-            // Two lengths that differ would let two readers disagree on where
-            // the next message begins.
-            if h.length.is_some_and(|old| old != n) {
+            let length: usize = value.parse().map_err(|_| HttpError::TooLarge)?;
+            // Two lengths that differ would let two readers disagree on where the next message
+            // begins.
+            if self.content_length.is_some_and(|earlier| earlier != length) {
                 return Err(HttpError::Malformed);
             }
-            h.length = Some(n);
+            self.content_length = Some(length);
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
-            h.chunked = value.eq_ignore_ascii_case("chunked");
-            if !h.chunked {
+            self.chunked = value.eq_ignore_ascii_case("chunked");
+            if !self.chunked {
                 return Err(HttpError::Malformed);
             }
         } else if name.eq_ignore_ascii_case("authorization") {
-            h.authorization = Some(value.to_string());
+            self.authorization = Some(value.to_string());
         } else if name.eq_ignore_ascii_case("retry-after") {
-            h.retry_after = value.parse().ok();
+            self.retry_after = value.parse().ok();
         } else if name.eq_ignore_ascii_case("connection") {
-            h.close |= value
+            self.close |= value
                 .split(',')
                 .any(|v| v.trim().eq_ignore_ascii_case("close"));
         }
+        Ok(())
     }
-    if h.chunked && h.length.is_some() {
-        return Err(HttpError::Malformed);
-    }
-    Ok(Some(h))
 }
 
-/// The body from `start`, and where the message ends.
-fn body(buf: &[u8], h: &Head, limit: usize) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
-    if !h.chunked {
-        let n = h.length.unwrap_or(0);
-        if n > limit {
-            return Err(HttpError::TooLarge);
-        }
-        let end = h.size + n;
-        return Ok(buf.get(h.size..end).map(|b| (b.to_vec(), end)));
+/// A message's body and the place in `buf` where the message ends; `None` until all of it has
+/// arrived.
+fn parse_body(
+    buf: &[u8],
+    head: &Head,
+    limit: usize,
+) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
+    if head.chunked {
+        return parse_chunks(buf, head.size, limit);
     }
-    let mut out = Vec::new();
-    let mut at = h.size;
+    let length = head.content_length.unwrap_or(0);
+    if length > limit {
+        return Err(HttpError::TooLarge);
+    }
+    let end = head.size + length;
+    Ok(buf.get(head.size..end).map(|body| (body.to_vec(), end)))
+}
+
+/// The chunked body that begins at `start`, and where it ends.
+fn parse_chunks(
+    buf: &[u8],
+    start: usize,
+    limit: usize,
+) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
+    let mut body = Vec::new();
+    let mut at = start;
     loop {
         let rest = buf.get(at..).unwrap_or(&[]);
-        let Some(line) = rest.windows(2).take(64).position(|w| w == b"\r\n") else {
-            return if rest.len() > 64 {
+        let Some(line_end) = rest
+            .windows(2)
+            .take(MAX_CHUNK_LINE_BYTES)
+            .position(|w| w == b"\r\n")
+        else {
+            return if rest.len() > MAX_CHUNK_LINE_BYTES {
                 Err(HttpError::Malformed)
             } else {
                 Ok(None)
             };
         };
-        let text = std::str::from_utf8(&rest[..line]).map_err(|_| HttpError::Malformed)?;
-        let text = text.split(';').next().unwrap_or("").trim();
-        let n = usize::from_str_radix(text, 16).map_err(|_| HttpError::Malformed)?;
-        if n > limit || out.len() + n > limit {
+        let line = std::str::from_utf8(&rest[..line_end]).map_err(|_| HttpError::Malformed)?;
+        let size = line.split(';').next().unwrap_or("").trim();
+        let size = usize::from_str_radix(size, 16).map_err(|_| HttpError::Malformed)?;
+        if size > limit || body.len() + size > limit {
             return Err(HttpError::TooLarge);
         }
-        let start = line + 2;
-        let Some(chunk) = rest.get(start..start + n + 2) else {
+        let chunk_start = line_end + 2;
+        let Some(chunk) = rest.get(chunk_start..chunk_start + size + 2) else {
             return Ok(None);
         };
-        if &chunk[n..] != b"\r\n" {
+        if &chunk[size..] != b"\r\n" {
             return Err(HttpError::Malformed);
         }
-        out.extend_from_slice(&chunk[..n]);
-        at += start + n + 2;
-        if n == 0 {
-            return Ok(Some((out, at)));
+        body.extend_from_slice(&chunk[..size]);
+        at += chunk_start + size + 2;
+        if size == 0 {
+            return Ok(Some((body, at)));
         }
     }
 }
 
-/// Takes one whole request off the front of `buf`.
+/// Removes one whole request from the front of `buf`; `None` until all of it has arrived.
+///
+/// # Errors
+///
+/// [`HttpError`] if no request can be read from this connection any more. `limit` bounds the body.
 pub fn take_request(buf: &mut Vec<u8>, limit: usize) -> Result<Option<Request>, HttpError> {
-    let Some(mut h) = head(buf)? else {
+    let Some(mut head) = Head::parse(buf)? else {
         return Ok(None);
     };
-    let authorization = h.authorization.take();
-    let mut words = h.first.split(' ');
+    let authorization = head.authorization.take();
+    let mut words = head.first_line.split(' ');
     let (Some(method), Some(path), Some(version), None) =
         (words.next(), words.next(), words.next(), words.next())
     else {
@@ -210,8 +267,8 @@
         _ => Method::Other,
     };
     let path = path.to_string();
-    let close = h.close || version == "HTTP/1.0";
-    let Some((body, end)) = body(buf, &h, limit)? else {
+    let close = head.close || version == "HTTP/1.0";
+    let Some((body, end)) = parse_body(buf, &head, limit)? else {
         return Ok(None);
     };
     buf.drain(..end);
@@ -224,10 +281,17 @@
     }))
 }
 
-/// Takes one whole response off the front of `buf`.
+/// Removes one whole response from the front of `buf`; `None` until all of it has arrived.
+///
+/// # Errors
+///
+/// [`HttpError`] if no response can be read from this connection any more. `limit` bounds the
+/// body.
 pub fn take_response(buf: &mut Vec<u8>, limit: usize) -> Result<Option<Response>, HttpError> {
-    let Some(h) = head(buf)? else { return Ok(None) };
-    let mut words = h.first.splitn(3, ' ');
+    let Some(head) = Head::parse(buf)? else {
+        return Ok(None);
+    };
+    let mut words = head.first_line.splitn(3, ' ');
     let version = words.next().unwrap_or("");
     let status: u16 = words
         .next()
@@ -237,28 +301,34 @@
     if !version.starts_with("HTTP/1.") || status < 200 {
         return Err(HttpError::Malformed);
     }
-    let Some((body, end)) = body(buf, &h, limit)? else {
+    let Some((body, end)) = parse_body(buf, &head, limit)? else {
         return Ok(None);
     };
     buf.drain(..end);
-    let close = h.close || version == "HTTP/1.0";
+    let close = head.close || version == "HTTP/1.0";
     Ok(Some(Response {
         status,
         body,
         close,
-        retry_after: h.retry_after,
+        retry_after: head.retry_after,
     }))
 }
 
-/// What stands above a request's body.
+/// Request line and headers of a request.
 pub struct RequestHead<'a> {
+    /// Method of the request.
     pub method: Method,
+    /// Path with the query.
     pub path: &'a str,
+    /// Value of the `Host` header.
     pub host: &'a str,
+    /// Media type of the body.
     pub content: Content,
+    /// Value of the `Authorization` header.
     pub authorization: Option<&'a str>,
 }
 
+/// Appends a whole request to `out`.
 pub fn write_request(out: &mut Vec<u8>, head: &RequestHead, body: &[u8]) {
     let mut text = format!(
         "{} {} HTTP/1.1\r\nHost: {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
@@ -278,7 +348,8 @@
     out.extend_from_slice(body);
 }
 
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status line.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -315,7 +386,7 @@
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
         response.status,
-        reason(response.status),
+        reason_phrase(response.status),
         response.content.name(),
         body.len()
     );
--- a/crates/core/src/http/tests.rs
+++ b/crates/core/src/http/tests.rs
@@ -1,4 +1,7 @@
-use super::*;
+use super::{
+    take_request, take_response, write_request, Content, HttpError, Method, RequestHead,
+    MAX_HEAD_BYTES,
+};
 use rand::{rngs::StdRng, Rng, SeedableRng};
 
 fn head(method: Method, path: &str) -> RequestHead<'_> {
@@ -13,7 +16,7 @@
 }
 
 #[test]
-fn a_request_may_come_in_any_pieces() {
+fn request_in_any_pieces_is_parsed_whole() {
     let mut whole = Vec::new();
     write_request(&mut whole, &head(Method::Post, "/x?a=1"), b"body");
     for cut in 0..whole.len() {
@@ -30,7 +33,7 @@
 }
 
 #[test]
-fn limits_and_malformed_messages_are_told_apart() {
+fn large_and_malformed_messages_are_different_errors() {
     let case = |s: &str| take_request(&mut s.as_bytes().to_vec(), 10);
     assert_eq!(
         case("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n"),
@@ -53,7 +56,7 @@
 }
 
 #[test]
-fn answers_may_be_chunked() {
+fn chunked_response_is_joined() {
     let mut buf =
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
             .to_vec();
@@ -62,7 +65,7 @@
 }
 
 #[test]
-fn no_message_ends_the_process() {
+fn random_bytes_never_panic() {
     let mut rng = StdRng::seed_from_u64(11);
     let mut good = Vec::new();
     write_request(
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,16 +1,9 @@
-//! The words that every package of beamhinge shares: ids, versions and times,
-//! settings, messages and their encodings. No sockets, no decisions.
-
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
+//! Types that every package of beamhinge shares: identifiers, revisions and times, settings,
+//! messages and their encodings.
+//!
+//! The crate opens no sockets and takes no scheduling decisions. Names in stored records and on
+//! the wire are fixed by serde attributes and held by the golden files of `tests/golden`: Rust
+//! names may change, bytes may not.
 
 pub mod http;
 pub mod job;
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -1,61 +1,94 @@
-//! What controllers tell each other: `postcard` frames behind a length.
+//! Frames that controllers send each other: `postcard` behind a length of four bytes.
 //!
-//! Nothing here is proof: a holder that hears of a higher token stops a
-//! little sooner than its workers would have made it. Progress is for display, and the age of the
-//! last exchange with the state service lets a node that alone is cut off from
-//! it step out of the users' way.
+//! Nothing in a frame is proof of anything: safety rests on leases and fencing tokens alone. A
+//! leader that hears of a higher token steps down a little sooner than its workers would make it;
+//! progress is for display; the age of the last exchange with the store lets a controller that
+//! alone is cut off from it send users elsewhere.
+//!
+//! `postcard` writes neither names nor numbers of fields: the order of variants and fields is the
+//! format, and new variants go to the end.
 
 use crate::types::{JobId, MachineId};
 use serde::{Deserialize, Serialize};
 
-/// Longest frame taken from a peer; guards memory.
+/// Longest body of a frame, bytes; a longer one is refused to bound memory.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 
+/// Bytes of the length in front of a frame, big-endian.
+const LENGTH_BYTES: usize = 4;
+
+/// A message between controllers.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Sent about once a second.
+    /// Sent by every controller about once a second.
     Heartbeat {
+        /// Label of the sender.
         label: String,
+        /// Time since the sender's last successful exchange with the key-value store,
+        /// milliseconds.
         #[serde(rename = "ledger_age_ms")]
         store_age_ms: u64,
+        /// Whether the sender is the leader.
         #[serde(rename = "holder")]
         leader: bool,
     },
-    /// From the holder: jobs with tasks done or running.
+    /// From the leader: jobs with their numbers of tasks done and running.
     Progress(Vec<(String, u32, u32)>),
-    /// From the holder: its token. Nobody with a lower one is entitled.
-    LeaderHeartbeat { label: String, fencing_token: u64 },
-    /// With each pulse: whether it could take over at once, and whether
-    /// operators have drained it.
+    /// From the leader: no controller with a lower fencing token may act.
+    LeaderHeartbeat {
+        /// Label of the leader.
+        label: String,
+        /// Fencing token of the leader.
+        fencing_token: u64,
+    },
+    /// Sent with each heartbeat.
     Readiness {
+        /// Label of the sender.
         label: String,
+        /// Whether the sender could take over at once.
         ready: bool,
+        /// Whether operators have drained the sender.
         drained: bool,
     },
-    /// A question to the holder, in a form that this layer does not read.
+    /// A query of the admin API that only the leader can answer, in a form that this module does
+    /// not read.
     Query {
+        /// Label of the controller that was asked.
         from: String,
+        /// Identifies the query in its response.
         serial: u64,
+        /// The encoded query.
         query: Vec<u8>,
     },
-    /// The holder's answer: a status as of HTTP, and JSON.
+    /// The leader's response to a [`Frame::Query`].
     QueryResponse {
+        /// Number of the query.
         serial: u64,
+        /// HTTP status.
         status: u16,
+        /// The response's body, JSON.
         body: Vec<u8>,
     },
-    /// To the holder: machines that reported here lately, since it does not
-    /// answer them or they do not know it. Sent only while there are such.
+    /// To the leader: machines that reported to another controller lately, because the leader
+    /// does not answer them or they do not know it. Sent only while there are such machines.
     MisroutedWorkers {
+        /// Label of the controller that the machines report to.
         label: String,
+        /// Names of the machines.
         machines: Vec<String>,
     },
-    /// From a holder that commits nothing though there is work: whoever takes
-    /// over is to begin with small steps.
-    LeaderStalled { label: String },
-    /// Jobs whose end a user was told here: older answers to questions that wait
-    /// elsewhere are not given any more. Word, not proof: nobody takes the end from it.
-    JobsEnded { jobs: Vec<String> },
+    /// From a leader that commits nothing although there is work: its successor begins with
+    /// small transactions.
+    LeaderStalled {
+        /// Label of the leader.
+        label: String,
+    },
+    /// Jobs whose end a user was told by the sender: older answers to queries that wait elsewhere
+    /// must not be given any more. No controller records a job's end from this frame.
+    JobsEnded {
+        /// Ids of the jobs.
+        jobs: Vec<String>,
+    },
 }
 
 impl Frame {
@@ -68,7 +101,7 @@
     /// [`Frame::progress`]. The longest row takes 33 bytes, so 4,000 rows are 129 KB.
     pub const MAX_ROWS: usize = 4_000;
 
-    /// The machines that report to `label` in place of the holder: as many frames as their
+    /// The machines that report to `label` in place of the leader: as many frames as their
     /// names need. The receiver adds them up.
     pub fn misrouted_workers(label: &str, machines: &[MachineId]) -> Vec<Frame> {
         let frame = |part: &[MachineId]| Frame::MisroutedWorkers {
@@ -105,6 +138,9 @@
     }
 }
 
+/// Encodes a frame with its length in front.
+///
+/// Every frame can be encoded: its types are plain data, and writing to memory does not fail.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let body = postcard::to_stdvec(frame).unwrap_or_default();
     let mut out = (body.len() as u32).to_be_bytes().to_vec();
@@ -112,24 +148,32 @@
     out
 }
 
+/// A frame over [`MAX_FRAME_BYTES`] or of unknown form.
 #[derive(Debug, thiserror::Error)]
 #[error("a frame over the limit or of unknown form")]
 pub struct InvalidFrame;
 
-/// Takes one whole frame off the front of `buf`.
+/// Removes one whole frame from the front of `buf`; `None` until all of it has arrived.
+///
+/// # Errors
+///
+/// [`InvalidFrame`] if the link cannot be used any further.
 pub fn take_frame(buf: &mut Vec<u8>) -> Result<Option<Frame>, InvalidFrame> {
-    let Some(head) = buf.get(..4).and_then(|h| <[u8; 4]>::try_from(h).ok()) else {
+    let Some(head) = buf
+        .get(..LENGTH_BYTES)
+        .and_then(|head| <[u8; LENGTH_BYTES]>::try_from(head).ok())
+    else {
         return Ok(None);
     };
-    let len = u32::from_be_bytes(head) as usize;
-    if len > MAX_FRAME_BYTES {
+    let length = u32::from_be_bytes(head) as usize;
+    if length > MAX_FRAME_BYTES {
         return Err(InvalidFrame);
     }
-    let Some(body) = buf.get(4..4 + len) else {
+    let Some(body) = buf.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
         return Ok(None);
     };
     let frame = postcard::from_bytes(body).map_err(|_| InvalidFrame)?;
-    buf.drain(..4 + len);
+    buf.drain(..LENGTH_BYTES + length);
     Ok(Some(frame))
 }
 
--- a/crates/core/src/peers/tests.rs
+++ b/crates/core/src/peers/tests.rs
@@ -1,12 +1,12 @@
-use super::*;
+use super::{encode, take_frame, Frame, MAX_FRAME_BYTES};
+use crate::types::{JobId, MachineId};
 
-/// Guards against a frame that the other side refuses, with the link, each
-/// second anew.
+/// Guards against a frame that the receiver refuses: it would close the link each second.
 #[test]
-fn the_longest_lists_fit_a_frame() {
+fn longest_lists_fit_one_frame() {
     let long = "n-123456789012345678".to_string();
     let machines = vec![long.clone(); Frame::MAX_NAMES];
-    let hears = Frame::MisroutedWorkers {
+    let misrouted = Frame::MisroutedWorkers {
         label: "x".repeat(200),
         machines,
     };
@@ -14,7 +14,7 @@
     let ended = Frame::JobsEnded {
         jobs: vec!["job-123456789012345678".into(); Frame::MAX_NAMES],
     };
-    for frame in [hears, ended, Frame::Progress(rows)] {
+    for frame in [misrouted, ended, Frame::Progress(rows)] {
         let mut bytes = encode(&frame);
         assert!(bytes.len() <= MAX_FRAME_BYTES, "{}", bytes.len());
         assert_eq!(take_frame(&mut bytes).ok().flatten(), Some(frame));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn frames_come_whole_or_not_at_all() {
+fn partial_frame_is_not_taken() {
     let frame = Frame::Progress(vec![("job-1".into(), 2, 3)]);
     let bytes = encode(&frame);
     let mut buf = Vec::new();
@@ -46,10 +46,9 @@
         .collect()
 }
 
-/// 4,000 machines were cut off without a word: all names go out, in frames of which each
-/// is within its limit.
+/// Lists were once cut at 4,000 machines: all names are sent, in frames within the limit.
 #[test]
-fn a_list_beyond_one_frame_goes_out_in_several_and_loses_no_name() {
+fn list_beyond_one_frame_is_split_without_loss() {
     for count in [0, 1, 4_000, 4_001, 8_192, 8_193, 20_000] {
         let (all, ended) = (machines(count), jobs(count));
         let mut heard = Vec::new();
@@ -77,7 +76,7 @@
 
 /// What fits one frame has the bytes that it always had.
 #[test]
-fn a_list_that_fits_is_one_frame_of_the_same_bytes() {
+fn list_that_fits_is_one_frame_of_the_same_bytes() {
     let names: Vec<String> = machines(3).iter().map(MachineId::to_string).collect();
     let before = encode(&Frame::MisroutedWorkers {
         label: "a".into(),
@@ -92,12 +91,12 @@
     let before = encode(&Frame::Progress(rows.clone()));
     let now: Vec<_> = Frame::progress(rows).iter().map(encode).collect();
     assert_eq!(now, [before]);
-    // A holder without any progress says so: an empty list.
+    // A leader without any progress sends an empty list.
     assert_eq!(Frame::progress(Vec::new()), [Frame::Progress(Vec::new())]);
 }
 
 #[test]
-fn a_list_of_progress_ends_with_a_frame_that_is_not_full() {
+fn progress_ends_with_a_frame_that_is_not_full() {
     for count in [
         0,
         1,
--- /dev/null
+++ b/crates/core/src/settings/error.rs
@@ -0,0 +1,95 @@
+//! Why settings are refused.
+
+use std::io;
+use std::net::SocketAddrV4;
+use std::path::Path;
+
+/// Settings that cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum SettingsError {
+    /// The file cannot be read.
+    #[error("cannot read {file}: {source}")]
+    Read {
+        /// Path of the file.
+        file: String,
+        /// The cause.
+        source: io::Error,
+    },
+    /// The platform's file is not TOML of the expected form.
+    #[error("{file}: {source}")]
+    Toml {
+        /// Path of the file.
+        file: String,
+        /// The cause.
+        source: Box<toml::de::Error>,
+    },
+    /// The operators' file is not INI.
+    #[error("{file}: {source}")]
+    Ini {
+        /// Path of the file.
+        file: String,
+        /// The cause.
+        source: ini::ParseError,
+    },
+    /// A value cannot work.
+    #[error("{field}: {source}")]
+    Invalid {
+        /// The setting, as it is named in its file.
+        field: String,
+        /// What is wrong with the value.
+        source: InvalidValue,
+    },
+}
+
+impl SettingsError {
+    pub(super) fn invalid(field: &str, source: InvalidValue) -> SettingsError {
+        SettingsError::Invalid {
+            field: field.into(),
+            source,
+        }
+    }
+}
+
+/// What is wrong with the value of a setting.
+#[derive(Debug, PartialEq, thiserror::Error)]
+#[allow(missing_docs)] // Each message says what the variant means.
+pub enum InvalidValue {
+    #[error("{0} is not a positive number")]
+    NotPositive(f64),
+    #[error("is empty")]
+    Empty,
+    #[error("is negative or not finite")]
+    NegativeOrNotFinite,
+    #[error("is below 4, the smallest that holds a placement")]
+    TransactionTooSmall,
+    #[error("is below 32")]
+    TooFewConnections,
+    #[error("{cancel_s} leaves no room above lease_s {lease_s}: a holder out of touch could not keep a cancellation")]
+    NoRoomAboveLease { cancel_s: f64, lease_s: f64 },
+    #[error("names this controller itself, {0}")]
+    NamesItself(String),
+    #[error("'{0}' is not a number")]
+    NotANumber(String),
+    #[error("'{0}' is not a whole number")]
+    NotAWholeNumber(String),
+    #[error("{value} is not between {low} and {high}")]
+    OutOfRange { value: f64, low: f64, high: f64 },
+    #[error("'{0}' is not IP:PORT")]
+    NotAnAddress(String),
+    #[error("'{0}' is not yes or no")]
+    NotYesOrNo(String),
+    #[error("'{0}' is not standard, high or critical")]
+    NotACeiling(String),
+    #[error("is not a known setting")]
+    UnknownSetting,
+    #[error("{0} is not on loopback: set `keys` to a key file first")]
+    PublicWithoutKeys(SocketAddrV4),
+}
+
+/// Reads a settings file; `name` is its path as errors show it.
+pub(super) fn read_file(path: &Path, name: &str) -> Result<String, SettingsError> {
+    std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
+        file: name.into(),
+        source,
+    })
+}
--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -1,7 +1,8 @@
-use super::*;
+use super::{OperatorSettings, PriorityAging, Settings, SAMPLE};
+use crate::job::Urgency;
 
 #[test]
-fn unknown_fields_pass_and_bad_ones_are_named() {
+fn settings_with_unknown_fields_pass_and_invalid_ones_are_named() {
     let s = Settings::parse("t", SAMPLE).expect("the sample is sound");
     assert!(s.serving_deadline_s() + 10.0 + 1.0 < 30.0);
     for (from, to, names) in [
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn an_open_door_without_keys_is_refused() {
+fn public_listener_without_keys_is_refused() {
     let parse = |text| OperatorSettings::parse("t", text).map(|o| o.listener);
     assert!(parse("[operators]\nlisten = 0.0.0.0:7900\n").is_err());
     let kept = parse("[operators]\nlisten = 0.0.0.0:7900\nkeys = k.ini\n");
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn ageing_is_off_until_it_is_turned_on() {
+fn aging_is_off_by_default() {
     assert!(!OperatorSettings::default().aging.on);
     let text = "[ageing]\non = yes\nshare = 0.1\nceiling = standard\n";
     let aging = OperatorSettings::parse("t", text)
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn the_operators_file_is_refused_with_section_and_key() {
+fn invalid_operator_setting_is_named_with_section_and_key() {
     assert_eq!(
         OperatorSettings::parse("t", "[fleet]\nidle_s = 5\n")
             .map(|o| o.idle_s)
--- a/crates/core/src/types/tests.rs
+++ b/crates/core/src/types/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{JobId, TaskId};
 
 #[test]
 fn ids_keep_their_digits_and_refuse_other_forms() {
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -1,52 +1,67 @@
-//! CBOR bodies. Numbers are read leniently (an amount may come as an integer),
-//! and sizes are counted on the JSON form, as the protocol demands.
+//! CBOR bodies of requests, answers and stored records.
+//!
+//! Amounts may come as integers. Sizes are counted on the JSON form, as the protocol demands.
 
 use ciborium::Value;
 use serde::de::{DeserializeOwned, Deserializer, Visitor};
 use serde::Serialize;
 use std::fmt;
 
-/// The largest body of a request or of an answer to workers and users.
+/// Largest body of a request or of an answer to workers and users, bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
+/// A body that is not CBOR or not of the expected form.
 #[derive(Debug, thiserror::Error)]
 #[error("not a CBOR body of the expected form")]
 pub struct DecodeError;
 
+/// Encodes a value as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
     match ciborium::into_writer(value, &mut out) {
         Ok(()) => out,
-        // Writing to memory fails only for types that cannot be serialised,
-        // and an empty map is the answer that frees nothing.
+        // Writing to memory fails only for types that cannot be serialised. An empty map is a
+        // valid body by which a receiver releases nothing.
         Err(_) => vec![0xa0],
     }
 }
 
+/// Decodes a CBOR body.
+///
+/// # Errors
+///
+/// [`DecodeError`] if the body is malformed, nested too deeply or lacks a field.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     // The nesting limit guards against bodies made to exhaust the stack.
     ciborium::de::from_reader_with_recursion_limit(body, 32).map_err(|_| DecodeError)
 }
 
+/// Converts a value to CBOR's data model; `Null` if it cannot be serialised.
 pub fn to_value<T: Serialize>(value: &T) -> Value {
     Value::serialized(value).unwrap_or(Value::Null)
 }
 
+/// Converts from CBOR's data model.
+///
+/// # Errors
+///
+/// [`DecodeError`] if the value is not of the expected form.
 pub fn from_value<T: DeserializeOwned>(value: &Value) -> Result<T, DecodeError> {
     value.deserialized().map_err(|_| DecodeError)
 }
 
+/// The body of an answer that reports an error.
 #[derive(Serialize)]
 struct Problem<'a> {
     error: &'a str,
 }
 
-/// The body of an answer that says what is wrong.
+/// Encodes the body of an answer that reports an error.
 pub fn error_body(text: &str) -> Vec<u8> {
     encode(&Problem { error: text })
 }
 
-/// Length of the value's JSON form.
+/// Length of the value's JSON form, bytes.
 pub fn json_len(value: &Value) -> usize {
     match value {
         Value::Null | Value::Bool(true) => 4,
@@ -75,6 +90,7 @@
     }
 }
 
+/// Accepts any number as a float.
 struct NumberVisitor;
 
 impl Visitor<'_> for NumberVisitor {
@@ -93,7 +109,7 @@
     }
 }
 
-/// Reads an amount that may be written as an integer.
+/// Deserializes an amount that may be written as an integer.
 pub fn amount<'de, D: Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
     d.deserialize_any(NumberVisitor)
 }
--- a/crates/core/src/wire/tests.rs
+++ b/crates/core/src/wire/tests.rs
@@ -1,8 +1,9 @@
-use super::*;
+use super::{decode, encode, json_len};
+use ciborium::Value;
 use rand::{rngs::StdRng, Rng, SeedableRng};
 
 #[test]
-fn sizes_are_those_of_the_json_form() {
+fn json_len_covers_the_json_form() {
     let value = Value::Map(vec![(
         Value::Text("a".into()),
         Value::Integer((-120).into()),
@@ -12,7 +13,7 @@
 }
 
 #[test]
-fn no_body_ends_the_process() {
+fn random_bodies_never_panic() {
     let mut rng = StdRng::seed_from_u64(7);
     let good = encode(&serde_json::json!({"nameId": "job-1", "pieces": [1, 2.5, null]}));
     for _ in 0..5_000 {
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -1,16 +1,5 @@
 //! The forms of job records, peer frames and settings files, as they were recorded.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 #[path = "support/golden.rs"]
 mod golden;
 
@@ -71,7 +60,7 @@
 }
 
 #[test]
-fn job_records_keep_their_form() {
+fn job_records_match_golden_file() {
     let mut golden = Golden::new("tests/golden/job-records.hex");
     let id = JobId::parse("job-000412").expect("an id");
     golden.text("key", &key(id));
@@ -102,7 +91,7 @@
 
 /// Each field is found under its stored name, and goes to the field that it belongs to.
 #[test]
-fn a_job_record_is_read_field_by_field() {
+fn job_record_is_read_field_by_field() {
     let stored = json!({"v": 1, "st": "open", "spec": {"c": "train", "o": "vision", "k": "batch",
         "u": "high", "n": 16, "cpu": 8.5, "gpu": 1.25, "mem": 64.5, "img": "img-07", "igb": 6.2,
         "sh": ["g8", "c4"], "z": "a", "oz": true, "ap": false, "sp": true, "ex": 240.5,
@@ -114,7 +103,7 @@
 
 /// Records of earlier versions knew neither command lines nor whose a finished job was.
 #[test]
-fn records_of_earlier_forms_are_read() {
+fn job_records_of_earlier_forms_are_read() {
     let done: JobRecord =
         wire::decode(&wire::encode(&json!({"v": 1, "st": "done", "n": 16}))).expect("a record");
     assert_eq!(
@@ -138,11 +127,10 @@
     );
 }
 
-#[test]
-fn peer_frames_keep_their_form() {
-    let mut golden = Golden::new("tests/golden/peer-frames.hex");
+/// One frame of each form, under its name in the golden file.
+fn named_frames() -> Vec<(&'static str, Frame)> {
     let label = || "north-1".to_string();
-    let frames = [
+    vec![
         (
             "pulse",
             Frame::Heartbeat {
@@ -208,8 +196,13 @@
                 jobs: vec!["job-000412".into(), "job-7".into()],
             },
         ),
-    ];
-    for (name, frame) in frames {
+    ]
+}
+
+#[test]
+fn peer_frames_match_golden_file() {
+    let mut golden = Golden::new("tests/golden/peer-frames.hex");
+    for (name, frame) in named_frames() {
         let bytes = encode(&frame);
         golden.bytes(name, &bytes);
         assert_eq!(
@@ -222,14 +215,14 @@
 }
 
 #[test]
-fn a_problem_keeps_its_form() {
+fn error_body_matches_golden_file() {
     let mut golden = Golden::new("tests/golden/problem.hex");
     golden.bytes("problem", &wire::error_body("no such job"));
     golden.check();
 }
 
 #[test]
-fn heads_of_requests_and_answers_keep_their_form() {
+fn http_heads_match_golden_file() {
     let mut golden = Golden::new("tests/golden/http.txt");
     let mut line = |name: &str, bytes: &[u8]| {
         golden.text(
@@ -379,7 +372,7 @@
     [configuration]\non = yes\n";
 
 #[test]
-fn settings_files_are_read_as_they_were() {
+fn settings_files_match_golden_file() {
     let mut golden = Golden::new("tests/golden/settings.txt");
     for (name, text) in [("sample.toml", SAMPLE), ("all fields", FULL_SETTINGS)] {
         let settings = Settings::parse(name, text).expect(name);
