--- a/crates/controller/src/scheduler/bin_packing.rs
+++ b/crates/controller/src/scheduler/bin_packing.rs
@@ -140,7 +140,7 @@
         let has_image = machine.resident.cached_images.contains(&spec.image);
         let allowed = is_feasible(spec, machine_type, machine)
             && (has_image || pass != PlacementPass::WithImage);
-        allowed.then(|| Candidate {
+        allowed.then_some(Candidate {
             index,
             unacknowledged: capacity.unacknowledged,
             machine_type_cpus: machine_type.cpus,
--- a/crates/controller/src/scheduler/queue.rs
+++ b/crates/controller/src/scheduler/queue.rs
@@ -1,6 +1,7 @@
 //! The queue: which jobs wait for placement, and in which order they get it.
 
 use super::job::{total_cpus, Job};
+use super::quota::TeamUsage;
 use super::{age_s, Scheduler};
 use crate::job_store::{JobSpec, JobState};
 use crate::split::EPSILON;
@@ -127,7 +128,7 @@
             .map(|(id, job)| (job.spec.submitted, *id))
             .collect();
         by_age.sort();
-        let mut used = vec![(0.0, 0.0); self.teams.len()];
+        let mut used = vec![TeamUsage::default(); self.teams.len()];
         for (_, id) in by_age {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
@@ -136,12 +137,12 @@
                 continue;
             };
             let unfinished = f64::from(job.spec.tasks.saturating_sub(job.progress.done_count()));
-            used[team].0 += unfinished * job.spec.cpus;
-            used[team].1 += unfinished * job.spec.gpus;
+            used[team].cpus += unfinished * job.spec.cpus;
+            used[team].gpus += unfinished * job.spec.gpus;
             let (cpus, _, gpus, _) = self.teams[team];
             let fits = (cpus > 0.0 || gpus > 0.0)
-                && used[team].0 <= cpus + EPSILON
-                && (job.spec.gpus == 0.0 || used[team].1 <= gpus + EPSILON);
+                && used[team].cpus <= cpus + EPSILON
+                && (job.spec.gpus == 0.0 || used[team].gpus <= gpus + EPSILON);
             if fits {
                 within.insert(id);
             }
@@ -274,3 +275,6 @@
         (_, Some(_)) => f64::from(job.pending_tasks()) * run_s,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/controller/src/scheduler/queue/tests.rs
@@ -0,0 +1,38 @@
+use super::*;
+
+/// Each rank goes ahead of all that follow it.
+#[test]
+fn rank_weighs_guarantee_then_urgency_then_lateness_then_borrowing() {
+    let rank = |not_prompt, urgency, lateness, borrowing| QueueRank {
+        not_prompt,
+        urgency: Reverse(urgency),
+        lateness,
+        borrowing,
+    };
+    let ascending = [
+        rank(false, Urgency::BestEffort, Lateness::DeadlineMissed, true),
+        rank(true, Urgency::Critical, Lateness::DeadlineMissed, true),
+        rank(true, Urgency::High, Lateness::OnTime, true),
+        rank(true, Urgency::High, Lateness::WaitMissed, false),
+        rank(true, Urgency::High, Lateness::WaitMissed, true),
+        rank(true, Urgency::High, Lateness::DeadlineMissed, false),
+        rank(true, Urgency::Standard, Lateness::OnTime, false),
+        rank(true, Urgency::BestEffort, Lateness::OnTime, false),
+    ];
+    assert!(ascending.is_sorted_by(|a, b| a < b));
+}
+
+#[test]
+fn lane_goes_ahead_of_ranks_up_to_the_ceiling_that_are_not_prompt() {
+    let behind = |not_prompt, urgency| {
+        let rank = QueueRank {
+            not_prompt,
+            urgency: Reverse(urgency),
+            lateness: Lateness::OnTime,
+            borrowing: true,
+        };
+        rank.is_behind_lane(Urgency::High)
+    };
+    assert!(behind(true, Urgency::High) && behind(true, Urgency::BestEffort));
+    assert!(!behind(true, Urgency::Critical) && !behind(false, Urgency::BestEffort));
+}
