--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -168,8 +168,8 @@
 
     /// What a step sent out, as operators see it.
     fn finish(&mut self, now: Time, before: usize, out: &mut Vec<Effect>) {
-        let words = self.user_api.take_words();
-        if !words.is_empty() && !broken!(self.faults, no_word) {
+        let ended = self.user_api.take_announcements();
+        if !ended.is_empty() && !broken!(self.faults, no_word) {
             // Before the answers themselves.
             let tell = |frame| Effect::SendFrame {
                 to: None,
@@ -177,7 +177,7 @@
             };
             out.splice(
                 before..before,
-                Frame::jobs_ended(&words).into_iter().map(tell),
+                Frame::jobs_ended(&ended).into_iter().map(tell),
             );
         }
         let new = &mut out[before..];
@@ -203,8 +203,12 @@
             self.election.tick(now, &mut self.store);
             let follow = self.scheduler.is_some();
             let asks = self.admin_api.as_ref().is_some_and(AdminApi::asks_book);
-            self.job_store
-                .tick(now, self.user_api.asks() || asks, follow, &mut self.store);
+            self.job_store.tick(
+                now,
+                self.user_api.needs_fresh_jobs() || asks,
+                follow,
+                &mut self.store,
+            );
             let mut told = Vec::new();
             let asks = self
                 .admin_api
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -9,7 +9,7 @@
 use crate::directives::DirectiveResponse;
 use crate::fleet::MachineQuery;
 use crate::job_store::{JobEntry, JobState};
-use crate::user_api;
+use crate::user_api::{self, SubmittedJob};
 use beamhinge_admin_api::auth::Caller;
 use beamhinge_admin_api::messages::{
     BehindRow, Code, ConfigurationMade, ConfigurationView, Decisions, Directives, Explanation,
@@ -149,15 +149,20 @@
             return admin_api::refuse(out, id, 400, Code::Malformed, why);
         };
         let spec = job.spec(wall.0);
-        if let Err(why) = user_api::sound(&spec) {
-            return admin_api::refuse(out, id, 400, Code::Malformed, why);
+        if let Err(error) = user_api::validate(&spec) {
+            let why = error.to_string();
+            return admin_api::refuse(out, id, 400, Code::Malformed, &why);
         }
-        let verdict = self.judge(&spec);
+        let feasibility = self.feasibility(&spec);
         if let Some(admin_api) = &mut self.admin_api {
             admin_api.leave_to_others(id);
         }
-        self.user_api
-            .submit(now, id, (job_id, spec), verdict, &self.job_store, out);
+        let job = SubmittedJob {
+            id: job_id,
+            spec,
+            feasibility,
+        };
+        self.user_api.submit(now, id, job, &self.job_store, out);
     }
 
     /// Sends a question to whoever holds the block; without one, or when that
@@ -433,7 +438,7 @@
                 .scheduler
                 .as_ref()
                 .and_then(|p| p.counts(id))
-                .or_else(|| self.user_api.shown.get(&id).copied())
+                .or_else(|| self.user_api.reported_counts.get(&id).copied())
                 .unwrap_or_default(),
             _ => Default::default(),
         };
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -6,7 +6,7 @@
 use crate::leader_election::LeadershipChange;
 use crate::scheduler::{CommitOutcome, Scheduler};
 use crate::store::Reply;
-use crate::user_api::Context;
+use crate::user_api::TaskCountSource;
 use crate::worker_protocol::WorkerReport;
 use beamhinge_admin_api::messages::What;
 use beamhinge_core::messages::{Effect, TaskCounts};
@@ -16,9 +16,9 @@
 use beamhinge_failure_detection::PeerObservations;
 use beamhinge_priority_aging::AgingPolicy;
 
-struct Own<'a>(Option<&'a Scheduler>);
+struct SchedulerCounts<'a>(Option<&'a Scheduler>);
 
-impl Context for Own<'_> {
+impl TaskCountSource for SchedulerCounts<'_> {
     fn counts(&self, id: JobId) -> Option<TaskCounts> {
         self.0.and_then(|p| p.counts(id))
     }
@@ -92,7 +92,7 @@
                     now,
                     freshness,
                     &self.job_store,
-                    &Own(self.scheduler.as_ref()),
+                    &SchedulerCounts(self.scheduler.as_ref()),
                     out,
                 );
             }
@@ -248,7 +248,7 @@
             }
             Frame::Progress(rows) => {
                 if let Some(list) = self.peers.progress.add_frame(rows) {
-                    self.user_api.shown = list;
+                    self.user_api.reported_counts = list;
                 }
             }
             Frame::MisroutedWorkers { machines, .. } => {
@@ -263,7 +263,7 @@
             }
             Frame::JobsEnded { jobs } => {
                 let jobs = jobs.iter().filter_map(|j| JobId::parse(j));
-                self.user_api.heard_ended(now, jobs);
+                self.user_api.on_end_announced(now, jobs);
             }
             Frame::LeaderHeartbeat {
                 label,
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::faults::broken;
 use crate::job_store::JobSpec;
-use crate::user_api;
+use crate::user_api::{self, Feasibility, SubmittedJob};
 use crate::worker_protocol::{WorkerCommand, WorkerReport};
 use beamhinge_core::http::{Method, Request};
 use beamhinge_core::messages::Effect;
@@ -165,23 +165,27 @@
             return refuse(out, id, 413, "the body is too large");
         }
         match user_api::read_submission(body, wall) {
-            Err(why) => refuse(out, id, 400, why),
+            Err(error) => refuse(out, id, 400, &error.to_string()),
             Ok((job, spec)) => {
-                let verdict = self.judge(&spec);
-                self.user_api
-                    .submit(now, id, (job, spec), verdict, &self.job_store, out);
+                let feasibility = self.feasibility(&spec);
+                let job = SubmittedJob {
+                    id: job,
+                    spec,
+                    feasibility,
+                };
+                self.user_api.submit(now, id, job, &self.job_store, out);
             }
         }
     }
 
     /// Whether a job can ever run here, by the teams that count now. One who does not
     /// know them yet does not decide: a team may have been added.
-    pub(super) fn judge(&self, spec: &JobSpec) -> user_api::Verdict {
+    pub(super) fn feasibility(&self, spec: &JobSpec) -> Feasibility {
         if !self.configuration.is_ready() {
-            return user_api::Verdict::Undecided;
+            return Feasibility::Unknown;
         }
         let team = self.configuration.effective().team(&spec.team);
-        user_api::judge(spec, team, &self.settings, self.fleet.machine_types())
+        user_api::assess(spec, team, &self.settings, self.fleet.machine_types())
     }
 
     pub(super) fn hello(&mut self, now: Time, id: RequestId, body: &[u8], out: &mut Vec<Effect>) {
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -1,9 +1,13 @@
+use super::announcements::MAX_RECENT;
 use super::*;
 use crate::calls::ReplicaCall;
+use crate::job_store::{JobKind, Urgency};
 use crate::split::tests::c8;
 use beamhinge_configuration::Snapshot;
-use beamhinge_core::settings::SAMPLE;
+use beamhinge_core::settings::{Settings, SAMPLE};
+use beamhinge_core::types::{Revision, WallMs};
 use serde_json::{json, Value as Json};
+use std::rc::Rc;
 
 fn at(s: f64) -> Time {
     Time::default().plus(100.0 + s)
@@ -33,7 +37,7 @@
 /// Every field of a submission: absent, null, of a wrong type, negative, not finite, too
 /// long. Only what may be null may be absent; all else is malformed, never accepted.
 #[test]
-fn what_is_missing_or_invalid_in_a_submission_is_malformed() {
+fn submission_with_missing_or_invalid_field_is_malformed() {
     use ciborium::Value as V;
     assert!(sound_with("unknown", Some(V::Text("field".into()))));
     let text = |s: &str| V::Text(s.into());
@@ -135,7 +139,7 @@
 
 /// What can never run, told apart from what cannot be decided yet.
 #[test]
-fn what_can_never_run_is_refused_and_what_is_not_known_is_not() {
+fn job_that_can_never_run_is_infeasible_and_unknown_types_leave_it_open() {
     let mut settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
     settings.params.teams[0].name = "one".into();
     settings.params.teams[0].cpus_max = 16.0;
@@ -146,16 +150,19 @@
         let (_, spec) = read_submission(&wire::encode(&body), WallMs(1)).expect("sound");
         let teams = Snapshot::default().effective(&settings.params.teams);
         let team = teams.iter().find(|team| *team.name == *spec.team);
-        judge(
+        assess(
             &spec,
             team,
             &settings,
             if known { &machine_types } else { &[] },
         )
     };
-    let never = |v: Verdict| matches!(v, Verdict::Never(_));
-    assert_eq!(judged("pieces", json!(100_000), true), Verdict::Possible);
-    assert_eq!(judged("pieces", json!(1), false), Verdict::Undecided);
+    let never = |v: Feasibility| matches!(v, Feasibility::Infeasible(_));
+    assert_eq!(
+        judged("pieces", json!(100_000), true),
+        Feasibility::Feasible
+    );
+    assert_eq!(judged("pieces", json!(1), false), Feasibility::Unknown);
     for known in [false, true] {
         assert!(never(judged("owner", json!("nobody"), known)));
         assert!(never(judged("vcpus", json!(17.0), known)));
@@ -175,13 +182,13 @@
         ("yard", json!("west")),
     ] {
         assert!(never(judged(field, value.clone(), true)), "{field} {value}");
-        assert_eq!(judged(field, value, false), Verdict::Undecided);
+        assert_eq!(judged(field, value, false), Feasibility::Unknown);
     }
 }
 
 struct Nobody;
 
-impl Context for Nobody {
+impl TaskCountSource for Nobody {
     fn counts(&self, _: JobId) -> Option<TaskCounts> {
         None
     }
@@ -253,7 +260,7 @@
 /// another controller, and its reply is slow. The word of that end comes first: what the
 /// user has heard by then is newer than the reply, which answers nothing any more.
 #[test]
-fn no_older_answer_follows_the_word_of_an_end() {
+fn poll_older_than_announced_end_waits_for_fresher_replica() {
     let id = JobId::parse("job-000412").expect("a job");
     let (_, spec) = read_submission(&wire::encode(&submission()), WallMs(1)).expect("sound");
     for word in [false, true] {
@@ -269,7 +276,7 @@
         let sent = copy.ask(at(1.0));
         if word {
             let other = JobId::parse("job-9").expect("a job");
-            user_api.heard_ended(at(1.2), [other, id].into_iter());
+            user_api.on_end_announced(at(1.2), [other, id].into_iter());
         }
         let fresh = copy.take(
             at(1.4),
@@ -280,37 +287,41 @@
         user_api.on_fresh(at(1.4), fresh, &copy.job_store, &Nobody, &mut out);
         let expected: &[(u16, String)] = &[(200, "pending".into())];
         assert_eq!(told(&mut out), if word { &[] } else { expected });
-        assert!(user_api.take_words().is_empty());
+        assert!(user_api.take_announcements().is_empty());
         if !word {
             continue;
         }
         // The next copy is newer, and says what the user knows.
-        assert!(user_api.asks());
+        assert!(user_api.needs_fresh_jobs());
         let sent = copy.ask(at(1.5));
         let cancelled = json!({"ledgerRev": 5, "news": [{"write": job_store::key(id), "stamp": 5,
             "value": job_store::cancelled_record(&spec)}]});
         let fresh = copy.take(at(1.6), sent, ReplicaCall::Refresh, cancelled);
         user_api.on_fresh(at(1.6), fresh, &copy.job_store, &Nobody, &mut out);
         assert_eq!(told(&mut out), [(200, "cancelled".into())]);
-        assert_eq!(user_api.take_words(), [id], "and the peers are told");
+        assert_eq!(
+            user_api.take_announcements(),
+            [id],
+            "and the peers are told"
+        );
         user_api.poll(at(2.0), request(2), id, &copy.job_store, &mut out);
         assert_eq!(told(&mut out), [(200, "cancelled".into())]);
-        assert!(user_api.take_words().is_empty(), "once");
+        assert!(user_api.take_announcements().is_empty(), "once");
     }
 }
 
 /// Word of ends that nobody asks about, or of many, is kept by nobody.
 #[test]
-fn words_of_ends_are_bounded_and_change_nothing() {
+fn announced_ends_are_bounded_and_change_no_job() {
     let (copy, mut user_api, mut out) = (Copy::new(at(0.0)), UserApi::default(), Vec::new());
     let id = |n: usize| JobId::parse(&format!("job-{n}")).expect("a job");
-    user_api.heard_ended(at(0.1), (0..10_000).map(id));
-    assert!(!user_api.asks() && copy.job_store.get(id(1)).is_none());
-    for n in 0..WORDS_KNOWN * 3 {
-        user_api.ended(id(n));
+    user_api.on_end_announced(at(0.1), (0..10_000).map(id));
+    assert!(!user_api.needs_fresh_jobs() && copy.job_store.get(id(1)).is_none());
+    for n in 0..MAX_RECENT * 3 {
+        user_api.announcements.announce(id(n));
     }
-    assert_eq!(user_api.take_words().len(), WORDS_KNOWN * 3);
-    assert_eq!(user_api.spread.len(), WORDS_KNOWN);
+    assert_eq!(user_api.take_announcements().len(), MAX_RECENT * 3);
+    assert_eq!(user_api.announcements.recent.len(), MAX_RECENT);
     // A poll whose patience is over is told so, whatever word came.
     user_api.poll(
         at(1.0),
@@ -323,9 +334,9 @@
         &mut out,
     );
     let mut store = StoreClient::new(&Settings::parse("t", SAMPLE).expect("sound"));
-    user_api.heard_ended(at(1.0 + POLL_PATIENCE_S), std::iter::once(id(1)));
+    user_api.on_end_announced(at(1.0 + QUERY_TIMEOUT_S), std::iter::once(id(1)));
     user_api.tick(
-        at(1.1 + POLL_PATIENCE_S),
+        at(1.1 + QUERY_TIMEOUT_S),
         &copy.job_store,
         &mut store,
         &mut out,
@@ -335,7 +346,7 @@
 
 /// Each field goes to the field that it belongs to, under its name of the platform.
 #[test]
-fn a_submission_is_read_field_by_field() {
+fn submission_fields_map_to_job_spec() {
     let mut body = submission();
     body["yard"] = json!("a");
     body["cards"] = json!(1.25);
@@ -386,14 +397,14 @@
 }
 
 #[test]
-fn answers_to_users_keep_their_form() {
+fn answers_to_users_match_golden_file() {
     let mut golden = crate::golden::Golden::new("tests/golden/answers-to-users.hex");
     let mut add = |name: &str, status, done, running| {
-        let name_id = "job-000412".to_string();
+        let job = "job-000412".to_string();
         golden.bytes(
             name,
             &wire::encode(&StatusBody {
-                name_id,
+                job,
                 status,
                 done,
                 running,
