--- a/crates/failure-detection/src/ack_tracker.rs
+++ b/crates/failure-detection/src/ack_tracker.rs
@@ -1,94 +1,72 @@
-//! Whether a machine takes what it is told.
+//! Whether a machine acknowledges what it is sent.
 //!
-//! A link may be broken one way: reports arrive, answers and commands do not. Such
-//! a machine looks empty and sound, and would be given one task after the other,
-//! each of which nobody ever starts.
+//! A link may be broken in one direction: reports arrive, replies and commands do not. Such a
+//! machine looks empty and healthy, and would be given one task after the other, none of which
+//! ever starts.
 
 use beamhinge_core::types::Time;
 
 /// The first pause, seconds; each further one is twice as long.
 const MIN_PAUSE_S: f64 = 8.0;
-/// The longest.
+/// The longest pause, seconds.
 const MAX_PAUSE_S: f64 = 64.0;
-/// So many in a row without a trace, and the next try is made elsewhere. One alone
-/// may be an answer that came too late.
+/// Unacknowledged replies in a row from which the machine counts as unreachable. One alone may be
+/// a reply that came too late.
 const UNACKNOWLEDGED_THRESHOLD: u32 = 2;
 
 /// What became of the commands that went to one machine.
 #[derive(Clone, Debug, Default)]
 pub struct AckTracker {
-    /// Answers in a row whose commands left no trace in the next report.
-    missed: u32,
+    /// Replies in a row whose commands the next report did not show.
+    unacknowledged: u32,
+    /// When the first of them was noticed.
     since: Time,
-    until: Time,
+    /// No command is sent before.
+    paused_until: Time,
 }
 
 impl AckTracker {
-    /// A command's trace was seen: answers arrive.
+    /// A report shows a command: replies arrive.
     pub fn record_acknowledged(&mut self) {
-        self.missed = 0;
+        self.unacknowledged = 0;
     }
 
-    /// A newer report shows no trace of what the last answer commanded. `timed_out`:
-    /// the worker was without that answer for so long that it went to the next
-    /// controller meanwhile. Returns whether its tasks should be tried elsewhere.
+    /// A newer report does not show what the last reply commanded. `timed_out`: the worker was
+    /// without that reply for so long that it went to the next controller meanwhile. Returns
+    /// whether the machine's tasks should be tried elsewhere.
     pub fn record_unacknowledged(&mut self, now: Time, timed_out: bool) -> bool {
-        if self.missed == 0 {
+        if self.unacknowledged == 0 {
             self.since = now;
         }
-        self.missed = (self.missed + 1).max(if timed_out {
+        let least = if timed_out {
             UNACKNOWLEDGED_THRESHOLD
         } else {
             1
-        });
-        let sure = self.missed >= UNACKNOWLEDGED_THRESHOLD;
-        if sure {
-            let times = 2f64.powi((self.missed - UNACKNOWLEDGED_THRESHOLD).min(10) as i32);
-            self.until = now.plus((MIN_PAUSE_S * times).min(MAX_PAUSE_S));
+        };
+        self.unacknowledged = (self.unacknowledged + 1).max(least);
+        let unreachable = self.is_unreachable();
+        if unreachable {
+            let doublings = (self.unacknowledged - UNACKNOWLEDGED_THRESHOLD).min(10);
+            let factor = 2f64.powi(doublings as i32);
+            self.paused_until = now.plus((MIN_PAUSE_S * factor).min(MAX_PAUSE_S));
         }
-        sure
+        unreachable
     }
 
-    /// It is left alone for now.
+    /// Whether no command is sent to the machine at the moment.
     pub fn in_backoff(&self, now: Time) -> bool {
-        self.missed >= UNACKNOWLEDGED_THRESHOLD && now < self.until
+        self.is_unreachable() && now < self.paused_until
     }
 
-    /// For how long nothing has arrived there, seconds; none when all did.
+    /// For how long the machine has acknowledged nothing, seconds; none if it does.
     pub fn unacknowledged_for_s(&self, now: Time) -> Option<f64> {
-        (self.missed >= UNACKNOWLEDGED_THRESHOLD).then(|| now.since(self.since))
+        self.is_unreachable().then(|| now.since(self.since))
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn a_deaf_machine_is_tried_ever_more_seldom_and_one_late_answer_costs_nothing() {
-        let at = |s: f64| Time::default().plus(50.0 + s);
-        let mut h = AckTracker::default();
-        assert!(
-            !h.record_unacknowledged(at(0.0), false) && !h.in_backoff(at(0.1)),
-            "one answer was late"
-        );
-        h.record_acknowledged();
-        assert!(
-            !h.record_unacknowledged(at(5.0), false) && h.record_unacknowledged(at(6.0), false)
-        );
-        assert!(h.in_backoff(at(13.9)) && !h.in_backoff(at(14.1)));
-        assert_eq!(h.unacknowledged_for_s(at(15.0)), Some(10.0));
-        let mut now = 20.0;
-        for pause in [16.0, 32.0, 64.0, 64.0] {
-            assert!(h.record_unacknowledged(at(now), false));
-            assert!(h.in_backoff(at(now + pause - 0.1)) && !h.in_backoff(at(now + pause + 0.1)));
-            now += pause + 5.0;
-        }
-        h.record_acknowledged();
-        assert!(!h.in_backoff(at(now)) && h.unacknowledged_for_s(at(now)).is_none());
-        assert!(
-            h.record_unacknowledged(at(now), true),
-            "it went to another controller meanwhile"
-        );
+    fn is_unreachable(&self) -> bool {
+        self.unacknowledged >= UNACKNOWLEDGED_THRESHOLD
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/failure-detection/src/fault_attribution.rs
+++ b/crates/failure-detection/src/fault_attribution.rs
@@ -1,160 +1,94 @@
-//! Whose fault a failure is: the machine's, or the job's.
+//! Whose fault a failed task is: the machine's, or the job's.
 //!
-//! A faulty machine fails every task; a job that was submitted with a mistake
-//! fails on every machine. One failure does not tell which. What tells is who
-//! else fails there: a job that has had a success is no mistake, so its failures
-//! speak against the machine, and failures of one job on several machines against
-//! the job. Charges that a job brought against machines are dropped once it is
-//! found at fault.
+//! A faulty machine fails every task; a job that was submitted with a mistake fails on every
+//! machine. One failure does not tell which. What tells is who else fails there: a job that has
+//! had a success is sound, so its failures count against the machine, and failures of one job on
+//! several machines count against the job. Failures that a job caused on machines no longer count
+//! against them once the job is found to be faulty.
 
 use beamhinge_core::types::{JobId, MachineId, Time};
 use roaring::RoaringTreemap;
 use std::collections::BTreeMap;
 
-/// Failures of jobs known to be sound after which a machine is at fault.
+/// Failures of sound jobs after which a machine is faulty.
 const MIN_SOUND_JOB_FAILURES: u32 = 2;
-/// Different jobs of which nothing is known, for the same.
+/// Number of different jobs of which nothing is known whose failures have the same effect.
 const MIN_UNPROVEN_JOBS: usize = 3;
-/// Machines on which a job without any success fails before it is at fault.
+/// Machines on which a job without any success fails before it is faulty.
 const MIN_FAILED_MACHINES: u64 = 3;
-/// Failures of a job without any success after which it is, on however few.
+/// Failures of a job without any success after which it is faulty, on however few machines.
 const MIN_JOB_FAILURES: u32 = 24;
-/// How long it does not return to where it failed, seconds.
+/// How long a job avoids machines on which it failed, seconds.
 const AVOID_FAILED_MACHINES_S: f64 = 20.0;
 /// Jobs whose failures one machine remembers, and machines that one job remembers; the
-/// judgement needs [`UNKNOWN`] and [`MACHINES`] of them.
+/// judgement needs [`MIN_UNPROVEN_JOBS`] and [`MIN_FAILED_MACHINES`] of them.
 const MAX_FAILURES_PER_RECORD: usize = 16;
 /// Machines, and jobs, with failures since their last success that are remembered at once.
 /// A fleet of 8,192 machines may fail as a whole; further failures are not judged. Machines
 /// that are gone and jobs that are over are forgotten.
 const MAX_REMEMBERED: usize = 8_192;
-/// Longest pause between two tries of a job at fault, seconds.
+/// Longest pause between two attempts of a faulty job, seconds.
 const MAX_BACKOFF_S: f64 = 60.0;
 
+/// Failures of one job.
 #[derive(Debug, Default)]
 struct JobRecord {
-    /// A task of it ended well.
+    /// A task of it succeeded.
     sound: bool,
+    faulty: bool,
     failures: u32,
+    /// Numbers of all machines on which it failed.
     failed_on: RoaringTreemap,
+    /// The first of these machines, up to [`MAX_FAILURES_PER_RECORD`].
     machines: Vec<MachineId>,
-    /// Pauses begun since it was found at fault.
-    tries: i32,
-    fault: bool,
-    /// When it failed last.
-    last: Time,
-    /// Not to be tried before.
-    until: Time,
+    /// Pauses begun since it was found to be faulty.
+    backoffs: i32,
+    last_failure: Time,
+    /// While it is faulty, it is not tried before.
+    retry_at: Time,
 }
 
-/// What a failure came to.
+impl JobRecord {
+    /// Begins a pause, unless one is under way: tasks that were running together end in the same
+    /// pause. Returns its rest, seconds.
+    fn back_off(&mut self, now: Time, report_s: f64) -> f64 {
+        if now >= self.retry_at {
+            let pause_s = (report_s * 2f64.powi(self.backoffs)).min(MAX_BACKOFF_S);
+            self.backoffs = (self.backoffs + 1).min(16);
+            self.retry_at = now.plus(pause_s);
+        }
+        self.retry_at.until(now)
+    }
+}
+
+/// Failures on one machine since a task last succeeded there.
+#[derive(Debug, Default)]
+struct MachineRecord {
+    failures_by_job: BTreeMap<JobId, u32>,
+    faulty: bool,
+}
+
+/// What a failure or a success changed.
 #[derive(Debug, Default, PartialEq)]
 pub struct AttributionChange {
-    /// Machines that are at fault now and were not before.
+    /// Machines that are faulty now and were not before.
     pub newly_faulty: Vec<MachineId>,
-    /// Machines that are not at fault any more: a job was.
+    /// Machines that are not faulty any more, since a job is.
     pub newly_cleared: Vec<MachineId>,
-    /// The job is at fault; its tasks wait for so long, seconds.
+    /// The job is faulty, and its tasks wait for so long, seconds.
     pub job_backoff_s: Option<f64>,
 }
 
-/// Failures since the last success, on machines and of jobs.
+/// Failures since the last success, on machines and of jobs, and who is faulty.
 #[derive(Debug, Default)]
 pub struct FaultAttribution {
     jobs: BTreeMap<JobId, JobRecord>,
-    /// Jobs that failed on a machine since something ended well there, how often,
-    /// and whether it is at fault.
-    machines: BTreeMap<MachineId, (BTreeMap<JobId, u32>, bool)>,
+    machines: BTreeMap<MachineId, MachineRecord>,
 }
 
 impl FaultAttribution {
-    fn is_machine_faulty(&self, charges: &BTreeMap<JobId, u32>) -> bool {
-        let (mut sound, mut unknown) = (0, 0);
-        for (job, n) in charges {
-            match self.jobs.get(job) {
-                Some(case) if case.fault => {}
-                Some(case) if case.sound => sound += n,
-                _ => unknown += 1,
-            }
-        }
-        sound >= MIN_SOUND_JOB_FAILURES || unknown >= MIN_UNPROVEN_JOBS || sound > 0 && unknown > 1
-    }
-
-    /// Whether a failure there speaks against the job: nothing else failed on the
-    /// machine since something ended well. Machines that fail everything always
-    /// have room, so a new job meets several of them at once.
-    fn implicates_job(&self, machine: MachineId, job: JobId) -> bool {
-        self.machines.get(&machine).is_none_or(|(charges, fault)| {
-            let other = |j: &JobId| *j != job && !self.is_job_faulty(*j);
-            !fault && !charges.keys().any(other)
-        })
-    }
-
-    /// Judges a job anew.
-    fn reassess_job(&mut self, job: JobId) {
-        let Some(case) = self.jobs.get(&job) else {
-            return;
-        };
-        let implicates_job = case
-            .machines
-            .iter()
-            .filter(|m| self.implicates_job(**m, job))
-            .count() as u64;
-        // Where there are few machines, many failures tell as much.
-        let everywhere = implicates_job >= MIN_FAILED_MACHINES
-            || implicates_job > 0 && case.failures >= MIN_JOB_FAILURES;
-        let fault = !case.sound && everywhere;
-        if let Some(case) = self.jobs.get_mut(&job) {
-            case.fault = fault;
-        }
-    }
-
-    /// Judges these machines anew.
-    fn reassess_machines(&mut self, machines: &[MachineId], change: &mut AttributionChange) {
-        for id in machines {
-            let Some((charges, was)) = self.machines.get(id) else {
-                continue;
-            };
-            let (is, was) = (self.is_machine_faulty(charges), *was);
-            if is == was {
-                continue;
-            }
-            if let Some((_, fault)) = self.machines.get_mut(id) {
-                *fault = is;
-            }
-            if is {
-                &mut change.newly_faulty
-            } else {
-                &mut change.newly_cleared
-            }
-            .push(*id);
-            if is {
-                // What failed there did so for the machine's sake.
-                let charges = self
-                    .machines
-                    .get(id)
-                    .map(|(c, _)| c.keys().copied().collect());
-                let jobs: Vec<JobId> = charges.unwrap_or_default();
-                jobs.into_iter().for_each(|job| self.reassess_job(job));
-            }
-        }
-    }
-
-    /// Machines that have a charge of this job.
-    fn machines_failing(&self, job: JobId) -> Vec<MachineId> {
-        let machines_failing = |id: &&MachineId| {
-            self.machines
-                .get(id)
-                .is_some_and(|(charges, _)| charges.contains_key(&job))
-        };
-        self.machines
-            .keys()
-            .filter(machines_failing)
-            .copied()
-            .collect()
-    }
-
-    /// A task of the job failed on the machine; `sound`: others of it ended well.
+    /// A task of the job failed on the machine. `sound`: other tasks of the job succeeded;
+    /// `report_s`: the shortest pause of a faulty job, seconds.
     pub fn record_failure(
         &mut self,
         now: Time,
@@ -166,35 +100,24 @@
         if self.jobs.len() >= MAX_REMEMBERED && !self.jobs.contains_key(&job) {
             return change;
         }
-        let case = self.jobs.entry(job).or_default();
-        case.failures = case.failures.saturating_add(1);
-        case.last = now;
-        case.sound |= sound;
-        if case.failed_on.insert(machine.number()) && case.machines.len() < MAX_FAILURES_PER_RECORD
+        let record = self.jobs.entry(job).or_default();
+        record.failures = record.failures.saturating_add(1);
+        record.last_failure = now;
+        record.sound |= sound;
+        if record.failed_on.insert(machine.number())
+            && record.machines.len() < MAX_FAILURES_PER_RECORD
         {
-            case.machines.push(machine);
-        }
-        let was = case.fault;
-        if self.machines.len() < MAX_REMEMBERED || self.machines.contains_key(&machine) {
-            let (charges, _) = self.machines.entry(machine).or_default();
-            if charges.len() < MAX_FAILURES_PER_RECORD || charges.contains_key(&job) {
-                let n = charges.entry(job).or_insert(0);
-                *n = n.saturating_add(1);
-            }
+            record.machines.push(machine);
         }
+        let was_faulty = record.faulty;
+        self.count_on_machine(machine, job);
         self.reassess_job(job);
-        let mut turned = false;
-        if let Some(case) = self.jobs.get_mut(&job).filter(|case| case.fault) {
-            turned = !was;
-            // Tasks that were on their way with it end in the same pause.
-            if now >= case.until {
-                let job_backoff_s = (report_s * 2f64.powi(case.tries)).min(MAX_BACKOFF_S);
-                case.tries = (case.tries + 1).min(16);
-                case.until = now.plus(job_backoff_s);
-            }
-            change.job_backoff_s = Some(case.until.until(now));
+        let mut became_faulty = false;
+        if let Some(record) = self.jobs.get_mut(&job).filter(|r| r.faulty) {
+            became_faulty = !was_faulty;
+            change.job_backoff_s = Some(record.back_off(now, report_s));
         }
-        let concerned = if turned {
+        let concerned = if became_faulty {
             self.machines_failing(job)
         } else {
             vec![machine]
@@ -203,236 +126,155 @@
         change
     }
 
-    /// A task of the job ended well on the machine: neither is at fault, and where
-    /// the job failed before, the machine was.
+    /// A task of the job succeeded on the machine: the job is sound, and where it failed before,
+    /// the machine was the cause.
     pub fn record_success(&mut self, machine: MachineId, job: JobId) -> AttributionChange {
         let mut change = AttributionChange::default();
-        // A machine that was found at fault stays so: some fail now and then.
-        if self.machines.get(&machine).is_some_and(|(_, fault)| !fault) {
+        // A machine that was found to be faulty stays so: some fail now and then.
+        if self.machines.get(&machine).is_some_and(|r| !r.faulty) {
             self.machines.remove(&machine);
         }
-        if let Some(case) = self.jobs.get_mut(&job).filter(|case| !case.sound) {
-            case.sound = true;
-            case.fault = false;
+        if let Some(record) = self.jobs.get_mut(&job).filter(|r| !r.sound) {
+            record.sound = true;
+            record.faulty = false;
             let concerned = self.machines_failing(job);
             self.reassess_machines(&concerned, &mut change);
         }
         change
     }
 
-    /// Whether a job is at fault: one task of it at a time is tried.
+    /// Whether a job is faulty: one task of it at a time is tried.
     pub fn is_job_faulty(&self, job: JobId) -> bool {
-        self.jobs.get(&job).is_some_and(|case| case.fault)
+        self.jobs.get(&job).is_some_and(|r| r.faulty)
     }
 
-    /// Until when a job at fault is not tried.
+    /// Until when a faulty job is not tried; none if it is not faulty.
     pub fn job_retry_at(&self, job: JobId) -> Option<Time> {
-        self.jobs
-            .get(&job)
-            .filter(|case| case.fault)
-            .map(|case| case.until)
+        let record = self.jobs.get(&job).filter(|r| r.faulty)?;
+        Some(record.retry_at)
     }
 
-    /// Failures of a job, and on how many machines.
+    /// Number of failures of a job, and of the machines on which it failed.
     pub fn failures(&self, job: JobId) -> (u32, u32) {
         self.jobs
             .get(&job)
-            .map_or((0, 0), |c| (c.failures, c.failed_on.len() as u32))
+            .map_or((0, 0), |r| (r.failures, r.failed_on.len() as u32))
     }
 
-    /// Machines on which a job without any success failed just now, by number:
-    /// elsewhere it tells more, and a machine that fails all at once always has
-    /// room. For a while only, since there may be no other.
+    /// Numbers of the machines on which a job without any success failed recently. A try elsewhere
+    /// tells more, and a machine that fails everything at once always has free capacity. They are
+    /// avoided for a while only, since there may be no other machine.
     pub fn avoided_machines(&self, now: Time, job: JobId) -> Option<&RoaringTreemap> {
-        let case = self
+        let record = self
             .jobs
             .get(&job)
-            .filter(|c| !c.sound && now.since(c.last) < AVOID_FAILED_MACHINES_S)?;
-        Some(&case.failed_on)
+            .filter(|r| !r.sound && now.since(r.last_failure) < AVOID_FAILED_MACHINES_S)?;
+        Some(&record.failed_on)
     }
 
     /// The job is over. What it was found to be has been counted.
     pub fn forget_job(&mut self, job: JobId) {
-        if self.jobs.remove(&job).is_some_and(|case| case.fault) {
-            for (charges, _) in self.machines.values_mut() {
-                charges.remove(&job);
+        if self.jobs.remove(&job).is_some_and(|r| r.faulty) {
+            for machine in self.machines.values_mut() {
+                machine.failures_by_job.remove(&job);
             }
         }
     }
 
+    /// The machine is gone.
     pub fn forget_machine(&mut self, machine: MachineId) {
         self.machines.remove(&machine);
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn job(n: u32) -> JobId {
-        JobId::parse(&format!("job-{n}")).expect("an id")
-    }
 
-    fn machine(n: u32) -> MachineId {
-        MachineId::parse(&format!("n-{n:06}")).expect("a name")
-    }
-
-    fn at(s: f64) -> Time {
-        Time::default().plus(100.0 + s)
-    }
-
-    /// What an operations day showed: nine healthy machines were given back for
-    /// jobs that were submitted with a mistake.
-    #[test]
-    fn a_job_with_a_mistake_condemns_no_machine() {
-        let mut b = FaultAttribution::default();
-        for m in 0..3 {
-            // Four tasks on each machine, all at once.
-            for _ in 0..4 {
-                let v = b.record_failure(at(0.0), machine(m), (job(1), false), 1.0);
-                assert!(v.newly_faulty.is_empty(), "{v:?}");
-                assert_eq!(v.job_backoff_s.is_some(), m >= 2);
-            }
+    fn count_on_machine(&mut self, machine: MachineId, job: JobId) {
+        if self.machines.len() >= MAX_REMEMBERED && !self.machines.contains_key(&machine) {
+            return;
         }
-        assert!(b.is_job_faulty(job(1)));
-        let avoided_machines = |s: f64| {
-            b.avoided_machines(at(s), job(1))
-                .is_some_and(|on| on.contains(0))
-        };
-        assert!(avoided_machines(1.0) && !avoided_machines(30.0));
-        // Two more of the kind on the same machines.
-        for j in 2..4 {
-            for m in 0..3 {
-                assert!(b
-                    .record_failure(at(1.0), machine(m), (job(j), false), 1.0)
-                    .newly_faulty
-                    .is_empty());
-            }
+        let failures = &mut self.machines.entry(machine).or_default().failures_by_job;
+        if failures.len() < MAX_FAILURES_PER_RECORD || failures.contains_key(&job) {
+            let count = failures.entry(job).or_insert(0);
+            *count = count.saturating_add(1);
         }
-        // Cancelled, they leave no charge behind.
-        (1..4).for_each(|j| b.forget_job(job(j)));
-        assert!(b
-            .record_failure(at(2.0), machine(0), (job(9), false), 1.0)
-            .newly_faulty
-            .is_empty());
     }
 
-    #[test]
-    fn pauses_grow_and_are_counted_once_for_tasks_that_end_together() {
-        let mut b = FaultAttribution::default();
-        let mut last = 0.0;
-        let mut now = 0.0;
-        for n in 0..12 {
-            let v = b.record_failure(at(now), machine(n), (job(1), false), 1.0);
-            let Some(job_backoff_s) = v.job_backoff_s else {
-                continue;
-            };
-            assert!(job_backoff_s >= last && job_backoff_s <= MAX_BACKOFF_S);
-            let again = b
-                .record_failure(at(now), machine(n), (job(1), false), 1.0)
-                .job_backoff_s;
-            assert_eq!(again, Some(job_backoff_s));
-            (last, now) = (job_backoff_s, now + job_backoff_s);
+    fn is_machine_faulty(&self, failures_by_job: &BTreeMap<JobId, u32>) -> bool {
+        let (mut sound_failures, mut unproven_jobs) = (0, 0);
+        for (job, failures) in failures_by_job {
+            match self.jobs.get(job) {
+                Some(record) if record.faulty => {}
+                Some(record) if record.sound => sound_failures += failures,
+                _ => unproven_jobs += 1,
+            }
         }
-        assert_eq!(last, MAX_BACKOFF_S);
+        sound_failures >= MIN_SOUND_JOB_FAILURES
+            || unproven_jobs >= MIN_UNPROVEN_JOBS
+            || sound_failures > 0 && unproven_jobs > 1
     }
 
-    #[test]
-    fn a_machine_that_fails_what_runs_elsewhere_is_at_fault() {
-        let mut b = FaultAttribution::default();
-        b.record_success(machine(1), job(1));
-        assert!(b
-            .record_failure(at(0.0), machine(2), (job(1), false), 1.0)
-            .newly_faulty
-            .is_empty());
-        b.record_success(machine(1), job(1));
-        assert!(
-            b.record_failure(at(0.0), machine(2), (job(1), false), 1.0)
-                .newly_faulty
-                == [machine(2)]
-        );
-        // A charge is weighed again once more is known of its job.
-        assert!(b
-            .record_failure(at(1.0), machine(3), (job(2), false), 1.0)
-            .newly_faulty
-            .is_empty());
-        assert!(b
-            .record_failure(at(1.0), machine(3), (job(2), false), 1.0)
-            .newly_faulty
-            .is_empty());
-        assert_eq!(
-            b.record_success(machine(1), job(2)).newly_faulty,
-            [machine(3)]
-        );
-        // Three jobs of which nothing is known.
-        for j in 10..13 {
-            let v = b.record_failure(at(2.0), machine(4), (job(j), false), 1.0);
-            assert_eq!(v.newly_faulty.is_empty(), j < 12);
-        }
+    /// Whether a failure on the machine counts against the job: nothing else failed there since
+    /// its last success. Machines that fail everything always have free capacity, so that a new
+    /// job meets several of them at once.
+    fn implicates_job(&self, machine: MachineId, job: JobId) -> bool {
+        self.machines.get(&machine).is_none_or(|record| {
+            let other = |j: &JobId| *j != job && !self.is_job_faulty(*j);
+            !record.faulty && !record.failures_by_job.keys().any(other)
+        })
     }
 
-    #[test]
-    fn charges_are_dropped_when_the_job_was_at_fault() {
-        let mut b = FaultAttribution::default();
-        for j in 1..4 {
-            b.record_failure(at(0.0), machine(1), (job(j), false), 1.0);
+    /// Decides anew whether a job is faulty.
+    fn reassess_job(&mut self, job: JobId) {
+        let Some(record) = self.jobs.get(&job) else {
+            return;
+        };
+        let implicating = record
+            .machines
+            .iter()
+            .filter(|m| self.implicates_job(**m, job))
+            .count() as u64;
+        // Where there are few machines, many failures tell as much.
+        let fails_everywhere = implicating >= MIN_FAILED_MACHINES
+            || implicating > 0 && record.failures >= MIN_JOB_FAILURES;
+        let faulty = !record.sound && fails_everywhere;
+        if let Some(record) = self.jobs.get_mut(&job) {
+            record.faulty = faulty;
         }
-        b.record_failure(at(0.0), machine(2), (job(1), false), 1.0);
-        b.record_failure(at(0.0), machine(3), (job(1), false), 1.0);
-        let v = b.record_failure(at(0.0), machine(4), (job(1), false), 1.0);
-        assert_eq!(
-            (v.newly_cleared, v.job_backoff_s.is_some()),
-            (vec![machine(1)], true)
-        );
-        // Something ends well there: nothing is left.
-        b.record_success(machine(1), job(7));
-        assert!(b
-            .record_failure(at(1.0), machine(1), (job(8), false), 1.0)
-            .newly_faulty
-            .is_empty());
     }
 
-    /// A day on which 22 machines failed everything: new jobs met several of them
-    /// at once, were taken for mistakes and waited for a minute.
-    #[test]
-    fn a_job_that_meets_several_faulty_machines_is_not_at_fault() {
-        let mut b = FaultAttribution::default();
-        // What is known to be sound failed there before.
-        for m in 0..4 {
-            b.record_failure(at(0.0), machine(m), (job(1), true), 1.0);
-        }
-        for m in 0..4 {
-            assert_eq!(
-                b.record_failure(at(1.0), machine(m), (job(2), false), 1.0)
-                    .job_backoff_s,
-                None
-            );
-        }
-        assert!(!b.is_job_faulty(job(2)));
-        // Found at fault on three machines, cleared when they prove to be.
-        let mut b = FaultAttribution::default();
-        for m in 0..3 {
-            b.record_failure(at(0.0), machine(m), (job(2), false), 1.0);
-        }
-        assert!(b.is_job_faulty(job(2)));
-        for m in 0..3 {
-            b.record_failure(at(1.0), machine(m), (job(1), true), 1.0);
-            b.record_failure(at(1.0), machine(m), (job(1), true), 1.0);
+    /// Decides anew whether these machines are faulty.
+    fn reassess_machines(&mut self, machines: &[MachineId], change: &mut AttributionChange) {
+        for id in machines {
+            let Some(record) = self.machines.get(id) else {
+                continue;
+            };
+            let faulty = self.is_machine_faulty(&record.failures_by_job);
+            if faulty == record.faulty {
+                continue;
+            }
+            let jobs: Vec<JobId> = record.failures_by_job.keys().copied().collect();
+            if let Some(record) = self.machines.get_mut(id) {
+                record.faulty = faulty;
+            }
+            if faulty {
+                change.newly_faulty.push(*id);
+                // What failed there may have failed because of the machine.
+                for job in jobs {
+                    self.reassess_job(job);
+                }
+            } else {
+                change.newly_cleared.push(*id);
+            }
         }
-        assert!(!b.is_job_faulty(job(2)));
     }
 
-    #[test]
-    fn memory_is_bounded() {
-        let mut b = FaultAttribution::default();
-        for n in 0..(MAX_REMEMBERED as u32 + 50) {
-            b.record_failure(at(0.0), machine(n), (job(n), false), 1.0);
-            b.record_failure(at(0.0), machine(0), (job(n), false), 1.0);
-        }
-        assert_eq!(
-            (b.jobs.len(), b.machines.len()),
-            (MAX_REMEMBERED, MAX_REMEMBERED)
-        );
-        assert!(b.machines[&machine(0)].0.len() <= MAX_FAILURES_PER_RECORD);
+    /// Machines that remember failures of this job.
+    fn machines_failing(&self, job: JobId) -> Vec<MachineId> {
+        self.machines
+            .iter()
+            .filter(|(_, record)| record.failures_by_job.contains_key(&job))
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/failure-detection/src/lib.rs
+++ b/crates/failure-detection/src/lib.rs
@@ -1,24 +1,17 @@
-//! What silence means, and failures.
+//! Failure detection: what the silence of machines means, and whose fault failed tasks are.
 //!
-//! A controller that does not hear a machine knows little: the machine may be
-//! dead, its link may be, or the controller's own. This package weighs that for
-//! machines together, and says of each whether it may be given back. It decides
-//! about money and waiting only: when a task is off a machine is Guard 3's
-//! matter, and nothing here weakens it.
+//! A controller that does not hear a machine knows little: the machine may be dead, its link may
+//! be broken, or the controller's own link may be. This crate weighs that for all machines
+//! together, and says of each whether it may be given up ([`SilenceDetector`]). It also learns
+//! how reports are spaced ([`ReportInterval`]), notices pauses and stalls of the controller itself
+//! ([`PauseDetector`], [`StallDetector`]), tracks machines that do not acknowledge
+//! ([`AckTracker`]), and attributes failures to machines or jobs ([`FaultAttribution`]).
 //!
-//! Sans-IO: times come in, findings go out. `docs/suspicion.md` has the ways
-//! that were weighed.
-
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
+//! Invariant: findings decide about money and waiting only. When a task counts as ended on a
+//! machine is decided by Guard 3 of `docs/safety.md`, and nothing here weakens it.
+//!
+//! Sans-IO: times come in and findings go out; nothing here reads a clock or sends a message.
+//! Alternatives that were weighed stand in `docs/suspicion.md`.
 
 mod ack_tracker;
 mod fault_attribution;
--- a/crates/failure-detection/src/silence_detector.rs
+++ b/crates/failure-detection/src/silence_detector.rs
@@ -1,106 +1,136 @@
-//! Silence judged for machines together.
+//! Silence of machines, judged for all of them together.
+//!
+//! Machines that share a link fall silent together. A whole group that is overdue is therefore
+//! taken for a broken link, and its machines are shielded for a bounded time; a single one is given
+//! up soon.
 
 use beamhinge_core::types::{MachineId, Time};
 use std::collections::BTreeMap;
 
-/// What a group is: machines that one broken link would silence together.
+/// A group is silent together when this part of it is overdue ...
+const MIN_OVERDUE_FRACTION: f64 = 0.4;
+/// ... in at least so many machines ...
+const MIN_OVERDUE_MACHINES: u32 = 4;
+/// ... and this many times as large a part as of all others.
+const MIN_RATIO_TO_OTHERS: f64 = 2.0;
+/// A group stays suspected until this part of it is heard again.
+const RECOVERED_FRACTION: f64 = 0.8;
+/// Part of the fleet that may be given up as silent at once.
+const REMOVAL_BURST_FRACTION: f64 = 0.1;
+/// Part of the fleet by which that grows each second.
+const REMOVAL_REFILL_PER_S: f64 = 0.02;
+/// Most that may be given up at once in a small fleet, machines.
+const MIN_REMOVAL_BURST: f64 = 2.0;
+/// Longest time between two assessments for which the removal budget grows, seconds.
+const MAX_REFILL_S: f64 = 1e3;
+
+/// Machines that one broken link would silence together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailureDomain {
-    /// All machines: our own link to them.
+    /// All machines: this controller's own link to them.
     OwnLink,
-    /// Machines of one zone.
+    /// Machines of one zone, by its number.
     Zone(usize),
-    /// Machines of one type.
+    /// Machines of one type, by its number.
     MachineType(usize),
 }
 
 /// One machine, as this controller sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineObservation {
+    /// The machine.
     pub id: MachineId,
     /// The zone's number among those of the settings.
     pub zone: usize,
     /// The type's number.
     pub machine_type: usize,
-    /// Seconds without a report here, own absence not counted.
+    /// Seconds without a report here; pauses of this process are not counted.
     pub silent_s: f64,
     /// Seconds since a peer heard it.
     pub peer_heard_age_s: Option<f64>,
     /// The cloud's list no longer names it, though it must if it were there.
     pub unlisted: bool,
-    /// It takes no answers and tries one controller after the other: that peers hear
-    /// it says nothing of our own link.
+    /// It acknowledges nothing and tries one controller after the other: that peers hear it says
+    /// nothing about this controller's own link.
     pub rotates_controllers: bool,
 }
 
+impl MachineObservation {
+    /// The failure domains that it belongs to, the widest first.
+    fn domains(&self) -> [FailureDomain; 3] {
+        domains(self.zone, self.machine_type)
+    }
+}
+
+fn domains(zone: usize, machine_type: usize) -> [FailureDomain; 3] {
+    [
+        FailureDomain::OwnLink,
+        FailureDomain::Zone(zone),
+        FailureDomain::MachineType(machine_type),
+    ]
+}
+
 /// What is concluded of one machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// Heard, or not yet overdue.
+    /// It reports, or is not yet overdue.
     Alive,
-    /// Overdue, and not yet long enough for anything.
+    /// Overdue, and not yet long enough for any conclusion.
     Overdue,
-    /// A peer hears it: it lives, and our link to it is broken.
+    /// A peer hears it: it is alive, and this controller's link to it is broken.
     HeardByPeer,
-    /// Silent like most of its group: taken for a broken link for now.
+    /// Silent like most of its failure domain: taken for a broken link for now.
     Shielded(FailureDomain),
-    /// Silent beyond the limit, but others were given up just now: its turn comes.
+    /// Silent beyond the threshold, but too many others were given up just now.
     RemovalDeferred,
-    /// To be given back.
+    /// To be given up.
     Dead,
-    /// Gone, by the cloud's own word.
+    /// Gone, by the cloud's own list.
     Unlisted,
 }
 
-/// Our own link, by what is heard here and elsewhere.
+/// This controller's links to the machines, compared with those of its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Connectivity {
+    /// Machines that report here.
     pub reporting: u32,
+    /// Machines that are overdue here.
     pub overdue: u32,
-    /// Overdue here, and heard by a peer.
+    /// Machines that are overdue here and heard by a peer.
     pub heard_by_peers: u32,
 }
 
 impl Connectivity {
-    /// Another controller could do more: it hears more machines than we do.
+    /// Whether peers hear more machines that this controller misses than it hears itself, so that
+    /// another controller could do more as leader.
     pub fn reaches_fewer_than_peers(&self) -> bool {
         self.heard_by_peers >= 2 && self.heard_by_peers > self.reporting
     }
 }
 
-/// Times and shares, from the settings.
+/// How long silence is tolerated, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct SilenceThresholds {
-    /// Silence after which a single machine is given back, seconds.
+    /// Silence after which a single machine is given up, seconds.
     pub dead_after_s: f64,
-    /// Longest that a group's silence is taken for a broken link, seconds.
+    /// Longest silence of a group that is taken for a broken link, seconds.
     pub max_shield_s: f64,
-    /// How long a peer's word counts, seconds.
+    /// How long a peer's observation counts, seconds.
     pub max_peer_age_s: f64,
 }
 
-/// The outcome of one look at the fleet.
+/// The outcome of one assessment of the fleet.
 #[derive(Debug, Default)]
 pub struct FleetAssessment {
+    /// One finding for each observation, in the same order.
     pub findings: Vec<(MachineId, Liveness)>,
+    /// Which machines are heard here and by peers.
     pub connectivity: Connectivity,
-    /// Groups that are silent together, and for how long, seconds.
+    /// Failure domains that are silent together, and for how long, seconds.
     pub suspected: Vec<(FailureDomain, f64)>,
 }
 
-/// A group is silent together when this part of it is overdue ...
-const MIN_OVERDUE_FRACTION: f64 = 0.4;
-/// ... in at least so many machines ...
-const MIN_OVERDUE_MACHINES: u32 = 4;
-/// ... and this many times as large a part as of all others.
-const MIN_RATIO_TO_OTHERS: f64 = 2.0;
-/// A group stays suspected until this part of it is heard again.
-const RECOVERED_FRACTION: f64 = 0.8;
-/// Part of the fleet that may be given back as silent at once.
-const REMOVAL_BURST_FRACTION: f64 = 0.1;
-/// Part of the fleet by which that grows each second.
-const REMOVAL_REFILL_PER_S: f64 = 0.02;
-
+/// Machines of a group, and how many of them are overdue.
 #[derive(Clone, Copy, Default)]
 struct OverdueCount {
     known: u32,
@@ -108,417 +138,230 @@
 }
 
 impl OverdueCount {
-    fn part(self) -> f64 {
+    fn add(&mut self, overdue: bool) {
+        self.known += 1;
+        self.overdue += u32::from(overdue);
+    }
+
+    fn fraction(self) -> f64 {
         f64::from(self.overdue) / f64::from(self.known.max(1))
     }
+
     fn without(self, other: OverdueCount) -> OverdueCount {
         OverdueCount {
             known: self.known - other.known,
             overdue: self.overdue - other.overdue,
         }
     }
+
+    fn is_mostly_overdue(self) -> bool {
+        self.overdue >= MIN_OVERDUE_MACHINES && self.fraction() >= MIN_OVERDUE_FRACTION
+    }
+}
+
+/// What one pass over the observations counts.
+#[derive(Default)]
+struct FleetCounts {
+    all: OverdueCount,
+    domains: BTreeMap<FailureDomain, OverdueCount>,
+    connectivity: Connectivity,
 }
 
-/// Judges silence; keeps since when each group is suspected, and a budget of
-/// returns.
+/// Judges silence. Keeps since when each failure domain is suspected, and a budget of removals.
 pub struct SilenceDetector {
-    silence_thresholds: SilenceThresholds,
-    began: BTreeMap<FailureDomain, Time>,
-    /// Groups that are heard again, and until when their last ones have time.
-    back: BTreeMap<FailureDomain, Time>,
-    budget: f64,
-    filled: Option<Time>,
+    thresholds: SilenceThresholds,
+    suspected_since: BTreeMap<FailureDomain, Time>,
+    /// Domains that are heard again, and until when their last machines are shielded.
+    recovering_until: BTreeMap<FailureDomain, Time>,
+    /// Machines that may be given up now.
+    removal_budget: f64,
+    refilled_at: Option<Time>,
 }
 
 impl SilenceDetector {
-    pub fn new(silence_thresholds: SilenceThresholds) -> SilenceDetector {
+    /// A detector that suspects nothing yet.
+    pub fn new(thresholds: SilenceThresholds) -> SilenceDetector {
         SilenceDetector {
-            silence_thresholds,
-            began: BTreeMap::new(),
-            back: BTreeMap::new(),
-            budget: 0.0,
-            filled: None,
+            thresholds,
+            suspected_since: BTreeMap::new(),
+            recovering_until: BTreeMap::new(),
+            removal_budget: 0.0,
+            refilled_at: None,
         }
     }
 
-    /// Since when a machine's group is suspected, seconds; the longest of them.
-    pub fn suspected_for_s(&self, now: Time, zone: usize, kind: usize) -> Option<f64> {
-        let of = |g| self.began.get(&g).map(|at| now.since(*at));
-        [
-            FailureDomain::OwnLink,
-            FailureDomain::Zone(zone),
-            FailureDomain::MachineType(kind),
-        ]
-        .into_iter()
-        .filter_map(of)
-        .max_by(f64::total_cmp)
+    /// How long a failure domain of such machines has been suspected, seconds; the longest of
+    /// them, and none if none is.
+    pub fn suspected_for_s(&self, now: Time, zone: usize, machine_type: usize) -> Option<f64> {
+        domains(zone, machine_type)
+            .into_iter()
+            .filter_map(|domain| self.suspected_since.get(&domain))
+            .map(|since| now.since(*since))
+            .max_by(f64::total_cmp)
     }
 
-    /// Looks at the whole fleet. `overdue_s`: silence from which a machine is
-    /// overdue, see [`crate::ReportInterval::overdue_s`].
+    /// Assesses the whole fleet. `overdue_s`: silence from which a machine is overdue, see
+    /// [`crate::ReportInterval::overdue_s`].
     pub fn assess(
         &mut self,
         now: Time,
         overdue_s: f64,
-        seen: &[MachineObservation],
+        observations: &[MachineObservation],
     ) -> FleetAssessment {
-        let mut all = OverdueCount::default();
-        let mut groups: BTreeMap<FailureDomain, OverdueCount> = BTreeMap::new();
-        let mut link = Connectivity::default();
-        for s in seen {
-            let overdue = s.silent_s > overdue_s;
-            let elsewhere = self.heard_by_peer(s);
-            // What the cloud has taken says nothing about links.
-            if s.unlisted && !elsewhere {
-                continue;
-            }
-            match overdue {
-                true => link.overdue += 1,
-                false => link.reporting += 1,
-            }
-            link.heard_by_peers += u32::from(overdue && elsewhere && !s.rotates_controllers);
-            let of = [
-                &mut all,
-                groups.entry(FailureDomain::Zone(s.zone)).or_default(),
-            ];
-            for c in of {
-                c.known += 1;
-                c.overdue += u32::from(overdue);
-            }
-            let kind = groups
-                .entry(FailureDomain::MachineType(s.machine_type))
-                .or_default();
-            kind.known += 1;
-            kind.overdue += u32::from(overdue);
-        }
-        self.suspect(now, all, &groups);
-        self.back.retain(|_, until| *until > now);
-        let most = (f64::from(all.known) * REMOVAL_BURST_FRACTION).max(2.0);
-        let passed = self.filled.map_or(f64::MAX, |at| now.since(at));
-        self.budget =
-            (self.budget + passed.min(1e3) * f64::from(all.known) * REMOVAL_REFILL_PER_S).min(most);
-        self.filled = Some(now);
+        let counts = self.count(overdue_s, observations);
+        self.update_suspicions(now, counts.all, &counts.domains);
+        self.recovering_until.retain(|_, until| *until > now);
+        self.refill_removal_budget(now, counts.all.known);
         let mut findings: Vec<(MachineId, Liveness)> = Vec::new();
-        for s in seen {
-            let finding = self.classify(overdue_s, s);
-            findings.push((s.id, finding));
+        for observation in observations {
+            findings.push((observation.id, self.classify(overdue_s, observation)));
         }
-        let groups = self
-            .began
+        let suspected = self
+            .suspected_since
             .iter()
-            .map(|(g, at)| (*g, now.since(*at)))
+            .map(|(domain, since)| (*domain, now.since(*since)))
             .collect();
         FleetAssessment {
             findings,
-            connectivity: link,
-            suspected: groups,
+            connectivity: counts.connectivity,
+            suspected,
         }
     }
 
-    fn heard_by_peer(&self, s: &MachineObservation) -> bool {
-        s.peer_heard_age_s
-            .is_some_and(|e| e <= self.silence_thresholds.max_peer_age_s && e < s.silent_s)
+    fn count(&self, overdue_s: f64, observations: &[MachineObservation]) -> FleetCounts {
+        let mut counts = FleetCounts::default();
+        for observation in observations {
+            let overdue = observation.silent_s > overdue_s;
+            let heard_by_peer = self.is_heard_by_peer(observation);
+            // What the cloud has taken says nothing about links.
+            if observation.unlisted && !heard_by_peer {
+                continue;
+            }
+            let connectivity = &mut counts.connectivity;
+            if overdue {
+                connectivity.overdue += 1;
+                connectivity.heard_by_peers +=
+                    u32::from(heard_by_peer && !observation.rotates_controllers);
+            } else {
+                connectivity.reporting += 1;
+            }
+            counts.all.add(overdue);
+            let [_, zone, machine_type] = observation.domains();
+            counts.domains.entry(zone).or_default().add(overdue);
+            counts.domains.entry(machine_type).or_default().add(overdue);
+        }
+        counts
     }
 
-    /// Which groups are silent together.
-    fn suspect(
+    fn refill_removal_budget(&mut self, now: Time, known: u32) {
+        let known = f64::from(known);
+        let max = (known * REMOVAL_BURST_FRACTION).max(MIN_REMOVAL_BURST);
+        let elapsed_s = self.refilled_at.map_or(f64::MAX, |at| now.since(at));
+        let refill = elapsed_s.min(MAX_REFILL_S) * known * REMOVAL_REFILL_PER_S;
+        self.removal_budget = (self.removal_budget + refill).min(max);
+        self.refilled_at = Some(now);
+    }
+
+    fn is_heard_by_peer(&self, observation: &MachineObservation) -> bool {
+        observation
+            .peer_heard_age_s
+            .is_some_and(|age| age <= self.thresholds.max_peer_age_s && age < observation.silent_s)
+    }
+
+    /// Decides which failure domains are silent together.
+    fn update_suspicions(
         &mut self,
         now: Time,
         all: OverdueCount,
-        groups: &BTreeMap<FailureDomain, OverdueCount>,
+        counts: &BTreeMap<FailureDomain, OverdueCount>,
     ) {
-        let mut apart = false;
-        for (group, count) in groups {
-            let rest = all.without(*count);
-            // A group that is all there is says nothing beyond `Ours`.
-            let more = rest.known > 0 && count.part() >= rest.part() * MIN_RATIO_TO_OTHERS;
-            let silent = count.overdue >= MIN_OVERDUE_MACHINES
-                && count.part() >= MIN_OVERDUE_FRACTION
-                && more;
-            apart |= silent;
-            self.update_domain(now, *group, *count, silent);
+        let mut any_silent = false;
+        for (domain, count) in counts {
+            let others = all.without(*count);
+            // A group that is all there is says nothing beyond the own link.
+            let stands_out =
+                others.known > 0 && count.fraction() >= others.fraction() * MIN_RATIO_TO_OTHERS;
+            let silent = count.is_mostly_overdue() && stands_out;
+            any_silent |= silent;
+            self.update_suspicion(now, *domain, *count, silent);
         }
-        // Where one group explains it, the others are judged as ever.
-        let wide =
-            !apart && all.overdue >= MIN_OVERDUE_MACHINES && all.part() >= MIN_OVERDUE_FRACTION;
-        if apart && self.began.remove(&FailureDomain::OwnLink).is_some() {
-            // What was silent with all the others has the time of stragglers.
-            self.back.insert(
-                FailureDomain::OwnLink,
-                now.plus(self.silence_thresholds.dead_after_s),
-            );
+        // Where one group explains the silence, the others are judged as usual.
+        let own_link_silent = !any_silent && all.is_mostly_overdue();
+        if any_silent
+            && self
+                .suspected_since
+                .remove(&FailureDomain::OwnLink)
+                .is_some()
+        {
+            // What was silent with all the others has time to be heard again.
+            self.begin_recovery(now, FailureDomain::OwnLink);
         }
-        self.update_domain(now, FailureDomain::OwnLink, all, wide);
-        self.began
-            .retain(|g, _| *g == FailureDomain::OwnLink || groups.contains_key(g));
+        self.update_suspicion(now, FailureDomain::OwnLink, all, own_link_silent);
+        self.suspected_since
+            .retain(|domain, _| *domain == FailureDomain::OwnLink || counts.contains_key(domain));
     }
 
-    /// Once suspected, a group stays so until most of it is heard again: while
-    /// it comes back, the last are not yet dead.
-    fn update_domain(
+    /// Once suspected, a domain stays so until most of it is heard again: while it recovers, its
+    /// last machines are not dead yet.
+    fn update_suspicion(
         &mut self,
         now: Time,
-        group: FailureDomain,
+        domain: FailureDomain,
         count: OverdueCount,
         silent: bool,
     ) {
         if silent {
-            self.began.entry(group).or_insert(now);
-        } else if count.part() <= 1.0 - RECOVERED_FRACTION && self.began.remove(&group).is_some() {
-            // Workers find their way back one after the other: each tries every
-            // controller, and waits in between.
-            self.back
-                .insert(group, now.plus(self.silence_thresholds.dead_after_s));
+            self.suspected_since.entry(domain).or_insert(now);
+        } else if count.fraction() <= 1.0 - RECOVERED_FRACTION
+            && self.suspected_since.remove(&domain).is_some()
+        {
+            self.begin_recovery(now, domain);
         }
     }
 
-    fn classify(&mut self, overdue_s: f64, s: &MachineObservation) -> Liveness {
-        if self.heard_by_peer(s) && s.silent_s > overdue_s {
-            return Liveness::HeardByPeer;
-        }
-        if s.unlisted && s.silent_s > overdue_s {
-            return Liveness::Unlisted;
+    /// Workers find their way back one after the other: each tries every controller, and waits in
+    /// between.
+    fn begin_recovery(&mut self, now: Time, domain: FailureDomain) {
+        self.recovering_until
+            .insert(domain, now.plus(self.thresholds.dead_after_s));
+    }
+
+    fn is_shielding(&self, domain: &FailureDomain) -> bool {
+        self.suspected_since.contains_key(domain) || self.recovering_until.contains_key(domain)
+    }
+
+    fn classify(&mut self, overdue_s: f64, observation: &MachineObservation) -> Liveness {
+        let silent_s = observation.silent_s;
+        if silent_s > overdue_s {
+            if self.is_heard_by_peer(observation) {
+                return Liveness::HeardByPeer;
+            }
+            if observation.unlisted {
+                return Liveness::Unlisted;
+            }
         }
-        if s.silent_s <= overdue_s {
+        if silent_s <= overdue_s {
             return Liveness::Alive;
         }
-        if s.silent_s <= self.silence_thresholds.dead_after_s {
+        if silent_s <= self.thresholds.dead_after_s {
             return Liveness::Overdue;
         }
-        let shield = [
-            FailureDomain::OwnLink,
-            FailureDomain::Zone(s.zone),
-            FailureDomain::MachineType(s.machine_type),
-        ]
-        .into_iter()
-        .find(|g| self.began.contains_key(g) || self.back.contains_key(g));
-        // Dead or cut: nobody can tell. The wait is bounded, by the silence of
-        // each machine, so that one which falls silent late has its time too.
-        if let Some(group) = shield.filter(|_| s.silent_s <= self.silence_thresholds.max_shield_s) {
-            return Liveness::Shielded(group);
+        let shield = observation
+            .domains()
+            .into_iter()
+            .find(|domain| self.is_shielding(domain));
+        // Dead or cut off: nobody can tell. The wait is bounded by the silence of each machine, so
+        // that one which falls silent late has its time too.
+        if let Some(domain) = shield.filter(|_| silent_s <= self.thresholds.max_shield_s) {
+            return Liveness::Shielded(domain);
         }
-        if self.budget < 1.0 {
+        if self.removal_budget < 1.0 {
             return Liveness::RemovalDeferred;
         }
-        self.budget -= 1.0;
+        self.removal_budget -= 1.0;
         Liveness::Dead
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const OVERDUE_S: f64 = 7.0;
-
-    fn silence_thresholds() -> SilenceThresholds {
-        SilenceThresholds {
-            dead_after_s: 15.0,
-            max_shield_s: 106.0,
-            max_peer_age_s: 8.0,
-        }
-    }
-
-    fn at(s: f64) -> Time {
-        Time::default().plus(100.0 + s)
-    }
-
-    /// `n` machines, alternating over two zones and kinds.
-    fn fleet(n: u32, quiet: impl Fn(u32) -> f64) -> Vec<MachineObservation> {
-        (0..n)
-            .map(|i| MachineObservation {
-                id: MachineId::parse(&format!("n-{i:06}")).expect("a name"),
-                zone: (i % 2) as usize,
-                machine_type: (i / 2 % 2) as usize,
-                silent_s: quiet(i),
-                peer_heard_age_s: None,
-                unlisted: false,
-                rotates_controllers: false,
-            })
-            .collect()
-    }
-
-    fn count(look: &FleetAssessment, want: Liveness) -> usize {
-        look.findings.iter().filter(|(_, f)| *f == want).count()
-    }
-
-    #[test]
-    fn one_silent_machine_is_returned_as_soon_as_ever() {
-        let mut s = SilenceDetector::new(silence_thresholds());
-        let look = s.assess(
-            at(0.0),
-            OVERDUE_S,
-            &fleet(500, |i| if i == 7 { 15.1 } else { 2.0 }),
-        );
-        assert_eq!(count(&look, Liveness::Dead), 1);
-        assert!(look.suspected.is_empty());
-    }
-
-    /// Machines cross the limit one after another, as their reports are spread
-    /// over a period: half of a fleet was returned before most were silent.
-    #[test]
-    fn a_silent_zone_is_a_broken_link_and_costs_nothing() {
-        let mut s = SilenceDetector::new(silence_thresholds());
-        let mut returned = 0;
-        // Zone 1 is cut from 0 s to 51 s; last reports are spread over 5 s.
-        for step in 0..300 {
-            let now = f64::from(step) * 0.2;
-            let quiet = |i: u32| match i % 2 {
-                1 if now < 51.0 => now + f64::from(i % 50) / 10.0,
-                _ => f64::from(i % 50) / 10.0,
-            };
-            let look = s.assess(at(now), OVERDUE_S, &fleet(600, quiet));
-            returned += count(&look, Liveness::Dead);
-            if now > 20.0 && now < 50.0 {
-                assert_eq!(look.suspected.len(), 1, "{:?}", look.suspected);
-                assert_eq!(
-                    count(&look, Liveness::Shielded(FailureDomain::Zone(1))),
-                    300
-                );
-            }
-        }
-        assert_eq!(returned, 0);
-        assert!(
-            s.suspected_for_s(at(60.0), 1, 0).is_none(),
-            "heard again, forgotten"
-        );
-    }
-
-    #[test]
-    fn a_zone_that_stays_silent_is_returned_in_the_end_and_not_at_once() {
-        let mut s = SilenceDetector::new(silence_thresholds());
-        let mut back = std::collections::BTreeSet::new();
-        let mut first = None;
-        for step in 0..800 {
-            let now = f64::from(step) * 0.2;
-            let all = fleet(600, |i| if i % 2 == 1 { now } else { 1.0 });
-            let rest: Vec<MachineObservation> =
-                all.into_iter().filter(|m| !back.contains(&m.id)).collect();
-            let look = s.assess(at(now), OVERDUE_S, &rest);
-            let silent = look.findings.iter().filter(|(_, f)| *f == Liveness::Dead);
-            let before = back.len();
-            back.extend(silent.map(|(id, _)| *id));
-            assert!(back.len() - before <= 61, "a tenth of the fleet at once");
-            if !back.is_empty() {
-                first.get_or_insert(now);
-            }
-        }
-        assert!(first.is_some_and(|t| t > 100.0 && t < 110.0), "{first:?}");
-        assert_eq!(back.len(), 300);
-    }
-
-    /// Guards against giving back the last of a zone that is coming back.
-    #[test]
-    fn the_last_to_come_back_have_time() {
-        let mut s = SilenceDetector::new(silence_thresholds());
-        let zone = |back: u32| move |i: u32| if i % 2 == 1 && i > back { 30.0 } else { 1.0 };
-        s.assess(at(0.0), OVERDUE_S, &fleet(200, zone(0)));
-        let look = s.assess(at(1.0), OVERDUE_S, &fleet(200, zone(180)));
-        assert!(look.suspected.is_empty());
-        assert_eq!(count(&look, Liveness::Dead), 0);
-        let look = s.assess(at(17.0), OVERDUE_S, &fleet(200, zone(180)));
-        assert_eq!(count(&look, Liveness::Dead), 10, "not for ever");
-    }
-
-    /// Guards against giving back the rest of a fleet at the moment when one zone
-    /// begins to explain most of its silence (day-78-9: nine machines).
-    #[test]
-    fn when_a_zone_explains_it_the_others_still_have_time() {
-        let mut s = SilenceDetector::new(silence_thresholds());
-        s.assess(at(0.0), OVERDUE_S, &fleet(100, |_| 20.0));
-        let mostly = |i: u32| if i % 2 == 1 || i < 20 { 20.0 } else { 1.0 };
-        let look = s.assess(at(1.0), OVERDUE_S, &fleet(100, mostly));
-        assert_eq!(
-            look.suspected.first().map(|g| g.0),
-            Some(FailureDomain::Zone(1))
-        );
-        assert_eq!(count(&look, Liveness::Dead), 0);
-    }
-
-    #[test]
-    fn a_tenth_of_the_fleet_that_dies_is_seen_within_seconds() {
-        let mut s = SilenceDetector::new(silence_thresholds());
-        let mut back = std::collections::BTreeSet::new();
-        let mut last = 0.0;
-        for step in 0..200 {
-            let now = f64::from(step) * 0.2;
-            let all = fleet(900, |i| if i % 8 == 0 { now } else { 1.0 });
-            let rest: Vec<MachineObservation> =
-                all.into_iter().filter(|m| !back.contains(&m.id)).collect();
-            for (id, f) in s.assess(at(now), OVERDUE_S, &rest).findings {
-                if f == Liveness::Dead && back.insert(id) {
-                    last = now;
-                }
-            }
-        }
-        assert_eq!(back.len(), 113);
-        assert!(last < 18.0, "{last}");
-    }
-
-    #[test]
-    fn what_peers_hear_is_alive_and_more_of_it_moves_the_lead() {
-        let mut s = SilenceDetector::new(silence_thresholds());
-        let mut all = fleet(100, |_| 20.0);
-        for m in all.iter_mut().take(60) {
-            m.peer_heard_age_s = Some(1.0);
-        }
-        let look = s.assess(at(0.0), OVERDUE_S, &all);
-        assert_eq!(count(&look, Liveness::HeardByPeer), 60);
-        assert_eq!(count(&look, Liveness::Dead), 0);
-        assert!(look.connectivity.reaches_fewer_than_peers());
-        // A few that are new and try everybody move nothing.
-        let mut all = fleet(100, |i| if i < 3 { 20.0 } else { 1.0 });
-        all.iter_mut()
-            .take(3)
-            .for_each(|m| m.peer_heard_age_s = Some(1.0));
-        assert!(!s
-            .assess(at(9.0), OVERDUE_S, &all)
-            .connectivity
-            .reaches_fewer_than_peers());
-        // Those that are answered by nobody go round all controllers.
-        let mut all = fleet(100, |_| 20.0);
-        all.iter_mut()
-            .for_each(|m| (m.peer_heard_age_s, m.rotates_controllers) = (Some(1.0), true));
-        assert!(!s
-            .assess(at(9.5), OVERDUE_S, &all)
-            .connectivity
-            .reaches_fewer_than_peers());
-        // An old word is none.
-        let mut all = fleet(4, |_| 20.0);
-        all.iter_mut().for_each(|m| m.peer_heard_age_s = Some(9.0));
-        assert_eq!(
-            s.assess(at(30.0), OVERDUE_S, &all)
-                .connectivity
-                .heard_by_peers,
-            0
-        );
-    }
-
-    #[test]
-    fn half_of_a_zone_dead_and_half_cut_is_told_apart_by_the_list() {
-        let mut s = SilenceDetector::new(silence_thresholds());
-        let mut all = fleet(400, |i| if i % 2 == 1 { 20.0 } else { 1.0 });
-        for m in all.iter_mut().filter(|m| m.id.number() % 4 == 1) {
-            m.unlisted = true;
-        }
-        let look = s.assess(at(0.0), OVERDUE_S, &all);
-        assert_eq!(count(&look, Liveness::Unlisted), 100);
-        assert_eq!(
-            count(&look, Liveness::Shielded(FailureDomain::Zone(1))),
-            100
-        );
-    }
-
-    #[test]
-    fn all_silent_and_nobody_hears_them_is_waited_out_and_bounded() {
-        let mut s = SilenceDetector::new(silence_thresholds());
-        let look = s.assess(at(0.0), OVERDUE_S, &fleet(300, |_| 30.0));
-        assert_eq!(
-            count(&look, Liveness::Shielded(FailureDomain::OwnLink)),
-            300
-        );
-        let look = s.assess(at(90.0), OVERDUE_S, &fleet(300, |_| 120.0));
-        assert_eq!(count(&look, Liveness::Dead), 30);
-        assert_eq!(count(&look, Liveness::RemovalDeferred), 270);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/failure-detection/src/silence_detector/tests.rs
@@ -0,0 +1,222 @@
+use super::*;
+
+const OVERDUE_S: f64 = 7.0;
+
+fn silence_thresholds() -> SilenceThresholds {
+    SilenceThresholds {
+        dead_after_s: 15.0,
+        max_shield_s: 106.0,
+        max_peer_age_s: 8.0,
+    }
+}
+
+fn at(s: f64) -> Time {
+    Time::default().plus(100.0 + s)
+}
+
+/// `n` machines, alternating over two zones and kinds.
+fn fleet(n: u32, silent_s: impl Fn(u32) -> f64) -> Vec<MachineObservation> {
+    (0..n)
+        .map(|i| MachineObservation {
+            id: MachineId::parse(&format!("n-{i:06}")).expect("a name"),
+            zone: (i % 2) as usize,
+            machine_type: (i / 2 % 2) as usize,
+            silent_s: silent_s(i),
+            peer_heard_age_s: None,
+            unlisted: false,
+            rotates_controllers: false,
+        })
+        .collect()
+}
+
+fn count(assessment: &FleetAssessment, want: Liveness) -> usize {
+    assessment
+        .findings
+        .iter()
+        .filter(|(_, f)| *f == want)
+        .count()
+}
+
+#[test]
+fn single_silent_machine_is_dead_at_once() {
+    let mut detector = SilenceDetector::new(silence_thresholds());
+    let assessment = detector.assess(
+        at(0.0),
+        OVERDUE_S,
+        &fleet(500, |i| if i == 7 { 15.1 } else { 2.0 }),
+    );
+    assert_eq!(count(&assessment, Liveness::Dead), 1);
+    assert!(assessment.suspected.is_empty());
+}
+
+/// Machines cross the limit one after another, as their reports are spread
+/// over a period: half of a fleet was returned before most were silent.
+#[test]
+fn silent_zone_is_shielded_as_broken_link() {
+    let mut detector = SilenceDetector::new(silence_thresholds());
+    let mut returned = 0;
+    // Zone 1 is cut from 0 s to 51 s; last reports are spread over 5 s.
+    for step in 0..300 {
+        let now = f64::from(step) * 0.2;
+        let silent_s = |i: u32| match i % 2 {
+            1 if now < 51.0 => now + f64::from(i % 50) / 10.0,
+            _ => f64::from(i % 50) / 10.0,
+        };
+        let assessment = detector.assess(at(now), OVERDUE_S, &fleet(600, silent_s));
+        returned += count(&assessment, Liveness::Dead);
+        if now > 20.0 && now < 50.0 {
+            assert_eq!(assessment.suspected.len(), 1, "{:?}", assessment.suspected);
+            assert_eq!(
+                count(&assessment, Liveness::Shielded(FailureDomain::Zone(1))),
+                300
+            );
+        }
+    }
+    assert_eq!(returned, 0);
+    assert!(
+        detector.suspected_for_s(at(60.0), 1, 0).is_none(),
+        "heard again, forgotten"
+    );
+}
+
+#[test]
+fn zone_that_stays_silent_is_dead_in_the_end_and_not_at_once() {
+    let mut detector = SilenceDetector::new(silence_thresholds());
+    let mut back = std::collections::BTreeSet::new();
+    let mut first = None;
+    for step in 0..800 {
+        let now = f64::from(step) * 0.2;
+        let all = fleet(600, |i| if i % 2 == 1 { now } else { 1.0 });
+        let rest: Vec<MachineObservation> =
+            all.into_iter().filter(|m| !back.contains(&m.id)).collect();
+        let assessment = detector.assess(at(now), OVERDUE_S, &rest);
+        let silent = assessment
+            .findings
+            .iter()
+            .filter(|(_, f)| *f == Liveness::Dead);
+        let before = back.len();
+        back.extend(silent.map(|(id, _)| *id));
+        assert!(back.len() - before <= 61, "a tenth of the fleet at once");
+        if !back.is_empty() {
+            first.get_or_insert(now);
+        }
+    }
+    assert!(first.is_some_and(|t| t > 100.0 && t < 110.0), "{first:?}");
+    assert_eq!(back.len(), 300);
+}
+
+/// Guards against giving back the last of a zone that is coming back.
+#[test]
+fn last_machines_of_a_recovering_zone_are_shielded() {
+    let mut detector = SilenceDetector::new(silence_thresholds());
+    let zone = |back: u32| move |i: u32| if i % 2 == 1 && i > back { 30.0 } else { 1.0 };
+    detector.assess(at(0.0), OVERDUE_S, &fleet(200, zone(0)));
+    let assessment = detector.assess(at(1.0), OVERDUE_S, &fleet(200, zone(180)));
+    assert!(assessment.suspected.is_empty());
+    assert_eq!(count(&assessment, Liveness::Dead), 0);
+    let assessment = detector.assess(at(17.0), OVERDUE_S, &fleet(200, zone(180)));
+    assert_eq!(count(&assessment, Liveness::Dead), 10, "not for ever");
+}
+
+/// Guards against giving back the rest of a fleet at the moment when one zone
+/// begins to explain most of its silence (day-78-9: nine machines).
+#[test]
+fn other_machines_are_shielded_when_a_zone_explains_the_silence() {
+    let mut detector = SilenceDetector::new(silence_thresholds());
+    detector.assess(at(0.0), OVERDUE_S, &fleet(100, |_| 20.0));
+    let mostly = |i: u32| if i % 2 == 1 || i < 20 { 20.0 } else { 1.0 };
+    let assessment = detector.assess(at(1.0), OVERDUE_S, &fleet(100, mostly));
+    assert_eq!(
+        assessment.suspected.first().map(|g| g.0),
+        Some(FailureDomain::Zone(1))
+    );
+    assert_eq!(count(&assessment, Liveness::Dead), 0);
+}
+
+#[test]
+fn dead_tenth_of_the_fleet_is_detected_within_seconds() {
+    let mut detector = SilenceDetector::new(silence_thresholds());
+    let mut back = std::collections::BTreeSet::new();
+    let mut last = 0.0;
+    for step in 0..200 {
+        let now = f64::from(step) * 0.2;
+        let all = fleet(900, |i| if i % 8 == 0 { now } else { 1.0 });
+        let rest: Vec<MachineObservation> =
+            all.into_iter().filter(|m| !back.contains(&m.id)).collect();
+        for (id, f) in detector.assess(at(now), OVERDUE_S, &rest).findings {
+            if f == Liveness::Dead && back.insert(id) {
+                last = now;
+            }
+        }
+    }
+    assert_eq!(back.len(), 113);
+    assert!(last < 18.0, "{last}");
+}
+
+#[test]
+fn machines_heard_by_peers_are_alive_and_many_of_them_move_leadership() {
+    let mut detector = SilenceDetector::new(silence_thresholds());
+    let mut all = fleet(100, |_| 20.0);
+    for m in all.iter_mut().take(60) {
+        m.peer_heard_age_s = Some(1.0);
+    }
+    let assessment = detector.assess(at(0.0), OVERDUE_S, &all);
+    assert_eq!(count(&assessment, Liveness::HeardByPeer), 60);
+    assert_eq!(count(&assessment, Liveness::Dead), 0);
+    assert!(assessment.connectivity.reaches_fewer_than_peers());
+    // A few that are new and try everybody move nothing.
+    let mut all = fleet(100, |i| if i < 3 { 20.0 } else { 1.0 });
+    all.iter_mut()
+        .take(3)
+        .for_each(|m| m.peer_heard_age_s = Some(1.0));
+    assert!(!detector
+        .assess(at(9.0), OVERDUE_S, &all)
+        .connectivity
+        .reaches_fewer_than_peers());
+    // Those that are answered by nobody go round all controllers.
+    let mut all = fleet(100, |_| 20.0);
+    all.iter_mut()
+        .for_each(|m| (m.peer_heard_age_s, m.rotates_controllers) = (Some(1.0), true));
+    assert!(!detector
+        .assess(at(9.5), OVERDUE_S, &all)
+        .connectivity
+        .reaches_fewer_than_peers());
+    // An old word is none.
+    let mut all = fleet(4, |_| 20.0);
+    all.iter_mut().for_each(|m| m.peer_heard_age_s = Some(9.0));
+    assert_eq!(
+        detector
+            .assess(at(30.0), OVERDUE_S, &all)
+            .connectivity
+            .heard_by_peers,
+        0
+    );
+}
+
+#[test]
+fn unlisted_machines_are_told_from_those_behind_a_broken_link() {
+    let mut detector = SilenceDetector::new(silence_thresholds());
+    let mut all = fleet(400, |i| if i % 2 == 1 { 20.0 } else { 1.0 });
+    for m in all.iter_mut().filter(|m| m.id.number() % 4 == 1) {
+        m.unlisted = true;
+    }
+    let assessment = detector.assess(at(0.0), OVERDUE_S, &all);
+    assert_eq!(count(&assessment, Liveness::Unlisted), 100);
+    assert_eq!(
+        count(&assessment, Liveness::Shielded(FailureDomain::Zone(1))),
+        100
+    );
+}
+
+#[test]
+fn silence_of_the_whole_fleet_is_shielded_for_a_bounded_time() {
+    let mut detector = SilenceDetector::new(silence_thresholds());
+    let assessment = detector.assess(at(0.0), OVERDUE_S, &fleet(300, |_| 30.0));
+    assert_eq!(
+        count(&assessment, Liveness::Shielded(FailureDomain::OwnLink)),
+        300
+    );
+    let assessment = detector.assess(at(90.0), OVERDUE_S, &fleet(300, |_| 120.0));
+    assert_eq!(count(&assessment, Liveness::Dead), 30);
+    assert_eq!(count(&assessment, Liveness::RemovalDeferred), 270);
+}
--- a/crates/failure-detection/src/stall_detector.rs
+++ b/crates/failure-detection/src/stall_detector.rs
@@ -1,118 +1,85 @@
-//! Being stuck: work is there, the state service answers, and nothing moves.
+//! Stalls of the leader: work is pending, the key-value store answers, and nothing is committed.
 
 use beamhinge_core::types::Time;
 
-/// Longest patience, seconds.
+/// Longest time without progress that is tolerated, after handovers, seconds.
 const MAX_TIMEOUT_S: f64 = 300.0;
 
-/// What a holder finds at some moment.
+/// What the leader finds at some moment.
 #[derive(Clone, Copy, Debug)]
 pub struct ProgressSnapshot {
     /// There is something to write.
     pub work_pending: bool,
-    /// When the books last moved: a commit, or a reply to a load.
+    /// When the leader last made progress: a commit, or a reply to a load.
     pub last_progress: Time,
-    /// The state service answered lately.
+    /// The key-value store answered recently.
     pub store_reachable: bool,
 }
 
-/// Tells a holder that is stuck from one that is idle, cut off or merely slow.
+/// Tells a leader that is stuck from one that is idle, cut off or merely slow.
 ///
-/// A holder that answers its workers and renews its lease looks healthy to all;
-/// if it commits nothing, nothing starts and nothing ends, until somebody looks.
+/// A leader that answers its workers and renews its lease looks healthy to all; if it commits
+/// nothing, nothing starts and nothing ends until somebody looks.
 #[derive(Debug)]
 pub struct StallDetector {
     timeout_s: f64,
-    since: Option<Time>,
+    /// Since when work has been pending without progress.
+    stalled_since: Option<Time>,
+    /// Whether the current stall was reported.
     reported: bool,
 }
 
 impl StallDetector {
-    /// Stuck after `patience_s` seconds.
+    /// The leader is stuck after `timeout_s` seconds without progress.
     pub fn new(timeout_s: f64) -> StallDetector {
         StallDetector {
             timeout_s,
-            since: None,
+            stalled_since: None,
             reported: false,
         }
     }
 
-    /// Takes in how things stand. True once for each stall: now it is one.
-    pub fn observe(&mut self, now: Time, work: ProgressSnapshot) -> bool {
-        if !work.work_pending || !work.store_reachable {
-            (self.since, self.reported) = (None, false);
+    /// Takes in the state of the leader. Returns true once for each stall, when it is detected.
+    #[must_use]
+    pub fn observe(&mut self, now: Time, snapshot: ProgressSnapshot) -> bool {
+        if !snapshot.work_pending || !snapshot.store_reachable {
+            self.clear();
             return false;
         }
-        let since = match self.since {
-            Some(s) => s.max(work.last_progress),
+        let since = match self.stalled_since {
+            Some(since) => {
+                if since < snapshot.last_progress {
+                    self.reported = false;
+                }
+                since.max(snapshot.last_progress)
+            }
             None => now,
         };
-        if self.since.is_some_and(|s| s < work.last_progress) {
-            self.reported = false;
-        }
-        self.since = Some(since);
+        self.stalled_since = Some(since);
         let stuck = now.since(since) > self.timeout_s;
-        let news = stuck && !self.reported;
+        let detected = stuck && !self.reported;
         self.reported = stuck;
-        news
+        detected
     }
 
-    /// Handed over: the next time more patience is due, or a fault that all
-    /// share would send the lead round for ever.
+    /// Leadership was handed over. The timeout doubles, or a fault that all controllers share
+    /// would send leadership round for ever.
     pub fn on_handover(&mut self) {
         self.timeout_s = (self.timeout_s * 2.0).min(MAX_TIMEOUT_S);
-        (self.since, self.reported) = (None, false);
+        self.clear();
     }
 
-    /// Seconds for which it has been stuck.
+    /// Seconds for which the leader has been stuck; none if it is not.
     pub fn stalled_for_s(&self, now: Time) -> Option<f64> {
-        let s = now.since(self.since?);
-        (s > self.timeout_s).then_some(s)
+        let elapsed_s = now.since(self.stalled_since?);
+        (elapsed_s > self.timeout_s).then_some(elapsed_s)
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn stuck_is_neither_idle_nor_cut_off_nor_slow() {
-        let at = |s: f64| Time::default().plus(10.0 + s);
-        let work = |last_progress: f64| ProgressSnapshot {
-            work_pending: true,
-            last_progress: at(last_progress),
-            store_reachable: true,
-        };
-        let mut s = StallDetector::new(8.0);
-        let run = |s: &mut StallDetector, w: ProgressSnapshot, from: u32, to: u32| -> u32 {
-            (from..to)
-                .map(|t| u32::from(s.observe(at(f64::from(t)), w)))
-                .sum()
-        };
-        let idle = ProgressSnapshot {
-            work_pending: false,
-            ..work(0.0)
-        };
-        assert_eq!(run(&mut s, idle, 0, 60), 0);
-        // Work that came after a long idle time has just begun to wait.
-        assert_eq!(run(&mut s, work(0.0), 60, 68), 0);
-        assert_eq!(run(&mut s, work(66.0), 68, 74), 0, "it moved meanwhile");
-        let away = ProgressSnapshot {
-            store_reachable: false,
-            ..work(66.0)
-        };
-        assert_eq!(run(&mut s, away, 74, 100), 0);
-        assert_eq!(
-            run(&mut s, work(66.0), 100, 108),
-            0,
-            "the outage does not count"
-        );
-        assert_eq!(run(&mut s, work(66.0), 108, 140), 1, "told once");
-        assert!(s.stalled_for_s(at(140.0)).is_some_and(|t| t > 30.0));
-        assert_eq!(run(&mut s, work(140.0), 140, 142), 0);
-        assert!(s.stalled_for_s(at(142.0)).is_none());
-        s.on_handover();
-        assert_eq!(run(&mut s, work(140.0), 142, 158), 0, "twice the patience");
-        assert_eq!(run(&mut s, work(140.0), 158, 170), 1);
+    fn clear(&mut self) {
+        self.stalled_since = None;
+        self.reported = false;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/failure-detection/src/stall_detector/tests.rs
@@ -0,0 +1,42 @@
+use super::*;
+
+#[test]
+fn stall_is_neither_idle_nor_cut_off_nor_slow() {
+    let at = |s: f64| Time::default().plus(10.0 + s);
+    let work = |last_progress: f64| ProgressSnapshot {
+        work_pending: true,
+        last_progress: at(last_progress),
+        store_reachable: true,
+    };
+    let mut s = StallDetector::new(8.0);
+    let run = |s: &mut StallDetector, w: ProgressSnapshot, from: u32, to: u32| -> u32 {
+        (from..to)
+            .map(|t| u32::from(s.observe(at(f64::from(t)), w)))
+            .sum()
+    };
+    let idle = ProgressSnapshot {
+        work_pending: false,
+        ..work(0.0)
+    };
+    assert_eq!(run(&mut s, idle, 0, 60), 0);
+    // Work that came after a long idle time has just begun to wait.
+    assert_eq!(run(&mut s, work(0.0), 60, 68), 0);
+    assert_eq!(run(&mut s, work(66.0), 68, 74), 0, "it moved meanwhile");
+    let away = ProgressSnapshot {
+        store_reachable: false,
+        ..work(66.0)
+    };
+    assert_eq!(run(&mut s, away, 74, 100), 0);
+    assert_eq!(
+        run(&mut s, work(66.0), 100, 108),
+        0,
+        "the outage does not count"
+    );
+    assert_eq!(run(&mut s, work(66.0), 108, 140), 1, "told once");
+    assert!(s.stalled_for_s(at(140.0)).is_some_and(|t| t > 30.0));
+    assert_eq!(run(&mut s, work(140.0), 140, 142), 0);
+    assert!(s.stalled_for_s(at(142.0)).is_none());
+    s.on_handover();
+    assert_eq!(run(&mut s, work(140.0), 142, 158), 0, "twice the patience");
+    assert_eq!(run(&mut s, work(140.0), 158, 170), 1);
+}
