--- /dev/null
+++ b/crates/controller/src/capacity_planner.rs
@@ -0,0 +1,608 @@
+//! The capacity planner: from the open jobs, the market as it was observed and the learner's
+//! weights it works out how many machines of each type are wanted.
+//!
+//! It extends the paper's policy in its spirit, see `docs/design.md`: a class whose objective
+//! bounds its finish has that bound as its deadline; the on-demand share is capacity that must be
+//! had, bought on demand only where the spot market refuses; and tasks follow each other on one
+//! slot as far as their deadline allows, since a boot costs as much as a task.
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `arrivals` | capacity kept ready for classes whose jobs may not wait |
+//! | `shortfall` | tasks that would start too late on the capacity there is |
+//! | `record` | the stored record |
+//! | `persistence` | reads and writes of the record |
+//!
+//! Invariant: a job's parameters and owned machines are drawn once, when it is first seen, and kept
+//! until it is over.
+
+use crate::split::{
+    self, Demand, Learner, MachineType, MarketObservation, PolicyParameters, ReplayedJob,
+    TypeChoice,
+};
+use arrivals::Arrivals;
+use beamhinge_admin_api::reasons::Reason;
+use beamhinge_core::settings::{OperatorSettings, Settings};
+use beamhinge_core::types::{FencingToken, JobId, Time};
+use persistence::RecordSync;
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+pub use shortfall::FreeCapacity;
+use shortfall::{shortfall_cpus, QueueRank, QueuedTasks};
+use std::collections::{BTreeMap, VecDeque};
+use std::rc::Rc;
+
+mod arrivals;
+mod persistence;
+mod record;
+mod shortfall;
+
+/// Slots of one update (Len of the paper).
+const UPDATE_LEN: f64 = 3.0;
+/// Updates of the market that are remembered for replays.
+const MAX_MARKET_HISTORY: usize = 240;
+/// Capacity kept ready for a class that may not wait, over the highest load that was seen.
+const STANDBY_FACTOR: f64 = 1.4;
+/// Longest window of a job that counts for the learner, slots.
+const MAX_WINDOW: f64 = 720.0;
+/// Factor on the boot time that a split allows for.
+const BOOT_MARGIN: f64 = 1.2;
+
+/// What is kept of a job whose work is split.
+#[derive(Clone, Debug)]
+struct SplitJob {
+    /// Index of its parameters in the learner's grid.
+    parameters: usize,
+    /// Owned machines that it was given.
+    owned: f64,
+    /// The job as it arrived; its window is 0 once the learner has replayed it.
+    replayed: ReplayedJob,
+    arrived_at: Time,
+    /// Whether the job is open.
+    open: bool,
+}
+
+/// Capacity wanted of one type, in machines.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct TargetCapacity {
+    /// Worth having at the spot price.
+    pub spot: f64,
+    /// The part of it for jobs that can still make their deadline.
+    pub timely: f64,
+    /// Kept ready for classes whose jobs may not wait.
+    pub standby: f64,
+    /// Must be had beyond what is there or on its way.
+    pub shortfall: f64,
+    /// Cannot be given by spot machines.
+    pub on_demand: f64,
+}
+
+/// One pair of the learner's parameters.
+#[derive(Clone, Copy, Debug)]
+pub struct ParameterUse {
+    /// The parameters.
+    pub parameters: PolicyParameters,
+    /// Their weight; the sum over all pairs is 1.
+    pub weight: f64,
+    /// Open jobs that drew them.
+    pub jobs: u32,
+}
+
+/// A deadline array's bound, by its user or by its class's objective, seconds from its submission;
+/// none for other jobs.
+fn deadline_s(demand: &Demand, settings: &Settings) -> Option<f64> {
+    let objective = settings.tightest_objective_s("finished", &demand.class);
+    let deadline = demand
+        .due_s
+        .into_iter()
+        .chain(objective)
+        .min_by(f64::total_cmp);
+    deadline.filter(|_| demand.deadline_array)
+}
+
+/// The times that a split rests on.
+struct Timing {
+    /// Until the deadline, seconds.
+    window_s: f64,
+    /// For fetching the image, seconds.
+    fetch_s: f64,
+    /// Until a machine that is rented now can start a task, seconds.
+    setup_s: f64,
+    /// Work that is left, task-slots.
+    work: f64,
+    /// The window in which what is left can run, slots.
+    usable_window: f64,
+}
+
+fn timing(demand: &Demand, machine_type: &MachineType, deadline_s: f64, slot_s: f64) -> Timing {
+    let window_s = deadline_s - demand.age_s;
+    let fetch_s = if machine_type.fetch_gb_per_s > 0.0 {
+        demand.image_gb / machine_type.fetch_gb_per_s
+    } else {
+        0.0
+    };
+    let setup_s = machine_type.boot_s * BOOT_MARGIN + fetch_s;
+    // What is not on a machine yet loses the time of a boot.
+    let usable_s = if demand.waiting() > 0 {
+        window_s - setup_s
+    } else {
+        window_s
+    };
+    Timing {
+        window_s,
+        fetch_s,
+        setup_s,
+        work: f64::from(demand.left) * demand.run_s / slot_s,
+        usable_window: usable_s / slot_s,
+    }
+}
+
+/// What one planning works out.
+struct Plan<'a> {
+    now: Time,
+    machine_types: &'a [MachineType],
+    settings: &'a Settings,
+    /// Types that some job depends on.
+    exclusive: Vec<bool>,
+    /// CPUs of owned machines that no open job was given.
+    owned_cpus_left: f64,
+    targets: BTreeMap<usize, TargetCapacity>,
+    queues: BTreeMap<usize, Vec<QueuedTasks>>,
+    /// Open tasks of the classes that may not wait.
+    open_tasks: BTreeMap<Rc<str>, f64>,
+}
+
+impl Plan<'_> {
+    fn target(&mut self, machine_type: usize) -> &mut TargetCapacity {
+        self.targets.entry(machine_type).or_default()
+    }
+
+    fn enqueue(&mut self, machine_type: usize, tasks: QueuedTasks) {
+        self.queues.entry(machine_type).or_default().push(tasks);
+    }
+
+    /// A job without deadline wants capacity for all its tasks, in the order of arrival.
+    fn add_job_without_deadline(&mut self, demand: &Demand, choice: TypeChoice, boot_s: f64) {
+        self.target(choice.machine_type).spot += f64::from(demand.left) / tasks_per_machine(choice);
+        self.enqueue(
+            choice.machine_type,
+            QueuedTasks {
+                rank: QueueRank {
+                    inverse_priority: u8::MAX - demand.urgency,
+                    late: false,
+                },
+                left_s: -demand.age_s,
+                cpus: demand.resources.cpus,
+                count: demand.waiting(),
+                run_s: demand.run_s.max(1.0),
+                latest_start_s: Some(boot_s),
+                setup_s: boot_s,
+            },
+        );
+    }
+
+    /// Adds what is lacking of each type.
+    fn add_shortfalls(&mut self, free: &BTreeMap<usize, FreeCapacity>) {
+        let nothing = FreeCapacity::new();
+        for (machine_type, mut queue) in std::mem::take(&mut self.queues) {
+            let cpus = self.machine_types.get(machine_type).map_or(0.0, |t| t.cpus);
+            if cpus > 0.0 {
+                let free = free.get(&machine_type).unwrap_or(&nothing);
+                self.target(machine_type).shortfall = shortfall_cpus(free, &mut queue) / cpus;
+            }
+        }
+    }
+}
+
+fn tasks_per_machine(choice: TypeChoice) -> f64 {
+    f64::from(choice.fit.max(1))
+}
+
+/// Plans the capacity of one term as leader.
+pub struct CapacityPlanner {
+    learner: Learner,
+    rng: SmallRng,
+    slot_s: f64,
+    update_s: f64,
+    jobs: BTreeMap<JobId, SplitJob>,
+    /// Jobs as an earlier leader stored them, until they are seen: index of the parameters, owned
+    /// machines.
+    restored: BTreeMap<JobId, (usize, f64)>,
+    market: VecDeque<(Time, MarketObservation)>,
+    observed_at: Time,
+    began: Time,
+    /// Longest window of a job so far, slots.
+    max_window: f64,
+    /// Arrivals by class, of classes whose jobs may not wait.
+    arrivals: BTreeMap<Rc<str>, Arrivals>,
+    /// The latest job of each such class.
+    latest: BTreeMap<Rc<str>, Demand>,
+    record: RecordSync,
+    /// Run times over estimates that an earlier leader had learned, by class, until taken.
+    pub restored_run_ratios: Option<BTreeMap<String, f64>>,
+}
+
+impl CapacityPlanner {
+    /// A planner that knows nothing yet. It draws at random, or by the operators' seed if that is
+    /// not 0.
+    pub fn new(operator: &OperatorSettings, token: FencingToken, now: Time) -> CapacityPlanner {
+        let seed = if operator.seed == 0 {
+            rand::random()
+        } else {
+            operator.seed ^ token.0
+        };
+        CapacityPlanner {
+            learner: Learner::default(),
+            rng: SmallRng::seed_from_u64(seed),
+            slot_s: operator.update_s / UPDATE_LEN,
+            update_s: operator.update_s,
+            jobs: BTreeMap::new(),
+            restored: BTreeMap::new(),
+            market: VecDeque::new(),
+            observed_at: Time::default(),
+            began: now,
+            max_window: 0.0,
+            arrivals: BTreeMap::new(),
+            latest: BTreeMap::new(),
+            record: RecordSync::default(),
+            restored_run_ratios: None,
+        }
+    }
+
+    /// Takes in what the market shows, once an update, and learns from the jobs whose time is
+    /// over.
+    pub fn observe_market(&mut self, now: Time, observation: MarketObservation) {
+        if now.since(self.observed_at) < self.update_s {
+            return;
+        }
+        self.observed_at = now;
+        self.market.push_back((now, observation));
+        if self.market.len() > MAX_MARKET_HISTORY {
+            self.market.pop_front();
+        }
+        // A job is replayed once the longest window has passed since it arrived.
+        let (max_window, slot_s) = (self.max_window, self.slot_s);
+        let due: Vec<JobId> = self
+            .jobs
+            .iter()
+            .filter(|(_, job)| now.since(job.arrived_at) / slot_s > max_window)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in due {
+            self.learn_from(now, id);
+        }
+        self.jobs
+            .retain(|_, job| job.open || now.since(job.arrived_at) / slot_s <= max_window);
+        self.record.changed = true;
+    }
+
+    fn learn_from(&mut self, now: Time, id: JobId) {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        let deadline = job.arrived_at.plus(job.replayed.window * self.slot_s);
+        let observed: Vec<MarketObservation> = self
+            .market
+            .iter()
+            .filter(|(at, _)| *at >= job.arrived_at && *at <= deadline.plus(self.update_s))
+            .map(|(_, observation)| *observation)
+            .collect();
+        if job.replayed.window > 0.0 && !observed.is_empty() {
+            let elapsed = now.since(self.began) / self.slot_s;
+            self.learner.learn(
+                &job.replayed,
+                UPDATE_LEN,
+                &observed,
+                elapsed,
+                self.max_window,
+            );
+        }
+        if job.open {
+            // Learned from, but still to be split: it is not replayed again.
+            job.replayed.window = 0.0;
+        }
+    }
+
+    /// The capacity wanted of each type. `owned_cpus`: CPUs of all owned machines; `free`:
+    /// capacity that is or becomes free, by type.
+    pub fn target_capacity(
+        &mut self,
+        now: Time,
+        demands: &[Demand],
+        machine_types: &[MachineType],
+        settings: &Settings,
+        owned_cpus: f64,
+        free: &BTreeMap<usize, FreeCapacity>,
+    ) -> BTreeMap<usize, TargetCapacity> {
+        let mut owned_cpus_left = owned_cpus;
+        for demand in demands {
+            if let Some(job) = self.jobs.get(&demand.job) {
+                owned_cpus_left -= job.owned * demand.resources.cpus;
+            }
+        }
+        let mut plan = Plan {
+            now,
+            machine_types,
+            settings,
+            exclusive: split::exclusive_types(machine_types, demands),
+            owned_cpus_left,
+            targets: BTreeMap::new(),
+            queues: BTreeMap::new(),
+            open_tasks: BTreeMap::new(),
+        };
+        self.jobs.values_mut().for_each(|job| job.open = false);
+        for demand in demands {
+            self.add_demand(&mut plan, demand);
+        }
+        plan.add_shortfalls(free);
+        self.add_standby(&mut plan);
+        plan.targets
+    }
+
+    fn add_demand(&mut self, plan: &mut Plan, demand: &Demand) {
+        let Some(choice) = split::cheapest_type(plan.machine_types, demand, &plan.exclusive) else {
+            return;
+        };
+        let Some(machine_type) = plan.machine_types.get(choice.machine_type) else {
+            return;
+        };
+        let left = f64::from(demand.left);
+        plan.target(choice.machine_type);
+        let may_wait = plan
+            .settings
+            .tightest_objective_s("wait", &demand.class)
+            .is_none();
+        if !may_wait {
+            *plan.open_tasks.entry(demand.class.clone()).or_default() += left;
+            self.latest.insert(demand.class.clone(), demand.clone());
+        }
+        if !demand.spot {
+            plan.target(choice.machine_type).on_demand += left / tasks_per_machine(choice);
+            return;
+        }
+        match deadline_s(demand, plan.settings) {
+            Some(deadline_s) => {
+                let timing = timing(demand, machine_type, deadline_s, self.slot_s);
+                self.add_split_job(plan, demand, choice, &timing, may_wait);
+            }
+            None => plan.add_job_without_deadline(demand, choice, machine_type.boot_s),
+        }
+    }
+
+    /// A job with a deadline. What its split gives to on-demand machines must start in time; the
+    /// rest of the width follows on spot machines.
+    fn add_split_job(
+        &mut self,
+        plan: &mut Plan,
+        demand: &Demand,
+        choice: TypeChoice,
+        timing: &Timing,
+        may_wait: bool,
+    ) {
+        let left = f64::from(demand.left);
+        let late = timing.window_s < demand.run_s * 0.5;
+        if !may_wait && !self.jobs.contains_key(&demand.job) {
+            let arrivals = self.arrivals.entry(demand.class.clone()).or_default();
+            arrivals.record(plan.now, left, demand.run_s + timing.fetch_s);
+        }
+        let (parameters, owned) =
+            self.draw_or_keep(plan.now, demand, timing.window_s, &mut plan.owned_cpus_left);
+        let spot_availability = self.learner.parameters(parameters).spot_availability;
+        let parts = split::split(
+            left,
+            timing.work,
+            timing.usable_window,
+            UPDATE_LEN,
+            spot_availability,
+            owned,
+        );
+        let slots = slots_wanted(plan, demand, choice, timing, may_wait);
+        let target = plan.target(choice.machine_type);
+        target.spot += slots / tasks_per_machine(choice);
+        if !late {
+            target.timely += slots / tasks_per_machine(choice);
+        }
+        let waiting = demand.waiting();
+        let must_start = if late {
+            0
+        } else {
+            (parts.ordinary.ceil() as u32).min(waiting)
+        };
+        let latest_start_s = timing.window_s - demand.run_s - timing.fetch_s;
+        for (count, latest_start_s) in [
+            (must_start, Some(latest_start_s)),
+            (waiting - must_start, None),
+        ] {
+            plan.enqueue(
+                choice.machine_type,
+                QueuedTasks {
+                    rank: QueueRank {
+                        inverse_priority: u8::MAX - demand.urgency,
+                        late,
+                    },
+                    left_s: timing.window_s,
+                    cpus: demand.resources.cpus,
+                    count,
+                    run_s: demand.run_s.max(1.0),
+                    latest_start_s,
+                    setup_s: timing.setup_s - timing.fetch_s,
+                },
+            );
+        }
+    }
+
+    /// Adds capacity that is kept ready for classes whose jobs may not wait. Their next jobs arrive
+    /// before a boot is over, so the highest load that was seen stays ready, and more.
+    fn add_standby(&mut self, plan: &mut Plan) {
+        for (class, arrivals) in &mut self.arrivals {
+            let Some(demand) = self.latest.get(class) else {
+                continue;
+            };
+            let choice = split::cheapest_type(plan.machine_types, demand, &plan.exclusive);
+            let Some(choice) = choice else {
+                continue;
+            };
+            let wanted = arrivals.max_load(plan.now) * STANDBY_FACTOR;
+            let open = plan.open_tasks.get(class).copied().unwrap_or(0.0);
+            if wanted > open && !arrivals.has_ended(plan.now) {
+                plan.target(choice.machine_type).standby +=
+                    (wanted - open) / tasks_per_machine(choice);
+            }
+        }
+    }
+
+    /// How a job is split now; none for jobs that are not split.
+    pub fn explain_split(
+        &self,
+        demand: &Demand,
+        machine_types: &[MachineType],
+        settings: &Settings,
+    ) -> Option<Reason> {
+        let job = self.jobs.get(&demand.job)?;
+        let deadline_s = deadline_s(demand, settings)?;
+        let exclusive = split::exclusive_types(machine_types, std::slice::from_ref(demand));
+        let choice = split::cheapest_type(machine_types, demand, &exclusive)?;
+        let machine_type = machine_types.get(choice.machine_type)?;
+        let Timing {
+            work,
+            usable_window,
+            ..
+        } = timing(demand, machine_type, deadline_s, self.slot_s);
+        let PolicyParameters {
+            owned_availability,
+            spot_availability,
+        } = self.learner.parameters(job.parameters);
+        let left = f64::from(demand.left);
+        let parts = split::split(
+            left,
+            work,
+            usable_window,
+            UPDATE_LEN,
+            spot_availability,
+            job.owned,
+        );
+        let width = left - parts.owned;
+        let work = (work - parts.owned * usable_window.max(0.0)).max(0.0);
+        let finite = |x: f64| x.is_finite().then_some(x);
+        Some(Reason::Split {
+            beta0: owned_availability,
+            beta: spot_availability,
+            owned: parts.owned,
+            spot: parts.spot,
+            ordinary: parts.ordinary,
+            slack: finite(split::slackness(width, work, usable_window)),
+            nu: finite(split::spot_bids(
+                width,
+                work,
+                usable_window,
+                UPDATE_LEN,
+                spot_availability,
+            )),
+            tail: split::final_on_demand(width, work, usable_window, UPDATE_LEN),
+        })
+    }
+
+    /// Time between two updates, seconds.
+    pub fn update_s(&self) -> f64 {
+        self.update_s
+    }
+
+    /// Every pair of parameters with its weight and the open jobs that drew it.
+    pub fn parameter_uses(&self) -> impl Iterator<Item = ParameterUse> + '_ {
+        self.learner
+            .weights()
+            .into_iter()
+            .enumerate()
+            .map(|(index, weight)| {
+                let drew = |job: &&SplitJob| job.open && job.parameters == index;
+                ParameterUse {
+                    parameters: self.learner.parameters(index),
+                    weight,
+                    jobs: self.jobs.values().filter(drew).count() as u32,
+                }
+            })
+    }
+
+    /// Index of the job's parameters, and its owned machines; drawn when it is first seen.
+    fn draw_or_keep(
+        &mut self,
+        now: Time,
+        demand: &Demand,
+        window_s: f64,
+        owned_cpus_left: &mut f64,
+    ) -> (usize, f64) {
+        if let Some(job) = self.jobs.get_mut(&demand.job) {
+            job.open = true;
+            return (job.parameters, job.owned);
+        }
+        let replayed = ReplayedJob {
+            width: f64::from(demand.left),
+            work: f64::from(demand.left) * demand.run_s / self.slot_s,
+            window: (window_s / self.slot_s).max(0.0),
+        };
+        let (parameters, owned) = match self.restored.remove(&demand.job) {
+            Some(restored) => restored,
+            None => self.draw(demand, &replayed, *owned_cpus_left),
+        };
+        *owned_cpus_left -= owned * demand.resources.cpus;
+        self.max_window = self.max_window.max(replayed.window.min(MAX_WINDOW));
+        let job = SplitJob {
+            parameters,
+            owned,
+            replayed,
+            arrived_at: now,
+            open: true,
+        };
+        self.jobs.insert(demand.job, job);
+        self.record.changed = true;
+        (parameters, owned)
+    }
+
+    fn draw(&mut self, demand: &Demand, job: &ReplayedJob, owned_cpus_left: f64) -> (usize, f64) {
+        let parameters = self.learner.draw(self.rng.gen());
+        let idle = if demand.resources.cpus > 0.0 {
+            owned_cpus_left.max(0.0) / demand.resources.cpus
+        } else {
+            0.0
+        };
+        let owned = split::owned_machines(
+            job.width,
+            job.work,
+            job.window,
+            UPDATE_LEN,
+            self.learner.parameters(parameters).owned_availability,
+            idle,
+        );
+        (parameters, owned)
+    }
+}
+
+/// Slots that a job wants at once: one slot serves several tasks in turn as far as time allows; a
+/// class that may not wait has all its slots at once.
+fn slots_wanted(
+    plan: &Plan,
+    demand: &Demand,
+    choice: TypeChoice,
+    timing: &Timing,
+    may_wait: bool,
+) -> f64 {
+    let left = f64::from(demand.left);
+    let boot_s = plan
+        .machine_types
+        .get(choice.machine_type)
+        .map_or(0.0, |t| t.boot_s);
+    let sequential = if may_wait {
+        split::sequential_tasks(
+            timing.window_s - timing.fetch_s - boot_s * 0.5,
+            demand.run_s,
+        )
+    } else {
+        1.0
+    };
+    (left / sequential)
+        .ceil()
+        .max(f64::from(demand.placed).min(left))
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller/src/fleet/forecast.rs
+++ b/crates/controller/src/fleet/forecast.rs
@@ -87,7 +87,7 @@
                 });
             }
         }
-        reasons.extend(term.splits.tell(demand, machine_types, settings));
+        reasons.extend(term.planner.explain_split(demand, machine_types, settings));
         reasons
     }
 
@@ -186,15 +186,15 @@
             };
         };
         SplitPage {
-            update_s: term.splits.update_s(),
+            update_s: term.planner.update_s(),
             pairs: term
-                .splits
-                .pairs()
-                .map(|(beta0, beta, weight, jobs)| PairRow {
-                    beta0,
-                    beta,
-                    weight,
-                    jobs,
+                .planner
+                .parameter_uses()
+                .map(|used| PairRow {
+                    beta0: used.parameters.owned_availability,
+                    beta: used.parameters.spot_availability,
+                    weight: used.weight,
+                    jobs: used.jobs,
                 })
                 .collect(),
         }
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -209,7 +209,7 @@
             term.planned_at = now;
             term.reconcile_fleet(context, self.list_lag_s, &self.machine_types, scheduler);
         }
-        term.splits.keep(
+        term.planner.persist(
             now,
             term.token,
             scheduler.run_time_ratios(),
@@ -227,8 +227,8 @@
     pub fn on_store_reply(&mut self, now: Time, call: FleetCall, reply: Reply<Tag>) {
         let Some(term) = &mut self.term else { return };
         match call {
-            FleetCall::ReadSplit => term.splits.on_read(now, reply),
-            FleetCall::WriteSplit => term.splits.on_written(now, reply),
+            FleetCall::ReadSplit => term.planner.on_read(now, reply),
+            FleetCall::WriteSplit => term.planner.on_written(now, reply),
             FleetCall::ReadRentals => term.rentals.on_read(now, term.token, reply.outcome),
             FleetCall::WriteRentals => term.rentals.on_written(now, reply.outcome),
         }
@@ -244,8 +244,8 @@
         machine_types: &[MachineType],
         scheduler: &mut Scheduler,
     ) {
-        if let Some(runs) = self.splits.runs.take() {
-            scheduler.restore_run_time_ratios(runs);
+        if let Some(run_ratios) = self.planner.restored_run_ratios.take() {
+            scheduler.restore_run_time_ratios(run_ratios);
         }
         self.check_machines(context, machine_types, scheduler);
         self.plan_and_scale(context, list_lag_s, machine_types, scheduler);
--- a/crates/controller/src/fleet/scale_plan.rs
+++ b/crates/controller/src/fleet/scale_plan.rs
@@ -4,10 +4,10 @@
 use super::rentals::Market;
 use super::term::{listing_delay_s, LeaderTerm};
 use super::TickContext;
+use crate::capacity_planner::{FreeCapacity, TargetCapacity};
 use crate::directives::ActiveDirectives;
-use crate::market::{Pool, Want};
 use crate::scheduler::{Machine, Scheduler};
-use crate::split::{Class, MachineType, MarketSlot};
+use crate::split::{Class, MachineType, MarketObservation};
 use beamhinge_core::types::{MachineId, Time};
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     /// Those of them that report.
     up: BTreeMap<Class, u32>,
     /// CPUs by when they are or become free, by machine type.
-    pools: BTreeMap<usize, Pool>,
+    pools: BTreeMap<usize, FreeCapacity>,
     owned_cpus: f64,
     idle_owned_cpus: f64,
     /// Expected value of the shielded machines not counted yet, by class.
@@ -106,7 +106,7 @@
 struct Targets {
     machines: BTreeMap<Class, u32>,
     /// What the spot market shows; none while no spot machines are wanted.
-    observation: Option<MarketSlot>,
+    observation: Option<MarketObservation>,
 }
 
 impl LeaderTerm {
@@ -129,7 +129,7 @@
         let offered = undrained.as_deref().unwrap_or(machine_types);
         self.expire_rentals(now, list_lag_s);
         let capacity = self.count_capacity(now, machine_types, &active_directives, scheduler);
-        let wants = self.splits.wants(
+        let wants = self.planner.target_capacity(
             now,
             &demands,
             offered,
@@ -139,7 +139,7 @@
         );
         let targets = self.target_machines(&wants, &capacity, offered);
         if let Some(observation) = targets.observation {
-            self.splits.observe(now, observation);
+            self.planner.observe_market(now, observation);
         }
         if self.listing.is_complete() {
             for (class, wanted) in &targets.machines {
@@ -215,7 +215,7 @@
     /// Machines to have of each class, and what they show of the spot market.
     fn target_machines(
         &self,
-        wants: &BTreeMap<usize, Want>,
+        wants: &BTreeMap<usize, TargetCapacity>,
         capacity: &Capacity,
         offered: &[MachineType],
     ) -> Targets {
@@ -236,16 +236,16 @@
             let (spot, on_demand) = machines_wanted(&want, have, refused);
             targets.machines.insert(class(true), spot);
             targets.machines.insert(class(false), on_demand);
-            let cost = want.pool * machine_type.low_price;
-            spot_wanted += want.pool;
-            spot_up += f64::from(capacity.count_up(class(true))).min(want.pool);
+            let cost = want.spot * machine_type.low_price;
+            spot_wanted += want.spot;
+            spot_up += f64::from(capacity.count_up(class(true))).min(want.spot);
             if cost > max_cost && machine_type.rate > 0.0 {
                 max_cost = cost;
                 price = machine_type.low_price / machine_type.rate;
             }
         }
         if spot_wanted > 0.0 {
-            targets.observation = Some(MarketSlot {
+            targets.observation = Some(MarketObservation {
                 price,
                 up: spot_up / spot_wanted,
                 idle_owned: capacity.idle_owned_cpus,
@@ -319,26 +319,26 @@
 ///
 /// What must be had, and is not on its way, is bought on demand only where spot is refused.
 /// On-demand machines that are there take part of the work.
-fn machines_wanted(want: &Want, have: MachineCounts, spot_refused: bool) -> (u32, u32) {
+fn machines_wanted(want: &TargetCapacity, have: MachineCounts, spot_refused: bool) -> (u32, u32) {
     // Sums of fractions may miss a whole number by a rounding error.
     let whole = |x: f64| (x - 1e-6).ceil().max(0.0);
-    let bound = whole(want.ordinary);
+    let bound = whole(want.on_demand);
     let spare = (have.on_demand - bound).max(0.0);
-    if spot_refused && want.short > 0.0 {
+    if spot_refused && want.shortfall > 0.0 {
         return (
-            whole(want.pool + want.ready) as u32,
-            (bound + spare + whole(want.short)) as u32,
+            whole(want.spot + want.standby) as u32,
+            (bound + spare + whole(want.shortfall)) as u32,
         );
     }
     if spot_refused && whole(want.timely) > have.spot + spare {
         return (
-            whole(want.pool + want.ready) as u32,
+            whole(want.spot + want.standby) as u32,
             (bound + whole(want.timely) - have.spot) as u32,
         );
     }
     // On-demand machines stay as long as spot ones do not reach.
-    let pool = whole(want.pool + want.ready);
-    let kept = (whole(want.pool) - have.spot).clamp(0.0, spare);
+    let pool = whole(want.spot + want.standby);
+    let kept = (whole(want.spot) - have.spot).clamp(0.0, spare);
     ((pool - kept) as u32, (bound + kept) as u32)
 }
 
--- a/crates/controller/src/fleet/scale_plan/tests.rs
+++ b/crates/controller/src/fleet/scale_plan/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn want(pool: f64, ready: f64, short: f64, ordinary: f64) -> Want {
-    Want {
-        pool,
+fn want(spot: f64, standby: f64, shortfall: f64, on_demand: f64) -> TargetCapacity {
+    TargetCapacity {
+        spot,
         timely: 0.0,
-        ready,
-        short,
-        ordinary,
+        standby,
+        shortfall,
+        on_demand,
     }
 }
 
--- a/crates/controller/src/fleet/term.rs
+++ b/crates/controller/src/fleet/term.rs
@@ -6,7 +6,7 @@
 use super::rentals::Rentals;
 use super::scale_in::ScaleInCalls;
 use super::silence_thresholds;
-use crate::market::Splits;
+use crate::capacity_planner::CapacityPlanner;
 use beamhinge_core::settings::{OperatorSettings, Settings};
 use beamhinge_core::types::{FencingToken, MachineId, Time};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     pub(super) health: MachineHealth,
     /// When the fleet was last compared with what is wanted.
     pub(super) planned_at: Time,
-    pub(super) splits: Splits,
+    pub(super) planner: CapacityPlanner,
     #[cfg(feature = "faults")]
     pub(super) faults: crate::faults::Faults,
 }
@@ -48,7 +48,7 @@
             scale_in: ScaleInCalls::new(),
             health: MachineHealth::new(silence_thresholds(settings)),
             planned_at: Time::default(),
-            splits: Splits::new(operator, token, now),
+            planner: CapacityPlanner::new(operator, token, now),
             #[cfg(feature = "faults")]
             faults: crate::faults::Faults::default(),
         }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -17,6 +17,7 @@
 
 pub mod admin_api;
 pub mod calls;
+pub mod capacity_planner;
 pub mod configuration;
 pub mod directives;
 pub mod event_log;
@@ -24,7 +25,6 @@
 pub mod fleet;
 pub mod job_store;
 pub mod leader_election;
-pub mod market;
 pub mod metrics;
 pub mod node;
 pub mod peers;
--- /dev/null
+++ b/crates/controller/src/split/learner.rs
@@ -0,0 +1,172 @@
+//! Learns the policy's parameters: replays past jobs on the market as it was observed, and weighs
+//! each pair of parameters by what it would have cost (Algorithm 3).
+
+use super::policy::{owned_machines, parameter_grid, split, PolicyParameters};
+
+/// Cost of work left undone at the deadline, in prices of on-demand work.
+const OVERDUE_COST: f64 = 2.0;
+/// Parameters for an index outside the grid.
+const DEFAULT_PARAMETERS: PolicyParameters = PolicyParameters {
+    owned_availability: 0.5,
+    spot_availability: 0.6,
+};
+/// Least weight that is restored, so that its logarithm is finite.
+const MIN_WEIGHT: f64 = 1e-30;
+/// Least logarithm of a weight, relative to the largest.
+const MIN_LOG_WEIGHT: f64 = -60.0;
+
+/// What one update showed of the market.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MarketObservation {
+    /// Spot price over on-demand price.
+    pub price: f64,
+    /// Part of the wanted spot width that was really up.
+    pub up: f64,
+    /// Owned width that stood idle.
+    pub idle_owned: f64,
+}
+
+/// A past job as the learner replays it, in the units of the policy.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ReplayedJob {
+    /// δ: tasks that it could run at once.
+    pub width: f64,
+    /// z: its work.
+    pub work: f64,
+    /// d: slots from its arrival to its deadline.
+    pub window: f64,
+}
+
+/// What the parameters would have cost on a past job, as a part of twice the price of running it
+/// on on-demand machines alone. What they leave undone at the deadline is bought at twice its
+/// cost, as overdue work is.
+pub fn replay_cost(
+    job: &ReplayedJob,
+    update_len: f64,
+    parameters: PolicyParameters,
+    market: &[MarketObservation],
+) -> f64 {
+    if job.work <= 0.0 {
+        return 0.0;
+    }
+    let idle = market
+        .iter()
+        .map(|m| m.idle_owned)
+        .fold(f64::INFINITY, f64::min);
+    let idle = if idle.is_finite() { idle } else { 0.0 };
+    let owned = owned_machines(
+        job.width,
+        job.work,
+        job.window,
+        update_len,
+        parameters.owned_availability,
+        idle,
+    );
+    let (mut work, mut window, mut cost) = (job.work, job.window, 0.0);
+    for observed in market {
+        if work <= 0.0 || window <= 0.0 {
+            break;
+        }
+        let step = update_len.min(window);
+        let parts = split(
+            job.width,
+            work,
+            window,
+            update_len,
+            parameters.spot_availability,
+            owned,
+        );
+        let up = observed.up.clamp(0.0, 1.0);
+        let done = (parts.owned + parts.spot * up + parts.ordinary) * step;
+        let needed = if done > work { work / done } else { 1.0 };
+        cost += (parts.spot * up * observed.price + parts.ordinary) * step * needed;
+        work -= done * needed;
+        window -= step;
+    }
+    ((cost + OVERDUE_COST * work.max(0.0)) / job.work).clamp(0.0, 2.0) / 2.0
+}
+
+/// Weighted majority over the grid of parameters (Algorithm 3).
+#[derive(Clone, Debug)]
+pub struct Learner {
+    grid: Vec<PolicyParameters>,
+    /// Logarithms, so that no weight is ever lost to underflow.
+    log_weights: Vec<f64>,
+}
+
+impl Default for Learner {
+    fn default() -> Self {
+        let grid = parameter_grid();
+        let log_weights = vec![0.0; grid.len()];
+        Learner { grid, log_weights }
+    }
+}
+
+impl Learner {
+    /// The parameters at an index of the grid.
+    pub fn parameters(&self, index: usize) -> PolicyParameters {
+        self.grid.get(index).copied().unwrap_or(DEFAULT_PARAMETERS)
+    }
+
+    /// Weights of the grid's parameters; their sum is 1.
+    pub fn weights(&self) -> Vec<f64> {
+        let top = self.max_log_weight();
+        let raw: Vec<f64> = self.log_weights.iter().map(|l| (l - top).exp()).collect();
+        let sum: f64 = raw.iter().sum();
+        raw.into_iter().map(|w| w / sum).collect()
+    }
+
+    fn max_log_weight(&self) -> f64 {
+        self.log_weights
+            .iter()
+            .copied()
+            .fold(f64::NEG_INFINITY, f64::max)
+    }
+
+    /// Takes weights that an earlier leader stored. Returns false, and changes nothing, if they
+    /// are of another grid or not weights.
+    #[must_use]
+    pub fn restore(&mut self, weights: &[f64]) -> bool {
+        if weights.len() != self.grid.len() || weights.iter().any(|w| !w.is_finite() || *w < 0.0) {
+            return false;
+        }
+        self.log_weights = weights.iter().map(|w| w.max(MIN_WEIGHT).ln()).collect();
+        true
+    }
+
+    /// Draws an index of the grid by weight; `uniform` is uniform in [0, 1).
+    pub fn draw(&self, uniform: f64) -> usize {
+        let mut left = uniform;
+        for (index, weight) in self.weights().iter().enumerate() {
+            left -= weight;
+            if left < 0.0 {
+                return index;
+            }
+        }
+        self.grid.len() - 1
+    }
+
+    /// Scales every weight by exp(−η·cost) of its parameters' replay, with
+    /// η = sqrt(2·ln n / (D·(t−D))), where t is `elapsed` and D is `max_window`, in slots.
+    pub fn learn(
+        &mut self,
+        job: &ReplayedJob,
+        update_len: f64,
+        market: &[MarketObservation],
+        elapsed: f64,
+        max_window: f64,
+    ) {
+        if elapsed <= max_window || max_window <= 0.0 {
+            return;
+        }
+        let eta =
+            (2.0 * (self.grid.len() as f64).ln() / (max_window * (elapsed - max_window))).sqrt();
+        for (parameters, log_weight) in self.grid.iter().zip(&mut self.log_weights) {
+            *log_weight -= eta * replay_cost(job, update_len, *parameters, market);
+        }
+        let top = self.max_log_weight();
+        for log_weight in &mut self.log_weights {
+            *log_weight = (*log_weight - top).max(MIN_LOG_WEIGHT);
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/split/machine_type.rs
@@ -0,0 +1,89 @@
+//! Machine types and classes.
+
+use beamhinge_core::resources::{Resources, EPSILON};
+
+/// Most tasks that are planned for one machine.
+const MAX_TASKS_PER_MACHINE: f64 = 4_096.0;
+
+/// A machine type as the cloud offers it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MachineType {
+    /// Its name.
+    pub label: String,
+    /// CPUs of a machine.
+    pub cpus: f64,
+    /// GPUs of a machine.
+    pub gpus: f64,
+    /// Memory of a machine, gigabytes.
+    pub memory_gb: f64,
+    /// Space for images, gigabytes.
+    pub cache_gb: f64,
+    /// Speed at which images are fetched, gigabytes a second.
+    pub fetch_gb_per_s: f64,
+    /// Price of an on-demand machine.
+    pub rate: f64,
+    /// Price of a spot machine.
+    pub low_price: f64,
+    /// Time from a rental until the machine reports, seconds.
+    pub boot_s: f64,
+    /// Zones where it is offered.
+    pub zones: Vec<String>,
+}
+
+impl MachineType {
+    /// The resources of an empty machine.
+    pub fn room(&self) -> Resources {
+        Resources {
+            cpus: self.cpus,
+            gpus: self.gpus,
+            memory_gb: self.memory_gb,
+        }
+    }
+
+    /// Number of tasks of this size that one machine runs at once.
+    pub fn fit(&self, resources: &Resources) -> u32 {
+        let quotient = |available: f64, requested: f64| {
+            if requested > 0.0 {
+                ((available + EPSILON) / requested).floor()
+            } else {
+                f64::MAX
+            }
+        };
+        let tasks = quotient(self.cpus, resources.cpus)
+            .min(quotient(self.gpus, resources.gpus))
+            .min(quotient(self.memory_gb, resources.memory_gb));
+        tasks.clamp(0.0, MAX_TASKS_PER_MACHINE) as u32
+    }
+}
+
+/// Number of a job's tasks that fit a machine of the type; 0 if the job may not use the type, or
+/// asks for a zone where it is not offered.
+pub fn allowed_fit(
+    machine_type: &MachineType,
+    resources: &Resources,
+    allowed_types: &Option<Vec<String>>,
+    zone: &Option<String>,
+) -> u32 {
+    if allowed_types
+        .as_ref()
+        .is_some_and(|labels| !labels.contains(&machine_type.label))
+    {
+        return 0;
+    }
+    if zone
+        .as_ref()
+        .is_some_and(|zone| !machine_type.zones.contains(zone))
+    {
+        return 0;
+    }
+    machine_type.fit(resources)
+}
+
+/// Machines of one type, either spot or on-demand ones.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Class {
+    /// Index into the machine types.
+    pub machine_type: usize,
+    /// Spot machines; otherwise on-demand ones.
+    pub spot: bool,
+}
--- a/crates/controller/src/split/tests.rs
+++ b/crates/controller/src/split/tests.rs
@@ -18,7 +18,7 @@
 use rand::{rngs::StdRng, Rng, SeedableRng};
 
 #[test]
-fn figure_1_loses_its_slack_at_the_third_update() {
+fn job_of_figure_1_loses_its_slack_at_the_third_update() {
     // δ = 4, d = 36, z = 132, two on-demand and two spot of 8 slots each.
     let left = |i: f64| 132.0 - i * (2.0 * 12.0 + 2.0 * 8.0);
     assert!(slackness(4.0, left(1.0), 24.0) >= 1.0);
@@ -26,41 +26,45 @@
 }
 
 #[test]
-fn figure_2_gives_the_owned_machine_to_the_job_that_needs_it() {
+fn owned_machine_of_figure_2_goes_to_the_job_that_needs_it() {
     let len = 12.0;
-    let first = owned_share(4.0, 6.0 * len, 2.0 * len, len, 0.5, 1.0);
-    let second = owned_share(4.0, 4.0 * len, 2.0 * len, len, 0.5, 1.0 - first);
+    let first = owned_machines(4.0, 6.0 * len, 2.0 * len, len, 0.5, 1.0);
+    let second = owned_machines(4.0, 4.0 * len, 2.0 * len, len, 0.5, 1.0 - first);
     assert_eq!((first, second), (1.0, 0.0));
     // With four owned machines and β0 = 0 both get two or more.
-    assert!(owned_share(4.0, 4.0 * len, 2.0 * len, len, 0.0, 4.0) >= 2.0);
+    assert!(owned_machines(4.0, 4.0 * len, 2.0 * len, len, 0.0, 4.0) >= 2.0);
 }
 
 #[test]
-fn figure_3_bids_seven_times() {
+fn job_of_figure_3_bids_seven_times() {
     // d = 42, z = 122, δ = 4, β = ½, Len = 12: ν = 7, κ2 = 1.
-    assert_eq!(nu(4.0, 122.0, 42.0, 12.0, 0.5), 7.0);
-    assert_eq!(proportion(4.0, 122.0, 42.0, 12.0, 0.5), (4.0, 0.0));
+    assert_eq!(spot_bids(4.0, 122.0, 42.0, 12.0, 0.5), 7.0);
+    assert_eq!(split_remainder(4.0, 122.0, 42.0, 12.0, 0.5), (4.0, 0.0));
     // After the first update 122 − 24 = 98 remain for 30 slots: three bids.
-    assert_eq!(proportion(4.0, 98.0, 30.0, 12.0, 0.5), (3.0, 1.0));
+    assert_eq!(split_remainder(4.0, 98.0, 30.0, 12.0, 0.5), (3.0, 1.0));
     // Then 98 − 18 − 12 = 68 remain for 18 slots: ν is 0, all bid once more.
-    assert_eq!(proportion(4.0, 68.0, 18.0, 12.0, 0.5), (4.0, 0.0));
+    assert_eq!(split_remainder(4.0, 68.0, 18.0, 12.0, 0.5), (4.0, 0.0));
     // Spot gave 24: 44 remain for 6 slots, which is more than the width
     // can do; the tail takes it whole.
-    assert_eq!(tail(4.0, 44.0, 6.0, 12.0), 4.0);
+    assert_eq!(final_on_demand(4.0, 44.0, 6.0, 12.0), 4.0);
 }
 
 #[test]
-fn the_tail_buys_just_enough_before_the_last_whole_updates() {
+fn final_on_demand_buys_just_enough_before_the_last_whole_updates() {
     // 18 slots left, Len 12: the last 12 at full width do 48 of 60, the 6
     // before them the other 12 with two machines.
-    assert_eq!(tail(4.0, 60.0, 18.0, 12.0), 2.0);
-    assert_eq!(tail(4.0, 40.0, 18.0, 12.0), 0.0);
-    assert_eq!(tail(4.0, 48.0, 12.0, 12.0), 4.0);
-    assert_eq!(tail(4.0, 10.0, -3.0, 12.0), 4.0, "past its deadline");
+    assert_eq!(final_on_demand(4.0, 60.0, 18.0, 12.0), 2.0);
+    assert_eq!(final_on_demand(4.0, 40.0, 18.0, 12.0), 0.0);
+    assert_eq!(final_on_demand(4.0, 48.0, 12.0, 12.0), 4.0);
+    assert_eq!(
+        final_on_demand(4.0, 10.0, -3.0, 12.0),
+        4.0,
+        "past its deadline"
+    );
 }
 
 #[test]
-fn parts_add_up_and_owned_never_grows_with_beta0() {
+fn split_adds_up_and_owned_never_grows_with_owned_availability() {
     let mut rng = StdRng::seed_from_u64(3);
     for _ in 0..20_000 {
         let delta = f64::from(rng.gen_range(0..50));
@@ -69,7 +73,7 @@
         let len = f64::from(rng.gen_range(1..13));
         let idle = f64::from(rng.gen_range(0..20));
         let beta = [0.0, 0.3, 0.9999, 1.0][rng.gen_range(0..4)];
-        let owned = owned_share(delta, z, d, len, beta, idle);
+        let owned = owned_machines(delta, z, d, len, beta, idle);
         let p = split(delta, z, d, len, beta, owned);
         assert!(
             (p.owned + p.spot + p.ordinary - delta).abs() < 1e-6,
@@ -82,28 +86,28 @@
         let (a, b) = (rng.gen_range(0.0..1.0), rng.gen_range(0.0..1.0));
         let (low, high): (f64, f64) = if a < b { (a, b) } else { (b, a) };
         assert!(
-            owned_share(delta, z, d, len, low, 1e9)
-                >= owned_share(delta, z, d, len, high, 1e9) - 1e-9,
+            owned_machines(delta, z, d, len, low, 1e9)
+                >= owned_machines(delta, z, d, len, high, 1e9) - 1e-9,
             "δ {delta} z {z} d {d} Len {len}: {low} against {high}"
         );
     }
 }
 
 #[test]
-fn the_learner_finds_the_pair_that_fits_the_market() {
+fn learner_finds_the_parameters_that_fit_the_market() {
     // Spot machines are hardly ever up: pairs that trust them pay for it.
     let market = vec![
-        MarketSlot {
+        MarketObservation {
             price: 0.25,
             up: 0.2,
             idle_owned: 0.0
         };
         12
     ];
-    let job = Past {
-        delta: 8.0,
-        z: 8.0 * 20.0,
-        d: 36.0,
+    let job = ReplayedJob {
+        width: 8.0,
+        work: 8.0 * 20.0,
+        window: 36.0,
     };
     let mut learner = Learner::default();
     for t in 0..4_000 {
@@ -112,9 +116,9 @@
     let weights = learner.weights();
     assert!((weights.iter().sum::<f64>() - 1.0).abs() < 1e-9);
     let best = weights.iter().copied().fold(0.0, f64::max);
-    let costs: Vec<f64> = grid()
+    let costs: Vec<f64> = parameter_grid()
         .iter()
-        .map(|p| replay(&job, 3.0, *p, &market))
+        .map(|p| replay_cost(&job, 3.0, *p, &market))
         .collect();
     let least = costs.iter().copied().fold(f64::INFINITY, f64::min);
     for (w, c) in weights.iter().zip(&costs) {
