--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -19,7 +19,7 @@
 
 use arguments::{Arguments, Verb};
 use beamhinge_client::config::{self, ConfigError, Overrides};
-use beamhinge_client::{Client, ClientError, Patience};
+use beamhinge_client::{Client, ClientError, Timeouts};
 use clap::{CommandFactory, Parser};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -52,7 +52,7 @@
                 ClientError::Unreachable { .. } => 5,
                 ClientError::TimedOut { .. } => 6,
                 ClientError::Denied(_) => 7,
-                ClientError::Form(_) => 1,
+                ClientError::InvalidResponse(_) => 1,
             },
             Failure::Cancelled(_) => 8,
             Failure::Up(_) | Failure::Output(_) => 1,
@@ -110,15 +110,15 @@
             "--timeout-s {seconds} is not above 0"
         )));
     }
-    let patience = Patience {
+    let timeouts = Timeouts {
         total: Duration::from_secs_f64(seconds),
-        one: Duration::from_secs_f64(seconds.min(5.0)),
+        per_attempt: Duration::from_secs_f64(seconds.min(5.0)),
     };
     let quiet = arguments.quiet;
     let mut client = Client::new(
         &context.controllers,
         context.load_key()?,
-        patience,
+        timeouts,
         move |what| {
             if !quiet {
                 eprintln!("beamhinge: {what}");
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -2,7 +2,7 @@
 //! loopback, started together and ended together.
 
 use crate::arguments::UpOptions;
-use beamhinge_client::{Client, Patience};
+use beamhinge_client::{Client, Timeouts};
 use beamhinge_dev_cluster::{Cluster, ClusterError, ClusterPlan};
 use beamhinge_emulator::ProtocolFaults;
 use rustix::process::{getpgrp, kill_process_group, set_parent_process_death_signal, Signal};
@@ -140,11 +140,11 @@
         .map(ToString::to_string)
         .collect::<Vec<_>>()
         .join(",");
-    let patience = Patience {
+    let timeouts = Timeouts {
         total: Duration::from_secs(2),
-        one: Duration::from_secs(2),
+        per_attempt: Duration::from_secs(2),
     };
-    let mut client = Client::new(&listeners, None, patience, |_| {});
+    let mut client = Client::new(&listeners, None, timeouts, |_| {});
     let began = Instant::now();
     loop {
         if stop.load(Ordering::Relaxed) {
--- a/crates/cli/src/verbs.rs
+++ b/crates/cli/src/verbs.rs
@@ -537,7 +537,9 @@
             Ok(s) => {
                 push(&mut running, s.tasks_running);
                 push(&mut waiting, s.tasks_waiting);
-                let from = client.answered().map_or(String::new(), |a| a.to_string());
+                let from = client
+                    .last_controller()
+                    .map_or(String::new(), |a| a.to_string());
                 format!(
                     "beamhinge top, asked of {from}\n\n{}",
                     show::summary(&s, &running, &waiting)
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -52,28 +52,31 @@
     #[error("no answer within {waited_s:.0} s: {last}. A change may or may not have been made; the same call again finds out")]
     TimedOut { waited_s: f64, last: String },
     #[error("the controller's answer is in a form this client does not know: {0}")]
-    Form(String),
+    InvalidResponse(String),
 }
 
 impl ClientError {
     /// Whether a change that was asked for may have been made all the same.
     pub fn may_have_happened(&self) -> bool {
-        matches!(self, ClientError::TimedOut { .. } | ClientError::Form(_))
+        matches!(
+            self,
+            ClientError::TimedOut { .. } | ClientError::InvalidResponse(_)
+        )
     }
 }
 
 /// How long to go on, and how long to wait for one answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct Timeouts {
     pub total: Duration,
-    pub one: Duration,
+    pub per_attempt: Duration,
 }
 
-impl Default for Patience {
-    fn default() -> Patience {
-        Patience {
+impl Default for Timeouts {
+    fn default() -> Timeouts {
+        Timeouts {
             total: Duration::from_secs(30),
-            one: Duration::from_secs(5),
+            per_attempt: Duration::from_secs(5),
         }
     }
 }
@@ -81,7 +84,7 @@
 pub struct Client {
     routing: Routing,
     key: Option<Key>,
-    patience: Patience,
+    timeouts: Timeouts,
     connections: Vec<Option<wire::Connection>>,
     /// The process behind each address, for which requests are signed.
     instances: Vec<Option<String>>,
@@ -111,13 +114,13 @@
     pub fn new(
         controllers: &[SocketAddrV4],
         key: Option<Key>,
-        patience: Patience,
+        timeouts: Timeouts,
         tell: impl FnMut(&str) + 'static,
     ) -> Client {
         Client {
             routing: Routing::new(controllers, rand::thread_rng().gen()),
             key,
-            patience,
+            timeouts,
             connections: controllers.iter().map(|_| None).collect(),
             instances: vec![None; controllers.len()],
             started: Instant::now(),
@@ -126,7 +129,7 @@
         }
     }
 
-    pub fn answered(&self) -> Option<SocketAddrV4> {
+    pub fn last_controller(&self) -> Option<SocketAddrV4> {
         self.answered
     }
 
@@ -143,7 +146,7 @@
         body: &[u8],
     ) -> Result<Vec<u8>, ClientError> {
         let began = self.now_s();
-        let total = self.patience.total.as_secs_f64();
+        let total = self.timeouts.total.as_secs_f64();
         let mut last = String::from("nothing was tried");
         let mut reached = false;
         let mut said: BTreeSet<String> = BTreeSet::new();
@@ -171,7 +174,7 @@
             };
             let addr = self.routing.addr(at);
             let left = Duration::from_secs_f64((total - waited_s).max(0.05));
-            let reply = self.attempt(at, method, path, body, left.min(self.patience.one));
+            let reply = self.attempt(at, method, path, body, left.min(self.timeouts.per_attempt));
             let (status, retry_after, body) = match reply {
                 Ok(r) => r,
                 Err(e) => {
@@ -232,13 +235,13 @@
         method: Method,
         path: &str,
         body: &[u8],
-        patience: Duration,
-    ) -> Result<(u16, Option<u32>, Vec<u8>), wire::WireError> {
-        let until = Instant::now() + patience;
+        timeout: Duration,
+    ) -> Result<(u16, Option<u32>, Vec<u8>), wire::ConnectionError> {
+        let until = Instant::now() + timeout;
         if self.key.is_some() && self.instances[at].is_none() {
             let reply = self.send(at, Method::Get, "/v1/hello", &[], None, until)?;
             let hello: Hello =
-                serde_json::from_slice(&reply.2).map_err(|_| wire::WireError::Form)?;
+                serde_json::from_slice(&reply.2).map_err(|_| wire::ConnectionError::Form)?;
             self.instances[at] = Some(hello.instance);
         }
         let signature = match (&self.key, &self.instances[at]) {
@@ -269,7 +272,7 @@
         body: &[u8],
         signature: Option<&str>,
         until: Instant,
-    ) -> Result<(u16, Option<u32>, Vec<u8>), wire::WireError> {
+    ) -> Result<(u16, Option<u32>, Vec<u8>), wire::ConnectionError> {
         // A connection kept from before may have been closed meanwhile: that
         // says nothing of the controller, so a new one is tried at once.
         if let Some(mut kept) = self.connections[at].take() {
@@ -290,7 +293,7 @@
 
     fn get<T: DeserializeOwned>(&mut self, path: &str) -> Result<T, ClientError> {
         let body = self.call(Method::Get, path, &[])?;
-        serde_json::from_slice(&body).map_err(|e| ClientError::Form(e.to_string()))
+        serde_json::from_slice(&body).map_err(|e| ClientError::InvalidResponse(e.to_string()))
     }
 
     fn post<T: DeserializeOwned>(
@@ -298,9 +301,10 @@
         path: &str,
         body: &impl Serialize,
     ) -> Result<T, ClientError> {
-        let body = serde_json::to_vec(body).map_err(|e| ClientError::Form(e.to_string()))?;
+        let body =
+            serde_json::to_vec(body).map_err(|e| ClientError::InvalidResponse(e.to_string()))?;
         let body = self.call(Method::Post, path, &body)?;
-        serde_json::from_slice(&body).map_err(|e| ClientError::Form(e.to_string()))
+        serde_json::from_slice(&body).map_err(|e| ClientError::InvalidResponse(e.to_string()))
     }
 
     // ---- the interface ----
@@ -363,7 +367,7 @@
     }
     pub fn metrics(&mut self) -> Result<String, ClientError> {
         let body = self.call(Method::Get, "/metrics", &[])?;
-        String::from_utf8(body).map_err(|e| ClientError::Form(e.to_string()))
+        String::from_utf8(body).map_err(|e| ClientError::InvalidResponse(e.to_string()))
     }
 }
 
--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -9,7 +9,7 @@
 const ANSWER_LIMIT: usize = 4 * 1024 * 1024;
 
 #[derive(Debug, thiserror::Error)]
-pub enum WireError {
+pub enum ConnectionError {
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("no answer in time")]
@@ -27,17 +27,17 @@
     content: Content,
 }
 
-fn left(until: Instant) -> Result<Duration, WireError> {
+fn left(until: Instant) -> Result<Duration, ConnectionError> {
     let left = until.saturating_duration_since(Instant::now());
     if left.is_zero() {
-        Err(WireError::TimedOut)
+        Err(ConnectionError::TimedOut)
     } else {
         Ok(left)
     }
 }
 
 impl Connection {
-    pub fn open(addr: SocketAddrV4, until: Instant) -> Result<Connection, WireError> {
+    pub fn open(addr: SocketAddrV4, until: Instant) -> Result<Connection, ConnectionError> {
         let stream = TcpStream::connect_timeout(&SocketAddr::V4(addr), left(until)?)?;
         stream.set_nodelay(true)?;
         Ok(Connection {
@@ -59,7 +59,7 @@
         body: &[u8],
         authorization: Option<&str>,
         until: Instant,
-    ) -> Result<Response, WireError> {
+    ) -> Result<Response, ConnectionError> {
         let mut out = Vec::with_capacity(512 + body.len());
         let head = http::RequestHead {
             method,
@@ -74,13 +74,13 @@
         let (mut buf, mut chunk) = (Vec::new(), [0u8; 16 * 1024]);
         loop {
             if let Some(r) =
-                http::take_response(&mut buf, ANSWER_LIMIT).map_err(|_| WireError::Form)?
+                http::take_response(&mut buf, ANSWER_LIMIT).map_err(|_| ConnectionError::Form)?
             {
                 return Ok(r);
             }
             self.stream.set_read_timeout(Some(left(until)?))?;
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Err(WireError::Closed),
+                Ok(0) => return Err(ConnectionError::Closed),
                 Ok(n) => buf.extend_from_slice(&chunk[..n]),
                 Err(e)
                     if matches!(
@@ -88,7 +88,7 @@
                         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
                     ) =>
                 {
-                    return Err(WireError::TimedOut)
+                    return Err(ConnectionError::TimedOut)
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e.into()),
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -127,8 +127,8 @@
     );
 }
 
-/// One frame of each form, under its name in the golden file.
-fn named_frames() -> Vec<(&'static str, Frame)> {
+/// Frames that controllers send on their own, under their names in the golden file.
+fn announcements() -> Vec<(&'static str, Frame)> {
     let label = || "north-1".to_string();
     vec![
         (
@@ -166,6 +166,26 @@
                 drained: true,
             },
         ),
+        (
+            "hears",
+            Frame::MisroutedWorkers {
+                label: label(),
+                machines: vec!["n-000231".into(), "n-9".into()],
+            },
+        ),
+        ("stuck", Frame::LeaderStalled { label: label() }),
+        (
+            "ended",
+            Frame::JobsEnded {
+                jobs: vec!["job-000412".into(), "job-7".into()],
+            },
+        ),
+    ]
+}
+
+/// A query to the leader and its response.
+fn queries() -> Vec<(&'static str, Frame)> {
+    vec![
         (
             "ask",
             Frame::Query {
@@ -182,27 +202,17 @@
                 body: b"{\"a\":1}".to_vec(),
             },
         ),
-        (
-            "hears",
-            Frame::MisroutedWorkers {
-                label: label(),
-                machines: vec!["n-000231".into(), "n-9".into()],
-            },
-        ),
-        ("stuck", Frame::LeaderStalled { label: label() }),
-        (
-            "ended",
-            Frame::JobsEnded {
-                jobs: vec!["job-000412".into(), "job-7".into()],
-            },
-        ),
     ]
 }
 
 #[test]
 fn peer_frames_match_golden_file() {
     let mut golden = Golden::new("tests/golden/peer-frames.hex");
-    for (name, frame) in named_frames() {
+    let mut frames = announcements();
+    // The golden file holds the frames in the order of their variants.
+    let after_readiness = 5;
+    frames.splice(after_readiness..after_readiness, queries());
+    for (name, frame) in frames {
         let bytes = encode(&frame);
         golden.bytes(name, &bytes);
         assert_eq!(
--- a/crates/core/tests/support/golden.rs
+++ b/crates/core/tests/support/golden.rs
@@ -14,14 +14,14 @@
 use std::path::Path;
 
 /// The lines of one golden file, in the order in which they are added.
-pub struct Golden {
+pub(crate) struct Golden {
     file: &'static str,
     lines: String,
 }
 
 impl Golden {
     /// `file`: its path below the package's folder.
-    pub fn new(file: &'static str) -> Golden {
+    pub(crate) fn new(file: &'static str) -> Golden {
         Golden {
             file,
             lines: String::new(),
@@ -29,7 +29,7 @@
     }
 
     /// Adds bytes as they are.
-    pub fn bytes(&mut self, name: &str, bytes: &[u8]) {
+    pub(crate) fn bytes(&mut self, name: &str, bytes: &[u8]) {
         let hex = bytes.iter().fold(String::new(), |mut hex, byte| {
             let _ = write!(hex, "{byte:02x}");
             hex
@@ -38,13 +38,13 @@
     }
 
     /// Adds one line of text.
-    pub fn text(&mut self, name: &str, text: &str) {
+    pub(crate) fn text(&mut self, name: &str, text: &str) {
         assert!(!text.contains('\n'), "{name} is longer than a line");
         let _ = writeln!(self.lines, "{name}: {text}");
     }
 
     /// Adds a value as the state service holds it; it must come back as it was.
-    pub fn stored<T: Serialize + DeserializeOwned>(&mut self, name: &str, value: &T) {
+    pub(crate) fn stored<T: Serialize + DeserializeOwned>(&mut self, name: &str, value: &T) {
         let value = wire::to_value(value);
         let bytes = wire::encode(&value);
         let read = wire::decode(&bytes).expect(name);
@@ -58,7 +58,7 @@
     }
 
     /// Compares with the committed file, or writes it where that is asked for.
-    pub fn check(self) {
+    pub(crate) fn check(self) {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(self.file);
         if std::env::var("BEAMHINGE_REGENERATE_GOLDEN").is_ok_and(|v| v == "1") {
             std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -15,7 +15,7 @@
 use beamhinge_admin_api::auth::{Key, KeyError};
 use beamhinge_controller::node::Node;
 use beamhinge_core::settings::{OperatorSettings, Settings, SettingsError};
-use beamhinge_transport::{Net, NetError, Wiring};
+use beamhinge_transport::{EventLoop, EventLoopError, NetworkConfig};
 use clap::{Args, ValueEnum};
 use rand::Rng;
 use std::path::PathBuf;
@@ -59,7 +59,7 @@
     #[error(transparent)]
     Keys(#[from] KeyError),
     #[error(transparent)]
-    Net(#[from] NetError),
+    EventLoop(#[from] EventLoopError),
 }
 
 /// Sends events to standard error; `LOG_LEVEL` is error, info or debug.
@@ -110,8 +110,9 @@
     }
     // Tells this process from an earlier one with the same label.
     let nonce = rand::thread_rng().gen_range(1..1u64 << 52);
-    let wiring = Wiring::controller(&settings, listener.map(|d| (d.listen, d.max_connections)));
-    Net::new(wiring, move |now| {
+    let wiring =
+        NetworkConfig::controller(&settings, listener.map(|d| (d.listen, d.max_connections)));
+    EventLoop::new(wiring, move |now| {
         Node::new(settings, operator, keys, nonce, now)
     })?
     .run()?;
--- a/crates/dev-cluster/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -24,7 +24,7 @@
 use beamhinge_emulator::processes::Processes;
 use beamhinge_emulator::worker_pool::MachineObserver;
 use beamhinge_emulator::ProtocolFaults;
-use beamhinge_transport::{Listener, ListenerKind, Net, NetError, Wiring};
+use beamhinge_transport::{EventLoop, EventLoopError, Listener, ListenerKind, NetworkConfig};
 use std::io;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -39,7 +39,7 @@
     #[error("cannot start {0}: {1}")]
     Start(PathBuf, io::Error),
     #[error("the stand-ins cannot start: {0}. Is another cluster running on these ports?")]
-    Platform(#[from] NetError),
+    Platform(#[from] EventLoopError),
     #[error("the stand-ins cannot start: {0}")]
     Kept(io::Error),
 }
@@ -220,7 +220,7 @@
         };
         let mut listeners = vec![plan.state(), plan.cloud()];
         listeners.extend(&platform.worker_addresses);
-        let wiring = Wiring {
+        let wiring = NetworkConfig {
             listeners: listeners
                 .into_iter()
                 .map(|addr| Listener {
@@ -242,7 +242,7 @@
         // The loop is made where it runs: what it holds stays on one thread.
         let thread = std::thread::spawn(move || {
             let mut made = Ok(());
-            let net = Net::try_new(wiring, |now| Platform::new(platform, observer, now));
+            let net = EventLoop::try_new(wiring, |now| Platform::new(platform, observer, now));
             match net {
                 Ok(Ok(net)) => {
                     let _ = told.send(made);
--- a/crates/testbed/src/doors.rs
+++ b/crates/testbed/src/doors.rs
@@ -6,7 +6,7 @@
 use beamhinge_admin_api::auth::{Key, Role, Signed};
 use beamhinge_admin_api::messages::{Hello, JobRequest, Problem};
 use beamhinge_client::wire::Connection;
-use beamhinge_client::{wall_ms, Client, ClientError, Patience};
+use beamhinge_client::{wall_ms, Client, ClientError, Timeouts};
 use beamhinge_core::http::Method;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -81,11 +81,11 @@
     ) else {
         return Err(LabError::Other("the lab's own keys are unsound".into()));
     };
-    let patience = Patience {
+    let timeouts = Timeouts {
         total: Duration::from_secs(20),
-        one: Duration::from_secs(3),
+        per_attempt: Duration::from_secs(3),
     };
-    let with = |key: &Key| Client::new(&doors, Some(key.clone()), patience, |_| {});
+    let with = |key: &Key| Client::new(&doors, Some(key.clone()), timeouts, |_| {});
     let mut operator = with(&night);
     let mut viewer = with(&wall);
     let mut checks = Checks {
--- a/crates/testbed/src/place.rs
+++ b/crates/testbed/src/place.rs
@@ -1,7 +1,7 @@
 //! Where an experiment takes place: free ports, a folder, a cluster.
 
 use crate::LabError;
-use beamhinge_client::{Client, Patience};
+use beamhinge_client::{Client, Timeouts};
 use beamhinge_dev_cluster::{Cluster, ClusterPlan};
 use beamhinge_emulator::worker_pool::MachineObserver;
 use beamhinge_emulator::ProtocolFaults;
@@ -105,11 +105,11 @@
 }
 
 pub fn client_of(doors: &[SocketAddrV4], total_s: f64) -> Client {
-    let patience = Patience {
+    let timeouts = Timeouts {
         total: Duration::from_secs_f64(total_s),
-        one: Duration::from_secs_f64(total_s.min(3.0)),
+        per_attempt: Duration::from_secs_f64(total_s.min(3.0)),
     };
-    Client::new(doors, None, patience, |_| {})
+    Client::new(doors, None, timeouts, |_| {})
 }
 
 /// Asks until it is so, or time runs out.
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -315,7 +315,7 @@
 
     fn by(&self) -> String {
         self.client
-            .answered()
+            .last_controller()
             .map_or(String::new(), |a| format!("operators' {a}"))
     }
 
@@ -403,7 +403,7 @@
     let asked = record.now();
     let answer = client.cancel(job);
     let by = client
-        .answered()
+        .last_controller()
         .map_or(String::new(), |a| format!("cancel by {a}"));
     match answer {
         Ok(told) => record.heard(job, asked, Said::State(told.state), &by),
--- a/crates/testbed/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -14,7 +14,7 @@
 use beamhinge_core::settings::ExternalServices;
 use beamhinge_core::types::Time;
 use beamhinge_emulator::Micros;
-use beamhinge_transport::{Listener, ListenerKind, Net, NetError, Wiring};
+use beamhinge_transport::{EventLoop, EventLoopError, Listener, ListenerKind, NetworkConfig};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Stdout, Write};
 use std::net::SocketAddrV4;
@@ -38,7 +38,7 @@
     #[error("the plan is not understood: {0}")]
     Plan(#[from] serde_json::Error),
     #[error(transparent)]
-    Net(#[from] NetError),
+    EventLoop(#[from] EventLoopError),
     #[error("{0}")]
     Io(#[from] io::Error),
 }
@@ -206,13 +206,13 @@
 }
 
 fn run_service<S: Service>(
-    wiring: Wiring,
+    wiring: NetworkConfig,
     go: &AtomicBool,
     links: Links,
     make: impl FnOnce(Links, Time) -> S,
 ) -> Result<(), RoleError> {
     let records = links.records.clone();
-    let net = Net::new(wiring, |now| make(links, now))?;
+    let net = EventLoop::new(wiring, |now| make(links, now))?;
     records.send(&Record::Ready);
     records.flush();
     net.run_while(|| go.load(Ordering::Relaxed))?;
@@ -220,13 +220,13 @@
 }
 
 /// A process that listens there and calls only controllers.
-fn wiring(addresses: &[SocketAddrV4]) -> Wiring {
+fn wiring(addresses: &[SocketAddrV4]) -> NetworkConfig {
     let nowhere = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
     let door = |addr: &SocketAddrV4| Listener {
         addr: *addr,
         kind: ListenerKind::Platform,
     };
-    Wiring {
+    NetworkConfig {
         listeners: addresses.iter().map(door).collect(),
         peers: None,
         members: Vec::new(),
--- a/crates/transport/src/connections.rs
+++ b/crates/transport/src/connections.rs
@@ -2,7 +2,7 @@
 
 use crate::output::{CLOUD_CONNS, STATE_CONNS};
 use crate::wiring::{connect, open_door, ListenerKind};
-use crate::{Conn, Kind, Net};
+use crate::{Conn, EventLoop, Kind};
 use beamhinge_core::messages::Service;
 use beamhinge_core::types::Time;
 use polling::{Event, PollMode};
@@ -20,7 +20,7 @@
 /// How often a door that could not be opened is tried again.
 pub(crate) const REOPEN_S: f64 = 5.0;
 
-impl<S: Service> Net<S> {
+impl<S: Service> EventLoop<S> {
     pub(crate) fn insert(
         &mut self,
         stream: TcpStream,
--- a/crates/transport/src/input.rs
+++ b/crates/transport/src/input.rs
@@ -1,6 +1,6 @@
 //! What comes in: requests, responses and frames, as far as they are whole.
 
-use crate::{wall, Kind, Net};
+use crate::{wall, EventLoop, Kind};
 use beamhinge_core::http::{self, Content, HttpError};
 use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::peers;
@@ -13,7 +13,7 @@
 /// The status of a controller that sends its caller elsewhere.
 const MISDIRECTED: u16 = 421;
 
-impl<S: Service> Net<S> {
+impl<S: Service> EventLoop<S> {
     pub(crate) fn ready(&mut self, slot: usize, readable: bool, writable: bool) {
         if writable {
             if !self.flush(slot) {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -20,7 +20,7 @@
 mod output;
 mod wiring;
 
-pub use wiring::{Listener, ListenerKind, Wiring};
+pub use wiring::{Listener, ListenerKind, NetworkConfig};
 
 use beamhinge_core::messages::{Destination, Service};
 use beamhinge_core::types::{CallId, Time, WallMs};
@@ -41,7 +41,7 @@
 const DOORS: usize = usize::MAX - 4;
 
 #[derive(Debug, thiserror::Error)]
-pub enum NetError {
+pub enum EventLoopError {
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddrV4, io::Error),
     #[error("cannot wait for events: {0}")]
@@ -78,7 +78,7 @@
     active: Time,
 }
 
-pub struct Net<S> {
+pub struct EventLoop<S> {
     poller: Poller,
     start: Instant,
     /// None: a door that could not be opened yet.
@@ -86,7 +86,7 @@
     /// When doors that could not be opened were tried last.
     doors_tried: Time,
     peer_listener: Option<TcpListener>,
-    wiring: Wiring,
+    wiring: NetworkConfig,
     conns: Vec<Option<Conn>>,
     free: Vec<usize>,
     open: usize,
@@ -108,9 +108,12 @@
     )
 }
 
-impl<S: Service> Net<S> {
-    pub fn new(wiring: Wiring, make: impl FnOnce(Time) -> S) -> Result<Net<S>, NetError> {
-        match Net::try_new(wiring, |now| Ok::<S, Infallible>(make(now)))? {
+impl<S: Service> EventLoop<S> {
+    pub fn new(
+        wiring: NetworkConfig,
+        make: impl FnOnce(Time) -> S,
+    ) -> Result<EventLoop<S>, EventLoopError> {
+        match EventLoop::try_new(wiring, |now| Ok::<S, Infallible>(make(now)))? {
             Ok(net) => Ok(net),
             Err(never) => match never {},
         }
@@ -118,9 +121,9 @@
 
     /// The same for a service that may fail to be made.
     pub fn try_new<E>(
-        wiring: Wiring,
+        wiring: NetworkConfig,
         make: impl FnOnce(Time) -> Result<S, E>,
-    ) -> Result<Result<Net<S>, E>, NetError> {
+    ) -> Result<Result<EventLoop<S>, E>, EventLoopError> {
         let poller = Poller::new()?;
         let mut listeners = Vec::new();
         for (i, door) in wiring.listeners.iter().enumerate() {
@@ -144,7 +147,7 @@
             Ok(service) => service,
             Err(e) => return Ok(Err(e)),
         };
-        let mut net = Net {
+        let mut net = EventLoop {
             poller,
             start: Instant::now(),
             door_open: vec![0; listeners.len()],
@@ -170,12 +173,12 @@
         Time::from_micros(START_US) + self.start.elapsed()
     }
 
-    pub fn run(self) -> Result<(), NetError> {
+    pub fn run(self) -> Result<(), EventLoopError> {
         self.run_while(|| true)
     }
 
     /// Runs as long as `go` says so; it is asked about each 25 ms.
-    pub fn run_while(mut self, go: impl Fn() -> bool) -> Result<(), NetError> {
+    pub fn run_while(mut self, go: impl Fn() -> bool) -> Result<(), EventLoopError> {
         let mut events = Vec::new();
         while go() {
             events.clear();
--- a/crates/transport/src/output.rs
+++ b/crates/transport/src/output.rs
@@ -1,7 +1,7 @@
 //! What goes out: answers, calls and frames.
 
 use crate::wiring::connect;
-use crate::{Conn, Kind, Net};
+use crate::{Conn, EventLoop, Kind};
 use beamhinge_core::http::{self, Content};
 use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::peers;
@@ -19,7 +19,7 @@
 /// the longest, since a list of more than 8,192 machines is sent as two.
 const MAX_UNREAD_BYTES: usize = 2 * peers::MAX_FRAME_BYTES;
 
-impl<S: Service> Net<S> {
+impl<S: Service> EventLoop<S> {
     pub(crate) fn act(&mut self, out: Vec<Effect>) {
         for o in out {
             match o {
--- a/crates/transport/src/tests.rs
+++ b/crates/transport/src/tests.rs
@@ -59,7 +59,7 @@
     let std::net::SocketAddr::V4(addr) = taken.local_addr().expect("bound") else {
         panic!("it is IPv4")
     };
-    let door = |kind| Wiring {
+    let door = |kind| NetworkConfig {
         listeners: vec![Listener { addr, kind }],
         peers: None,
         members: Vec::new(),
@@ -70,8 +70,8 @@
         max_connections: 100,
     };
     let talker = |_| Talker(Arc::default());
-    let mut net =
-        Net::new(door(ListenerKind::Operators { most: 1 }), talker).expect("it serves without");
+    let mut net = EventLoop::new(door(ListenerKind::Operators { most: 1 }), talker)
+        .expect("it serves without");
     assert!(net.listeners[0].is_none());
     drop(taken);
     net.open_doors(net.now().plus(REOPEN_S));
@@ -79,7 +79,7 @@
     drop(net);
     let taken = TcpListener::bind(addr).expect("free again");
     assert!(
-        Net::new(door(ListenerKind::Platform), talker).is_err(),
+        EventLoop::new(door(ListenerKind::Platform), talker).is_err(),
         "users need theirs"
     );
     drop(taken);
@@ -98,7 +98,7 @@
 ) {
     let addr = free_address();
     let nowhere = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
-    let wiring = Wiring {
+    let wiring = NetworkConfig {
         listeners: vec![Listener { addr, kind }],
         peers: None,
         members: Vec::new(),
@@ -114,7 +114,7 @@
     );
     let (count, running) = (served.clone(), go.clone());
     let thread = std::thread::spawn(move || {
-        let net = Net::new(wiring, |_| Talker(count)).expect("listens");
+        let net = EventLoop::new(wiring, |_| Talker(count)).expect("listens");
         net.run_while(|| running.load(Ordering::Relaxed))
             .expect("runs");
     });
--- a/crates/transport/src/wiring.rs
+++ b/crates/transport/src/wiring.rs
@@ -1,6 +1,6 @@
 //! The addresses that a process listens on and calls, and how they are opened.
 
-use crate::{NetError, DOORS};
+use crate::{EventLoopError, DOORS};
 use beamhinge_core::settings::{ExternalServices, Member, Settings};
 use polling::{Event, PollMode, Poller};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -24,7 +24,7 @@
 }
 
 /// The addresses that a process listens on and calls.
-pub struct Wiring {
+pub struct NetworkConfig {
     pub listeners: Vec<Listener>,
     /// Where the peers' frames come in.
     pub peers: Option<SocketAddrV4>,
@@ -33,9 +33,12 @@
     pub max_connections: usize,
 }
 
-impl Wiring {
+impl NetworkConfig {
     /// A controller's: the platform's door first, then the operators'.
-    pub fn controller(settings: &Settings, operators: Option<(SocketAddrV4, usize)>) -> Wiring {
+    pub fn controller(
+        settings: &Settings,
+        operators: Option<(SocketAddrV4, usize)>,
+    ) -> NetworkConfig {
         let mut listeners = vec![Listener {
             addr: settings.public_addr,
             kind: ListenerKind::Platform,
@@ -46,7 +49,7 @@
                 kind: ListenerKind::Operators { most },
             });
         }
-        Wiring {
+        NetworkConfig {
             listeners,
             peers: Some(settings.peer_bind),
             members: settings.members.clone(),
@@ -56,7 +59,7 @@
     }
 }
 
-pub(crate) fn listen(addr: SocketAddrV4) -> Result<TcpListener, NetError> {
+pub(crate) fn listen(addr: SocketAddrV4) -> Result<TcpListener, EventLoopError> {
     let open = || -> io::Result<TcpListener> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
         // A restarted controller takes its address back at once.
@@ -66,14 +69,14 @@
         socket.set_nonblocking(true)?;
         Ok(socket.into())
     };
-    open().map_err(|e| NetError::Listen(addr, e))
+    open().map_err(|e| EventLoopError::Listen(addr, e))
 }
 
 pub(crate) fn open_door(
     poller: &Poller,
     place: usize,
     door: &Listener,
-) -> Result<TcpListener, NetError> {
+) -> Result<TcpListener, EventLoopError> {
     let listener = listen(door.addr)?;
     poller.add_with_mode(&listener, Event::readable(DOORS - place), PollMode::Level)?;
     Ok(listener)
