--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -3,6 +3,7 @@
 use super::Node;
 use crate::fleet::MAX_PEER_OBSERVATION_AGE_S;
 use crate::peers;
+use crate::scheduler::DirectCall;
 use crate::worker_protocol::WorkerCommand;
 use beamhinge_core::http::Method;
 use beamhinge_core::messages::{Destination, Effect};
@@ -304,34 +305,37 @@
             .collect();
         for (machine, endpoint) in targets {
             self.nudged.insert(machine, now);
-            // The tenure is unknown: any number will do, since even a refusal
-            // for the tenure is answered after the token was compared, and
+            // The incarnation is unknown: any number will do, since even a refusal
+            // for the incarnation is answered after the token was compared, and
             // there is nothing to execute.
-            self.call_worker(machine, endpoint, token, 1, Vec::new(), out);
+            let call = DirectCall {
+                machine,
+                endpoint,
+                incarnation: 1,
+                commands: Vec::new(),
+            };
+            self.call_worker(call, token, out);
         }
     }
 
     pub(super) fn call_worker(
         &mut self,
-        machine: MachineId,
-        endpoint: SocketAddrV4,
+        call: DirectCall,
         token: FencingToken,
-        incarnation: u64,
-        commands: Vec<WorkerCommand>,
         out: &mut Vec<Effect>,
     ) {
         self.next_call += 1;
         let id = CallId(self.next_call);
-        self.nudges.insert(id, machine);
+        self.nudges.insert(id, call.machine);
         out.push(Effect::Call {
             id,
-            destination: Destination::Worker(endpoint),
+            destination: Destination::Worker(call.endpoint),
             method: Method::Post,
             path: "/do".into(),
             body: wire::encode(&Direct {
                 fencing_token: token.0,
-                incarnation,
-                commands,
+                incarnation: call.incarnation,
+                commands: call.commands,
             }),
             timeout_s: 2.0,
         });
@@ -347,8 +351,8 @@
             return;
         };
         let token = scheduler.fencing_token();
-        for (machine, endpoint, incarnation, commands) in scheduler.take_pending_kills() {
-            self.call_worker(machine, endpoint, token, incarnation, commands, out);
+        for call in scheduler.take_pending_kills() {
+            self.call_worker(call, token, out);
         }
     }
 
@@ -370,12 +374,12 @@
         };
         let silent = scheduler
             .silent_machines_with_tasks(now)
-            .filter(|(id, ..)| !asked(id));
+            .filter(|call| !asked(&call.machine));
         let silent: Vec<_> = silent.take(room).collect();
         self.asked.retain(|_, t| now.since(*t) < ASK_AGAIN_S);
-        for (machine, endpoint, incarnation, commands) in silent {
-            self.asked.insert(machine, now);
-            self.call_worker(machine, endpoint, token, incarnation, commands, out);
+        for call in silent {
+            self.asked.insert(call.machine, now);
+            self.call_worker(call, token, out);
         }
     }
 }
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -22,23 +22,22 @@
 use beamhinge_admin_api::messages::What;
 use beamhinge_core::messages::TaskCounts;
 use beamhinge_core::settings::Settings;
-use beamhinge_core::types::{
-    Attempt, FencingToken, JobId, MachineId, Revision, TaskId, Time, WallMs,
-};
+use beamhinge_core::types::{FencingToken, JobId, MachineId, Revision, TaskId, Time, WallMs};
 use beamhinge_core::wire;
 use beamhinge_failure_detection::{FaultAttribution, ReportInterval};
 use beamhinge_preemption::{Nominations, PreemptionHistory, PreemptionStats};
 use beamhinge_priority_aging::{AgingPolicy, Reservations};
 use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use allocation::{Allocation, OrphanTask, TaskPhase, TaskState};
+use allocation::{Allocation, TaskState};
 use job::{age_s, resources_of, total_cpus, Job, UNKNOWN_NEED};
+use reconciliation::OrphanSummary;
 use types::{InFlightCommit, RecoveryLoad, WorkUnit};
 
 pub use machine::Machine;
+pub use reconciliation::DirectCall;
 pub use types::CommitOutcome;
 
 mod aging;
@@ -57,27 +56,19 @@
 mod queue;
 mod quota;
 mod reconciliation;
+mod run_times;
 #[cfg(feature = "faults")]
 mod scattered_preemption;
 mod types;
 mod victims;
 
+/// A clock runs at most this much faster than another.
+const MAX_CLOCK_DRIFT: f64 = 1.002;
 /// A holder asks the state service each second: beyond this it is out of touch.
 const IN_TOUCH_S: f64 = 1.8;
-/// A worker that waits longer for an answer goes to the next controller.
-const PATIENCE_S: f64 = 4.0;
 /// How often machines are looked over for silence.
 const SILENCE_S: f64 = 0.2;
-/// Tasks of a job that must have ended before it is judged by them.
-const MIN_RUN_TIME_SAMPLES: u32 = 4;
-/// Direct calls to workers that go out together.
-const MAX_STOPS: usize = 16;
-
-/// Machines that are gone and remembered, so that a late copy of a report in the name of one
-/// changes nothing; beyond it the lowest number is forgotten. A copy comes within minutes, and
-/// in that time a whole fleet of 8,192 machines may be replaced once and its successors be
-/// given back.
-const MAX_GONE_MACHINES: usize = 16_384;
+
 /// Classes whose largest job is known; guards memory, names are the users'.
 const CLASSES_KNOWN: usize = 256;
 /// Tasks whose stops are remembered; beyond it the one that was stopped least is forgotten.
@@ -144,8 +135,8 @@
     last_cleanup: Time,
     /// When the books last moved: a commit or a reply to a load.
     last_store_progress: Time,
-    /// Tasks that the books do not know: since when, how many, one of them.
-    unreported_orphans: Option<(Time, usize, String)>,
+    /// Orphan tasks that were found and not logged yet.
+    orphan_summary: Option<OrphanSummary>,
     /// How long reports usually stay away.
     report_interval: ReportInterval,
     /// What tests put in.
@@ -187,7 +178,7 @@
             fencing_token,
             acquired_at: now,
             previous_leases_until: now
-                .plus((old_answers + w.lease_s) * 1.002 + settings.margin_s()),
+                .plus((old_answers + w.lease_s) * MAX_CLOCK_DRIFT + settings.margin_s()),
             lease_s: w.lease_s,
             report_s: w.report_s,
             margin_s: settings.margin_s(),
@@ -223,7 +214,7 @@
             last_progress_page: 0,
             last_cleanup: now,
             last_store_progress: now,
-            unreported_orphans: None,
+            orphan_summary: None,
             report_interval: ReportInterval::new(w.report_s),
             faults: Faults::default(),
             last_cycle: Time::default(),
@@ -461,36 +452,6 @@
         }
     }
 
-    /// Run time of a job's task as far as known: by its own tasks that ended,
-    /// else by those of its class, else as estimated.
-    fn expected_run_s(&self, job: &Job) -> f64 {
-        let factor = if job.run_time_ratios.samples >= MIN_RUN_TIME_SAMPLES {
-            job.run_time_ratios.mean()
-        } else {
-            self.class_run_time_ratio(&job.spec.class)
-        };
-        job.spec.expected_run_s * factor
-    }
-
-    /// How far runs of a class were from their estimates.
-    fn class_run_time_ratio(&self, class: &str) -> f64 {
-        self.run_time_ratios.get(class).copied().unwrap_or(1.0)
-    }
-
-    pub fn run_time_ratios(&self) -> &BTreeMap<String, f64> {
-        &self.run_time_ratios
-    }
-
-    pub fn restore_run_time_ratios(&mut self, runs: BTreeMap<String, f64>) {
-        for (class, factor) in runs {
-            if factor.is_finite() && factor > 0.0 {
-                self.run_time_ratios
-                    .entry(class)
-                    .or_insert(factor.clamp(0.2, 5.0));
-            }
-        }
-    }
-
     // ---- jobs ----
 
     pub fn sync_job(&mut self, now: Time, id: JobId, job_store: &JobStore) {
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::store::StoreClient;
 use beamhinge_core::messages::Effect;
+use beamhinge_core::types::Attempt;
 use beamhinge_rate_limit::TransactionLimits;
 use proptest::prelude::*;
 use serde_json::json;
--- /dev/null
+++ b/crates/controller/src/scheduler/reconciliation/exits.rs
@@ -0,0 +1,184 @@
+//! Tasks that ended, as their workers say: what follows for the task, its job and its machine.
+
+use crate::job_store::JobKind;
+use crate::scheduler::run_times::{MIN_RUN_TIME_SAMPLES, RUN_TIME_RATIO_RANGE};
+use crate::scheduler::Scheduler;
+use crate::worker_protocol::ExitCause;
+use beamhinge_admin_api::messages::What;
+use beamhinge_core::types::{JobId, MachineId, TaskId, Time};
+use beamhinge_failure_detection::AttributionChange;
+
+/// Characters of an exit's cause that the event log keeps.
+const MAX_CAUSE_CHARS: usize = 40;
+
+/// A machine whose tasks take so many times as long as elsewhere is slow.
+const SLOW_RATIO: f64 = 2.0;
+
+/// Tasks by which a machine is judged slow, at least.
+const MIN_SPEED_SAMPLES: u32 = 3;
+
+impl Scheduler {
+    /// The worker lists the task as exited.
+    pub(super) fn on_exit(
+        &mut self,
+        now: Time,
+        id: MachineId,
+        task: TaskId,
+        cause: Option<&ExitCause>,
+    ) {
+        self.event_log.note(|| What::Ended {
+            task: task.to_string(),
+            machine: id.to_string(),
+            why: cause
+                .map_or("unknown", ExitCause::as_str)
+                .chars()
+                .take(MAX_CAUSE_CHARS)
+                .collect(),
+        });
+        let is_service = self
+            .jobs
+            .get(&task.job)
+            .is_some_and(|job| job.spec.kind == JobKind::Service);
+        match cause {
+            Some(ExitCause::Done) => {
+                self.record_run_time(now, id, task);
+                self.on_success(id, task.job);
+                self.release_allocation(now, id, task, !is_service, 1.0);
+            }
+            Some(ExitCause::Error) => {
+                let backoff_s = self.on_failure(now, id, task.job);
+                self.release_allocation(now, id, task, false, backoff_s);
+            }
+            // Something is there that no allocation names: try elsewhere.
+            Some(ExitCause::Full) => {
+                self.on_refusal(now, id);
+                self.release_allocation(now, id, task, false, 0.5);
+            }
+            Some(ExitCause::Unknown) => {
+                tracing::info!(machine = %id, task = %task, "lost task that its worker does not know");
+                self.release_allocation(now, id, task, false, 2.0);
+            }
+            // Another attempt is there: the next report shows it as an orphan.
+            Some(ExitCause::InUse) => {
+                self.on_refusal(now, id);
+                self.release_allocation(now, id, task, false, 1.0);
+            }
+            Some(ExitCause::Stopped) => self.release_allocation(now, id, task, false, 0.0),
+            // Guard 5: exited is exited, but only `done` counts as done.
+            other @ (Some(ExitCause::Other(_)) | None) => {
+                let reason = other.map_or("none", ExitCause::as_str);
+                tracing::info!(machine = %id, task = %task, reason, "ended task with an unknown cause");
+                self.release_allocation(now, id, task, false, 1.0);
+            }
+        }
+    }
+
+    /// The machine has less room than its allocations leave.
+    fn on_refusal(&mut self, now: Time, id: MachineId) {
+        let until = now.plus(self.silence_timeout_s());
+        if let Some(machine) = self.machines.get_mut(&id) {
+            machine.health.refuses_until = until;
+        }
+    }
+
+    /// Run times correct the estimates of a class and a job, and tell slow
+    /// machines: those that take long for a job whose tasks elsewhere do not.
+    /// By the class alone a job whose owner guessed too low would condemn every
+    /// machine it ran on.
+    fn record_run_time(&mut self, now: Time, id: MachineId, task: TaskId) {
+        let report_s = self.report_s;
+        let Some(started_at) = self
+            .allocation_mut(id, task)
+            .filter(|allocation| !allocation.inherited)
+            .and_then(|allocation| allocation.started_at)
+        else {
+            return;
+        };
+        // It ended some time before this report.
+        let ran_s = now.since(started_at) + report_s * 0.25;
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let expected_run_s = job.spec.expected_run_s;
+        if expected_run_s < 1.0 || ran_s < report_s {
+            return;
+        }
+        let ratio = (ran_s / expected_run_s).clamp(0.1, 10.0);
+        let before = job.run_time_ratios;
+        job.run_time_ratios.record(ratio);
+        let factor = self
+            .run_time_ratios
+            .entry(job.spec.class.to_string())
+            .or_insert(1.0);
+        // Geometric, since estimates are off by factors; slowly, since one job
+        // brings many tasks that share its error.
+        let (min, max) = RUN_TIME_RATIO_RANGE;
+        *factor = (*factor * (ratio / *factor).powf(0.03)).clamp(min, max);
+        if before.samples >= MIN_RUN_TIME_SAMPLES {
+            self.record_speed(id, ratio / before.mean());
+        }
+    }
+
+    /// A task on the machine took `relative` times as long as others of its job elsewhere.
+    fn record_speed(&mut self, id: MachineId, relative: f64) {
+        let Some(machine) = self.machines.get_mut(&id) else {
+            return;
+        };
+        let health = &mut machine.health;
+        let speed = &mut health.speed;
+        speed.ratio *= (relative / speed.ratio).powf(0.4);
+        speed.samples += 1;
+        if health.slow || speed.samples < MIN_SPEED_SAMPLES || speed.ratio <= SLOW_RATIO {
+            return;
+        }
+        tracing::info!(machine = %id, speed_ratio = speed.ratio, "cordoned slow machine");
+        let why = format!("takes {:.1} times as long as others", speed.ratio);
+        health.slow = true;
+        self.event_log.note(|| What::SetAside {
+            machine: id.to_string(),
+            why,
+        });
+    }
+
+    fn on_success(&mut self, id: MachineId, job: JobId) {
+        let change = self.fault_attribution.record_success(id, job);
+        self.apply_attribution(&change);
+    }
+
+    /// Weighs a failure: is it the machine's fault or the job's? Returns how
+    /// long the task waits before its next try, seconds.
+    fn on_failure(&mut self, now: Time, id: MachineId, job: JobId) -> f64 {
+        let has_succeeded = self
+            .jobs
+            .get(&job)
+            .is_some_and(|job| job.progress.done_count() > 0);
+        let change =
+            self.fault_attribution
+                .record_failure(now, id, (job, has_succeeded), self.report_s);
+        self.apply_attribution(&change);
+        change.job_backoff_s.unwrap_or(0.0)
+    }
+
+    /// Machines at fault get nothing more; those that turn out not to be do again.
+    fn apply_attribution(&mut self, change: &AttributionChange) {
+        for id in &change.newly_faulty {
+            let Some(machine) = self.machines.get_mut(id) else {
+                continue;
+            };
+            tracing::info!(machine = %id, "quarantined machine that fails tasks which succeed elsewhere");
+            machine.health.quarantined = true;
+            let why = "fails tasks that end well elsewhere".to_string();
+            self.event_log.note(|| What::SetAside {
+                machine: id.to_string(),
+                why,
+            });
+        }
+        for id in &change.newly_cleared {
+            let Some(machine) = self.machines.get_mut(id) else {
+                continue;
+            };
+            tracing::info!(machine = %id, "released machine from quarantine, as a job was at fault");
+            machine.health.quarantined = false;
+        }
+    }
+}
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -1,6 +1,18 @@
+use super::silence::MAX_GONE_MACHINES;
 use super::*;
+use crate::calls::SchedulerCall;
+use crate::event_log::EventLog;
+use crate::job_store::{JobSpec, JobState};
+use crate::scheduler::allocation::{Allocation, TaskPhase, TaskState};
+use crate::scheduler::types::RecoveryLoad;
 use crate::split::tests::c8;
-use crate::worker_protocol::CommandVerb;
+use crate::split::Resources;
+use crate::worker_protocol::{CommandVerb, ExitCause, ReportedStatus, ReportedTask};
+use beamhinge_core::settings::Settings;
+use beamhinge_core::types::{Attempt, FencingToken, JobId, Revision, TaskId};
+use beamhinge_core::wire;
+use beamhinge_priority_aging::AgingPolicy;
+use std::rc::Rc;
 
 const NOW: f64 = 10.0;
 
@@ -225,7 +237,7 @@
 #[test]
 fn the_longest_answer_fits_its_limit() {
     let task = TaskId::parse("job-123456789012345678/99999").expect("a task");
-    let commands: Vec<WorkerCommand> = (0..MAX_ORDERS)
+    let commands: Vec<WorkerCommand> = (0..MAX_COMMANDS)
         .map(|_| WorkerCommand::kill(task, Attempt(u64::MAX), 12.5))
         .collect();
     let body = wire::encode(&commands);
@@ -410,11 +422,11 @@
         "it reports"
     );
     let asked: Vec<_> = scheduler.silent_machines_with_tasks(silent).collect();
-    let [(id, _, incarnation, commands)] = asked.as_slice() else {
+    let [call] = asked.as_slice() else {
         panic!("{asked:?}")
     };
     assert_eq!(
-        (*id, *incarnation, killed(commands)),
+        (call.machine, call.incarnation, killed(&call.commands)),
         (machine(), 1, vec!["job-1/0"])
     );
 }
@@ -546,7 +558,7 @@
         assert_eq!(asked.len(), usize::from(listed));
         assert!(asked
             .iter()
-            .all(|(.., commands)| killed(commands) == ["job-1/0"]));
+            .all(|call| killed(&call.commands) == ["job-1/0"]));
         // What an earlier session or an older message says changes nothing.
         let left = scheduler
             .machine(machine())
