--- a/crates/controller/src/scheduler/bin_packing.rs
+++ b/crates/controller/src/scheduler/bin_packing.rs
@@ -49,6 +49,8 @@
 }
 
 impl Candidate {
+    /// The machine to be filled first is the least: what acknowledges, then the smaller type, then
+    /// the preference.
     fn compare(&self, other: &Candidate) -> Ordering {
         self.unacknowledged
             .cmp(&other.unacknowledged)
@@ -195,7 +197,7 @@
         machine.remember_image(&job.spec.image);
         self.commit_queue.push_back((machine_id, task));
         job.retry_at.remove(&index);
-        *job.attempts_by_task.entry(index).or_insert(0) += 1;
+        job.add_attempt(index);
         cycle.count_in_zone(job_id, &machine.identity.zone);
         cycle.consume(machine_id, team, &resources, nominated.is_some());
         Some(task)
--- a/crates/controller/src/scheduler/cycle.rs
+++ b/crates/controller/src/scheduler/cycle.rs
@@ -148,6 +148,7 @@
         }
     }
 
+    /// Whether the zones of the job's tasks matter: only then they are counted.
     fn has_zone_rule(&self, id: JobId) -> bool {
         let job = self.jobs.get(&id);
         job.is_some_and(|job| job.spec.single_zone || job.spec.spread)
--- a/crates/controller/src/scheduler/drain.rs
+++ b/crates/controller/src/scheduler/drain.rs
@@ -1,6 +1,7 @@
 //! What operators have ordered, carried out: nothing new on drained machines or
 //! of frozen teams and classes, and what is there ends, saves or moves in time.
 
+use super::quota::TeamUsage;
 use super::*;
 use crate::configuration::EffectiveTeams;
 
@@ -33,14 +34,12 @@
     /// above it, and whose `run` never went out, returns.
     pub fn set_teams(&mut self, now: Time, effective: &EffectiveTeams) {
         for team in &effective.teams {
-            let quota = &team.quota;
-            let limits = (quota.cpus, quota.cpus_max, quota.gpus, quota.gpus_max);
             match self.team_names.iter().position(|name| *name == team.name) {
-                Some(at) => self.teams[at] = limits,
+                Some(at) => self.teams[at] = team.quota,
                 // Entries name teams by their place: none ever moves.
                 None => {
                     self.team_names.push(team.name.clone());
-                    self.teams.push(limits);
+                    self.teams.push(team.quota);
                 }
             }
         }
@@ -92,28 +91,22 @@
         if !self.teams_over_quota {
             return;
         }
-        let mut used = vec![(0.0, 0.0); self.teams.len()];
+        let mut usage = vec![TeamUsage::default(); self.teams.len()];
         let mut unsent: Vec<Vec<(MachineId, TaskId, Resources)>> =
             vec![Vec::new(); self.teams.len()];
         for (id, m) in &self.machines {
             for (task, e) in &m.resident.allocations {
-                let Some(t) = e.team else { continue };
-                used[t].0 += e.resources.cpus;
-                used[t].1 += e.resources.gpus;
+                let Some(team) = e.team else { continue };
+                usage[team].add(&e.resources);
                 if !e.may_be_on_machine() {
-                    unsent[t].push((*id, *task, e.resources));
+                    unsent[team].push((*id, *task, e.resources));
                 }
             }
         }
         let mut waits = false;
-        for t in 0..self.teams.len() {
-            let (_, cpus_max, _, gpus_max) = self.teams[t];
-            let above = |used: (f64, f64)| {
-                cpus_max > 0.0 && used.0 > cpus_max + EPSILON
-                    || gpus_max > 0.0 && used.1 > gpus_max + EPSILON
-            };
-            for (machine, task, resources) in unsent[t].iter().rev() {
-                if !above(used[t]) {
+        for (team, unsent) in unsent.iter().enumerate() {
+            for (machine, task, resources) in unsent.iter().rev() {
+                if !usage[team].exceeds(&self.teams[team]) {
                     break;
                 }
                 // A commit under way is waited for: its page names the task.
@@ -125,7 +118,7 @@
                     continue;
                 }
                 self.release_allocation(now, *machine, *task, false, 0.0);
-                used[t] = (used[t].0 - resources.cpus, used[t].1 - resources.gpus);
+                usage[team].sub(resources);
             }
         }
         self.teams_over_quota = waits;
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -389,20 +389,18 @@
             .iter()
             .zip(&self.team_names)
             .zip(&cycle.team_usage)
-            .map(
-                |(((cpus, cpus_max, gpus, gpus_max), name), usage)| TeamRow {
-                    team: name.clone(),
-                    cpus_used: usage.cpus,
-                    cpus_guaranteed: *cpus,
-                    cpus_limit: *cpus_max,
-                    gpus_used: usage.gpus,
-                    gpus_guaranteed: *gpus,
-                    gpus_limit: *gpus_max,
-                    jobs_open: 0,
-                    tasks_waiting: 0,
-                    frozen: self.active_directives.freeze_of(name, "").is_some(),
-                },
-            )
+            .map(|((quota, name), usage)| TeamRow {
+                team: name.clone(),
+                cpus_used: usage.cpus,
+                cpus_guaranteed: quota.cpus,
+                cpus_limit: quota.cpus_max,
+                gpus_used: usage.gpus,
+                gpus_guaranteed: quota.gpus,
+                gpus_limit: quota.gpus_max,
+                jobs_open: 0,
+                tasks_waiting: 0,
+                frozen: self.active_directives.freeze_of(name, "").is_some(),
+            })
             .collect();
         for job in self.unfinished_jobs() {
             if let Some(row) = self
@@ -416,6 +414,7 @@
         rows
     }
 
+    /// Jobs that are open and have tasks left to do.
     fn unfinished_jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs
             .values()
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -20,6 +20,7 @@
     TransactionError,
 };
 use beamhinge_admin_api::messages::What;
+use beamhinge_configuration::Quota;
 use beamhinge_core::messages::TaskCounts;
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{FencingToken, JobId, MachineId, Revision, TaskId, Time, WallMs};
@@ -145,7 +146,8 @@
     last_silence_check: Time,
     replan: bool,
     next_attempt: u64,
-    teams: Vec<(f64, f64, f64, f64)>,
+    /// What each team is guaranteed and may use.
+    teams: Vec<Quota>,
     /// The key and stamp of the configuration that the teams are from.
     configuration_condition: Option<(&'static str, Revision)>,
     /// No `run` is sent from then on, until the configuration is read again.
@@ -233,12 +235,7 @@
                 .iter()
                 .map(|t| t.name.clone())
                 .collect(),
-            teams: settings
-                .params
-                .teams
-                .iter()
-                .map(|t| (t.cpus, t.cpus_max, t.gpus, t.gpus_max))
-                .collect(),
+            teams: settings.params.teams.iter().map(Quota::from).collect(),
         }
     }
 
@@ -389,7 +386,9 @@
             left
         };
         // Above its team's limit nothing of it can run.
-        let limit = self.team_index(&job.spec).map(|t| self.teams[t].1);
+        let limit = self
+            .team_index(&job.spec)
+            .map(|team| self.teams[team].cpus_max);
         let most = match limit {
             Some(cpus) if cpus > 0.0 && job.spec.cpus > 0.0 => {
                 (cpus / job.spec.cpus + EPSILON) as u32
--- a/crates/controller/src/scheduler/nomination.rs
+++ b/crates/controller/src/scheduler/nomination.rs
@@ -182,6 +182,7 @@
             .collect()
     }
 
+    /// Tasks of one machine that are expected to end soon.
     fn expected_exits(&self, now: Time, machine: &Machine) -> Vec<ExpectedExit> {
         let horizon_s = self.horizon_s();
         let mut exits = Vec::new();
@@ -204,6 +205,7 @@
         exits
     }
 
+    /// The highest urgency among tasks that are nominated for the machine.
     fn highest_nominated_urgency(&self, machine: &Machine) -> Option<Urgency> {
         let nominated = machine
             .resident
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -137,6 +137,7 @@
         !job.spec.single_zone && !job.spec.spread && !self.fault_attribution.is_job_faulty(id)
     }
 
+    /// The job of a claim as the search for machines needs it.
     fn preemptor<'a>(&self, claim: &'a PreemptionClaim, job: &Job) -> Preemptor<'a> {
         let spec = job.spec.clone();
         Preemptor {
--- a/crates/controller/src/scheduler/queue.rs
+++ b/crates/controller/src/scheduler/queue.rs
@@ -116,7 +116,7 @@
         if self
             .teams
             .iter()
-            .all(|(cpus, _, gpus, _)| *cpus <= 0.0 && *gpus <= 0.0)
+            .all(|quota| quota.cpus <= 0.0 && quota.gpus <= 0.0)
         {
             return within;
         }
@@ -139,10 +139,10 @@
             let unfinished = f64::from(job.spec.tasks.saturating_sub(job.progress.done_count()));
             used[team].cpus += unfinished * job.spec.cpus;
             used[team].gpus += unfinished * job.spec.gpus;
-            let (cpus, _, gpus, _) = self.teams[team];
-            let fits = (cpus > 0.0 || gpus > 0.0)
-                && used[team].cpus <= cpus + EPSILON
-                && (job.spec.gpus == 0.0 || used[team].gpus <= gpus + EPSILON);
+            let quota = &self.teams[team];
+            let fits = (quota.cpus > 0.0 || quota.gpus > 0.0)
+                && used[team].cpus <= quota.cpus + EPSILON
+                && (job.spec.gpus == 0.0 || used[team].gpus <= quota.gpus + EPSILON);
             if fits {
                 within.insert(id);
             }
--- a/crates/controller/src/scheduler/quota.rs
+++ b/crates/controller/src/scheduler/quota.rs
@@ -2,6 +2,7 @@
 
 use super::Scheduler;
 use crate::split::{Resources, EPSILON};
+use beamhinge_configuration::Quota;
 
 /// Resources that the tasks of one team use, from the plan until proof of their end.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -16,6 +17,18 @@
         self.cpus += resources.cpus;
         self.gpus += resources.gpus;
     }
+
+    /// Counts one task less.
+    pub(super) fn sub(&mut self, resources: &Resources) {
+        self.cpus -= resources.cpus;
+        self.gpus -= resources.gpus;
+    }
+
+    /// Whether it is beyond a limit of the quota.
+    pub(super) fn exceeds(&self, quota: &Quota) -> bool {
+        quota.cpus_max > 0.0 && self.cpus > quota.cpus_max + EPSILON
+            || quota.gpus_max > 0.0 && self.gpus > quota.gpus_max + EPSILON
+    }
 }
 
 /// A limit of a team that another task would exceed.
@@ -39,19 +52,19 @@
         team: usize,
         resources: &Resources,
     ) -> Option<QuotaExceeded> {
-        let (_, cpus_max, _, gpus_max) = self.teams[team];
+        let quota = &self.teams[team];
         let checks = [
             QuotaExceeded {
                 resource: "CPUs",
                 used: usage.cpus,
                 wanted: resources.cpus,
-                limit: cpus_max,
+                limit: quota.cpus_max,
             },
             QuotaExceeded {
                 resource: "GPUs",
                 used: usage.gpus,
                 wanted: resources.gpus,
-                limit: gpus_max,
+                limit: quota.gpus_max,
             },
         ];
         checks
--- a/crates/controller/src/scheduler/scattered_preemption.rs
+++ b/crates/controller/src/scheduler/scattered_preemption.rs
@@ -1,7 +1,6 @@
 //! A withdrawn way of preemption, which tests put back as a planted fault: CPUs of stopped tasks
 //! are added up over the whole fleet, wherever they are, and nothing reserves their room.
 
-use super::allocation::TaskState;
 use super::cycle::SchedulingCycle;
 use super::feasibility::is_feasible;
 use super::victims::{PreemptionClaim, PreemptionReason, EARLY_RUN_FRACTION};
@@ -52,7 +51,7 @@
                 let (ran_s, run_s) = (allocation.ran_s(now), self.expected_run_s(job));
                 if allocation.kill_grace_s.is_some() {
                     lacking_cpus -= allocation.resources.cpus;
-                } else if matches!(allocation.state, TaskState::Observed(_))
+                } else if allocation.is_observed()
                     && job.spec.urgency < spec.urgency
                     && is_feasible(&spec, machine_type, machine)
                     && ran_s < run_s * EARLY_RUN_FRACTION
--- a/crates/controller/src/scheduler/victims.rs
+++ b/crates/controller/src/scheduler/victims.rs
@@ -3,7 +3,7 @@
 //! A [`PreemptionPlan`] is made at most once in a cycle, from all machines; claims are then served
 //! from it one after the other, and it keeps track of what they took.
 
-use super::allocation::{Allocation, TaskState};
+use super::allocation::Allocation;
 use super::job::Job;
 use super::machine::Machine;
 use super::Scheduler;
@@ -207,7 +207,7 @@
         };
         let mut victims = Victims {
             profiles: Vec::new(),
-            over_guarantee: self.teams.iter().map(|team| -team.0).collect(),
+            over_guarantee: self.teams.iter().map(|quota| -quota.cpus).collect(),
             reserved: ReservedCapacity::new(RESERVED_FRACTION),
         };
         let mut candidates = Vec::new();
@@ -275,7 +275,7 @@
             victims
                 .reserved
                 .add_usage(&tenant, allocation.resources.cpus);
-            if !matches!(allocation.state, TaskState::Observed(_)) {
+            if !allocation.is_observed() {
                 continue;
             }
             let profile = self.victim_profile(survey, *task, job, allocation);
@@ -307,6 +307,7 @@
         }
     }
 
+    /// What decides whether a running task may be preempted, and for whom.
     fn victim_profile(
         &self,
         survey: &Survey,
@@ -389,6 +390,7 @@
     }
 }
 
+/// Whether the job may use machines of this type by what it names.
 fn allows_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.machine_types
         .as_ref()
