--- a/crates/controller/tests/scenarios.rs
+++ b/crates/controller/tests/scenarios.rs
@@ -23,12 +23,16 @@
     let faults = Faults::named(guard).ok_or_else(|| format!("no guard is called '{guard}'"))?;
     let outcome = scenario::play(text, faults).map_err(|e| e.to_string())?;
     let found = match what {
-        "fails" => !outcome.wrong.is_empty(),
+        "fails" => !outcome.failures.is_empty(),
         rule => outcome.violations.iter().any(|v| v == rule),
     };
     match found {
         true => Ok(()),
-        false => Err(format!("without {guard} it should show {what}: {:?}", outcome.wrong).into()),
+        false => Err(format!(
+            "without {guard} it should show {what}: {:?}",
+            outcome.failures
+        )
+        .into()),
     }
 }
 
@@ -44,9 +48,9 @@
 
 fn run(text: &str) -> Result<(), Failed> {
     let outcome = scenario::play(text, Default::default()).map_err(|e| e.to_string())?;
-    match outcome.wrong.is_empty() {
+    match outcome.failures.is_empty() {
         true => Ok(()),
-        false => Err(outcome.wrong.join("\n").into()),
+        false => Err(outcome.failures.join("\n").into()),
     }
 }
 
--- /dev/null
+++ b/crates/sim/src/cluster/adverse_users.rs
@@ -0,0 +1,102 @@
+//! Users at the worst moments: who ask all controllers at once, and who cancel at the very
+//! end or just now.
+
+use super::Sim;
+use crate::event::Event;
+use beamhinge_emulator::user::UserRequest;
+use beamhinge_emulator::{job_id, Micros, SECOND};
+use rand::Rng;
+use std::collections::BTreeMap;
+
+/// Machines that hang at most as users cancel.
+const MAX_HUNG: usize = 8;
+/// Part of the jobs with additional requests that are then cancelled.
+const PROBED_CANCELLED: f64 = 0.1;
+/// Additional requests come within this time.
+const PROBE_SPREAD: Micros = 8_000;
+/// Cancellations come within this time of a job's end, or of each other.
+const CANCEL_SPREAD: Micros = SECOND / 5;
+
+impl Sim {
+    fn cancel_at(&mut self, job: &str, at: Micros) {
+        let event = Event::UserSends {
+            job: job.to_string(),
+            request: UserRequest::Cancel,
+            since: at,
+        };
+        self.push(at, event);
+    }
+
+    /// All controllers are asked within milliseconds, and the submission is sent again.
+    pub(super) fn probe_all_controllers(&mut self, job: &str) {
+        if self.now >= self.faults.probes_until {
+            return;
+        }
+        for controller in 0..self.settings.len() {
+            for request in [UserRequest::Poll, UserRequest::Submit, UserRequest::Poll] {
+                let at = self.now + self.rng.gen_range(0..PROBE_SPREAD);
+                let event = Event::UserProbe {
+                    job: job.to_string(),
+                    request,
+                    controller,
+                };
+                self.push(at, event);
+            }
+        }
+        if self.rng.gen_bool(PROBED_CANCELLED) {
+            let at = self.now + self.rng.gen_range(0..PROBE_SPREAD);
+            self.cancel_at(job, at);
+        }
+    }
+
+    /// The last task of a job has just ended on its machine.
+    pub(super) fn on_job_ended(&mut self, job: &str) {
+        if self.faults.cancel_at_end.draw(self.now, &mut self.rng) {
+            let at = self.now + self.rng.gen_range(0..CANCEL_SPREAD);
+            self.cancel_at(job, at);
+        }
+    }
+
+    /// Users cancel so many of the jobs that run and have long to go, within a fifth of a
+    /// second; with `hang`, up to eight of their machines hang for so long.
+    pub fn cancel_running(&mut self, count: usize, hang: Micros) {
+        let mut hung = 0;
+        for (job, machines) in self.longest_running_jobs().into_iter().take(count) {
+            let at = self.now + self.rng.gen_range(0..CANCEL_SPREAD);
+            self.cancel_at(&job, at);
+            for machine in machines {
+                let worker = self.workers.get_mut(&machine).filter(|_| hang > 0);
+                let Some(worker) = worker else { continue };
+                if hung < MAX_HUNG && worker.faults.hang_until < self.now {
+                    hung += 1;
+                    let until = self.now + hang;
+                    worker.faults.hang_until = until;
+                    self.resume_machine_at(machine, until);
+                }
+            }
+        }
+    }
+
+    /// Jobs that nobody cancelled and their machines, those with the longest tasks first.
+    fn longest_running_jobs(&self) -> Vec<(String, Vec<u64>)> {
+        let mut running: BTreeMap<String, Vec<u64>> = BTreeMap::new();
+        for (id, worker) in &self.workers {
+            for task in worker.running() {
+                let job = job_id(&task.task_id).to_string();
+                let machines = running.entry(job).or_default();
+                if machines.last() != Some(id) {
+                    machines.push(*id);
+                }
+            }
+        }
+        let open = |job: &String| {
+            let view = self.users.views.get(job);
+            view.is_some_and(|v| v.accepted && !v.asked_cancel && !v.done)
+        };
+        let mut jobs: Vec<(String, Vec<u64>)> =
+            running.into_iter().filter(|(job, _)| open(job)).collect();
+        let run_s = |job: &str| self.jobs.get(job).map_or(0.0, |plan| plan.run_s);
+        jobs.sort_by(|a, b| run_s(&b.0).total_cmp(&run_s(&a.0)));
+        jobs
+    }
+}
--- a/crates/sim/src/cluster/links.rs
+++ b/crates/sim/src/cluster/links.rs
@@ -1,66 +1,75 @@
-//! Links of controllers and zones: what passes, what is held, what is lost.
+//! Links of controllers and zones: which messages pass, which are held, which are lost.
 
-use super::*;
+use super::Sim;
+use crate::fault_injection::{Cut, LinkKind};
+use beamhinge_emulator::Micros;
+
+/// How long the state service takes for a request, microseconds; multiplied while it is slow.
+const STATE_TIME: f64 = 3_000.0;
+/// What a cut held is delivered this long after its end.
+const AFTER_CUT: Micros = 1_000;
 
 /// The far end of a controller's link.
 #[derive(Clone, Copy)]
 pub(super) enum LinkEnd<'a> {
     State,
     Cloud,
+    /// Another controller.
     Peer(usize),
+    /// A worker in this zone.
     Worker(&'a str),
 }
 
 impl Sim {
-    pub(super) fn cut(&self, node: usize, what: &str) -> bool {
-        self.cuts
-            .get(&(node, what.to_string()))
-            .is_some_and(|(until, _)| self.now < *until)
-    }
-
     /// The zone that a controller is in.
-    pub fn area(&self, node: usize) -> &str {
-        &self.settings[node].area
-    }
-
-    pub(super) fn zone_is_cut(&self, zone: &str) -> bool {
-        self.zone_cuts
-            .get(zone)
-            .is_some_and(|(until, _)| self.now < *until)
+    #[must_use]
+    pub fn zone(&self, controller: usize) -> &str {
+        &self.settings[controller].area
     }
 
-    /// When a message over a controller's link arrives that would do so at `at`;
-    /// none: it is lost.
-    pub(super) fn passes(&self, node: usize, far: LinkEnd, at: Micros) -> Option<Micros> {
-        let (what, elsewhere) = match far {
-            LinkEnd::State => ("state", None),
-            LinkEnd::Cloud => ("cloud", None),
-            LinkEnd::Peer(p) => ("peers", Some(self.area(p))),
-            LinkEnd::Worker(zone) => ("workers", Some(zone)),
+    /// When a message over a controller's link arrives that would do so at `at`; none: it is
+    /// lost.
+    pub(super) fn passes(&self, controller: usize, end: LinkEnd, at: Micros) -> Option<Micros> {
+        let (kind, far_zone) = match end {
+            LinkEnd::State => (LinkKind::State, None),
+            LinkEnd::Cloud => (LinkKind::Cloud, None),
+            LinkEnd::Peer(peer) => (LinkKind::Peers, Some(self.zone(peer))),
+            LinkEnd::Worker(zone) => (LinkKind::Workers, Some(zone)),
         };
-        let mut broken: Vec<(Micros, bool)> = Vec::new();
-        broken.extend(self.cuts.get(&(node, what.to_string())));
-        if let LinkEnd::Peer(p) = far {
-            broken.extend(self.cuts.get(&(p, what.to_string())));
+        let faults = &self.faults;
+        let mut cuts: Vec<Cut> = Vec::new();
+        cuts.extend(faults.link_cuts.get(&(controller, kind)));
+        if let LinkEnd::Peer(peer) = end {
+            cuts.extend(faults.link_cuts.get(&(peer, kind)));
         }
-        let at = at + self.link_delay();
-        let area = self.area(node);
-        if elsewhere != Some(area) {
-            broken.extend(self.zone_cuts.get(area));
-            broken.extend(elsewhere.and_then(|z| self.zone_cuts.get(z)));
+        let zone = self.zone(controller);
+        if far_zone != Some(zone) {
+            cuts.extend(faults.zone_cuts.get(zone));
+            cuts.extend(far_zone.and_then(|far| faults.zone_cuts.get(far)));
         }
-        broken.retain(|(until, _)| self.now < *until);
-        match broken.iter().map(|(until, _)| *until).max() {
+        cuts.retain(|cut| self.now < cut.until);
+        let at = at + faults.link_delay.get(self.now).unwrap_or(0);
+        match cuts.iter().map(|cut| cut.until).max() {
             None => Some(at),
-            Some(until) if broken.iter().all(|(_, held)| *held) => Some(until.max(at) + 1_000),
+            Some(until) if cuts.iter().all(|cut| cut.holds) => Some(until.max(at) + AFTER_CUT),
             Some(_) => None,
         }
     }
 
+    /// The zone of a machine; empty if it is gone.
     pub(super) fn worker_zone(&self, machine: u64) -> String {
-        self.workers
-            .get(&machine)
-            .map(|w| w.zone.clone())
-            .unwrap_or_default()
+        let worker = self.workers.get(&machine);
+        worker.map(|w| w.zone.clone()).unwrap_or_default()
+    }
+
+    /// How much longer the state service takes now.
+    pub(super) fn state_delay(&self) -> Micros {
+        let slowdown = self.faults.state_slowdown.get(self.now);
+        slowdown.map_or(0, |factor| (factor * STATE_TIME) as Micros)
+    }
+
+    /// When a copy of what is sent now arrives, if one is made.
+    pub(super) fn draw_copy(&mut self) -> Option<Micros> {
+        self.faults.duplication.draw(self.now, &mut self.rng)
     }
 }
--- a/crates/sim/src/cluster/users.rs
+++ b/crates/sim/src/cluster/users.rs
@@ -1,212 +1,257 @@
-//! Users and operators: what they send, and what they do with the answers.
+//! Users: what they send, and what they do with the answers.
 
-use super::*;
+use super::{Requester, Sim, UserCall};
+use crate::event::{Event, Trigger};
+use crate::fault_injection::Temporary;
+use beamhinge_core::http::Method;
+use beamhinge_core::wire;
+use beamhinge_emulator::user::{FollowUp, UserAnswer, UserJobView, UserRequest};
+use beamhinge_emulator::{decode, JobPlan, Micros, SECOND};
+use rand::Rng;
+use std::collections::{BTreeMap, BTreeSet};
 
-impl Sim {
-    pub(super) fn ask_again(&mut self, mut q: OperatorRequest) {
-        q.tries = q.tries.saturating_sub(1);
-        if q.tries > 0 {
-            self.push(self.now + SECOND / 2, Event::OperatorAsks(q));
-        }
+/// How long a user waits for an answer to a poll, and to other requests.
+const POLL_TIMEOUT: Micros = 2 * SECOND;
+const REQUEST_TIMEOUT: Micros = 5 * SECOND;
+/// A request without an answer is repeated after this long, a poll after that, seconds.
+const RETRY_S: f64 = 1.0;
+const POLL_S: f64 = 5.0;
+/// A submission or a cancellation is not repeated any more this long after the first.
+const GIVE_UP: Micros = 60 * SECOND;
+
+/// All users, and what they were told.
+#[derive(Default)]
+pub struct Users {
+    /// What the users of each job were told.
+    pub views: BTreeMap<String, UserJobView>,
+    /// The controller that the next user who sends something asks.
+    pub next_controller: Option<usize>,
+    /// Jobs that cannot run or lack a field.
+    pub unsound: BTreeSet<String>,
+    /// Those of them that were accepted.
+    pub unsound_accepted: BTreeSet<String>,
+    /// Users who poll this job get no answer: for the check of that rule.
+    pub ignored_job: Option<String>,
+    /// Jobs about which a request is open since the last fault ended.
+    pub(super) open: BTreeMap<String, Micros>,
+    /// The longest that a request was open after the last fault.
+    pub longest_open: Micros,
+    /// Users poll so many times as often.
+    pub poll_storm: Temporary<f64>,
+    /// Users poll a job no more often than this, seconds.
+    pub min_poll_s: f64,
+    /// Jobs that have not started.
+    pub unstarted: BTreeSet<String>,
+    /// When each job started first.
+    pub first_starts: Vec<(String, Micros)>,
+    /// Requests that were never answered.
+    pub unanswered: u64,
+}
+
+impl Users {
+    /// Jobs that were accepted.
+    #[must_use]
+    pub fn accepted_jobs(&self) -> Vec<String> {
+        let accepted = self.views.iter().filter(|(_, view)| view.accepted);
+        accepted.map(|(id, _)| id.clone()).collect()
     }
 
-    pub(super) fn operator_asks(&mut self, q: OperatorRequest) {
-        let up: Vec<usize> = (0..self.nodes.len())
-            .filter(|i| self.nodes[*i].is_some())
-            .collect();
-        let node = match q.node {
-            Some(n) if self.nodes[n].is_some() => n,
-            None if !up.is_empty() => up[self.rng.gen_range(0..up.len())],
-            _ => return self.ask_again(q),
-        };
-        let id = RequestId {
-            slot: 1,
-            generation: self.next_request + 1,
-        };
-        self.next_request += 1;
-        let req = Request {
-            method: q.method,
-            path: q.path.clone(),
-            body: q.body.clone().into_bytes(),
-            close: false,
-            authorization: None,
-        };
-        // What the load balancer asks, it asks at the users' door.
-        let listener = if q.path == "/up" {
-            0
-        } else {
-            beamhinge_controller::node::ADMIN_LISTENER
-        };
-        self.callers
-            .insert((node, id.generation), Requester::Operator(q));
-        self.with_node(node, |n, now, wall, out| {
-            n.on_request(now, wall, listener, id, req, out)
-        });
+    /// Whether a job was accepted.
+    #[must_use]
+    pub fn is_accepted(&self, job: &str) -> bool {
+        self.views.get(job).is_some_and(|view| view.accepted)
     }
 
-    /// Words that stand for what is there at the moment.
-    pub fn expand(&self, text: &str) -> String {
-        let busiest = self.workers.iter().max_by_key(|(_, w)| w.running().count());
-        let machine = busiest.map_or(String::new(), |(id, _)| format!("n-{id:06}"));
-        let leader = self
-            .leader()
-            .map_or(String::new(), |n| self.settings[n].label.clone());
-        text.replace("$busiest", &machine)
-            .replace("$leader", &leader)
+    /// When the user was told that a job is cancelled.
+    #[must_use]
+    pub fn cancelled_at(&self, job: &str) -> Option<Micros> {
+        self.views.get(job).and_then(|view| view.cancelled)
     }
+}
 
-    pub(super) fn user_sends(&mut self, job: String, what: UserRequest, since: Micros) {
-        let up: Vec<usize> = (0..self.nodes.len())
-            .filter(|i| self.nodes[*i].is_some() && self.now >= self.frozen[*i])
-            .filter(|i| !self.zone_is_cut(self.area(*i)))
+impl Sim {
+    /// A user sends a request to some controller.
+    pub(super) fn user_sends(&mut self, job: String, request: UserRequest, since: Micros) {
+        let reachable: Vec<usize> = self
+            .running_controllers()
+            .filter(|i| self.now >= self.faults.frozen_until[*i])
+            .filter(|i| !self.faults.zone_is_cut(self.now, self.zone(*i)))
             .collect();
-        if up.is_empty() {
-            return self.retry(job, what, since, 1.0);
+        if reachable.is_empty() {
+            return self.repeat(job, request, since, RETRY_S);
+        }
+        let any = reachable[self.rng.gen_range(0..reachable.len())];
+        let wanted = self.users.next_controller.take();
+        let controller = wanted.filter(|w| reachable.contains(w)).unwrap_or(any);
+        self.ask(
+            controller,
+            UserCall {
+                job,
+                request,
+                since,
+                sent: self.now,
+                probe: false,
+            },
+        );
+    }
+
+    /// A user sends an additional request, if the job was accepted.
+    pub(super) fn user_probes(&mut self, job: String, request: UserRequest, controller: usize) {
+        if self.controllers[controller].is_some() && self.users.is_accepted(&job) {
+            let now = self.now;
+            self.ask(
+                controller,
+                UserCall {
+                    job,
+                    request,
+                    since: now,
+                    sent: now,
+                    probe: true,
+                },
+            );
         }
-        let any = up[self.rng.gen_range(0..up.len())];
-        let node = self
-            .asks_at
-            .take()
-            .filter(|n| up.contains(n))
-            .unwrap_or(any);
-        self.ask(node, job, what, since, false);
     }
 
-    /// A user's question goes to this node; who only looks asks once.
-    pub(super) fn ask(
-        &mut self,
-        node: usize,
-        job: String,
-        what: UserRequest,
-        since: Micros,
-        look: bool,
-    ) {
-        if self.healed.is_some() && !look {
-            self.asked.entry(job.clone()).or_insert(self.now);
+    /// A user's request goes to this controller.
+    fn ask(&mut self, controller: usize, call: UserCall) {
+        if self.healed.is_some() && !call.probe {
+            let open = &mut self.users.open;
+            open.entry(call.job.clone()).or_insert(self.now);
         }
-        let told = self.told.entry(job.clone()).or_default();
-        let (method, path, body) = match what {
+        let job = &call.job;
+        let view = self.users.views.entry(job.clone()).or_default();
+        let (method, path, body) = match call.request {
             UserRequest::Submit => {
-                told.submitted = true;
-                let body = self
-                    .jobs
-                    .get(&job)
-                    .map(|j| wire::encode(&j.body))
-                    .unwrap_or_default();
+                view.submitted = true;
+                let plan = self.jobs.get(job);
+                let body = plan.map(|p| wire::encode(&p.body)).unwrap_or_default();
                 (Method::Post, "/api/jobs".to_string(), body)
             }
             UserRequest::Poll => (Method::Get, format!("/api/jobs/{job}"), Vec::new()),
             UserRequest::Cancel => {
-                told.asked_cancel = true;
+                view.asked_cancel = true;
                 (Method::Post, format!("/api/jobs/{job}/cancel"), Vec::new())
             }
         };
-        let serial = self.next_request + 1;
-        let asked = self.now;
-        self.callers.insert(
-            (node, serial),
-            Requester::User {
-                job,
-                what,
-                since,
-                asked,
-                look,
-            },
-        );
-        let patience = if what == UserRequest::Poll { 2 } else { 5 } * SECOND;
-        self.push(self.now + patience, Event::UserGivesUp { request: serial });
-        self.request(node, method, &path, body);
+        let timeout = match call.request {
+            UserRequest::Poll => POLL_TIMEOUT,
+            UserRequest::Submit | UserRequest::Cancel => REQUEST_TIMEOUT,
+        };
+        let number = self.last_request + 1;
+        self.requesters
+            .insert((controller, number), Requester::User(call));
+        let event = Event::UserGivesUp { request: number };
+        self.push(self.now + timeout, event);
+        self.request(controller, method, &path, body);
+    }
+
+    /// A user waits no longer for an answer.
+    pub(super) fn user_gives_up(&mut self, request: u64) {
+        let key = self.requesters.keys().find(|(_, r)| *r == request).copied();
+        let requester = key.and_then(|key| self.requesters.remove(&key));
+        if let Some(Requester::User(call)) = requester {
+            if !call.probe {
+                self.users.unanswered += 1;
+                self.retry_lost(call);
+            }
+        }
+    }
+
+    /// A request got no answer.
+    pub(super) fn retry_lost(&mut self, call: UserCall) {
+        self.repeat(call.job, call.request, call.since, RETRY_S);
     }
 
-    pub(super) fn retry(&mut self, job: String, what: UserRequest, since: Micros, after_s: f64) {
-        if what != UserRequest::Poll && self.now > since + 60 * SECOND {
+    fn repeat(&mut self, job: String, request: UserRequest, since: Micros, after_s: f64) {
+        let is_poll = request == UserRequest::Poll;
+        if !is_poll && self.now > since + GIVE_UP {
             return;
         }
-        let after_s = if what == UserRequest::Poll {
-            5.0
-        } else {
-            after_s
-        };
+        let after_s = if is_poll { POLL_S } else { after_s };
         self.push(
-            self.now + (after_s * 1e6) as u64,
-            Event::UserSends { job, what, since },
+            self.now + (after_s * 1e6) as Micros,
+            Event::UserSends {
+                job,
+                request,
+                since,
+            },
         );
     }
 
-    pub(super) fn user_answered(
-        &mut self,
-        job: String,
-        what: UserRequest,
-        (since, asked): (Micros, Micros),
-        look: bool,
-        status: u16,
-        body: &[u8],
-    ) {
-        if what == UserRequest::Poll && self.untold.as_ref() == Some(&job) {
-            return self.retry(job, what, since, 1.0);
+    /// A controller answers a user.
+    pub(super) fn on_user_answer(&mut self, call: UserCall, status: u16, body: &[u8]) {
+        let ignored = self.users.ignored_job.as_ref() == Some(&call.job);
+        if call.request == UserRequest::Poll && ignored {
+            return self.retry_lost(call);
         }
         let value = decode(body);
-        let state = value["status"].as_str().unwrap_or("").to_string();
-        let total = self
-            .jobs
-            .get(&job)
-            .and_then(|j| j.body["pieces"].as_u64())
-            .unwrap_or(0);
-        let done = self.results_of(&job);
-        let now = self.now;
+        let job = &call.job;
+        let plan = self.jobs.get(job);
+        let total = plan.and_then(JobPlan::declared_tasks).unwrap_or(0);
+        let complete = self.checks.finished_tasks(job) >= total;
         if status < 500 {
-            if let (Some(at), Some(healed)) = (self.asked.remove(&job), self.healed) {
-                self.longest_open = self.longest_open.max(self.now - at.max(healed));
-            }
+            self.close_question(job);
         }
-        let told = self.told.entry(job.clone()).or_default();
-        let before = (told.accepted, told.over);
-        let cancelled = told.cancelled;
-        let Assessment {
-            violations: broken,
-            follow_up: next,
-        } = told.on_answer(&UserAnswer {
-            asked,
-            received: now,
-            request: what,
+        let answer = UserAnswer {
+            asked: call.sent,
+            received: self.now,
+            request: call.request,
             status,
-            state: &state,
-            complete: done >= total,
-        });
-        let news = (told.accepted, told.over) != before;
-        let cancelled = told.cancelled != cancelled;
-        if told.accepted && self.odd.contains(&job) {
-            self.invalid.insert(job.clone());
+            state: value["status"].as_str().unwrap_or(""),
+            complete,
+        };
+        let view = self.users.views.entry(job.clone()).or_default();
+        let before = (view.accepted, view.over, view.cancelled);
+        let assessment = view.on_answer(&answer);
+        let cancelled = view.cancelled != before.2;
+        let news = (view.accepted, view.over) != (before.0, before.1);
+        if view.accepted && self.users.unsound.contains(job) {
+            self.users.unsound_accepted.insert(job.clone());
         }
         if news {
-            self.look_closely(&job);
+            self.probe_all_controllers(job);
         }
-        let next = next.filter(|_| !look);
         if cancelled {
-            self.happened("cancelled");
+            self.trigger(Trigger::Cancelled);
         }
-        for rule in broken {
-            self.break_rule(rule, &job);
+        for rule in assessment.violations {
+            self.checks.violate(self.now, rule, job);
         }
-        match next {
-            Some(FollowUp::Retry(after_s)) => self.retry(job, what, since, after_s),
-            Some(FollowUp::Poll(after_s)) => self.push(
-                now + (after_s.max(self.polls_s) / self.often() * 1e6) as u64,
-                Event::UserSends {
-                    job,
-                    what: UserRequest::Poll,
-                    since: now,
-                },
-            ),
-            None => {}
+        if !call.probe {
+            self.follow_up(call, assessment.follow_up);
+        }
+    }
+
+    /// A request about a job was answered.
+    fn close_question(&mut self, job: &str) {
+        let opened = self.users.open.remove(job);
+        if let (Some(opened), Some(healed)) = (opened, self.healed) {
+            let open = self.now - opened.max(healed);
+            self.users.longest_open = self.users.longest_open.max(open);
         }
     }
 
-    /// How many times as often users ask now.
-    pub(super) fn often(&self) -> f64 {
-        match self.storm {
-            (factor, until) if self.now < until => factor.max(1.0),
-            _ => 1.0,
+    fn follow_up(&mut self, call: UserCall, follow_up: Option<FollowUp>) {
+        match follow_up {
+            Some(FollowUp::Retry(after_s)) => {
+                self.repeat(call.job, call.request, call.since, after_s);
+            }
+            Some(FollowUp::Poll(after_s)) => {
+                let after_s = after_s.max(self.users.min_poll_s) / self.poll_factor();
+                let event = Event::UserSends {
+                    job: call.job,
+                    request: UserRequest::Poll,
+                    since: self.now,
+                };
+                self.push(self.now + (after_s * 1e6) as Micros, event);
+            }
+            None => {}
         }
     }
+
+    /// How many times as often users poll now.
+    fn poll_factor(&self) -> f64 {
+        let storm = self.users.poll_storm.get(self.now);
+        storm.map_or(1.0, |factor| factor.max(1.0))
+    }
 }
--- /dev/null
+++ b/crates/sim/src/days/generator.rs
@@ -0,0 +1,126 @@
+//! The draws of a day: its script, and how often each kind of fault is in it.
+
+use rand::rngs::StdRng;
+use rand::seq::SliceRandom;
+use rand::Rng;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+/// What a day is drawn from, and what its faults are scaled by.
+pub(super) struct DayGenerator {
+    pub(super) rng: StdRng,
+    pub(super) machines: f64,
+    /// The workers' lease, seconds.
+    pub(super) lease_s: f64,
+    /// When the day ends, seconds.
+    pub(super) end_s: f64,
+    pub(super) next_job: u64,
+    pub(super) lines: String,
+    pub(super) fault_counts: BTreeMap<&'static str, u32>,
+}
+
+/// One of some words.
+pub(super) fn choose<'a>(rng: &mut StdRng, words: &[&'a str], default: &'a str) -> &'a str {
+    words.choose(rng).copied().unwrap_or(default)
+}
+
+impl DayGenerator {
+    pub(super) fn new(rng: StdRng, machines: f64) -> DayGenerator {
+        DayGenerator {
+            rng,
+            machines,
+            lease_s: 0.0,
+            end_s: 0.0,
+            next_job: 1,
+            lines: String::new(),
+            fault_counts: BTreeMap::new(),
+        }
+    }
+
+    pub(super) fn between(&mut self, low: f64, high: f64) -> f64 {
+        if high <= low {
+            return low;
+        }
+        self.rng.gen_range(low..high)
+    }
+
+    pub(super) fn one_of(&mut self, values: &[f64]) -> f64 {
+        values.choose(&mut self.rng).copied().unwrap_or(1.0)
+    }
+
+    /// Adds a line of no kind that is counted.
+    pub(super) fn line(&mut self, at: f64, line: &str) {
+        // Writing to a string cannot fail.
+        let _ = writeln!(self.lines, "at {at:.1} {line}");
+    }
+
+    /// Adds a line of a kind that is counted.
+    pub(super) fn counted_line(&mut self, at: f64, kind: &'static str, line: &str) {
+        self.line(at, line);
+        *self.fault_counts.entry(kind).or_default() += 1;
+    }
+
+    /// The ids of so many jobs; returns the first.
+    pub(super) fn reserve_jobs(&mut self, count: u64) -> u64 {
+        let first = self.next_job;
+        self.next_job += count;
+        first
+    }
+
+    /// A team without a guarantee, with work of some of these kinds: one huge array, very
+    /// many single tasks, idle-time work on large machines; and jobs with a mistake, users
+    /// who poll often. `cpus`: of all machines; `large`: number of large machines.
+    pub(super) fn guests(&mut self, cpus: f64, large: f64) {
+        let at = self.between(10.0, self.end_s * 0.5);
+        let first = self.reserve_jobs(10_000);
+        let rest = "urgency=best_effort team=two";
+        if self.rng.gen_bool(0.6) {
+            let tasks = (cpus * self.between(0.2, 0.6) / 2.0).clamp(50.0, 6_000.0);
+            let line = format!(
+                "submit job-{first} class=sweep tasks={tasks:.0} cpus=2 run=40 image=sweep {rest}"
+            );
+            self.counted_line(at, "huge_array", &line);
+        }
+        if self.rng.gen_bool(0.6) {
+            let every = self.one_of(&[0.1, 0.2, 0.5]);
+            let count = ((self.end_s - 20.0 - at) / every).clamp(10.0, 1_500.0);
+            let line = format!(
+                "stream {} count={count:.0} every={every} tasks=1 cpus=0.25 run=30 class=pings \
+                 image=pings {rest}",
+                first + 1_000
+            );
+            self.counted_line(at, "single_tasks", &line);
+        }
+        if large >= 4.0 && self.rng.gen_bool(0.6) {
+            let tasks = (large * self.between(0.5, 1.5)).ceil();
+            let line = format!(
+                "stream {} count=2 every=5 tasks={tasks:.0} cpus=16 run=40 class=idle image=idle \
+                 saves {rest}",
+                first + 5_000
+            );
+            self.counted_line(at, "idle_time", &line);
+        }
+        if self.rng.gen_bool(0.5) {
+            let line = format!(
+                "stream {} count=12 every=8 tasks=8 cpus=2 run=12 class=prompt urgency=high \
+                 due=40 broken=0.4",
+                first + 6_000
+            );
+            self.counted_line(at, "mistakes", &line);
+        }
+        if self.rng.gen_bool(0.4) {
+            let line = format!("poll-storm factor=8 for={:.0}", self.between(20.0, 60.0));
+            self.counted_line(at + 20.0, "poll_storm", &line);
+        }
+    }
+
+    /// One controller is down, and the leader stands still: one is left.
+    pub(super) fn one_controller_left(&mut self, at: f64) {
+        self.counted_line(at, "alone", "crash follower");
+        let (then, stands) = (self.between(2.0, 20.0), self.between(5.0, 40.0));
+        self.line(at + then, &format!("freeze leader {stands:.1}"));
+        // Before the day's end: a line that is due later would never be played.
+        let back = (at + self.between(40.0, 90.0)).min(self.end_s - 1.0);
+        self.line(back, "start-all");
+    }
+}
--- a/crates/sim/src/effective_quotas.rs
+++ b/crates/sim/src/effective_quotas.rs
@@ -10,101 +10,114 @@
 /// Chunks of the stored overlay (`beamhinge_configuration::stored`).
 const CHUNKS: usize = beamhinge_configuration::stored::CHUNKS;
 
-/// The limits of all teams from one moment on, CPUs; 0: none.
+/// The limits of all teams, CPUs; zero: none.
 type Limits = BTreeMap<String, f64>;
 
+/// The limits from a time on.
+struct LimitsSince {
+    at: Micros,
+    limits: Limits,
+}
+
+/// A version that some controller does not serve by yet.
+struct PendingVersion {
+    version: u64,
+    made: Micros,
+}
+
+/// The limits that were in force at any time, and how soon changes were.
 #[derive(Default)]
 pub struct EffectiveQuotas {
     head: Option<serde_json::Value>,
-    log: Vec<(Micros, Limits)>,
-    /// Versions that some controller does not serve by yet, and when they were made.
-    pending: Vec<(u64, Micros)>,
+    /// Oldest first; empty if nothing was ever changed.
+    history: Vec<LimitsSince>,
+    pending: Vec<PendingVersion>,
     /// How long each version took until all controllers served by it or a newer one.
-    pub took: Vec<Micros>,
+    pub rollout_times: Vec<Micros>,
 }
 
 impl EffectiveQuotas {
     /// Whether anything was ever changed.
+    #[must_use]
     pub fn is_changed(&self) -> bool {
-        !self.log.is_empty()
+        !self.history.is_empty()
     }
 
     /// How many changes were made.
+    #[must_use]
     pub fn changes(&self) -> usize {
-        self.log.len().saturating_sub(1)
+        self.history.len().saturating_sub(1)
     }
 
-    /// Looks at the state service after a transaction.
-    pub fn look(&mut self, now: Micros, state: &StateService, (base, nodes): (&[Team], usize)) {
+    /// Looks at the state service after a transaction; `base`: the teams of the settings.
+    pub fn update(&mut self, now: Micros, state: &StateService, base: &[Team], controllers: usize) {
         let head = state.get("c/head");
         if head == self.head.as_ref() {
-            return self.look_at_members(now, state, nodes);
+            return self.update_rollouts(now, state, controllers);
         }
         if let Some(version) = head.and_then(|h| h["version"].as_u64()) {
-            self.pending.push((version, now));
+            self.pending.push(PendingVersion { version, made: now });
         }
         self.head = head.cloned();
         let mut limits: Limits = base.iter().map(|t| (t.name.clone(), t.cpus_max)).collect();
-        if self.log.is_empty() {
-            self.log.push((0, limits.clone()));
+        if self.history.is_empty() {
+            self.history.push(LimitsSince {
+                at: 0,
+                limits: limits.clone(),
+            });
         }
         for chunk in (0..CHUNKS).filter_map(|n| state.get(&format!("c/t/{n}"))) {
             for (team, stored) in chunk["t"].as_object().into_iter().flatten() {
-                limits.insert(
-                    team.clone(),
-                    stored["q"]["cpus_max"].as_f64().unwrap_or(0.0),
-                );
+                let limit = stored["q"]["cpus_max"].as_f64().unwrap_or(0.0);
+                limits.insert(team.clone(), limit);
             }
         }
-        self.log.push((now, limits));
+        self.history.push(LimitsSince { at: now, limits });
     }
 
-    /// Which versions all controllers serve by, by the keys that they keep.
-    fn look_at_members(&mut self, now: Micros, state: &StateService, nodes: usize) {
+    /// Looks by which versions the controllers serve, by the keys that they keep.
+    fn update_rollouts(&mut self, now: Micros, state: &StateService, controllers: usize) {
         if self.pending.is_empty() {
             return;
         }
         let label = |n: usize| char::from(b'a' + n as u8);
-        let versions = (0..nodes).map(|n| {
+        let versions = (0..controllers).map(|n| {
             let member = state.get(&format!("c/m/{}", label(n)));
             member.and_then(|m| m["version"].as_u64())
         });
         // One that is away serves by none.
-        let Some(all) = versions.collect::<Option<Vec<u64>>>() else {
+        let Some(versions) = versions.collect::<Option<Vec<u64>>>() else {
             return;
         };
-        let least = all.into_iter().min().unwrap_or(0);
-        let took = self.pending.iter().filter(|(version, _)| *version <= least);
-        self.took.extend(took.map(|(_, at)| now - at));
-        self.pending.retain(|(version, _)| *version > least);
+        let oldest = versions.into_iter().min().unwrap_or(0);
+        let done = self.pending.iter().filter(|p| p.version <= oldest);
+        self.rollout_times.extend(done.map(|p| now - p.made));
+        self.pending.retain(|p| p.version > oldest);
     }
 
-    /// The limit of a team now; 0: none.
-    pub fn now(&self, team: &str) -> f64 {
-        self.log
-            .last()
-            .and_then(|(_, limits)| limits.get(team))
-            .copied()
-            .unwrap_or(0.0)
+    /// The limit of a team now; zero: none.
+    #[must_use]
+    pub fn current(&self, team: &str) -> f64 {
+        let current = self.history.last();
+        let limit = current.and_then(|since| since.limits.get(team));
+        limit.copied().unwrap_or(0.0)
     }
 
-    /// The most that a start may bring a team to: the highest limit of the last seconds.
-    /// None: no bound.
+    /// The most that a start may bring a team to: the highest limit of the last
+    /// [`IN_FORCE_S`] seconds. None: no bound.
+    #[must_use]
     pub fn allowed(&self, now: Micros, team: &str) -> Option<f64> {
         let since = now.saturating_sub(IN_FORCE_S * SECOND);
         // Those that came since, and the one that stood then.
-        let stood = self
-            .log
+        let first = self.history.iter().rposition(|l| l.at <= since);
+        let first = first.unwrap_or(0).min(self.history.len());
+        let limits: Vec<f64> = self.history[first..]
             .iter()
-            .rposition(|(at, _)| *at <= since)
-            .unwrap_or(0);
-        let limits = self.log[stood.min(self.log.len())..].iter();
-        let all: Vec<f64> = limits
-            .map(|(_, l)| l.get(team).copied().unwrap_or(0.0))
+            .map(|l| l.limits.get(team).copied().unwrap_or(0.0))
             .collect();
-        if all.is_empty() || all.iter().any(|limit| *limit <= 0.0) {
+        if limits.is_empty() || limits.iter().any(|limit| *limit <= 0.0) {
             return None;
         }
-        all.into_iter().reduce(f64::max)
+        limits.into_iter().reduce(f64::max)
     }
 }
--- /dev/null
+++ b/crates/sim/src/event.rs
@@ -0,0 +1,290 @@
+//! What happens in simulated time: the events of the cluster's queue.
+
+use beamhinge_core::http::Method;
+use beamhinge_core::types::CallId;
+use beamhinge_emulator::user::UserRequest;
+use beamhinge_emulator::{Micros, Response};
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
+
+/// The process of a controller: a controller that restarts is another process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Process {
+    /// Number of the controller.
+    pub controller: usize,
+    /// How often it has started and ended before.
+    pub generation: u64,
+}
+
+/// A call of a controller to one of the services that it needs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CallOrigin {
+    /// Who called.
+    pub process: Process,
+    /// The process's own id of the call.
+    pub call: CallId,
+}
+
+/// A request to the state service.
+#[derive(Clone, Debug)]
+pub struct StateRequest {
+    /// Who sent it.
+    pub origin: CallOrigin,
+    /// HTTP method.
+    pub method: Method,
+    /// Path with its query.
+    pub path: String,
+    /// Encoded body.
+    pub body: Vec<u8>,
+    /// It is carried out, and its answer is lost.
+    pub answer_lost: bool,
+    /// How much longer its answer takes.
+    pub answer_delay: Micros,
+}
+
+/// A request to the cloud.
+#[derive(Clone, Debug)]
+pub struct CloudRequest {
+    /// Who sent it.
+    pub origin: CallOrigin,
+    /// HTTP method.
+    pub method: Method,
+    /// Path with its query.
+    pub path: String,
+    /// Encoded body.
+    pub body: Vec<u8>,
+    /// Held back by a cut link: it acts when nobody means it any more.
+    pub late: bool,
+}
+
+/// A report of a worker on its way to a controller.
+#[derive(Clone, Debug)]
+pub struct Report {
+    /// Number of the worker's machine.
+    pub machine: u64,
+    /// Number of the controller.
+    pub controller: usize,
+    /// The worker's own number of the report.
+    pub serial: u64,
+    /// Encoded report.
+    pub body: Vec<u8>,
+}
+
+impl Report {
+    /// Serial number of a copy: no worker waits for its answer.
+    const COPY: u64 = 0;
+
+    /// A copy of a report: nobody waits for its answer.
+    #[must_use]
+    pub fn copy(machine: u64, controller: usize, body: Vec<u8>) -> Report {
+        Report {
+            machine,
+            controller,
+            serial: Report::COPY,
+            body,
+        }
+    }
+}
+
+/// A request of an operator, repeated while the answer is to come back later.
+#[derive(Clone, Debug)]
+pub struct OperatorRequest {
+    /// Under which its answer is kept.
+    pub name: String,
+    /// A certain controller, or any that runs.
+    pub controller: Option<usize>,
+    /// HTTP method.
+    pub method: Method,
+    /// Path with its query.
+    pub path: String,
+    /// Body as text.
+    pub body: String,
+    /// How often it may still be sent.
+    pub tries: u32,
+}
+
+/// What a scenario can wait for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Trigger {
+    /// A new leader wrote the leadership block.
+    Takeover,
+    /// A user is told that a job is cancelled.
+    Cancelled,
+    /// A worker takes its first answer with a new fencing token.
+    NewToken,
+}
+
+/// An action of the scenario that waits for something to happen.
+#[derive(Clone, Debug)]
+pub struct ArmedAction {
+    /// What it waits for.
+    pub trigger: Trigger,
+    /// How long after that it is done.
+    pub delay: Micros,
+    /// The words of the action.
+    pub words: Vec<String>,
+}
+
+/// A line of the scenario that is due.
+#[derive(Clone, Debug)]
+pub enum ScriptStep {
+    /// The action with this index.
+    Line(usize),
+    /// An action that waited for something to happen.
+    Armed(Vec<String>),
+}
+
+/// Something that happens at a point of simulated time.
+#[derive(Debug)]
+pub enum Event {
+    /// A controller's timers run.
+    Tick(Process),
+    /// A request reaches the state service.
+    StateRequest(StateRequest),
+    /// A request reaches the cloud.
+    CloudRequest(CloudRequest),
+    /// A direct command reaches a worker.
+    WorkerCommand {
+        /// Who sent it.
+        origin: CallOrigin,
+        /// Number of the worker's machine.
+        machine: u64,
+        /// Encoded command.
+        body: Vec<u8>,
+    },
+    /// A call of a controller is answered, or times out.
+    Reply {
+        /// Who called.
+        origin: CallOrigin,
+        /// The answer; none in time.
+        reply: Option<Response>,
+    },
+    /// The state service's open watches are looked at.
+    Watches,
+    /// A worker may report.
+    ReportDue {
+        /// Number of its machine.
+        machine: u64,
+    },
+    /// A report reaches a controller.
+    ReportArrives(Report),
+    /// The answer to a report reaches the worker.
+    ReportAnswered {
+        /// Number of its machine.
+        machine: u64,
+        /// The worker's own number of the report.
+        serial: u64,
+        /// HTTP status.
+        status: u16,
+        /// Encoded answer.
+        body: Vec<u8>,
+    },
+    /// A report was not answered in time.
+    ReportTimedOut {
+        /// Number of its machine.
+        machine: u64,
+        /// The worker's own number of the report.
+        serial: u64,
+    },
+    /// The tasks of a machine advance.
+    WorkerStep {
+        /// Number of the machine.
+        machine: u64,
+    },
+    /// A user's additional request, sent once to this controller.
+    UserProbe {
+        /// The job.
+        job: String,
+        /// What is asked.
+        request: UserRequest,
+        /// Number of the controller.
+        controller: usize,
+    },
+    /// A user's request, repeated until it is answered.
+    UserSends {
+        /// The job.
+        job: String,
+        /// What is asked.
+        request: UserRequest,
+        /// When it was sent first.
+        since: Micros,
+    },
+    /// A user waits no longer for an answer.
+    UserGivesUp {
+        /// Number of the request.
+        request: u64,
+    },
+    /// A frame reaches a controller.
+    Frame {
+        /// Number of the controller.
+        to: usize,
+        /// The process it was sent to; none: whichever is there.
+        generation: Option<u64>,
+        /// The encoded frame.
+        body: Vec<u8>,
+    },
+    /// An operator sends a request.
+    OperatorSends(OperatorRequest),
+    /// A controller's process ends.
+    Crash(usize),
+    /// A controller's process starts.
+    Start(usize),
+    /// A step of the scenario is due.
+    Script(ScriptStep),
+}
+
+impl Event {
+    /// The machine whose tasks the event may change.
+    #[must_use]
+    pub fn machine(&self) -> Option<u64> {
+        match self {
+            Event::WorkerCommand { machine, .. }
+            | Event::ReportDue { machine }
+            | Event::ReportAnswered { machine, .. }
+            | Event::ReportTimedOut { machine, .. }
+            | Event::WorkerStep { machine } => Some(*machine),
+            _ => None,
+        }
+    }
+
+    /// The controller that has to run for the event to happen.
+    #[must_use]
+    pub fn controller(&self) -> Option<usize> {
+        match self {
+            Event::Tick(process) => Some(process.controller),
+            Event::Reply { origin, .. } => Some(origin.process.controller),
+            Event::ReportArrives(report) => Some(report.controller),
+            Event::Frame { to, .. } => Some(*to),
+            _ => None,
+        }
+    }
+}
+
+/// Events in the order of their time; those of one time in the order in which they were
+/// added.
+#[derive(Default)]
+pub(crate) struct EventQueue {
+    last: u64,
+    order: BinaryHeap<Reverse<(Micros, u64)>>,
+    events: BTreeMap<u64, Event>,
+}
+
+impl EventQueue {
+    pub(crate) fn push(&mut self, at: Micros, event: Event) {
+        self.last += 1;
+        self.order.push(Reverse((at, self.last)));
+        self.events.insert(self.last, event);
+    }
+
+    /// The next event and its time.
+    pub(crate) fn peek(&self) -> Option<(Micros, &Event)> {
+        let Reverse((at, number)) = self.order.peek()?;
+        Some((*at, self.events.get(number)?))
+    }
+
+    /// Removes the next event.
+    pub(crate) fn pop(&mut self) -> Option<Event> {
+        let Reverse((_, number)) = self.order.pop()?;
+        self.events.remove(&number)
+    }
+}
--- a/crates/sim/src/fault_injection.rs
+++ b/crates/sim/src/fault_injection.rs
@@ -1,191 +1,226 @@
-//! Troubles of the operators' page "When troubles meet" that need state of their own:
-//! reports kept for the next leader, users who look closely, and users who cancel at
-//! the very end or just now.
+//! The faults of a simulated cluster that are in force, and their draws: cut and slow links,
+//! controllers that stand still, lost, late and duplicated messages.
+//!
+//! Nothing here draws a random number unless its fault is in force, so that a scenario
+//! without faults is played alike whatever faults exist.
 
-use crate::cluster::{Event, Sim};
-use beamhinge_emulator::user::UserRequest;
 use beamhinge_emulator::{Micros, SECOND};
+use rand::rngs::StdRng;
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Reports that are kept for the next leader, per machine.
-const MAX_KEPT: usize = 3;
-/// Machines that hang at most as users cancel.
-const MAX_HUNG: usize = 8;
-/// Part of the jobs at which users look closely that they then call off.
-const CALLED_OFF: f64 = 0.1;
+/// Reports of a machine that are kept for the next leader.
+const MAX_KEPT_REPORTS: usize = 3;
+/// The shortest time after which TCP sends a lost packet again.
+const MIN_RETRANSMIT: Micros = SECOND / 5;
+/// A copy comes no sooner than this, and at the latest within [`MIN_COPY_SPAN`] at least.
+const MIN_COPY_DELAY: Micros = SECOND / 2;
+const MIN_COPY_SPAN: Micros = SECOND;
 
-#[derive(Default)]
-pub struct FaultInjection {
-    /// Part of the reports of which a copy is kept for the next leader, and until when.
-    pub keeps: (f64, Micros),
-    kept: BTreeMap<u64, Vec<Vec<u8>>>,
-    /// Part of the jobs that are cancelled as their last task ends, and until when.
-    pub at_end: (f64, Micros),
-    /// Until when users ask all nodes right after they were told something.
-    pub looks: Micros,
-    /// Links of controllers take so much longer, and until when.
-    pub slow: (Micros, Micros),
-    /// Part of the cloud's answers to rentals and releases that are lost.
-    pub lose_cloud: f64,
-    /// Part of the frames between controllers that are lost and sent again, the longest
-    /// that this takes, and until when.
-    pub frame_loss: (f64, Micros, Micros),
-    /// Until when each link between two controllers, from and to, is held up by that.
-    held_links: BTreeMap<(usize, usize), Micros>,
+/// A value that holds until some time.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Temporary<T> {
+    /// The value.
+    pub value: T,
+    /// Until when.
+    pub until: Micros,
 }
 
-/// The shortest time after which TCP sends a lost packet again.
-const RETRANSMIT_MIN: Micros = SECOND / 5;
-
-impl Sim {
-    /// How much longer a message over a controller's link takes now.
-    pub fn link_delay(&self) -> Micros {
-        let (more, until) = self.fault_injection.slow;
-        if self.now < until {
-            more
-        } else {
-            0
-        }
+impl<T: Copy> Temporary<T> {
+    /// The value, while it holds.
+    pub fn get(&self, now: Micros) -> Option<T> {
+        (now < self.until).then_some(self.value)
     }
+}
+
+impl Temporary<f64> {
+    /// Draws whether this probability hits, while it holds.
+    pub fn draw(&self, now: Micros, rng: &mut StdRng) -> bool {
+        self.get(now)
+            .is_some_and(|probability| rng.gen_bool(probability))
+    }
+}
+
+/// A link, or a part of what it serves.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum LinkKind {
+    /// To the state service.
+    State,
+    /// To the cloud.
+    Cloud,
+    /// To other controllers.
+    Peers,
+    /// To workers.
+    Workers,
+    /// The state service refuses everything on the link.
+    Refused,
+    /// The state service refuses to read jobs.
+    Jobs,
+    /// The state service refuses to read the configuration.
+    Configuration,
+}
+
+/// A link that is cut.
+#[derive(Clone, Copy, Debug)]
+pub struct Cut {
+    /// Until when.
+    pub until: Micros,
+    /// What is sent meanwhile is delivered afterwards; else it is lost.
+    pub holds: bool,
+}
+
+/// Late copies of messages that change something.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Duplication {
+    /// Part of the messages that are copied.
+    pub probability: Temporary<f64>,
+    /// The latest that a copy comes.
+    pub max_delay: Micros,
+}
+
+impl Duplication {
+    /// When a copy of what is sent now arrives, if one is made.
+    pub fn draw(&self, now: Micros, rng: &mut StdRng) -> Option<Micros> {
+        let made = self.probability.draw(now, rng);
+        made.then(|| now + rng.gen_range(MIN_COPY_DELAY..self.max_delay.max(MIN_COPY_SPAN)))
+    }
+}
+
+/// Frames between controllers that are lost and sent again, which holds up those behind
+/// them.
+#[derive(Default)]
+pub struct FrameLoss {
+    /// Part of the frames that are lost.
+    pub probability: Temporary<f64>,
+    /// The longest until a lost frame is sent again.
+    pub max_delay: Micros,
+    /// Until when each link, from and to, is held up.
+    held: BTreeMap<(usize, usize), Micros>,
+}
 
-    /// When a frame arrives that would do so at `at`: behind a lost one that is being
-    /// sent again, since a link keeps the order.
-    pub fn frame_arrives(&mut self, from: usize, to: usize, at: Micros) -> Micros {
-        let (part, most, until) = self.fault_injection.frame_loss;
-        if self.now >= until {
+impl FrameLoss {
+    /// A lost frame may take at least this long, seconds.
+    pub const MIN_MAX_DELAY_S: f64 = 0.3;
+
+    /// When a frame arrives that would do so at `at`: behind a lost one that is being sent
+    /// again, since a link keeps the order.
+    pub fn arrival(
+        &mut self,
+        now: Micros,
+        link: (usize, usize),
+        at: Micros,
+        rng: &mut StdRng,
+    ) -> Micros {
+        let Some(probability) = self.probability.get(now) else {
             return at;
-        }
-        let lost = self.frame_rng.gen_bool(part);
-        let again = lost.then(|| at + self.frame_rng.gen_range(RETRANSMIT_MIN..=most));
-        let held = self
-            .fault_injection
-            .held_links
-            .entry((from, to))
-            .or_default();
+        };
+        let lost = rng.gen_bool(probability);
+        let again = lost.then(|| at + rng.gen_range(MIN_RETRANSMIT..=self.max_delay));
+        let held = self.held.entry(link).or_default();
         *held = (*held).max(again.unwrap_or(0));
         at.max(*held)
     }
+}
 
-    /// A report goes out: whether a copy is kept for the next leader.
-    pub fn keep_report(&mut self, machine: u64, body: &[u8]) {
-        let (part, until) = self.fault_injection.keeps;
-        if self.now >= until || !self.rng.gen_bool(part) {
+/// Copies of reports that reach all controllers when the next leader begins.
+#[derive(Default)]
+pub struct KeptReports {
+    /// Part of the reports of which a copy is kept.
+    pub probability: Temporary<f64>,
+    by_machine: BTreeMap<u64, Vec<Vec<u8>>>,
+}
+
+impl KeptReports {
+    /// A report goes out: draws whether a copy is kept.
+    pub fn offer(&mut self, now: Micros, machine: u64, body: &[u8], rng: &mut StdRng) {
+        if !self.probability.draw(now, rng) {
             return;
         }
-        let kept = self.fault_injection.kept.entry(machine).or_default();
-        if kept.len() < MAX_KEPT {
+        let kept = self.by_machine.entry(machine).or_default();
+        if kept.len() < MAX_KEPT_REPORTS {
             kept.push(body.to_vec());
         }
     }
 
-    /// A new leader begins: what was kept reaches every controller, all at once.
-    pub fn deliver_kept(&mut self) {
-        let kept = std::mem::take(&mut self.fault_injection.kept);
-        for (machine, bodies) in kept {
-            for body in bodies {
-                for node in 0..self.settings.len() {
-                    // While it reads its books, and just after.
-                    let at = self.now + self.rng.gen_range(0..600_000);
-                    self.push(at, Event::copy(machine, node, body.clone()));
-                }
-            }
-        }
+    /// The kept reports by machine; none are kept any more.
+    pub fn take(&mut self) -> BTreeMap<u64, Vec<Vec<u8>>> {
+        std::mem::take(&mut self.by_machine)
     }
+}
 
-    /// All nodes are asked within milliseconds, and the submission is sent again.
-    pub fn look_closely(&mut self, job: &str) {
-        if self.now >= self.fault_injection.looks {
-            return;
-        }
-        for node in 0..self.settings.len() {
-            for what in [UserRequest::Poll, UserRequest::Submit, UserRequest::Poll] {
-                let at = self.now + self.rng.gen_range(0..8_000);
-                self.push(
-                    at,
-                    Event::UserLooks {
-                        job: job.to_string(),
-                        what,
-                        node,
-                    },
-                );
-            }
-        }
-        if self.rng.gen_bool(CALLED_OFF) {
-            let at = self.now + self.rng.gen_range(0..8_000);
-            self.push(
-                at,
-                Event::UserSends {
-                    job: job.to_string(),
-                    what: UserRequest::Cancel,
-                    since: at,
-                },
-            );
+/// All faults but those of the services and machines themselves.
+#[derive(Default)]
+pub struct FaultInjection {
+    /// Cut links of controllers. Kept when they are over.
+    pub link_cuts: BTreeMap<(usize, LinkKind), Cut>,
+    /// Zones without any link to the outside. Kept when they are over.
+    pub zone_cuts: BTreeMap<String, Cut>,
+    /// Until when each controller stands still while its clock runs on.
+    pub frozen_until: Vec<Micros>,
+    /// Copies of messages between controllers, workers and services.
+    pub duplication: Duplication,
+    /// How many times as long the state service takes.
+    pub state_slowdown: Temporary<f64>,
+    /// Part of the commits that are carried out and whose answer is lost.
+    pub lost_commit_answers: f64,
+    /// Part of the commits that are carried out late, without an answer.
+    pub late_commits: f64,
+    /// Part of the cloud's answers to changes that are lost.
+    pub lost_cloud_answers: f64,
+    /// How much longer each message of a controller takes.
+    pub link_delay: Temporary<Micros>,
+    /// Lost frames between controllers.
+    pub frame_loss: FrameLoss,
+    /// Reports kept for the next leader.
+    pub kept_reports: KeptReports,
+    /// Part of the jobs that are cancelled as their last task ends.
+    pub cancel_at_end: Temporary<f64>,
+    /// Until when users ask all controllers right after they were told something.
+    pub probes_until: Micros,
+}
+
+impl FaultInjection {
+    /// No faults, for so many controllers.
+    #[must_use]
+    pub fn new(controllers: usize) -> FaultInjection {
+        FaultInjection {
+            frozen_until: vec![0; controllers],
+            ..FaultInjection::default()
         }
     }
 
-    /// The last task of a job has just ended on its machine.
-    pub fn job_ended(&mut self, job: &str) {
-        let (part, until) = self.fault_injection.at_end;
-        if self.now < until && self.rng.gen_bool(part) {
-            let at = self.now + self.rng.gen_range(0..200_000);
-            self.push(
-                at,
-                Event::UserSends {
-                    job: job.to_string(),
-                    what: UserRequest::Cancel,
-                    since: at,
-                },
-            );
-        }
+    /// Whether that link of a controller is cut.
+    #[must_use]
+    pub fn is_cut(&self, now: Micros, controller: usize, link: LinkKind) -> bool {
+        let cut = self.link_cuts.get(&(controller, link));
+        cut.is_some_and(|cut| now < cut.until)
+    }
+
+    /// Whether a zone has no link to the outside.
+    #[must_use]
+    pub fn zone_is_cut(&self, now: Micros, zone: &str) -> bool {
+        self.zone_cuts.get(zone).is_some_and(|cut| now < cut.until)
     }
 
-    /// Users call off so many of the jobs that run and have long to go, within a fifth
-    /// of a second; with `hang`, up to eight of their machines hang for so long.
-    pub fn cancel_now(&mut self, count: usize, hang: Micros) {
-        let mut running: BTreeMap<String, Vec<u64>> = BTreeMap::new();
-        for (id, w) in &self.workers {
-            for t in w.running() {
-                let job = t.task_id.split('/').next().unwrap_or("").to_string();
-                let on = running.entry(job).or_default();
-                if on.last() != Some(id) {
-                    on.push(*id);
-                }
-            }
+    /// All faults end.
+    pub fn heal(&mut self, now: Micros) {
+        for cut in self
+            .link_cuts
+            .values_mut()
+            .chain(self.zone_cuts.values_mut())
+        {
+            cut.until = cut.until.min(now);
         }
-        let open = |job: &String| {
-            self.told
-                .get(job)
-                .is_some_and(|t| t.accepted && !t.asked_cancel && !t.done)
-        };
-        let mut jobs: Vec<(String, Vec<u64>)> =
-            running.into_iter().filter(|(job, _)| open(job)).collect();
-        // Those with the longest tasks.
-        let run = |job: &str| self.jobs.get(job).map_or(0.0, |p| p.run_s);
-        jobs.sort_by(|a, b| run(&b.0).total_cmp(&run(&a.0)));
-        let mut hung = 0;
-        for (job, machines) in jobs.into_iter().take(count) {
-            let at = self.now + self.rng.gen_range(0..SECOND / 5);
-            self.push(
-                at,
-                Event::UserSends {
-                    job,
-                    what: UserRequest::Cancel,
-                    since: at,
-                },
-            );
-            for machine in machines {
-                let Some(w) = self.workers.get_mut(&machine).filter(|_| hang > 0) else {
-                    continue;
-                };
-                if hung < MAX_HUNG && w.faults.hang_until < self.now {
-                    hung += 1;
-                    w.faults.hang_until = self.now + hang;
-                    let until = w.faults.hang_until;
-                    self.push(until, Event::WorkerStep { machine });
-                    self.push(until, Event::Report { machine });
-                }
-            }
+        for until in &mut self.frozen_until {
+            *until = (*until).min(now);
         }
+        self.duplication.probability.until = self.duplication.probability.until.min(now);
+        *self = FaultInjection {
+            link_cuts: std::mem::take(&mut self.link_cuts),
+            zone_cuts: std::mem::take(&mut self.zone_cuts),
+            frozen_until: std::mem::take(&mut self.frozen_until),
+            duplication: self.duplication,
+            ..FaultInjection::default()
+        };
     }
 }
--- a/crates/sim/src/fingerprint/days.rs
+++ b/crates/sim/src/fingerprint/days.rs
@@ -17,10 +17,10 @@
 
 /// Seeds and numbers of the drawn days.
 const DRAWN: [(u64, u64); 4] = [(1, 0), (1, 1), (31, 2), (77, 3)];
-/// Seeds and numbers of the days on which troubles meet.
-const MEETINGS: [(u64, u64); 3] = [(1, 0), (4, 57), (31, 14)];
-/// Fewest and most machines of the days on which troubles meet.
-const MEETING_MACHINES: (f64, f64) = (6.0, 40.0);
+/// Seeds and numbers of the days of combined faults.
+const COMBINED: [(u64, u64); 3] = [(1, 0), (4, 57), (31, 14)];
+/// Fewest and most machines of the days of combined faults.
+const COMBINED_MACHINES: (f64, f64) = (6.0, 40.0);
 
 /// A scenario of the controller, by the name of its file.
 macro_rules! scenario {
@@ -55,19 +55,19 @@
 /// A line of a record that isn't a name and a fingerprint.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line} of the record of fingerprints is not NAME FINGERPRINT")]
-pub struct BadRecord {
+pub struct InvalidRecord {
     /// Counted from one.
     pub line: usize,
 }
 
 /// Why the fingerprint of a day could not be taken.
 #[derive(Debug, thiserror::Error)]
-#[error("{day}: {wrong}")]
-pub struct NotPlayed {
+#[error("{day}: {source}")]
+pub struct PlayError {
     /// The day's name.
     pub day: String,
     /// What is wrong with its text.
-    pub wrong: ScenarioError,
+    pub source: ScenarioError,
 }
 
 /// Fingerprints by the names of their days.
@@ -76,19 +76,15 @@
 /// The fixed days.
 pub fn fixed() -> Vec<Day> {
     let drawn = DRAWN.map(|(seed, number)| days::generate(seed, number, days::SMALL));
-    let combined_faults =
-        MEETINGS.map(|(seed, number)| combined_faults::generate(seed, number, MEETING_MACHINES));
+    let combined =
+        COMBINED.map(|(seed, number)| combined_faults::generate(seed, number, COMBINED_MACHINES));
     let scenarios = SCENARIOS.map(|(name, text)| Day {
         name: name.to_string(),
         text: text.to_string(),
         machines: 0,
         fault_counts: BTreeMap::new(),
     });
-    drawn
-        .into_iter()
-        .chain(combined_faults)
-        .chain(scenarios)
-        .collect()
+    drawn.into_iter().chain(combined).chain(scenarios).collect()
 }
 
 /// Plays all days, some at the same time, and takes their fingerprints; `faults` puts
@@ -96,7 +92,7 @@
 ///
 /// # Errors
 /// When a day's text cannot be understood.
-pub fn play(days: &[Day], faults: Faults, threads: usize) -> Result<Record, NotPlayed> {
+pub fn play(days: &[Day], faults: Faults, threads: usize) -> Result<Record, PlayError> {
     let (next, played) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..threads.clamp(1, days.len().max(1)) {
@@ -117,12 +113,12 @@
         .collect()
 }
 
-fn take(day: &Day, faults: Faults) -> Result<(String, Fingerprint), NotPlayed> {
+fn take(day: &Day, faults: Faults) -> Result<(String, Fingerprint), PlayError> {
     match scenario::play(&day.text, faults) {
         Ok(outcome) => Ok((day.name.clone(), outcome.fingerprint)),
-        Err(wrong) => Err(NotPlayed {
+        Err(source) => Err(PlayError {
             day: day.name.clone(),
-            wrong,
+            source,
         }),
     }
 }
@@ -141,14 +137,14 @@
 ///
 /// # Errors
 /// When a line isn't a name and a fingerprint.
-pub fn read(text: &str) -> Result<Record, BadRecord> {
+pub fn read(text: &str) -> Result<Record, InvalidRecord> {
     let entry = |line: &str| {
         let (name, fingerprint) = line.split_once(' ')?;
         Some((name.to_string(), fingerprint.parse().ok()?))
     };
     let lines = text.lines().enumerate();
     lines
-        .map(|(n, line)| entry(line).ok_or(BadRecord { line: n + 1 }))
+        .map(|(n, line)| entry(line).ok_or(InvalidRecord { line: n + 1 }))
         .collect()
 }
 
--- a/crates/sim/src/machine_contents.rs
+++ b/crates/sim/src/machine_contents.rs
@@ -1,31 +1,49 @@
-//! The protocol's rules about what is on machines, kept up with each change.
+//! The protocol's rules about what may be on machines, kept up with each change.
 
 use beamhinge_emulator::job::MachineAttributes;
 use beamhinge_emulator::{job_id, JobPlan};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
+/// Tolerance in comparisons of summed CPUs.
+pub(crate) const EPSILON: f64 = 1e-6;
+
 /// A rule that was broken, and by what.
-pub type Broken = (&'static str, String);
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Violation {
+    /// Name of the rule.
+    pub rule: &'static str,
+    /// What broke it.
+    pub subject: String,
+}
 
+/// Where the tasks of a job are.
 #[derive(Default)]
-struct Use {
+struct JobUse {
+    /// Number of tasks by zone.
     zones: BTreeMap<String, u64>,
     task_ids: BTreeSet<String>,
 }
 
+struct Contents {
+    zone: String,
+    task_ids: Vec<String>,
+}
+
 /// What really is on the machines, whatever the controllers believe.
 ///
-/// Looked at by machine: a change costs what it touches, not the whole fleet.
+/// Kept by machine: a change costs what it touches, not the whole fleet.
 #[derive(Default)]
 pub struct MachineContents {
-    of: BTreeMap<u64, (String, Vec<String>)>,
-    on: HashMap<String, BTreeSet<u64>>,
-    jobs: BTreeMap<String, Use>,
+    machines: BTreeMap<u64, Contents>,
+    machines_of_task: HashMap<String, BTreeSet<u64>>,
+    jobs: BTreeMap<String, JobUse>,
+    /// CPUs in use by team.
     teams: BTreeMap<String, f64>,
 }
 
 impl MachineContents {
-    /// This is on a machine now; says which rules that breaks.
+    /// These tasks are on a machine now; returns which rules that breaks. `limit`: the CPUs
+    /// that a team may use, zero for no limit.
     pub fn set(
         &mut self,
         machine: u64,
@@ -33,81 +51,106 @@
         task_ids: Vec<String>,
         plans: &BTreeMap<String, JobPlan>,
         limit: impl Fn(&str) -> f64,
-    ) -> Vec<Broken> {
+    ) -> Vec<Violation> {
         self.remove(machine, plans);
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for task_id in &task_ids {
-            let on = self.on.entry(task_id.clone()).or_default();
-            if !on.insert(machine) || on.len() > 1 {
-                broken.push(("ran_twice", format!("{task_id} on {on:?}")));
+            let machines = self.machines_of_task.entry(task_id.clone()).or_default();
+            if !machines.insert(machine) || machines.len() > 1 {
+                violations.push(Violation {
+                    rule: "ran_twice",
+                    subject: format!("{task_id} on {machines:?}"),
+                });
             }
-            let job = job_id(task_id);
-            let Some(plan) = plans.get(job) else { continue };
-            let owner = plan.team();
-            let used = self.teams.entry(owner.to_string()).or_default();
+            let Some(plan) = plans.get(job_id(task_id)) else {
+                continue;
+            };
+            let team = plan.team();
+            let used = self.teams.entry(team.to_string()).or_default();
             *used += plan.cpus();
-            let most = limit(owner);
-            if most > 0.0 && *used > most + 1e-6 {
-                broken.push(("quota", format!("{owner} uses {used}")));
+            let limit = limit(team);
+            if limit > 0.0 && *used > limit + EPSILON {
+                violations.push(Violation {
+                    rule: "quota",
+                    subject: format!("{team} uses {used}"),
+                });
             }
-            let of = self.jobs.entry(job.to_string()).or_default();
-            of.task_ids.insert(task_id.clone());
-            *of.zones.entry(attributes.zone.to_string()).or_default() += 1;
-            let total = plan.tasks();
-            let wrong = !plan.allows(attributes)
-                || plan.single_zone() && of.zones.len() > 1
-                || plan.spread_over_zones() && of.zones.values().any(|n| *n > total.div_ceil(2));
-            if wrong {
-                broken.push(("wrong_place", task_id.clone()));
+            if !self.place(task_id, plan, attributes) {
+                violations.push(Violation {
+                    rule: "wrong_place",
+                    subject: task_id.clone(),
+                });
             }
         }
-        self.of
-            .insert(machine, (attributes.zone.to_string(), task_ids));
-        broken
+        let zone = attributes.zone.to_string();
+        self.machines.insert(machine, Contents { zone, task_ids });
+        violations
+    }
+
+    /// Counts a task to its job; returns whether it may be on such a machine.
+    fn place(&mut self, task_id: &str, plan: &JobPlan, attributes: &MachineAttributes) -> bool {
+        let job = self.jobs.entry(job_id(task_id).to_string()).or_default();
+        job.task_ids.insert(task_id.to_string());
+        *job.zones.entry(attributes.zone.to_string()).or_default() += 1;
+        let max_in_zone = plan.tasks().div_ceil(2);
+        let too_many_zones = plan.single_zone() && job.zones.len() > 1;
+        let too_many_in_zone =
+            plan.spread_over_zones() && job.zones.values().any(|tasks| *tasks > max_in_zone);
+        plan.allows(attributes) && !too_many_zones && !too_many_in_zone
     }
 
     /// The machine is gone, with all that was on it.
     pub fn remove(&mut self, machine: u64, plans: &BTreeMap<String, JobPlan>) {
-        let Some((zone, task_ids)) = self.of.remove(&machine) else {
+        let Some(Contents { zone, task_ids }) = self.machines.remove(&machine) else {
             return;
         };
         for task_id in task_ids {
-            if let Some(on) = self.on.get_mut(&task_id) {
-                on.remove(&machine);
-                if on.is_empty() {
-                    self.on.remove(&task_id);
+            if let Some(machines) = self.machines_of_task.get_mut(&task_id) {
+                machines.remove(&machine);
+                if machines.is_empty() {
+                    self.machines_of_task.remove(&task_id);
                 }
             }
-            let job = job_id(&task_id);
-            let Some(plan) = plans.get(job) else { continue };
+            let Some(plan) = plans.get(job_id(&task_id)) else {
+                continue;
+            };
             if let Some(used) = self.teams.get_mut(plan.team()) {
                 *used -= plan.cpus();
             }
-            if let Some(of) = self.jobs.get_mut(job) {
-                of.task_ids.remove(&task_id);
-                if let Some(n) = of.zones.get_mut(&zone) {
-                    *n -= 1;
-                    if *n == 0 {
-                        of.zones.remove(&zone);
-                    }
-                }
-                if of.zones.is_empty() {
-                    self.jobs.remove(job);
-                }
+            self.displace(&task_id, &zone);
+        }
+    }
+
+    /// Takes a task in a zone from the count of its job.
+    fn displace(&mut self, task_id: &str, zone: &str) {
+        let id = job_id(task_id);
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.task_ids.remove(task_id);
+        if let Some(tasks) = job.zones.get_mut(zone) {
+            *tasks -= 1;
+            if *tasks == 0 {
+                job.zones.remove(zone);
             }
         }
+        if job.zones.is_empty() {
+            self.jobs.remove(id);
+        }
     }
 
     /// CPUs that a team's tasks use.
+    #[must_use]
     pub fn used(&self, team: &str) -> f64 {
         self.teams.get(team).copied().unwrap_or(0.0)
     }
 
-    /// Jobs with a task on a machine, and one of these.
+    /// Jobs with a task on a machine, and one of these tasks.
     pub fn jobs(&self) -> impl Iterator<Item = (&str, &str)> {
-        self.jobs
-            .iter()
-            .map(|(job, of)| (job.as_str(), of.task_ids.first().map_or("", String::as_str)))
+        self.jobs.iter().map(|(id, job)| {
+            let first = job.task_ids.first();
+            (id.as_str(), first.map_or("", String::as_str))
+        })
     }
 }
 
--- a/crates/sim/src/machine_contents/tests.rs
+++ b/crates/sim/src/machine_contents/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn each_rule_can_be_broken_and_what_left_counts_no_more() {
+fn contents_that_break_a_rule_are_reported_until_they_leave() {
     let (plans, mut on) = (plans(), MachineContents::default());
     let mut set = |m: u64, zone: &str, task_ids: &[&str]| -> Vec<&'static str> {
         let task_ids = task_ids.iter().map(|p| (*p).to_string()).collect();
@@ -50,8 +50,11 @@
             zone,
             spot: true,
         };
-        let broken = on.set(m, &attributes, task_ids, &plans, limit);
-        broken.into_iter().map(|(rule, _)| rule).collect()
+        let violations = on.set(m, &attributes, task_ids, &plans, limit);
+        violations
+            .into_iter()
+            .map(|violation| violation.rule)
+            .collect()
     };
     assert!(set(1, "north", &["job-1/0", "job-1/1"]).is_empty());
     assert_eq!(set(2, "south", &["job-1/0"]), ["ran_twice"]);
--- a/crates/sim/src/preemptions/tests.rs
+++ b/crates/sim/src/preemptions/tests.rs
@@ -26,62 +26,64 @@
     }
 }
 
+/// A tracker and the jobs that it is told of.
+struct Machines {
+    jobs: BTreeMap<String, JobPlan>,
+    tracker: PreemptionTracker,
+}
+
+impl Machines {
+    fn on_events(&mut self, now: Micros, machine: u64, events: &[TaskEvent]) {
+        let state = MachineState {
+            machine,
+            leaving: false,
+        };
+        self.tracker
+            .on_events(now, state, events, &self.jobs, |_| false);
+    }
+}
+
 #[test]
-fn a_stop_counts_by_who_starts_in_its_place() {
-    let (plans, mut s) = (plans(), PreemptionTracker::default());
+fn preemption_is_wasted_unless_someone_entitled_starts_in_its_place() {
+    let mut machines = Machines {
+        jobs: plans(),
+        tracker: PreemptionTracker::default(),
+    };
     let six: Vec<TaskEvent> = (0..6)
         .map(|i| event(&format!("job-1/{i}"), TaskTransition::Stopped))
         .collect();
-    s.saw(0, 1, false, &six, &plans, |_| false);
-    s.saw(0, 2, false, &six, &plans, |_| false);
+    let start = |task_id| [event(task_id, TaskTransition::Started)];
+    machines.on_events(0, 1, &six);
+    machines.on_events(0, 2, &six);
     // One of twelve CPUs settles six of two; the same work again settles none.
-    s.saw(
-        SECOND,
-        1,
-        false,
-        &[event("job-2/0", TaskTransition::Started)],
-        &plans,
-        |_| false,
-    );
-    s.saw(
-        SECOND,
-        2,
-        false,
-        &[event("job-1/7", TaskTransition::Started)],
-        &plans,
-        |_| false,
-    );
-    s.saw(
-        SECOND,
-        2,
-        false,
-        &[event("job-3/0", TaskTransition::Started)],
-        &plans,
-        |_| false,
-    );
-    s.look(40 * SECOND);
+    machines.on_events(SECOND, 1, &start("job-2/0"));
+    machines.on_events(SECOND, 2, &start("job-1/7"));
+    machines.on_events(SECOND, 2, &start("job-3/0"));
+    machines.tracker.expire(40 * SECOND);
+    let Machines { jobs, mut tracker } = machines;
     assert_eq!(
-        (s.stopped, s.in_vain),
+        (tracker.preempted, tracker.wasted),
         (12, 5),
         "another team's start settled one"
     );
     // Cancelled, or on a machine that goes: for nobody's sake.
-    s.saw(0, 3, true, &six, &plans, |_| false);
-    s.saw(0, 4, false, &six, &plans, |_| true);
-    assert_eq!(s.stopped, 12);
+    let state = |machine, leaving| MachineState { machine, leaving };
+    tracker.on_events(0, state(3, true), &six, &jobs, |_| false);
+    tracker.on_events(0, state(4, false), &six, &jobs, |_| true);
+    assert_eq!(tracker.preempted, 12);
 }
 
 #[test]
-fn the_least_served_comes_first() {
+fn served_fractions_begin_with_the_least() {
     // The wide job alone is its class's largest: it counts beside its class.
     let half = |id: &str| if id == "job-2" { 1 } else { 4 };
-    let parts = served(&plans(), |_, _| true, half);
+    let parts = served_fractions(&plans(), |_, _| true, half);
     assert!(
         parts.contains(&("largest of high".to_string(), 0.25)),
         "{parts:?}"
     );
     let done = |id: &str| if id == "job-3" { 1 } else { 4 };
-    let parts = served(&plans(), |_, _| true, done);
+    let parts = served_fractions(&plans(), |_, _| true, done);
     assert_eq!(
         parts.first().map(|(n, p)| (n.as_str(), *p)),
         Some(("team two", 0.25))
--- a/crates/sim/src/scenario/tests.rs
+++ b/crates/sim/src/scenario/tests.rs
@@ -30,17 +30,17 @@
     let day = "owned 2\nspot 0\nordinary 0\nlarge 0\nsettle 110\nat 1 submit job-9 tasks=1 cpus=2 run=108 team=two\nat 4 submit job-1 tasks=2 cpus=2 run=4\nend 10\n";
     let sound = play(day, Faults::default()).expect("a scenario");
     assert!(
-        sound.wrong.is_empty() && sound.left_waiting.is_empty(),
+        sound.failures.is_empty() && sound.starved.is_empty(),
         "{sound:?}"
     );
     let frozen = play(&format!("{freeze}{day}"), Faults::default()).expect("a scenario");
-    assert_eq!(frozen.left_waiting, ["job-1"], "{frozen:?}");
+    assert_eq!(frozen.starved, ["job-1"], "{frozen:?}");
     let full = "at 3 submit job-2 tasks=8 cpus=2 run=300 team=two\n";
     let full = play(&format!("{full}{day}"), Faults::default()).expect("a scenario");
-    assert!(full.left_waiting.is_empty(), "{full:?}");
+    assert!(full.starved.is_empty(), "{full:?}");
     let limit = "team-max 2\nat 3 submit job-2 tasks=1 cpus=2 run=300\n";
     let limit = play(&format!("{limit}{day}"), Faults::default()).expect("a scenario");
-    assert!(limit.left_waiting.is_empty(), "{limit:?}");
+    assert!(limit.starved.is_empty(), "{limit:?}");
 }
 
 /// A job that its user knows to be unsound, here only by name, is told as accepted.
@@ -50,7 +50,7 @@
     let outcome = play(day, Faults::default()).expect("a scenario");
     assert!(
         outcome
-            .wrong
+            .failures
             .iter()
             .any(|w| w.starts_with("accepted though")),
         "{outcome:?}"
--- a/crates/sim/tests/false_takes.rs
+++ b/crates/sim/tests/false_takes.rs
@@ -1,17 +1,6 @@
 //! How often the lead is taken from a holder that lives: none of so many drawn days
 //! with slow and lossy links, standstills and machines that boot.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::scenario;
 use std::thread;
@@ -44,7 +33,7 @@
     seeds
         .filter_map(|seed| {
             let outcome = scenario::play(&day(seed), Faults::default()).expect("a sound script");
-            (!outcome.wrong.is_empty()).then_some((seed, outcome.wrong))
+            (!outcome.failures.is_empty()).then_some((seed, outcome.failures))
         })
         .collect()
 }
--- a/crates/sim/tests/fingerprint.rs
+++ b/crates/sim/tests/fingerprint.rs
@@ -1,17 +1,6 @@
 //! The controllers decide on the fixed days as recorded in `fingerprint.txt`. When a
 //! decision is changed on purpose: `beamhinge-testbed days --fingerprint --record`.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::fingerprint::days;
 
--- a/crates/sim/tests/found.rs
+++ b/crates/sim/tests/found.rs
@@ -1,17 +1,6 @@
 //! Days that found a fault, made smaller: with the fault put back they fail, and
 //! as the program is they end well. A check that cannot fail is none.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::{combined_faults, days, scenario};
 
@@ -58,7 +47,7 @@
     let sound = scenario::play(day, Faults::default()).expect("a scenario");
     assert!(!days::faulty(&sound), "{sound:?}");
     assert!(
-        sound.losses.given_back_ill > 0,
+        sound.losses.faulty_returned > 0,
         "the day no longer shows it: {sound:?}"
     );
 }
@@ -110,7 +99,7 @@
                 for day in part {
                     let outcome = scenario::play(&day.text, Faults::default()).expect("a day");
                     assert!(outcome.violations.is_empty(), "{}: {outcome:?}", day.name);
-                    assert!(outcome.stuck.is_empty(), "{}: {outcome:?}", day.name);
+                    assert!(outcome.unfinished.is_empty(), "{}: {outcome:?}", day.name);
                 }
             });
         }
--- a/crates/sim/tests/large_fleet.rs
+++ b/crates/sim/tests/large_fleet.rs
@@ -1,16 +1,5 @@
 //! A fleet of the operators' next size, in simulated time.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::{days, scenario};
 
@@ -21,7 +10,7 @@
     let text = include_str!("large_fleet/leader_ends.txt");
     let outcome = scenario::play(text, Faults::default()).expect("a scenario");
     assert!(
-        !days::faulty(&outcome) && outcome.wrong.is_empty(),
+        !days::faulty(&outcome) && outcome.failures.is_empty(),
         "{outcome:?}"
     );
     assert!(
--- a/crates/testbed/src/ageing.rs
+++ b/crates/testbed/src/ageing.rs
@@ -1,17 +1,18 @@
 //! A night in simulated time: urgent work beyond all room for hours, and what
 //! waits behind it, with ageing and without.
 
-use crate::LabError;
+use crate::TestbedError;
 use beamhinge_controller::faults::Faults;
 use beamhinge_core::job::Urgency;
 use beamhinge_core::settings::PriorityAging;
 use beamhinge_priority_aging::{
     lane_throughput_per_s, max_wait_s, AgingPolicy, ArrivalCurve, BoostedLoad, ClusterCapacity,
 };
-use beamhinge_sim::scenario::{self, Outcome, Wait};
+use beamhinge_sim::scenario::{self, Outcome, ScenarioError, Wait};
 use clap::Args;
 use serde_json::{json, Value};
 use std::fmt::Write as _;
+use std::thread::ScopedJoinHandle;
 use std::time::Instant;
 
 #[derive(Args)]
@@ -105,7 +106,7 @@
 
 /// The bound for what rose in this night: the tightest flow of the rate that the
 /// lane is sure to carry.
-fn bound(policy: &AgingPolicy, outcome: &Outcome, takeovers: f64) -> Result<f64, LabError> {
+fn bound(policy: &AgingPolicy, outcome: &Outcome, takeovers: f64) -> Result<f64, TestbedError> {
     let low = |w: &&Wait| w.urgency == "best_effort" || w.urgency == "standard";
     let mut rises: Vec<(f64, f64)> = Vec::new();
     let mut widest: f64 = 0.0;
@@ -116,7 +117,7 @@
             Urgency::BestEffort
         };
         rises.push((
-            w.sent_s + policy.boost_after_s(urgency).unwrap_or(0.0),
+            w.submitted_s + policy.boost_after_s(urgency).unwrap_or(0.0),
             w.tasks as f64,
         ));
         widest = widest.max(w.cpus);
@@ -134,10 +135,112 @@
         downtime_s: takeovers * (outcome.leaderless_s + 2.0 * LONGEST_S),
     };
     max_wait_s(policy, Urgency::BestEffort, &load, &capacity)
-        .map_err(|e| LabError::Other(e.to_string()))
+        .map_err(|e| TestbedError::Other(e.to_string()))
 }
 
-pub fn run(seed: u64, quick: bool, o: &Options) -> Result<Value, LabError> {
+/// A night played with and without aging.
+struct Comparison {
+    seed: u64,
+    strict: Outcome,
+    aged: Outcome,
+}
+
+/// The figures of a comparison, seconds but for the loss.
+struct Figures {
+    oldest_s: f64,
+    baseline_s: f64,
+    bound_s: f64,
+    urgent_median_s: f64,
+    /// How much longer urgent jobs wait in the median, as a part.
+    urgent_loss: f64,
+}
+
+impl Figures {
+    fn new(night: &Comparison, policy: &AgingPolicy) -> Result<Figures, TestbedError> {
+        let oldest = |o: &Outcome| quantile(&waits(o, |w| w.urgency != "high"), 1.0);
+        let median = |o: &Outcome| quantile(&waits(o, |w| w.urgency == "high"), 0.5);
+        Ok(Figures {
+            bound_s: bound(policy, &night.aged, 1.0)?,
+            oldest_s: oldest(&night.aged),
+            baseline_s: oldest(&night.strict),
+            urgent_median_s: median(&night.aged),
+            urgent_loss: median(&night.aged) / median(&night.strict) - 1.0,
+        })
+    }
+}
+
+/// Plays all nights at the same time, each with and without aging.
+fn play(
+    seeds: std::ops::Range<u64>,
+    hours: f64,
+    ageing: PriorityAging,
+) -> Result<Vec<Comparison>, TestbedError> {
+    let outcome = |seed: u64, on: bool| {
+        let night = night(seed, hours, PriorityAging { on, ..ageing });
+        scenario::play(&night, Faults::default())
+    };
+    std::thread::scope(|scope| {
+        let spawn = |seed, on| scope.spawn(move || outcome(seed, on));
+        let runs: Vec<_> = seeds
+            .map(|seed| (seed, spawn(seed, false), spawn(seed, true)))
+            .collect();
+        let join = |run: ScopedJoinHandle<'_, Result<Outcome, ScenarioError>>| match run.join() {
+            Ok(outcome) => outcome.map_err(TestbedError::from),
+            Err(_) => Err(TestbedError::Other("the night ended by itself".into())),
+        };
+        runs.into_iter()
+            .map(|(seed, strict, aged)| {
+                Ok(Comparison {
+                    seed,
+                    strict: join(strict)?,
+                    aged: join(aged)?,
+                })
+            })
+            .collect()
+    })
+}
+
+/// What is wrong with a night.
+fn failures(night: &Comparison, figures: &Figures) -> Vec<String> {
+    let Comparison { seed, strict, aged } = night;
+    let Figures {
+        oldest_s,
+        baseline_s,
+        bound_s,
+        urgent_loss: loss,
+        ..
+    } = figures;
+    let checks = [
+        (aged.failures.is_empty(), format!("{:?}", aged.failures)),
+        (
+            aged.unfinished.is_empty() && strict.unfinished.is_empty(),
+            "jobs are left".into(),
+        ),
+        (
+            *oldest_s < AIM_S,
+            format!("a low job waited {oldest_s:.0} s"),
+        ),
+        (
+            oldest_s <= bound_s,
+            format!("{oldest_s:.0} s is beyond the bound, {bound_s:.0} s"),
+        ),
+        (
+            baseline_s > bound_s,
+            format!("without ageing {baseline_s:.0} s is within the bound"),
+        ),
+        (
+            *loss <= LOSS,
+            format!("the urgent lose {loss:.3} of their median"),
+        ),
+    ];
+    let failed = checks.into_iter().filter(|(ok, _)| !ok);
+    failed
+        .map(|(_, what)| format!("night {seed}: {what}"))
+        .collect()
+}
+
+/// Runs the experiment; returns the figures that it prints.
+pub(crate) fn run(seed: u64, quick: bool, options: &Options) -> Result<Value, TestbedError> {
     let hours = if quick { 2.0 } else { 10.0 };
     let mut ageing = PriorityAging {
         on: true,
@@ -147,81 +250,31 @@
         (ageing.best_effort_s, ageing.standard_s) = (900.0, 300.0);
     }
     let began = Instant::now();
-    if let Some(path) = &o.write {
+    if let Some(path) = &options.write {
         std::fs::write(path, night(seed, hours, ageing))?;
     }
-    let plan: Vec<(u64, bool)> = (0..o.nights)
-        .flat_map(|n| [(seed + n, false), (seed + n, true)])
-        .collect();
-    let played: Vec<Result<Outcome, scenario::ScenarioError>> = std::thread::scope(|scope| {
-        let runs: Vec<_> = plan
-            .iter()
-            .map(|(s, on)| {
-                scope.spawn(move || {
-                    scenario::play(
-                        &night(*s, hours, PriorityAging { on: *on, ..ageing }),
-                        Faults::default(),
-                    )
-                })
-            })
-            .collect();
-        let ended =
-            |r: std::thread::ScopedJoinHandle<'_, Result<Outcome, scenario::ScenarioError>>| {
-                r.join()
-                    .unwrap_or_else(|_| Err("the night ended by itself".to_string().into()))
-            };
-        runs.into_iter().map(ended).collect()
-    });
     let policy = AgingPolicy::new(ageing);
     let (mut nights, mut failed) = (Vec::new(), Vec::new());
-    for (pair, seeds) in played.chunks(2).zip(plan.chunks(2)) {
-        let told = |r: &Result<Outcome, scenario::ScenarioError>| match r {
-            Ok(o) => Ok(o.clone()),
-            Err(e) => Err(LabError::Other(e.to_string())),
-        };
-        let (strict, aged) = (told(&pair[0])?, told(&pair[1])?);
-        let n = seeds[0].0;
-        let bound_s = bound(&policy, &aged, 1.0)?;
-        let low = |o: &Outcome| quantile(&waits(o, |w| w.urgency != "high"), 1.0);
-        let median = |o: &Outcome| quantile(&waits(o, |w| w.urgency == "high"), 0.5);
-        let (oldest_s, baseline_s) = (low(&aged), low(&strict));
-        let loss = median(&aged) / median(&strict) - 1.0;
-        let mut check = |ok: bool, what: String| {
-            if !ok {
-                failed.push(format!("night {n}: {what}"));
-            }
-        };
-        check(aged.wrong.is_empty(), format!("{:?}", aged.wrong));
-        check(
-            aged.stuck.is_empty() && strict.stuck.is_empty(),
-            "jobs are left".into(),
-        );
-        check(
-            oldest_s < AIM_S,
-            format!("a low job waited {oldest_s:.0} s"),
-        );
-        check(
-            oldest_s <= bound_s,
-            format!("{oldest_s:.0} s is beyond the bound, {bound_s:.0} s"),
-        );
-        check(
-            baseline_s > bound_s,
-            format!("without ageing {baseline_s:.0} s is within the bound"),
-        );
-        check(
-            loss <= LOSS,
-            format!("the urgent lose {loss:.3} of their median"),
-        );
+    for night in play(seed..seed + options.nights, hours, ageing)? {
+        let figures = Figures::new(&night, &policy)?;
+        failed.extend(failures(&night, &figures));
+        let Comparison { seed, strict, aged } = &night;
+        let Figures {
+            oldest_s,
+            baseline_s,
+            bound_s,
+            urgent_median_s,
+            urgent_loss,
+        } = figures;
         nights.push(
-            json!({"seed": n, "oldest_low_s": oldest_s.round(), "bound_s": bound_s.round(),
-            "without_ageing_s": baseline_s.round(), "high_median_loss": (loss * 1e3).round() / 1e3,
+            json!({"seed": seed, "oldest_low_s": oldest_s.round(), "bound_s": bound_s.round(),
+            "without_ageing_s": baseline_s.round(), "high_median_loss": (urgent_loss * 1e3).round() / 1e3,
             "violations": aged.violations.len() + strict.violations.len(),
-            "with": by_urgency(&aged), "without": by_urgency(&strict)}),
+            "with": by_urgency(aged), "without": by_urgency(strict)}),
         );
         eprintln!(
-            "night {n}: oldest low job {oldest_s:.0} s (bound {bound_s:.0}, without ageing {baseline_s:.0}), urgent median {:.0} s, {:+.1}%",
-            median(&aged),
-            loss * 100.0
+            "night {seed}: oldest low job {oldest_s:.0} s (bound {bound_s:.0}, without ageing {baseline_s:.0}), urgent median {urgent_median_s:.0} s, {:+.1}%",
+            urgent_loss * 100.0
         );
     }
     Ok(
--- a/crates/testbed/src/configuration.rs
+++ b/crates/testbed/src/configuration.rs
@@ -1,7 +1,7 @@
 //! How soon changes of quotas are in force everywhere: drawn days in simulated time, with
 //! and without faults, and the rule that nothing starts beyond a limit in force.
 
-use crate::LabError;
+use crate::TestbedError;
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::scenario;
 use clap::Args;
@@ -76,7 +76,7 @@
     text
 }
 
-pub fn run(seed: u64, options: &Options) -> Result<Value, LabError> {
+pub fn run(seed: u64, options: &Options) -> Result<Value, TestbedError> {
     let next = AtomicU64::new(0);
     let all: Mutex<(Vec<f64>, Vec<String>)> = Mutex::default();
     let work = || loop {
@@ -91,7 +91,7 @@
                 all.0.extend(outcome.in_force_s);
                 all.1.extend(
                     outcome
-                        .wrong
+                        .failures
                         .iter()
                         .map(|wrong| format!("day {n}: {wrong}")),
                 );
@@ -102,7 +102,7 @@
     std::thread::scope(|s| (0..THREADS).for_each(|_| drop(s.spawn(work))));
     let (took, wrong) = all.into_inner().unwrap_or_else(|e| e.into_inner());
     let mut times = Histogram::<u64>::new_with_max(LONGEST_MS, 3)
-        .map_err(|e| LabError::Other(e.to_string()))?;
+        .map_err(|e| TestbedError::Other(e.to_string()))?;
     took.iter()
         .for_each(|s| times.saturating_record((s * 1e3) as u64));
     let s = |q: f64| times.value_at_quantile(q) as f64 / 1e3;
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -1,18 +1,19 @@
 //! Drawn days in simulated time: the rules, liveness, and what was given away.
 
-use crate::LabError;
+use crate::TestbedError;
 use beamhinge_controller::faults::Faults;
+use beamhinge_sim::cluster::LossCounts;
 use beamhinge_sim::combined_faults;
 use beamhinge_sim::days::{self, Day, Size};
 use beamhinge_sim::fingerprint::days as fingerprints;
-use beamhinge_sim::scenario::{self, Outcome};
+use beamhinge_sim::scenario::{self, Outcome, ScenarioError};
 use clap::Args;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 #[derive(Args)]
 pub struct Options {
@@ -60,162 +61,258 @@
     record: bool,
 }
 
+/// Tries to make a failing day smaller.
+const MAX_REDUCTIONS: u32 = 40;
+
 fn faults(name: &str) -> Result<Faults, String> {
     Faults::named(name).ok_or_else(|| "no guard or fault is called so".into())
 }
 
-type Played = Result<Outcome, scenario::ScenarioError>;
+/// A day that was played.
+struct PlayedDay {
+    /// Its index in the plan.
+    index: usize,
+    outcome: Result<Outcome, ScenarioError>,
+    /// Real time that it took, seconds.
+    real_s: f64,
+}
+
+/// The class or team that got the least part of its work done.
+struct LeastServed {
+    name: String,
+    part: f64,
+}
+
+/// The figures of all days: sums, and the worst of each.
+struct Totals {
+    violations: usize,
+    days_stuck: usize,
+    days_with_idle_machines: usize,
+    losses: LossCounts,
+    started: u64,
+    late_starts: u64,
+    preempted: u64,
+    wasted_preemptions: u64,
+    least_served: LeastServed,
+    largest_wait_s: f64,
+    cancelled_left: f64,
+    unanswered_s: f64,
+    late_older_s: f64,
+    starvation_s: f64,
+    settled_s: f64,
+    /// Names of the days that failed.
+    failed: Vec<String>,
+}
+
+impl Totals {
+    fn new() -> Totals {
+        Totals {
+            violations: 0,
+            days_stuck: 0,
+            days_with_idle_machines: 0,
+            losses: LossCounts::default(),
+            started: 0,
+            late_starts: 0,
+            preempted: 0,
+            wasted_preemptions: 0,
+            least_served: LeastServed {
+                name: String::new(),
+                part: 1.0,
+            },
+            largest_wait_s: 0.0,
+            cancelled_left: 0.0,
+            unanswered_s: 0.0,
+            late_older_s: 0.0,
+            starvation_s: 0.0,
+            settled_s: 0.0,
+            failed: Vec::new(),
+        }
+    }
 
-pub fn run(seed: u64, quick: bool, o: &Options) -> Result<Value, LabError> {
+    fn add(&mut self, day: &Day, outcome: &Outcome, failed: bool) {
+        self.violations += outcome.violations.len();
+        self.days_stuck += usize::from(!outcome.unfinished.is_empty());
+        self.days_with_idle_machines += usize::from(outcome.idle_machines > 0);
+        self.losses.healthy_returned += outcome.losses.healthy_returned;
+        self.losses.cut_off += outcome.losses.cut_off;
+        self.losses.unexplained += outcome.losses.unexplained;
+        self.started += outcome.started;
+        self.late_starts += outcome.late_starts;
+        self.preempted += outcome.preempted;
+        self.wasted_preemptions += outcome.wasted_preemptions;
+        self.settled_s = self.settled_s.max(outcome.settled_s);
+        self.cancelled_left = self.cancelled_left.max(outcome.cancelled_left);
+        self.unanswered_s = self.unanswered_s.max(outcome.unanswered_s);
+        self.late_older_s = self.late_older_s.max(outcome.late_older_s);
+        self.starvation_s = self.starvation_s.max(outcome.longest_starvation_s);
+        self.largest_wait_s = self.largest_wait_s.max(largest_wait_s(outcome));
+        let least = least_served(outcome);
+        if least.part < self.least_served.part {
+            let name = format!("{}: {}", day.name, least.name);
+            self.least_served = LeastServed { name, ..least };
+        }
+        if failed {
+            self.failed.push(day.name.clone());
+        }
+    }
+}
+
+fn largest_wait_s(outcome: &Outcome) -> f64 {
+    outcome.largest_wait.as_ref().map_or(0.0, |(_, s)| *s)
+}
+
+fn least_served(outcome: &Outcome) -> LeastServed {
+    let (name, part) = outcome
+        .least_served
+        .clone()
+        .unwrap_or_else(|| (String::new(), 1.0));
+    LeastServed { name, part }
+}
+
+/// Runs the experiment; returns the figures that it prints.
+pub(crate) fn run(seed: u64, quick: bool, options: &Options) -> Result<Value, TestbedError> {
     let size = if quick { days::SMALL } else { days::FULL };
-    let faults = o.without.unwrap_or_default();
-    if let Some(record) = &o.fingerprint {
-        return fingerprint(record, faults, o);
+    let regressions = options.without.unwrap_or_default();
+    if let Some(record) = &options.fingerprint {
+        return fingerprint(record, regressions, options);
     }
-    let mut plan = plan(seed, size, o)?;
-    if o.ageing {
+    let mut plan = plan(seed, size, options)?;
+    if options.ageing {
         let line = "ageing on=yes best_effort_s=30 standard_s=15\n";
         plan.iter_mut().for_each(|d| d.text.insert_str(0, line));
     }
-    if let (Some(path), Some(day)) = (&o.write, plan.first()) {
+    if let (Some(path), Some(day)) = (&options.write, plan.first()) {
         std::fs::write(path, &day.text)?;
     }
-    if let Some(level) = &o.log {
-        let filter = tracing_subscriber::EnvFilter::new(level);
-        tracing_subscriber::fmt()
-            .with_env_filter(filter)
-            .with_writer(std::io::stderr)
-            .without_time()
-            .init();
+    if let Some(level) = &options.log {
+        log_controllers(level);
     }
     let began = Instant::now();
-    let mut played = play_all(&plan, faults, o.jobs);
-    played.sort_by_key(|(n, ..)| *n);
-    let mut troubles: BTreeMap<&str, u32> = BTreeMap::new();
-    plan.iter()
-        .flat_map(|d| &d.fault_counts)
-        .for_each(|(k, n)| *troubles.entry(k).or_default() += n);
-    let (mut violations, mut stuck, mut idle, mut failed) = (0, 0, 0, Vec::new());
-    let (mut slowest_largest, mut latest, mut unanswered) = (0.0, 0.0, 0.0);
-    let (mut older, mut beside, mut late_starts) = (0.0, 0.0, 0);
-    let (mut stopped, mut in_vain, mut least) = (0, 0, (String::new(), 1.0));
-    let (mut healthy, mut cut_off, mut unexplained, mut started, mut slowest) = (0, 0, 0, 0, 0.0);
-    for (n, outcome, real_s) in &played {
-        let day = &plan[*n];
-        let outcome = outcome
-            .as_ref()
-            .map_err(|e| LabError::Other(format!("{}: {e}", day.name)))?;
-        violations += outcome.violations.len();
-        stuck += usize::from(!outcome.stuck.is_empty());
-        idle += usize::from(outcome.idle_machines > 0);
-        healthy += outcome.losses.healthy_returned;
-        cut_off += outcome.losses.cut_off;
-        unexplained += outcome.losses.unexplained;
-        started += outcome.started;
-        slowest = f64::max(slowest, outcome.settled_s);
-        latest = f64::max(latest, outcome.cancelled_left);
-        unanswered = f64::max(unanswered, outcome.unanswered_s);
-        older = f64::max(older, outcome.late_older_s);
-        beside = f64::max(beside, outcome.beside_room_s);
-        late_starts += outcome.late_starts;
-        (stopped, in_vain) = (stopped + outcome.stopped, in_vain + outcome.in_vain);
-        let served = outcome
-            .least
-            .clone()
-            .unwrap_or_else(|| (String::new(), 1.0));
-        if served.1 < least.1 {
-            least = (format!("{}: {}", day.name, served.0), served.1);
-        }
-        let largest = outcome.largest.as_ref().map_or(0.0, |(_, s)| *s);
-        slowest_largest = f64::max(slowest_largest, largest);
-        let bad = if o.meetings {
-            days::unsound(outcome)
+    let mut totals = Totals::new();
+    for played in play_all(&plan, regressions, options.jobs) {
+        let day = &plan[played.index];
+        let outcome = played
+            .outcome
+            .map_err(|e| TestbedError::Other(format!("{}: {e}", day.name)))?;
+        let failed = if options.meetings {
+            days::unsound(&outcome)
         } else {
-            days::faulty(outcome)
+            days::faulty(&outcome)
         };
-        if bad {
-            failed.push(day.name.clone());
-        }
-        eprintln!(
-            "{:14} {:5} machines {:7} tasks  settled {:4.0} s  cut off {:5}  healthy returned {:4}  unexplained {:4}  stopped {:6} in vain {:4}  least {:.2} {:12}  largest began after {:4.0} s  {:5.1} s  {}",
-            day.name,
-            outcome.most_machines,
-            outcome.started,
-            outcome.settled_s,
-            outcome.losses.cut_off,
-            outcome.losses.healthy_returned,
-            outcome.losses.unexplained,
-            outcome.stopped,
-            outcome.in_vain,
-            served.1,
-            served.0,
-            largest,
-            real_s,
-            if bad { outcome.wrong.join("; ") } else { "ok".into() },
-        );
+        totals.add(day, &outcome, failed);
+        print_day(day, &outcome, failed, played.real_s);
     }
-    if let (Some(path), Some(name)) = (&o.reduce, failed.first()) {
+    if let (Some(path), Some(name)) = (&options.reduce, totals.failed.first()) {
         if let Some(day) = plan.iter().find(|d| d.name == *name) {
-            let small =
-                days::reduce(&day.text, faults, 40).map_err(|e| LabError::Other(e.to_string()))?;
-            std::fs::write(path, small)?;
+            std::fs::write(path, days::reduce(&day.text, regressions, MAX_REDUCTIONS)?)?;
         }
     }
+    Ok(report(seed, &plan, &totals, began.elapsed()))
+}
+
+/// Writes what the controllers of a day log to standard error.
+fn log_controllers(level: &str) {
+    let filter = tracing_subscriber::EnvFilter::new(level);
+    tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .without_time()
+        .init();
+}
+
+/// Prints one line on standard error.
+fn print_day(day: &Day, outcome: &Outcome, failed: bool, real_s: f64) {
+    let least = least_served(outcome);
+    eprintln!(
+        "{:14} {:5} machines {:7} tasks  settled {:4.0} s  cut off {:5}  healthy returned {:4}  unexplained {:4}  stopped {:6} in vain {:4}  least {:.2} {:12}  largest began after {:4.0} s  {:5.1} s  {}",
+        day.name,
+        outcome.peak_machines,
+        outcome.started,
+        outcome.settled_s,
+        outcome.losses.cut_off,
+        outcome.losses.healthy_returned,
+        outcome.losses.unexplained,
+        outcome.preempted,
+        outcome.wasted_preemptions,
+        least.part,
+        least.name,
+        largest_wait_s(outcome),
+        real_s,
+        if failed {
+            outcome.failures.join("; ")
+        } else {
+            "ok".into()
+        },
+    );
+}
+
+/// The figures as they are printed.
+fn report(seed: u64, plan: &[Day], totals: &Totals, real: Duration) -> Value {
+    let mut troubles: BTreeMap<&str, u32> = BTreeMap::new();
+    for (kind, count) in plan.iter().flat_map(|d| &d.fault_counts) {
+        *troubles.entry(kind).or_default() += count;
+    }
     let sizes = plan.iter().map(|d| d.machines);
-    Ok(json!({
-        "ok": failed.is_empty(),
+    json!({
+        "ok": totals.failed.is_empty(),
         "experiment": "days",
         "seed": seed,
         "days": plan.len(),
         "machines": [sizes.clone().min(), sizes.max()],
         "troubles": troubles,
-        "tasks": started,
-        "violations": violations,
-        "days_stuck": stuck,
-        "days_with_idle_machines": idle,
-        "cut_off": cut_off,
-        "healthy_returned": healthy,
-        "unexplained_losses": unexplained,
-        "stopped_for_others": stopped,
-        "stopped_for_nobody": in_vain,
-        "least_served": [least.0, least.1],
-        "largest_began_within_s": slowest_largest,
-        "cancelled_gone_by_part_of_cancel_s": latest,
-        "longest_unanswered_s": unanswered,
-        "older_answer_after_s": older,
-        "waited_beside_room_s": beside,
-        "starts_after_cancelled": late_starts,
-        "longest_settle_s": slowest,
-        "failed": failed,
-        "real_s": began.elapsed().as_secs_f64().round(),
-    }))
+        "tasks": totals.started,
+        "violations": totals.violations,
+        "days_stuck": totals.days_stuck,
+        "days_with_idle_machines": totals.days_with_idle_machines,
+        "cut_off": totals.losses.cut_off,
+        "healthy_returned": totals.losses.healthy_returned,
+        "unexplained_losses": totals.losses.unexplained,
+        "stopped_for_others": totals.preempted,
+        "stopped_for_nobody": totals.wasted_preemptions,
+        "least_served": [totals.least_served.name, totals.least_served.part],
+        "largest_began_within_s": totals.largest_wait_s,
+        "cancelled_gone_by_part_of_cancel_s": totals.cancelled_left,
+        "longest_unanswered_s": totals.unanswered_s,
+        "older_answer_after_s": totals.late_older_s,
+        "waited_beside_room_s": totals.starvation_s,
+        "starts_after_cancelled": totals.late_starts,
+        "longest_settle_s": totals.settled_s,
+        "failed": totals.failed,
+        "real_s": real.as_secs_f64().round(),
+    })
 }
 
 /// Plays the fixed days, and compares their fingerprints with the record or writes it.
-fn fingerprint(record: &Path, faults: Faults, o: &Options) -> Result<Value, LabError> {
+fn fingerprint(
+    record: &Path,
+    regressions: Faults,
+    options: &Options,
+) -> Result<Value, TestbedError> {
     let began = Instant::now();
-    let played = fingerprints::play(&fingerprints::fixed(), faults, o.jobs)
-        .map_err(|e| LabError::Other(e.to_string()))?;
+    let played = fingerprints::play(&fingerprints::fixed(), regressions, options.jobs)
+        .map_err(|e| TestbedError::Other(e.to_string()))?;
     print!("{}", fingerprints::write(&played));
-    if o.record {
+    if options.record {
         std::fs::write(record, fingerprints::write(&played))?;
     }
     let recorded = fingerprints::read(&std::fs::read_to_string(record)?)
-        .map_err(|e| LabError::Other(e.to_string()))?;
+        .map_err(|e| TestbedError::Other(e.to_string()))?;
     let differ = fingerprints::differences(&recorded, &played);
     Ok(json!({
         "ok": differ.is_empty(),
         "experiment": "fingerprint",
         "days": played.len(),
         "differ": differ,
-        "recorded": o.record,
+        "recorded": options.record,
         "real_s": began.elapsed().as_secs_f64().round(),
     }))
 }
 
-fn plan(seed: u64, size: Size, o: &Options) -> Result<Vec<Day>, LabError> {
-    let numbers: Vec<u64> = o.day.map_or_else(|| (0..o.days).collect(), |d| vec![d]);
-    if o.meetings {
+fn plan(seed: u64, size: Size, options: &Options) -> Result<Vec<Day>, TestbedError> {
+    let numbers: Vec<u64> = options
+        .day
+        .map_or_else(|| (0..options.days).collect(), |d| vec![d]);
+    if options.meetings {
         let few = size.machines.0 < days::FULL.machines.0;
         let machines = if few { (6.0, 60.0) } else { (40.0, 1_500.0) };
         return Ok(numbers
@@ -223,7 +320,7 @@
             .map(|n| combined_faults::generate(seed, n, machines))
             .collect());
     }
-    let Some(path) = &o.file else {
+    let Some(path) = &options.file else {
         return Ok(numbers
             .into_iter()
             .map(|n| days::generate(seed, n, size))
@@ -233,12 +330,12 @@
     let days = numbers
         .into_iter()
         .map(|n| days::from_toml(&text, seed, n, size));
-    days.collect::<Result<_, _>>()
-        .map_err(|e| LabError::Other(e.to_string()))
+    Ok(days.collect::<Result<_, _>>()?)
 }
 
-/// Each day is a world of its own; they share nothing but the processors.
-fn play_all(plan: &[Day], faults: Faults, jobs: usize) -> Vec<(usize, Played, f64)> {
+/// Plays all days, some at the same time; they share nothing but the processors. In the order
+/// of the plan.
+fn play_all(plan: &[Day], regressions: Faults, jobs: usize) -> Vec<PlayedDay> {
     let (next, done) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs.clamp(1, 64).min(plan.len().max(1)) {
@@ -246,13 +343,18 @@
                 let n = next.fetch_add(1, Ordering::Relaxed) as usize;
                 let Some(day) = plan.get(n) else { return };
                 let began = Instant::now();
-                let outcome = scenario::play(&day.text, faults);
-                let row = (n, outcome, began.elapsed().as_secs_f64());
+                let played = PlayedDay {
+                    index: n,
+                    outcome: scenario::play(&day.text, regressions),
+                    real_s: began.elapsed().as_secs_f64(),
+                };
                 if let Ok(mut done) = done.lock() {
-                    done.push(row);
+                    done.push(played);
                 }
             });
         }
     });
-    done.into_inner().unwrap_or_default()
+    let mut played: Vec<PlayedDay> = done.into_inner().unwrap_or_default();
+    played.sort_by_key(|day| day.index);
+    played
 }
--- a/crates/testbed/src/doors.rs
+++ b/crates/testbed/src/doors.rs
@@ -2,7 +2,7 @@
 //! what is wrong, nothing changes, and the others are served meanwhile.
 
 use crate::place::{self, Folder, Lab};
-use crate::LabError;
+use crate::TestbedError;
 use beamhinge_admin_api::auth::{Key, Role, Signed};
 use beamhinge_admin_api::messages::{Hello, JobRequest, Problem};
 use beamhinge_client::wire::Connection;
@@ -52,7 +52,7 @@
     Some((r.status, code, problem.and_then(|p| p.ahead_ms)))
 }
 
-pub fn run(lab: &Lab) -> Result<Value, LabError> {
+pub fn run(lab: &Lab) -> Result<Value, TestbedError> {
     let folder = Folder::new("doors")?;
     let keys = folder.0.join("keys.ini");
     let secret = |b: u8| {
@@ -79,7 +79,7 @@
         new("night", Role::Operator, 7),
         new("wall", Role::Viewer, 8),
     ) else {
-        return Err(LabError::Other("the lab's own keys are unsound".into()));
+        return Err(TestbedError::Other("the lab's own keys are unsound".into()));
     };
     let timeouts = Timeouts {
         total: Duration::from_secs(20),
@@ -117,12 +117,12 @@
         "with half a signature: 401",
         told(r, 401, "unauthenticated"),
     );
-    let mut c = Connection::open(door, soon()).map_err(|e| LabError::Other(e.to_string()))?;
+    let mut c = Connection::open(door, soon()).map_err(|e| TestbedError::Other(e.to_string()))?;
     let hello = c
         .exchange(Method::Get, "/v1/hello", &[], None, soon())
-        .map_err(|e| LabError::Other(e.to_string()))?;
+        .map_err(|e| TestbedError::Other(e.to_string()))?;
     let hello: Hello =
-        serde_json::from_slice(&hello.body).map_err(|e| LabError::Other(e.to_string()))?;
+        serde_json::from_slice(&hello.body).map_err(|e| TestbedError::Other(e.to_string()))?;
     let sign = |nonce: &str, path: &str, body: &[u8], time_ms: u64, instance: &str| {
         let method = if body.is_empty() { "GET" } else { "POST" };
         night.sign(&Signed {
@@ -134,7 +134,7 @@
             instance,
         })
     };
-    let body = serde_json::to_vec(&job).map_err(|e| LabError::Other(e.to_string()))?;
+    let body = serde_json::to_vec(&job).map_err(|e| TestbedError::Other(e.to_string()))?;
     let signed = sign(
         "0000000000000001",
         "/v1/jobs",
@@ -143,7 +143,7 @@
         &hello.instance,
     );
     let altered = serde_json::to_vec(&JobRequest::new("job-0002", "home"))
-        .map_err(|e| LabError::Other(e.to_string()))?;
+        .map_err(|e| TestbedError::Other(e.to_string()))?;
     let r = ask(door, Method::Post, "/v1/jobs", &altered, Some(&signed));
     checks.that("an altered body: 401", told(r, 401, "unauthenticated"));
     let r = ask(door, Method::Post, "/v1/jobs", &body, Some(&signed));
--- a/crates/testbed/src/explain.rs
+++ b/crates/testbed/src/explain.rs
@@ -2,7 +2,7 @@
 //! `explain`, and taken away: then the job runs.
 
 use crate::place::{self, Folder, Lab};
-use crate::LabError;
+use crate::TestbedError;
 use beamhinge_admin_api::directives::{Afterwards, Change, Target};
 use beamhinge_admin_api::messages::{JobRequest, State};
 use beamhinge_admin_api::reasons::Reason;
@@ -24,7 +24,7 @@
 }
 
 impl Stage {
-    fn new(plan: ClusterPlan) -> Result<Stage, LabError> {
+    fn new(plan: ClusterPlan) -> Result<Stage, TestbedError> {
         let cluster = place::start(plan, Box::new(|_| {}))?;
         let mut client = place::client(&cluster, 20.0);
         let machines = cluster.plan().machines;
@@ -41,7 +41,7 @@
         })
     }
 
-    fn job(&mut self, change: impl FnOnce(&mut JobRequest)) -> Result<String, LabError> {
+    fn job(&mut self, change: impl FnOnce(&mut JobRequest)) -> Result<String, TestbedError> {
         self.next += 1;
         let mut job = JobRequest::new(format!("job-{:04}", self.next), "home");
         job.expect_s = 1.0;
@@ -74,7 +74,7 @@
         })
     }
 
-    fn direct(&mut self, target: Target, set: bool) -> Result<(), LabError> {
+    fn direct(&mut self, target: Target, set: bool) -> Result<(), TestbedError> {
         let afterwards = Afterwards::Keep;
         let note = String::new();
         self.client.change(&Change {
@@ -100,9 +100,9 @@
     }
 }
 
-type Case = fn(&Lab, &Path) -> Result<(Option<String>, bool), LabError>;
+type Case = fn(&Lab, &Path) -> Result<(Option<String>, bool), TestbedError>;
 
-pub fn run(lab: &Lab) -> Result<Value, LabError> {
+pub fn run(lab: &Lab) -> Result<Value, TestbedError> {
     let cases: [(&str, Case); 14] = [
         ("frozen", frozen),
         ("failures", failures),
@@ -140,7 +140,7 @@
     Ok(json!({"ok": ok, "experiment": "explain", "reasons": told}))
 }
 
-fn frozen(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn frozen(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut s = Stage::new(narrow(lab, dir))?;
     s.direct(Target::Team("home".into()), true)?;
     let job = s.job(|_| {})?;
@@ -149,7 +149,7 @@
     Ok((told, s.ends(&job)))
 }
 
-fn failures(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn failures(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut plan = narrow(lab, dir);
     plan.machines = 4;
     plan.rentable = 4;
@@ -162,7 +162,7 @@
     Ok((told, s.ends(&job)))
 }
 
-fn team_limit(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn team_limit(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut plan = narrow(lab, dir);
     plan.machines = 3;
     let mut s = Stage::new(plan)?;
@@ -176,7 +176,7 @@
     Ok((told, s.ends(&job)))
 }
 
-fn filled(lab: &Lab, dir: &Path) -> Result<(Stage, String), LabError> {
+fn filled(lab: &Lab, dir: &Path) -> Result<(Stage, String), TestbedError> {
     let mut s = Stage::new(narrow(lab, dir))?;
     let first = s.job(|j| {
         j.cpus = 3.0;
@@ -185,7 +185,7 @@
     Ok((s, first))
 }
 
-fn no_room(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn no_room(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let (mut s, first) = filled(lab, dir)?;
     let job = s.job(|j| j.cpus = 3.0)?;
     let told = s.sees(&job, "no_room", "lacks 2.00 CPUs");
@@ -193,7 +193,7 @@
     Ok((told, s.ends(&job)))
 }
 
-fn behind(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn behind(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let (mut s, first) = filled(lab, dir)?;
     let other = s.job(|j| {
         j.cpus = 3.0;
@@ -205,7 +205,7 @@
     Ok((told, s.ends(&job)))
 }
 
-fn market_refused(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn market_refused(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let (mut s, first) = filled(lab, dir)?;
     let job = s.job(|j| j.cpus = 3.0)?;
     let told = s.sees(&job, "market_refused", "");
@@ -213,7 +213,7 @@
     Ok((told, s.ends(&job)))
 }
 
-fn booting(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn booting(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut plan = narrow(lab, dir);
     plan.rentable = 2;
     plan.boot_s = 4.0;
@@ -227,7 +227,7 @@
     Ok((told, s.ends(&job)))
 }
 
-fn renting(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn renting(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut plan = narrow(lab, dir);
     plan.rentable = 2;
     let mut s = Stage::new(plan)?;
@@ -243,7 +243,7 @@
     Ok((told, s.ends(&job)))
 }
 
-fn drained(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn drained(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut s = Stage::new(narrow(lab, dir))?;
     s.direct(Target::MachineType("m".into()), true)?;
     let job = s.job(|_| {})?;
@@ -252,14 +252,14 @@
     Ok((told, s.ends(&job)))
 }
 
-fn fetching(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn fetching(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut s = Stage::new(narrow(lab, dir))?;
     let job = s.job(|j| (j.image, j.image_gb) = ("tools".into(), 2.0))?;
     let told = s.sees(&job, "fetching", "");
     Ok((told, s.ends(&job)))
 }
 
-fn starting(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn starting(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut s = Stage::new(narrow(lab, dir))?;
     // A machine that hangs has not fetched its order yet.
     s.cluster.trouble(PlatformFault::Hang {
@@ -272,7 +272,7 @@
     Ok((told, s.ends(&job)))
 }
 
-fn ahead(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn ahead(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut s = Stage::new(narrow(lab, dir))?;
     s.job(|j| (j.cpus, j.expect_s) = (4.0, 3.0))?;
     let job = s.job(|j| j.cpus = 4.0)?;
@@ -280,7 +280,7 @@
     Ok((told, s.ends(&job)))
 }
 
-fn inherited(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn inherited(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut s = Stage::new(narrow(lab, dir))?;
     let job = s.job(|j| j.expect_s = 2.0)?;
     place::until(10.0, || s.client.job(&job).is_ok_and(|d| d.row.running > 0));
@@ -298,7 +298,7 @@
     Ok((told, s.ends(&job)))
 }
 
-fn split(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), LabError> {
+fn split(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let (mut s, first) = filled(lab, dir)?;
     let job = s.job(|j| {
         j.cpus = 3.0;
--- a/crates/testbed/src/list.rs
+++ b/crates/testbed/src/list.rs
@@ -2,7 +2,7 @@
 //! nothing while jobs come and go, and the controller's memory is told.
 
 use crate::place::{self, Folder, Lab};
-use crate::LabError;
+use crate::TestbedError;
 use beamhinge_admin_api::directives::{Afterwards, Directive, Target, VERSION};
 use beamhinge_admin_api::messages::JobRequest;
 use beamhinge_core::job::{done_record, open_record, JobSpec};
@@ -20,7 +20,7 @@
     JobRequest::new(format!("job-{i:08}"), team).spec(1_700_000_000_000 + i as u64)
 }
 
-pub fn run(lab: &Lab, quick: bool, open: bool) -> Result<Value, LabError> {
+pub fn run(lab: &Lab, quick: bool, open: bool) -> Result<Value, TestbedError> {
     let jobs = if quick { 5_000 } else { 50_000 };
     let folder = Folder::new("list")?;
     let mut log = String::new();
@@ -31,7 +31,8 @@
         } else {
             done_record(&spec)
         };
-        let value: Value = wire::from_value(&value).map_err(|e| LabError::Other(e.to_string()))?;
+        let value: Value =
+            wire::from_value(&value).map_err(|e| TestbedError::Other(e.to_string()))?;
         let key = format!("j/job-{i:08}");
         let _ = writeln!(log, "{}", json!({"rev": i + 1, "key": key, "value": value}));
     }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -95,13 +95,15 @@
 
 /// What ends an experiment before its checks.
 #[derive(Debug, thiserror::Error)]
-pub enum LabError {
+pub enum TestbedError {
     #[error(transparent)]
     Cluster(#[from] beamhinge_dev_cluster::ClusterError),
     #[error(transparent)]
     Client(#[from] beamhinge_client::ClientError),
     #[error("{0}")]
     Io(#[from] std::io::Error),
+    #[error(transparent)]
+    Scenario(#[from] beamhinge_sim::scenario::ScenarioError),
     #[error("{0}")]
     Other(String),
 }
--- a/crates/testbed/src/place.rs
+++ b/crates/testbed/src/place.rs
@@ -1,6 +1,6 @@
 //! Where an experiment takes place: free ports, a folder, a cluster.
 
-use crate::LabError;
+use crate::TestbedError;
 use beamhinge_client::{Client, Timeouts};
 use beamhinge_dev_cluster::{Cluster, ClusterPlan};
 use beamhinge_emulator::worker_pool::MachineObserver;
@@ -30,7 +30,7 @@
 pub struct Folder(pub PathBuf);
 
 impl Folder {
-    pub fn new(name: &str) -> Result<Folder, LabError> {
+    pub fn new(name: &str) -> Result<Folder, TestbedError> {
         let dir =
             std::env::temp_dir().join(format!("beamhinge-testbed-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
@@ -79,7 +79,7 @@
     }
 }
 
-pub fn start(plan: ClusterPlan, observer: MachineObserver) -> Result<Cluster, LabError> {
+pub fn start(plan: ClusterPlan, observer: MachineObserver) -> Result<Cluster, TestbedError> {
     let cluster = Cluster::start(plan, observer)?;
     let mut client = client(&cluster, 30.0);
     match client.summary() {
@@ -87,7 +87,7 @@
         Err(e) => {
             let log = std::fs::read_to_string(cluster.log_of(0)).unwrap_or_default();
             let end: Vec<&str> = log.lines().rev().take(5).collect();
-            Err(LabError::Other(format!(
+            Err(TestbedError::Other(format!(
                 "{e}; the first controller's last lines: {end:?}"
             )))
         }
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -4,7 +4,7 @@
 
 use crate::history::{wrong, Answer, JobHistory, Machines, Said};
 use crate::place::{self, Folder, Lab};
-use crate::LabError;
+use crate::TestbedError;
 use beamhinge_admin_api::messages::{JobRequest, State};
 use beamhinge_client::wire::Connection;
 use beamhinge_client::{Client, ClientError};
@@ -66,7 +66,7 @@
     kills: usize,
 }
 
-pub fn run(lab: &Lab, quick: bool, protocol_faults: ProtocolFaults) -> Result<Value, LabError> {
+pub fn run(lab: &Lab, quick: bool, protocol_faults: ProtocolFaults) -> Result<Value, TestbedError> {
     let size = if quick {
         Size {
             clients: 4,
@@ -87,7 +87,7 @@
         machines: Mutex::default(),
         times: Mutex::new(
             Histogram::new_with_bounds(1, 120_000_000, 3)
-                .map_err(|e| LabError::Other(e.to_string()))?,
+                .map_err(|e| TestbedError::Other(e.to_string()))?,
         ),
         accepted: Mutex::default(),
     });
@@ -158,7 +158,7 @@
     seed: u64,
     kills: usize,
     record: &Record,
-) -> Result<Vec<(f64, bool)>, LabError> {
+) -> Result<Vec<(f64, bool)>, TestbedError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let nodes = cluster.plan().nodes;
     let mut client = place::client(cluster, 1.0);
@@ -442,7 +442,7 @@
     unfinished: &[String],
     fallen: usize,
     memory_mb: f64,
-) -> Result<Value, LabError> {
+) -> Result<Value, TestbedError> {
     let jobs = lock(&record.jobs);
     let machines = lock(&record.machines);
     let wrong = wrong(&jobs, &machines);
--- a/crates/testbed/src/scale/children.rs
+++ b/crates/testbed/src/scale/children.rs
@@ -2,7 +2,7 @@
 //! their ids.
 
 use super::messages::{Command, Record, RolePlan};
-use crate::LabError;
+use crate::TestbedError;
 use std::io::{BufRead, BufReader, Write};
 use std::path::PathBuf;
 use std::process::{Child, ChildStdin, Stdio};
@@ -42,7 +42,7 @@
         id: RoleId,
         plan: &RolePlan,
         records: Sender<(RoleId, Record)>,
-    ) -> Result<RoleChild, LabError> {
+    ) -> Result<RoleChild, TestbedError> {
         let program =
             std::env::current_exe().unwrap_or_else(|_| PathBuf::from("beamhinge-testbed"));
         let mut child = std::process::Command::new(program)
@@ -69,7 +69,9 @@
             input,
             reader,
         };
-        child.write_line(&serde_json::to_string(plan).map_err(|e| LabError::Other(e.to_string()))?);
+        child.write_line(
+            &serde_json::to_string(plan).map_err(|e| TestbedError::Other(e.to_string()))?,
+        );
         Ok(child)
     }
 
--- a/crates/testbed/src/scale/config_changes.rs
+++ b/crates/testbed/src/scale/config_changes.rs
@@ -5,7 +5,7 @@
 use super::layout::{GUARANTEED, LIMIT};
 use super::run::{answer_histogram, times};
 use crate::place;
-use crate::LabError;
+use crate::TestbedError;
 use beamhinge_client::Client;
 use beamhinge_configuration::{ConfigurationChange, Quota, TeamChange};
 use hdrhistogram::Histogram;
@@ -50,8 +50,8 @@
 }
 
 impl Operators {
-    pub fn start(doors: &[SocketAddrV4], seed: u64) -> Result<Operators, LabError> {
-        let histogram = answer_histogram().map_err(|e| LabError::Other(e.to_string()))?;
+    pub fn start(doors: &[SocketAddrV4], seed: u64) -> Result<Operators, TestbedError> {
+        let histogram = answer_histogram().map_err(|e| TestbedError::Other(e.to_string()))?;
         let tally = Tally {
             micros: Some(histogram),
             ..Tally::default()
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -21,7 +21,7 @@
 mod workload;
 
 use crate::place::{self, Lab};
-use crate::LabError;
+use crate::TestbedError;
 use clap::Args;
 use faults::Fault;
 use figures::{BudgetLine, Figures};
@@ -101,8 +101,8 @@
 const QUICK_MINUTES: f64 = 0.35;
 
 impl Options {
-    fn size(&self, is_quick: bool) -> Result<Size, LabError> {
-        let wrong = |e: size::SizeError| LabError::Other(e.to_string());
+    fn size(&self, is_quick: bool) -> Result<Size, TestbedError> {
+        let wrong = |e: size::SizeError| TestbedError::Other(e.to_string());
         let mut size = match &self.table {
             Some(path) => Size::load(path).map_err(wrong)?,
             None => Size::parse("the operators' table", OPERATORS_TABLE).map_err(wrong)?,
@@ -124,7 +124,7 @@
         Ok(size)
     }
 
-    fn seconds(&self, is_quick: bool) -> Result<f64, LabError> {
+    fn seconds(&self, is_quick: bool) -> Result<f64, TestbedError> {
         let minutes = if is_quick {
             QUICK_MINUTES
         } else {
@@ -133,7 +133,7 @@
         if !(minutes > 0.0 && minutes <= MAX_MINUTES) {
             let wrong =
                 format!("--minutes {minutes}: it must be above 0 and {MAX_MINUTES} at most");
-            return Err(LabError::Other(wrong));
+            return Err(TestbedError::Other(wrong));
         }
         Ok(minutes * 60.0)
     }
@@ -157,7 +157,7 @@
     }
 }
 
-pub fn run(lab: &Lab, is_quick: bool, options: &Options) -> Result<Value, LabError> {
+pub fn run(lab: &Lab, is_quick: bool, options: &Options) -> Result<Value, TestbedError> {
     let size = options.size(is_quick)?;
     let seconds = options.seconds(is_quick)?;
     if let Some(folder) = &options.out {
@@ -204,7 +204,7 @@
     })
 }
 
-fn write_run(folder: &Path, played: &Played, lines: &[BudgetLine]) -> Result<(), LabError> {
+fn write_run(folder: &Path, played: &Played, lines: &[BudgetLine]) -> Result<(), TestbedError> {
     let text = json!({"budget": lines, "figures": played.figures});
     std::fs::write(folder.join("scale.json"), format!("{text:#}\n"))?;
     let plots = [
@@ -243,7 +243,7 @@
     full: &Size,
     seconds: f64,
     stop: &Arc<AtomicBool>,
-) -> Result<Value, LabError> {
+) -> Result<Value, TestbedError> {
     let mut points = Vec::new();
     let mut broken = false;
     for (x, size) in axis.sizes(full) {
@@ -280,7 +280,7 @@
     axis: Axis,
     series: &[Series],
     points: &[(f64, Figures)],
-) -> Result<(), LabError> {
+) -> Result<(), TestbedError> {
     let figures: Vec<Value> = points
         .iter()
         .map(|(x, f)| json!({"x": x, "figures": f}))
--- a/crates/testbed/src/scale/plots.rs
+++ b/crates/testbed/src/scale/plots.rs
@@ -2,7 +2,7 @@
 //! and slopes with their points.
 
 use super::fit::Fit;
-use crate::LabError;
+use crate::TestbedError;
 use plotters::prelude::*;
 use std::path::Path;
 
@@ -20,8 +20,8 @@
     pub marks: &'a [(f64, String)],
 }
 
-fn failed(e: impl std::fmt::Display) -> LabError {
-    LabError::Other(format!("cannot draw: {e}"))
+fn failed(e: impl std::fmt::Display) -> TestbedError {
+    TestbedError::Other(format!("cannot draw: {e}"))
 }
 
 fn most(values: impl Iterator<Item = f64>) -> f64 {
@@ -33,7 +33,7 @@
     }
 }
 
-pub fn over_time(path: &Path, plot: &TimePlot) -> Result<(), LabError> {
+pub fn over_time(path: &Path, plot: &TimePlot) -> Result<(), TestbedError> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(failed)?;
     let (end, top) = (
@@ -83,7 +83,7 @@
     (x_name, y_name): (&str, &str),
     points: &[(f64, f64)],
     fit: Option<Fit>,
-) -> Result<(), LabError> {
+) -> Result<(), TestbedError> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(failed)?;
     let (right, top) = (
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -14,7 +14,7 @@
 use super::usage;
 use super::workload::Workload;
 use crate::place::{Folder, Lab};
-use crate::LabError;
+use crate::TestbedError;
 use beamhinge_dev_cluster::controllers::{ControllerProgram, Controllers};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
@@ -104,10 +104,10 @@
 }
 
 /// Checks that this machine can play it; what to do where it cannot.
-fn check_machine(layout: &Layout) -> Result<(), LabError> {
+fn check_machine(layout: &Layout) -> Result<(), TestbedError> {
     let needed = layout.connections().max(MAX_CONNECTIONS) as u64 + 200;
     if usage::file_limit().is_some_and(|limit| limit < needed) {
-        return Err(LabError::Other(format!(
+        return Err(TestbedError::Other(format!(
             "a process may open {} files here, and {needed} are needed: \
              run it after `ulimit -n {needed}`, or with fewer workers",
             usage::file_limit().unwrap_or_default()
@@ -115,12 +115,12 @@
     }
     let processes = layout.size.controllers + layout.worker_processes() + 4;
     if processes > MAX_PROCESSES {
-        return Err(LabError::Other(format!(
+        return Err(TestbedError::Other(format!(
             "{processes} processes; {MAX_PROCESSES} is the most"
         )));
     }
     match layout.taken() {
-        Some(address) => Err(LabError::Other(format!(
+        Some(address) => Err(TestbedError::Other(format!(
             "{address} is used by another program"
         ))),
         None => Ok(()),
@@ -128,10 +128,10 @@
 }
 
 /// Plays one run.
-pub fn play(lab: &Lab, plan: RunPlan, stop: &Arc<AtomicBool>) -> Result<Played, LabError> {
+pub fn play(lab: &Lab, plan: RunPlan, stop: &Arc<AtomicBool>) -> Result<Played, TestbedError> {
     plan.size
         .check()
-        .map_err(|e| LabError::Other(e.to_string()))?;
+        .map_err(|e| TestbedError::Other(e.to_string()))?;
     let layout = Layout::new(plan.size.clone(), plan.base_port, plan.real_workers);
     check_machine(&layout)?;
     let mut run = Run::start(lab, plan, layout, stop.clone())?;
@@ -146,7 +146,7 @@
         plan: RunPlan,
         layout: Layout,
         stop: Arc<AtomicBool>,
-    ) -> Result<Run, LabError> {
+    ) -> Result<Run, TestbedError> {
         let folder = Folder::new("scale")?;
         let deployment = layout.deployment();
         let directions = (0..plan.size.controllers)
@@ -214,14 +214,14 @@
     }
 
     /// Everything listens, controllers are started, and machines are known.
-    fn wait_until_ready(&mut self) -> Result<(), LabError> {
+    fn wait_until_ready(&mut self) -> Result<(), TestbedError> {
         let until = Instant::now() + Duration::from_secs_f64(READY_S);
         let mut ready = BTreeSet::new();
         while ready.len() < self.roles.len() {
             if Instant::now() > until {
                 let missing = self.roles.keys().find(|id| !ready.contains(*id));
                 let name = missing.map_or(String::new(), |id| id.name());
-                return Err(LabError::Other(format!(
+                return Err(TestbedError::Other(format!(
                     "the {name} did not start in {READY_S} s"
                 )));
             }
@@ -243,7 +243,7 @@
             if Instant::now() > until {
                 let log = std::fs::read_to_string(self.controllers.log_of(0)).unwrap_or_default();
                 let end: Vec<&str> = log.lines().rev().take(5).collect();
-                return Err(LabError::Other(format!(
+                return Err(TestbedError::Other(format!(
                     "no controller leads after {READY_S} s; the first one's last lines: {end:?}"
                 )));
             }
@@ -252,21 +252,21 @@
         self.run_for(SETTLE_S)
     }
 
-    fn check_running(&mut self) -> Result<(), LabError> {
+    fn check_running(&mut self) -> Result<(), TestbedError> {
         if self.stop.load(Ordering::Relaxed) {
-            return Err(LabError::Other("stopped by a signal".into()));
+            return Err(TestbedError::Other("stopped by a signal".into()));
         }
         let ended = self
             .roles
             .values_mut()
             .find_map(|r| r.has_ended().then(|| r.id.name()));
         match ended {
-            Some(name) => Err(LabError::Other(format!("the {name} ended by itself"))),
+            Some(name) => Err(TestbedError::Other(format!("the {name} ended by itself"))),
             None => Ok(()),
         }
     }
 
-    fn run_for(&mut self, seconds: f64) -> Result<(), LabError> {
+    fn run_for(&mut self, seconds: f64) -> Result<(), TestbedError> {
         let until = Instant::now() + Duration::from_secs_f64(seconds);
         while Instant::now() < until {
             self.turn()?;
@@ -275,7 +275,7 @@
     }
 
     /// Takes records for a moment, and does what is due.
-    fn turn(&mut self) -> Result<(), LabError> {
+    fn turn(&mut self) -> Result<(), TestbedError> {
         self.check_running()?;
         let until = Instant::now() + LOOK;
         while let Some(left) = until.checked_duration_since(Instant::now()) {
@@ -301,7 +301,7 @@
         self.sample()
     }
 
-    fn sample(&mut self) -> Result<(), LabError> {
+    fn sample(&mut self) -> Result<(), TestbedError> {
         let controllers: Vec<(usize, u32)> = (0..self.plan.size.controllers)
             .filter_map(|node| Some((node, self.controllers.pid(node)?)))
             .collect();
@@ -311,7 +311,7 @@
         };
         let half = usage::machine_memory_mb() / 2.0;
         if memory_mb > half {
-            return Err(LabError::Other(format!(
+            return Err(TestbedError::Other(format!(
                 "{memory_mb:.0} MB are in use, more than half of this machine's: use fewer workers"
             )));
         }
@@ -388,7 +388,7 @@
     }
 
     /// Jobs arrive, and faults come when they are due.
-    fn play_load(&mut self) -> Result<(), LabError> {
+    fn play_load(&mut self) -> Result<(), TestbedError> {
         let (id, role) = users_plan(&self.plan, &self.layout, self.checker.workload());
         let users = RoleChild::start(id, &role, self.sender.clone())?;
         self.roles.insert(id, users);
@@ -460,7 +460,7 @@
             .push((Instant::now() + Duration::from_secs_f64(after_s), what));
     }
 
-    fn act_later(&mut self, later: Later) -> Result<(), LabError> {
+    fn act_later(&mut self, later: Later) -> Result<(), TestbedError> {
         match later {
             Later::StartController(node) => self.controllers.start(node)?,
             Later::GoOn(node) => self.controllers.pause(node, false),
@@ -473,7 +473,7 @@
         Ok(())
     }
 
-    fn strike(&mut self, at: f64, kind: FaultKind) -> Result<(), LabError> {
+    fn strike(&mut self, at: f64, kind: FaultKind) -> Result<(), TestbedError> {
         eprintln!("{at:6.1} s  fault: {kind}");
         self.marks.push((at, kind.to_string()));
         match kind {
@@ -615,7 +615,7 @@
 
     // ---- the end ----
 
-    fn finish(mut self) -> Result<Played, LabError> {
+    fn finish(mut self) -> Result<Played, TestbedError> {
         // What is not in order yet is so by now.
         self.checker.judge_until(wall_us() + 10_000_000);
         let began_us = wall_us().saturating_sub(self.began.elapsed().as_micros() as u64);
@@ -624,7 +624,7 @@
         let waits = self
             .checker
             .urgent_histogram(steady_us)
-            .map_err(|e| LabError::Other(e.to_string()))?;
+            .map_err(|e| TestbedError::Other(e.to_string()))?;
         let limit_ms = (self.plan.size.urgent_start_s * 1e3) as u64;
         let in_time = waits.count_between(0, limit_ms) as f64 / waits.len().max(1) as f64;
         let starts: Vec<(f64, f64)> = self
