--- a/crates/transport/src/connections.rs
+++ b/crates/transport/src/connections.rs
@@ -1,8 +1,8 @@
-//! Connections: accepted, made, bounded, and closed when their time is up.
+//! Connections: accepted, opened, bounded in number, and closed when they time out.
 
-use crate::output::{CLOUD_CONNS, STATE_CONNS};
-use crate::wiring::{connect, open_door, ListenerKind};
-use crate::{Conn, EventLoop, Kind};
+use crate::network::{connect, open_listener, ListenerKind};
+use crate::output::{MAX_CLOUD_CONNECTIONS, MAX_STATE_CONNECTIONS};
+use crate::{Connection, ConnectionKind, EventLoop};
 use beamhinge_core::messages::Service;
 use beamhinge_core::types::Time;
 use polling::{Event, PollMode};
@@ -10,24 +10,37 @@
 use std::net::{TcpListener, TcpStream};
 
 /// How long a request may take to come in, seconds.
-const PARTIAL_S: f64 = 10.0;
+const REQUEST_TIMEOUT_S: f64 = 10.0;
 /// How long a connection may be idle, seconds.
-const IDLE_S: f64 = 75.0;
-/// Idle time after which a user's connection may be closed for another's.
-const EVICT_S: f64 = 2.0;
-/// An operator's client that takes nothing of its answer for so long is let go.
-const SLOW_READER_S: f64 = 10.0;
-/// How often a door that could not be opened is tried again.
-pub(crate) const REOPEN_S: f64 = 5.0;
+const IDLE_TIMEOUT_S: f64 = 75.0;
+/// Idle time after which a connection may be closed for a new one, seconds.
+const MIN_IDLE_BEFORE_EVICTION_S: f64 = 2.0;
+/// A client of the admin API that reads nothing of its answer for so long is closed, seconds.
+const SLOW_READER_TIMEOUT_S: f64 = 10.0;
+/// Idle time after which a connection to an outside service is closed, seconds.
+const CALL_IDLE_TIMEOUT_S: f64 = 30.0;
+/// A peer sends a heartbeat each second: a link that is silent for so long is closed, seconds.
+const PEER_SILENCE_TIMEOUT_S: f64 = 10.0;
+/// A peer that reads nothing for so long is disconnected, seconds.
+const PEER_WRITE_TIMEOUT_S: f64 = 5.0;
+/// Pause between two attempts to connect to a peer, seconds.
+const PEER_RETRY_S: f64 = 1.0;
+/// Most connections accepted from one listener before other events are served.
+const MAX_ACCEPTS_PER_EVENT: usize = 64;
+/// Connections kept free for peers and workers, beside those to the store and the cloud.
+const RESERVED_FOR_PEERS: usize = 16;
+/// How often a listener that could not be opened is tried again, seconds.
+pub(crate) const LISTENER_RETRY_INTERVAL_S: f64 = 5.0;
 
 impl<S: Service> EventLoop<S> {
+    /// Registers a connection and returns its slot. `connecting`: it is not established yet.
     pub(crate) fn insert(
         &mut self,
         stream: TcpStream,
-        kind: Kind,
+        kind: ConnectionKind,
         connecting: bool,
     ) -> io::Result<usize> {
-        let slot = self.free.pop().unwrap_or(self.conns.len());
+        let slot = self.free_slots.pop().unwrap_or(self.connections.len());
         let interest = if connecting {
             Event::all(slot)
         } else {
@@ -37,50 +50,51 @@
             .poller
             .add_with_mode(&stream, interest, PollMode::Level)
         {
-            if slot < self.conns.len() {
-                self.free.push(slot);
+            if slot < self.connections.len() {
+                self.free_slots.push(slot);
             }
             return Err(e);
         }
         self.generation += 1;
-        if let Kind::Public { door, .. } = kind {
-            self.door_open[door] += 1;
+        if let ConnectionKind::Public { listener, .. } = kind {
+            self.open_by_listener[listener] += 1;
         }
-        let conn = Conn {
+        let connection = Connection {
             stream,
             kind,
             generation: self.generation,
-            inbuf: Vec::new(),
-            outbuf: Vec::new(),
+            input: Vec::new(),
+            output: Vec::new(),
             writing: connecting,
-            overfull: false,
-            active: self.now(),
+            dropping_frames: false,
+            last_active: self.now(),
         };
-        if slot == self.conns.len() {
-            self.conns.push(Some(conn));
+        if slot == self.connections.len() {
+            self.connections.push(Some(connection));
         } else {
-            self.conns[slot] = Some(conn);
+            self.connections[slot] = Some(connection);
         }
-        self.open += 1;
+        self.open_connections += 1;
         Ok(slot)
     }
 
+    /// Closes a connection; a call that it carried counts as failed.
     pub(crate) fn close(&mut self, slot: usize) {
-        let Some(conn) = self.conns.get_mut(slot).and_then(Option::take) else {
+        let Some(connection) = self.connections.get_mut(slot).and_then(Option::take) else {
             return;
         };
-        let _ = self.poller.delete(&conn.stream);
-        self.open -= 1;
-        self.free.push(slot);
-        match conn.kind {
-            Kind::Call {
+        let _ = self.poller.delete(&connection.stream);
+        self.open_connections -= 1;
+        self.free_slots.push(slot);
+        match connection.kind {
+            ConnectionKind::Call {
                 current: Some((id, _)),
                 ..
-            } => self.failed.push_back(id),
-            Kind::Public { door, .. } => self.door_open[door] -= 1,
-            Kind::PeerOut { member } => {
-                let at = self.now().plus(1.0);
-                if let Some(r) = self.peer_retry.get_mut(member) {
+            } => self.failed_calls.push_back(id),
+            ConnectionKind::Public { listener, .. } => self.open_by_listener[listener] -= 1,
+            ConnectionKind::PeerOut { member } => {
+                let at = self.now().plus(PEER_RETRY_S);
+                if let Some(r) = self.peer_retry_at.get_mut(member) {
                     *r = at;
                 }
             }
@@ -88,12 +102,13 @@
         }
     }
 
-    pub(crate) fn accept(&mut self, door: Option<usize>) {
-        let limit = self.wiring.max_connections;
-        let reserve = self.reserve();
-        for _ in 0..64 {
-            let listener = match door {
-                Some(d) => self.listeners.get(d).and_then(Option::as_ref),
+    /// Accepts what waits at a listener; `None` is the listener for peers.
+    pub(crate) fn accept(&mut self, place: Option<usize>) {
+        let limit = self.network.max_connections;
+        let reserve = self.reserved_connections();
+        for _ in 0..MAX_ACCEPTS_PER_EVENT {
+            let listener = match place {
+                Some(place) => self.listeners.get(place).and_then(Option::as_ref),
                 None => self.peer_listener.as_ref(),
             };
             let Some(Ok((stream, _))) = listener.map(TcpListener::accept) else {
@@ -103,85 +118,94 @@
                 continue;
             }
             let _ = stream.set_nodelay(true);
-            // Who has been idle at the same door makes room for who comes.
-            let crowded = match door.map(|d| (d, self.wiring.listeners[d].kind)) {
-                Some((d, ListenerKind::Operators { most })) => {
-                    self.door_open[d] >= most && !self.evict(d) || self.open + reserve >= limit
+            // A connection that has been idle at the same listener is closed for the new one.
+            let full = match place.map(|place| (place, self.network.listeners[place].kind)) {
+                Some((place, ListenerKind::Admin { max_connections })) => {
+                    self.open_by_listener[place] >= max_connections && !self.evict_idle(place)
+                        || self.open_connections + reserve >= limit
+                }
+                Some((place, ListenerKind::Platform)) => {
+                    self.open_connections + reserve >= limit && !self.evict_idle(place)
                 }
-                Some((d, ListenerKind::Platform)) => self.open + reserve >= limit && !self.evict(d),
                 None => false,
             };
-            if crowded {
-                // Closed at once: the load balancer, the worker or the client
-                // tries another node instead of waiting for us.
+            if full {
+                // Closed at once: the load balancer, the worker or the client tries another
+                // controller instead of waiting for this one.
                 continue;
             }
-            let kind = match door {
-                Some(door) => Kind::Public {
-                    door,
+            let kind = match place {
+                Some(listener) => ConnectionKind::Public {
+                    listener,
                     waiting: false,
                     close: false,
                     partial: None,
                     worker: false,
                 },
-                None => Kind::PeerIn,
+                None => ConnectionKind::PeerIn,
             };
             let _ = self.insert(stream, kind, false);
         }
     }
 
-    /// Sockets kept for peers, the state service, the cloud and workers.
-    pub(crate) fn reserve(&self) -> usize {
-        (STATE_CONNS + CLOUD_CONNS + 16).min(self.wiring.max_connections / 3)
+    /// Connections kept free for peers, the key-value store, the cloud and workers.
+    pub(crate) fn reserved_connections(&self) -> usize {
+        (MAX_STATE_CONNECTIONS + MAX_CLOUD_CONNECTIONS + RESERVED_FOR_PEERS)
+            .min(self.network.max_connections / 3)
     }
 
-    /// So many sockets are taken that workers give theirs up between reports.
+    /// Whether so many connections are open that workers must give theirs up between reports.
     ///
-    /// More machines than sockets kept all of them open once: the rest could not
-    /// report, and users found no node.
-    pub(crate) fn crowded(&self) -> bool {
-        (self.open + self.reserve()) * 5 > self.wiring.max_connections * 4
+    /// Guards against more machines than connections: those that are connected would keep all of
+    /// them, the others could not report, and users would find no controller.
+    pub(crate) fn near_limit(&self) -> bool {
+        (self.open_connections + self.reserved_connections()) * 5 > self.network.max_connections * 4
     }
 
-    /// Tries those doors again that could not be opened.
-    pub(crate) fn open_doors(&mut self, now: Time) {
-        if now.since(self.doors_tried) < REOPEN_S || self.listeners.iter().all(Option::is_some) {
+    /// Tries the listeners again that could not be opened.
+    pub(crate) fn retry_listeners(&mut self, now: Time) {
+        if now.since(self.listeners_tried) < LISTENER_RETRY_INTERVAL_S
+            || self.listeners.iter().all(Option::is_some)
+        {
             return;
         }
-        self.doors_tried = now;
-        for (i, door) in self.wiring.listeners.iter().enumerate() {
-            if self.listeners[i].is_none() {
-                if let Ok(listener) = open_door(&self.poller, i, door) {
-                    tracing::info!("operators are served on {}", door.addr);
-                    self.listeners[i] = Some(listener);
+        self.listeners_tried = now;
+        for (place, config) in self.network.listeners.iter().enumerate() {
+            if self.listeners[place].is_none() {
+                if let Ok(listener) = open_listener(&self.poller, place, config) {
+                    tracing::info!(address = %config.addr, "opened admin API listener");
+                    self.listeners[place] = Some(listener);
                 }
             }
         }
     }
 
-    pub(crate) fn operators(&self, door: usize) -> bool {
+    /// Whether a listener serves the admin API.
+    pub(crate) fn is_admin(&self, listener: usize) -> bool {
         matches!(
-            self.wiring.listeners.get(door).map(|d| d.kind),
-            Some(ListenerKind::Operators { .. })
+            self.network.listeners.get(listener).map(|l| l.kind),
+            Some(ListenerKind::Admin { .. })
         )
     }
 
-    /// Closes the connection of a user or operator that has been idle longest.
-    pub(crate) fn evict(&mut self, at: usize) -> bool {
+    /// Closes the connection of a listener that has been idle longest; workers keep theirs.
+    ///
+    /// Returns whether one was idle for long enough.
+    pub(crate) fn evict_idle(&mut self, place: usize) -> bool {
         let now = self.now();
         let oldest = self
-            .conns
+            .connections
             .iter()
             .enumerate()
             .filter_map(|(i, c)| c.as_ref().map(|c| (i, c)))
             .filter(|(_, c)| {
-                matches!(c.kind, Kind::Public { door, waiting: false, worker: false, .. }
-                    if door == at)
+                matches!(c.kind, ConnectionKind::Public { listener, waiting: false, worker: false, .. }
+                    if listener == place)
             })
-            .min_by_key(|(_, c)| c.active)
-            .map(|(i, c)| (i, c.active));
+            .min_by_key(|(_, c)| c.last_active)
+            .map(|(i, c)| (i, c.last_active));
         match oldest {
-            Some((slot, active)) if now.since(active) > EVICT_S => {
+            Some((slot, last_active)) if now.since(last_active) > MIN_IDLE_BEFORE_EVICTION_S => {
                 self.close(slot);
                 true
             }
@@ -189,52 +213,57 @@
         }
     }
 
-    pub(crate) fn expire(&mut self, now: Time) {
-        let mut over = Vec::new();
-        for (slot, conn) in self.conns.iter().enumerate() {
-            let Some(c) = conn else { continue };
+    /// Closes the connections that have timed out.
+    pub(crate) fn close_expired(&mut self, now: Time) {
+        let mut expired = Vec::new();
+        for (slot, connection) in self.connections.iter().enumerate() {
+            let Some(c) = connection else { continue };
             let late = match &c.kind {
-                Kind::Public { door, .. } if self.operators(*door) && !c.outbuf.is_empty() => {
-                    now.since(c.active) > SLOW_READER_S
+                ConnectionKind::Public { listener, .. }
+                    if self.is_admin(*listener) && !c.output.is_empty() =>
+                {
+                    now.since(c.last_active) > SLOW_READER_TIMEOUT_S
                 }
-                Kind::Call {
+                ConnectionKind::Call {
                     current: Some((_, deadline)),
                     ..
                 } => now > *deadline,
-                Kind::Call { current: None, .. } => now.since(c.active) > 30.0,
-                Kind::Public {
+                ConnectionKind::Call { current: None, .. } => {
+                    now.since(c.last_active) > CALL_IDLE_TIMEOUT_S
+                }
+                ConnectionKind::Public {
                     waiting: false,
                     partial: Some(t),
                     ..
-                } => now.since(*t) > PARTIAL_S,
-                Kind::Public { waiting: false, .. } => now.since(c.active) > IDLE_S,
-                Kind::Public { waiting: true, .. } => now.since(c.active) > IDLE_S,
-                // A link over which nothing goes is not known to be alive.
-                Kind::PeerIn => now.since(c.active) > 10.0,
-                Kind::PeerOut { .. } => !c.outbuf.is_empty() && now.since(c.active) > 5.0,
+                } => now.since(*t) > REQUEST_TIMEOUT_S,
+                ConnectionKind::Public { .. } => now.since(c.last_active) > IDLE_TIMEOUT_S,
+                ConnectionKind::PeerIn => now.since(c.last_active) > PEER_SILENCE_TIMEOUT_S,
+                ConnectionKind::PeerOut { .. } => {
+                    !c.output.is_empty() && now.since(c.last_active) > PEER_WRITE_TIMEOUT_S
+                }
             };
             if late {
-                over.push(slot);
+                expired.push(slot);
             }
         }
-        for slot in over {
+        for slot in expired {
             self.close(slot);
         }
     }
 
-    pub(crate) fn link_peers(&mut self, now: Time) {
-        for member in 0..self.wiring.members.len() {
-            let linked = self
-                .conns
-                .iter()
-                .flatten()
-                .any(|c| matches!(c.kind, Kind::PeerOut { member: m } if m == member));
-            if linked || now < self.peer_retry[member] {
+    /// Opens the connections to peers that are missing.
+    pub(crate) fn connect_peers(&mut self, now: Time) {
+        for member in 0..self.network.members.len() {
+            let linked =
+                self.connections.iter().flatten().any(
+                    |c| matches!(c.kind, ConnectionKind::PeerOut { member: m } if m == member),
+                );
+            if linked || now < self.peer_retry_at[member] {
                 continue;
             }
-            self.peer_retry[member] = now.plus(1.0);
-            if let Ok(stream) = connect(self.wiring.members[member].addr) {
-                let _ = self.insert(stream, Kind::PeerOut { member }, true);
+            self.peer_retry_at[member] = now.plus(PEER_RETRY_S);
+            if let Ok(stream) = connect(self.network.members[member].addr) {
+                let _ = self.insert(stream, ConnectionKind::PeerOut { member }, true);
             }
         }
     }
--- a/crates/transport/src/input.rs
+++ b/crates/transport/src/input.rs
@@ -1,6 +1,7 @@
-//! What comes in: requests, responses and frames, as far as they are whole.
+//! Input: whole requests, responses and frames are taken from the buffers of connections and
+//! handed to the service.
 
-use crate::{wall, EventLoop, Kind};
+use crate::{wall, ConnectionKind, EventLoop};
 use beamhinge_core::http::{self, Content, HttpError};
 use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::peers;
@@ -8,60 +9,62 @@
 use beamhinge_core::wire::{self, MAX_BODY_BYTES};
 use std::io::{self, Read};
 
-/// Answers of the state service may be large; beyond this we give up on one.
-const ANSWER_LIMIT: usize = 4 * 1024 * 1024;
-/// The status of a controller that sends its caller elsewhere.
+/// Largest response that is accepted, bytes; those of the key-value store may be large.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+/// The status by which a controller sends its caller to another one.
 const MISDIRECTED: u16 = 421;
 
 impl<S: Service> EventLoop<S> {
-    pub(crate) fn ready(&mut self, slot: usize, readable: bool, writable: bool) {
+    /// Serves a connection that can be read or written.
+    pub(crate) fn on_ready(&mut self, slot: usize, readable: bool, writable: bool) {
         if writable {
             if !self.flush(slot) {
                 return;
             }
-            // What waited for its answer's reader goes on.
+            // Requests that waited until the last answer was read are handled now.
             let waits = self
-                .conns
+                .connections
                 .get(slot)
                 .and_then(Option::as_ref)
                 .is_some_and(|c| {
-                    matches!(c.kind, Kind::Public { .. })
-                        && c.outbuf.is_empty()
-                        && !c.inbuf.is_empty()
+                    matches!(c.kind, ConnectionKind::Public { .. })
+                        && c.output.is_empty()
+                        && !c.input.is_empty()
                 });
             if waits {
-                self.requests(slot);
+                self.handle_requests(slot);
             }
         }
         if readable {
-            self.read(slot);
+            self.read_from(slot);
         }
     }
 
-    pub(crate) fn read(&mut self, slot: usize) {
+    /// Reads what has arrived on a connection and handles it.
+    pub(crate) fn read_from(&mut self, slot: usize) {
         let now = self.now();
-        let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+        let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
             return;
         };
-        let limit = match conn.kind {
-            Kind::Public { .. } => MAX_BODY_BYTES + 2 * http::MAX_HEAD_BYTES,
-            Kind::Call { .. } => ANSWER_LIMIT + http::MAX_HEAD_BYTES,
+        let limit = match connection.kind {
+            ConnectionKind::Public { .. } => MAX_BODY_BYTES + 2 * http::MAX_HEAD_BYTES,
+            ConnectionKind::Call { .. } => MAX_RESPONSE_BYTES + http::MAX_HEAD_BYTES,
             _ => peers::MAX_FRAME_BYTES + 4,
         };
         let mut chunk = [0u8; 16 * 1024];
-        let mut ended = false;
+        let mut closed = false;
         for _ in 0..16 {
-            if conn.inbuf.len() > limit {
+            if connection.input.len() > limit {
                 break;
             }
-            match conn.stream.read(&mut chunk) {
+            match connection.stream.read(&mut chunk) {
                 Ok(0) => {
-                    ended = true;
+                    closed = true;
                     break;
                 }
                 Ok(n) => {
-                    conn.inbuf.extend_from_slice(&chunk[..n]);
-                    conn.active = now;
+                    connection.input.extend_from_slice(&chunk[..n]);
+                    connection.last_active = now;
                     if n < chunk.len() {
                         break;
                     }
@@ -69,53 +72,54 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
-                    ended = true;
+                    closed = true;
                     break;
                 }
             }
         }
-        match conn.kind {
-            Kind::Public { .. } => self.requests(slot),
-            Kind::Call { .. } => self.response(slot),
-            Kind::PeerIn => self.frames(slot),
-            Kind::PeerOut { .. } => conn.inbuf.clear(),
+        match connection.kind {
+            ConnectionKind::Public { .. } => self.handle_requests(slot),
+            ConnectionKind::Call { .. } => self.handle_response(slot),
+            ConnectionKind::PeerIn => self.handle_frames(slot),
+            ConnectionKind::PeerOut { .. } => connection.input.clear(),
         }
         let over = self
-            .conns
+            .connections
             .get(slot)
             .and_then(Option::as_ref)
-            .is_some_and(|c| c.inbuf.len() > limit);
-        if ended || over {
+            .is_some_and(|c| c.input.len() > limit);
+        if closed || over {
             self.close(slot);
         }
     }
 
-    pub(crate) fn requests(&mut self, slot: usize) {
+    /// Hands whole requests to the service, one at a time.
+    pub(crate) fn handle_requests(&mut self, slot: usize) {
         loop {
             let now = self.now();
-            let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+            let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
                 return;
             };
-            let generation = conn.generation;
-            let Kind::Public {
-                door,
+            let generation = connection.generation;
+            let ConnectionKind::Public {
+                listener,
                 waiting,
                 close,
                 partial,
                 worker,
-            } = &mut conn.kind
+            } = &mut connection.kind
             else {
                 return;
             };
-            let door = *door;
-            // A client that sends and never reads would else fill our memory with
-            // its answers: one is taken before the next request is.
-            if *waiting || *close || !conn.outbuf.is_empty() {
+            let listener = *listener;
+            // The next request is taken only when the last answer has been read: answers to a
+            // client that sends and never reads would fill the memory otherwise.
+            if *waiting || *close || !connection.output.is_empty() {
                 return;
             }
-            match http::take_request(&mut conn.inbuf, MAX_BODY_BYTES) {
+            match http::take_request(&mut connection.input, MAX_BODY_BYTES) {
                 Ok(None) => {
-                    *partial = if conn.inbuf.is_empty() {
+                    *partial = if connection.input.is_empty() {
                         None
                     } else {
                         partial.or(Some(now))
@@ -130,67 +134,76 @@
                     let id = RequestId { slot, generation };
                     let mut out = Vec::new();
                     self.service
-                        .on_request(now, wall(), door, id, request, &mut out);
-                    self.act(out);
+                        .on_request(now, wall(), listener, id, request, &mut out);
+                    self.apply_effects(out);
                 }
                 Err(error) => {
                     *waiting = true;
                     *close = true;
-                    conn.inbuf.clear();
-                    let status = if error == HttpError::TooLarge {
-                        413
-                    } else {
-                        400
-                    };
-                    let to = RequestId { slot, generation };
-                    let answer = if self.operators(door) {
-                        let large = error == HttpError::TooLarge;
-                        let code = if large { "too_large" } else { "malformed" };
-                        let body = format!("{{\"error\":\"{error}\",\"code\":\"{code}\"}}");
-                        Effect::OperatorAnswer {
-                            to,
-                            status,
-                            retry_after: None,
-                            content: Content::Json,
-                            body: body.into_bytes(),
-                        }
-                    } else {
-                        let body = wire::error_body(&error.to_string());
-                        Effect::Answer {
-                            to,
-                            status,
-                            retry_after: None,
-                            body,
-                        }
-                    };
-                    self.act(vec![answer]);
+                    connection.input.clear();
+                    let answer = self.malformed_request_answer(
+                        RequestId { slot, generation },
+                        listener,
+                        &error,
+                    );
+                    self.apply_effects(vec![answer]);
                     return;
                 }
             }
         }
     }
 
-    pub(crate) fn response(&mut self, slot: usize) {
-        let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+    /// The answer to a request that cannot be parsed, in the form of the listener's interface.
+    fn malformed_request_answer(
+        &self,
+        to: RequestId,
+        listener: usize,
+        error: &HttpError,
+    ) -> Effect {
+        let (status, code) = match error {
+            HttpError::TooLarge => (413, "too_large"),
+            HttpError::Malformed => (400, "malformed"),
+        };
+        if self.is_admin(listener) {
+            let body = format!("{{\"error\":\"{error}\",\"code\":\"{code}\"}}");
+            return Effect::OperatorAnswer {
+                to,
+                status,
+                retry_after: None,
+                content: Content::Json,
+                body: body.into_bytes(),
+            };
+        }
+        Effect::Answer {
+            to,
+            status,
+            retry_after: None,
+            body: wire::error_body(&error.to_string()),
+        }
+    }
+
+    /// Handles the reply to the call that a connection carries.
+    pub(crate) fn handle_response(&mut self, slot: usize) {
+        let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
             return;
         };
-        let Kind::Call {
+        let ConnectionKind::Call {
             destination,
             current,
-        } = &mut conn.kind
+        } = &mut connection.kind
         else {
             return;
         };
-        // Thousands of workers are called now and then: none keeps a socket.
+        // Thousands of workers are called rarely: none of them keeps a connection.
         let once = matches!(destination, Destination::Worker(_));
         if current.is_none() {
-            // Nothing was asked: whatever this is, the connection is no good.
-            if !conn.inbuf.is_empty() {
+            // Bytes without a call: the connection cannot be used any further.
+            if !connection.input.is_empty() {
                 self.close(slot);
             }
             return;
         }
-        match http::take_response(&mut conn.inbuf, ANSWER_LIMIT) {
+        match http::take_response(&mut connection.input, MAX_RESPONSE_BYTES) {
             Ok(None) => {}
             Ok(Some(response)) => {
                 let id = current.take().map(|(id, _)| id);
@@ -198,7 +211,7 @@
                 if response.close || once || response.status == MISDIRECTED {
                     self.close(slot);
                 } else {
-                    conn.inbuf.shrink_to(16 * 1024);
+                    connection.input.shrink_to(16 * 1024);
                 }
                 if let Some(id) = id {
                     let mut out = Vec::new();
@@ -209,24 +222,25 @@
                         Some((response.status, response.body)),
                         &mut out,
                     );
-                    self.act(out);
+                    self.apply_effects(out);
                 }
             }
             Err(_) => self.close(slot),
         }
     }
 
-    pub(crate) fn frames(&mut self, slot: usize) {
+    /// Hands whole frames of a peer to the service.
+    pub(crate) fn handle_frames(&mut self, slot: usize) {
         loop {
             let now = self.now();
-            let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+            let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
                 return;
             };
-            match peers::take_frame(&mut conn.inbuf) {
+            match peers::take_frame(&mut connection.input) {
                 Ok(Some(frame)) => {
                     let mut out = Vec::new();
                     self.service.on_frame(now, wall(), frame, &mut out);
-                    self.act(out);
+                    self.apply_effects(out);
                 }
                 Ok(None) => return,
                 Err(_) => return self.close(slot),
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,105 +1,118 @@
-//! Sockets, timers and the one loop, on `polling` and a single thread.
+//! Sockets, timers and the event loop: `polling` on a single thread.
 //!
-//! Everything is bounded: connections by the platform's limit, buffers by the
-//! size of a message, calls by their timeouts. Users are turned away before
-//! workers, peers, the state service or the cloud run out of sockets.
-
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
+//! Everything is bounded: connections by the platform's limit, buffers by the size of a message,
+//! calls by their timeouts. Users are turned away before workers, peers, the key-value store or
+//! the cloud run out of connections.
 
 mod connections;
 mod input;
+mod network;
 mod output;
-mod wiring;
 
-pub use wiring::{Listener, ListenerKind, NetworkConfig};
+pub use network::{Listener, ListenerKind, NetworkConfig};
 
 use beamhinge_core::messages::{Destination, Service};
 use beamhinge_core::types::{CallId, Time, WallMs};
+use network::{listen, open_listener};
 use polling::{Event, PollMode, Poller};
 use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::io;
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use wiring::{listen, open_door};
 
-const START_US: u64 = 3_600_000_000;
-const TICK_S: f64 = 0.025;
-/// How often connections are looked over for timeouts.
-const TIDY_S: f64 = 0.1;
-const PEERS: usize = usize::MAX - 3;
-/// Keys of the doors' listeners, downwards from here.
-const DOORS: usize = usize::MAX - 4;
+/// Time at the start of the process, well above zero so that times before it can be expressed.
+const START_MICROS: u64 = 3_600_000_000;
+/// How often the service is called without an event, seconds.
+const TICK_INTERVAL_S: f64 = 0.025;
+/// How often connections are checked for timeouts and peers are connected, seconds.
+const MAINTENANCE_INTERVAL_S: f64 = 0.1;
+/// Key of the peer listener's events; below it are those of other listeners and connections.
+const PEER_LISTENER_KEY: usize = usize::MAX - 3;
+/// Key of the first listener's events; further listeners follow downwards.
+const LISTENER_KEYS: usize = usize::MAX - 4;
 
+/// Why the event loop cannot start or go on.
 #[derive(Debug, thiserror::Error)]
 pub enum EventLoopError {
-    #[error("cannot listen on {0}: {1}")]
-    Listen(SocketAddrV4, io::Error),
+    /// An address cannot be listened on.
+    #[error("cannot listen on {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddrV4,
+        /// The cause.
+        source: io::Error,
+    },
+    /// The operating system refuses to report events.
     #[error("cannot wait for events: {0}")]
     Poll(#[from] io::Error),
 }
 
-enum Kind {
+/// What a connection is used for.
+enum ConnectionKind {
+    /// From a user, a worker or a client of the admin API.
     Public {
-        door: usize,
+        /// Place of the listener that accepted it.
+        listener: usize,
+        /// A request is being served.
         waiting: bool,
+        /// It is closed after the answer.
         close: bool,
+        /// When the first part of an incomplete request arrived.
         partial: Option<Time>,
+        /// A worker has reported over it.
         worker: bool,
     },
+    /// To an outside service, with the current call and its deadline.
     Call {
         destination: Destination,
         current: Option<(CallId, Time)>,
     },
+    /// From a peer, for its frames.
     PeerIn,
-    PeerOut {
-        member: usize,
-    },
+    /// To a peer, for frames to it.
+    PeerOut { member: usize },
 }
 
-struct Conn {
+/// One connection with its buffers.
+struct Connection {
     stream: TcpStream,
-    kind: Kind,
+    kind: ConnectionKind,
+    /// Tells it from earlier ones in the same slot.
     generation: u64,
-    inbuf: Vec<u8>,
-    outbuf: Vec<u8>,
+    input: Vec<u8>,
+    output: Vec<u8>,
+    /// Registered for write events.
     writing: bool,
-    /// To a peer: it does not read, and the last frame for it was dropped.
-    overfull: bool,
-    active: Time,
+    /// To a peer that does not read: the last frame for it was dropped.
+    dropping_frames: bool,
+    last_active: Time,
 }
 
+/// Serves one [`Service`]: owns its sockets and calls it with events.
 pub struct EventLoop<S> {
     poller: Poller,
     start: Instant,
-    /// None: a door that could not be opened yet.
+    /// `None`: a listener that could not be opened yet.
     listeners: Vec<Option<TcpListener>>,
-    /// When doors that could not be opened were tried last.
-    doors_tried: Time,
+    /// When listeners that could not be opened were tried last.
+    listeners_tried: Time,
     peer_listener: Option<TcpListener>,
-    wiring: NetworkConfig,
-    conns: Vec<Option<Conn>>,
-    free: Vec<usize>,
-    open: usize,
-    door_open: Vec<usize>,
+    network: NetworkConfig,
+    connections: Vec<Option<Connection>>,
+    free_slots: Vec<usize>,
+    open_connections: usize,
+    open_by_listener: Vec<usize>,
     generation: u64,
     service: S,
-    /// Calls whose connection failed: their fate is unknown.
-    failed: VecDeque<CallId>,
-    peer_retry: Vec<Time>,
-    ticked: Time,
-    tidied: Time,
+    /// Calls whose connection failed: whether they had an effect is unknown.
+    failed_calls: VecDeque<CallId>,
+    peer_retry_at: Vec<Time>,
+    last_tick: Time,
+    last_maintenance: Time,
 }
 
+/// The time of day.
 pub fn wall() -> WallMs {
     WallMs(
         SystemTime::now()
@@ -109,115 +122,132 @@
 }
 
 impl<S: Service> EventLoop<S> {
+    /// Opens the listeners and makes the service.
+    ///
+    /// # Errors
+    ///
+    /// [`EventLoopError`] if the platform's or the peers' address cannot be listened on.
     pub fn new(
-        wiring: NetworkConfig,
+        network: NetworkConfig,
         make: impl FnOnce(Time) -> S,
     ) -> Result<EventLoop<S>, EventLoopError> {
-        match EventLoop::try_new(wiring, |now| Ok::<S, Infallible>(make(now)))? {
-            Ok(net) => Ok(net),
+        match EventLoop::try_new(network, |now| Ok::<S, Infallible>(make(now)))? {
+            Ok(event_loop) => Ok(event_loop),
             Err(never) => match never {},
         }
     }
 
-    /// The same for a service that may fail to be made.
+    /// The same for a service that may fail to be made; its error is the inner one.
     pub fn try_new<E>(
-        wiring: NetworkConfig,
+        network: NetworkConfig,
         make: impl FnOnce(Time) -> Result<S, E>,
     ) -> Result<Result<EventLoop<S>, E>, EventLoopError> {
         let poller = Poller::new()?;
         let mut listeners = Vec::new();
-        for (i, door) in wiring.listeners.iter().enumerate() {
-            listeners.push(match open_door(&poller, i, door) {
+        for (i, listener) in network.listeners.iter().enumerate() {
+            listeners.push(match open_listener(&poller, i, listener) {
                 Ok(listener) => Some(listener),
-                // Whoever asks from outside must not keep the service from
-                // running: it goes on without this door and tries again.
-                Err(e) if matches!(door.kind, ListenerKind::Operators { .. }) => {
-                    tracing::error!("no operators are served yet: {e}");
+                // The admin API must not keep the service from running: it goes on without this
+                // listener and tries again.
+                Err(e) if matches!(listener.kind, ListenerKind::Admin { .. }) => {
+                    tracing::error!(error = %e, "cannot open admin API listener, trying again");
                     None
                 }
                 Err(e) => return Err(e),
             });
         }
-        let peer_listener = wiring.peers.map(listen).transpose()?;
+        let peer_listener = network.peers.map(listen).transpose()?;
         if let Some(listener) = &peer_listener {
-            poller.add_with_mode(listener, Event::readable(PEERS), PollMode::Level)?;
+            poller.add_with_mode(
+                listener,
+                Event::readable(PEER_LISTENER_KEY),
+                PollMode::Level,
+            )?;
         }
-        // Time starts well above zero, so that "long ago" can be expressed.
-        let service = match make(Time::from_micros(START_US)) {
+        let service = match make(Time::from_micros(START_MICROS)) {
             Ok(service) => service,
             Err(e) => return Ok(Err(e)),
         };
-        let mut net = EventLoop {
+        let mut event_loop = EventLoop {
             poller,
             start: Instant::now(),
-            door_open: vec![0; listeners.len()],
+            open_by_listener: vec![0; listeners.len()],
             listeners,
-            doors_tried: Time::default(),
+            listeners_tried: Time::default(),
             peer_listener,
-            conns: Vec::new(),
-            free: Vec::new(),
-            open: 0,
+            connections: Vec::new(),
+            free_slots: Vec::new(),
+            open_connections: 0,
             generation: 0,
             service,
-            failed: VecDeque::new(),
-            peer_retry: vec![Time::default(); wiring.members.len()],
-            wiring,
-            ticked: Time::default(),
-            tidied: Time::default(),
+            failed_calls: VecDeque::new(),
+            peer_retry_at: vec![Time::default(); network.members.len()],
+            network,
+            last_tick: Time::default(),
+            last_maintenance: Time::default(),
         };
-        net.conns.reserve(64);
-        Ok(Ok(net))
+        event_loop.connections.reserve(64);
+        Ok(Ok(event_loop))
     }
 
     fn now(&self) -> Time {
-        Time::from_micros(START_US) + self.start.elapsed()
+        Time::from_micros(START_MICROS) + self.start.elapsed()
     }
 
+    /// Serves until the process ends.
+    ///
+    /// # Errors
+    ///
+    /// [`EventLoopError::Poll`] if events cannot be waited for.
     pub fn run(self) -> Result<(), EventLoopError> {
         self.run_while(|| true)
     }
 
-    /// Runs as long as `go` says so; it is asked about each 25 ms.
+    /// Serves as long as `go` returns true; it is called about every 25 ms.
+    ///
+    /// # Errors
+    ///
+    /// [`EventLoopError::Poll`] if events cannot be waited for.
     pub fn run_while(mut self, go: impl Fn() -> bool) -> Result<(), EventLoopError> {
         let mut events = Vec::new();
         while go() {
             events.clear();
             self.poller
-                .wait(&mut events, Some(Duration::from_secs_f64(TICK_S)))?;
+                .wait(&mut events, Some(Duration::from_secs_f64(TICK_INTERVAL_S)))?;
             for event in &events {
                 match event.key {
-                    PEERS => self.accept(None),
-                    key if key <= DOORS && key > DOORS - self.listeners.len() => {
-                        self.accept(Some(DOORS - key))
+                    PEER_LISTENER_KEY => self.accept(None),
+                    key if key <= LISTENER_KEYS && key > LISTENER_KEYS - self.listeners.len() => {
+                        self.accept(Some(LISTENER_KEYS - key))
                     }
-                    slot => self.ready(slot, event.readable, event.writable),
+                    slot => self.on_ready(slot, event.readable, event.writable),
                 }
             }
             let now = self.now();
-            if now.since(self.ticked) >= TICK_S {
-                self.ticked = now;
-                if now.since(self.tidied) >= TIDY_S {
-                    self.tidied = now;
-                    self.expire(now);
-                    self.open_doors(now);
-                    self.link_peers(now);
+            if now.since(self.last_tick) >= TICK_INTERVAL_S {
+                self.last_tick = now;
+                if now.since(self.last_maintenance) >= MAINTENANCE_INTERVAL_S {
+                    self.last_maintenance = now;
+                    self.close_expired(now);
+                    self.retry_listeners(now);
+                    self.connect_peers(now);
                 }
                 let mut out = Vec::new();
                 self.service.on_tick(now, wall(), &mut out);
-                self.act(out);
+                self.apply_effects(out);
             }
-            self.settle();
+            self.report_failed_calls();
         }
         Ok(())
     }
 
-    /// Hands over calls that failed at once, until none is left.
-    fn settle(&mut self) {
-        while let Some(id) = self.failed.pop_front() {
+    /// Reports failed calls to the service, including those that it makes on being told.
+    fn report_failed_calls(&mut self) {
+        while let Some(id) = self.failed_calls.pop_front() {
             let mut out = Vec::new();
             self.service
                 .on_reply(self.now(), wall(), id, None, &mut out);
-            self.act(out);
+            self.apply_effects(out);
         }
     }
 }
--- a/crates/transport/src/output.rs
+++ b/crates/transport/src/output.rs
@@ -1,7 +1,7 @@
-//! What goes out: answers, calls and frames.
+//! Output: answers, calls and frames are written to the buffers of connections and flushed.
 
-use crate::wiring::connect;
-use crate::{Conn, EventLoop, Kind};
+use crate::network::connect;
+use crate::{Connection, ConnectionKind, EventLoop};
 use beamhinge_core::http::{self, Content};
 use beamhinge_core::messages::{Destination, Effect, Service};
 use beamhinge_core::peers;
@@ -10,17 +10,20 @@
 use std::io::{self, Write};
 use std::net::SocketAddrV4;
 
-/// Connections at once to the state service, to the cloud, and to workers.
-pub(crate) const STATE_CONNS: usize = 24;
-pub(crate) const CLOUD_CONNS: usize = 8;
-pub(crate) const WORKER_CONNS: usize = 64;
+/// Most connections to the key-value store.
+pub(crate) const MAX_STATE_CONNECTIONS: usize = 24;
+/// Most connections to the cloud.
+pub(crate) const MAX_CLOUD_CONNECTIONS: usize = 8;
+/// Most connections to workers, whatever their addresses.
+pub(crate) const MAX_WORKER_CONNECTIONS: usize = 64;
 
 /// Bytes that wait for one peer to read them before further frames to it are dropped: two of
 /// the longest, since a list of more than 8,192 machines is sent as two.
 const MAX_UNREAD_BYTES: usize = 2 * peers::MAX_FRAME_BYTES;
 
 impl<S: Service> EventLoop<S> {
-    pub(crate) fn act(&mut self, out: Vec<Effect>) {
+    /// Performs what the service asked for.
+    pub(crate) fn apply_effects(&mut self, out: Vec<Effect>) {
         for o in out {
             match o {
                 Effect::Answer {
@@ -45,75 +48,76 @@
                     timeout_s,
                 } => {
                     let deadline = self.now().plus(timeout_s);
-                    match self.client(destination) {
-                        Some(slot) => {
-                            let host = self.address(destination).to_string();
-                            if let Some(c) = self.conns.get_mut(slot).and_then(Option::as_mut) {
-                                c.kind = Kind::Call {
-                                    destination,
-                                    current: Some((id, deadline)),
-                                };
-                                let head = http::RequestHead {
-                                    method,
-                                    path: &path,
-                                    host: &host,
-                                    content: Content::Cbor,
-                                    authorization: None,
-                                };
-                                http::write_request(&mut c.outbuf, &head, &body);
-                            }
-                            self.flush(slot);
-                        }
-                        None => self.failed.push_back(id),
+                    let Some(slot) = self.connection_to(destination) else {
+                        self.failed_calls.push_back(id);
+                        continue;
+                    };
+                    let host = self.address(destination).to_string();
+                    if let Some(c) = self.connections.get_mut(slot).and_then(Option::as_mut) {
+                        c.kind = ConnectionKind::Call {
+                            destination,
+                            current: Some((id, deadline)),
+                        };
+                        let head = http::RequestHead {
+                            method,
+                            path: &path,
+                            host: &host,
+                            content: Content::Cbor,
+                            authorization: None,
+                        };
+                        http::write_request(&mut c.output, &head, &body);
                     }
+                    self.flush(slot);
                 }
-                Effect::SendFrame { to, frame } => self.tell(to.as_deref(), &frame),
+                Effect::SendFrame { to, frame } => self.send_frame(to.as_deref(), &frame),
             }
         }
     }
 
-    /// Puts a frame on the links to all peers, or to the one of that label.
-    pub(crate) fn tell(&mut self, to: Option<&str>, frame: &[u8]) {
-        for slot in 0..self.conns.len() {
-            let Some(c) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+    /// Queues a frame for all peers, or for the one with this label.
+    pub(crate) fn send_frame(&mut self, to: Option<&str>, frame: &[u8]) {
+        for slot in 0..self.connections.len() {
+            let Some(c) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
                 continue;
             };
-            let Kind::PeerOut { member } = c.kind else {
+            let ConnectionKind::PeerOut { member } = c.kind else {
                 continue;
             };
-            if to.is_some_and(|label| self.wiring.members[member].label != label) {
+            if to.is_some_and(|label| self.network.members[member].label != label) {
                 continue;
             }
-            // A peer that does not read gets no more to store.
-            if c.outbuf.len() < MAX_UNREAD_BYTES {
-                c.outbuf.extend_from_slice(frame);
-                c.overfull = false;
-            } else if !c.overfull {
-                c.overfull = true;
-                let label = &self.wiring.members[member].label;
-                let waits = c.outbuf.len();
-                tracing::warn!("{label} does not read: {waits} bytes wait, frames are dropped");
+            // Frames for a peer that does not read are dropped, so that the buffer stays bounded.
+            if c.output.len() < MAX_UNREAD_BYTES {
+                c.output.extend_from_slice(frame);
+                c.dropping_frames = false;
+            } else if !c.dropping_frames {
+                c.dropping_frames = true;
+                let label = &self.network.members[member].label;
+                let pending_bytes = c.output.len();
+                tracing::warn!(controller = %label, pending_bytes, "dropping frames for peer that does not read");
             }
             self.flush(slot);
         }
     }
 
+    /// The address that a destination stands for.
     pub(crate) fn address(&self, destination: Destination) -> SocketAddrV4 {
         match destination {
-            Destination::State => self.wiring.external.state,
-            Destination::Cloud => self.wiring.external.cloud,
+            Destination::State => self.network.external.state,
+            Destination::Cloud => self.network.external.cloud,
             Destination::Worker(address) | Destination::Node { address, .. } => address,
         }
     }
 
-    /// An idle connection to `dest`, or a new one.
-    pub(crate) fn client(&mut self, destination: Destination) -> Option<usize> {
+    /// The slot of an idle connection to `destination`, or of a new one; `None` at the limit or if
+    /// no connection can be opened.
+    pub(crate) fn connection_to(&mut self, destination: Destination) -> Option<usize> {
         let mut count = 0;
         let mut idle = None;
-        for (slot, c) in self.conns.iter().enumerate() {
-            if let Some(Conn {
+        for (slot, c) in self.connections.iter().enumerate() {
+            if let Some(Connection {
                 kind:
-                    Kind::Call {
+                    ConnectionKind::Call {
                         destination: d,
                         current,
                     },
@@ -135,9 +139,9 @@
             return idle;
         }
         let limit = match destination {
-            Destination::State => STATE_CONNS,
-            Destination::Cloud => CLOUD_CONNS,
-            Destination::Worker(_) => WORKER_CONNS,
+            Destination::State => MAX_STATE_CONNECTIONS,
+            Destination::Cloud => MAX_CLOUD_CONNECTIONS,
+            Destination::Worker(_) => MAX_WORKER_CONNECTIONS,
             Destination::Node { .. } => 1,
         };
         if count >= limit {
@@ -146,7 +150,7 @@
         let stream = connect(self.address(destination)).ok()?;
         self.insert(
             stream,
-            Kind::Call {
+            ConnectionKind::Call {
                 destination,
                 current: None,
             },
@@ -155,6 +159,7 @@
         .ok()
     }
 
+    /// Answers a request, unless its connection is gone.
     pub(crate) fn answer(
         &mut self,
         to: RequestId,
@@ -164,20 +169,20 @@
         body: &[u8],
     ) {
         let now = self.now();
-        let crowded = self.crowded();
-        let Some(conn) = self.conns.get_mut(to.slot).and_then(Option::as_mut) else {
+        let near_limit = self.near_limit();
+        let Some(connection) = self.connections.get_mut(to.slot).and_then(Option::as_mut) else {
             return;
         };
         // The slot may serve another connection by now.
-        if conn.generation != to.generation {
+        if connection.generation != to.generation {
             return;
         }
-        let Kind::Public {
+        let ConnectionKind::Public {
             waiting,
             close,
             worker,
             ..
-        } = &mut conn.kind
+        } = &mut connection.kind
         else {
             return;
         };
@@ -185,10 +190,10 @@
             return;
         }
         *waiting = false;
-        conn.active = now;
-        // The load balancer never moves an open connection: a user told to come
-        // back does better with a new one, perhaps to a node that can answer.
-        *close |= status == 503 && !*worker || crowded && *worker;
+        connection.last_active = now;
+        // The load balancer never moves an open connection: a user that is told to try again does
+        // better with a new one, perhaps to a controller that can answer.
+        *close |= status == 503 && !*worker || near_limit && *worker;
         let closing = *close;
         let head = http::ResponseHead {
             status,
@@ -196,30 +201,30 @@
             close: closing,
             content,
         };
-        http::write_response(&mut conn.outbuf, &head, body);
-        let more = !conn.inbuf.is_empty();
-        if self.flush(to.slot) && more && !closing {
-            self.requests(to.slot);
+        http::write_response(&mut connection.output, &head, body);
+        let has_next_request = !connection.input.is_empty();
+        if self.flush(to.slot) && has_next_request && !closing {
+            self.handle_requests(to.slot);
         }
     }
 
-    /// Writes what the socket takes; false when the connection is gone.
+    /// Writes what the socket accepts; `false` if the connection has been closed.
     pub(crate) fn flush(&mut self, slot: usize) -> bool {
         let now = self.now();
-        let Some(conn) = self.conns.get_mut(slot).and_then(Option::as_mut) else {
+        let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
             return false;
         };
         let mut sent = 0;
         let mut broken = false;
-        while sent < conn.outbuf.len() {
-            match conn.stream.write(&conn.outbuf[sent..]) {
+        while sent < connection.output.len() {
+            match connection.stream.write(&connection.output[sent..]) {
                 Ok(0) => {
                     broken = true;
                     break;
                 }
                 Ok(n) => {
                     sent += n;
-                    conn.active = now;
+                    connection.last_active = now;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e)
@@ -234,12 +239,12 @@
                 }
             }
         }
-        conn.outbuf.drain(..sent);
-        let done = conn.outbuf.is_empty();
+        connection.output.drain(..sent);
+        let done = connection.output.is_empty();
         let finished = done
             && matches!(
-                conn.kind,
-                Kind::Public {
+                connection.kind,
+                ConnectionKind::Public {
                     waiting: false,
                     close: true,
                     ..
@@ -249,8 +254,8 @@
             self.close(slot);
             return false;
         }
-        if done == conn.writing {
-            conn.writing = !done;
+        if done == connection.writing {
+            connection.writing = !done;
             let interest = if done {
                 Event::readable(slot)
             } else {
@@ -258,7 +263,7 @@
             };
             let _ = self
                 .poller
-                .modify_with_mode(&conn.stream, interest, PollMode::Level);
+                .modify_with_mode(&connection.stream, interest, PollMode::Level);
         }
         true
     }
--- a/crates/transport/src/tests.rs
+++ b/crates/transport/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::connections::REOPEN_S;
+use crate::connections::LISTENER_RETRY_INTERVAL_S;
 use beamhinge_core::http::{Content, Request};
 use beamhinge_core::messages::Effect;
 use beamhinge_core::settings::ExternalServices;
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 
 /// Answers every request with half a megabyte.
-struct Talker(Arc<AtomicUsize>);
+struct LargeAnswers(Arc<AtomicUsize>);
 
-impl Service for Talker {
+impl Service for LargeAnswers {
     fn on_request(
         &mut self,
         _: Time,
@@ -51,15 +51,15 @@
     }
 }
 
-/// A controller whose operators' address could not be had once did not
-/// start, and was started again a thousand times.
+/// Guards against a controller that does not start, and is restarted without end, because the
+/// address of its admin API is taken.
 #[test]
-fn an_operators_door_that_cannot_be_opened_keeps_nobody_waiting() {
+fn occupied_admin_address_does_not_stop_the_service() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let std::net::SocketAddr::V4(addr) = taken.local_addr().expect("bound") else {
         panic!("it is IPv4")
     };
-    let door = |kind| NetworkConfig {
+    let config = |kind| NetworkConfig {
         listeners: vec![Listener { addr, kind }],
         peers: None,
         members: Vec::new(),
@@ -69,25 +69,25 @@
         },
         max_connections: 100,
     };
-    let talker = |_| Talker(Arc::default());
-    let mut net = EventLoop::new(door(ListenerKind::Operators { most: 1 }), talker)
+    let talker = |_| LargeAnswers(Arc::default());
+    let mut net = EventLoop::new(config(ListenerKind::Admin { max_connections: 1 }), talker)
         .expect("it serves without");
     assert!(net.listeners[0].is_none());
     drop(taken);
-    net.open_doors(net.now().plus(REOPEN_S));
+    net.retry_listeners(net.now().plus(LISTENER_RETRY_INTERVAL_S));
     assert!(net.listeners[0].is_some(), "taken as soon as it is free");
     drop(net);
     let taken = TcpListener::bind(addr).expect("free again");
     assert!(
-        EventLoop::new(door(ListenerKind::Platform), talker).is_err(),
+        EventLoop::new(config(ListenerKind::Platform), talker).is_err(),
         "users need theirs"
     );
     drop(taken);
 }
 
-/// A loop on a thread of its own: its address, what it served, and the word
-/// that ends it.
-fn talking(
+/// An event loop on a thread of its own: its address, the number of requests served, the flag
+/// that ends it and its thread.
+fn serve_in_thread(
     kind: ListenerKind,
     max_connections: usize,
 ) -> (
@@ -98,7 +98,7 @@
 ) {
     let addr = free_address();
     let nowhere = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
-    let wiring = NetworkConfig {
+    let network = NetworkConfig {
         listeners: vec![Listener { addr, kind }],
         peers: None,
         members: Vec::new(),
@@ -114,17 +114,17 @@
     );
     let (count, running) = (served.clone(), go.clone());
     let thread = std::thread::spawn(move || {
-        let net = EventLoop::new(wiring, |_| Talker(count)).expect("listens");
+        let net = EventLoop::new(network, |_| LargeAnswers(count)).expect("listens");
         net.run_while(|| running.load(Ordering::Relaxed))
             .expect("runs");
     });
     (addr, served, go, thread)
 }
 
-/// More machines than sockets: each is served, since they take turns.
+/// More workers than connections: each is served, since they take turns.
 #[test]
-fn workers_take_turns_when_sockets_run_short() {
-    let (addr, _served, go, thread) = talking(ListenerKind::Platform, 60);
+fn workers_near_the_connection_limit_take_turns() {
+    let (addr, _served, go, thread) = serve_in_thread(ListenerKind::Platform, 60);
     let until = Instant::now() + Duration::from_secs(20);
     let (mut kept, mut closed) = (Vec::new(), 0);
     while kept.len() + closed < 150 && Instant::now() < until {
@@ -153,10 +153,11 @@
     );
 }
 
-/// A client that pipelines and never reads once had all its answers kept.
+/// Guards against a client that pipelines requests, never reads, and has all answers buffered.
 #[test]
-fn answers_wait_for_their_reader() {
-    let (addr, served, go, thread) = talking(ListenerKind::Operators { most: 4 }, 200);
+fn client_that_never_reads_gets_no_further_answers() {
+    let (addr, served, go, thread) =
+        serve_in_thread(ListenerKind::Admin { max_connections: 4 }, 200);
     let until = Instant::now() + Duration::from_secs(20);
     let mut stream = loop {
         match TcpStream::connect(addr) {
@@ -176,7 +177,7 @@
         (1..60).contains(&before),
         "{before} answers were made for nobody"
     );
-    // Whoever reads is served to the end.
+    // Once the client reads, all requests are served.
     let mut left = asked * (512 * 1024);
     let mut chunk = vec![0u8; 256 * 1024];
     while left > 0 && Instant::now() < until {
