--- a/crates/controller/src/fleet/scale_out.rs
+++ b/crates/controller/src/fleet/scale_out.rs
@@ -166,7 +166,7 @@
             "scaled out"
         );
         if let Some(scheduler) = scheduler {
-            scheduler.event_log.note(|| What::Rented {
+            scheduler.event_log.record(|| What::Rented {
                 machine_type: entry.machine_type.clone(),
                 zone: entry.zone.clone(),
                 spot: entry.spot,
@@ -204,7 +204,7 @@
             "refused scale-out: no capacity"
         );
         if let Some(scheduler) = scheduler {
-            scheduler.event_log.note(|| What::Refused {
+            scheduler.event_log.record(|| What::Refused {
                 machine_type: entry.machine_type.clone(),
                 zone: entry.zone.clone(),
                 spot: entry.spot,
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -1,87 +1,57 @@
-//! Figures of this process, in the Prometheus text format.
+//! Metrics of this process, in the Prometheus text format.
 //!
-//! Kept only where an operators' address is set; without one, nothing is
-//! counted and nothing is held.
+//! Kept only where an admin address is set; without one nothing is counted and nothing is held.
+//! Names, labels and help texts are an interface to operators' dashboards.
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `page` | the page of all metrics |
+//! | `summary` | quantiles of durations |
 
 use beamhinge_core::http::Method;
 use beamhinge_core::messages::{Destination, Effect};
 use beamhinge_core::types::{CallId, RequestId, Time};
-use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
-use std::fmt::Write;
+use summary::DurationSummary;
+
+mod page;
+mod summary;
 
 /// Requests, and calls to the outside, whose time is taken at once; further ones are answered
 /// without being timed. Twice the 8,192 machines that a controller is built for: all may be
-/// waiting for their answers at once, beside the users. Kept only where an operators' address
-/// is set.
+/// waiting for their answers at once, beside the users. Kept only where an admin address is set.
 const MAX_OPEN: usize = 16_384;
-/// Longest time told apart, microseconds.
-const LONGEST_US: u64 = 120_000_000;
-const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
-
-/// Times of one kind of thing. Two digits are kept: some ten kilobytes each.
-struct Times {
-    histogram: Option<Histogram<u32>>,
-    sum_s: f64,
-    count: u64,
-}
-
-impl Default for Times {
-    fn default() -> Times {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_US, 2).ok();
-        Times {
-            histogram,
-            sum_s: 0.0,
-            count: 0,
-        }
-    }
-}
-
-impl Times {
-    fn took(&mut self, seconds: f64) {
-        self.sum_s += seconds;
-        self.count += 1;
-        if let Some(h) = &mut self.histogram {
-            h.saturating_record(((seconds * 1e6) as u64).max(1));
-        }
-    }
 
-    fn render(&self, out: &mut String, name: &str, labels: &str) {
-        let comma = if labels.is_empty() { "" } else { "," };
-        for q in QUANTILES {
-            let us = self
-                .histogram
-                .as_ref()
-                .map_or(0, |h| h.value_at_quantile(q));
-            let s = us as f64 / 1e6;
-            let _ = writeln!(out, "{name}{{{labels}{comma}quantile=\"{q}\"}} {s}");
-        }
-        let braces = if labels.is_empty() {
-            String::new()
-        } else {
-            format!("{{{labels}}}")
-        };
-        let _ = writeln!(out, "{name}_sum{braces} {:.6}", self.sum_s);
-        let _ = writeln!(out, "{name}_count{braces} {}", self.count);
-    }
+/// A request or call that is timed.
+#[derive(Clone, Copy)]
+struct Timed {
+    since: Time,
+    /// The request's route, or the kind of the call.
+    kind: &'static str,
 }
 
+/// All metrics of this process that are not gauges.
 #[derive(Default)]
 pub struct Metrics {
-    on: bool,
-    open: BTreeMap<RequestId, (Time, &'static str)>,
-    calls: BTreeMap<CallId, (Time, &'static str)>,
-    answers: BTreeMap<&'static str, Times>,
-    statuses: BTreeMap<(&'static str, u16), u64>,
-    outside: BTreeMap<&'static str, Times>,
-    lost: BTreeMap<&'static str, u64>,
-    took: Option<Time>,
-    takeovers: Times,
-    oldest_wait: Times,
-    placements: Times,
+    enabled: bool,
+    open_requests: BTreeMap<RequestId, Timed>,
+    open_calls: BTreeMap<CallId, Timed>,
+    /// Times from a request to its answer, by route.
+    answer_times: BTreeMap<&'static str, DurationSummary>,
+    /// Answers by route and status.
+    answers: BTreeMap<(&'static str, u16), u64>,
+    /// Times of calls that were answered, by kind.
+    call_times: BTreeMap<&'static str, DurationSummary>,
+    /// Calls that were never answered, by kind.
+    lost_calls: BTreeMap<&'static str, u64>,
+    /// When leadership was acquired, until the state is loaded.
+    acquired_at: Option<Time>,
+    failover_times: DurationSummary,
+    oldest_waits: DurationSummary,
+    placement_ages: DurationSummary,
 }
 
-/// What a call is for, by where it goes.
+/// What a call is for, by where it goes; none for calls that are not timed.
 fn call_kind(destination: &Destination, method: Method, path: &str) -> Option<&'static str> {
     Some(match destination {
         Destination::State if path == "/commit" => "state_commit",
@@ -104,34 +74,34 @@
 }
 
 impl Metrics {
-    pub fn new(on: bool) -> Metrics {
+    /// Metrics that are zero, and stay so unless they are enabled.
+    pub fn new(enabled: bool) -> Metrics {
         Metrics {
-            on,
+            enabled,
             ..Metrics::default()
         }
     }
 
-    pub fn asked(&mut self, now: Time, id: RequestId, route: &'static str) {
-        if self.on && self.open.len() < MAX_OPEN {
-            self.open.insert(id, (now, route));
+    /// A request arrived.
+    pub fn on_request(&mut self, now: Time, id: RequestId, route: &'static str) {
+        if self.enabled && self.open_requests.len() < MAX_OPEN {
+            let timed = Timed {
+                since: now,
+                kind: route,
+            };
+            self.open_requests.insert(id, timed);
         }
     }
 
-    /// Takes note of what a step of the node sent out.
-    pub fn sent(&mut self, now: Time, out: &[Effect]) {
-        if !self.on {
+    /// Answers and calls went out.
+    pub fn on_effects(&mut self, now: Time, effects: &[Effect]) {
+        if !self.enabled {
             return;
         }
-        for o in out {
-            match o {
+        for effect in effects {
+            match effect {
                 Effect::Answer { to, status, .. } | Effect::OperatorAnswer { to, status, .. } => {
-                    if let Some((since, route)) = self.open.remove(to) {
-                        self.answers
-                            .entry(route)
-                            .or_default()
-                            .took(now.since(since));
-                        *self.statuses.entry((route, *status)).or_default() += 1;
-                    }
+                    self.on_answer(now, *to, *status);
                 }
                 Effect::Call {
                     id,
@@ -141,8 +111,8 @@
                     ..
                 } => {
                     let kind = call_kind(destination, *method, path);
-                    if let Some(kind) = kind.filter(|_| self.calls.len() < MAX_OPEN) {
-                        self.calls.insert(*id, (now, kind));
+                    if let Some(kind) = kind.filter(|_| self.open_calls.len() < MAX_OPEN) {
+                        self.open_calls.insert(*id, Timed { since: now, kind });
                     }
                 }
                 Effect::SendFrame { .. } => {}
@@ -150,127 +120,58 @@
         }
     }
 
-    pub fn replied(&mut self, now: Time, id: CallId, answered: bool) {
-        let Some((since, kind)) = self.calls.remove(&id) else {
+    fn on_answer(&mut self, now: Time, id: RequestId, status: u16) {
+        let Some(Timed { since, kind: route }) = self.open_requests.remove(&id) else {
             return;
         };
-        if answered {
-            self.outside.entry(kind).or_default().took(now.since(since));
+        self.answer_times
+            .entry(route)
+            .or_default()
+            .record(now.since(since));
+        *self.answers.entry((route, status)).or_default() += 1;
+    }
+
+    /// A call ended, with or without a reply.
+    pub fn on_call_end(&mut self, now: Time, id: CallId, replied: bool) {
+        let Some(Timed { since, kind }) = self.open_calls.remove(&id) else {
+            return;
+        };
+        if replied {
+            self.call_times
+                .entry(kind)
+                .or_default()
+                .record(now.since(since));
         } else {
-            *self.lost.entry(kind).or_default() += 1;
+            *self.lost_calls.entry(kind).or_default() += 1;
         }
     }
 
-    pub fn took(&mut self, now: Time) {
-        self.took = Some(now);
+    /// This controller leads from now on.
+    pub fn on_leadership_acquired(&mut self, now: Time) {
+        self.acquired_at = Some(now);
     }
 
-    /// The books are read: from here on tasks are placed.
-    pub fn loaded(&mut self, now: Time) {
-        if let Some(took) = self.took.take() {
-            if self.on {
-                self.takeovers.took(now.since(took));
+    /// The leader has loaded its state: from here on tasks are placed.
+    pub fn on_state_loaded(&mut self, now: Time) {
+        if let Some(acquired_at) = self.acquired_at.take() {
+            if self.enabled {
+                self.failover_times.record(now.since(acquired_at));
             }
         }
     }
 
-    pub fn waiting(&mut self, oldest_s: f64) {
-        if self.on {
-            self.oldest_wait.took(oldest_s);
+    /// Records the age of the oldest job with a waiting task, seconds.
+    pub fn record_oldest_wait(&mut self, oldest_s: f64) {
+        if self.enabled {
+            self.oldest_waits.record(oldest_s);
         }
     }
 
     /// Tasks were placed, of jobs of these ages.
-    pub fn placed(&mut self, ages_s: &[f64]) {
-        ages_s.iter().for_each(|age| self.placements.took(*age));
-    }
-
-    /// The page; `gauges` are values of this moment, `counters` only rise.
-    pub fn render(
-        &self,
-        gauges: &[(&'static str, f64)],
-        counters: impl Iterator<Item = (&'static str, u64)>,
-    ) -> String {
-        let mut out = String::new();
-        let head = |out: &mut String, name: &str, kind: &str, help: &str| {
-            let _ = writeln!(out, "# HELP {name} {help}\n# TYPE {name} {kind}");
-        };
-        let name = "beamhinge_answer_seconds";
-        head(
-            &mut out,
-            name,
-            "summary",
-            "Time from a request to its answer, by route.",
-        );
-        for (route, times) in &self.answers {
-            times.render(&mut out, name, &format!("route=\"{route}\""));
-        }
-        let name = "beamhinge_answers_total";
-        head(&mut out, name, "counter", "Answers by route and status.");
-        for ((route, status), n) in &self.statuses {
-            let _ = writeln!(out, "{name}{{route=\"{route}\",status=\"{status}\"}} {n}");
-        }
-        let name = "beamhinge_call_seconds";
-        head(
-            &mut out,
-            name,
-            "summary",
-            "Time of calls to the outside, by kind; answered ones.",
-        );
-        for (kind, times) in &self.outside {
-            times.render(&mut out, name, &format!("kind=\"{kind}\""));
-        }
-        let name = "beamhinge_calls_lost_total";
-        head(
-            &mut out,
-            name,
-            "counter",
-            "Calls that were never answered, by kind.",
-        );
-        for (kind, n) in &self.lost {
-            let _ = writeln!(out, "{name}{{kind=\"{kind}\"}} {n}");
-        }
-        let name = "beamhinge_takeover_seconds";
-        head(
-            &mut out,
-            name,
-            "summary",
-            "From taking the lead to the books being read.",
-        );
-        self.takeovers.render(&mut out, name, "");
-        let name = "beamhinge_oldest_wait_seconds";
-        head(
-            &mut out,
-            name,
-            "summary",
-            "Age of the oldest job with a waiting task, each second.",
-        );
-        self.oldest_wait.render(&mut out, name, "");
-        let name = "beamhinge_placement_age_seconds";
-        head(
-            &mut out,
-            name,
-            "summary",
-            "Age of the job when a task of it is placed.",
-        );
-        self.placements.render(&mut out, name, "");
-        let name = "beamhinge_decisions_total";
-        head(
-            &mut out,
-            name,
-            "counter",
-            "Decisions of this process as holder, by kind.",
-        );
-        for (kind, n) in counters {
-            let _ = writeln!(out, "{name}{{kind=\"{kind}\"}} {n}");
-        }
-        for (name, value) in gauges {
-            let _ = writeln!(
-                out,
-                "# TYPE beamhinge_{name} gauge\nbeamhinge_{name} {value}"
-            );
+    pub fn record_placements(&mut self, ages_s: &[f64]) {
+        for age_s in ages_s {
+            self.placement_ages.record(*age_s);
         }
-        out
     }
 }
 
--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn times_and_counts_stand_on_the_page() {
+fn times_and_counts_are_rendered() {
     let mut m = Metrics::new(true);
     let at = |s: f64| Time::from_micros(1_000_000).plus(s);
     let id = RequestId {
         slot: 1,
         generation: 2,
     };
-    m.asked(at(0.0), id, "jobs");
+    m.on_request(at(0.0), id, "jobs");
     let body = Vec::new();
-    m.sent(
+    m.on_effects(
         at(0.25),
         &[Effect::Answer {
             to: id,
@@ -36,15 +36,15 @@
 
 /// Every name, label and type on the page, with one value of each.
 #[test]
-fn the_page_keeps_its_form() {
+fn rendered_page_keeps_its_form() {
     let mut m = Metrics::new(true);
     let at = |s: f64| Time::from_micros(1_000_000).plus(s);
     let id = RequestId {
         slot: 1,
         generation: 2,
     };
-    m.asked(at(0.0), id, "jobs");
-    m.sent(
+    m.on_request(at(0.0), id, "jobs");
+    m.on_effects(
         at(0.5),
         &[Effect::Answer {
             to: id,
@@ -84,7 +84,7 @@
     for (i, (destination, method, path)) in calls.into_iter().enumerate() {
         for (id, answered) in [(CallId(i as u64), true), (CallId(100 + i as u64), false)] {
             let (path, body) = (path.to_string(), Vec::new());
-            m.sent(
+            m.on_effects(
                 at(0.0),
                 &[Effect::Call {
                     id,
@@ -95,13 +95,13 @@
                     timeout_s: 1.0,
                 }],
             );
-            m.replied(at(0.25), id, answered);
+            m.on_call_end(at(0.25), id, answered);
         }
     }
-    m.took(at(0.0));
-    m.loaded(at(1.0));
-    m.waiting(2.0);
-    m.placed(&[3.0]);
+    m.on_leadership_acquired(at(0.0));
+    m.on_state_loaded(at(1.0));
+    m.record_oldest_wait(2.0);
+    m.record_placements(&[3.0]);
     let kinds = crate::event_log::KIND_NAMES.into_iter().zip(1..);
     let page = m.render(&[("holder", 1.0), ("cpus", 2.5)], kinds);
     let mut golden = crate::golden::Golden::new("tests/golden/metrics.txt");
@@ -113,14 +113,14 @@
 
 /// Beyond 2,048 open requests the others were not timed.
 #[test]
-fn requests_of_a_large_fleet_are_timed_at_once_and_memory_is_bounded() {
+fn all_requests_of_a_large_fleet_are_timed_and_memory_is_bounded() {
     let mut m = Metrics::new(true);
     let at = |s: f64| Time::from_micros(1_000_000).plus(s);
     let id = |slot: usize| RequestId {
         slot,
         generation: 1,
     };
-    (0..8_192).for_each(|slot| m.asked(at(0.0), id(slot), "reports"));
+    (0..8_192).for_each(|slot| m.on_request(at(0.0), id(slot), "reports"));
     for slot in 0..8_192 {
         let answer = Effect::Answer {
             to: id(slot),
@@ -128,11 +128,11 @@
             retry_after: None,
             body: vec![],
         };
-        m.sent(at(0.1), &[answer]);
+        m.on_effects(at(0.1), &[answer]);
     }
     let page = m.render(&[], std::iter::empty());
     let line = "beamhinge_answer_seconds_count{route=\"reports\"} 8192";
     assert!(page.contains(line), "{line} is missing in\n{page}");
-    (0..MAX_OPEN + 100).for_each(|slot| m.asked(at(1.0), id(slot), "reports"));
-    assert_eq!(m.open.len(), MAX_OPEN);
+    (0..MAX_OPEN + 100).for_each(|slot| m.on_request(at(1.0), id(slot), "reports"));
+    assert_eq!(m.open_requests.len(), MAX_OPEN);
 }
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -182,7 +182,7 @@
         }
         let new = &mut out[before..];
         self.translate(new);
-        self.metrics.sent(now, new);
+        self.metrics.on_effects(now, new);
     }
 
     fn tick_configuration(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
@@ -243,7 +243,7 @@
                     &mut self.store,
                 );
                 if scheduler.loaded() {
-                    self.metrics.loaded(now);
+                    self.metrics.on_state_loaded(now);
                 }
             }
             let liveness = LivenessView {
--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -7,6 +7,7 @@
 };
 use crate::configuration::ChangeResponse;
 use crate::directives::DirectiveResponse;
+use crate::event_log::DecisionPage;
 use crate::fleet::MachineQuery;
 use crate::job_store::{JobEntry, JobState};
 use crate::user_api::{self, SubmittedJob};
@@ -56,7 +57,7 @@
                 let name = route.name();
                 let _span =
                     tracing::debug_span!("operator", route = name, by = %caller.name).entered();
-                self.metrics.asked(now, id, route.name());
+                self.metrics.on_request(now, id, route.name());
                 self.route_operators(now, wall, id, caller, route, out);
             }
             Err((status, problem)) => {
@@ -611,7 +612,8 @@
                 let own = scheduler.fencing_token().0;
                 // Another holder's serials say nothing here: begin anew.
                 let after = if *token == own { *after } else { 0 };
-                let (decisions, missed) = scheduler.event_log.after(after, *limit);
+                let DecisionPage { decisions, missed } =
+                    scheduler.event_log.decisions_after(after, *limit);
                 encoded(&Decisions {
                     token: own,
                     decisions,
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -33,7 +33,7 @@
         result: Option<(u16, Vec<u8>)>,
         out: &mut Vec<Effect>,
     ) {
-        self.metrics.replied(now, id, result.is_some());
+        self.metrics.on_call_end(now, id, result.is_some());
         let _span = tracing::debug_span!("reply", call = id.0).entered();
         if self.store.owns_call(id) {
             if let Some(reply) = self.store.on_reply(id, result) {
@@ -170,13 +170,13 @@
             }
             LeadershipChange::Acquired { token } => {
                 let mut event_log = EventLog::new(self.admin_api.is_some());
-                event_log.at(self.wall);
-                event_log.note(|| What::Took { token: token.0 });
+                event_log.set_time(self.wall);
+                event_log.record(|| What::Took { token: token.0 });
                 // What stood when the lead was taken must be known before
                 // anything is placed: a drained machine gets nothing new.
                 self.directives.request_refresh();
                 let active_directives = self.directives.active_directives().clone();
-                self.metrics.took(now);
+                self.metrics.on_leadership_acquired(now);
                 let aging = AgingPolicy::new(self.operator.aging);
                 let scheduler = Scheduler::new(
                     &self.settings,
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -64,7 +64,7 @@
         let method = req.method;
         let _span = tracing::debug_span!("request", route = users_route(method, path)).entered();
         let wrong = |out: &mut Vec<Effect>| refuse(out, id, 405, "method not allowed");
-        self.metrics.asked(now, id, users_route(method, path));
+        self.metrics.on_request(now, id, users_route(method, path));
         match path {
             "/up" if method == Method::Get => self.up(now, id, out),
             "/hello" if method == Method::Post => self.hello(now, id, &req.body, out),
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -119,9 +119,10 @@
             return;
         }
         if let Some(scheduler) = self.scheduler.as_mut().filter(|p| p.loaded()) {
-            self.metrics.placed(&scheduler.event_log.take_waits());
+            self.metrics
+                .record_placements(&scheduler.event_log.take_placement_ages());
             let totals = scheduler.totals(now, wall, self.fleet.machine_types());
-            self.metrics.waiting(totals.oldest_wait_s);
+            self.metrics.record_oldest_wait(totals.oldest_wait_s);
         }
     }
 
--- a/crates/controller/src/scheduler/bin_packing.rs
+++ b/crates/controller/src/scheduler/bin_packing.rs
@@ -187,8 +187,8 @@
         let mut allocation = Allocation::planned(attempt, resources, team, now, nominated);
         allocation.boosted = cycle.filling_lane;
         machine.resident.allocations.insert(task, allocation);
-        self.event_log.placed(job.spec.submitted);
-        self.event_log.note(|| What::Placed {
+        self.event_log.record_placement(job.spec.submitted);
+        self.event_log.record(|| What::Placed {
             task: task.to_string(),
             machine: machine_id.to_string(),
             ahead: nominated.is_some(),
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -333,7 +333,7 @@
 
     /// The machine goes back to the cloud.
     pub fn begin_return(&mut self, id: MachineId, why: &str) {
-        self.event_log.note(|| What::Returned {
+        self.event_log.record(|| What::Returned {
             machine: id.to_string(),
             why: why.to_string(),
         });
@@ -606,7 +606,7 @@
             return;
         }
         self.drive_load(now, store);
-        self.event_log.at(wall);
+        self.event_log.set_time(wall);
         self.store_reachable = store
             .last_success()
             .is_some_and(|at| now.since(at) < IN_TOUCH_S);
--- a/crates/controller/src/scheduler/persistence.rs
+++ b/crates/controller/src/scheduler/persistence.rs
@@ -766,7 +766,7 @@
                 self.terminating_jobs.insert(id);
             }
             tracing::debug!("{id} is done");
-            self.event_log.note(|| What::Done {
+            self.event_log.record(|| What::Done {
                 job: id.to_string(),
             });
         }
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -279,7 +279,7 @@
 
     /// Asks for a task to be stopped, with the time that it needs to save its progress.
     pub(super) fn stop_task(&mut self, machine: MachineId, task: TaskId, reason: &str) {
-        self.event_log.note(|| What::Stopped {
+        self.event_log.record(|| What::Stopped {
             task: task.to_string(),
             machine: machine.to_string(),
             why: reason.to_string(),
--- a/crates/sim/src/cluster/machines.rs
+++ b/crates/sim/src/cluster/machines.rs
@@ -110,7 +110,7 @@
     fn return_reason(&self, controller: usize, machine: u64) -> Option<String> {
         let scheduler = self.controllers[controller].as_ref()?.scheduler()?;
         let name = format!("n-{machine:06}");
-        let (decisions, _) = scheduler.event_log.after(0, usize::MAX);
+        let decisions = scheduler.event_log.decisions_after(0, usize::MAX).decisions;
         decisions.into_iter().rev().find_map(|d| match d.what {
             Decision::Returned { machine, why } if machine == name => Some(why),
             _ => None,
