--- a/crates/controller/src/capacity_planner/persistence.rs
+++ b/crates/controller/src/capacity_planner/persistence.rs
@@ -72,7 +72,7 @@
             let record = self.record_of(run_ratios, &loads, max_jobs, max_classes);
             let mut transaction = store.transaction();
             let built = transaction
-                .when(BLOCK_KEY, Revision(token.0))
+                .require(BLOCK_KEY, Revision(token.0))
                 .and_then(|()| transaction.put(KEY, revision, wire::to_value(&record), None));
             let Err(error) = built else {
                 let tag = Tag::Fleet(FleetCall::WriteSplit);
--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -170,7 +170,9 @@
 
     /// The replica holds all that was committed before this moment.
     pub fn fresh_as_of(&self) -> Option<Time> {
-        self.replica.fresh().filter(|_| !self.stored.unreadable)
+        self.replica
+            .fresh_as_of()
+            .filter(|_| !self.stored.unreadable)
     }
 
     /// Has the replica read again soon.
--- a/crates/controller/src/configuration/stored_copy.rs
+++ b/crates/controller/src/configuration/stored_copy.rs
@@ -171,7 +171,7 @@
         transaction.put(HEAD, self.head_revision(), head, None)?;
         for label in labels {
             let revision = revision_of(self.members.get(label));
-            transaction.when(member_key(label), revision)?;
+            transaction.require(member_key(label), revision)?;
         }
         for (number, chunk) in &plan.chunks {
             let revision = revision_of(self.chunks.get(number));
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -111,7 +111,7 @@
 
     /// The replica holds all that was committed before this moment.
     pub fn fresh_as_of(&self) -> Option<Time> {
-        self.replica.fresh()
+        self.replica.fresh_as_of()
     }
 
     /// Has the replica read again soon.
--- a/crates/controller/src/fleet/rentals.rs
+++ b/crates/controller/src/fleet/rentals.rs
@@ -225,7 +225,7 @@
             let record = self.record_of(rentals, as_ranges);
             let mut transaction = store.transaction();
             let built = transaction
-                .when(BLOCK_KEY, Revision(token.0))
+                .require(BLOCK_KEY, Revision(token.0))
                 .and_then(|()| {
                     transaction.put(RENTALS_KEY, revision, wire::to_value(&record), None)
                 });
@@ -332,7 +332,7 @@
             }
             // Half of the new names go into the next write; in the end none.
             Outcome::Malformed => {
-                if self.record.backoff.malformed(now) == RetryAction::SetAside {
+                if self.record.backoff.on_malformed(now) == RetryAction::SetAside {
                     self.abandon_unrecorded(now);
                 }
             }
--- a/crates/controller/src/fleet/scale_in.rs
+++ b/crates/controller/src/fleet/scale_in.rs
@@ -74,7 +74,7 @@
         match status {
             Some(200) => return self.on_released(now, machines, scheduler),
             Some(400) => {
-                if self.scale_in.backoff.malformed(now) == RetryAction::SetAside {
+                if self.scale_in.backoff.on_malformed(now) == RetryAction::SetAside {
                     // They stay in flight, so that they block no other release.
                     tracing::error!(
                         ?machines,
--- a/crates/controller/src/job_store.rs
+++ b/crates/controller/src/job_store.rs
@@ -108,7 +108,7 @@
         if self.unreadable {
             return None;
         }
-        self.replica.fresh()
+        self.replica.fresh_as_of()
     }
     pub fn take_changed(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.changed)
--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -1,375 +1,394 @@
-//! Election and terms.
+//! Leader election and fencing.
 //!
-//! The leader's key hangs on a lease of the state service; whoever creates it
-//! takes the block key in the same transaction, and the revision of that
-//! transaction is the token for workers. The block key stays when the lease
-//! lapses, so a leader that was merely slow keeps its token until somebody
-//! else really takes over.
+//! Two keys of the key-value store decide who leads:
+//!
+//! - the *leadership key* (`lead/now`) is bound to the session lease of its owner and
+//!   disappears when that lease expires;
+//! - the *block key* (`block/0`) has no lease. It is written by the transaction that
+//!   acquires leadership, and the revision of that write is the fencing token that the
+//!   leader sends to workers.
+//!
+//! Invariants:
+//!
+//! - Only the owner of the block key may place tasks: each placement transaction compares
+//!   the key with the leader's fencing token.
+//! - Tokens rise: the block key is only ever replaced by a later revision.
+//! - A term that has ended is never resumed, even if the block key still has its revision.
+//!
+//! The block key outlives the lease, so a leader that was merely slow keeps its token
+//! until another controller acquires leadership.
+
+mod acquisition;
+mod replies;
 
 use crate::calls::{ElectionCall, Tag};
-use crate::faults::{broken, Faults};
-use crate::store::{
-    CommitResponse, LeaseResponse, Outcome, Priority, Reply, ScanResponse, StoreClient,
-    TransactionError, WatchResponse,
-};
+use crate::faults::Faults;
+use crate::store::{Priority, Reply, StoreClient};
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{FencingToken, Revision, Time};
-use beamhinge_core::wire;
 use serde::{Deserialize, Serialize};
 
+/// The key whose owner is the leader; bound to the owner's session lease.
 const LEADERSHIP_KEY: &str = "lead/now";
+/// The prefix that is scanned and watched for the leadership key.
 const LEADERSHIP_PREFIX: &str = "lead/";
-/// How long a leader that stepped back leaves the lead to others.
+/// The key whose revision is the current fencing token.
+pub const BLOCK_KEY: &str = "block/0";
+/// The prefix that is scanned for the block key.
+const BLOCK_PREFIX: &str = "block/";
+
+/// How long a leader that stepped down leaves leadership to others, seconds.
 const YIELD_S: f64 = 8.0;
-/// After a take that the state service calls malformed; others may do better.
+/// How long a controller that must not lead now leaves leadership to others, seconds.
+const DEFER_S: f64 = 2.0;
+/// Pause after an acquisition that the store rejects as malformed, seconds; other
+/// controllers may succeed meanwhile.
 const MALFORMED_RETRY_S: f64 = 5.0;
-/// No store comes so far in a thousand years of a hundred changes a second.
+/// Pause after a leadership record that exceeds the limits of a transaction, seconds.
+const UNWRITABLE_RETRY_S: f64 = 10.0;
+/// Part of the lease's duration after which it is renewed.
+const RENEWAL_FRACTION: f64 = 0.25;
+/// Longest that the store holds a watch of the leadership key open, seconds.
+const WATCH_WAIT_S: f64 = 3.0;
+/// Seconds between two confirmations of the block key.
+const BLOCK_CHECK_INTERVAL_S: f64 = 1.0;
+/// No store reaches this revision within a thousand years at a hundred changes a second.
+/// Attempts are numbered from the token shifted left, which a higher token would overflow.
 const MAX_TOKEN: u64 = 1 << 43;
-pub const BLOCK_KEY: &str = "block/0";
-const BLOCK_PREFIX: &str = "block/";
 
+/// The value of the leadership key and of the block key: one process of one controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ProcessIdentity {
-    v: u32,
+    #[serde(rename = "v")]
+    version: u32,
     label: String,
+    /// Drawn at the start of the process; tells two processes of one label apart.
     nonce: u64,
 }
 
-/// Changes of standing that the node has to act on.
+/// Changes of leadership that the node has to act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeadershipChange {
+    /// This controller leads, or does not lead, as before.
     Unchanged,
-    Acquired { token: FencingToken },
+    /// A new term of this controller has begun.
+    Acquired {
+        /// The fencing token of the new term.
+        token: FencingToken,
+    },
+    /// The term of this controller has ended.
     Lost,
 }
 
+/// The session lease of this controller.
+///
+/// The two flags do not exclude each other: a renewal may still be in flight when its lease
+/// is revoked and the next one is requested.
+#[derive(Debug, Default)]
+struct SessionLease {
+    /// Requested duration, seconds.
+    duration_s: f64,
+    id: Option<u64>,
+    /// When the latest successful grant or renewal was sent.
+    renewed_at: Time,
+    grant_in_flight: bool,
+    renewal_in_flight: bool,
+}
+
+/// The owner of the leadership key, as last read.
+#[derive(Clone, Debug)]
+struct LeadershipRecord {
+    owner: ProcessIdentity,
+    revision: Revision,
+}
+
+/// The leadership key, as far as known.
+#[derive(Debug, Default)]
+struct LeadershipState {
+    record: Option<LeadershipRecord>,
+    /// The store's revision up to which the key was read; none: it has to be read anew.
+    read_up_to: Option<u64>,
+    /// A scan or a watch is in flight.
+    read_in_flight: bool,
+    /// The revision of the leadership key whose owner was found dead: it may be replaced
+    /// before its lease expires.
+    presumed_dead: Option<Revision>,
+}
+
+/// The block key, as far as known.
+#[derive(Debug, Default)]
+struct BlockState {
+    /// The key's revision (0: absent) as last read; none: it has to be read before an
+    /// acquisition.
+    revision: Option<Revision>,
+    read_in_flight: bool,
+    check_in_flight: bool,
+    /// When the newest request was sent that confirmed the key as this controller's own.
+    confirmed_at: Time,
+    check_sent_at: Time,
+    /// The revision of the leadership key, owned by this process, after which the block
+    /// key was last read.
+    read_for: Revision,
+}
+
+/// Fencing tokens that others claimed to have seen.
+#[derive(Debug)]
+struct TokenClaims {
+    /// The claimed token that ended the last term; 0: none did.
+    highest: u64,
+    /// Claims from here on are ignored, because no such token was ever issued.
+    never_issued_from: u64,
+}
+
+impl Default for TokenClaims {
+    fn default() -> TokenClaims {
+        TokenClaims {
+            highest: 0,
+            never_issued_from: u64::MAX,
+        }
+    }
+}
+
+/// Takes part in the election of the leader, and holds the fencing token while leading.
 pub struct LeaderElection {
     identity: ProcessIdentity,
-    lease_duration_s: f64,
-    lease_id: Option<u64>,
-    lease_renewed_at: Time,
-    lease_grant_in_flight: bool,
-    lease_renewal_in_flight: bool,
-    leadership: Option<(ProcessIdentity, Revision)>,
-    leadership_revision: Option<u64>,
-    leadership_read_in_flight: bool,
-    block: Option<(Option<ProcessIdentity>, Revision)>,
-    block_read_in_flight: bool,
+    lease: SessionLease,
+    leadership: LeadershipState,
+    block: BlockState,
+    /// A transaction that acquires or reclaims leadership is in flight.
     acquiring: bool,
+    /// The token of the current term; none: this controller does not lead.
     token: Option<FencingToken>,
-    /// The last token we held: its term is over for good.
+    /// The token of the last term that ended here.
     last_token: FencingToken,
-    block_check_in_flight: bool,
-    block_confirmed_at: Time,
-    block_check_sent_at: Time,
+    claims: TokenClaims,
+    /// No request is sent before this time.
     retry_at: Time,
-    /// After stepping back: how long others have to take over.
+    /// Leadership is left to others until this time.
     yield_until: Time,
-    /// The lead as it was when its holder was found gone: it may be taken.
-    presumed_dead: Option<Revision>,
-    /// The lead, in our name, after which we last read the block.
-    block_read_for: Revision,
-    /// The highest token that others were said to have seen, when it ended our term.
-    highest_claimed_token: u64,
-    /// No token is as high as this.
-    never_issued_from: u64,
-    /// What tests put in.
+    /// Defects that tests inject.
     pub faults: Faults,
 }
 
 impl LeaderElection {
+    /// A controller that has neither a lease nor any knowledge of the leader.
+    ///
+    /// `nonce` must differ between all processes that ever run with the same label.
     pub fn new(settings: &Settings, nonce: u64) -> LeaderElection {
         LeaderElection {
             identity: ProcessIdentity {
-                v: 1,
+                version: 1,
                 label: settings.label.clone(),
                 nonce,
             },
-            lease_duration_s: settings.leader_lease_s(),
-            lease_id: None,
-            lease_renewed_at: Time::default(),
-            lease_grant_in_flight: false,
-            lease_renewal_in_flight: false,
-            leadership: None,
-            leadership_revision: None,
-            leadership_read_in_flight: false,
-            block: None,
-            block_read_in_flight: false,
+            lease: SessionLease {
+                duration_s: settings.leader_lease_s(),
+                ..SessionLease::default()
+            },
+            leadership: LeadershipState::default(),
+            block: BlockState::default(),
             acquiring: false,
             token: None,
             last_token: FencingToken(0),
-            block_check_in_flight: false,
-            block_confirmed_at: Time::default(),
-            block_check_sent_at: Time::default(),
+            claims: TokenClaims::default(),
             retry_at: Time::default(),
             yield_until: Time::default(),
-            presumed_dead: None,
-            block_read_for: Revision(0),
-            highest_claimed_token: 0,
-            never_issued_from: u64::MAX,
             faults: Faults::default(),
         }
     }
 
-    /// The lease of the state service that this controller keeps, if it has one.
+    /// The session lease of this controller, if it has one.
     pub fn lease_id(&self) -> Option<u64> {
-        self.lease_id
+        self.lease.id
     }
 
+    /// The fencing token, while this controller leads.
     pub fn token(&self) -> Option<FencingToken> {
         self.token
     }
 
-    /// When the state service last confirmed that we hold the block, by the
-    /// time its request was sent.
+    /// When the newest request was sent with which the store confirmed that this controller
+    /// owns the block key.
     pub fn block_confirmed_at(&self) -> Time {
-        self.block_confirmed_at
+        self.block.confirmed_at
     }
 
-    /// A committed placement rests on the block key: it confirms it as well.
-    pub fn confirm_block(&mut self, sent: Time) {
-        self.block_confirmed_at = self.block_confirmed_at.max(sent);
+    /// A transaction sent at `sent_at` compared the block key and was committed, which
+    /// confirms the key as a check does.
+    pub fn confirm_block(&mut self, sent_at: Time) {
+        self.block.confirmed_at = self.block.confirmed_at.max(sent_at);
     }
 
-    /// The leader that others should be sent to, as far as known.
+    /// The label of the leader to redirect to: none if unknown or this controller itself.
     pub fn other_leader(&self) -> Option<&str> {
         self.leadership
+            .record
             .as_ref()
-            .map(|(n, _)| n.label.as_str())
-            .filter(|l| *l != self.identity.label)
+            .map(|record| record.owner.label.as_str())
+            .filter(|label| *label != self.identity.label)
     }
 
-    /// A worker has seen a higher token, or a condition on the block failed:
-    /// somebody took over. Guard 1: from here on we answer no worker with 200.
+    /// Ends the term because another controller took the block key: a worker has seen a
+    /// higher token, or a comparison with the key failed.
+    ///
+    /// Guard 1: from here on no worker is answered with 200.
     pub fn step_down_deposed(&mut self, now: Time) -> LeadershipChange {
         let Some(token) = self.token.take() else {
             return LeadershipChange::Unchanged;
         };
         self.last_token = token;
-        tracing::info!("this controller no longer leads");
-        self.block = None;
-        self.leadership_revision = None;
+        tracing::info!(fencing_token = token.0, "lost leadership");
+        self.block.revision = None;
+        self.leadership.read_up_to = None;
         self.retry_at = now.plus(0.2);
         LeadershipChange::Lost
     }
 
-    /// Somebody says that a token has been seen. A higher one ends our term, unless it
-    /// is none: a token is a revision, and one that was claimed before we took the block
-    /// at a lower revision was never given out. A single worker that made one up ended
-    /// each term a second after it began. (That we go on breaks nothing: whoever has
-    /// really seen a higher token drops what we say.)
+    /// Handles the claim that a fencing token has been seen. A higher one than this
+    /// controller's own ends its term.
+    ///
+    /// A token is a revision, so one that was claimed before the block was acquired at a
+    /// lower revision was never issued; such claims are ignored, or one worker with an
+    /// invented token would end every term a second after it began. Ignoring them is safe:
+    /// whoever has really seen a higher token rejects what this controller sends.
     pub fn on_token_claim(&mut self, now: Time, token: u64) -> LeadershipChange {
-        if self.token.is_none_or(|ours| token <= ours.0) || token >= self.never_issued_from {
+        if self.token.is_none_or(|own| token <= own.0) || token >= self.claims.never_issued_from {
             return LeadershipChange::Unchanged;
         }
-        self.highest_claimed_token = token;
+        self.claims.highest = token;
         self.step_down_deposed(now)
     }
 
-    /// Gives the lead up because others can do more with it: the lease ends at
-    /// once, and we hold back long enough for another to take over.
+    /// Gives leadership up because other controllers can do more with it: revokes the lease
+    /// at once and leaves the others time to take over.
     pub fn step_down(&mut self, now: Time, store: &mut StoreClient<Tag>) -> LeadershipChange {
         if self.token.is_none() {
             return LeadershipChange::Unchanged;
         }
-        if let Some(lease_id) = self.lease_id.take() {
-            store.revoke_lease(now, Tag::Election(ElectionCall::RevokeLease), lease_id);
-        }
+        self.revoke_lease(now, store);
         self.yield_until = now.plus(YIELD_S);
         self.step_down_deposed(now)
     }
 
-    /// Gives the lead up in an orderly way: the lease ends so that another takes
-    /// over at once, and until it has, we go on with the token we hold. The
-    /// transaction that takes the block ends our term as any other does.
+    /// Hands leadership over: revokes the lease so that another controller takes over at
+    /// once, and goes on with the current token until it has. The successor's transaction
+    /// ends this term as any other acquisition does.
     pub fn transfer(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if self.token.is_none() || now < self.yield_until {
             return;
         }
-        if let Some(lease_id) = self.lease_id.take() {
+        self.revoke_lease(now, store);
+        self.yield_until = now.plus(YIELD_S);
+    }
+
+    fn revoke_lease(&mut self, now: Time, store: &mut StoreClient<Tag>) {
+        if let Some(lease_id) = self.lease.id.take() {
             store.revoke_lease(now, Tag::Election(ElectionCall::RevokeLease), lease_id);
         }
-        self.yield_until = now.plus(YIELD_S);
     }
 
-    /// The holder of this label is gone, by other witnesses than its lease. The
-    /// take rests on the lead being as it is now: if the holder, or another, wrote
-    /// it meanwhile, nothing is taken.
+    /// The leader with this label was found dead before its lease expired (early failover).
+    /// The acquisition compares the leadership key as it is known now, so it fails if that
+    /// leader or another has written the key meanwhile.
     pub fn presume_dead(&mut self, leader: &str) {
-        self.presumed_dead = self
+        self.leadership.presumed_dead = self
             .leadership
+            .record
             .as_ref()
-            .filter(|(n, _)| n.label == leader)
-            .map(|(_, s)| *s);
+            .filter(|record| record.owner.label == leader)
+            .map(|record| record.revision);
     }
 
-    /// Leaves the lead to others for a while longer.
+    /// Leaves leadership to others for a while longer; no effect while leading.
     pub fn defer(&mut self, now: Time) {
         if self.token.is_none() {
-            self.yield_until = self.yield_until.max(now.plus(2.0));
+            self.yield_until = self.yield_until.max(now.plus(DEFER_S));
         }
     }
 
-    /// Wants the hold on the block confirmed without waiting for the next turn.
+    /// Makes the next [`tick`](Self::tick) confirm the block key ahead of the interval.
     pub fn request_block_check(&mut self, now: Time) {
-        if now.since(self.block_check_sent_at) > 0.1 {
-            self.block_check_sent_at = self.block_check_sent_at.minus(1.0);
+        if now.since(self.block.check_sent_at) > 0.1 {
+            self.block.check_sent_at = self.block.check_sent_at.minus(BLOCK_CHECK_INTERVAL_S);
         }
     }
 
+    /// Sends what is due: grant or renewal of the lease, the watch of the leadership key,
+    /// the confirmation of the block key, and an attempt to acquire leadership.
     pub fn tick(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if now < self.retry_at {
             return;
         }
-        match self.lease_id {
-            None if !self.lease_grant_in_flight => {
-                self.lease_grant_in_flight = true;
-                store.grant_lease(
-                    now,
-                    Tag::Election(ElectionCall::GrantLease),
-                    self.lease_duration_s,
-                );
+        self.keep_lease(now, store);
+        self.follow_leadership(now, store);
+        self.check_block(now, store);
+        self.try_acquire(now, store);
+    }
+
+    fn keep_lease(&mut self, now: Time, store: &mut StoreClient<Tag>) {
+        let lease = &mut self.lease;
+        match lease.id {
+            None if !lease.grant_in_flight => {
+                lease.grant_in_flight = true;
+                let tag = Tag::Election(ElectionCall::GrantLease);
+                store.grant_lease(now, tag, lease.duration_s);
             }
             Some(lease_id)
-                if !self.lease_renewal_in_flight
-                    && now.since(self.lease_renewed_at) > self.lease_duration_s * 0.25 =>
+                if !lease.renewal_in_flight
+                    && now.since(lease.renewed_at) > lease.duration_s * RENEWAL_FRACTION =>
             {
-                self.lease_renewal_in_flight = true;
+                lease.renewal_in_flight = true;
                 store.renew_lease(now, Tag::Election(ElectionCall::RenewLease), lease_id);
             }
             _ => {}
         }
-        if !self.leadership_read_in_flight {
-            self.leadership_read_in_flight = true;
-            match self.leadership_revision {
-                None => store.scan(
-                    now,
-                    Priority::Lease,
-                    Tag::Election(ElectionCall::ReadLeadership),
-                    LEADERSHIP_PREFIX,
-                    None,
-                ),
-                Some(rev) => store.watch(
-                    now,
-                    Priority::Lease,
-                    Tag::Election(ElectionCall::WatchLeadership),
-                    LEADERSHIP_PREFIX,
-                    rev,
-                    3.0,
-                ),
-            }
-        }
-        if self.token.is_some()
-            && !self.block_check_in_flight
-            && now.since(self.block_check_sent_at) > 1.0
-        {
-            self.block_check_in_flight = true;
-            self.block_check_sent_at = now;
-            let mut transaction = store.transaction();
-            if transaction.when(BLOCK_KEY, self.block_revision()).is_ok() {
-                store.commit(
-                    now,
-                    Priority::Lease,
-                    Tag::Election(ElectionCall::CheckBlock),
-                    transaction,
-                );
-            }
-        }
-        self.try_acquire(now, store);
     }
 
-    fn block_revision(&self) -> Revision {
-        self.token.map_or(Revision(0), |t| Revision(t.0))
-    }
-
-    fn try_acquire(&mut self, now: Time, store: &mut StoreClient<Tag>) {
-        if self.leadership_revision.is_none() || self.acquiring || now < self.yield_until {
-            return;
-        }
-        // Our own label with another nonce is a process of ours that ended:
-        // waiting for its lease to lapse would only cost time. That it waits until its
-        // jobs are read was tried: after an end of all, workers learned the token later.
-        let (free, revision) = match &self.leadership {
-            None => (true, Revision(0)),
-            Some((name, revision)) => {
-                let ours = name.label == self.identity.label && name.nonce != self.identity.nonce;
-                (ours || self.presumed_dead == Some(*revision), *revision)
-            }
-        };
-        let Some(lease_id) = self.lease_id else {
-            return;
-        };
-        if !free {
-            // Guard 1: our own name without a token is a take of ours whose answer was
-            // lost, carried out late. Nobody else takes the lead while we renew its
-            // lease, and we took it for somebody's: nobody led for as long as we lived.
-            // What we knew of the block is from before; it is read once for each lead.
-            let ours = self
-                .leadership
-                .as_ref()
-                .is_some_and(|(n, _)| *n == self.identity);
-            let unknown = self.token.is_none()
-                && self.block_read_for != revision
-                && !self.block_read_in_flight;
-            if ours && unknown && !broken!(self.faults, own_lead) {
-                self.read_block(now, store);
-            }
-            return;
-        }
-        if let Some(token) = self.token {
-            // Our lease lapsed but nobody took the block: hang the key up again.
-            self.acquiring = true;
-            let mut transaction = store.transaction();
-            let built = transaction
-                .when(BLOCK_KEY, Revision(token.0))
-                .and_then(|()| {
-                    transaction.put(
-                        LEADERSHIP_KEY,
-                        revision,
-                        wire::to_value(&self.identity),
-                        Some(lease_id),
-                    )
-                });
-            match built {
-                Ok(()) => store.commit(
-                    now,
-                    Priority::Lease,
-                    Tag::Election(ElectionCall::Reclaim),
-                    transaction,
-                ),
-                Err(full) => self.on_unwritable(now, full),
-            }
+    /// Keeps one scan or watch of the leadership key in flight.
+    fn follow_leadership(&mut self, now: Time, store: &mut StoreClient<Tag>) {
+        if self.leadership.read_in_flight {
             return;
         }
-        match &self.block {
-            None if !self.block_read_in_flight => self.read_block(now, store),
-            Some((_, block_revision)) => {
-                self.acquiring = true;
-                let mut transaction = store.transaction();
-                let identity = wire::to_value(&self.identity);
-                let built = transaction
-                    .put(LEADERSHIP_KEY, revision, identity.clone(), Some(lease_id))
-                    .and_then(|()| transaction.put(BLOCK_KEY, *block_revision, identity, None));
-                match built {
-                    Ok(()) => store.commit(
-                        now,
-                        Priority::Lease,
-                        Tag::Election(ElectionCall::Acquire),
-                        transaction,
-                    ),
-                    Err(full) => self.on_unwritable(now, full),
-                }
-            }
-            None => {}
+        self.leadership.read_in_flight = true;
+        match self.leadership.read_up_to {
+            None => store.scan(
+                now,
+                Priority::Lease,
+                Tag::Election(ElectionCall::ReadLeadership),
+                LEADERSHIP_PREFIX,
+                None,
+            ),
+            Some(revision) => store.watch(
+                now,
+                Priority::Lease,
+                Tag::Election(ElectionCall::WatchLeadership),
+                LEADERSHIP_PREFIX,
+                revision,
+                WATCH_WAIT_S,
+            ),
         }
     }
 
-    fn read_block(&mut self, now: Time, store: &mut StoreClient<Tag>) {
-        self.block_read_in_flight = true;
-        let tag = Tag::Election(ElectionCall::ReadBlock);
-        store.scan(now, Priority::Lease, tag, BLOCK_PREFIX, None);
+    /// Confirms the block key by a transaction that compares it and writes nothing.
+    fn check_block(&mut self, now: Time, store: &mut StoreClient<Tag>) {
+        let due = now.since(self.block.check_sent_at) > BLOCK_CHECK_INTERVAL_S;
+        let Some(token) = self.token.filter(|_| due && !self.block.check_in_flight) else {
+            return;
+        };
+        self.block.check_in_flight = true;
+        self.block.check_sent_at = now;
+        let mut transaction = store.transaction();
+        if transaction.require(BLOCK_KEY, Revision(token.0)).is_ok() {
+            store.commit(
+                now,
+                Priority::Lease,
+                Tag::Election(ElectionCall::CheckBlock),
+                transaction,
+            );
+        }
     }
 
+    /// Handles the reply to one of this module's calls, and sends what became due by it.
     pub fn on_reply(
         &mut self,
         now: Time,
@@ -377,217 +396,38 @@
         reply: Reply<Tag>,
         store: &mut StoreClient<Tag>,
     ) -> LeadershipChange {
-        let standing = self.apply(now, call, reply);
+        let change = self.apply(now, call, reply);
         self.tick(now, store);
-        standing
-    }
-
-    fn apply(&mut self, now: Time, call: ElectionCall, reply: Reply<Tag>) -> LeadershipChange {
-        match call {
-            ElectionCall::GrantLease => {
-                self.lease_grant_in_flight = false;
-                match reply.outcome {
-                    Outcome::Ok(body) => {
-                        if let Ok(p) = wire::decode::<LeaseResponse>(&body) {
-                            self.lease_id = Some(p.lease_id);
-                            self.lease_renewed_at = reply.sent_at;
-                        }
-                    }
-                    _ => self.retry_at = now.plus(0.2),
-                }
-            }
-            ElectionCall::RenewLease => {
-                self.lease_renewal_in_flight = false;
-                match reply.outcome {
-                    Outcome::Ok(_) => self.lease_renewed_at = reply.sent_at,
-                    Outcome::NotFound => self.lease_id = None,
-                    _ => self.retry_at = now.plus(0.1),
-                }
-            }
-            ElectionCall::ReadLeadership => {
-                self.leadership_read_in_flight = false;
-                match reply.outcome {
-                    Outcome::Ok(body) => match wire::decode::<ScanResponse>(&body) {
-                        Ok(scan) => {
-                            self.leadership = scan
-                                .entries
-                                .iter()
-                                .find(|p| p.key == LEADERSHIP_KEY)
-                                .and_then(|p| {
-                                    Some((wire::from_value(&p.value).ok()?, Revision(p.revision)))
-                                });
-                            self.leadership_revision = Some(scan.revision);
-                        }
-                        Err(_) => self.retry_at = now.plus(0.5),
-                    },
-                    _ => self.retry_at = now.plus(0.2),
-                }
-            }
-            ElectionCall::WatchLeadership => {
-                self.leadership_read_in_flight = false;
-                match reply.outcome {
-                    Outcome::Ok(body) => match wire::decode::<WatchResponse>(&body) {
-                        Ok(news) => {
-                            for change in &news.events {
-                                // News from before our own take is old.
-                                if self
-                                    .leadership
-                                    .as_ref()
-                                    .is_some_and(|(_, s)| s.0 > change.revision)
-                                {
-                                    continue;
-                                }
-                                self.leadership = match (&change.write, &change.value) {
-                                    (Some(path), Some(value)) if path == LEADERSHIP_KEY => {
-                                        wire::from_value(value)
-                                            .ok()
-                                            .map(|n| (n, Revision(change.revision)))
-                                    }
-                                    _ => None,
-                                };
-                            }
-                            self.leadership_revision = Some(news.revision);
-                        }
-                        Err(_) => self.leadership_revision = None,
-                    },
-                    Outcome::Gone => self.leadership_revision = None,
-                    _ => self.retry_at = now.plus(0.2),
-                }
-                let other = self
-                    .leadership
-                    .as_ref()
-                    .is_some_and(|(n, _)| *n != self.identity && n.label != self.identity.label);
-                if other && self.token.is_some() {
-                    return self.step_down_deposed(now);
-                }
-            }
-            ElectionCall::ReadBlock => {
-                self.block_read_in_flight = false;
-                match reply.outcome {
-                    Outcome::Ok(body) => match wire::decode::<ScanResponse>(&body) {
-                        Ok(scan) => {
-                            if let Some((_, at)) =
-                                self.leadership.as_ref().filter(|l| l.0 == self.identity)
-                            {
-                                // A block from before that lead says nothing of it.
-                                self.block_read_for = if scan.revision >= at.0 {
-                                    *at
-                                } else {
-                                    self.block_read_for
-                                };
-                            }
-                            let found = scan.entries.iter().find(|p| p.key == BLOCK_KEY);
-                            let name = found
-                                .and_then(|p| wire::from_value::<ProcessIdentity>(&p.value).ok());
-                            let revision = Revision(found.map_or(0, |p| p.revision));
-                            // A reply to our own take that was lost: the nonce
-                            // shows that its transaction was applied, and its
-                            // revision is our token. A token whose term we
-                            // ended is never taken up again: transactions of
-                            // that term may still be on their way.
-                            if name.as_ref() == Some(&self.identity)
-                                && self.token.is_none()
-                                && (revision.0 > self.last_token.0
-                                    || broken!(self.faults, old_term))
-                            {
-                                return self.acquired(revision, reply.sent_at);
-                            }
-                            self.block = Some((name, revision));
-                        }
-                        Err(_) => self.retry_at = now.plus(0.5),
-                    },
-                    _ => self.retry_at = now.plus(0.2),
-                }
-            }
-            ElectionCall::Acquire => {
-                self.acquiring = false;
-                match reply.outcome {
-                    Outcome::Ok(body) => {
-                        if let Ok(c) = wire::decode::<CommitResponse>(&body) {
-                            self.leadership = Some((self.identity.clone(), Revision(c.revision)));
-                            return self.acquired(Revision(c.revision), reply.sent_at);
-                        }
-                        self.reload(now);
-                    }
-                    Outcome::LeaseNotFound => self.lease_id = None,
-                    Outcome::Malformed => {
-                        self.reload(now);
-                        self.retry_at = now.plus(MALFORMED_RETRY_S);
-                    }
-                    _ => self.reload(now),
-                }
-            }
-            ElectionCall::Reclaim => {
-                self.acquiring = false;
-                match reply.outcome {
-                    Outcome::Ok(body) => {
-                        if let Ok(c) = wire::decode::<CommitResponse>(&body) {
-                            self.leadership = Some((self.identity.clone(), Revision(c.revision)));
-                            self.confirm_block(reply.sent_at);
-                        }
-                    }
-                    Outcome::LeaseNotFound => self.lease_id = None,
-                    Outcome::Conflict(failed) if failed.iter().any(|k| k == BLOCK_KEY) => {
-                        return self.step_down_deposed(now);
-                    }
-                    _ => self.reload(now),
-                }
-            }
-            ElectionCall::RevokeLease => {}
-            ElectionCall::CheckBlock => {
-                self.block_check_in_flight = false;
-                match reply.outcome {
-                    Outcome::Ok(_) => self.confirm_block(reply.sent_at),
-                    Outcome::Conflict(_) => return self.step_down_deposed(now),
-                    _ => {}
-                }
-            }
-        }
-        LeadershipChange::Unchanged
-    }
-
-    /// A label too long for any value: nothing can be led with it.
-    fn on_unwritable(&mut self, now: Time, full: TransactionError) {
-        tracing::error!("the lead cannot be written: {full}");
-        self.acquiring = false;
-        self.retry_at = now.plus(10.0);
-    }
-
-    fn reload(&mut self, now: Time) {
-        self.leadership_revision = None;
-        if self.token.is_none() {
-            self.block = None;
-        }
-        self.retry_at = now.plus(0.1);
+        change
     }
 
-    fn acquired(&mut self, revision: Revision, sent: Time) -> LeadershipChange {
+    /// Begins a term with the fencing token `revision`, unless that token is too high.
+    fn acquired(&mut self, revision: Revision, sent_at: Time) -> LeadershipChange {
         let token = FencingToken(revision.0);
-        // Attempts count from the token shifted: beyond this they would come again.
         if token.0 >= MAX_TOKEN {
             tracing::error!(
-                "the state service's revision {} is too high to lead with",
-                token.0
+                revision = token.0,
+                "rejected leadership: revision of the store exceeds the highest fencing token"
             );
-            self.retry_at = sent.plus(MALFORMED_RETRY_S);
+            self.retry_at = sent_at.plus(MALFORMED_RETRY_S);
             return LeadershipChange::Unchanged;
         }
-        if self.highest_claimed_token > token.0 {
+        if self.claims.highest > token.0 {
             tracing::error!(
-                "token {} was claimed, and none is so high",
-                self.highest_claimed_token
+                fencing_token = self.claims.highest,
+                "ignoring claims of a fencing token that was never issued"
             );
-            self.never_issued_from = self.never_issued_from.min(self.highest_claimed_token);
+            self.claims.never_issued_from = self.claims.never_issued_from.min(self.claims.highest);
         }
-        if token.0 >= self.never_issued_from {
-            // Revisions have come so far by now.
-            self.never_issued_from = u64::MAX;
+        if token.0 >= self.claims.never_issued_from {
+            // Revisions have risen this far by now, so such tokens may have been issued.
+            self.claims.never_issued_from = u64::MAX;
         }
-        self.highest_claimed_token = 0;
+        self.claims.highest = 0;
         self.token = Some(token);
-        self.block_confirmed_at = sent;
-        self.block = None;
-        tracing::info!("took the block with token {}", token.0);
+        self.block.confirmed_at = sent_at;
+        self.block.revision = None;
+        tracing::info!(fencing_token = token.0, "acquired leadership");
         LeadershipChange::Acquired { token }
     }
 }
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
+use crate::store::Outcome;
+use beamhinge_core::wire;
 
-/// Each report of one worker, with a token near the end of what there can be, ended
-/// a term.
+/// Every report of a worker that claimed a token near the maximum ended a term.
 #[test]
-fn a_token_that_was_never_given_ends_one_term_and_no_more() {
+fn token_claim_that_was_never_issued_ends_one_term_only() {
     let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
     let mut leader = LeaderElection::new(&settings, 7);
@@ -23,20 +24,20 @@
         leader.on_token_claim(now, u64::MAX),
         LeadershipChange::Unchanged
     );
-    // A token that may be one ends the term still.
+    // A token that may have been issued still ends the term.
     assert_eq!(leader.on_token_claim(now, 15), LeadershipChange::Lost);
     assert_eq!(
         leader.acquired(Revision(u64::MAX - 3), now),
         LeadershipChange::Unchanged
     );
-    assert_eq!(leader.token(), None, "its attempts would come again");
+    assert_eq!(leader.token(), None, "its attempt numbers would overflow");
     leader.acquired(Revision(17), now);
     assert_eq!(
         (leader.on_token_claim(now, 15), leader.token()),
         (LeadershipChange::Unchanged, Some(FencingToken(17)))
     );
     assert_eq!(leader.on_token_claim(now, 19), LeadershipChange::Lost);
-    // One that is not far off is none only until revisions have come so far.
+    // A claim slightly above is ignored only until revisions have risen that far.
     leader.acquired(Revision(18), now);
     assert_eq!(leader.on_token_claim(now, 20), LeadershipChange::Unchanged);
     leader.step_down_deposed(now);
@@ -44,11 +45,11 @@
     assert_eq!(leader.on_token_claim(now, 25), LeadershipChange::Lost);
 }
 
-/// Controllers hand over and back within a second: who handed over, and finds the
-/// block as he left it, begins no term with the token of the one that is over.
-/// Attempts count from it, and its transactions may still be on their way.
+/// Controllers hand leadership over and back within a second: the one that handed over and
+/// finds the block key unchanged must not begin a term with its former token. Attempts are
+/// numbered from the token, and transactions of the former term may still be in flight.
 #[test]
-fn a_term_that_is_over_is_not_taken_up_again() {
+fn term_that_ended_is_not_resumed() {
     for broken in [false, true] {
         let text = beamhinge_core::settings::SAMPLE;
         let settings = Settings::parse("t", text).expect("the sample is sound");
@@ -89,7 +90,7 @@
                 },
             broken
         );
-        // A take of ours that came late, after it, is a new term.
+        // A late acquisition of this process with a later revision is a new term.
         if !broken {
             assert_eq!(
                 read(&mut leader, 12),
@@ -103,7 +104,7 @@
 
 /// `lead/now` and `block/0` hold the same value.
 #[test]
-fn the_leadership_keys_keep_their_form() {
+fn leadership_keys_keep_their_stored_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/leadership.hex");
     golden.text(
         "keys",
@@ -118,7 +119,7 @@
     golden.stored(
         "name",
         &ProcessIdentity {
-            v: 1,
+            version: 1,
             label: "north-1".into(),
             nonce: u64::MAX - 5,
         },
--- a/crates/controller/src/replica.rs
+++ b/crates/controller/src/replica.rs
@@ -103,7 +103,7 @@
     }
 
     /// The copy holds all that was committed before this moment.
-    pub fn fresh(&self) -> Option<Time> {
+    pub fn fresh_as_of(&self) -> Option<Time> {
         self.fresh_as_of
     }
 
--- a/crates/controller/src/scheduler/persistence.rs
+++ b/crates/controller/src/scheduler/persistence.rs
@@ -278,14 +278,16 @@
         // Guard 1: whoever lost the block can commit nothing.
         let rests = broken!(self.faults, no_block)
             || transaction
-                .when(BLOCK_KEY, Revision(self.fencing_token.0))
+                .require(BLOCK_KEY, Revision(self.fencing_token.0))
                 .is_ok();
         if !rests {
             return;
         }
         // No placement made by an older version of the teams' limits commits.
         if let Some((key, revision)) = self.configuration_condition {
-            if !broken!(self.faults, no_configuration) && transaction.when(key, revision).is_err() {
+            if !broken!(self.faults, no_configuration)
+                && transaction.require(key, revision).is_err()
+            {
                 return;
             }
         }
@@ -422,7 +424,7 @@
             // Guard 2: a placement rests on its job being neither cancelled
             // nor done.
             if transaction
-                .when(job_store::key(task.job), revision)
+                .require(job_store::key(task.job), revision)
                 .is_err()
             {
                 self.commit_queue.push_front((machine, task));
@@ -690,7 +692,7 @@
                     self.on_not_committed(now, in_flight);
                     return CommitOutcome::Unchanged;
                 }
-                let deferred = self.commit_backoff.malformed(now) == RetryAction::SetAside;
+                let deferred = self.commit_backoff.on_malformed(now) == RetryAction::SetAside;
                 if deferred {
                     self.defer_work(now, &in_flight);
                 }
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -182,7 +182,7 @@
         Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("the sample is sound");
     settings.params.state.txn_ops = txn_ops;
     settings.params.state.value_kb = value_kb;
-    let limits = TransactionLimits::of(&settings.params.state);
+    let limits = TransactionLimits::from(&settings.params.state);
     let mut now = Time::from_micros(1_000_000);
     let mut store: StoreClient<Tag> = StoreClient::new(&settings);
     let active_directives = Rc::default();
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -173,7 +173,7 @@
                 at: Time::default(),
             },
             full: (s.rps, s.write_rps),
-            limits: TransactionLimits::of(s),
+            limits: TransactionLimits::from(s),
             queues: Default::default(),
             in_flight: BTreeMap::new(),
             refused: Vec::new(),
--- a/crates/controller/src/store/tests.rs
+++ b/crates/controller/src/store/tests.rs
@@ -78,7 +78,7 @@
     let now = Time::from_micros(5_000_000);
     let mut transaction = store.transaction();
     transaction
-        .when("block/0", beamhinge_core::types::Revision(41))
+        .require("block/0", beamhinge_core::types::Revision(41))
         .expect("room");
     let value = wire::to_value(&serde_json::json!({"a": 1.5}));
     transaction
@@ -102,7 +102,7 @@
         .expect("room");
     let mut check = store.transaction();
     check
-        .when("block/0", beamhinge_core::types::Revision(41))
+        .require("block/0", beamhinge_core::types::Revision(41))
         .expect("room");
     store.commit(now, Priority::Lease, 1, transaction);
     store.commit(now, Priority::Lease, 2, check);
--- a/crates/rate-limit/src/backoff.rs
+++ b/crates/rate-limit/src/backoff.rs
@@ -1,43 +1,50 @@
-//! What to do after a refusal: never the same again, for ever.
+//! Retries after a refusal, with a growing pause and a shrinking size.
 
 use beamhinge_core::types::Time;
 
-/// Refusals after which the part that was refused is set aside.
-const ASIDE: u32 = 6;
-/// Halvings that make a transaction smaller; beyond it stays at its smallest.
+/// Rejections as malformed after which the rejected part is set aside.
+const MAX_MALFORMED: u32 = 6;
+/// Halvings of the size; after these many it stays at its smallest.
 const MAX_HALVINGS: u32 = 6;
+/// Doublings of the pause, which guard the shift against overflow.
+const MAX_DOUBLINGS: u32 = 16;
 
-/// What follows a refusal.
+/// What to do after a request was rejected as malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAction {
-    /// Again, smaller by the part that [`Course::part`] tells.
+    /// Retry with a smaller size, divided by [`AdaptiveBackoff::divisor`].
     Reduce,
-    /// At its smallest it was refused again and again: what it holds is to be
-    /// set aside and named, so that the rest goes on.
+    /// The smallest size was rejected repeatedly: set its content aside and log it, so that
+    /// the rest goes on.
     SetAside,
 }
 
-/// How one kind of work is tried again.
+/// Retry state of one kind of work.
 ///
-/// A refusal for being malformed halves the next try and doubles the pause; at
-/// the smallest size the work itself is to blame and is set aside. Refusals for
-/// lack of rate lengthen the pause only. Any success begins anew.
+/// A rejection as malformed halves the size of the next try and doubles the pause; at the
+/// smallest size the work itself is at fault and is set aside. Refusals for lack of rate or
+/// because the service is unavailable lengthen the pause only. A success resets both.
 #[derive(Clone, Debug)]
 pub struct AdaptiveBackoff {
-    /// Shortest and longest pause, seconds.
-    pauses: (f64, f64),
-    on_malformed: u32,
+    /// Shortest pause, seconds.
+    min_pause_s: f64,
+    /// Longest pause, seconds.
+    max_pause_s: f64,
+    /// Rejections as malformed since the last success.
+    malformed: u32,
+    /// Other refusals since the last success.
     refused: u32,
+    /// The end of the current pause.
     until: Time,
 }
 
 impl AdaptiveBackoff {
-    /// A course that pauses between `shortest_s` and `longest_s` seconds.
-    pub fn new(shortest_s: f64, longest_s: f64) -> AdaptiveBackoff {
-        let pauses = (shortest_s, longest_s.max(shortest_s));
+    /// Retries with pauses between `min_pause_s` and `max_pause_s` seconds.
+    pub fn new(min_pause_s: f64, max_pause_s: f64) -> AdaptiveBackoff {
         AdaptiveBackoff {
-            pauses,
-            on_malformed: 0,
+            min_pause_s,
+            max_pause_s: max_pause_s.max(min_pause_s),
+            malformed: 0,
             refused: 0,
             until: Time::default(),
         }
@@ -48,82 +55,50 @@
         now >= self.until
     }
 
-    /// By how much the next try is to be smaller than the first.
+    /// The factor by which the next try has to be smaller than the full size.
     pub fn divisor(&self) -> usize {
-        1 << self.on_malformed.min(MAX_HALVINGS)
+        1 << self.malformed.min(MAX_HALVINGS)
     }
 
-    /// Refusals in a row, of either kind.
+    /// Refusals of either kind since the last success.
     pub fn refusals(&self) -> u32 {
-        self.on_malformed + self.refused
+        self.malformed + self.refused
     }
 
-    /// Begins at the smallest size: elsewhere larger ones got nowhere.
+    /// Starts at the smallest size, because larger ones have failed before (for instance
+    /// under the previous leader).
     pub fn slow_start(&mut self) {
-        self.on_malformed = ASIDE;
+        self.malformed = MAX_MALFORMED;
     }
 
-    /// It was taken.
+    /// The request was executed: resets size and pause.
     pub fn on_success(&mut self) {
-        (self.on_malformed, self.refused) = (0, 0);
+        (self.malformed, self.refused) = (0, 0);
     }
 
-    /// It was not executed for lack of rate, or since the service is away.
+    /// The request was not executed, for lack of rate or because the service is unavailable.
     pub fn on_refused(&mut self, now: Time) {
         self.refused = self.refused.saturating_add(1);
         self.pause(now, self.refused);
     }
 
-    /// The service calls it malformed, and would do so again.
-    pub fn malformed(&mut self, now: Time) -> RetryAction {
-        self.on_malformed = self.on_malformed.saturating_add(1);
-        self.pause(now, self.on_malformed);
-        if self.on_malformed > ASIDE {
+    /// The service rejected the request as malformed, and would do so again.
+    pub fn on_malformed(&mut self, now: Time) -> RetryAction {
+        self.malformed = self.malformed.saturating_add(1);
+        self.pause(now, self.malformed);
+        if self.malformed > MAX_MALFORMED {
             RetryAction::SetAside
         } else {
             RetryAction::Reduce
         }
     }
 
-    fn pause(&mut self, now: Time, times: u32) {
-        let (shortest, longest) = self.pauses;
-        let pause = shortest * f64::from(1u32 << times.saturating_sub(1).min(16));
-        self.until = now.plus(pause.min(longest));
+    fn pause(&mut self, now: Time, refusals: u32) {
+        let doublings = refusals.saturating_sub(1).min(MAX_DOUBLINGS);
+        let pause_s = self.min_pause_s * f64::from(1u32 << doublings);
+        self.until = now.plus(pause_s.min(self.max_pause_s));
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_malformed_gets_smaller_later_and_is_set_aside_in_the_end() {
-        let mut backoff = AdaptiveBackoff::new(0.1, 2.0);
-        let mut now = Time::from_micros(1);
-        let mut parts = Vec::new();
-        for _ in 0..ASIDE {
-            assert_eq!(backoff.malformed(now), RetryAction::Reduce);
-            assert!(
-                !backoff.is_due(now) && backoff.is_due(now.plus(2.0)),
-                "never at once, never for ever"
-            );
-            now = now.plus(2.0);
-            parts.push(backoff.divisor());
-        }
-        assert_eq!(parts, [2, 4, 8, 16, 32, 64]);
-        assert_eq!(backoff.malformed(now), RetryAction::SetAside);
-        backoff.on_success();
-        assert_eq!((backoff.divisor(), backoff.refusals()), (1, 0));
-    }
-
-    #[test]
-    fn a_busy_service_is_asked_less_often_and_for_as_much() {
-        let mut backoff = AdaptiveBackoff::new(0.1, 1.0);
-        let now = Time::from_micros(1);
-        for _ in 0..40 {
-            backoff.on_refused(now);
-        }
-        assert_eq!((backoff.divisor(), backoff.refusals()), (1, 40));
-        assert!(!backoff.is_due(now.plus(0.9)) && backoff.is_due(now.plus(1.1)));
-    }
-}
+mod tests;
--- a/crates/rate-limit/src/transaction.rs
+++ b/crates/rate-limit/src/transaction.rs
@@ -1,4 +1,4 @@
-//! A transaction being put together.
+//! A transaction that stays within the store's limits while it is built.
 
 use beamhinge_core::settings;
 use beamhinge_core::types::Revision;
@@ -11,13 +11,13 @@
 const MAX_BYTES: usize = 64 * 1024;
 /// Bytes of a key, by the protocol.
 const MAX_KEY_BYTES: usize = 200;
-/// Conditions per change, by the protocol.
+/// Conditions per write, by the protocol.
 const CONDITIONS_PER_WRITE: usize = 4;
-/// `{"when":[],"then":[]}`
+/// JSON length of `{"when":[],"then":[]}`, with some to spare.
 const FRAME_BYTES: usize = 24;
-/// `{"path":"","stamp":18446744073709551615},`
+/// JSON length of `{"path":"","stamp":18446744073709551615},`.
 const CONDITION_BYTES: usize = 42;
-/// `{"write":"","value":,"permit":18446744073709551615},`
+/// JSON length of `{"write":"","value":,"permit":18446744073709551615},`.
 const WRITE_BYTES: usize = 54;
 
 /// What one transaction may hold.
@@ -25,7 +25,7 @@
 pub struct TransactionLimits {
     /// Puts and deletes.
     pub writes: usize,
-    /// Keys that are compared.
+    /// Keys whose revision is compared.
     pub conditions: usize,
     /// Bytes of the whole body in its JSON form.
     pub bytes: usize,
@@ -33,9 +33,9 @@
     pub value_bytes: usize,
 }
 
-impl TransactionLimits {
-    /// The limits of a state service with these settings.
-    pub fn of(state: &settings::StateLimits) -> TransactionLimits {
+/// The limits of a key-value store with these settings.
+impl From<&settings::StateLimits> for TransactionLimits {
+    fn from(state: &settings::StateLimits) -> TransactionLimits {
         TransactionLimits {
             writes: state.txn_ops,
             conditions: state.txn_ops * CONDITIONS_PER_WRITE,
@@ -43,8 +43,11 @@
             value_bytes: (state.value_kb * 1024.0) as usize,
         }
     }
+}
 
-    /// At most so many writes: what the pacing could ever send at once.
+impl TransactionLimits {
+    /// These limits with at most `writes` writes: what the pacing could ever send at once.
+    #[must_use]
     pub fn with_max_writes(self, writes: usize) -> TransactionLimits {
         TransactionLimits {
             writes: self.writes.min(writes),
@@ -52,26 +55,27 @@
         }
     }
 
-    /// A transaction of about the `part`-th size, never below one write with
-    /// the conditions that belong to it.
-    pub fn divided_by(self, part: usize) -> TransactionLimits {
-        let part = part.max(1);
+    /// Limits of a transaction that is smaller by `divisor`, never below one write with the
+    /// conditions that belong to it.
+    #[must_use]
+    pub fn divided_by(self, divisor: usize) -> TransactionLimits {
+        let divisor = divisor.max(1);
         TransactionLimits {
-            writes: (self.writes / part).max(1),
-            conditions: (self.conditions / part).max(CONDITIONS_PER_WRITE),
+            writes: (self.writes / divisor).max(1),
+            conditions: (self.conditions / divisor).max(CONDITIONS_PER_WRITE),
             bytes: self.bytes,
             value_bytes: self.value_bytes,
         }
     }
 }
 
-/// Why a transaction does not take something. It is unchanged then.
+/// Why a transaction rejects an operation. The transaction is unchanged then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransactionError {
-    /// There is no room left; in the next transaction there may be.
+    /// The operation does not fit any more; it may fit into the next transaction.
     #[error("the transaction is full")]
     Full,
-    /// It would not fit into an empty transaction either.
+    /// The operation would not fit into an empty transaction either.
     #[error("{bytes} bytes where {limit} are allowed")]
     TooLarge {
         /// Bytes of the key or of the value's JSON form.
@@ -79,20 +83,22 @@
         /// Bytes that are allowed.
         limit: usize,
     },
-    /// The key is compared already, with another version: both cannot hold.
+    /// The key is compared already, with another revision: both cannot hold.
     #[error("two versions of one key")]
     ConflictingConditions,
 }
 
+/// One condition on the wire.
 #[derive(Serialize)]
-struct When<'a> {
+struct WireCondition<'a> {
     path: &'a str,
     #[serde(rename = "stamp")]
     revision: u64,
 }
 
+/// One put or delete on the wire.
 #[derive(Serialize)]
-struct Then<'a> {
+struct WireWrite<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     write: Option<&'a str>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -104,22 +110,68 @@
     delete: Option<&'a str>,
 }
 
+/// The body of a commit request on the wire.
 #[derive(Serialize)]
-struct Body<'a> {
-    when: Vec<When<'a>>,
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    then: Vec<Then<'a>>,
+struct WireTransaction<'a> {
+    #[serde(rename = "when")]
+    conditions: Vec<WireCondition<'a>>,
+    #[serde(rename = "then", skip_serializing_if = "Vec::is_empty")]
+    writes: Vec<WireWrite<'a>>,
+}
+
+/// A put or a delete that a transaction holds.
+#[derive(Debug)]
+enum Operation {
+    Put {
+        key: String,
+        value: Value,
+        lease_id: Option<u64>,
+    },
+    Delete {
+        key: String,
+    },
 }
 
-/// A transaction being put together, within its limits at every moment.
+impl Operation {
+    fn to_wire(&self) -> WireWrite<'_> {
+        match self {
+            Operation::Put {
+                key,
+                value,
+                lease_id,
+            } => WireWrite {
+                write: Some(key),
+                value: Some(value),
+                lease_id: *lease_id,
+                delete: None,
+            },
+            Operation::Delete { key } => WireWrite {
+                write: None,
+                value: None,
+                lease_id: None,
+                delete: Some(key),
+            },
+        }
+    }
+}
+
+/// What an operation adds to a transaction.
+#[derive(Clone, Copy)]
+struct Cost {
+    writes: usize,
+    conditions: usize,
+    bytes: usize,
+}
+
+/// A compare-and-swap transaction under construction.
 ///
-/// Every change rests on a condition: there is no way to write a key without
-/// saying which version it must have.
+/// Invariants: it is within its limits at every moment, and every write has a condition on
+/// the revision of its key (there is no unconditional write).
 #[derive(Debug)]
 pub struct Transaction {
     limits: TransactionLimits,
-    require: BTreeMap<String, Revision>,
-    then: Vec<(String, Option<Value>, Option<u64>)>,
+    conditions: BTreeMap<String, Revision>,
+    operations: Vec<Operation>,
     bytes: usize,
 }
 
@@ -128,70 +180,74 @@
     pub fn new(limits: TransactionLimits) -> Transaction {
         Transaction {
             limits,
-            require: BTreeMap::new(),
-            then: Vec::new(),
+            conditions: BTreeMap::new(),
+            operations: Vec::new(),
             bytes: FRAME_BYTES,
         }
     }
 
-    /// What a condition on `key` would add: conditions and bytes.
-    fn cost(&self, key: &str, revision: Revision) -> Result<(usize, usize), TransactionError> {
+    /// What a condition on `key` would add.
+    fn condition_cost(&self, key: &str, revision: Revision) -> Result<Cost, TransactionError> {
         if key.len() > MAX_KEY_BYTES {
             return Err(TransactionError::TooLarge {
                 bytes: key.len(),
                 limit: MAX_KEY_BYTES,
             });
         }
-        match self.require.get(key) {
-            Some(s) if *s != revision => Err(TransactionError::ConflictingConditions),
-            Some(_) => Ok((0, 0)),
-            None => Ok((1, key.len() + CONDITION_BYTES)),
-        }
+        let (conditions, bytes) = match self.conditions.get(key) {
+            Some(known) if *known != revision => {
+                return Err(TransactionError::ConflictingConditions)
+            }
+            Some(_) => (0, 0),
+            None => (1, key.len() + CONDITION_BYTES),
+        };
+        Ok(Cost {
+            writes: 0,
+            conditions,
+            bytes,
+        })
     }
 
-    /// Takes the cost if it fits.
-    fn spend(
-        &mut self,
-        writes: usize,
-        conditions: usize,
-        bytes: usize,
-    ) -> Result<(), TransactionError> {
-        if self.bytes + bytes > self.limits.bytes && FRAME_BYTES + bytes > self.limits.bytes {
+    /// Reserves the cost of an operation if it fits.
+    fn reserve(&mut self, cost: Cost) -> Result<(), TransactionError> {
+        let fits_in_bytes = self.bytes + cost.bytes <= self.limits.bytes;
+        if !fits_in_bytes && FRAME_BYTES + cost.bytes > self.limits.bytes {
             return Err(TransactionError::TooLarge {
-                bytes,
+                bytes: cost.bytes,
                 limit: self.limits.bytes,
             });
         }
-        let fits = self.then.len() + writes <= self.limits.writes
-            && self.require.len() + conditions <= self.limits.conditions
-            && self.bytes + bytes <= self.limits.bytes;
+        let fits = self.operations.len() + cost.writes <= self.limits.writes
+            && self.conditions.len() + cost.conditions <= self.limits.conditions
+            && fits_in_bytes;
         if !fits {
             return Err(TransactionError::Full);
         }
-        self.bytes += bytes;
+        self.bytes += cost.bytes;
         Ok(())
     }
 
-    /// The transaction holds only if `key` has the version `stamp` (0: is absent).
+    /// Adds the condition that `key` has this revision (0: is absent).
     ///
     /// # Errors
-    /// When it does not fit; nothing is changed then.
-    pub fn when(
+    /// If it does not fit or contradicts another condition; nothing is changed then.
+    pub fn require(
         &mut self,
         key: impl Into<String>,
         revision: Revision,
     ) -> Result<(), TransactionError> {
         let key = key.into();
-        let (conditions, bytes) = self.cost(&key, revision)?;
-        self.spend(0, conditions, bytes)?;
-        self.require.insert(key, revision);
+        let cost = self.condition_cost(&key, revision)?;
+        self.reserve(cost)?;
+        self.conditions.insert(key, revision);
         Ok(())
     }
 
-    /// Writes `key` on condition that its version still is `stamp`.
+    /// Writes `key` on condition that it still has this revision (0: is absent). With a
+    /// lease, the key disappears when the lease expires.
     ///
     /// # Errors
-    /// When it does not fit; nothing is changed then.
+    /// If it does not fit or contradicts another condition; nothing is changed then.
     pub fn put(
         &mut self,
         key: impl Into<String>,
@@ -200,187 +256,93 @@
         lease_id: Option<u64>,
     ) -> Result<(), TransactionError> {
         let key = key.into();
-        let size = wire::json_len(&value);
-        if size > self.limits.value_bytes {
+        let value_bytes = wire::json_len(&value);
+        if value_bytes > self.limits.value_bytes {
             return Err(TransactionError::TooLarge {
-                bytes: size,
+                bytes: value_bytes,
                 limit: self.limits.value_bytes,
             });
         }
-        let (conditions, bytes) = self.cost(&key, revision)?;
-        self.spend(1, conditions, bytes + key.len() + size + WRITE_BYTES)?;
-        self.require.insert(key.clone(), revision);
-        self.then.push((key, Some(value), lease_id));
+        self.add_write(&key, revision, value_bytes)?;
+        self.operations.push(Operation::Put {
+            key,
+            value,
+            lease_id,
+        });
         Ok(())
     }
 
-    /// Deletes `key` on condition that its version still is `stamp`.
+    /// Deletes `key` on condition that it still has this revision.
     ///
     /// # Errors
-    /// When it does not fit; nothing is changed then.
+    /// If it does not fit or contradicts another condition; nothing is changed then.
     pub fn delete(
         &mut self,
         key: impl Into<String>,
         revision: Revision,
     ) -> Result<(), TransactionError> {
         let key = key.into();
-        let (conditions, bytes) = self.cost(&key, revision)?;
-        self.spend(1, conditions, bytes + key.len() + WRITE_BYTES)?;
-        self.require.insert(key.clone(), revision);
-        self.then.push((key, None, None));
+        self.add_write(&key, revision, 0)?;
+        self.operations.push(Operation::Delete { key });
+        Ok(())
+    }
+
+    /// Reserves a write of `key` and adds its condition.
+    fn add_write(
+        &mut self,
+        key: &str,
+        revision: Revision,
+        value_bytes: usize,
+    ) -> Result<(), TransactionError> {
+        let condition = self.condition_cost(key, revision)?;
+        self.reserve(Cost {
+            writes: 1,
+            conditions: condition.conditions,
+            bytes: condition.bytes + key.len() + value_bytes + WRITE_BYTES,
+        })?;
+        self.conditions.insert(key.to_string(), revision);
         Ok(())
     }
 
     /// Puts and deletes so far.
     pub fn write_count(&self) -> usize {
-        self.then.len()
+        self.operations.len()
     }
 
     /// Puts and deletes that still fit.
     pub fn remaining_writes(&self) -> usize {
-        self.limits.writes.saturating_sub(self.then.len())
+        self.limits.writes.saturating_sub(self.operations.len())
     }
 
     /// Conditions that still fit.
     pub fn remaining_conditions(&self) -> usize {
-        self.limits.conditions.saturating_sub(self.require.len())
+        self.limits.conditions.saturating_sub(self.conditions.len())
     }
 
-    /// Bytes of the largest value that a write to a new key could still take.
+    /// Bytes of the largest value that still fits with a new key of `key_bytes` bytes.
     pub fn remaining_value_bytes(&self, key_bytes: usize) -> usize {
-        let around = 2 * key_bytes + CONDITION_BYTES + WRITE_BYTES;
+        let overhead = 2 * key_bytes + CONDITION_BYTES + WRITE_BYTES;
         self.limits
             .bytes
-            .saturating_sub(self.bytes + around)
+            .saturating_sub(self.bytes + overhead)
             .min(self.limits.value_bytes)
     }
 
-    /// The body of the request.
+    /// The encoded body of the commit request.
     pub fn body(&self) -> Vec<u8> {
-        wire::encode(&Body {
-            when: self
-                .require
-                .iter()
-                .map(|(k, s)| When {
-                    path: k,
-                    revision: s.0,
-                })
-                .collect(),
-            then: self
-                .then
+        wire::encode(&WireTransaction {
+            conditions: self
+                .conditions
                 .iter()
-                .map(|(k, v, lease_id)| Then {
-                    write: v.is_some().then_some(k.as_str()),
-                    value: v.as_ref(),
-                    lease_id: *lease_id,
-                    delete: v.is_none().then_some(k.as_str()),
+                .map(|(key, revision)| WireCondition {
+                    path: key,
+                    revision: revision.0,
                 })
                 .collect(),
+            writes: self.operations.iter().map(Operation::to_wire).collect(),
         })
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    #[derive(Clone, Debug)]
-    enum Step {
-        When(String, u64),
-        Write(String, u64, usize),
-        Delete(String, u64),
-    }
-
-    fn step() -> impl Strategy<Value = Step> {
-        // Few and long keys: repeated ones, and ones that never fit.
-        let key = prop_oneof!["[a-c]/[0-9]{1,2}", "[a-z]{180,230}"];
-        let revision = 0..3u64;
-        prop_oneof![
-            (key.clone(), revision.clone()).prop_map(|(k, s)| Step::When(k, s)),
-            (key.clone(), revision.clone(), 0..20_000usize)
-                .prop_map(|(k, s, n)| Step::Write(k, s, n)),
-            (key, revision).prop_map(|(k, s)| Step::Delete(k, s)),
-        ]
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig {
-            cases: 120,
-            rng_seed: proptest::test_runner::RngSeed::Fixed(19),
-            failure_persistence: None,
-            ..ProptestConfig::default()
-        })]
-        /// Whatever is asked of it, what a transaction holds is within the limits,
-        /// counted anew on its body, and what it refused has changed nothing.
-        #[test]
-        fn no_body_ever_exceeds_a_limit(
-            writes in 1..24usize,
-            value in 64..16_384usize,
-            steps in prop::collection::vec(step(), 0..70),
-        ) {
-            let limits = TransactionLimits { writes, conditions: writes * 4, bytes: MAX_BYTES, value_bytes: value };
-            let mut transaction = Transaction::new(limits);
-            let mut taken = 0;
-            for s in steps {
-                let before = (transaction.write_count(), transaction.remaining_conditions(), transaction.bytes);
-                let done = match s {
-                    Step::When(k, s) => transaction.when(k, Revision(s)),
-                    Step::Write(k, s, n) => {
-                        transaction.put(k, Revision(s), Value::Text("x".repeat(n)), Some(7))
-                    }
-                    Step::Delete(k, s) => transaction.delete(k, Revision(s)),
-                };
-                match done {
-                    Ok(()) => taken += 1,
-                    Err(_) => prop_assert_eq!(
-                        before, (transaction.write_count(), transaction.remaining_conditions(), transaction.bytes)
-                    ),
-                }
-            }
-            let body: Value = wire::decode(&transaction.body()).expect("sound");
-            prop_assert!(wire::json_len(&body) <= MAX_BYTES);
-            let list = |name: &str| -> Vec<Value> {
-                let Value::Map(fields) = &body else { return Vec::new() };
-                let found = fields.iter().find(|(k, _)| k.as_text() == Some(name));
-                found.and_then(|(_, v)| v.as_array().cloned()).unwrap_or_default()
-            };
-            prop_assert!(list("then").len() <= writes);
-            prop_assert!(list("when").len() <= writes * 4);
-            prop_assert!(taken >= list("then").len());
-        }
-    }
-
-    #[test]
-    fn what_never_fits_is_told_from_what_fits_later() {
-        let limits = TransactionLimits {
-            writes: 2,
-            conditions: 8,
-            bytes: MAX_BYTES,
-            value_bytes: 1_024,
-        };
-        let mut transaction = Transaction::new(limits);
-        let big = Value::Text("x".repeat(2_000));
-        assert!(matches!(
-            transaction.put("a", Revision(0), big, None),
-            Err(TransactionError::TooLarge { .. })
-        ));
-        assert!(matches!(
-            transaction.when("k".repeat(201), Revision(0)),
-            Err(TransactionError::TooLarge { .. })
-        ));
-        assert_eq!(transaction.delete("a", Revision(1)), Ok(()));
-        assert_eq!(
-            transaction.delete("a", Revision(2)),
-            Err(TransactionError::ConflictingConditions)
-        );
-        assert_eq!(transaction.delete("b", Revision(1)), Ok(()));
-        assert_eq!(
-            transaction.delete("c", Revision(1)),
-            Err(TransactionError::Full)
-        );
-        // Compared before: no second condition is counted.
-        assert_eq!(transaction.when("b", Revision(1)), Ok(()));
-        assert_eq!(transaction.remaining_conditions(), 6);
-    }
-}
+mod tests;
--- a/crates/sharding/src/slots.rs
+++ b/crates/sharding/src/slots.rs
@@ -52,7 +52,7 @@
         let mut settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
         for (ops, count) in [(1, 1), (3, 1), (8, 6), (20, 16), (24, 16)] {
             settings.params.state.txn_ops = ops;
-            let slots = Slots::within(&TransactionLimits::of(&settings.params.state));
+            let slots = Slots::within(&TransactionLimits::from(&settings.params.state));
             assert_eq!(slots.count(), count, "{ops} writes a transaction");
         }
         let slots = Slots(16);
