--- a/crates/standby/src/failure_detector.rs
+++ b/crates/standby/src/failure_detector.rs
@@ -1,83 +1,86 @@
-//! The failure detector of a controller that does not lead: by missing heartbeats and
-//! by workers that abandon the holder.
+//! The failure detector of a standby: missing heartbeats of the leader, and workers that
+//! report here instead of to the leader.
 
 use beamhinge_core::types::{FencingToken, MachineId, Time};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How often a holder tells its peers that it holds the block, seconds.
+/// How often a leader sends heartbeats to its peers, seconds.
 pub const HEARTBEAT_S: f64 = 0.5;
-/// Silence that counts, seconds: three heartbeats are missing, since one that is lost
-/// is sent again by TCP only after a few tenths of a second.
-const SILENT_S: f64 = 1.5;
-/// Silence that counts, in heartbeat intervals as observed: a holder of an earlier
-/// version sends them each second, and a slow link spreads them.
+/// Shortest silence that makes a leader suspect, seconds: three heartbeats are missing, since
+/// one that is lost is sent again by TCP only after a few tenths of a second.
+const MIN_SILENCE_S: f64 = 1.5;
+/// Silence that makes a leader suspect, in observed heartbeat intervals: a leader of an
+/// earlier version sends them each second, and a slow link spreads them.
 const SILENT_INTERVALS: f64 = 2.2;
-/// Weight of the newest interval in the observed one.
+/// Weight of the newest interval in the moving average.
 const INTERVAL_WEIGHT: f64 = 0.25;
-/// A holder must have been heard for so long, seconds: one that began just now reads
-/// its books and takes in all reports at once.
-const KNOWN_S: f64 = 3.0;
-/// Heartbeats that are further apart begin a new acquaintance, seconds.
-const APART_S: f64 = 4.0;
-/// Workers that have to come here instead. One may have a broken link of its own.
-const WITNESSES: usize = 3;
-/// The first of them comes so soon after the last heartbeat, seconds: from a process that
-/// ended, connections are reset and workers try the next a second later. From one
-/// that is merely slow they come after their time-out of four seconds; taking the
-/// lead from it would hand its load, and its slowness, on and on.
-const SEEN_S: f64 = 3.2;
-/// Further apart than this they do not tell of one end, seconds.
-const TOGETHER_S: f64 = 3.0;
-/// Those whose turn is later wait so much longer each, seconds: longer than a
-/// transaction and its news take. Two that try at once cost a refused transaction.
-const TURN_S: f64 = 0.1;
-/// Between two suspicions of this process, seconds: a holder that is only slow, or that
-/// peers do not hear, must not lose the lead again and again.
-const RARE_S: f64 = 15.0;
-/// Changes of the holder that are remembered, and for how long, seconds.
+/// A leader must have sent heartbeats for so long, seconds: one that began just now loads its
+/// state and ingests all reports at once.
+const MIN_KNOWN_S: f64 = 3.0;
+/// Heartbeats that are further apart start the observation of the leader anew, seconds.
+const MAX_GAP_S: f64 = 4.0;
+/// Misrouted workers that are needed. A single one may have a broken link of its own.
+const MIN_WITNESSES: usize = 3;
+/// Longest time from the last heartbeat to the first misrouted worker, seconds. Connections to
+/// a process that ended are reset, and workers try the next controller a second later; those
+/// of a leader that is merely slow come after their time-out of four seconds. Taking over from
+/// a slow leader would hand its load, and its slowness, on and on.
+const MAX_FIRST_WITNESS_S: f64 = 3.2;
+/// Misrouted workers further apart than this do not point to the same failure, seconds.
+const WITNESS_WINDOW_S: f64 = 3.0;
+/// Additional wait for each controller of a better rank, seconds: longer than a transaction
+/// and the watch event about it take. Two that try at once cost a refused transaction.
+const RANK_DELAY_S: f64 = 0.1;
+/// Least time between two suspicions of this process, seconds: a leader that is only slow, or
+/// whose heartbeats do not arrive, must not lose leadership again and again.
+const MIN_SUSPICION_INTERVAL_S: f64 = 15.0;
+/// Changes of the leader that are remembered; guards memory.
 const MAX_CHANGES: usize = 4;
-const CHANGES_S: f64 = 30.0;
-/// Each change beyond the first of that time adds so much to the silence that counts,
-/// seconds: a back-off over all controllers, not only this one.
-const BACKOFF_S: f64 = 0.7;
-/// Longest since the state service answered us, seconds: a watch waits for three.
-const LEDGER_S: f64 = 3.5;
-/// Machines that are remembered; guards memory.
+/// How long a change of the leader counts, seconds.
+const CHANGE_WINDOW_S: f64 = 30.0;
+/// Added silence for each change of the leader beyond the first in that window, seconds: a
+/// back-off over all controllers, not only this one.
+const CHANGE_BACKOFF_S: f64 = 0.7;
+/// Longest since the key-value store answered this controller, seconds: a watch waits for
+/// three.
+const MAX_STORE_AGE_S: f64 = 3.5;
+/// Misrouted workers that are remembered; guards memory.
 const MAX_WITNESSES: usize = 256;
 
-/// What the observing controller knows of itself.
+/// What the observing controller knows about itself.
 #[derive(Clone, Copy, Debug)]
 pub struct Observer {
-    /// Seconds since the state service last answered us.
+    /// Seconds since the key-value store last answered this controller.
     pub store_age_s: f64,
-    /// Our jobs are read.
+    /// This controller has read all jobs, so it could schedule at once.
     pub jobs_loaded: bool,
-    /// Seconds since we ourselves stood still, if we did.
+    /// Seconds since this process resumed from a pause, if it was paused.
     pub resumed_for_s: Option<f64>,
-    /// How many others go before us.
+    /// How many other controllers take over before this one ([`takeover_rank`]).
     pub rank: u32,
 }
 
-/// What is known of the holder without the state service.
+/// What is known about the leader without the key-value store.
 ///
-/// Two witnesses are needed: its heartbeats stay away, and workers come here that
-/// carry its token, so that it answered them until then. Heartbeats alone stop where a
-/// filter stands between controllers; workers alone come where their links to it are
-/// broken, and new machines come anywhere.
+/// A suspicion needs two kinds of evidence: the leader's heartbeats stay away, and workers
+/// report here that carry its fencing token, so it answered them until then. Heartbeats alone
+/// stop where the network between controllers is partitioned; workers alone come where their
+/// links to the leader are broken, and new machines start with any controller.
 #[derive(Debug)]
 pub struct FailureDetector {
     leader: Option<String>,
     token: FencingToken,
+    /// Since when the leader's heartbeats come without a gap.
     known_since: Time,
     last_heartbeat: Time,
     /// Seconds between heartbeats, as a moving average.
     interval_s: f64,
-    /// Who came since the last heartbeat, and when the first of them did.
+    /// Machines that reported here since the last heartbeat.
     witnesses: BTreeSet<MachineId>,
+    /// When the first of the witnesses reported.
     first_witness: Time,
-    /// When a take was last advised.
     last_suspicion: Option<Time>,
-    /// When another holder was heard of, lately.
+    /// When the latest changes of the leader were noticed.
     changes: VecDeque<Time>,
 }
 
@@ -98,24 +101,24 @@
 }
 
 impl FailureDetector {
-    /// The holder said that it holds the block with this token.
+    /// Handles a heartbeat: `leader` says that it owns the block key with this token.
     pub fn on_heartbeat(&mut self, now: Time, leader: &str, token: FencingToken) {
-        let first = self.leader.is_none();
-        let new = self.leader.as_deref() != Some(leader);
+        let first_leader = self.leader.is_none();
+        let changed = self.leader.as_deref() != Some(leader);
         let gap_s = now.since(self.last_heartbeat);
-        // A holder that was deposed may say so for a while longer.
-        if new && token < self.token && gap_s <= APART_S {
+        // A deposed leader may send heartbeats for a while longer.
+        if changed && token < self.token && gap_s <= MAX_GAP_S {
             return;
         }
-        if new || gap_s > APART_S {
+        if changed || gap_s > MAX_GAP_S {
             self.known_since = now;
             self.interval_s = HEARTBEAT_S;
         } else {
             self.interval_s += INTERVAL_WEIGHT * (gap_s - self.interval_s);
         }
-        if new {
+        if changed {
             self.leader = Some(leader.to_string());
-            if !first {
+            if !first_leader {
                 self.note_change(now);
             }
         }
@@ -131,14 +134,20 @@
         self.changes.push_back(now);
     }
 
-    /// A worker reported here, not there; `seen` is the highest token it has seen. One
-    /// that the holder has not answered yet witnesses nothing: a new machine begins
-    /// with any controller.
-    pub fn on_misrouted_report(&mut self, now: Time, machine: MachineId, seen: FencingToken) {
-        if seen != self.token {
+    /// Handles the report of a worker that came here instead of to the leader;
+    /// `highest_seen_token` is the highest fencing token the worker has seen. A worker that
+    /// the leader has not answered yet is no evidence: a new machine starts with any
+    /// controller.
+    pub fn on_misrouted_report(
+        &mut self,
+        now: Time,
+        machine: MachineId,
+        highest_seen_token: FencingToken,
+    ) {
+        if highest_seen_token != self.token {
             return;
         }
-        if self.witnesses.is_empty() || now.since(self.first_witness) > TOGETHER_S {
+        if self.witnesses.is_empty() || now.since(self.first_witness) > WITNESS_WINDOW_S {
             self.witnesses.clear();
             self.first_witness = now;
         }
@@ -147,51 +156,76 @@
         }
     }
 
-    /// Whether nothing is heard of the holder: it is not named to workers then.
+    /// Whether the leader's heartbeats stay away; workers are not redirected to it then.
     pub fn is_silent(&self, now: Time) -> bool {
         self.leader.is_some() && now.since(self.last_heartbeat) > self.silence_limit_s(now)
     }
 
-    /// Silence that counts, seconds.
+    /// Silence that makes the leader suspect, seconds.
     fn silence_limit_s(&self, now: Time) -> f64 {
-        let lately = self
+        let recent_changes = self
             .changes
             .iter()
-            .filter(|at| now.since(**at) <= CHANGES_S)
+            .filter(|at| now.since(**at) <= CHANGE_WINDOW_S)
             .count();
-        let backoff_s = BACKOFF_S * lately.saturating_sub(1) as f64;
-        SILENT_S.max(SILENT_INTERVALS * self.interval_s) + backoff_s
+        let backoff_s = CHANGE_BACKOFF_S * recent_changes.saturating_sub(1) as f64;
+        MIN_SILENCE_S.max(SILENT_INTERVALS * self.interval_s) + backoff_s
     }
 
-    /// The holder that is gone, if it is our turn to take the lead.
-    pub fn suspect(&mut self, now: Time, own: Observer) -> Option<&str> {
+    /// The leader that is presumed dead, if it is this controller's turn to take over.
+    ///
+    /// A returned suspicion counts as acted on: the next one follows after
+    /// [`MIN_SUSPICION_INTERVAL_S`] at the earliest.
+    pub fn suspect(&mut self, now: Time, observer: Observer) -> Option<&str> {
         let leader = self.leader.as_deref()?;
-        let silent_s = now.since(self.last_heartbeat);
-        let limit_s = self.silence_limit_s(now);
-        let known = self.last_heartbeat.since(self.known_since) >= KNOWN_S;
-        // Heartbeats and workers that came while we stood still tell nothing.
-        let present = own.resumed_for_s.is_none_or(|s| s > silent_s + limit_s);
-        let together = now.since(self.first_witness) <= TOGETHER_S;
-        let seen = self.first_witness.since(self.last_heartbeat) <= SEEN_S;
-        let witnessed = self.witnesses.len() >= WITNESSES && together && seen;
-        let rare = self.last_suspicion.is_none_or(|at| now.since(at) > RARE_S);
-        let fit = own.jobs_loaded && own.store_age_s < LEDGER_S && present;
-        let due = silent_s > limit_s + TURN_S * f64::from(own.rank);
-        if !(known && due && witnessed && fit && rare) {
+        let known = self.last_heartbeat.since(self.known_since) >= MIN_KNOWN_S;
+        let rate_limited = self
+            .last_suspicion
+            .is_some_and(|at| now.since(at) <= MIN_SUSPICION_INTERVAL_S);
+        if !known
+            || rate_limited
+            || !self.is_overdue(now, observer.rank)
+            || !self.has_witnesses(now)
+            || !self.can_take_over(now, observer)
+        {
             return None;
         }
         self.last_suspicion = Some(now);
         Some(leader)
     }
+
+    /// Whether the leader is silent for so long that a controller of this rank may act.
+    fn is_overdue(&self, now: Time, rank: u32) -> bool {
+        let silent_s = now.since(self.last_heartbeat);
+        silent_s > self.silence_limit_s(now) + RANK_DELAY_S * f64::from(rank)
+    }
+
+    /// Whether enough workers of the leader reported here, soon after its last heartbeat and
+    /// close together.
+    fn has_witnesses(&self, now: Time) -> bool {
+        self.witnesses.len() >= MIN_WITNESSES
+            && now.since(self.first_witness) <= WITNESS_WINDOW_S
+            && self.first_witness.since(self.last_heartbeat) <= MAX_FIRST_WITNESS_S
+    }
+
+    /// Whether this controller could schedule at once and was not paused itself: what arrived,
+    /// or did not arrive, during its own pause is no evidence.
+    fn can_take_over(&self, now: Time, observer: Observer) -> bool {
+        let silent_s = now.since(self.last_heartbeat);
+        let running = observer
+            .resumed_for_s
+            .is_none_or(|since_s| since_s > silent_s + self.silence_limit_s(now));
+        observer.jobs_loaded && observer.store_age_s < MAX_STORE_AGE_S && running
+    }
 }
 
-/// How many controllers take the lead before `own` when `holder` is gone: those that
-/// follow it in the ring of labels, where its workers go as well.
+/// How many controllers take over before `own` when `leader` is dead: those that follow the
+/// leader in the ring of labels, to which its workers turn as well.
 pub fn takeover_rank<'a>(leader: &str, own: &str, members: impl Iterator<Item = &'a str>) -> u32 {
-    let after = |label: &str| (label <= leader, label.to_string());
-    let ours = after(own);
+    let position = |label: &str| (label <= leader, label.to_string());
+    let own_position = position(own);
     members
-        .filter(|label| *label != leader && after(label) < ours)
+        .filter(|label| *label != leader && position(label) < own_position)
         .count() as u32
 }
 
--- a/crates/standby/src/failure_detector/tests.rs
+++ b/crates/standby/src/failure_detector/tests.rs
@@ -16,7 +16,7 @@
 };
 const TOKEN: FencingToken = FencingToken(7);
 
-/// Heartbeats of one holder, `every` seconds.
+/// Heartbeats of one leader, `every` seconds.
 fn beats(
     detector: &mut FailureDetector,
     leader: &str,
@@ -38,7 +38,7 @@
     machines.for_each(|n| detector.on_misrouted_report(at(s), machine(n), seen));
 }
 
-/// Heard until it ends just after its heartbeat at 10 s; workers come a second later.
+/// A leader that ends just after its heartbeat at 10 s; workers report here a second later.
 fn ended() -> FailureDetector {
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_end_is_known_by_two_witnesses_before_the_lease() {
+fn missing_heartbeats_and_misrouted_workers_make_leader_suspect() {
     let mut detector = ended();
     assert_eq!(
         detector.suspect(at(11.4), OBSERVER),
@@ -55,8 +55,8 @@
         "three heartbeats have to be missing"
     );
     assert_eq!(detector.suspect(at(11.6), OBSERVER), Some("a"));
-    assert_eq!(detector.suspect(at(11.7), OBSERVER), None, "advised once");
-    // The next in turn waits longer.
+    assert_eq!(detector.suspect(at(11.7), OBSERVER), None, "reported once");
+    // The next rank waits longer.
     let mut detector = ended();
     assert_eq!(
         detector.suspect(
@@ -79,7 +79,7 @@
         ),
         Some("a")
     );
-    // With seven of them, the last in turn has it within two seconds and a little more.
+    // With seven controllers the last rank suspects within little more than two seconds.
     let mut detector = ended();
     assert_eq!(
         detector.suspect(
@@ -94,33 +94,33 @@
 }
 
 #[test]
-fn one_witness_is_not_enough() {
-    // A filter between controllers: no heartbeats, and no worker comes.
+fn one_kind_of_evidence_is_not_enough() {
+    // A partition between controllers: no heartbeats, and no worker reports here.
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
     assert_eq!(detector.suspect(at(20.0), OBSERVER), None);
     // One worker with a broken link of its own, again and again.
     (11..20).for_each(|s| detector.on_misrouted_report(at(f64::from(s)), machine(1), TOKEN));
     assert_eq!(detector.suspect(at(20.0), OBSERVER), None);
-    // Workers come, and the holder is heard.
+    // Workers report here, but heartbeats arrive.
     let mut detector = ended();
     detector.on_heartbeat(at(11.5), "a", TOKEN);
     assert_eq!(detector.suspect(at(11.6), OBSERVER), None);
-    // A holder that is slow: its heartbeats are late, and workers come after their
+    // A slow leader: its heartbeats are late, and workers report here after their
     // time-out.
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
     report(&mut detector, 14.5, 0..200, TOKEN);
     assert_eq!(detector.suspect(at(15.0), OBSERVER), None);
-    // Those who came long ago tell of something else.
+    // Reports from long ago point to another failure.
     let mut detector = ended();
     assert_eq!(detector.suspect(at(18.0), OBSERVER), None);
 }
 
-/// Forty machines that boot while a packet is sent again are no witnesses: they begin
-/// with any controller, and carry no token or an older one.
+/// Forty machines that boot while a packet is sent again are no evidence: they start with any
+/// controller, and carry no token or an older one.
 #[test]
-fn workers_that_the_holder_never_answered_witness_nothing() {
+fn workers_without_the_leaders_token_are_no_evidence() {
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
     report(&mut detector, 11.1, 0..40, FencingToken(0));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn who_is_not_fit_does_not_take() {
+fn observer_that_cannot_take_over_suspects_nobody() {
     for own in [
         Observer {
             store_age_s: 4.0,
@@ -148,16 +148,16 @@
     ] {
         assert_eq!(ended().suspect(at(11.8), own), None, "{own:?}");
     }
-    // A holder that has been heard for a moment only.
+    // A leader whose heartbeats came for a moment only.
     let mut detector = FailureDetector::default();
     beats(&mut detector, "b", TOKEN, 0.0, 2.0, HEARTBEAT_S);
     report(&mut detector, 3.1, 0..4, TOKEN);
     assert_eq!(detector.suspect(at(3.7), OBSERVER), None);
 }
 
-/// A holder of an earlier version sends one a second: two have to be missing there.
+/// A leader of an earlier version sends one heartbeat a second: two have to be missing.
 #[test]
-fn the_limit_follows_the_interval_that_is_observed() {
+fn silence_limit_follows_the_observed_interval() {
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 20.0, 1.0);
     report(&mut detector, 21.1, 0..4, TOKEN);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn takes_are_rare() {
+fn suspicions_are_rate_limited() {
     let mut detector = ended();
     assert!(detector.suspect(at(11.6), OBSERVER).is_some());
     beats(&mut detector, "b", FencingToken(8), 12.0, 22.0, HEARTBEAT_S);
@@ -181,10 +181,10 @@
     assert_eq!(detector.suspect(at(29.7), OBSERVER), Some("b"));
 }
 
-/// Two holders that end one after the other are found by whoever was not asked before;
-/// a third within half a minute waits longer, whoever finds it.
+/// The end of a second leader is found as fast as that of the first; that of a third within
+/// half a minute takes longer, whichever controller finds it.
 #[test]
-fn each_further_change_of_the_holder_adds_to_the_silence_that_counts() {
+fn further_changes_of_leader_lengthen_the_silence_limit() {
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
     beats(&mut detector, "b", FencingToken(8), 12.0, 16.0, HEARTBEAT_S);
@@ -203,21 +203,21 @@
     assert_eq!(detector.suspect(at(24.3), OBSERVER), Some("c"));
 }
 
-/// A deposed holder that still speaks does not take the place of its successor.
+/// A deposed leader that still sends heartbeats does not replace its successor.
 #[test]
-fn a_lower_token_is_no_heartbeat_of_a_holder() {
+fn heartbeat_with_lower_token_is_ignored() {
     let mut detector = ended();
     detector.on_heartbeat(at(11.2), "b", FencingToken(6));
     assert_eq!(detector.suspect(at(11.6), OBSERVER), Some("a"));
 }
 
 #[test]
-fn turns_follow_the_ring_of_labels_from_the_holder_on() {
+fn takeover_rank_follows_the_ring_of_labels_from_the_leader_on() {
     let labels = ["a", "b", "c", "d", "e", "f", "g"];
-    let turn = |leader: &str, own: &str| {
+    let rank = |leader: &str, own: &str| {
         takeover_rank(leader, own, labels.iter().copied().filter(|l| *l != own))
     };
-    assert_eq!((turn("a", "b"), turn("a", "c"), turn("a", "g")), (0, 1, 5));
-    assert_eq!((turn("d", "e"), turn("d", "a"), turn("d", "c")), (0, 3, 5));
-    assert_eq!((turn("g", "a"), turn("g", "f")), (0, 5));
+    assert_eq!((rank("a", "b"), rank("a", "c"), rank("a", "g")), (0, 1, 5));
+    assert_eq!((rank("d", "e"), rank("d", "a"), rank("d", "c")), (0, 3, 5));
+    assert_eq!((rank("g", "a"), rank("g", "f")), (0, 5));
 }
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -1,23 +1,12 @@
-//! A standby that is ready: by which witnesses it knows that the holder is gone
-//! before the holder's lease says so, and whose turn it is to take the lead.
+//! Early failover: how a standby controller finds that the leader is dead before the
+//! leader's lease expires, and which standby takes over first.
 //!
-//! Nothing here is a guard. Whoever takes the lead early takes it by the same
-//! conditional transaction as ever, with a higher token; a holder that was only
-//! slow is deposed by it and has lost its turn, not its tasks.
+//! Nothing here is needed for safety. An early failover uses the same conditional transaction
+//! as any other acquisition and gets a higher fencing token; a leader that was only slow is
+//! deposed by it and loses its term, not its tasks.
 //!
-//! Sans-IO: heartbeats and workers' reports come in with their times, a finding goes out.
-//! `docs/standby.md` has the ways that were weighed.
-
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
+//! Sans-IO: heartbeats and workers' reports come in with their times, a suspicion comes out.
+//! `docs/standby.md` lists the alternatives that were considered.
 
 mod failure_detector;
 
