--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -1,8 +1,14 @@
-//! Client of the state service: pacing, transactions, leases and watches.
+//! Client of the consensus-backed key-value store: pacing, transactions, leases and watches.
 //!
-//! Every write is conditional on stamps, so a transaction that is applied late
-//! either changes nothing or does what was meant. A reply that never came is
-//! reported as [`Outcome::Lost`]; its caller reads again and assumes nothing.
+//! Sans-IO: requests are queued by priority, [`StoreClient::flush`] turns what the rate limits
+//! allow into [`Effect::Call`]s, and [`StoreClient::on_reply`] classifies their replies.
+//!
+//! Every write is conditional on revisions, so a transaction that is committed late either
+//! changes nothing or does what was intended. A reply that never arrived is reported as
+//! [`Outcome::Indeterminate`]; its caller reads again and assumes nothing.
+
+mod messages;
+mod token_bucket;
 
 use beamhinge_core::http::Method;
 use beamhinge_core::messages::{Destination, Effect};
@@ -11,169 +17,167 @@
 use beamhinge_core::wire;
 use beamhinge_rate_limit::TransactionLimits;
 pub use beamhinge_rate_limit::{Transaction, TransactionError};
-use ciborium::Value;
-use serde::{Deserialize, Serialize};
+pub use messages::{
+    CommitResponse, KeyValue, LeaseResponse, ScanResponse, WatchEvent, WatchResponse,
+};
+use messages::{ErrorResponse, LeaseRequest};
 use std::collections::{BTreeMap, VecDeque};
+use token_bucket::TokenBucket;
 
-/// Order of importance when the rate limits leave room for some only.
+/// Importance of a request when the rate limits allow some only; the first is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
+    /// Leases, leader election and the confirmation of the block key.
     Lease,
+    /// Jobs that users submit or cancel.
     Admission,
+    /// Placements, progress and the ends of jobs.
     Scheduler,
+    /// Reads that somebody waits for.
     Read,
+    /// Whatever may wait.
     Background,
 }
 
-const PRIORITIES: usize = 5;
-/// How long a request may wait here before it counts as refused.
-const PATIENCE_S: f64 = 1.5;
-const QUEUE_LIMIT: usize = 256;
+impl Priority {
+    const ALL: [Priority; 5] = [
+        Priority::Lease,
+        Priority::Admission,
+        Priority::Scheduler,
+        Priority::Read,
+        Priority::Background,
+    ];
+}
 
+/// How long a request may wait in its queue before it is reported as refused, seconds.
+const MAX_QUEUE_WAIT_S: f64 = 1.5;
+/// Requests that wait in one queue; further ones are refused at once.
+const MAX_QUEUED: usize = 256;
+/// Part of a bucket that each priority leaves to the one before it.
+const RESERVE_PER_PRIORITY: f64 = 0.05;
+/// Part of the write bucket that is always enough, so that a transaction as large as the
+/// bucket is sent in the end.
+const FULL_BUCKET_FRACTION: f64 = 0.99;
+/// Least request and write rate of a controller, per second.
+const MIN_RATE: f64 = 2.0;
+/// Least admission rate of a controller, writes per second.
+const MIN_ADMISSION_RATE: f64 = 1.0;
+/// Time-outs of the requests, seconds.
+const COMMIT_TIMEOUT_S: f64 = 2.0;
+const SCAN_TIMEOUT_S: f64 = 2.5;
+const LEASE_TIMEOUT_S: f64 = 1.5;
+/// Added to the time that the store holds a watch open, seconds.
+const WATCH_TIMEOUT_MARGIN_S: f64 = 1.5;
+/// The store's error text for a transaction that names an unknown lease.
+const LEASE_NOT_FOUND_ERROR: &str = "no such lease";
+
+/// What became of a request.
 #[derive(Debug)]
 pub enum Outcome {
+    /// 200: executed; the body of the response.
     Ok(Vec<u8>),
     /// 404: no such key, or no such lease.
     NotFound,
-    /// 409: conditions that failed.
+    /// 409: the keys whose conditions failed; nothing was written.
     Conflict(Vec<String>),
-    /// 410: the watch's revision is too old.
+    /// 410: the watch's revision is older than the changes that the store keeps.
     Gone,
-    /// 400 "no such lease".
+    /// 400 with the error "no such lease".
     LeaseNotFound,
-    /// Certainly not executed: the rate is spent, or the service is away.
+    /// Certainly not executed: the rate is exhausted, or the store is unavailable.
     Refused,
-    /// 400: not executed, and the same again would not be either.
+    /// 400: not executed, and a repetition would not be either.
     Malformed,
-    /// May have been executed, or may be later.
+    /// May have been executed, or may be executed later.
     Indeterminate,
 }
 
+/// The reply to a request, handed to the module that sent it.
 #[derive(Debug)]
 pub struct Reply<T> {
+    /// What the request was sent with.
     pub tag: T,
+    /// What became of the request.
     pub outcome: Outcome,
-    /// When the request was sent: what it shows is no older than this.
+    /// When the request was sent: what the reply shows is no older than this.
     pub sent_at: Time,
 }
 
-#[derive(Deserialize)]
-pub struct KeyValue {
-    #[serde(rename = "path")]
-    pub key: String,
-    pub value: Value,
-    #[serde(rename = "stamp")]
-    pub revision: u64,
-}
-
-#[derive(Deserialize)]
-pub struct ScanResponse {
-    #[serde(rename = "pairs")]
-    pub entries: Vec<KeyValue>,
-    #[serde(default)]
-    pub more: bool,
-    #[serde(rename = "ledgerRev")]
-    pub revision: u64,
-}
-
-#[derive(Deserialize)]
-pub struct WatchEvent {
-    #[serde(default)]
-    pub write: Option<String>,
-    #[serde(default)]
-    pub delete: Option<String>,
-    #[serde(default)]
-    pub value: Option<Value>,
-    #[serde(rename = "stamp")]
-    pub revision: u64,
-}
-
-#[derive(Deserialize)]
-pub struct WatchResponse {
-    #[serde(rename = "ledgerRev")]
-    pub revision: u64,
-    #[serde(rename = "news")]
-    pub events: Vec<WatchEvent>,
-}
-
-#[derive(Deserialize)]
-pub struct LeaseResponse {
-    #[serde(rename = "permit")]
-    pub lease_id: u64,
-}
-
-#[derive(Deserialize)]
-pub struct CommitResponse {
-    #[serde(rename = "ledgerRev")]
-    pub revision: u64,
-}
-
-#[derive(Deserialize)]
-struct ErrorResponse {
-    #[serde(default)]
-    failed: Vec<String>,
-    #[serde(default)]
-    error: Option<String>,
+impl<T> Reply<T> {
+    fn refused(tag: T, now: Time) -> Reply<T> {
+        Reply {
+            tag,
+            outcome: Outcome::Refused,
+            sent_at: now,
+        }
+    }
 }
 
-struct Queued<T> {
-    tag: T,
+/// A request to the store.
+struct Request {
     method: Method,
     path: String,
     body: Vec<u8>,
-    puts: usize,
-    timeout: f64,
-    since: Time,
+    /// Puts and deletes, which count against the write rate.
+    writes: usize,
+    timeout_s: f64,
+}
+
+impl Request {
+    /// A request without a body that writes nothing.
+    fn new(method: Method, path: String, timeout_s: f64) -> Request {
+        Request {
+            method,
+            path,
+            body: Vec::new(),
+            writes: 0,
+            timeout_s,
+        }
+    }
 }
 
-struct Bucket {
-    rate: f64,
-    level: f64,
-    at: Time,
+struct QueuedRequest<T> {
+    tag: T,
+    request: Request,
+    queued_at: Time,
 }
 
-impl Bucket {
-    fn fill(&mut self, now: Time) {
-        self.level = (self.level + now.since(self.at) * self.rate).min(self.rate);
-        self.at = now;
-    }
+struct InFlightRequest<T> {
+    tag: T,
+    sent_at: Time,
 }
 
+/// The client; `T` names who waits for a reply, and for what.
 pub struct StoreClient<T> {
-    requests: Bucket,
-    writes: Bucket,
-    /// Writes that take jobs in, while others wait.
-    accepts: Bucket,
-    full: (f64, f64),
+    requests: TokenBucket,
+    writes: TokenBucket,
+    /// Writes of admissions, while the scheduler has requests waiting.
+    admissions: TokenBucket,
+    /// Requests per second of all controllers together.
+    total_request_rate: f64,
+    /// Writes per second of all controllers together.
+    total_write_rate: f64,
     limits: TransactionLimits,
-    queues: [VecDeque<Queued<T>>; PRIORITIES],
-    in_flight: BTreeMap<CallId, (T, Time)>,
+    /// One queue for each of [`Priority::ALL`].
+    queues: [VecDeque<QueuedRequest<T>>; Priority::ALL.len()],
+    in_flight: BTreeMap<CallId, InFlightRequest<T>>,
+    /// Requests that were given up in the queues.
     refused: Vec<Reply<T>>,
     last_success: Option<Time>,
     last_response: Option<Time>,
 }
 
 impl<T> StoreClient<T> {
+    /// A client with the whole rate of these settings and empty buckets.
     pub fn new(settings: &Settings) -> StoreClient<T> {
-        let s = &settings.params.state;
+        let state = &settings.params.state;
         StoreClient {
-            requests: Bucket {
-                rate: s.rps,
-                level: 0.0,
-                at: Time::default(),
-            },
-            writes: Bucket {
-                rate: s.write_rps,
-                level: 0.0,
-                at: Time::default(),
-            },
-            accepts: Bucket {
-                rate: s.write_rps,
-                level: 0.0,
-                at: Time::default(),
-            },
-            full: (s.rps, s.write_rps),
-            limits: TransactionLimits::from(s),
+            requests: TokenBucket::new(state.rps),
+            writes: TokenBucket::new(state.write_rps),
+            admissions: TokenBucket::new(state.write_rps),
+            total_request_rate: state.rps,
+            total_write_rate: state.write_rps,
+            limits: TransactionLimits::from(state),
             queues: Default::default(),
             in_flight: BTreeMap::new(),
             refused: Vec::new(),
@@ -182,17 +186,17 @@
         }
     }
 
-    /// The limits hold for all controllers together; this is our part of them.
-    /// `accepts`: the part of its writes that taking jobs in may use while others
-    /// wait. A holder that took in whatever came wrote nothing else: what had ended
-    /// was told minutes later.
-    pub fn set_rate_share(&mut self, share: f64, accepts: f64) {
-        self.requests.rate = (self.full.0 * share).max(2.0);
-        self.writes.rate = (self.full.1 * share).max(2.0);
-        self.accepts.rate = (self.writes.rate * accepts).max(1.0);
+    /// Sets this controller's share of the rate limits, which hold for all controllers
+    /// together, and the fraction of its writes that admissions may use while the scheduler
+    /// has requests waiting. Without that fraction a leader that admitted whatever arrived
+    /// wrote nothing else, and finished tasks were acknowledged minutes later.
+    pub fn set_rate_share(&mut self, share: f64, admission_fraction: f64) {
+        self.requests.rate = (self.total_request_rate * share).max(MIN_RATE);
+        self.writes.rate = (self.total_write_rate * share).max(MIN_RATE);
+        self.admissions.rate = (self.writes.rate * admission_fraction).max(MIN_ADMISSION_RATE);
     }
 
-    /// What one transaction may hold and still ever be sent.
+    /// What one transaction may hold so that the pacing ever sends it.
     pub fn limits(&self) -> TransactionLimits {
         self.limits
             .with_max_writes((self.writes.rate as usize).max(2))
@@ -203,240 +207,245 @@
         Transaction::new(self.limits())
     }
 
-    /// An empty transaction for what is rare and can't be made in parts: it is sent from a
-    /// full bucket, which pays it back later.
+    /// An empty transaction within the store's limits only, for a rare one that cannot be
+    /// split: it is sent from a full bucket, which goes into debt.
     pub fn unpaced_transaction(&self) -> Transaction {
         Transaction::new(self.limits)
     }
 
-    /// Writes that could be sent now, and the rate at which they come back.
+    /// Writes that could be sent now, and the rate at which they accrue per second.
     pub fn write_budget(&mut self, now: Time) -> (f64, f64) {
-        self.writes.fill(now);
+        self.writes.refill(now);
         (self.writes.level, self.writes.rate)
     }
 
-    fn push(
-        &mut self,
-        now: Time,
-        p: Priority,
-        op: (T, Method, String, Vec<u8>),
-        puts: usize,
-        timeout: f64,
-    ) {
-        let (tag, method, path, body) = op;
-        let queue = &mut self.queues[p as usize];
-        if queue.len() >= QUEUE_LIMIT {
-            self.refused.push(Reply {
-                tag,
-                outcome: Outcome::Refused,
-                sent_at: now,
-            });
+    fn enqueue(&mut self, now: Time, priority: Priority, tag: T, request: Request) {
+        let queue = &mut self.queues[priority as usize];
+        if queue.len() >= MAX_QUEUED {
+            self.refused.push(Reply::refused(tag, now));
             return;
         }
-        queue.push_back(Queued {
+        queue.push_back(QueuedRequest {
             tag,
-            method,
-            path,
-            body,
-            puts,
-            timeout,
-            since: now,
+            request,
+            queued_at: now,
         });
     }
 
-    pub fn commit(&mut self, now: Time, p: Priority, tag: T, transaction: Transaction) {
-        let puts = transaction.write_count();
-        self.push(
-            now,
-            p,
-            (tag, Method::Post, "/commit".into(), transaction.body()),
-            puts,
-            2.0,
-        );
-    }
-
-    pub fn watch(&mut self, now: Time, p: Priority, tag: T, under: &str, since: u64, wait_s: f64) {
-        let path = format!(
-            "/watch?under={under}&since={since}&waitMs={}",
-            (wait_s * 1e3) as u64
-        );
-        self.push(
-            now,
-            p,
-            (tag, Method::Get, path, Vec::new()),
-            0,
-            wait_s + 1.5,
-        );
+    /// Commits a transaction; answered with a [`CommitResponse`].
+    pub fn commit(&mut self, now: Time, priority: Priority, tag: T, transaction: Transaction) {
+        let request = Request {
+            body: transaction.body(),
+            writes: transaction.write_count(),
+            ..Request::new(Method::Post, "/commit".into(), COMMIT_TIMEOUT_S)
+        };
+        self.enqueue(now, priority, tag, request);
     }
 
-    pub fn scan(&mut self, now: Time, p: Priority, tag: T, under: &str, since: Option<&str>) {
-        let mut path = format!("/store?under={under}&most=500");
-        if let Some(s) = since {
-            path.push_str(&format!("&since={s}"));
-        }
-        self.push(now, p, (tag, Method::Get, path, Vec::new()), 0, 2.5);
+    /// Asks for the changes under `prefix` after revision `since`; the store answers with a
+    /// [`WatchResponse`] at the first change, or after `wait_s` seconds.
+    pub fn watch(
+        &mut self,
+        now: Time,
+        priority: Priority,
+        tag: T,
+        prefix: &str,
+        since: u64,
+        wait_s: f64,
+    ) {
+        let wait_ms = (wait_s * 1e3) as u64;
+        let path = format!("/watch?under={prefix}&since={since}&waitMs={wait_ms}");
+        let request = Request::new(Method::Get, path, wait_s + WATCH_TIMEOUT_MARGIN_S);
+        self.enqueue(now, priority, tag, request);
     }
 
-    pub fn grant_lease(&mut self, now: Time, tag: T, life_s: f64) {
-        #[derive(Serialize)]
-        #[serde(rename_all = "camelCase")]
-        struct Hold {
-            life_ms: u64,
+    /// Reads the keys under `prefix` behind the key `after`; answered with a [`ScanResponse`].
+    pub fn scan(
+        &mut self,
+        now: Time,
+        priority: Priority,
+        tag: T,
+        prefix: &str,
+        after: Option<&str>,
+    ) {
+        let mut path = format!("/store?under={prefix}&most=500");
+        if let Some(key) = after {
+            path.push_str("&since=");
+            path.push_str(key);
         }
-        let body = wire::encode(&Hold {
-            life_ms: (life_s * 1e3) as u64,
-        });
-        self.push(
+        self.enqueue(
             now,
-            Priority::Lease,
-            (tag, Method::Post, "/holds".into(), body),
-            0,
-            1.5,
+            priority,
+            tag,
+            Request::new(Method::Get, path, SCAN_TIMEOUT_S),
         );
     }
 
+    /// Asks for a session lease of `duration_s` seconds; answered with a [`LeaseResponse`].
+    pub fn grant_lease(&mut self, now: Time, tag: T, duration_s: f64) {
+        let request = Request {
+            body: wire::encode(&LeaseRequest {
+                duration_ms: (duration_s * 1e3) as u64,
+            }),
+            ..Request::new(Method::Post, "/holds".into(), LEASE_TIMEOUT_S)
+        };
+        self.enqueue(now, Priority::Lease, tag, request);
+    }
+
+    /// Renews a lease for its whole duration.
     pub fn renew_lease(&mut self, now: Time, tag: T, lease_id: u64) {
         let path = format!("/holds/{lease_id}/renew");
-        self.push(
-            now,
-            Priority::Lease,
-            (tag, Method::Post, path, Vec::new()),
-            0,
-            1.5,
-        );
+        let request = Request::new(Method::Post, path, LEASE_TIMEOUT_S);
+        self.enqueue(now, Priority::Lease, tag, request);
     }
 
+    /// Ends a lease at once, with the keys that are bound to it.
     pub fn revoke_lease(&mut self, now: Time, tag: T, lease_id: u64) {
         let path = format!("/holds/{lease_id}");
-        self.push(
-            now,
-            Priority::Lease,
-            (tag, Method::Delete, path, Vec::new()),
-            0,
-            1.5,
-        );
+        let request = Request::new(Method::Delete, path, LEASE_TIMEOUT_S);
+        self.enqueue(now, Priority::Lease, tag, request);
     }
 
-    /// Sends what the limits allow, the important first. Each class leaves a
-    /// little in the buckets, so that a renewal never waits behind polls.
+    /// Sends what the limits allow, by priority. Each priority leaves a little in the buckets,
+    /// so that a renewal never waits behind polls. Requests that waited too long are refused.
     pub fn flush(&mut self, now: Time, next_call: &mut u64, out: &mut Vec<Effect>) {
-        self.requests.fill(now);
-        self.writes.fill(now);
-        self.accepts.fill(now);
-        let others_wait = !self.queues[Priority::Scheduler as usize].is_empty();
-        for p in 0..PRIORITIES {
-            let accepting = p == Priority::Admission as usize;
-            while let Some(front) = self.queues[p].front() {
-                let waited = now.since(front.since);
-                let reserve = p as f64 * 0.05;
-                let puts = front.puts as f64;
-                let fits = self.requests.level >= 1.0 + reserve * self.requests.rate
-                    && (puts == 0.0
-                        || self.writes.level
-                            >= (puts + reserve * self.writes.rate).min(self.writes.rate * 0.99));
-                // Below a transaction's worth the bucket lends: it pays later.
-                let turn = !(accepting && puts > 0.0 && others_wait) || self.accepts.level > 0.0;
-                let fits = fits && turn;
-                if !fits && waited <= PATIENCE_S {
+        self.requests.refill(now);
+        self.writes.refill(now);
+        self.admissions.refill(now);
+        let scheduler_waits = !self.queues[Priority::Scheduler as usize].is_empty();
+        for priority in Priority::ALL {
+            while let Some(front) = self.queues[priority as usize].front() {
+                let waited_s = now.since(front.queued_at);
+                let fits = self.fits(priority, front.request.writes, scheduler_waits);
+                if !fits && waited_s <= MAX_QUEUE_WAIT_S {
                     break;
                 }
-                let Some(op) = self.queues[p].pop_front() else {
+                let Some(queued) = self.queues[priority as usize].pop_front() else {
                     break;
                 };
-                if !fits {
-                    self.refused.push(Reply {
-                        tag: op.tag,
-                        outcome: Outcome::Refused,
-                        sent_at: now,
-                    });
-                    continue;
-                }
-                self.requests.level -= 1.0;
-                self.writes.level -= puts;
-                if accepting {
-                    self.accepts.level = (self.accepts.level - puts).max(-self.accepts.rate);
+                if fits {
+                    *next_call += 1;
+                    out.push(self.send(now, priority, queued, CallId(*next_call)));
+                } else {
+                    self.refused.push(Reply::refused(queued.tag, now));
                 }
-                *next_call += 1;
-                let id = CallId(*next_call);
-                self.in_flight.insert(id, (op.tag, now));
-                out.push(Effect::Call {
-                    id,
-                    destination: Destination::State,
-                    method: op.method,
-                    path: op.path,
-                    body: op.body,
-                    timeout_s: op.timeout,
-                });
             }
         }
     }
 
-    /// Requests that were given up here, for their slices to decide anew.
+    /// Whether a request with so many writes may be sent now.
+    fn fits(&self, priority: Priority, writes: usize, scheduler_waits: bool) -> bool {
+        let reserve = f64::from(priority as u8) * RESERVE_PER_PRIORITY;
+        let writes = writes as f64;
+        let request_fits = self.requests.level >= 1.0 + reserve * self.requests.rate;
+        let writes_fit = writes == 0.0
+            || self.writes.level
+                >= (writes + reserve * self.writes.rate)
+                    .min(self.writes.rate * FULL_BUCKET_FRACTION);
+        // An admission is sent from any positive level, which may fall below zero by it.
+        let throttled = priority == Priority::Admission && writes > 0.0 && scheduler_waits;
+        request_fits && writes_fit && (!throttled || self.admissions.level > 0.0)
+    }
+
+    fn send(
+        &mut self,
+        now: Time,
+        priority: Priority,
+        queued: QueuedRequest<T>,
+        id: CallId,
+    ) -> Effect {
+        let QueuedRequest { tag, request, .. } = queued;
+        let writes = request.writes as f64;
+        self.requests.level -= 1.0;
+        self.writes.level -= writes;
+        if priority == Priority::Admission {
+            self.admissions.level = (self.admissions.level - writes).max(-self.admissions.rate);
+        }
+        self.in_flight
+            .insert(id, InFlightRequest { tag, sent_at: now });
+        Effect::Call {
+            id,
+            destination: Destination::State,
+            method: request.method,
+            path: request.path,
+            body: request.body,
+            timeout_s: request.timeout_s,
+        }
+    }
+
+    /// Takes the replies to requests that were given up in the queues.
     pub fn take_refused(&mut self) -> Vec<Reply<T>> {
         std::mem::take(&mut self.refused)
     }
 
-    /// When the newest request was sent that the service really handled.
+    /// When the newest request was sent that the store really handled.
     pub fn last_success(&self) -> Option<Time> {
         self.last_success
     }
 
-    /// When the newest request was sent that the service answered at all, if only to
-    /// refuse it.
+    /// When the newest request was sent that the store answered at all, if only to refuse it.
     pub fn last_response(&self) -> Option<Time> {
         self.last_response
     }
 
+    /// Whether this client waits for the reply to this call.
     pub fn owns_call(&self, id: CallId) -> bool {
         self.in_flight.contains_key(&id)
     }
 
+    /// Classifies the result of a call: status and body, or none if no response arrived.
+    /// Returns none for a call that is not in flight.
     pub fn on_reply(&mut self, id: CallId, result: Option<(u16, Vec<u8>)>) -> Option<Reply<T>> {
-        let (tag, sent) = self.in_flight.remove(&id)?;
+        let InFlightRequest { tag, sent_at } = self.in_flight.remove(&id)?;
         if matches!(&result, Some((200 | 404 | 409 | 410 | 429, _))) {
-            self.last_success = self.last_success.max(Some(sent));
+            self.last_success = self.last_success.max(Some(sent_at));
         }
         if result.is_some() {
-            self.last_response = self.last_response.max(Some(sent));
+            self.last_response = self.last_response.max(Some(sent_at));
         }
-        let outcome = match result {
-            None => Outcome::Indeterminate,
-            Some((200, body)) => Outcome::Ok(body),
-            Some((404, _)) => Outcome::NotFound,
-            Some((409, body)) => Outcome::Conflict(
-                wire::decode::<ErrorResponse>(&body)
-                    .map(|f| f.failed)
-                    .unwrap_or_default(),
-            ),
-            Some((410, _)) => Outcome::Gone,
-            Some((429, _)) => {
-                // Others spent more than their part; let the bucket run dry.
-                self.requests.level = self.requests.level.min(0.0);
-                self.writes.level = self.writes.level.min(0.0);
-                Outcome::Refused
-            }
-            Some((503, _)) => Outcome::Refused,
-            Some((400, body)) => {
-                let error = wire::decode::<ErrorResponse>(&body)
-                    .ok()
-                    .and_then(|f| f.error);
-                if error.as_deref() == Some("no such lease") {
-                    Outcome::LeaseNotFound
-                } else {
-                    tracing::error!("state service calls our request malformed: {error:?}");
-                    Outcome::Malformed
-                }
-            }
-            // An unknown status says nothing about whether it was executed.
-            Some((_, _)) => Outcome::Indeterminate,
-        };
+        if matches!(&result, Some((429, _))) {
+            // Other controllers used more than their share: let the buckets run dry.
+            self.requests.empty();
+            self.writes.empty();
+        }
+        let outcome = result.map_or(Outcome::Indeterminate, |(status, body)| {
+            classify_response(status, body)
+        });
         Some(Reply {
             tag,
             outcome,
-            sent_at: sent,
+            sent_at,
         })
     }
 }
 
+fn classify_response(status: u16, body: Vec<u8>) -> Outcome {
+    match status {
+        200 => Outcome::Ok(body),
+        404 => Outcome::NotFound,
+        409 => Outcome::Conflict(
+            wire::decode::<ErrorResponse>(&body)
+                .map(|response| response.failed)
+                .unwrap_or_default(),
+        ),
+        410 => Outcome::Gone,
+        429 | 503 => Outcome::Refused,
+        400 => classify_bad_request(&body),
+        // An unknown status says nothing about whether the request was executed.
+        _ => Outcome::Indeterminate,
+    }
+}
+
+fn classify_bad_request(body: &[u8]) -> Outcome {
+    let error = wire::decode::<ErrorResponse>(body)
+        .ok()
+        .and_then(|response| response.error);
+    if error.as_deref() == Some(LEASE_NOT_FOUND_ERROR) {
+        return Outcome::LeaseNotFound;
+    }
+    tracing::error!(error, "store rejected request as malformed");
+    Outcome::Malformed
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/controller/src/store/tests.rs
+++ b/crates/controller/src/store/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
+use ciborium::Value;
 
 #[test]
-fn a_renewal_overtakes_polls_and_a_full_bucket_is_not_exceeded() {
+fn lease_renewal_is_sent_before_polls_within_the_rate() {
     let settings = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", settings).expect("sound");
     let mut store: StoreClient<u32> = StoreClient::new(&settings);
@@ -15,7 +16,7 @@
     store.flush(start, &mut calls, &mut out);
     assert!(
         out.len() <= 10,
-        "one second's worth at the most, not {}",
+        "at most one second's worth, not {}",
         out.len()
     );
     assert!(matches!(&out[0], Effect::Call { path, .. } if path == "/holds/7/renew"));
@@ -23,12 +24,12 @@
     assert!(out.len() <= 20);
     assert!(
         !store.take_refused().is_empty(),
-        "what waited too long is given back"
+        "requests that waited too long are refused"
     );
 }
 
 #[test]
-fn a_lost_reply_is_not_taken_for_a_refusal() {
+fn lost_reply_is_indeterminate_and_not_refused() {
     let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
     let mut store: StoreClient<u32> = StoreClient::new(&settings);
     let (mut calls, mut out) = (0, Vec::new());
@@ -52,10 +53,10 @@
     ));
 }
 
-/// A reply to nothing that flies, of an earlier process or come twice, says nothing:
-/// it is handed to no slice, and counts as no exchange.
+/// A reply to a call that is not in flight, of an earlier process or a duplicate, is handed to
+/// no module and does not count as an exchange with the store.
 #[test]
-fn a_reply_that_nobody_waits_for_is_dropped() {
+fn reply_to_unknown_call_is_dropped() {
     let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
     let mut store: StoreClient<u32> = StoreClient::new(&settings);
     let (mut calls, mut out) = (0, Vec::new());
@@ -69,9 +70,9 @@
     assert!(store.on_reply(CallId(1), Some((200, vec![]))).is_none());
 }
 
-/// Every call to the state service: method, path and body.
+/// Every call to the key-value store: method, path and body.
 #[test]
-fn calls_to_the_state_service_keep_their_form() {
+fn calls_to_the_store_keep_their_wire_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/calls-to-state.hex");
     let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
     let mut store: StoreClient<u32> = StoreClient::new(&settings);
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn answers_of_the_state_service_are_read_field_by_field() {
+fn responses_of_the_store_are_decoded_field_by_field() {
     fn read<T: serde::de::DeserializeOwned>(body: serde_json::Value) -> T {
         wire::decode(&wire::encode(&body)).expect("an answer")
     }
