--- a/crates/controller/src/replica/tests.rs
+++ b/crates/controller/src/replica/tests.rs
@@ -11,7 +11,7 @@
     })
 }
 
-/// What a reply changes: keys and whether they are there.
+/// What a reply changes: keys, and whether they exist.
 fn take(m: &mut ReplicaCache, call: ReplicaCall, body: serde_json::Value) -> Vec<(String, bool)> {
     let at = Time::from_micros(1_000_000);
     let outcome = Outcome::Ok(wire::encode(&body));
@@ -31,9 +31,9 @@
         .collect()
 }
 
-/// A directive that was lifted once stood again in one controller's copy.
+/// A directive that had been lifted was in force again in one controller's copy.
 #[test]
-fn an_answer_that_comes_late_brings_nothing_back() {
+fn late_watch_response_does_not_restore_deleted_key() {
     let mut m = replica();
     m.scan = Some(ScanState {
         in_flight: true,
@@ -58,10 +58,10 @@
     );
 }
 
-/// Guards against a copy that calls itself fresh and takes in nothing: a watch from
-/// a revision that the service never gave out is refused, and the scan's counts.
+/// Guards against a copy that counts as fresh and ignores all changes: a watch from a revision
+/// that the store never issued is rejected, and the revision of the next scan is used.
 #[test]
-fn a_revision_that_was_never_given_out_is_forgotten() {
+fn revision_that_was_never_issued_is_replaced_by_the_scan() {
     let mut m = replica();
     (m.loaded, m.revision) = (true, u64::MAX - 1);
     let at = Time::from_micros(1_000_000);
@@ -90,10 +90,10 @@
     );
 }
 
-/// A copy that could not be read was asked for five times a second, as long
-/// as the service was away.
+/// A copy that could not be read was requested five times a second for as long as the store was
+/// unavailable.
 #[test]
-fn a_service_that_is_away_is_asked_less_and_less() {
+fn unavailable_store_is_polled_with_growing_pauses() {
     let mut m = replica();
     m.loaded = true;
     let mut now = Time::from_micros(1_000_000);
@@ -108,7 +108,7 @@
         let gap = (1..30)
             .map(|i| f64::from(i) * 0.1)
             .find(|s| m.backoff.is_due(now.plus(*s)));
-        gaps.push(gap.expect("asked again in the end"));
+        gaps.push(gap.expect("a retry in the end"));
         now = now.plus(3.0);
     }
     assert_eq!(gaps, [0.2, 0.4, 0.8, 1.0, 1.0]);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_watch_from_before_a_new_scan_is_left_out() {
+fn watch_from_before_a_new_scan_is_ignored() {
     let mut m = replica();
     m.revision = 7;
     let old = json!({"ledgerRev": 9, "news": [{"delete": "o/zone/a", "stamp": 9}]});
