--- a/crates/controller/src/node/operators.rs
+++ b/crates/controller/src/node/operators.rs
@@ -529,7 +529,7 @@
             stuck_ago_s: self.stuck.get(own).map(|at| now.since(*at)),
         };
         let others = self.settings.members.iter().map(|m| {
-            let told = self.peers.status(now, &m.label);
+            let status = self.peers.status(now, &m.label);
             NodeRow {
                 label: m.label.clone(),
                 answering: false,
@@ -538,11 +538,11 @@
                     .peers
                     .token_of(&m.label)
                     .filter(|_| leader == Some(m.label.as_str())),
-                store_age_s: told.map(|t| t.1).filter(|age| *age < 1e5),
-                heard_s: told.map(|t| t.0),
-                ready: told.is_some_and(|(heard, age, ready, _)| {
-                    // Said outright only while a controller is drained.
-                    heard < 3.0 && (ready || age < 3.0)
+                store_age_s: status.map(|peer| peer.store_age_s).filter(|age| *age < 1e5),
+                heard_s: status.map(|peer| peer.heartbeat_age_s),
+                ready: status.is_some_and(|peer| {
+                    // Announced explicitly only while a controller is drained.
+                    peer.heartbeat_age_s < 3.0 && (peer.ready || peer.store_age_s < 3.0)
                 }),
                 drained: self
                     .directives
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,156 +1,232 @@
-//! What this controller heard from its peers.
+//! What this controller learned from its peers' frames: liveness, readiness, leader and the
+//! progress of jobs.
+//!
+//! Nothing here is a guard: frames may be lost, late or invented. They decide where requests
+//! are redirected to and when a controller hands over, not who may place tasks.
 
 use beamhinge_core::messages::TaskCounts;
 use beamhinge_core::peers::Frame;
 use beamhinge_core::types::{FencingToken, JobId, Time};
 use std::collections::BTreeMap;
 
-/// After so long without a word a token counts no more, seconds: longer than a former
-/// holder goes on answering.
-const LAPSED_S: f64 = 90.0;
+/// After so long without a repetition an announced token counts no more, seconds: longer than
+/// a former leader goes on answering.
+const ANNOUNCEMENT_EXPIRY_S: f64 = 90.0;
+/// A frame that is older says nothing about its sender's present state, seconds.
+const MAX_FRAME_AGE_S: f64 = 3.0;
+/// A peer whose store answered it within this time reaches the store, seconds.
+const MAX_STORE_AGE_S: f64 = 3.0;
+/// A heartbeat that is older does not show that its sender reaches the store, seconds.
+const MAX_HEARTBEAT_AGE_S: f64 = 4.0;
+
+/// The last heartbeat of a peer.
+struct Heartbeat {
+    received_at: Time,
+    /// Seconds since the key-value store last answered the peer, when it sent the heartbeat.
+    store_age_s: f64,
+}
+
+/// What a peer last announced about its ability to take over.
+struct Readiness {
+    received_at: Time,
+    ready: bool,
+    drained: bool,
+}
+
+/// Which peer last announced itself as the leader.
+struct LeaderAnnouncement {
+    label: String,
+    token: FencingToken,
+    received_at: Time,
+}
 
-/// What we last heard from each peer.
+/// What is known of a peer, for display.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PeerStatus {
+    /// Seconds since its last heartbeat.
+    pub heartbeat_age_s: f64,
+    /// Seconds since the key-value store last answered it, as far as known.
+    pub store_age_s: f64,
+    /// It could take over at once.
+    pub ready: bool,
+    /// Operators have drained it.
+    pub drained: bool,
+}
+
+/// What was last received from each peer, by its label.
 #[derive(Default)]
 pub struct PeerTable {
-    heard: Vec<(String, Time, f64)>,
-    /// Label, when it said so, whether it could take over, whether drained.
-    ready: Vec<(String, Time, bool, bool)>,
+    heartbeats: BTreeMap<String, Heartbeat>,
+    readiness: BTreeMap<String, Readiness>,
+    /// When this controller last sent a heartbeat of its own.
     pub last_sent: Time,
-    /// The progress of jobs, as far as its frames are here.
+    /// The progress of jobs, as far as its frames have arrived.
     pub progress: ProgressAssembler,
-    /// Who last said that it holds the block, with which token, and when.
-    leader: Option<(String, FencingToken, Time)>,
+    leader: Option<LeaderAnnouncement>,
 }
 
 impl PeerTable {
+    /// Handles a heartbeat; `store_age_s`: seconds since the store last answered the peer.
     pub fn on_heartbeat(&mut self, now: Time, label: &str, store_age_s: f64) {
-        self.heard.retain(|(l, _, _)| l != label);
-        self.heard.push((label.to_string(), now, store_age_s));
+        let heartbeat = Heartbeat {
+            received_at: now,
+            store_age_s,
+        };
+        self.heartbeats.insert(label.to_string(), heartbeat);
     }
 
+    /// Handles the announcement whether a peer could take over and whether it is drained.
     pub fn on_readiness(&mut self, now: Time, label: &str, ready: bool, drained: bool) {
-        self.ready.retain(|(l, ..)| l != label);
-        self.ready.push((label.to_string(), now, ready, drained));
+        let readiness = Readiness {
+            received_at: now,
+            ready,
+            drained,
+        };
+        self.readiness.insert(label.to_string(), readiness);
     }
 
-    /// Some peer could take over at once, and operators have not drained it.
+    /// Whether some peer could take over at once, and operators have not drained it.
     pub fn has_successor(&self, now: Time) -> bool {
-        let reaches = |label: &str| {
-            self.heard
-                .iter()
-                .any(|(l, at, age)| l == label && now.since(*at) < 3.0 && *age < 3.0)
+        let reaches_store = |label: &String| {
+            self.heartbeats.get(label).is_some_and(|heartbeat| {
+                now.since(heartbeat.received_at) < MAX_FRAME_AGE_S
+                    && heartbeat.store_age_s < MAX_STORE_AGE_S
+            })
         };
-        self.ready.iter().any(|(l, at, ready, drained)| {
-            *ready && !*drained && now.since(*at) < 3.0 && reaches(l)
+        self.readiness.iter().any(|(label, readiness)| {
+            readiness.ready
+                && !readiness.drained
+                && now.since(readiness.received_at) < MAX_FRAME_AGE_S
+                && reaches_store(label)
         })
     }
 
-    /// What was last heard of a peer: seconds since, its age of the ledger,
-    /// whether it could take over, whether it is drained.
-    pub fn status(&self, now: Time, label: &str) -> Option<(f64, f64, bool, bool)> {
-        let (_, at, age) = self.heard.iter().find(|(l, ..)| l == label)?;
-        let ready = self.ready.iter().find(|(l, ..)| l == label);
-        let (ready, drained) = ready.map_or((false, false), |(_, _, r, d)| (*r, *d));
-        Some((now.since(*at), age + now.since(*at), ready, drained))
+    /// What is known of a peer; none if it never sent a heartbeat.
+    pub fn status(&self, now: Time, label: &str) -> Option<PeerStatus> {
+        let heartbeat = self.heartbeats.get(label)?;
+        let heartbeat_age_s = now.since(heartbeat.received_at);
+        let readiness = self.readiness.get(label);
+        Some(PeerStatus {
+            heartbeat_age_s,
+            store_age_s: heartbeat.store_age_s + heartbeat_age_s,
+            ready: readiness.is_some_and(|readiness| readiness.ready),
+            drained: readiness.is_some_and(|readiness| readiness.drained),
+        })
     }
 
-    /// A word of a lower token than one heard before is a former holder's; but one that
-    /// nobody has repeated for so long was none. A token that was made up kept all real
-    /// holders from being named.
+    /// Handles a peer's announcement that it owns the block key with this token.
+    ///
+    /// An announcement with a lower token than one received before comes from a former leader,
+    /// unless nobody has repeated the higher one for a long time: then it was invented, and
+    /// would keep every real leader from being named.
     pub fn on_leader_announcement(&mut self, now: Time, label: &str, token: FencingToken) {
-        let lapsed = |at: &Time| now.since(*at) > LAPSED_S;
-        if self
-            .leader
-            .as_ref()
-            .is_none_or(|(_, t, at)| *t <= token || lapsed(at))
-        {
-            self.leader = Some((label.to_string(), token, now));
+        let superseded = self.leader.as_ref().is_some_and(|known| {
+            known.token > token && now.since(known.received_at) <= ANNOUNCEMENT_EXPIRY_S
+        });
+        if !superseded {
+            self.leader = Some(LeaderAnnouncement {
+                label: label.to_string(),
+                token,
+                received_at: now,
+            });
         }
     }
 
-    /// The holder by its own word, for a node that cannot read it in the state
-    /// service; a word that was not repeated has lapsed.
+    /// The leader by its own recent announcement, for a controller that cannot read it in the
+    /// key-value store.
     pub fn leader(&self, now: Time) -> Option<&str> {
-        let lately = self
-            .leader
+        self.leader
             .as_ref()
-            .filter(|(_, _, at)| now.since(*at) < 3.0);
-        lately.map(|(label, _, _)| label.as_str())
+            .filter(|known| now.since(known.received_at) < MAX_FRAME_AGE_S)
+            .map(|known| known.label.as_str())
     }
 
-    /// The token that the holder last told.
+    /// The token that this peer announced, if it is the last that announced itself as leader.
     pub fn token_of(&self, label: &str) -> Option<u64> {
         self.leader
             .as_ref()
-            .filter(|(l, ..)| l == label)
-            .map(|(_, t, _)| t.0)
+            .filter(|known| known.label == label)
+            .map(|known| known.token.0)
     }
 
-    /// Seconds since any peer was last heard; none if none ever was.
+    /// Seconds since the last heartbeat of any peer; none if there never was one.
     pub fn silence_s(&self, now: Time) -> Option<f64> {
-        self.heard
-            .iter()
-            .map(|(_, at, _)| now.since(*at))
+        self.heartbeats
+            .values()
+            .map(|heartbeat| now.since(heartbeat.received_at))
             .min_by(f64::total_cmp)
     }
 
-    /// Some peer reaches the state service though we may not.
+    /// Whether some peer reaches the key-value store, though this controller may not.
     pub fn peers_reach_store(&self, now: Time) -> bool {
-        self.heard
-            .iter()
-            .any(|(_, at, age)| now.since(*at) < 4.0 && *age < 3.0)
+        self.heartbeats.values().any(|heartbeat| {
+            now.since(heartbeat.received_at) < MAX_HEARTBEAT_AGE_S
+                && heartbeat.store_age_s < MAX_STORE_AGE_S
+        })
     }
 }
 
-/// Frames that tell the progress of jobs with tasks done or running.
+/// The frames that carry the progress of all jobs with tasks done or running.
 pub fn progress_frames(counts: impl Iterator<Item = (JobId, TaskCounts)>) -> Vec<Frame> {
-    let moving = counts.filter(|(_, c)| c.done > 0 || c.running > 0);
+    let active = counts.filter(|(_, counts)| counts.done > 0 || counts.running > 0);
     Frame::progress(
-        moving
-            .map(|(id, c)| (id.to_string(), c.done, c.running))
+        active
+            .map(|(job, counts)| (job.to_string(), counts.done, counts.running))
             .collect(),
     )
 }
 
-/// The holder's list of progress, put together from the frames that carry it.
+/// Assembles the leader's list of progress from the frames that carry it.
+///
+/// Job ids rise through a list and its last frame is not full; frames of one list arrive in
+/// order or not at all.
 #[derive(Default)]
 pub struct ProgressAssembler {
-    /// What came of a list whose last frame is still on its way.
-    begun: BTreeMap<JobId, TaskCounts>,
+    /// The part of a list whose last frame has not arrived yet.
+    partial: BTreeMap<JobId, TaskCounts>,
 }
 
 impl ProgressAssembler {
-    /// Jobs of one list that are kept: four for each of 8,192 machines. What is beyond it is
-    /// not displayed, and a warning says so.
+    /// Jobs of one list that are kept: four for each of 8,192 machines. Further ones are not
+    /// displayed, and a warning says so.
     const MAX_JOBS: usize = 32_768;
 
-    /// Takes a frame's rows. Returns the whole list once its last frame is here.
+    /// Adds a frame's rows: job, tasks done, tasks running. Returns the whole list with its
+    /// last frame.
     pub fn add_frame(
         &mut self,
         rows: Vec<(String, u32, u32)>,
     ) -> Option<BTreeMap<JobId, TaskCounts>> {
         let last = rows.len() < Frame::MAX_ROWS;
-        let parsed = rows.into_iter().filter_map(|(id, done, running)| {
-            Some((JobId::parse(&id)?, TaskCounts { done, running }))
-        });
-        let part: BTreeMap<JobId, TaskCounts> = parsed.collect();
-        // Ids rise through a list: one that falls begins another, the last one's end is lost.
-        let follows = self.begun.keys().next_back() < part.keys().next();
-        if !part.is_empty() && !follows {
-            self.begun.clear();
+        let part: BTreeMap<JobId, TaskCounts> = rows
+            .into_iter()
+            .filter_map(|(job, done, running)| {
+                Some((JobId::parse(&job)?, TaskCounts { done, running }))
+            })
+            .collect();
+        // An id that is not higher begins another list: the end of the last one was lost.
+        let continues = self.partial.keys().next_back() < part.keys().next();
+        if !part.is_empty() && !continues {
+            self.partial.clear();
+        }
+        self.partial.extend(part);
+        self.enforce_limit();
+        last.then(|| std::mem::take(&mut self.partial))
+    }
+
+    fn enforce_limit(&mut self) {
+        let count = self.partial.len();
+        if count <= Self::MAX_JOBS {
+            return;
         }
-        self.begun.extend(part);
-        if self.begun.len() > Self::MAX_JOBS {
-            let count = self.begun.len();
-            tracing::warn!(
-                "progress of {count} jobs: {} of them are kept",
-                Self::MAX_JOBS
-            );
-            while self.begun.len() > Self::MAX_JOBS {
-                self.begun.pop_last();
-            }
+        tracing::warn!(
+            count,
+            limit = Self::MAX_JOBS,
+            "dropped progress of jobs beyond the limit"
+        );
+        while self.partial.len() > Self::MAX_JOBS {
+            self.partial.pop_last();
         }
-        last.then(|| std::mem::take(&mut self.begun))
     }
 }
 
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_token_that_was_made_up_is_forgotten_and_a_former_holder_is_not_named() {
+fn invented_token_expires_and_former_leader_is_not_named() {
     let mut peers = PeerTable::default();
     let at = |s: f64| Time::from_micros(1_000_000_000).plus(s);
     peers.on_leader_announcement(at(0.0), "a", FencingToken(7));
@@ -10,13 +10,13 @@
     peers.on_leader_announcement(at(2.0), "b", FencingToken(u64::MAX));
     peers.on_leader_announcement(at(4.0), "a", FencingToken(9));
     assert_eq!(peers.leader(at(6.0)), None);
-    peers.on_leader_announcement(at(2.0 + LAPSED_S + 0.1), "a", FencingToken(9));
-    assert_eq!(peers.leader(at(3.0 + LAPSED_S)), Some("a"));
+    peers.on_leader_announcement(at(2.0 + ANNOUNCEMENT_EXPIRY_S + 0.1), "a", FencingToken(9));
+    assert_eq!(peers.leader(at(3.0 + ANNOUNCEMENT_EXPIRY_S)), Some("a"));
 }
 
 /// What travels inside of [`beamhinge_core::peers::Frame::Query`].
 #[test]
-fn queries_to_the_holder_keep_their_form() {
+fn queries_to_the_leader_keep_their_wire_form() {
     use beamhinge_admin_api::messages::Query;
     let mut golden = crate::golden::Golden::new("tests/golden/queries.hex");
     let machines = |all: bool| Query::Machines {
@@ -59,7 +59,7 @@
         .collect()
 }
 
-/// What a peer knows after these frames, taken one after the other.
+/// What a peer knows after these frames, in this order.
 fn shown(list: &mut ProgressAssembler, frames: Vec<Frame>) -> Option<BTreeMap<JobId, TaskCounts>> {
     let mut whole = None;
     for frame in frames {
@@ -71,9 +71,9 @@
     whole
 }
 
-/// Beyond 4,000 jobs the others' progress was cut off without a word.
+/// The progress of jobs beyond 4,000 was once dropped without a warning.
 #[test]
-fn the_progress_of_more_jobs_than_a_frame_holds_comes_whole() {
+fn progress_of_more_jobs_than_a_frame_holds_is_assembled() {
     for count in [0, 1, 3_999, 4_000, 4_001, 8_000, 12_345] {
         let told = counts(0..count, 7);
         let got = shown(
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn each_list_replaces_the_one_before_also_when_a_last_frame_was_lost() {
+fn progress_list_replaces_the_previous_one_even_if_its_last_frame_was_lost() {
     let mut list = ProgressAssembler::default();
     let mut broken = progress_frames(counts(0..9_000, 1).into_iter());
     broken.pop();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn memory_for_a_list_is_bounded() {
+fn progress_list_is_limited_in_size() {
     let mut list = ProgressAssembler::default();
     let frames = progress_frames(counts(0..100_000, 1).into_iter());
     let got = shown(&mut list, frames).expect("the list");
