--- a/crates/controller/src/job_store.rs
+++ b/crates/controller/src/job_store.rs
@@ -1,7 +1,7 @@
-//! The book of jobs: what the state service holds under `j/`.
+//! The job store: a copy of all jobs that the key-value store holds under `j/`.
 //!
-//! A job's key is created when the job is accepted and changes only when it is
-//! cancelled or done, so its stamp is a condition that a placement can rest on.
+//! A job's key is created when the job is accepted and changes only when the job is cancelled
+//! or done, so its revision is a condition that a placement can rest on. Keys are never deleted.
 
 use crate::calls::{ReplicaCall, Tag};
 use crate::replica::{Freshness, ReplicaCache, ReplicaConfig};
@@ -18,23 +18,31 @@
 use std::ops::Bound;
 use std::rc::Rc;
 
-/// Different names of teams, classes and images that are kept once however many jobs have
-/// them; further ones are kept by each of their jobs. 16,384 allow each of 8,192 machines to
-/// run an image of its own, beside as many names of teams and classes.
+/// Names of teams, classes and images that are kept once however many jobs have them; further
+/// ones are kept by each of their jobs. 16,384 allow each of 8,192 machines to run an image of
+/// its own, beside as many names of teams and classes.
 const MAX_SHARED_NAMES: usize = 16_384;
 
+/// Names of teams and classes of jobs that are over; the jobs of further ones have no summary.
+const MAX_SUMMARY_NAMES: usize = 1_024;
+
+/// A job as the key-value store holds it.
 #[derive(Clone, Debug)]
 pub struct JobEntry {
+    /// The revision of the job's key.
     pub revision: Revision,
+    /// Whether the job is open, cancelled or done.
     pub state: JobState,
+    /// The description; none once the job is over.
     pub spec: Option<Rc<JobSpec>>,
-    /// How many tasks it has, also when it is over.
+    /// The number of tasks, also once the job is over.
     pub tasks: u32,
-    /// Whose it was, once it is over: names by their place in the book's list.
+    /// Team, class and urgency, once the job is over.
     summary: Option<CompactSummary>,
 }
 
-/// Sixteen bytes instead of two names: the book holds every job there ever was.
+/// A [`JobSummary`] in sixteen bytes: the job store holds every job there ever was. Team and
+/// class are indexes into [`JobStore::summary_names`].
 #[derive(Clone, Copy, Debug)]
 struct CompactSummary {
     team: u16,
@@ -43,15 +51,18 @@
     submitted: u64,
 }
 
+/// All jobs that were ever accepted, kept up to date by watches.
 pub struct JobStore {
     entries: BTreeMap<JobId, JobEntry>,
     replica: ReplicaCache,
-    /// A record of a version we don't know: answers about jobs would be guesses.
+    /// A record has an unknown form or version: answers about jobs would be guesses.
     unreadable: bool,
+    /// Jobs that changed since [`JobStore::take_changed`].
     changed: Vec<JobId>,
-    names: Vec<Rc<str>>,
-    /// The same names and images, each kept once however many jobs hold it.
-    shared: BTreeSet<Rc<str>>,
+    /// The names that compact summaries refer to, by index.
+    summary_names: Vec<Rc<str>>,
+    /// The names and images of descriptions, each kept once however many jobs have it.
+    shared_names: BTreeSet<Rc<str>>,
 }
 
 impl Default for JobStore {
@@ -67,84 +78,100 @@
             }),
             unreadable: false,
             changed: Vec::new(),
-            names: Vec::new(),
-            shared: BTreeSet::new(),
+            summary_names: Vec::new(),
+            shared_names: BTreeSet::new(),
         }
     }
 }
 
 impl JobStore {
+    /// The job with this id.
     pub fn get(&self, id: JobId) -> Option<&JobEntry> {
         self.entries.get(&id)
     }
+
+    /// All jobs in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&JobId, &JobEntry)> {
         self.entries.iter()
     }
-    /// The jobs behind `after` in the order of their ids, which never changes:
-    /// a cursor stays good whatever comes or ends meanwhile.
+
+    /// The jobs behind `after` in the order of their ids. The order never changes, so a cursor
+    /// stays valid whatever jobs are added or end meanwhile.
     pub fn after(&self, after: Option<JobId>) -> impl Iterator<Item = (&JobId, &JobEntry)> {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.entries.range((start, Bound::Unbounded))
     }
-    /// Whose a job is or was, as far as its record tells.
+
+    /// Team, class and urgency of a job, as far as its record holds them.
     pub fn summary(&self, entry: &JobEntry) -> Option<JobSummary> {
         if let Some(spec) = &entry.spec {
             return Some(JobSummary::from(&**spec));
         }
-        let b = entry.summary?;
-        let name = |i: u16| self.names.get(usize::from(i)).map(|n| n.to_string());
+        let summary = entry.summary?;
+        let name = |index: u16| {
+            self.summary_names
+                .get(usize::from(index))
+                .map(|n| n.to_string())
+        };
         Some(JobSummary {
-            team: name(b.team)?,
-            class: name(b.class)?,
-            urgency: b.urgency,
-            submitted: b.submitted,
+            team: name(summary.team)?,
+            class: name(summary.class)?,
+            urgency: summary.urgency,
+            submitted: summary.submitted,
         })
     }
+
+    /// Whether the copy is complete and could be read.
     pub fn loaded(&self) -> bool {
         self.replica.loaded() && !self.unreadable
     }
-    /// The copy holds all that was committed before this moment.
+
+    /// The copy holds everything that was committed before this time.
     pub fn fresh_as_of(&self) -> Option<Time> {
         if self.unreadable {
             return None;
         }
         self.replica.fresh_as_of()
     }
+
+    /// Takes the jobs that changed since the last call.
     pub fn take_changed(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Something else showed that our copy is old.
+    /// Refreshes the copy at the next [`tick`](Self::tick), because something else showed that
+    /// it is out of date.
     pub fn request_refresh(&mut self) {
         self.replica.request_refresh();
     }
 
-    /// Keeps the copy as fresh as wanted: `ask` when somebody waits for an
-    /// answer, `follow` on the holder.
-    pub fn tick(&mut self, now: Time, ask: bool, follow: bool, store: &mut StoreClient<Tag>) {
-        self.replica.tick(now, ask, follow, store);
+    /// Keeps the copy up to date: `refresh` if a request waits for a fresh copy, `follow` on the
+    /// leader.
+    pub fn tick(&mut self, now: Time, refresh: bool, follow: bool, store: &mut StoreClient<Tag>) {
+        self.replica.tick(now, refresh, follow, store);
     }
 
-    fn name(&mut self, name: &str) -> Option<u16> {
-        if let Some(at) = self.names.iter().position(|n| **n == *name) {
-            return u16::try_from(at).ok();
+    /// The index of a name in the list of summary names, to which it is added.
+    fn summary_name(&mut self, name: &str) -> Option<u16> {
+        if let Some(index) = self.summary_names.iter().position(|known| **known == *name) {
+            return u16::try_from(index).ok();
         }
-        // Teams and classes are few; a flood of names is not remembered.
-        if self.names.len() >= 1_024 {
+        // Teams and classes are few; an excess of names is not remembered.
+        if self.summary_names.len() >= MAX_SUMMARY_NAMES {
             return None;
         }
-        self.names.push(name.into());
-        u16::try_from(self.names.len() - 1).ok()
+        self.summary_names.push(name.into());
+        u16::try_from(self.summary_names.len() - 1).ok()
     }
 
-    /// Puts names that other jobs have in the place of a job's own copies.
-    fn share(&mut self, mut spec: JobSpec) -> JobSpec {
+    /// Replaces a description's names by the copies that other jobs share.
+    fn share_names(&mut self, mut spec: JobSpec) -> JobSpec {
         for name in [&mut spec.team, &mut spec.class, &mut spec.image] {
-            match self.shared.get(name) {
+            match self.shared_names.get(name) {
                 Some(known) => *name = known.clone(),
-                // A flood of names is kept by its jobs alone.
-                None if self.shared.len() < MAX_SHARED_NAMES => {
-                    self.shared.insert(name.clone());
+                // An excess of names is kept by each job alone.
+                None if self.shared_names.len() < MAX_SHARED_NAMES => {
+                    self.shared_names.insert(name.clone());
                 }
                 None => {}
             }
@@ -152,8 +179,11 @@
         spec
     }
 
-    fn shorten(&mut self, summary: &JobSummary) -> Option<CompactSummary> {
-        let (team, class) = (self.name(&summary.team)?, self.name(&summary.class)?);
+    fn compact(&mut self, summary: &JobSummary) -> Option<CompactSummary> {
+        let (team, class) = (
+            self.summary_name(&summary.team)?,
+            self.summary_name(&summary.class)?,
+        );
         Some(CompactSummary {
             team,
             class,
@@ -162,29 +192,36 @@
         })
     }
 
-    fn put(&mut self, path: &str, revision: u64, value: &Value) {
-        let Some(id) = path.strip_prefix(PREFIX).and_then(JobId::parse) else {
-            tracing::error!("a key under {PREFIX} is no job: {path}");
+    /// Applies the stored value of a key.
+    fn apply(&mut self, key: &str, revision: u64, value: &Value) {
+        let Some(id) = key.strip_prefix(PREFIX).and_then(JobId::parse) else {
+            tracing::error!(key, "ignored key that is not a job");
             return;
         };
-        // A reply that overtook another must not take us back.
+        // A reply that overtook another must not restore an older state.
         if self
             .entries
             .get(&id)
-            .is_some_and(|e| e.revision.0 >= revision)
+            .is_some_and(|known| known.revision.0 >= revision)
         {
             return;
         }
         match wire::from_value::<JobRecord>(value) {
-            Ok(r) if r.version == RECORD_VERSION => {
-                let summary = r.summary.as_ref().and_then(|b| self.shorten(b));
-                let spec = r.spec.map(|s| Rc::new(self.share(s)));
+            Ok(record) if record.version == RECORD_VERSION => {
+                let summary = record
+                    .summary
+                    .as_ref()
+                    .and_then(|summary| self.compact(summary));
+                let spec = record.spec.map(|spec| Rc::new(self.share_names(spec)));
                 self.entries.insert(
                     id,
                     JobEntry {
                         revision: Revision(revision),
-                        state: r.state,
-                        tasks: r.task_count.or(spec.as_ref().map(|s| s.tasks)).unwrap_or(0),
+                        state: record.state,
+                        tasks: record
+                            .task_count
+                            .or(spec.as_ref().map(|spec| spec.tasks))
+                            .unwrap_or(0),
                         spec,
                         summary,
                     },
@@ -192,24 +229,29 @@
                 self.changed.push(id);
             }
             _ => {
-                tracing::error!("job record {path} has a form or version this program does not know; jobs stop here");
+                tracing::error!(
+                    key,
+                    "stopped serving jobs: record of unknown form or version"
+                );
                 self.unreadable = true;
             }
         }
     }
 
+    /// Handles the reply to one of the copy's calls; returns what it means for requests that wait
+    /// for a fresh copy.
     pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Freshness {
         let update = self.replica.on_reply(now, call, reply);
         for change in &update.changes {
-            // A job's key is never deleted: that one is missing proves nothing.
+            // A job's key is never deleted, so a missing value proves nothing.
             if let Some(value) = &change.value {
-                self.put(&change.key, change.revision, value);
+                self.apply(&change.key, change.revision, value);
             }
         }
         update.freshness
     }
 
-    /// What our own committed transaction wrote, known before any watch.
+    /// Applies what this controller's own committed transaction wrote, ahead of any watch.
     pub fn on_committed(
         &mut self,
         id: JobId,
@@ -220,25 +262,27 @@
         if self
             .entries
             .get(&id)
-            .is_some_and(|e| e.revision >= revision)
+            .is_some_and(|known| known.revision >= revision)
         {
             return;
         }
-        let spec = spec.map(|s| match Rc::try_unwrap(s) {
-            Ok(alone) => Rc::new(self.share(alone)),
-            Err(held) => held,
+        let spec = spec.map(|spec| match Rc::try_unwrap(spec) {
+            Ok(unshared) => Rc::new(self.share_names(unshared)),
+            Err(shared) => shared,
         });
         let known = self.entries.get(&id);
         let tasks = spec
             .as_ref()
-            .map(|s| s.tasks)
-            .or(known.map(|e| e.tasks))
+            .map(|spec| spec.tasks)
+            .or(known.map(|entry| entry.tasks))
             .unwrap_or(0);
-        let summary = known.and_then(|e| e.spec.as_deref()).map(JobSummary::from);
+        let summary = known
+            .and_then(|entry| entry.spec.as_deref())
+            .map(JobSummary::from);
         let summary = if spec.is_some() {
             None
         } else {
-            summary.and_then(|b| self.shorten(&b))
+            summary.and_then(|summary| self.compact(&summary))
         };
         self.entries.insert(
             id,
--- a/crates/controller/src/job_store/tests.rs
+++ b/crates/controller/src/job_store/tests.rs
@@ -7,20 +7,23 @@
     serde_json::from_value(body).expect("a description")
 }
 
-/// Beyond 4,096 names each job kept its own copies.
+/// Beyond 4,096 names each job once kept copies of its own.
 #[test]
-fn a_large_fleets_names_are_shared_and_their_memory_is_bounded() {
+fn names_of_a_large_fleet_are_shared_within_a_memory_limit() {
     let mut job_store = JobStore::default();
     let images = 8_192;
-    (0..images).for_each(|image| drop(job_store.share(spec(image))));
+    (0..images).for_each(|image| drop(job_store.share_names(spec(image))));
     for image in [0, 4_096, images - 1] {
-        let (one, other) = (job_store.share(spec(image)), job_store.share(spec(image)));
+        let (one, other) = (
+            job_store.share_names(spec(image)),
+            job_store.share_names(spec(image)),
+        );
         assert!(
             Rc::ptr_eq(&one.image, &other.image),
             "image {image} is kept twice"
         );
         assert!(Rc::ptr_eq(&one.team, &other.team) && Rc::ptr_eq(&one.class, &other.class));
     }
-    (0..MAX_SHARED_NAMES + 100).for_each(|image| drop(job_store.share(spec(image))));
-    assert_eq!(job_store.shared.len(), MAX_SHARED_NAMES);
+    (0..MAX_SHARED_NAMES + 100).for_each(|image| drop(job_store.share_names(spec(image))));
+    assert_eq!(job_store.shared_names.len(), MAX_SHARED_NAMES);
 }
--- a/crates/controller/src/placement_pages.rs
+++ b/crates/controller/src/placement_pages.rs
@@ -1,11 +1,12 @@
-//! Pages: what the books say is on which machine.
+//! Placement pages: the stored record of which task is on which machine.
 //!
-//! A page names the tasks that were placed together. It is written once, by the
-//! transaction that places them, and removed when all of them have ended; in
-//! between it may name tasks that are long gone. So a placement costs one write,
-//! however many machines it touches. A page is written only together with a
-//! condition on the block's key: whoever lost the block can no longer place
-//! anything, however late a transaction is applied.
+//! A page holds the tasks that were placed together. It is written once, by the transaction
+//! that places them, and deleted when all of them have ended; in between it may name tasks
+//! that ended long ago. A placement thus costs one write, however many machines it touches.
+//!
+//! Invariant: a page is written only together with a condition on the block key. A controller
+//! that lost the block key can place nothing any more, however late its transaction is
+//! committed.
 
 use beamhinge_core::types::{Attempt, FencingToken, JobId, MachineId, Revision, TaskId};
 use beamhinge_core::wire::{self, DecodeError};
@@ -13,20 +14,27 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Prefix of the keys of placement pages.
 pub const PAGE_PREFIX: &str = "p/";
+/// Prefix of the keys of progress pages.
 pub const PROGRESS_PREFIX: &str = "d/";
+/// Version of the stored form; version 1 is read as well.
 const PAGE_VERSION: u32 = 2;
-/// Generous JSON length of one row, so that a page never exceeds its limit.
+/// Upper bound of the JSON length of one row, so that a page never exceeds its limit.
 const ROW_BYTES: usize = 44;
 
+/// One attempt of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PlacementRow {
+    /// Where the task was placed.
     pub machine: MachineId,
+    /// The task that was placed.
     pub task: TaskId,
+    /// Which attempt of the task this is.
     pub attempt: Attempt,
 }
 
-/// Our own number of a page; its key never serves for another page.
+/// Identifies a page within this process; it is not stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PageId(u64);
 
@@ -34,146 +42,160 @@
 struct Page {
     key: String,
     revision: Revision,
-    /// Entries in our books that rest on this page.
-    live: u32,
+    /// Allocations of the scheduler that rest on this page.
+    references: u32,
 }
 
-/// The pages that the state service holds.
+/// The pages that the key-value store holds, with their reference counts.
 pub struct PlacementPages {
     token: FencingToken,
-    next: u64,
+    /// Shared by page ids and keys.
+    last_number: u64,
     pages: BTreeMap<PageId, Page>,
-    dead: BTreeSet<PageId>,
+    unreferenced: BTreeSet<PageId>,
 }
 
 impl PlacementPages {
+    /// No pages yet; `token` is the fencing token of the term, which is part of new keys.
     pub fn new(token: FencingToken) -> PlacementPages {
         PlacementPages {
             token,
-            next: 0,
+            last_number: 0,
             pages: BTreeMap::new(),
-            dead: BTreeSet::new(),
+            unreferenced: BTreeSet::new(),
         }
     }
 
-    fn number(&mut self) -> PageId {
-        self.next += 1;
-        PageId(self.next)
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// A key that no page ever had: it holds our token and a running number.
+    /// A key that no page ever had: it consists of the fencing token and a running number.
     pub fn new_key(&mut self) -> String {
-        let PageId(n) = self.number();
-        format!("{PAGE_PREFIX}{}-{n}", self.token.0)
+        let number = self.next_number();
+        format!("{PAGE_PREFIX}{}-{number}", self.token.0)
     }
 
+    /// Adds a stored page, without references.
     pub fn insert(&mut self, key: String, revision: Revision) -> PageId {
-        let no = self.number();
-        self.pages.insert(
-            no,
-            Page {
-                key,
-                revision,
-                live: 0,
-            },
-        );
-        self.dead.insert(no);
-        no
+        let id = PageId(self.next_number());
+        let page = Page {
+            key,
+            revision,
+            references: 0,
+        };
+        self.pages.insert(id, page);
+        self.unreferenced.insert(id);
+        id
     }
 
-    pub fn retain(&mut self, no: PageId) {
-        if let Some(p) = self.pages.get_mut(&no) {
-            p.live += 1;
-            self.dead.remove(&no);
+    /// Adds a reference to a page.
+    pub fn retain(&mut self, id: PageId) {
+        if let Some(page) = self.pages.get_mut(&id) {
+            page.references += 1;
+            self.unreferenced.remove(&id);
         }
     }
 
-    pub fn release(&mut self, no: PageId) {
-        if let Some(p) = self.pages.get_mut(&no) {
-            p.live = p.live.saturating_sub(1);
-            if p.live == 0 {
-                self.dead.insert(no);
+    /// Removes a reference to a page.
+    pub fn release(&mut self, id: PageId) {
+        if let Some(page) = self.pages.get_mut(&id) {
+            page.references = page.references.saturating_sub(1);
+            if page.references == 0 {
+                self.unreferenced.insert(id);
             }
         }
     }
 
-    /// Pages all of whose tasks have ended.
+    /// Pages all of whose tasks have ended, which may be deleted: id, key and revision.
     pub fn unreferenced(&self) -> impl Iterator<Item = (PageId, &str, Revision)> {
-        let page = |no: &PageId| {
-            self.pages
-                .get(no)
-                .map(|p| (*no, p.key.as_str(), p.revision))
-        };
-        self.dead.iter().filter_map(page)
+        self.unreferenced.iter().filter_map(|id| {
+            let page = self.pages.get(id)?;
+            Some((*id, page.key.as_str(), page.revision))
+        })
     }
 
+    /// The number of pages that may be deleted.
     pub fn unreferenced_count(&self) -> usize {
-        self.dead.len()
+        self.unreferenced.len()
     }
 
-    pub fn on_removed(&mut self, no: PageId) {
-        self.pages.remove(&no);
-        self.dead.remove(&no);
+    /// The store has deleted this page.
+    pub fn on_removed(&mut self, id: PageId) {
+        self.pages.remove(&id);
+        self.unreferenced.remove(&id);
     }
 
+    /// Forgets all pages, before they are read anew. Numbers are not used again.
     pub fn clear(&mut self) {
         self.pages.clear();
-        self.dead.clear();
+        self.unreferenced.clear();
     }
 }
 
+/// The number of rows that always fit a value of so many bytes.
 pub fn rows_per_page(value_limit: usize) -> usize {
     (value_limit / ROW_BYTES).max(1)
 }
 
-/// machine -> job -> (task number, attempt)
-type Rows = BTreeMap<String, BTreeMap<String, Vec<(u32, u64)>>>;
+/// Machine -> job -> (task index, attempt).
+type StoredRows = BTreeMap<String, BTreeMap<String, Vec<(u32, u64)>>>;
 
+/// The stored form of a page.
 #[derive(Serialize, Deserialize)]
 struct PageRecord {
-    v: u32,
-    /// Attempts count from here; the version before had them whole.
-    #[serde(default)]
-    a: u64,
-    m: Rows,
+    #[serde(rename = "v")]
+    version: u32,
+    /// Attempts are stored relative to this one; version 1 stored them absolute.
+    #[serde(rename = "a", default)]
+    base_attempt: u64,
+    #[serde(rename = "m")]
+    rows: StoredRows,
 }
 
+/// The stored form of a page with these rows.
 pub fn encode_page(rows: &[PlacementRow]) -> Value {
-    let base = rows.iter().map(|r| r.attempt.0).min().unwrap_or(0);
-    let mut m = Rows::new();
+    let base_attempt = rows.iter().map(|row| row.attempt.0).min().unwrap_or(0);
+    let mut stored = StoredRows::new();
     for row in rows {
-        m.entry(row.machine.to_string())
+        stored
+            .entry(row.machine.to_string())
             .or_default()
             .entry(row.task.job.to_string())
             .or_default()
-            .push((row.task.index, row.attempt.0 - base));
+            .push((row.task.index, row.attempt.0 - base_attempt));
     }
     wire::to_value(&PageRecord {
-        v: PAGE_VERSION,
-        a: base,
-        m,
+        version: PAGE_VERSION,
+        base_attempt,
+        rows: stored,
     })
 }
 
-/// A page of an unknown version is refused whole: a guess at what runs where
-/// could start a task twice. The version before differs only in its attempts.
+/// The rows of a stored page, of the present version or the one before.
+///
+/// # Errors
+/// If the page has another version or an invalid id. It is rejected as a whole: a guess at
+/// what runs where could start a task twice.
 pub fn decode_page(value: &Value) -> Result<Vec<PlacementRow>, DecodeError> {
     let record: PageRecord = wire::from_value(value)?;
-    let base = match record.v {
+    let base_attempt = match record.version {
         1 => 0,
-        PAGE_VERSION => record.a,
+        PAGE_VERSION => record.base_attempt,
         _ => return Err(DecodeError),
     };
     let mut rows = Vec::new();
-    for (machine, jobs) in record.m {
+    for (machine, jobs) in record.rows {
         let machine = MachineId::parse(&machine).ok_or(DecodeError)?;
         for (job, tasks) in jobs {
             let job = JobId::parse(&job).ok_or(DecodeError)?;
             for (index, attempt) in tasks {
+                let attempt = base_attempt.checked_add(attempt).ok_or(DecodeError)?;
                 rows.push(PlacementRow {
                     machine,
                     task: TaskId { job, index },
-                    attempt: Attempt(base.checked_add(attempt).ok_or(DecodeError)?),
+                    attempt: Attempt(attempt),
                 });
             }
         }
@@ -181,22 +203,23 @@
     Ok(rows)
 }
 
-/// Of several rows for one task only that of its highest attempt can still be
-/// on a machine: a second placement is committed only after proof that the
-/// first has ended.
+/// For each task the row of its highest attempt, with its page.
+///
+/// Only that attempt can still be on a machine: a further one is committed only after proof
+/// that the one before has ended.
 pub fn newest_rows(
     rows: impl Iterator<Item = (PlacementRow, PageId)>,
 ) -> Vec<(PlacementRow, PageId)> {
-    let mut best: BTreeMap<TaskId, (PlacementRow, PageId)> = BTreeMap::new();
+    let mut newest: BTreeMap<TaskId, (PlacementRow, PageId)> = BTreeMap::new();
     for (row, page) in rows {
-        match best.get(&row.task) {
+        match newest.get(&row.task) {
             Some((known, _)) if known.attempt >= row.attempt => {}
             _ => {
-                best.insert(row.task, (row, page));
+                newest.insert(row.task, (row, page));
             }
         }
     }
-    best.into_values().collect()
+    newest.into_values().collect()
 }
 
 #[cfg(test)]
--- a/crates/controller/src/placement_pages/tests.rs
+++ b/crates/controller/src/placement_pages/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_page_comes_back_as_written_and_fits_its_bound() {
+fn encoded_page_round_trips_within_its_size_bound() {
     let rows: Vec<PlacementRow> = (0..160)
         .map(|i| {
             row(
@@ -27,10 +27,14 @@
 }
 
 #[test]
-fn a_page_of_the_version_before_is_read_and_others_are_refused() {
-    let page = |v: u32| {
-        let m: Rows = [("n-1".into(), [("job-1".into(), vec![(3, 77)])].into())].into();
-        wire::to_value(&PageRecord { v, a: 1_000, m })
+fn page_of_previous_version_is_read_and_unknown_versions_are_rejected() {
+    let page = |version: u32| {
+        let rows: StoredRows = [("n-1".into(), [("job-1".into(), vec![(3, 77)])].into())].into();
+        wire::to_value(&PageRecord {
+            version,
+            base_attempt: 1_000,
+            rows,
+        })
     };
     assert_eq!(
         decode_page(&page(1)).expect("sound"),
@@ -44,7 +48,7 @@
 }
 
 #[test]
-fn a_page_is_dead_once_nothing_rests_on_it_and_only_the_newest_row_counts() {
+fn page_without_references_is_unreferenced_and_newest_row_wins() {
     let mut pages = PlacementPages::new(FencingToken(5));
     let (first, second) = (pages.new_key(), pages.new_key());
     assert_ne!(first, second);
@@ -69,7 +73,7 @@
 }
 
 #[test]
-fn pages_keep_their_form() {
+fn pages_keep_their_stored_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/pages.hex");
     let mut pages = PlacementPages::new(FencingToken(41));
     golden.text("prefixes", &format!("{PAGE_PREFIX} {PROGRESS_PREFIX}"));
@@ -100,7 +104,7 @@
 
 /// Pages as the bytes that are stored: of this version, and of the one before.
 #[test]
-fn pages_of_both_versions_are_read() {
+fn stored_pages_of_both_versions_are_read() {
     let rows = vec![
         row("n-000231", "job-000412/3", 107),
         row("n-000231", "job-000412/4", 109),
--- a/crates/controller/src/progress/tests.rs
+++ b/crates/controller/src/progress/tests.rs
@@ -10,7 +10,7 @@
     fn of(&mut self, n: u32) -> &mut JobProgress {
         self.jobs
             .entry(job(n))
-            .or_insert_with(|| JobProgress::new(CHUNK))
+            .or_insert_with(|| JobProgress::new(MAX_CHUNK_SIZE))
     }
 }
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn progress_of_a_huge_job_stays_within_small_values() {
+fn progress_of_large_job_is_split_over_pages_within_the_value_limit() {
     let mut ours = Jobs {
         tasks: 100_000,
         ..Jobs::default()
@@ -42,7 +42,7 @@
     theirs.of(1).mark_done(1);
     let mut copy = ProgressPages::new(8 * 1024);
     let due: Vec<usize> = progress_pages.dirty_pages().collect();
-    assert_eq!(due.len(), 4, "three chunks of 2,048 digits fit one shelf");
+    assert_eq!(due.len(), 4, "three chunks of 2,048 digits fit one page");
     for progress_page in due {
         let mut sent = ProgressWrite::default();
         let value = progress_pages
@@ -63,29 +63,29 @@
     assert!(p.is_durable(8_192 * 2));
     assert!(
         q.is_durable(8_192 * 2) && !q.is_durable(1),
-        "what only we know is not durable"
+        "a task that is known only locally is not durable"
     );
 }
 
 #[test]
-fn tiny_values_hold_a_chunk_and_larger_ones_of_before_are_not_counted_twice() {
+fn small_value_limit_gives_small_chunks_and_larger_stored_chunks_are_truncated() {
     let limit = 460;
     let size = chunk_size(limit);
     assert!((64..2_048).contains(&size), "{size}");
-    assert_eq!(chunk_size(32 * 1024), CHUNK);
+    assert_eq!(chunk_size(32 * 1024), MAX_CHUNK_SIZE);
     let mut p = JobProgress::new(size);
     (0..10 * size).for_each(|i| p.mark_done(i));
-    assert!(item_bytes(size, 0, 100_000) <= limit - FRAME_BYTES);
+    assert!(chunk_entry_bytes(size, 0, 100_000) <= limit - FRAME_BYTES);
     let mut q = JobProgress::new(size);
     let long: String = "ff".repeat((size / 8 * 3) as usize);
-    q.merge(0, &long).expect("digits");
+    q.merge_chunk(0, &long).expect("digits");
     assert_eq!(q.done_count(), size);
-    q.merge(1, &long).expect("digits");
+    q.merge_chunk(1, &long).expect("digits");
     assert_eq!(q.done_count(), 2 * size);
 }
 
 #[test]
-fn many_small_jobs_share_a_shelf_and_leave_it_empty() {
+fn small_jobs_share_a_page_which_is_empty_once_they_are_forgotten() {
     let mut all = Jobs {
         tasks: 60,
         ..Jobs::default()
@@ -101,7 +101,7 @@
         .begin_write(0, &mut sent, &mut all)
         .expect("value");
     assert!(wire::json_len(&value) <= 8 * 1024);
-    // What is set while the write is on its way is not taken for durable.
+    // A task that ends while the write is in flight is not taken for durable.
     all.of(3).mark_done(59);
     progress_pages.mark_dirty(job(3), 59, 60);
     progress_pages.on_written(sent, Revision(9), &mut all);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn the_form_before_is_read_and_others_are_refused() {
+fn legacy_form_is_read_and_unknown_forms_are_rejected() {
     let mut jobs = Jobs {
         tasks: 4,
         ..Jobs::default()
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn shelves_keep_their_form() {
+fn progress_pages_keep_their_stored_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/shelves.hex");
     golden.text("keys", &[0, 17, 12_345].map(progress_page_key).join(" "));
     let sizes = [64, 512, 1_024, 8 * 1024].map(|limit| chunk_size(limit).to_string());
@@ -175,9 +175,9 @@
     golden.check();
 }
 
-/// Shelves, and the keys of the form before, as the bytes that are stored.
+/// Progress pages and keys of the legacy form, as the bytes that are stored.
 #[test]
-fn progress_of_both_forms_is_read() {
+fn stored_progress_of_both_forms_is_read() {
     let mut ours = Jobs {
         tasks: 16,
         ..Jobs::default()
