--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -3,6 +3,7 @@
 
 use crate::arguments::UpOptions;
 use beamhinge_client::{Client, Timeouts};
+use beamhinge_dev_cluster::deployment::TeamPlan;
 use beamhinge_dev_cluster::{Cluster, ClusterError, ClusterPlan};
 use beamhinge_emulator::ProtocolFaults;
 use rustix::process::{getpgrp, kill_process_group, set_parent_process_death_signal, Signal};
@@ -113,6 +114,11 @@
     }
     let program = std::env::current_exe().map_err(UpError::Program)?;
     let text = program.display().to_string();
+    let team = |name: &str, cpus, cpus_max| TeamPlan {
+        name: name.into(),
+        cpus,
+        cpus_max,
+    };
     let plan = ClusterPlan {
         nodes: usize::from(o.nodes),
         machines: usize::from(o.machines),
@@ -124,7 +130,7 @@
         kept: true,
         controller: (program, vec!["controller".into()]),
         keeper: Some(vec![text, "task".into()]),
-        teams: vec![(TEAM.into(), 8.0, 0.0), ("guests".into(), 0.0, 8.0)],
+        teams: vec![team(TEAM, 8.0, 0.0), team("guests", 0.0, 8.0)],
         protocol_faults: ProtocolFaults::default(),
         operators: CONFIGURATION.into(),
         log_level: std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into()),
--- a/crates/dev-cluster/src/controllers.rs
+++ b/crates/dev-cluster/src/controllers.rs
@@ -14,19 +14,31 @@
     pub program: (PathBuf, Vec<String>),
     /// Where their files are: settings, operators' files and logs.
     pub dir: PathBuf,
+    /// What they log: a level or a filter.
     pub log_level: String,
 }
 
-/// The controllers of one cluster, by their place.
+/// The files of one controller.
+pub struct ControllerFiles<'a> {
+    /// Its label.
+    pub label: &'a str,
+    /// The platform's settings (TOML).
+    pub settings: &'a str,
+    /// Where it serves operators.
+    pub operators: SocketAddrV4,
+    /// Lines of the operators' INI after that.
+    pub operator_lines: &'a str,
+}
+
+/// The controllers of one cluster, by their place. Dropping them ends their processes.
 pub struct Controllers {
-    how: ControllerProgram,
+    program: ControllerProgram,
     labels: Vec<String>,
     children: Vec<Option<Child>>,
 }
 
-pub(crate) fn write(path: PathBuf, text: &str) -> Result<PathBuf, ClusterError> {
-    std::fs::write(&path, text).map_err(|e| ClusterError::File(path.clone(), e))?;
-    Ok(path)
+fn write(path: PathBuf, text: &str) -> Result<(), ClusterError> {
+    std::fs::write(&path, text).map_err(|e| ClusterError::File(path, e))
 }
 
 fn open_log(path: &Path) -> io::Result<File> {
@@ -34,45 +46,52 @@
 }
 
 impl Controllers {
-    pub fn new(how: ControllerProgram) -> Controllers {
+    /// No controllers yet.
+    #[must_use]
+    pub fn new(program: ControllerProgram) -> Controllers {
         Controllers {
-            how,
+            program,
             labels: Vec::new(),
             children: Vec::new(),
         }
     }
 
-    /// Writes the files of one more controller; its place.
-    pub fn add(
-        &mut self,
-        label: &str,
-        settings: &str,
-        (operators, more): (SocketAddrV4, &str),
-    ) -> Result<usize, ClusterError> {
-        write(self.how.dir.join(format!("{label}.toml")), settings)?;
-        let ini = format!("[operators]\nlisten = {operators}\n{more}");
-        write(self.how.dir.join(format!("{label}.ini")), &ini)?;
+    /// Writes the files of one more controller; returns its place.
+    ///
+    /// # Errors
+    /// When a file cannot be written.
+    pub fn add(&mut self, files: &ControllerFiles) -> Result<usize, ClusterError> {
+        let (dir, label) = (&self.program.dir, files.label);
+        write(dir.join(format!("{label}.toml")), files.settings)?;
+        let ini = format!(
+            "[operators]\nlisten = {}\n{}",
+            files.operators, files.operator_lines
+        );
+        write(dir.join(format!("{label}.ini")), &ini)?;
         self.labels.push(label.to_string());
         self.children.push(None);
         Ok(self.labels.len() - 1)
     }
 
     /// Starts one, if it does not run.
+    ///
+    /// # Errors
+    /// When its log cannot be opened or its program cannot be started.
     pub fn start(&mut self, node: usize) -> Result<(), ClusterError> {
         if self.children[node].is_some() {
             return Ok(());
         }
-        let (dir, label) = (&self.how.dir, &self.labels[node]);
+        let (dir, label) = (&self.program.dir, &self.labels[node]);
         let log = self.log_of(node);
         let file = open_log(&log).map_err(|e| ClusterError::File(log.clone(), e))?;
-        let (program, first) = &self.how.program;
+        let (program, first) = &self.program.program;
         let child = Command::new(program)
             .args(first)
             .arg("--operator")
             .arg(dir.join(format!("{label}.ini")))
             .arg("--config")
             .arg(dir.join(format!("{label}.toml")))
-            .env("LOG_LEVEL", &self.how.log_level)
+            .env("LOG_LEVEL", &self.program.log_level)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(file)
@@ -117,15 +136,20 @@
         fallen
     }
 
+    /// Where a controller logs.
+    #[must_use]
     pub fn log_of(&self, node: usize) -> PathBuf {
-        self.how.dir.join(format!("{}.log", self.labels[node]))
+        self.program.dir.join(format!("{}.log", self.labels[node]))
     }
 
+    /// Process id of a controller that runs.
+    #[must_use]
     pub fn pid(&self, node: usize) -> Option<u32> {
         self.children[node].as_ref().map(Child::id)
     }
 
     /// Process ids of the controllers that run.
+    #[must_use]
     pub fn pids(&self) -> Vec<u32> {
         self.children.iter().flatten().map(Child::id).collect()
     }
--- a/crates/dev-cluster/src/deployment.rs
+++ b/crates/dev-cluster/src/deployment.rs
@@ -1,126 +1,137 @@
-//! What a deployment on loopback is made of, and the platform's settings file of each of
-//! its controllers.
+//! What a deployment on loopback is made of, and the platform's settings file of each of its
+//! controllers.
 
+use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 use std::net::SocketAddrV4;
 
 /// One controller: where it is and where it listens.
 #[derive(Clone, Debug)]
 pub struct NodePlace {
+    /// Its label, a single letter.
     pub label: String,
+    /// The zone it stands in.
     pub zone: String,
+    /// Where it serves users and workers.
     pub users: SocketAddrV4,
+    /// Where it serves other controllers.
     pub peers: SocketAddrV4,
+    /// Where it serves operators.
     pub operators: SocketAddrV4,
 }
 
-/// A team and what it may use, CPUs; 0: none.
+/// A team and its quota.
 #[derive(Clone, Debug)]
 pub struct TeamPlan {
+    /// Its name.
     pub name: String,
+    /// CPUs that it is guaranteed.
     pub cpus: f64,
+    /// CPUs that it may use; zero: no limit.
     pub cpus_max: f64,
 }
 
-/// The published limits of the platform.
-#[derive(Clone, Copy, Debug)]
+/// The published limits of the platform, as tables of scale runs have them too.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
 pub struct PlatformLimits {
-    pub report_s: f64,
+    /// The workers' lease, seconds.
     pub lease_s: f64,
+    /// Time within which a cancelled task has to be gone, seconds.
     pub cancel_s: f64,
+    /// Requests a second to the state service.
     pub state_rps: f64,
+    /// Writes a second to the state service.
     pub state_write_rps: f64,
+    /// Largest value in the state service, KB.
     pub value_kb: f64,
+    /// Writes of one transaction.
     pub txn_ops: u32,
+    /// Requests a second to the cloud.
     pub cloud_rps: f64,
+    /// How old the cloud's list is in the mean, seconds.
     pub list_lag_s: f64,
+    /// Memory of a controller, MB.
     pub ram_mb: f64,
-    pub connections: u32,
 }
 
 /// Addresses at which one controller finds the others and what it needs.
 #[derive(Clone, Debug)]
 pub struct Links {
+    /// The state service.
     pub state: SocketAddrV4,
+    /// The cloud.
     pub cloud: SocketAddrV4,
     /// By the other controller's place in the deployment's list; its own is not used.
     pub peers: Vec<SocketAddrV4>,
 }
 
+/// All controllers and what they are told of the platform.
 #[derive(Clone, Debug)]
 pub struct Deployment {
+    /// The controllers.
     pub nodes: Vec<NodePlace>,
+    /// All zones.
     pub zones: Vec<String>,
+    /// All teams.
     pub teams: Vec<TeamPlan>,
+    /// The platform's limits.
     pub limits: PlatformLimits,
+    /// Time between a worker's reports, seconds.
+    pub report_s: f64,
+    /// Sockets that a controller may have open.
+    pub max_connections: u32,
 }
 
 impl Deployment {
     /// The platform's settings (TOML) of one controller.
+    #[must_use]
     pub fn settings(&self, node: usize, links: &Links) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
-        let _ = self.write_settings(&mut text, node, links);
+        let _ = self.write_node(&mut text, node, links);
+        let _ = self.write_parameters(&mut text);
         text
     }
 
-    fn write_settings(&self, text: &mut String, node: usize, links: &Links) -> std::fmt::Result {
+    /// Who the controller is, and whom it talks to.
+    fn write_node(&self, text: &mut String, node: usize, links: &Links) -> std::fmt::Result {
         let own = &self.nodes[node];
         writeln!(text, "# Written by the program that starts this cluster.")?;
         writeln!(text, "label = \"{}\"\narea = \"{}\"", own.label, own.zone)?;
-        writeln!(
-            text,
-            "public_addr = \"{}\"\npeer_bind = \"{}\"",
-            own.users, own.peers
-        )?;
+        writeln!(text, "public_addr = \"{}\"", own.users)?;
+        writeln!(text, "peer_bind = \"{}\"", own.peers)?;
         for (place, other) in self.nodes.iter().enumerate().filter(|(p, _)| *p != node) {
             writeln!(text, "[[members]]\nlabel = \"{}\"", other.label)?;
-            writeln!(
-                text,
-                "area = \"{}\"\naddr = \"{}\"",
-                other.zone, links.peers[place]
-            )?;
+            writeln!(text, "area = \"{}\"", other.zone)?;
+            writeln!(text, "addr = \"{}\"", links.peers[place])?;
         }
-        writeln!(
-            text,
-            "[external]\ncloud = \"{}\"\nstate = \"{}\"",
-            links.cloud, links.state
-        )?;
+        writeln!(text, "[external]\ncloud = \"{}\"", links.cloud)?;
+        writeln!(text, "state = \"{}\"", links.state)
+    }
+
+    /// The platform's parameters, the same for all controllers.
+    fn write_parameters(&self, text: &mut String) -> std::fmt::Result {
         let zones: Vec<String> = self.zones.iter().map(|z| format!("\"{z}\"")).collect();
-        writeln!(
-            text,
-            "[params]\nzones = [{}]\nskew_ms = 10.0",
-            zones.join(", ")
-        )?;
+        writeln!(text, "[params]\nzones = [{}]", zones.join(", "))?;
+        writeln!(text, "skew_ms = 10.0")?;
         for team in &self.teams {
             writeln!(text, "[[params.teams]]\nname = \"{}\"", team.name)?;
-            writeln!(
-                text,
-                "cpus = {:.1}\ncpus_max = {:.1}",
-                team.cpus, team.cpus_max
-            )?;
+            writeln!(text, "cpus = {:.1}", team.cpus)?;
+            writeln!(text, "cpus_max = {:.1}", team.cpus_max)?;
         }
-        let l = &self.limits;
-        writeln!(text, "[params.workers]\nreport_s = {:?}", l.report_s)?;
-        writeln!(
-            text,
-            "lease_s = {:?}\ncancel_s = {:?}",
-            l.lease_s, l.cancel_s
-        )?;
-        writeln!(text, "[params.state]\nrps = {:?}", l.state_rps)?;
-        writeln!(
-            text,
-            "write_rps = {:?}\nvalue_kb = {:?}",
-            l.state_write_rps, l.value_kb
-        )?;
-        writeln!(text, "txn_ops = {}", l.txn_ops)?;
-        writeln!(text, "[params.cloud]\nrps = {:?}", l.cloud_rps)?;
-        writeln!(text, "list_lag_s = {:?}", l.list_lag_s)?;
-        writeln!(
-            text,
-            "[params.machine_limits]\ncpu_share = 1.0\nram_mb = {:?}",
-            l.ram_mb
-        )?;
-        writeln!(text, "max_connections = {}", l.connections)
+        let limits = &self.limits;
+        writeln!(text, "[params.workers]\nreport_s = {:?}", self.report_s)?;
+        writeln!(text, "lease_s = {:?}", limits.lease_s)?;
+        writeln!(text, "cancel_s = {:?}", limits.cancel_s)?;
+        writeln!(text, "[params.state]\nrps = {:?}", limits.state_rps)?;
+        writeln!(text, "write_rps = {:?}", limits.state_write_rps)?;
+        writeln!(text, "value_kb = {:?}", limits.value_kb)?;
+        writeln!(text, "txn_ops = {}", limits.txn_ops)?;
+        writeln!(text, "[params.cloud]\nrps = {:?}", limits.cloud_rps)?;
+        writeln!(text, "list_lag_s = {:?}", limits.list_lag_s)?;
+        writeln!(text, "[params.machine_limits]\ncpu_share = 1.0")?;
+        writeln!(text, "ram_mb = {:?}", limits.ram_mb)?;
+        writeln!(text, "max_connections = {}", self.max_connections)
     }
 }
--- a/crates/testbed/src/explain.rs
+++ b/crates/testbed/src/explain.rs
@@ -232,7 +232,7 @@
     plan.rentable = 2;
     let mut s = Stage::new(plan)?;
     // While the cloud is away the rental is asked for, and nothing boots.
-    s.cluster.trouble(PlatformFault::CloudDown(6.0));
+    s.cluster.inject(PlatformFault::CloudDown(6.0));
     std::thread::sleep(Duration::from_millis(200));
     s.job(|j| {
         j.cpus = 3.0;
@@ -262,7 +262,7 @@
 fn starting(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut s = Stage::new(narrow(lab, dir))?;
     // A machine that hangs has not fetched its order yet.
-    s.cluster.trouble(PlatformFault::Hang {
+    s.cluster.inject(PlatformFault::Hang {
         machine: 0,
         seconds: 2.0,
     });
@@ -284,7 +284,7 @@
     let mut s = Stage::new(narrow(lab, dir))?;
     let job = s.job(|j| j.expect_s = 2.0)?;
     place::until(10.0, || s.client.job(&job).is_ok_and(|d| d.row.running > 0));
-    s.cluster.trouble(PlatformFault::Hang {
+    s.cluster.inject(PlatformFault::Hang {
         machine: 0,
         seconds: 6.0,
     });
--- a/crates/testbed/src/place.rs
+++ b/crates/testbed/src/place.rs
@@ -2,6 +2,7 @@
 
 use crate::TestbedError;
 use beamhinge_client::{Client, Timeouts};
+use beamhinge_dev_cluster::deployment::TeamPlan;
 use beamhinge_dev_cluster::{Cluster, ClusterPlan};
 use beamhinge_emulator::worker_pool::MachineObserver;
 use beamhinge_emulator::ProtocolFaults;
@@ -60,6 +61,11 @@
 
 /// A cluster to experiment on; to be changed from here.
 pub fn plan(lab: &Lab, dir: &Path) -> ClusterPlan {
+    let team = |name: &str, cpus_max| TeamPlan {
+        name: name.into(),
+        cpus: 0.0,
+        cpus_max,
+    };
     ClusterPlan {
         nodes: 3,
         machines: 8,
@@ -71,7 +77,7 @@
         kept: false,
         controller: lab.controller.clone(),
         keeper: None,
-        teams: vec![("home".into(), 0.0, 0.0), ("small".into(), 0.0, 4.0)],
+        teams: vec![team("home", 0.0), team("small", 4.0)],
         protocol_faults: ProtocolFaults::default(),
         operators: "rps = 2000\nconnections = 64\nwaiting = 512\n".into(),
         log_level: "info".into(),
--- a/crates/testbed/src/scale/config_changes.rs
+++ b/crates/testbed/src/scale/config_changes.rs
@@ -2,8 +2,8 @@
 //! everywhere.
 
 use super::figures::ConfigurationFigures;
+use super::histograms::{answer_histogram, times};
 use super::layout::{GUARANTEED, LIMIT};
-use super::run::{answer_histogram, times};
 use crate::place;
 use crate::TestbedError;
 use beamhinge_client::Client;
--- a/crates/testbed/src/scale/layout.rs
+++ b/crates/testbed/src/scale/layout.rs
@@ -3,7 +3,7 @@
 
 use super::size::Size;
 use super::workload::team_name;
-use beamhinge_dev_cluster::deployment::{Deployment, Links, NodePlace, PlatformLimits, TeamPlan};
+use beamhinge_dev_cluster::deployment::{Deployment, Links, NodePlace, TeamPlan};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 
 /// Workers of one process; more are too many for one thread.
@@ -162,24 +162,13 @@
             cpus: share * GUARANTEED,
             cpus_max: share * LIMIT,
         };
-        let table = &size.platform;
         Deployment {
             nodes: (0..size.controllers).map(place).collect(),
             zones: self.zones(),
             teams: (0..size.teams).map(team).collect(),
-            limits: PlatformLimits {
-                report_s: size.report_s,
-                lease_s: table.lease_s,
-                cancel_s: table.cancel_s,
-                state_rps: table.state_rps,
-                state_write_rps: table.state_write_rps,
-                value_kb: table.value_kb,
-                txn_ops: table.txn_ops,
-                cloud_rps: table.cloud_rps,
-                list_lag_s: table.list_lag_s,
-                ram_mb: table.ram_mb,
-                connections: self.connections() as u32,
-            },
+            limits: size.platform,
+            report_s: size.report_s,
+            max_connections: self.connections() as u32,
         }
     }
 
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -3,8 +3,8 @@
 
 use super::children::RoleId;
 use super::figures::{self, Figures, Rate, RoleUse};
+use super::histograms::{answer_histogram, times};
 use super::messages::{Flow, Flows};
-use super::run::{answer_histogram, times};
 use super::usage::{self, Meter};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -8,6 +8,7 @@
 mod figures;
 mod fit;
 mod flows;
+mod histograms;
 mod layout;
 mod measure;
 mod messages;
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -4,7 +4,8 @@
 use super::children::{RoleChild, RoleId};
 use super::config_changes::Operators;
 use super::faults::{self, Fault, FaultKind};
-use super::figures::{ConfigurationFigures, Figures, Times, MAX_PROCESSES};
+use super::figures::{ConfigurationFigures, Figures, MAX_PROCESSES};
+use super::histograms::times;
 use super::layout::Layout;
 use super::measure::Measurement;
 use super::messages::{wall_us, Command, MachinePlan, Record, RolePlan, StateLimits};
@@ -15,8 +16,7 @@
 use super::workload::Workload;
 use crate::place::{Folder, Lab};
 use crate::TestbedError;
-use beamhinge_dev_cluster::controllers::{ControllerProgram, Controllers};
-use hdrhistogram::Histogram;
+use beamhinge_dev_cluster::controllers::{ControllerFiles, ControllerProgram, Controllers};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -49,8 +49,6 @@
 const BUILD_UP_S: f64 = 3.0;
 /// The steady part is no less than this of the load's time.
 const STEADY_PART: f64 = 0.4;
-/// Answers that are kept for the histograms; guards memory.
-const LONGEST_ANSWER_US: u64 = 120_000_000;
 
 /// How a run is played.
 pub struct RunPlan {
@@ -180,7 +178,12 @@
         let operators_file = format!("{OPERATORS}{STANDING_FLEET}{changes}");
         for (node, place) in deployment.nodes.iter().enumerate() {
             let text = deployment.settings(node, &layout.links(node));
-            controllers.add(&place.label, &text, (place.operators, &operators_file))?;
+            controllers.add(&ControllerFiles {
+                label: &place.label,
+                settings: &text,
+                operators: place.operators,
+                operator_lines: &operators_file,
+            })?;
         }
         let team_limit = deployment.teams.first().map_or(0.0, |t| t.cpus_max);
         let checker = Checker::new(workload, team_limit, plan.size.platform.cancel_s);
@@ -700,23 +703,6 @@
         .fold(0.0, f64::max)
 }
 
-/// A histogram's quantiles; `unit` turns its counts into milliseconds.
-pub fn times(h: &Histogram<u64>, unit: f64) -> Times {
-    let ms = |q: f64| h.value_at_quantile(q) as f64 * unit;
-    Times {
-        count: h.len(),
-        p50: ms(0.5),
-        p90: ms(0.9),
-        p99: ms(0.99),
-        most: h.max() as f64 * unit,
-    }
-}
-
-/// A histogram of microseconds.
-pub fn answer_histogram() -> Result<Histogram<u64>, hdrhistogram::CreationError> {
-    Histogram::new_with_max(LONGEST_ANSWER_US, 3)
-}
-
 fn role_plans(
     plan: &RunPlan,
     layout: &Layout,
--- a/crates/testbed/src/scale/size.rs
+++ b/crates/testbed/src/scale/size.rs
@@ -1,6 +1,7 @@
 //! What a scale run has to carry: the operators' table, and what the command line changes
 //! of it. Checked before anything starts.
 
+use beamhinge_dev_cluster::deployment::PlatformLimits;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
@@ -55,21 +56,6 @@
     pub region_splits_per_year: f64,
 }
 
-/// The platform's published limits.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct PlatformTable {
-    pub lease_s: f64,
-    pub cancel_s: f64,
-    pub state_rps: f64,
-    pub state_write_rps: f64,
-    pub value_kb: f64,
-    pub txn_ops: u32,
-    pub cloud_rps: f64,
-    pub list_lag_s: f64,
-    pub ram_mb: f64,
-}
-
 /// One machine of the fleet: CPUs, GB, seconds until it is up.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -100,7 +86,7 @@
     pub report_s: f64,
     pub budget: Budget,
     pub rates: Rates,
-    pub platform: PlatformTable,
+    pub platform: PlatformLimits,
     pub machine: MachineTable,
 }
 
