--- a/crates/controller/src/scheduler/aging.rs
+++ b/crates/controller/src/scheduler/aging.rs
@@ -57,7 +57,7 @@
             .values()
             .filter(|machine| self.accepts_tasks(now, machine));
         let cpus = usable
-            .filter_map(|machine| machine_types.get(machine.identity.machine_type?))
+            .filter_map(|machine| machine.lookup_type(machine_types))
             .map(|machine_type| machine_type.cpus)
             .sum();
         let mut lane = PriorityLane::new(self.aging.lane_width_cpus(cpus));
@@ -145,10 +145,7 @@
             else {
                 return false;
             };
-            let machine_type = machine
-                .identity
-                .machine_type
-                .and_then(|index| machine_types.get(index));
+            let machine_type = machine.lookup_type(machine_types);
             wanted.contains(&id)
                 && self.accepts_tasks(now, machine)
                 && machine_type
@@ -203,7 +200,7 @@
         job: &Job,
         machine: &Machine,
     ) -> Option<f64> {
-        let machine_type = cycle.machine_types.get(machine.identity.machine_type?)?;
+        let machine_type = machine.lookup_type(cycle.machine_types)?;
         if !is_feasible(&job.spec, machine_type, machine) {
             return None;
         }
--- a/crates/controller/src/scheduler/drain.rs
+++ b/crates/controller/src/scheduler/drain.rs
@@ -18,9 +18,7 @@
         self.replan = true;
         for (id, m) in &mut self.machines {
             let machine_type = m
-                .identity
-                .machine_type
-                .and_then(|s| machine_types.get(s))
+                .lookup_type(machine_types)
                 .map_or("", |s| s.label.as_str());
             m.lifecycle.drain = self
                 .active_directives
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -301,11 +301,7 @@
     ) -> FeasibilityReport {
         let mut report = FeasibilityReport::default();
         for (id, machine) in &self.machines {
-            let Some(machine_type) = machine
-                .identity
-                .machine_type
-                .and_then(|index| machine_types.get(index))
-            else {
+            let Some(machine_type) = machine.lookup_type(machine_types) else {
                 report.tally.silent += 1;
                 continue;
             };
@@ -442,11 +438,7 @@
                 .values()
                 .filter(running)
                 .count() as u32;
-            let Some(machine_type) = machine
-                .identity
-                .machine_type
-                .and_then(|index| machine_types.get(index))
-            else {
+            let Some(machine_type) = machine.lookup_type(machine_types) else {
                 continue;
             };
             if self.blocking_reason(now, machine) == Some(BlockingReason::Silent) {
--- a/crates/controller/src/scheduler/machine.rs
+++ b/crates/controller/src/scheduler/machine.rs
@@ -223,12 +223,18 @@
         self.health.slow
     }
 
+    /// Its machine type, once it has reported one that the cloud publishes.
+    pub(super) fn lookup_type<'a>(
+        &self,
+        machine_types: &'a [MachineType],
+    ) -> Option<&'a MachineType> {
+        machine_types.get(self.identity.machine_type?)
+    }
+
     /// Capacity beside what may be on it.
     pub(super) fn free(&self, machine_types: &[MachineType]) -> Resources {
         let mut free = self
-            .identity
-            .machine_type
-            .and_then(|index| machine_types.get(index))
+            .lookup_type(machine_types)
             .map(MachineType::room)
             .unwrap_or_default();
         let allocations = self.resident.allocations.values();
--- a/crates/controller/src/scheduler/nomination.rs
+++ b/crates/controller/src/scheduler/nomination.rs
@@ -136,7 +136,7 @@
         upcoming: &UpcomingExits,
     ) -> Option<NominationCandidate> {
         let machine = self.machines.get(&upcoming.machine)?;
-        let machine_type = cycle.machine_types.get(machine.identity.machine_type?)?;
+        let machine_type = machine.lookup_type(cycle.machine_types)?;
         // A fetch that takes longer than the wait for a report saves nothing.
         let has_image = machine.resident.cached_images.contains(&spec.image);
         let quick_fetch = spec.image_gb < self.report_s * machine_type.fetch_gb_per_s;
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -216,10 +216,7 @@
         let Some(machine) = self.machines.get(&id) else {
             return false;
         };
-        let machine_type = machine
-            .identity
-            .machine_type
-            .and_then(|index| cycle.machine_types.get(index));
+        let machine_type = machine.lookup_type(cycle.machine_types);
         machine_type.is_some_and(|machine_type| {
             preemptor.resources.fits(&machine_type.room())
                 && is_feasible(&preemptor.spec, machine_type, machine)
@@ -239,9 +236,7 @@
             return 0.0;
         }
         let gb_per_s = machine
-            .identity
-            .machine_type
-            .and_then(|index| cycle.machine_types.get(index))
+            .lookup_type(cycle.machine_types)
             .map_or(1.0, |machine_type| machine_type.fetch_gb_per_s);
         preemptor.spec.image_gb / gb_per_s.max(MIN_FETCH_GB_PER_S) * preemptor.resources.cpus
     }
--- a/crates/controller/src/scheduler/scattered_preemption.rs
+++ b/crates/controller/src/scheduler/scattered_preemption.rs
@@ -37,11 +37,7 @@
             .iter()
             .filter(|(_, machine)| self.accepts_tasks(now, machine))
         {
-            let Some(machine_type) = machine
-                .identity
-                .machine_type
-                .and_then(|index| cycle.machine_types.get(index))
-            else {
+            let Some(machine_type) = machine.lookup_type(cycle.machine_types) else {
                 continue;
             };
             for (task, allocation) in &machine.resident.allocations {
