--- /dev/null
+++ b/crates/controller/src/admin_api/responses.rs
@@ -0,0 +1,40 @@
+//! Answers to operators.
+
+use beamhinge_admin_api::messages::{Code, Problem};
+use beamhinge_core::http::Content;
+use beamhinge_core::messages::Effect;
+use beamhinge_core::types::RequestId;
+use serde::Serialize;
+
+/// `Retry-After` of an answer that asks the client to retry, seconds.
+const RETRY_AFTER_S: u32 = 1;
+
+/// Answers with a value as JSON.
+pub fn respond<T: Serialize>(out: &mut Vec<Effect>, to: RequestId, status: u16, value: &T) {
+    let body = serde_json::to_vec(value).unwrap_or_else(|error| {
+        tracing::error!(%error, "cannot encode answer to operator");
+        Vec::new()
+    });
+    out.push(Effect::OperatorAnswer {
+        to,
+        status,
+        retry_after: matches!(status, 429 | 503).then_some(RETRY_AFTER_S),
+        content: Content::Json,
+        body,
+    });
+}
+
+/// Answers that a request is not executed, and why.
+pub fn refuse(out: &mut Vec<Effect>, to: RequestId, status: u16, code: Code, error: &str) {
+    let problem = Problem {
+        code,
+        error: error.to_string(),
+        ahead_ms: None,
+    };
+    respond(out, to, status, &problem);
+}
+
+/// Answers that the client is to retry.
+pub fn busy(out: &mut Vec<Effect>, to: RequestId, error: &str) {
+    refuse(out, to, 503, Code::Busy, error);
+}
--- a/crates/controller/src/admin_api/tests.rs
+++ b/crates/controller/src/admin_api/tests.rs
@@ -1,4 +1,9 @@
+use super::pending::QUERY_TIMEOUT_S;
 use super::*;
+use beamhinge_admin_api::messages::{State, BODY_LIMIT, MAX_ROWS};
+use beamhinge_core::http::Method;
+use beamhinge_core::job::Urgency;
+use beamhinge_core::types::{JobId, RequestId};
 
 fn get(path: &str) -> Request {
     Request {
@@ -14,15 +19,15 @@
     let guard = Guard::new(Vec::new(), "i".into(), 30.0, 16);
     AdminApi::new(
         guard,
-        Limits {
-            waiting,
-            rps: 100.0,
+        AdminLimits {
+            max_waiting: waiting,
+            max_rps: 100.0,
         },
     )
 }
 
 #[test]
-fn paths_and_filters_are_read_and_misspelt_ones_refused() {
+fn misspelt_path_or_filter_is_refused() {
     let route = Route::parse(&get("/v1/jobs?state=open,done&team=a%20b&limit=9999"));
     let Ok(Route::Jobs(f)) = route else {
         panic!("{route:?}")
@@ -59,7 +64,7 @@
 }
 
 #[test]
-fn what_waits_is_bounded_and_given_up_in_time() {
+fn pending_queries_are_bounded_and_given_up_in_time() {
     let mut d = admin_api(2);
     let now = Time::from_micros(10_000_000);
     let wall = WallMs(1);
@@ -69,10 +74,10 @@
             slot,
             generation: 1,
         };
-        d.wait(
+        d.pending.push_local(
             now,
             request,
-            Want::Job {
+            LocalTarget::Job {
                 id: JobId::parse("job-1").expect("id"),
                 explain: false,
             },
@@ -80,46 +85,52 @@
     }
     let refused = d
         .receive(now, wall, &get("/v1/teams"))
-        .map_err(|(s, p)| (s, p.code));
+        .map_err(|r| (r.status, r.problem.code));
     assert_eq!(refused, Err((503, Code::Busy)));
     assert!(
         d.receive(now, wall, &get("/v1/hello")).is_ok(),
         "who is there is always told"
     );
     assert!(
-        d.ready_local(&Copies {
-            jobs: Some(now.minus(0.1)),
-            directives: None,
-            ..Copies::default()
-        })
-        .is_empty(),
+        d.pending
+            .take_ready_local(&ReplicaFreshness {
+                jobs: Some(now.minus(0.1)),
+                directives: None,
+                ..ReplicaFreshness::default()
+            })
+            .is_empty(),
         "an older copy says nothing"
     );
-    let (over, _) = d.overdue(now.plus(PATIENCE_S + 0.1), false);
-    assert_eq!(over.len(), 2);
+    let overdue = d
+        .pending
+        .take_overdue(now.plus(QUERY_TIMEOUT_S + 0.1), false);
+    assert_eq!(overdue.clients.len(), 2);
 }
 
-/// A holder that was replaced would else tell an older state than the new.
+/// A leader that was replaced would otherwise tell an older state than the new one.
 #[test]
-fn the_holder_answers_only_after_a_newer_exchange() {
+fn leader_query_waits_for_exchange_newer_than_itself() {
     let mut d = admin_api(8);
     let now = Time::from_micros(10_000_000);
-    let asker = Asker::Peer {
+    let requester = Requester::Peer {
         label: "b".into(),
         serial: 1,
     };
-    d.ask_here(now, asker, Query::Teams);
-    assert!(d.ready_asked(Some(now.minus(0.01))).is_empty());
-    assert_eq!(d.ready_asked(Some(now)).len(), 1);
-    d.ask_here(
+    d.pending.push_leader_query(now, requester, Query::Teams);
+    assert!(d
+        .pending
+        .take_ready_leader(Some(now.minus(0.01)))
+        .is_empty());
+    assert_eq!(d.pending.take_ready_leader(Some(now)).len(), 1);
+    d.pending.push_leader_query(
         now,
-        Asker::Peer {
+        Requester::Peer {
             label: "b".into(),
             serial: 2,
         },
         Query::Teams,
     );
-    let (_, peers) = d.overdue(now, false);
+    let peers = d.pending.take_overdue(now, false).peers;
     assert_eq!(
         peers,
         vec![("b".to_string(), 2)],
@@ -129,7 +140,7 @@
 
 /// Every path of the operators' interface: which route it is, and its name on the metrics page.
 #[test]
-fn routes_keep_their_paths_and_names() {
+fn routes_have_stable_paths_and_metric_names() {
     let post = |path: &str, body: &str| {
         let body = body.as_bytes().to_vec();
         Request {
@@ -177,7 +188,7 @@
         );
     }
     let machines = get("/v1/machines?shape=g8&zone=a&after=n-1&limit=7");
-    let Ok(Route::Holder(query)) = Route::parse(&machines) else {
+    let Ok(Route::LeaderQuery(query)) = Route::parse(&machines) else {
         panic!("machines")
     };
     let (machine_type, zone) = (Some("g8".into()), Some("a".into()));
@@ -191,7 +202,7 @@
         }
     );
     let decisions = get("/v1/decisions?token=41&after=9&limit=5");
-    let Ok(Route::Holder(query)) = Route::parse(&decisions) else {
+    let Ok(Route::LeaderQuery(query)) = Route::parse(&decisions) else {
         panic!("decisions")
     };
     assert_eq!(
--- /dev/null
+++ b/crates/controller/src/node/admin.rs
@@ -0,0 +1,316 @@
+//! The operators' interface: requests are routed to the replicas of this controller, to the
+//! user API or to the leader.
+//!
+//! - [`leader_queries`]: what only the leader knows, asked and answered.
+//! - [`views`]: answers from the replicas of this controller.
+//! - [`metrics_page`]: the page of metrics.
+//! - [`delegated`]: answers of the user API, put into the operators' form.
+
+mod delegated;
+mod leader_queries;
+mod metrics_page;
+mod views;
+
+use super::Node;
+use crate::admin_api::{self, PendingQueries, ReplicaFreshness, ResponseMerge, Route};
+use crate::admin_api::{LocalQuery, LocalTarget};
+use crate::configuration::ChangeResponse;
+use crate::directives::DirectiveResponse;
+use crate::user_api::{self, SubmittedJob};
+use beamhinge_admin_api::auth::Caller;
+use beamhinge_admin_api::directives::Change;
+use beamhinge_admin_api::messages::{Code, ConfigurationMade, Hello, JobRequest};
+use beamhinge_configuration::ConfigurationChange;
+use beamhinge_core::http::{Content, Request};
+use beamhinge_core::messages::Effect;
+use beamhinge_core::types::{JobId, RequestId, Time, WallMs};
+
+impl Node {
+    /// Whether a pending query of an operator has this need.
+    pub(super) fn admin_needs(&self, need: fn(&PendingQueries) -> bool) -> bool {
+        self.admin_api
+            .as_ref()
+            .is_some_and(|api| need(&api.pending))
+    }
+
+    /// A request came in on the operators' listener.
+    pub(super) fn on_admin_request(
+        &mut self,
+        now: Time,
+        wall: WallMs,
+        id: RequestId,
+        request: &Request,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
+        match admin_api.receive(now, wall, request) {
+            Ok((caller, route)) => {
+                let name = route.name();
+                let _span = tracing::debug_span!("admin_request", route = name, by = %caller.name)
+                    .entered();
+                self.metrics.on_request(now, id, name);
+                self.route_admin_request(now, wall, id, caller, route, out);
+            }
+            Err(rejection) => {
+                let (status, problem) = (rejection.status, rejection.problem);
+                tracing::debug!(status, error = %problem.error, "refused admin request");
+                admin_api::respond(out, id, status, &problem);
+            }
+        }
+    }
+
+    fn route_admin_request(
+        &mut self,
+        now: Time,
+        wall: WallMs,
+        id: RequestId,
+        caller: Caller,
+        route: Route,
+        out: &mut Vec<Effect>,
+    ) {
+        match route {
+            Route::Hello => {
+                let hello = self.hello_view(wall);
+                admin_api::respond(out, id, 200, &hello);
+            }
+            Route::Metrics => out.push(Effect::OperatorAnswer {
+                to: id,
+                status: 200,
+                retry_after: None,
+                content: Content::Text,
+                body: self.metrics_page(now, wall).into_bytes(),
+            }),
+            Route::Nodes => admin_api::respond(out, id, 200, &self.node_rows(now)),
+            Route::Jobs(filter) => self.wait_for_replica(now, id, LocalTarget::Jobs(filter)),
+            Route::Job { id: job, explain } => {
+                self.wait_for_replica(now, id, LocalTarget::Job { id: job, explain });
+            }
+            Route::Directives => self.wait_for_replica(now, id, LocalTarget::Directives),
+            Route::Configuration if self.configuration.is_enabled() => {
+                self.wait_for_replica(now, id, LocalTarget::Configuration);
+            }
+            Route::Configuration => {
+                admin_api::respond(out, id, 200, &self.configuration_view());
+            }
+            Route::ChangeConfiguration(change) => {
+                self.change_configuration(now, id, *change, caller.name, out);
+            }
+            Route::ChangeDirective(change) => {
+                self.change_directive(now, id, change, caller.name, out);
+            }
+            Route::Submit(job) => self.submit_for_operator(now, wall, id, *job, out),
+            Route::Cancel(job) => self.cancel_for_operator(now, id, job, &caller.name, out),
+            Route::LeaderQuery(query) => {
+                self.query_leader(now, id, query, ResponseMerge::PassThrough, out);
+            }
+        }
+    }
+
+    fn hello_view(&self, wall: WallMs) -> Hello {
+        let instance = self
+            .admin_api
+            .as_ref()
+            .map(|api| api.instance().to_string());
+        Hello {
+            label: self.settings.label.clone(),
+            instance: instance.unwrap_or_default(),
+            version: env!("CARGO_PKG_VERSION").to_string(),
+            time_ms: wall.0,
+        }
+    }
+
+    fn wait_for_replica(&mut self, now: Time, request: RequestId, target: LocalTarget) {
+        if let Some(admin_api) = &mut self.admin_api {
+            admin_api.pending.push_local(now, request, target);
+        }
+    }
+
+    fn submit_for_operator(
+        &mut self,
+        now: Time,
+        wall: WallMs,
+        request: RequestId,
+        job: JobRequest,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(id) = JobId::parse(&job.job) else {
+            let reason = "job is not of the form job-000412";
+            return admin_api::refuse(out, request, 400, Code::Malformed, reason);
+        };
+        let spec = job.spec(wall.0);
+        if let Err(error) = user_api::validate(&spec) {
+            let reason = error.to_string();
+            return admin_api::refuse(out, request, 400, Code::Malformed, &reason);
+        }
+        let feasibility = self.feasibility(&spec);
+        if let Some(admin_api) = &mut self.admin_api {
+            admin_api.pending.delegate(request);
+        }
+        let job = SubmittedJob {
+            id,
+            spec,
+            feasibility,
+        };
+        self.user_api
+            .submit(now, request, job, &self.job_store, out);
+    }
+
+    fn cancel_for_operator(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        job: JobId,
+        by: &str,
+        out: &mut Vec<Effect>,
+    ) {
+        tracing::info!(%by, %job, "requested cancellation");
+        if let Some(admin_api) = &mut self.admin_api {
+            admin_api.pending.delegate(request);
+        }
+        self.user_api
+            .cancel(now, request, job, &self.job_store, out);
+    }
+
+    fn change_directive(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        change: Change,
+        by: String,
+        out: &mut Vec<Effect>,
+    ) {
+        tracing::info!(%by, set = change.set, target = %change.target, "requested directive");
+        if !self.directives.change(now, request, change, by) {
+            admin_api::busy(out, request, "too many changes wait");
+        }
+    }
+
+    fn change_configuration(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        change: ConfigurationChange,
+        by: String,
+        out: &mut Vec<Effect>,
+    ) {
+        let (seen, teams) = (change.seen.0, change.teams.len());
+        tracing::info!(%by, seen, teams, "requested configuration change");
+        if !self.configuration.is_enabled() {
+            let reason = "changes are not turned on here: set `[configuration] on = yes` in the \
+                          operators' file of every controller";
+            return admin_api::refuse(out, request, 409, Code::Refused, reason);
+        }
+        // Only the leader knows the fleet; on other controllers nobody is warned.
+        let machine_types = self.fleet.machine_types();
+        let scheduler = self.scheduler.as_ref().filter(|s| s.loaded());
+        let fleet_cpus = scheduler.map(|s| s.totals(now, self.wall, machine_types).cpus);
+        let queued = self
+            .configuration
+            .change(now, request, change, by, fleet_cpus);
+        if !queued {
+            admin_api::busy(out, request, "too many changes wait");
+        }
+    }
+
+    /// Answers changes of the configuration that were decided.
+    pub(super) fn answer_configuration_changes(
+        &self,
+        responses: Vec<(RequestId, ChangeResponse)>,
+        out: &mut Vec<Effect>,
+    ) {
+        for (request, response) in responses {
+            match response {
+                ChangeResponse::Applied { version, warning } => {
+                    let made = ConfigurationMade { version, warning };
+                    admin_api::respond(out, request, 200, &made);
+                }
+                ChangeResponse::Refused(error) => {
+                    admin_api::refuse(out, request, 409, Code::Refused, &error.to_string());
+                }
+                ChangeResponse::Busy(reason) => admin_api::busy(out, request, &reason),
+            }
+        }
+    }
+
+    /// Answers changes of directives that were decided.
+    pub(super) fn answer_directive_changes(
+        &self,
+        responses: Vec<(RequestId, DirectiveResponse)>,
+        out: &mut Vec<Effect>,
+    ) {
+        for (request, response) in responses {
+            match response {
+                DirectiveResponse::Applied(changed) => {
+                    admin_api::respond(out, request, 200, &changed);
+                }
+                DirectiveResponse::Busy(reason) => admin_api::busy(out, request, reason),
+                DirectiveResponse::LimitReached => {
+                    let reason = "as many directives stand as may: lift some first";
+                    admin_api::refuse(out, request, 409, Code::Refused, reason);
+                }
+            }
+        }
+    }
+
+    /// Answers the queries that can be answered by now, and gives up those that are overdue.
+    pub(super) fn run_admin_api(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
+        if admin_api.pending.is_idle() {
+            return;
+        }
+        if admin_api.pending.needs_leadership_check() && self.scheduler.is_some() {
+            self.election.request_block_check(now);
+        }
+        let freshness = ReplicaFreshness {
+            jobs: self.job_store.fresh_as_of(),
+            directives: self.directives.fresh_as_of(),
+            configuration: self.configuration.fresh_as_of(),
+        };
+        for query in admin_api.pending.take_ready_local(&freshness) {
+            self.answer_local(now, wall, query, out);
+        }
+        self.answer_leader_queries(now, wall, out);
+        self.give_up_overdue(now, out);
+    }
+
+    fn give_up_overdue(&mut self, now: Time, out: &mut Vec<Effect>) {
+        let is_leader = self.scheduler.is_some();
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
+        let overdue = admin_api.pending.take_overdue(now, is_leader);
+        for request in overdue.clients {
+            let reason = "no answer in time: an election, or the state service is away";
+            admin_api::busy(out, request, reason);
+        }
+        for (label, serial) in overdue.peers {
+            leader_queries::refuse_peer(label, serial, out);
+        }
+    }
+
+    /// Answers a query from the replicas.
+    fn answer_local(&mut self, now: Time, wall: WallMs, query: LocalQuery, out: &mut Vec<Effect>) {
+        let to = query.request;
+        match query.target {
+            LocalTarget::Directives => {
+                admin_api::respond(out, to, 200, &self.directives_view());
+            }
+            LocalTarget::Configuration => {
+                admin_api::respond(out, to, 200, &self.configuration_view());
+            }
+            LocalTarget::Jobs(filter) => {
+                admin_api::respond(out, to, 200, &self.job_page(wall, &filter));
+            }
+            LocalTarget::Job { id, explain } => {
+                self.answer_job(now, wall, to, id, explain, out);
+            }
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/controller/src/node/admin/delegated.rs
@@ -0,0 +1,82 @@
+//! Answers that the user API wrote for an operator's request, put into the operators' form.
+
+use super::super::Node;
+use crate::admin_api;
+use beamhinge_admin_api::messages::{Code, JobTold, State};
+use beamhinge_core::messages::Effect;
+use beamhinge_core::types::RequestId;
+use beamhinge_core::wire;
+use serde::Deserialize;
+
+/// The body of an answer to a user.
+#[derive(Deserialize)]
+struct UserAnswer {
+    #[serde(rename = "nameId")]
+    job: Option<String>,
+    status: Option<String>,
+    error: Option<String>,
+}
+
+impl Node {
+    /// Rewrites the answers of this step that an operator waits for.
+    pub(in crate::node) fn rewrite_delegated(&mut self, effects: &mut [Effect]) {
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
+        for effect in effects {
+            let Effect::Answer {
+                to,
+                status,
+                retry_after,
+                body,
+            } = effect
+            else {
+                continue;
+            };
+            if !admin_api.pending.take_delegated(*to) {
+                continue;
+            }
+            let (to, status, retry_after) = (*to, *status, *retry_after);
+            if let Some(Effect::OperatorAnswer { content, body, .. }) = rewrite(to, status, body) {
+                *effect = Effect::OperatorAnswer {
+                    to,
+                    status,
+                    retry_after,
+                    content,
+                    body,
+                };
+            }
+        }
+    }
+}
+
+/// The operators' form of one answer to a user.
+fn rewrite(to: RequestId, status: u16, body: &[u8]) -> Option<Effect> {
+    let mut out = Vec::new();
+    let answer = wire::decode::<UserAnswer>(body).ok();
+    let state = answer
+        .as_ref()
+        .and_then(|answer| State::parse(answer.status.as_deref()?));
+    let job = answer.as_ref().and_then(|answer| answer.job.clone());
+    match (state, job) {
+        (Some(state), Some(job)) if status < 300 => {
+            admin_api::respond(&mut out, to, status, &JobTold { job, state });
+        }
+        _ => {
+            let reason = answer.and_then(|answer| answer.error).unwrap_or_default();
+            admin_api::refuse(&mut out, to, status, code_of(status), &reason);
+        }
+    }
+    out.pop()
+}
+
+/// The code of a refusal with this status.
+fn code_of(status: u16) -> Code {
+    match status {
+        400 => Code::Malformed,
+        404 => Code::NotFound,
+        413 => Code::TooLarge,
+        422 => Code::Refused,
+        _ => Code::Busy,
+    }
+}
--- /dev/null
+++ b/crates/controller/src/node/admin/leader_queries.rs
@@ -0,0 +1,313 @@
+//! Queries that only the leader can answer: sent to it, answered as the leader, and the
+//! responses.
+
+use super::super::Node;
+use crate::admin_api::{self, LeaderQuery, Requester, ResponseMerge, MAX_ANSWER_BYTES};
+use crate::event_log::DecisionPage;
+use crate::fleet::MachineQuery;
+use crate::scheduler::Scheduler;
+use beamhinge_admin_api::messages::{
+    Decisions, Explanation, JobDetail, JobRow, Placed, Query, SpecView, State, Summary,
+};
+use beamhinge_core::http::Content;
+use beamhinge_core::messages::Effect;
+use beamhinge_core::peers::{encode, Frame};
+use beamhinge_core::types::{JobId, MachineId, RequestId, Time, WallMs};
+use serde::Serialize;
+
+/// A response as it travels to the controller that asked: HTTP status and JSON.
+struct LeaderResponse {
+    status: u16,
+    body: Vec<u8>,
+}
+
+impl LeaderResponse {
+    /// The leader cannot answer just now.
+    fn unavailable() -> LeaderResponse {
+        LeaderResponse {
+            status: 503,
+            body: Vec::new(),
+        }
+    }
+
+    /// A value, if it fits into a frame.
+    fn json<T: Serialize>(value: &T) -> LeaderResponse {
+        match serde_json::to_vec(value) {
+            Ok(body) if body.len() <= MAX_ANSWER_BYTES => LeaderResponse { status: 200, body },
+            _ => LeaderResponse::unavailable(),
+        }
+    }
+
+    fn send_to_peer(self, label: String, serial: u64, out: &mut Vec<Effect>) {
+        let frame = encode(&Frame::QueryResponse {
+            serial,
+            status: self.status,
+            body: self.body,
+        });
+        out.push(Effect::SendFrame {
+            to: Some(label),
+            frame,
+        });
+    }
+}
+
+/// Tells a peer that its query is not answered here.
+pub(super) fn refuse_peer(label: String, serial: u64, out: &mut Vec<Effect>) {
+    LeaderResponse::unavailable().send_to_peer(label, serial, out);
+}
+
+impl Node {
+    /// Sends a query to the leader. Without one, or where it is not known, nobody guesses.
+    pub(super) fn query_leader(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        query: Query,
+        merge: ResponseMerge,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
+        if self.scheduler.is_some() {
+            let requester = Requester::Client { request, merge };
+            return admin_api.pending.push_leader_query(now, requester, query);
+        }
+        let leader = self.peers.leader(now).or(self.election.other_leader());
+        let (Some(leader), Ok(query)) = (leader, postcard::to_stdvec(&query)) else {
+            let reason = "no controller leads just now: an election is under way";
+            return admin_api::busy(out, request, reason);
+        };
+        let frame = Frame::Query {
+            from: self.settings.label.clone(),
+            serial: admin_api.pending.push_forwarded(now, request, merge),
+            query,
+        };
+        out.push(Effect::SendFrame {
+            to: Some(leader.to_string()),
+            frame: encode(&frame),
+        });
+    }
+
+    /// A peer takes this controller for the leader and sends it a query.
+    pub(in crate::node) fn on_peer_query(
+        &mut self,
+        now: Time,
+        from: String,
+        serial: u64,
+        query: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
+        // Without an operators' listener of its own a controller answers no operators, not even
+        // through a peer: whoever runs it has not asked for that.
+        let taken = match (postcard::from_bytes::<Query>(query), &mut self.admin_api) {
+            (Ok(query), Some(admin_api)) if self.scheduler.is_some() => {
+                admin_api.receive_from_peer(now, from.clone(), serial, query)
+            }
+            _ => false,
+        };
+        if !taken {
+            refuse_peer(from, serial, out);
+        }
+    }
+
+    /// The leader responded to a query that was sent to it.
+    pub(in crate::node) fn on_leader_response(
+        &mut self,
+        serial: u64,
+        status: u16,
+        body: Vec<u8>,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
+        if let Some((request, merge)) = admin_api.pending.take_forwarded(serial) {
+            answer_client(request, merge, LeaderResponse { status, body }, out);
+        }
+    }
+
+    /// Answers the queries for the leader, where this controller is it and its leadership was
+    /// confirmed after they came.
+    pub(super) fn answer_leader_queries(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
+        let loaded = self.scheduler.as_ref().is_some_and(Scheduler::loaded);
+        if !loaded || !self.entitled(now) {
+            return;
+        }
+        let fresh = self.job_store.fresh_as_of();
+        let confirmed_at = fresh.map(|fresh| fresh.min(self.election.block_confirmed_at()));
+        let Some(admin_api) = &mut self.admin_api else {
+            return;
+        };
+        for query in admin_api.pending.take_ready_leader(confirmed_at) {
+            let LeaderQuery {
+                requester, query, ..
+            } = query;
+            let response = self.answer_as_leader(now, wall, &query);
+            match requester {
+                Requester::Client { request, merge } => {
+                    answer_client(request, merge, response, out);
+                }
+                Requester::Peer { label, serial } => response.send_to_peer(label, serial, out),
+            }
+        }
+    }
+
+    fn answer_as_leader(&self, now: Time, wall: WallMs, query: &Query) -> LeaderResponse {
+        let Some(scheduler) = self.scheduler.as_ref().filter(|s| s.loaded()) else {
+            return LeaderResponse::unavailable();
+        };
+        let machine_types = self.fleet.machine_types();
+        match query {
+            Query::Job { job } => match self.placed_job(now, wall, job, scheduler) {
+                Some(placed) => LeaderResponse::json(&placed),
+                None => LeaderResponse::unavailable(),
+            },
+            Query::Machines {
+                machine_type,
+                zone,
+                after,
+                limit,
+            } => {
+                let query = MachineQuery {
+                    machine_type: machine_type.as_deref(),
+                    zone: zone.as_deref(),
+                    after: after.as_deref().and_then(MachineId::parse),
+                    limit: *limit,
+                };
+                LeaderResponse::json(&self.fleet.render_machines(now, &query, scheduler))
+            }
+            Query::Teams => {
+                LeaderResponse::json(&scheduler.describe_teams(now, &self.settings, machine_types))
+            }
+            Query::Splits => LeaderResponse::json(&self.fleet.render_splits()),
+            Query::Summary => LeaderResponse::json(&self.summary(now, wall, scheduler)),
+            Query::Decisions {
+                token,
+                after,
+                limit,
+            } => {
+                let own = scheduler.fencing_token().0;
+                // Serials of another leader say nothing here: the log is read from its start.
+                let after = if *token == own { *after } else { 0 };
+                let DecisionPage { decisions, missed } =
+                    scheduler.event_log.decisions_after(after, *limit);
+                LeaderResponse::json(&Decisions {
+                    token: own,
+                    decisions,
+                    missed,
+                })
+            }
+        }
+    }
+
+    /// What the leader knows of an open job, and why its tasks wait; `None`: nothing.
+    fn placed_job(
+        &self,
+        now: Time,
+        wall: WallMs,
+        job: &str,
+        scheduler: &Scheduler,
+    ) -> Option<Placed> {
+        let id = JobId::parse(job)?;
+        let machine_types = self.fleet.machine_types();
+        let mut placed = scheduler.describe_job(now, wall, id, &self.settings, machine_types)?;
+        let held_back = |name: &str| matches!(name, "frozen" | "team_limit");
+        if placed.waiting == 0 || placed.reasons.iter().any(|r| held_back(r.name())) {
+            return Some(placed);
+        }
+        if let Some((demand, spec)) = scheduler.demand_of(wall, id) {
+            let reasons = self.fleet.explain_pending_job(
+                now,
+                wall,
+                (&demand, &spec),
+                &self.settings,
+                scheduler,
+            );
+            placed.reasons.extend(reasons);
+        }
+        Some(placed)
+    }
+
+    fn summary(&self, now: Time, wall: WallMs, scheduler: &Scheduler) -> Summary {
+        let machine_types = self.fleet.machine_types();
+        let totals = scheduler.totals(now, wall, machine_types);
+        Summary {
+            leader: self.settings.label.clone(),
+            token: scheduler.fencing_token().0,
+            jobs_open: totals.jobs_open,
+            jobs_running: totals.jobs_running,
+            tasks_running: totals.tasks_running,
+            tasks_waiting: totals.tasks_waiting,
+            oldest_wait_s: totals.oldest_wait_s,
+            machines_up: totals.up,
+            machines_starting: self.fleet.starting_machines(scheduler),
+            machines_silent: totals.silent,
+            cpus: totals.cpus,
+            cpus_used: totals.cpus_used,
+            teams: scheduler.describe_teams(now, &self.settings, machine_types),
+            directives: self.directives.active_directives().len() as u32,
+        }
+    }
+}
+
+/// Answers a client by the leader's response.
+fn answer_client(
+    request: RequestId,
+    merge: ResponseMerge,
+    response: LeaderResponse,
+    out: &mut Vec<Effect>,
+) {
+    if response.status != 200 {
+        return admin_api::busy(out, request, "the holder cannot answer just now");
+    }
+    match merge {
+        ResponseMerge::PassThrough => out.push(Effect::OperatorAnswer {
+            to: request,
+            status: 200,
+            retry_after: None,
+            content: Content::Json,
+            body: response.body,
+        }),
+        ResponseMerge::Job { row, spec, explain } => {
+            match serde_json::from_slice::<Placed>(&response.body) {
+                Ok(placed) => answer_open_job(request, *row, *spec, explain, placed, out),
+                Err(_) => {
+                    admin_api::busy(out, request, "the holder answered in an unknown form");
+                }
+            }
+        }
+    }
+}
+
+/// Answers a query for an open job by its row in the replica and what the leader knows of it.
+fn answer_open_job(
+    request: RequestId,
+    mut row: JobRow,
+    spec: Option<SpecView>,
+    explain: bool,
+    placed: Placed,
+    out: &mut Vec<Effect>,
+) {
+    (row.done, row.running) = (placed.done, placed.running);
+    row.state = if placed.running > 0 {
+        State::Running
+    } else {
+        State::Pending
+    };
+    if explain {
+        let text = placed.reasons.iter().map(ToString::to_string).collect();
+        let explanation = Explanation {
+            job: row.job,
+            state: row.state,
+            waiting: placed.waiting,
+            reasons: placed.reasons,
+            text,
+        };
+        admin_api::respond(out, request, 200, &explanation);
+    } else {
+        let placed = Some(placed);
+        let detail = JobDetail { row, spec, placed };
+        admin_api::respond(out, request, 200, &detail);
+    }
+}
--- a/crates/controller/src/node/operators/tests.rs
+++ b/crates/controller/src/node/admin/tests.rs
@@ -9,7 +9,7 @@
 
 /// Names and types of all figures on the page of a controller that leads.
 #[test]
-fn figures_keep_their_names() {
+fn metrics_page_of_leader_matches_golden_file() {
     let now = Time::from_micros(1_000_000);
     let settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
     let operator =
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -3,7 +3,7 @@
 //! Events and the time go in, [`Out`] messages come out. Nothing here touches
 //! a socket or a clock, so tests run whole clusters in simulated time.
 
-use crate::admin_api::{AdminApi, Limits};
+use crate::admin_api::{AdminApi, AdminLimits, PendingQueries};
 use crate::calls::Tag;
 use crate::configuration::Configuration;
 use crate::directives::Directives;
@@ -75,7 +75,7 @@
     faults: Faults,
 }
 
-mod operators;
+mod admin;
 mod replies;
 mod requests;
 mod timers;
@@ -94,9 +94,9 @@
             let guard = Guard::new(keys, format!("{nonce:x}"), d.max_clock_skew_s, MAX_NONCES);
             AdminApi::new(
                 guard,
-                Limits {
-                    waiting: d.max_pending,
-                    rps: d.rps,
+                AdminLimits {
+                    max_waiting: d.max_pending,
+                    max_rps: d.rps,
                 },
             )
         });
@@ -181,20 +181,17 @@
             );
         }
         let new = &mut out[before..];
-        self.translate(new);
+        self.rewrite_delegated(new);
         self.metrics.on_effects(now, new);
     }
 
     fn tick_configuration(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
-        let asked = self
-            .admin_api
-            .as_ref()
-            .is_some_and(AdminApi::asks_configuration);
+        let asked = self.admin_needs(PendingQueries::needs_fresh_configuration);
         let lease_id = self.election.lease_id();
         let mut told = Vec::new();
         self.configuration
             .tick(now, wall, (asked, lease_id), &mut self.store, &mut told);
-        self.answer_configured(told, out);
+        self.answer_configuration_changes(told, out);
     }
 
     /// All loops, until nothing more follows from what is known.
@@ -202,7 +199,7 @@
         for _ in 0..4 {
             self.election.tick(now, &mut self.store);
             let follow = self.scheduler.is_some();
-            let asks = self.admin_api.as_ref().is_some_and(AdminApi::asks_book);
+            let asks = self.admin_needs(PendingQueries::needs_fresh_jobs);
             self.job_store.tick(
                 now,
                 self.user_api.needs_fresh_jobs() || asks,
@@ -210,13 +207,10 @@
                 &mut self.store,
             );
             let mut told = Vec::new();
-            let asks = self
-                .admin_api
-                .as_ref()
-                .is_some_and(AdminApi::asks_directives);
+            let asks = self.admin_needs(PendingQueries::needs_fresh_directives);
             self.directives
                 .tick(now, wall, asks, &mut self.store, &mut told);
-            self.answer_changes(told, out);
+            self.answer_directive_changes(told, out);
             self.tick_configuration(now, wall, out);
             self.user_api
                 .tick(now, &self.job_store, &mut self.store, out);
@@ -288,7 +282,7 @@
         self.awake(now, wall);
         let before = out.len();
         if listener == ADMIN_LISTENER {
-            self.operators_request(now, wall, id, &request, out);
+            self.on_admin_request(now, wall, id, &request, out);
             self.run(now, wall, out);
         } else {
             self.take_request(now, wall, id, request, out);
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -73,7 +73,7 @@
             Tag::DirectiveChange(serial) => {
                 let mut told = Vec::new();
                 self.directives.on_written(now, serial, reply, &mut told);
-                self.answer_changes(told, out);
+                self.answer_directive_changes(told, out);
             }
             Tag::Configuration(call) => {
                 self.configuration.on_reply(now, call, reply);
@@ -83,7 +83,7 @@
             Tag::ConfigurationChange(serial) => {
                 let mut told = Vec::new();
                 self.configuration.on_changed(now, serial, reply, &mut told);
-                self.answer_configured(told, out);
+                self.answer_configuration_changes(told, out);
             }
             Tag::Job(call) => {
                 let freshness = self.job_store.on_reply(now, call, reply);
@@ -237,7 +237,7 @@
                 serial,
                 query,
             } => {
-                self.asked_by_peer(now, from, serial, &query, out);
+                self.on_peer_query(now, from, serial, &query, out);
             }
             Frame::QueryResponse {
                 serial,
