--- a/crates/controller/src/node/admin/views.rs
+++ b/crates/controller/src/node/admin/views.rs
@@ -170,7 +170,7 @@
             heard_s: Some(0.0),
             ready: self.job_store.loaded(),
             drained: self.directives.active_directives().controller_drained(own),
-            stuck_ago_s: self.stuck.get(own).map(|at| now.since(*at)),
+            stuck_ago_s: self.stalled_leaders.get(own).map(|at| now.since(*at)),
         };
         let peers = self.settings.members.iter();
         let peer_rows = peers.map(|member| self.peer_row(now, &member.label));
@@ -200,7 +200,7 @@
                 .directives
                 .active_directives()
                 .controller_drained(label),
-            stuck_ago_s: self.stuck.get(label).map(|at| now.since(*at)),
+            stuck_ago_s: self.stalled_leaders.get(label).map(|at| now.since(*at)),
         }
     }
 }
--- /dev/null
+++ b/crates/controller/src/node/worker_calls.rs
@@ -0,0 +1,143 @@
+//! Calls from the leader to workers, outside of their reports.
+
+use super::worker_messages::DirectCommands;
+use super::Node;
+use crate::scheduler::DirectCall;
+use crate::worker_protocol::WorkerReport;
+use beamhinge_core::http::Method;
+use beamhinge_core::messages::{Destination, Effect};
+use beamhinge_core::types::{CallId, FencingToken, MachineId, Time};
+use beamhinge_core::wire;
+use std::net::SocketAddrV4;
+
+/// Calls in flight up to which silent machines are probed: each that is cut off holds a socket
+/// until the call times out.
+const MAX_PROBES_IN_FLIGHT: usize = 16;
+/// Time until the same machine is probed again, seconds.
+const PROBE_INTERVAL_S: f64 = 3.0;
+/// Time-out of a call, seconds.
+const CALL_TIMEOUT_S: f64 = 2.0;
+/// How long after a takeover the token is announced to workers directly, seconds.
+const MAX_ANNOUNCEMENT_S: f64 = 60.0;
+/// Time until the token is announced to the same worker again, seconds.
+const ANNOUNCEMENT_INTERVAL_S: f64 = 3.0;
+/// Workers to which the token is announced in one tick.
+const MAX_ANNOUNCEMENTS_PER_TICK: usize = 8;
+
+impl Node {
+    /// After a takeover, workers that still report elsewhere learn the new fencing token
+    /// directly: a report to this controller follows at once.
+    pub(super) fn announce_token_to_workers(&mut self, now: Time, out: &mut Vec<Effect>) {
+        let Some(scheduler) = &self.scheduler else {
+            return;
+        };
+        let since_acquired_s = now.since(scheduler.acquired_at());
+        let first_report_due_s = self.settings.params.workers.report_s * 1.5;
+        if since_acquired_s > MAX_ANNOUNCEMENT_S || since_acquired_s < first_report_due_s {
+            return;
+        }
+        let token = scheduler.fencing_token();
+        let reported = |id: MachineId| {
+            let machine = scheduler.machine(id);
+            machine.and_then(|m| m.last_heartbeat()).is_some()
+        };
+        let announced = |id: &MachineId| {
+            let at = self.token_announced_at.get(id);
+            at.is_some_and(|at| now.since(*at) <= ANNOUNCEMENT_INTERVAL_S)
+        };
+        let targets: Vec<(MachineId, SocketAddrV4)> = self
+            .fleet
+            .endpoints()
+            .filter(|(id, _)| !reported(*id) && !announced(id))
+            .take(MAX_ANNOUNCEMENTS_PER_TICK)
+            .collect();
+        for (machine, endpoint) in targets {
+            self.token_announced_at.insert(machine, now);
+            // The incarnation is unknown: any number will do, since even a refusal for the
+            // incarnation is answered after the token was compared, and there is nothing to
+            // execute.
+            let call = DirectCall {
+                machine,
+                endpoint,
+                incarnation: 1,
+                commands: Vec::new(),
+            };
+            self.call_worker(call, token, out);
+        }
+    }
+
+    /// Calls the workers on whose machines tasks are to be killed.
+    pub(super) fn send_pending_kills(&mut self, now: Time, out: &mut Vec<Effect>) {
+        // Guard 4: only while this controller is entitled to command.
+        if !self.entitled(now) {
+            return;
+        }
+        let Some(scheduler) = &mut self.scheduler else {
+            return;
+        };
+        let token = scheduler.fencing_token();
+        for call in scheduler.take_pending_kills() {
+            self.call_worker(call, token, out);
+        }
+    }
+
+    /// Probes machines that fell silent, a few at a time: those that reach no controller may
+    /// still be reached, and report what has ended there.
+    pub(super) fn probe_silent_machines(&mut self, now: Time, out: &mut Vec<Effect>) {
+        // Guard 4: only while this controller is entitled to command.
+        if !self.entitled(now) || self.worker_calls.len() >= MAX_PROBES_IN_FLIGHT {
+            return;
+        }
+        let Some(scheduler) = &self.scheduler else {
+            return;
+        };
+        let token = scheduler.fencing_token();
+        let max_probes = MAX_PROBES_IN_FLIGHT - self.worker_calls.len();
+        let is_recent = |at: &Time| now.since(*at) < PROBE_INTERVAL_S;
+        let silent: Vec<_> = scheduler
+            .silent_machines_with_tasks(now)
+            .filter(|call| !self.probed_at.get(&call.machine).is_some_and(is_recent))
+            .take(max_probes)
+            .collect();
+        self.probed_at.retain(|_, at| is_recent(at));
+        for call in silent {
+            self.probed_at.insert(call.machine, now);
+            self.call_worker(call, token, out);
+        }
+    }
+
+    fn call_worker(&mut self, call: DirectCall, token: FencingToken, out: &mut Vec<Effect>) {
+        self.next_call += 1;
+        let id = CallId(self.next_call);
+        self.worker_calls.insert(id, call.machine);
+        out.push(Effect::Call {
+            id,
+            destination: Destination::Worker(call.endpoint),
+            method: Method::Post,
+            path: "/do".into(),
+            body: wire::encode(&DirectCommands {
+                fencing_token: token.0,
+                incarnation: call.incarnation,
+                commands: call.commands,
+            }),
+            timeout_s: CALL_TIMEOUT_S,
+        });
+    }
+
+    /// A worker answered a call, or the call failed.
+    pub(super) fn on_worker_reply(&mut self, now: Time, result: Option<(u16, Vec<u8>)>) {
+        // Executed, or refused for its incarnation: either way the body is a report.
+        let body = result
+            .filter(|(status, _)| matches!(status, 200 | 409))
+            .map(|(_, body)| body);
+        let Some(report) = body.and_then(|body| wire::decode::<WorkerReport>(&body).ok()) else {
+            return;
+        };
+        // Guard 1: as with its reports.
+        let change = self.election.on_token_claim(now, report.fencing_token);
+        self.on_leadership_change(now, change);
+        if let Some(scheduler) = &mut self.scheduler {
+            scheduler.on_direct_response(now, &report, &self.job_store);
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/node/worker_reports/tests.rs
@@ -0,0 +1,42 @@
+use super::*;
+use crate::worker_protocol::{ExitCause, ReportedStatus};
+
+/// Each field of the wire maps to the field that it belongs to.
+#[test]
+fn worker_report_fields_map_to_report() {
+    let body = serde_json::json!({"host": "n-000231", "endpoint": "10.1.0.232:9000", "shape": "g8",
+        "yard": "a", "loaners": true, "tenure": 1, "tick": 88, "baton": 41, "reclaimInS": 12.5,
+        "unknown": {}, "pieces": [{"piece": "job-000412/3", "try": 2, "status": "running"},
+        {"piece": "job-000398/0", "try": 7, "status": "exited", "cause": "done", "saved": true}]});
+    let r: WorkerReport = wire::decode(&wire::encode(&body)).expect("a report");
+    assert_eq!(
+        (r.host.as_str(), r.endpoint.as_str()),
+        ("n-000231", "10.1.0.232:9000")
+    );
+    assert_eq!(
+        (r.machine_type.as_str(), r.zone.as_str(), r.spot),
+        ("g8", "a", true)
+    );
+    assert_eq!(
+        (r.incarnation, r.sequence, r.fencing_token, r.reclaim_in_s),
+        (1, 88, 41, Some(12.5))
+    );
+    let pieces: Vec<_> = r
+        .reported_tasks
+        .iter()
+        .map(|p| (p.task.as_str(), p.attempt, p.status, p.cause.as_ref()))
+        .collect();
+    let first = ("job-000412/3", 2, ReportedStatus::Running, None);
+    assert_eq!(
+        pieces,
+        [
+            first,
+            (
+                "job-000398/0",
+                7,
+                ReportedStatus::Exited,
+                Some(&ExitCause::Done)
+            )
+        ]
+    );
+}
