--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -1,48 +1,110 @@
-//! Which controllers a client talks to, and as whom.
+//! Which controllers a client talks to, and with which key.
 //!
-//! An INI file holds named contexts; environment variables override it, flags
-//! override both. Without any, the addresses are those of `beamhinge up`.
+//! An INI file holds named contexts; environment variables override it, flags override both.
+//! Without any, the addresses are those of `beamhinge up`.
 
 use beamhinge_admin_api::auth::{Key, KeyError};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
-/// Where the operators' doors of `beamhinge up` are.
+/// Ports of the admin API's listeners of `beamhinge up`.
 pub const UP_PORTS: [u16; 3] = [7_910, 7_920, 7_930];
 
+/// Why no configuration can be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    #[error("cannot read {0}: {1}")]
-    Read(PathBuf, std::io::Error),
-    #[error("{0}: {1}")]
-    Form(PathBuf, String),
-    #[error("there is no context '{0}' in {1}; it has: {2}")]
-    NoContext(String, PathBuf, String),
+    /// The file cannot be read.
+    #[error("cannot read {file}: {source}")]
+    Read {
+        /// The file.
+        file: PathBuf,
+        /// The cause.
+        source: std::io::Error,
+    },
+    /// The file is not INI.
+    #[error("{file}: {source}")]
+    Ini {
+        /// The file.
+        file: PathBuf,
+        /// The cause.
+        source: ini::ParseError,
+    },
+    /// The file holds an entry that is not known, or lacks one.
+    #[error("{file}: {source}")]
+    Invalid {
+        /// The file.
+        file: PathBuf,
+        /// The entry.
+        source: InvalidEntry,
+    },
+    /// The file holds no context of this name.
+    #[error("there is no context '{name}' in {file}; it has: {known}")]
+    NoContext {
+        /// The name that was asked for.
+        name: String,
+        /// The file.
+        file: PathBuf,
+        /// Names of the file's contexts.
+        known: String,
+    },
+    /// Not an address.
     #[error("'{0}' is not IP:PORT, the address of a controller's operators' interface")]
     Address(String),
+    /// The key file cannot be used.
     #[error(transparent)]
     Key(#[from] KeyError),
+    /// The key file holds several keys and none is named.
     #[error("{0} holds several keys: name one with key_name or --key-name ({1})")]
     WhichKey(PathBuf, String),
+    /// The key file holds no key of this name.
     #[error("{0} holds no key named '{1}'")]
     NoKey(PathBuf, String),
 }
 
+/// An entry of the file that cannot be used.
+#[derive(Debug, PartialEq, thiserror::Error)]
+pub enum InvalidEntry {
+    /// An unknown key.
+    #[error("[{section}] {key} is not known")]
+    UnknownKey {
+        /// Section of the entry.
+        section: String,
+        /// Its key.
+        key: String,
+    },
+    /// An unknown section.
+    #[error("[{0}] is neither [client] nor [context NAME]")]
+    UnknownSection(String),
+    /// A context without controllers.
+    #[error("[context {0}] names no controllers")]
+    NoControllers(String),
+}
+
+/// A cluster to talk to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Context {
+    /// Name of the context.
     pub name: String,
+    /// Addresses of the admin API of the controllers.
     pub controllers: Vec<SocketAddrV4>,
+    /// File with keys, if requests are signed.
     pub key: Option<PathBuf>,
+    /// Name of the key in the file.
     pub key_name: Option<String>,
 }
 
-/// What flags or the environment say beside the file.
+/// Values from flags or the environment, which go before those of the file.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
+    /// The file to read instead of the default one.
     pub file: Option<PathBuf>,
+    /// Name of the context to use.
     pub context: Option<String>,
+    /// Addresses, separated by commas or spaces.
     pub controllers: Option<String>,
+    /// File with keys.
     pub key: Option<PathBuf>,
+    /// Name of the key in the file.
     pub key_name: Option<String>,
 }
 
@@ -55,6 +117,7 @@
     Some(base.join("beamhinge").join("config.ini"))
 }
 
+/// Parses addresses that are separated by commas or spaces.
 fn addresses(text: &str) -> Result<Vec<SocketAddrV4>, ConfigError> {
     let words = text
         .split([',', ' '])
@@ -65,61 +128,88 @@
         .collect()
 }
 
-/// All contexts of a file, and the one it calls current.
+/// Parses all contexts of a file, and the name of its current one.
+///
+/// # Errors
+///
+/// [`ConfigError`] if the text is not INI, or an entry is unknown or invalid.
 pub fn parse(file: &Path, text: &str) -> Result<(Vec<Context>, Option<String>), ConfigError> {
-    let form = |why: String| ConfigError::Form(file.to_path_buf(), why);
-    let ini = ini::Ini::load_from_str(text).map_err(|e| form(e.to_string()))?;
+    let invalid = |source: InvalidEntry| ConfigError::Invalid {
+        file: file.to_path_buf(),
+        source,
+    };
+    let ini = ini::Ini::load_from_str(text).map_err(|source| ConfigError::Ini {
+        file: file.to_path_buf(),
+        source,
+    })?;
     let (mut contexts, mut current) = (Vec::new(), None);
     for (section, entries) in ini.iter() {
-        match section.map(|s| (s, s.strip_prefix("context "))) {
-            None if entries.is_empty() => {}
-            Some(("client", _)) => {
-                for (key, value) in entries.iter() {
-                    match key {
-                        "current" => current = Some(value.trim().to_string()),
-                        other => return Err(form(format!("[client] {other} is not known"))),
-                    }
-                }
-            }
-            Some((_, Some(name))) => {
-                let mut context = Context {
-                    name: name.trim().into(),
-                    ..Context::default()
-                };
-                for (key, value) in entries.iter() {
-                    match key {
-                        "controllers" => context.controllers = addresses(value)?,
-                        "key" => context.key = Some(PathBuf::from(value.trim())),
-                        "key_name" => context.key_name = Some(value.trim().into()),
-                        other => {
-                            return Err(form(format!("[context {name}] {other} is not known")))
-                        }
-                    }
-                }
-                if context.controllers.is_empty() {
-                    return Err(form(format!("[context {name}] names no controllers")));
+        let section = match section {
+            None if entries.is_empty() => continue,
+            None => return Err(invalid(InvalidEntry::UnknownSection(String::new()))),
+            Some(section) => section,
+        };
+        if section == "client" {
+            for (key, value) in entries.iter() {
+                if key != "current" {
+                    return Err(invalid(InvalidEntry::UnknownKey {
+                        section: section.into(),
+                        key: key.into(),
+                    }));
                 }
-                contexts.push(context);
+                current = Some(value.trim().to_string());
             }
+        } else if let Some(name) = section.strip_prefix("context ") {
+            contexts.push(parse_context(name, entries, invalid)?);
+        } else {
+            return Err(invalid(InvalidEntry::UnknownSection(section.into())));
+        }
+    }
+    Ok((contexts, current))
+}
+
+fn parse_context(
+    name: &str,
+    entries: &ini::Properties,
+    invalid: impl Fn(InvalidEntry) -> ConfigError,
+) -> Result<Context, ConfigError> {
+    let mut context = Context {
+        name: name.trim().into(),
+        ..Context::default()
+    };
+    for (key, value) in entries.iter() {
+        match key {
+            "controllers" => context.controllers = addresses(value)?,
+            "key" => context.key = Some(PathBuf::from(value.trim())),
+            "key_name" => context.key_name = Some(value.trim().into()),
             other => {
-                let name = other.map_or("", |(s, _)| s);
-                return Err(form(format!(
-                    "[{name}] is neither [client] nor [context NAME]"
-                )));
+                return Err(invalid(InvalidEntry::UnknownKey {
+                    section: format!("context {name}"),
+                    key: other.into(),
+                }))
             }
         }
     }
-    Ok((contexts, current))
+    if context.controllers.is_empty() {
+        return Err(invalid(InvalidEntry::NoControllers(name.into())));
+    }
+    Ok(context)
 }
 
-/// The context to use: flags and environment over the file over the defaults.
+/// Chooses the context: flags and environment go before the file, the file before the defaults.
+///
+/// # Errors
+///
+/// [`ConfigError`] if the file cannot be used or the context does not exist.
 pub fn choose(overrides: &Overrides) -> Result<Context, ConfigError> {
     let file = overrides.file.clone().or_else(default_file);
     let named = overrides.file.is_some();
     let (contexts, current) = match &file {
         Some(path) if named || path.exists() => {
-            let text =
-                std::fs::read_to_string(path).map_err(|e| ConfigError::Read(path.clone(), e))?;
+            let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
+                file: path.clone(),
+                source,
+            })?;
             parse(path, &text)?
         }
         _ => (Vec::new(), None),
@@ -127,10 +217,14 @@
     let wanted = overrides.context.clone().or(current);
     let mut context = match wanted {
         Some(name) => {
-            let all: Vec<&str> = contexts.iter().map(|c| c.name.as_str()).collect();
-            let all = all.join(", ");
+            let known: Vec<&str> = contexts.iter().map(|c| c.name.as_str()).collect();
+            let known = known.join(", ");
             let found = contexts.iter().find(|c| c.name == name).cloned();
-            found.ok_or_else(|| ConfigError::NoContext(name, file.unwrap_or_default(), all))?
+            found.ok_or_else(|| ConfigError::NoContext {
+                name,
+                file: file.unwrap_or_default(),
+                known,
+            })?
         }
         None => contexts.into_iter().next().unwrap_or_else(|| Context {
             name: "up".into(),
@@ -157,7 +251,11 @@
 }
 
 impl Context {
-    /// The key that signs, if the context names a key file.
+    /// Loads the key that signs, if the context names a key file.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError`] if the file cannot be read or the key cannot be told.
     pub fn load_key(&self) -> Result<Option<Key>, ConfigError> {
         let Some(path) = &self.key else {
             return Ok(None);
@@ -180,52 +278,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const FILE: &str = "[client]\ncurrent = plant\n\n[context plant]\ncontrollers = 127.0.0.1:1, 127.0.0.1:2\nkey = /k\n\n[context lab]\ncontrollers = 127.0.0.1:3\n";
-
-    #[test]
-    fn contexts_are_named_and_mistakes_are_too() {
-        let (contexts, current) = parse(Path::new("f"), FILE).expect("sound");
-        assert_eq!((contexts.len(), current.as_deref()), (2, Some("plant")));
-        assert_eq!(contexts[0].controllers.len(), 2);
-        for (bad, names) in [
-            ("[context a]\ncontrollers = here\n", "here"),
-            ("[context a]\n", "names no controllers"),
-            ("[context a]\ncontrolers = 127.0.0.1:1\n", "controlers"),
-            ("[contexts]\nx = 1\n", "contexts"),
-        ] {
-            let error = parse(Path::new("f"), bad).expect_err(bad).to_string();
-            assert!(error.contains(names), "{error}");
-        }
-    }
-
-    #[test]
-    fn flags_go_before_the_file_and_the_file_before_the_defaults() {
-        let dir = std::env::temp_dir().join(format!("beamhinge-config-{}", std::process::id()));
-        std::fs::create_dir_all(&dir).expect("a folder");
-        let file = dir.join("config.ini");
-        std::fs::write(&file, FILE).expect("written");
-        let with = |context: Option<&str>, controllers: Option<&str>| {
-            choose(&Overrides {
-                file: Some(file.clone()),
-                context: context.map(str::to_string),
-                controllers: controllers.map(str::to_string),
-                ..Overrides::default()
-            })
-        };
-        assert_eq!(with(None, None).expect("current").name, "plant");
-        assert_eq!(
-            with(Some("lab"), None).expect("named").controllers[0].port(),
-            3
-        );
-        assert_eq!(
-            with(None, Some("127.0.0.1:9")).expect("given").controllers[0].port(),
-            9
-        );
-        let error = with(Some("mars"), None).expect_err("no such").to_string();
-        assert!(error.contains("plant, lab"), "{error}");
-        std::fs::remove_dir_all(&dir).expect("removed");
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/client/src/routing/tests.rs
@@ -0,0 +1,80 @@
+use super::{Outcome, Routing, RoutingDecision, MAX_BACKOFF_S, MAX_RETRY_AFTER_S};
+use rand::rngs::SmallRng;
+use rand::SeedableRng;
+use std::net::SocketAddrV4;
+
+fn routing(n: u16) -> Routing {
+    let addrs: Vec<SocketAddrV4> = (0..n)
+        .map(|i| SocketAddrV4::new([127, 0, 0, 1].into(), 9_000 + i))
+        .collect();
+    Routing::new(&addrs, 1)
+}
+
+#[test]
+fn failure_moves_on_and_the_answering_controller_is_preferred() {
+    let mut r = routing(3);
+    assert_eq!(r.next(0.0), RoutingDecision::Try(0));
+    r.record(0.0, 0, Outcome::Failed);
+    assert_eq!(r.next(0.0), RoutingDecision::Try(1));
+    r.record(0.0, 1, Outcome::Answered);
+    assert_eq!(
+        r.next(100.0),
+        RoutingDecision::Try(1),
+        "not back to the first"
+    );
+}
+
+#[test]
+fn retry_after_is_obeyed_up_to_the_maximum() {
+    let mut r = routing(1);
+    r.record(0.0, 0, Outcome::Busy(Some(3)));
+    let RoutingDecision::Wait(s) = r.next(0.0) else {
+        panic!("it asked to be left alone")
+    };
+    assert!((3.0..4.6).contains(&s), "{s}");
+    r.record(0.0, 0, Outcome::Busy(Some(86_400)));
+    assert!(matches!(
+        r.next(MAX_RETRY_AFTER_S + 0.1),
+        RoutingDecision::Try(0)
+    ));
+}
+
+#[test]
+fn backoff_grows_to_the_maximum_with_jitter() {
+    let mut r = routing(1);
+    let mut waits = Vec::new();
+    let mut now = 0.0;
+    for _ in 0..12 {
+        r.record(now, 0, Outcome::Failed);
+        let RoutingDecision::Wait(s) = r.next(now) else {
+            panic!("it failed just now")
+        };
+        waits.push(s);
+        now += s;
+    }
+    assert!(waits[0] < 0.35 && waits[11] > 1.0, "{waits:?}");
+    assert!(waits.iter().all(|s| *s <= MAX_BACKOFF_S * 1.5), "{waits:?}");
+    let firsts: Vec<f64> = (0..20)
+        .map(|seed| {
+            let mut r = routing(1);
+            r.rng = SmallRng::seed_from_u64(seed);
+            r.record(0.0, 0, Outcome::Failed);
+            r.endpoints[0].retry_at
+        })
+        .collect();
+    let spread =
+        firsts.iter().fold(0.0f64, |a, b| a.max(*b)) - firsts.iter().fold(9.0f64, |a, b| a.min(*b));
+    assert!(spread > 0.05, "many clients come in one moment: {firsts:?}");
+}
+
+/// A controller that is restarted again and again must not hold a client
+/// in a tight loop of hellos.
+#[test]
+fn repeated_restarts_lead_to_backoff() {
+    let mut r = routing(1);
+    for _ in 0..3 {
+        assert_eq!(r.next(0.0), RoutingDecision::Try(0));
+        r.record(0.0, 0, Outcome::Restarted);
+    }
+    assert!(matches!(r.next(0.0), RoutingDecision::Wait(_)));
+}
--- a/crates/testbed/src/doors.rs
+++ b/crates/testbed/src/doors.rs
@@ -5,7 +5,7 @@
 use crate::TestbedError;
 use beamhinge_admin_api::auth::{Key, Role, Signed};
 use beamhinge_admin_api::messages::{Hello, JobRequest, Problem};
-use beamhinge_client::wire::Connection;
+use beamhinge_client::connection::Connection;
 use beamhinge_client::{wall_ms, Client, ClientError, Timeouts};
 use beamhinge_core::http::Method;
 use serde_json::{json, Value};
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -6,7 +6,7 @@
 use crate::place::{self, Folder, Lab};
 use crate::TestbedError;
 use beamhinge_admin_api::messages::{JobRequest, State};
-use beamhinge_client::wire::Connection;
+use beamhinge_client::connection::Connection;
 use beamhinge_client::{Client, ClientError};
 use beamhinge_core::http::{Content, Method};
 use beamhinge_core::wire;
