--- a/crates/controller/src/capacity_planner.rs
+++ b/crates/controller/src/capacity_planner.rs
@@ -93,7 +93,7 @@
 fn deadline_s(demand: &Demand, settings: &Settings) -> Option<f64> {
     let objective = settings.tightest_objective_s("finished", &demand.class);
     let deadline = demand
-        .due_s
+        .deadline_s
         .into_iter()
         .chain(objective)
         .min_by(f64::total_cmp);
@@ -132,7 +132,7 @@
         window_s,
         fetch_s,
         setup_s,
-        work: f64::from(demand.left) * demand.run_s / slot_s,
+        work: f64::from(demand.remaining_tasks) * demand.run_s / slot_s,
         usable_window: usable_s / slot_s,
     }
 }
@@ -163,12 +163,13 @@
 
     /// A job without deadline wants capacity for all its tasks, in the order of arrival.
     fn add_job_without_deadline(&mut self, demand: &Demand, choice: TypeChoice, boot_s: f64) {
-        self.target(choice.machine_type).spot += f64::from(demand.left) / tasks_per_machine(choice);
+        self.target(choice.machine_type).spot +=
+            f64::from(demand.remaining_tasks) / tasks_per_machine(choice);
         self.enqueue(
             choice.machine_type,
             QueuedTasks {
                 rank: QueueRank {
-                    inverse_priority: u8::MAX - demand.urgency,
+                    inverse_priority: u8::MAX - demand.priority,
                     late: false,
                 },
                 left_s: -demand.age_s,
@@ -346,7 +347,7 @@
         let Some(machine_type) = plan.machine_types.get(choice.machine_type) else {
             return;
         };
-        let left = f64::from(demand.left);
+        let left = f64::from(demand.remaining_tasks);
         plan.target(choice.machine_type);
         let may_wait = plan
             .settings
@@ -379,7 +380,7 @@
         timing: &Timing,
         may_wait: bool,
     ) {
-        let left = f64::from(demand.left);
+        let left = f64::from(demand.remaining_tasks);
         let late = timing.window_s < demand.run_s * 0.5;
         if !may_wait && !self.jobs.contains_key(&demand.job) {
             let arrivals = self.arrivals.entry(demand.class.clone()).or_default();
@@ -406,7 +407,7 @@
         let must_start = if late {
             0
         } else {
-            (parts.ordinary.ceil() as u32).min(waiting)
+            (parts.on_demand.ceil() as u32).min(waiting)
         };
         let latest_start_s = timing.window_s - demand.run_s - timing.fetch_s;
         for (count, latest_start_s) in [
@@ -417,7 +418,7 @@
                 choice.machine_type,
                 QueuedTasks {
                     rank: QueueRank {
-                        inverse_priority: u8::MAX - demand.urgency,
+                        inverse_priority: u8::MAX - demand.priority,
                         late,
                     },
                     left_s: timing.window_s,
@@ -472,7 +473,7 @@
             owned_availability,
             spot_availability,
         } = self.learner.parameters(job.parameters);
-        let left = f64::from(demand.left);
+        let left = f64::from(demand.remaining_tasks);
         let parts = split::split(
             left,
             work,
@@ -489,7 +490,7 @@
             beta: spot_availability,
             owned: parts.owned,
             spot: parts.spot,
-            ordinary: parts.ordinary,
+            ordinary: parts.on_demand,
             slack: finite(split::slackness(width, work, usable_window)),
             nu: finite(split::spot_bids(
                 width,
@@ -536,8 +537,8 @@
             return (job.parameters, job.owned);
         }
         let replayed = ReplayedJob {
-            width: f64::from(demand.left),
-            work: f64::from(demand.left) * demand.run_s / self.slot_s,
+            width: f64::from(demand.remaining_tasks),
+            work: f64::from(demand.remaining_tasks) * demand.run_s / self.slot_s,
             window: (window_s / self.slot_s).max(0.0),
         };
         let (parameters, owned) = match self.restored.remove(&demand.job) {
@@ -586,7 +587,7 @@
     timing: &Timing,
     may_wait: bool,
 ) -> f64 {
-    let left = f64::from(demand.left);
+    let left = f64::from(demand.remaining_tasks);
     let boot_s = plan
         .machine_types
         .get(choice.machine_type)
@@ -601,7 +602,7 @@
     };
     (left / sequential)
         .ceil()
-        .max(f64::from(demand.placed).min(left))
+        .max(f64::from(demand.placed_tasks).min(left))
 }
 
 #[cfg(test)]
--- a/crates/controller/src/capacity_planner/arrivals.rs
+++ b/crates/controller/src/capacity_planner/arrivals.rs
@@ -88,7 +88,7 @@
 
     /// What a new leader needs; none for a class that has ended, and for one that is bound to
     /// types or a zone, which its next job tells. `latest` is the latest job of the class.
-    pub(super) fn to_stored(&mut self, latest: &Demand, now: Time) -> Option<StoredLoad> {
+    pub(super) fn stored_load(&mut self, latest: &Demand, now: Time) -> Option<StoredLoad> {
         let bound = latest.machine_types.is_some() || latest.zone.is_some();
         if bound || self.has_ended(now) {
             return None;
--- a/crates/controller/src/capacity_planner/persistence.rs
+++ b/crates/controller/src/capacity_planner/persistence.rs
@@ -92,7 +92,7 @@
         self.arrivals
             .iter_mut()
             .filter_map(|(class, arrivals)| {
-                let load = arrivals.to_stored(latest.get(class)?, now)?;
+                let load = arrivals.stored_load(latest.get(class)?, now)?;
                 Some((class.to_string(), load))
             })
             .collect()
--- a/crates/controller/src/capacity_planner/tests.rs
+++ b/crates/controller/src/capacity_planner/tests.rs
@@ -50,19 +50,19 @@
             gpus: 0.0,
             memory_gb: 4.0,
         },
-        left: 10,
-        placed: 0,
+        remaining_tasks: 10,
+        placed_tasks: 0,
         run_s: 20.0,
         age_s: 0.0,
-        due_s: None,
+        deadline_s: None,
         image_gb: 1.0,
-        urgency: 2,
+        priority: 2,
         deadline_array: true,
         spot: true,
         machine_types: None,
         zone: None,
     };
-    let load = a.to_stored(&d, at(60.0)).expect("it is not dry");
+    let load = a.stored_load(&d, at(60.0)).expect("it is not dry");
     let stored: StoredLoad = wire::from_value(&wire::to_value(&load)).expect("what was written");
     assert!(stored == load && stored.is_plausible());
     let operator = OperatorSettings::default();
@@ -99,7 +99,7 @@
     );
     assert_eq!(ready(100.0), 0.0, "nothing came any more");
     assert!(
-        a.to_stored(&d, at(200.0)).is_none(),
+        a.stored_load(&d, at(200.0)).is_none(),
         "a dry class is not stored"
     );
     assert!(!StoredLoad {
--- a/crates/controller/src/fleet/cloud_protocol/tests.rs
+++ b/crates/controller/src/fleet/cloud_protocol/tests.rs
@@ -20,10 +20,10 @@
 
 #[test]
 fn answers_of_the_cloud_are_read_field_by_field() {
-    fn read<T: serde::de::DeserializeOwned>(body: serde_json::Value) -> T {
-        wire::decode(&wire::encode(&body)).expect("an answer")
+    fn read<T: serde::de::DeserializeOwned>(body: &serde_json::Value) -> T {
+        wire::decode(&wire::encode(body)).expect("an answer")
     }
-    let catalog: Catalog = read(serde_json::json!({"shapes": [{"label": "g8", "vcpus": 96,
+    let catalog: Catalog = read(&serde_json::json!({"shapes": [{"label": "g8", "vcpus": 96,
         "cards": 8, "memoryGb": 768, "cacheGb": 200, "fetchGbPerS": 1.5, "rate": 12.0,
         "lowPrice": 4.5, "bootS": 45, "yards": ["a", "b"]}]}));
     let f = &catalog.machine_types[0];
@@ -34,7 +34,7 @@
     );
     assert_eq!((f.rate, f.low_price, f.boot_s), (12.0, 4.5, 45.0));
     assert_eq!(f.zones, ["a", "b"]);
-    let list: HostList = read(serde_json::json!({"hosts": [{"nameId": "n-000231",
+    let list: HostList = read(&serde_json::json!({"hosts": [{"nameId": "n-000231",
         "endpoint": "10.1.0.232:9000", "shape": "g8", "yard": "a", "loaners": true,
         "status": "running", "heldS": 61.5}], "more": true}));
     let h = &list.hosts[0];
@@ -47,6 +47,6 @@
     assert_eq!(names, ("n-000231", "g8", "a", "running"));
     assert_eq!(h.endpoint.as_deref(), Some("10.1.0.232:9000"));
     assert_eq!((h.spot, h.held_s, list.more), (true, 61.5, true));
-    let rented: ScaleOutResponse = read(serde_json::json!({"hosts": ["n-000231"]}));
+    let rented: ScaleOutResponse = read(&serde_json::json!({"hosts": ["n-000231"]}));
     assert_eq!(rented.hosts, ["n-000231"]);
 }
--- a/crates/controller/src/fleet/forecast.rs
+++ b/crates/controller/src/fleet/forecast.rs
@@ -5,7 +5,7 @@
 use super::scale_plan::BOOT_SPREAD;
 use super::term::LeaderTerm;
 use super::Fleet;
-use crate::scheduler::Scheduler;
+use crate::scheduler::{Machine, Scheduler};
 use crate::split::{self, Demand, MachineType};
 use beamhinge_admin_api::directives::{Directive, Target};
 use beamhinge_admin_api::messages::{MachinePage, MachineRow, PairRow, Splits as SplitPage};
@@ -142,7 +142,7 @@
         let machine = scheduler.machine(id);
         let index = instance
             .map(|i| i.machine_type)
-            .or(machine.and_then(|m| m.machine_type()))?;
+            .or(machine.and_then(Machine::machine_type))?;
         let machine_type = self.machine_types.get(index)?;
         let mut row = MachineRow {
             machine: id.to_string(),
@@ -150,7 +150,7 @@
             zone: instance.map(|i| i.zone.clone()).unwrap_or_default(),
             spot: instance
                 .map(|i| i.spot)
-                .or(machine.map(|m| m.is_spot()))
+                .or(machine.map(Machine::is_spot))
                 .unwrap_or(false),
             owned: instance.is_some_and(|i| i.owned),
             state: "starting".into(),
--- a/crates/controller/src/fleet/instance.rs
+++ b/crates/controller/src/fleet/instance.rs
@@ -3,7 +3,7 @@
 use super::cloud_protocol::HostRow;
 use crate::directives::ActiveDirectives;
 use crate::scheduler::Machine;
-use crate::split::{Class, MachineType};
+use crate::split::{MachineClass, MachineType};
 use beamhinge_admin_api::directives::Directive;
 use beamhinge_core::types::{MachineId, Time};
 use std::fmt;
@@ -105,7 +105,7 @@
 
 impl Instance {
     /// A machine of a class in a zone that was not seen in any list yet.
-    pub(super) fn unlisted(class: Class, zone: String, rented_at: Time) -> Instance {
+    pub(super) fn unlisted(class: MachineClass, zone: String, rented_at: Time) -> Instance {
         Instance {
             machine_type: class.machine_type,
             zone,
@@ -122,7 +122,7 @@
 
     /// A machine that was first seen in the list.
     pub(super) fn from_listing(row: &HostRow, machine_type: usize, now: Time) -> Instance {
-        let class = Class {
+        let class = MachineClass {
             machine_type,
             spot: row.spot,
         };
@@ -133,8 +133,8 @@
         }
     }
 
-    pub(super) fn class(&self) -> Class {
-        Class {
+    pub(super) fn class(&self) -> MachineClass {
+        MachineClass {
             machine_type: self.machine_type,
             spot: self.spot,
         }
--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -4,7 +4,7 @@
 use super::term::LeaderTerm;
 use super::{silence_thresholds, LivenessView, TickContext};
 use crate::scheduler::{Machine, Scheduler};
-use crate::split::{Class, MachineType};
+use crate::split::{MachineClass, MachineType};
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{MachineId, Time};
 #[cfg(feature = "faults")]
@@ -169,7 +169,7 @@
         let dead_after_s = silence_thresholds(context.settings).dead_after_s;
         let mut observations = Vec::new();
         for (id, instance) in &mut self.instances {
-            let last_heartbeat = scheduler.machine(*id).and_then(|m| m.last_heartbeat());
+            let last_heartbeat = scheduler.machine(*id).and_then(Machine::last_heartbeat);
             // It reports again: the return is called off while it can be.
             if instance.scale_in == ScaleInState::PendingSilent
                 && last_heartbeat.is_some_and(|at| now.since(at) < dead_after_s / 2.0)
@@ -260,12 +260,12 @@
             }
             let machine = scheduler.machine(*id);
             let boot_s = instance.boot_s(machine_types);
-            let never_reported = machine.and_then(|m| m.last_heartbeat()).is_none();
+            let never_reported = machine.and_then(Machine::last_heartbeat).is_none();
             let boot_overdue = now.since(instance.rented_at) > boot_s * 1.9 + 5.0
                 && leading_s > boot_s * 0.5 + lease_s;
             let reason = if instance.status == InstanceStatus::Failed {
                 ScaleInReason::Failed
-            } else if machine.is_some_and(|m| m.is_quarantined()) {
+            } else if machine.is_some_and(Machine::is_quarantined) {
                 ScaleInReason::Quarantined
             } else if never_reported && !instance.was_up(machine) && boot_overdue {
                 ScaleInReason::NeverBooted
@@ -297,7 +297,7 @@
             let Some(machine_type) = machine.machine_type().filter(|_| !known && reports) else {
                 continue;
             };
-            let class = Class {
+            let class = MachineClass {
                 machine_type,
                 spot: machine.is_spot(),
             };
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -154,12 +154,12 @@
         settings: &Settings,
     ) {
         self.queue.clear();
-        #[allow(unused_mut)]
-        let mut term = LeaderTerm::new(now, token, operator, settings);
+        let term = LeaderTerm::new(now, token, operator, settings);
         #[cfg(feature = "faults")]
-        {
-            term.faults = self.faults;
-        }
+        let term = LeaderTerm {
+            faults: self.faults,
+            ..term
+        };
         self.term = Some(term);
     }
 
--- a/crates/controller/src/fleet/rentals.rs
+++ b/crates/controller/src/fleet/rentals.rs
@@ -9,7 +9,7 @@
 };
 use crate::calls::{FleetCall, Tag};
 use crate::leader_election::BLOCK_KEY;
-use crate::split::Class;
+use crate::split::MachineClass;
 use crate::store::{CommitResponse, Outcome, Priority, ScanResponse, StoreClient};
 use beamhinge_core::types::{FencingToken, MachineId, Revision, Time};
 use beamhinge_core::wire;
@@ -58,8 +58,8 @@
 }
 
 impl Rental {
-    pub(super) fn class(&self) -> Class {
-        Class {
+    pub(super) fn class(&self) -> MachineClass {
+        MachineClass {
             machine_type: self.machine_type,
             spot: self.entry.spot,
         }
--- a/crates/controller/src/fleet/scale_in.rs
+++ b/crates/controller/src/fleet/scale_in.rs
@@ -4,7 +4,7 @@
 use super::term::LeaderTerm;
 use super::TickContext;
 use crate::scheduler::{Machine, Scheduler};
-use crate::split::{Class, MachineType};
+use crate::split::{MachineClass, MachineType};
 use beamhinge_admin_api::directives::Afterwards;
 use beamhinge_core::types::{MachineId, Time};
 use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction};
@@ -115,7 +115,7 @@
     pub(super) fn scale_in_surplus(
         &mut self,
         context: &TickContext,
-        mut surplus: BTreeMap<Class, u32>,
+        mut surplus: BTreeMap<MachineClass, u32>,
         machine_types: &[MachineType],
         scheduler: &mut Scheduler,
     ) {
--- a/crates/controller/src/fleet/scale_out.rs
+++ b/crates/controller/src/fleet/scale_out.rs
@@ -6,7 +6,7 @@
 use super::rentals::{Ask, Market, Rental};
 use super::term::LeaderTerm;
 use crate::scheduler::Scheduler;
-use crate::split::{Class, MachineType};
+use crate::split::{MachineClass, MachineType};
 use beamhinge_admin_api::messages::What;
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{MachineId, Time};
@@ -38,7 +38,7 @@
     pub(super) fn scale_out(
         &mut self,
         now: Time,
-        class: Class,
+        class: MachineClass,
         count: u32,
         machine_types: &[MachineType],
         settings: &Settings,
@@ -63,7 +63,7 @@
     /// Spreads a request over the zones that do not refuse the class, the emptier first.
     fn spread_over_zones<'a>(
         &self,
-        class: Class,
+        class: MachineClass,
         count: u32,
         machine_type: &'a MachineType,
         settings: &Settings,
@@ -220,7 +220,7 @@
     }
 }
 
-fn market(class: Class, zone: &str) -> Market {
+fn market(class: MachineClass, zone: &str) -> Market {
     Market {
         machine_type: class.machine_type,
         zone: zone.to_string(),
--- a/crates/controller/src/fleet/scale_plan.rs
+++ b/crates/controller/src/fleet/scale_plan.rs
@@ -7,7 +7,7 @@
 use crate::capacity_planner::{FreeCapacity, TargetCapacity};
 use crate::directives::ActiveDirectives;
 use crate::scheduler::{Machine, Scheduler};
-use crate::split::{Class, MachineType, MarketObservation};
+use crate::split::{MachineClass, MachineType, MarketObservation};
 use beamhinge_core::types::{MachineId, Time};
 use std::collections::BTreeMap;
 
@@ -20,33 +20,33 @@
 #[derive(Default)]
 struct Capacity {
     /// All that count, by class.
-    machines: BTreeMap<Class, u32>,
+    machines: BTreeMap<MachineClass, u32>,
     /// Those of them that report.
-    up: BTreeMap<Class, u32>,
+    up: BTreeMap<MachineClass, u32>,
     /// CPUs by when they are or become free, by machine type.
     pools: BTreeMap<usize, FreeCapacity>,
     owned_cpus: f64,
     idle_owned_cpus: f64,
     /// Expected value of the shielded machines not counted yet, by class.
-    shielded_credit: BTreeMap<Class, f64>,
+    shielded_credit: BTreeMap<MachineClass, f64>,
 }
 
 impl Capacity {
-    fn count(&self, class: Class) -> u32 {
+    fn count(&self, class: MachineClass) -> u32 {
         self.machines.get(&class).copied().unwrap_or(0)
     }
 
-    fn count_up(&self, class: Class) -> u32 {
+    fn count_up(&self, class: MachineClass) -> u32 {
         self.up.get(&class).copied().unwrap_or(0)
     }
 
-    fn add_machines(&mut self, class: Class, count: u32) {
+    fn add_machines(&mut self, class: MachineClass, count: u32) {
         *self.machines.entry(class).or_default() += count;
     }
 
     /// A machine behind a broken link counts in part, so that such machines are replaced little
     /// by little as the silence grows.
-    fn add_shielded(&mut self, class: Class, silent_s: f64, machine_type: &MachineType) {
+    fn add_shielded(&mut self, class: MachineClass, silent_s: f64, machine_type: &MachineType) {
         let credit = self.shielded_credit.entry(class).or_default();
         *credit += expected_back(silent_s, machine_type.boot_s);
         if *credit >= 1.0 {
@@ -91,7 +91,7 @@
     }
 
     /// Machines that are asked for and not granted yet.
-    fn add_requested(&mut self, class: Class, count: u32, machine_types: &[MachineType]) {
+    fn add_requested(&mut self, class: MachineClass, count: u32, machine_types: &[MachineType]) {
         self.add_machines(class, count);
         if let Some(machine_type) = machine_types.get(class.machine_type) {
             let pool = self.pools.entry(class.machine_type).or_default();
@@ -104,7 +104,7 @@
 /// The machines to have.
 #[derive(Default)]
 struct Targets {
-    machines: BTreeMap<Class, u32>,
+    machines: BTreeMap<MachineClass, u32>,
     /// What the spot market shows; none while no spot machines are wanted.
     observation: Option<MarketObservation>,
 }
@@ -202,7 +202,7 @@
                 .iter()
                 .position(|t| t.label == entry.machine_type);
             if let Some(machine_type) = machine_type {
-                let class = Class {
+                let class = MachineClass {
                     machine_type,
                     spot: entry.spot,
                 };
@@ -224,7 +224,7 @@
         let (mut price, mut max_cost) = (1.0, 0.0);
         for (index, machine_type) in offered.iter().enumerate() {
             let want = wants.get(&index).copied().unwrap_or_default();
-            let class = |spot| Class {
+            let class = |spot| MachineClass {
                 machine_type: index,
                 spot,
             };
@@ -267,7 +267,7 @@
 }
 
 /// Machines over what is wanted, by class.
-fn surplus(capacity: &Capacity, targets: &Targets) -> BTreeMap<Class, u32> {
+fn surplus(capacity: &Capacity, targets: &Targets) -> BTreeMap<MachineClass, u32> {
     let mut surplus = BTreeMap::new();
     for (class, count) in &capacity.machines {
         let wanted = targets.machines.get(class).copied().unwrap_or(0);
--- a/crates/controller/src/scheduler/machine.rs
+++ b/crates/controller/src/scheduler/machine.rs
@@ -235,7 +235,7 @@
     pub(super) fn free(&self, machine_types: &[MachineType]) -> Resources {
         let mut free = self
             .lookup_type(machine_types)
-            .map(MachineType::room)
+            .map(MachineType::capacity)
             .unwrap_or_default();
         let allocations = self.resident.allocations.values();
         for allocation in allocations.filter(|a| a.may_be_on_machine()) {
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -218,7 +218,7 @@
         };
         let machine_type = machine.lookup_type(cycle.machine_types);
         machine_type.is_some_and(|machine_type| {
-            preemptor.resources.fits(&machine_type.room())
+            preemptor.resources.fits(&machine_type.capacity())
                 && is_feasible(&preemptor.spec, machine_type, machine)
         }) && !self.is_reserved_for_other(now, id, preemptor.claim.job)
     }
--- a/crates/controller/src/scheduler/victims.rs
+++ b/crates/controller/src/scheduler/victims.rs
@@ -372,7 +372,7 @@
         {
             let resources = job.resources();
             let allowed = |machine_type: &MachineType| {
-                resources.fits(&machine_type.room()) && allows_type(&job.spec, machine_type)
+                resources.fits(&machine_type.capacity()) && allows_type(&job.spec, machine_type)
             };
             let cpus: f64 = machine_types
                 .iter()
--- a/crates/controller/src/split.rs
+++ b/crates/controller/src/split.rs
@@ -17,7 +17,7 @@
 pub use beamhinge_core::resources::{Resources, EPSILON};
 pub use demand::{cheapest_type, exclusive_types, sequential_tasks, Demand, TypeChoice};
 pub use learner::{replay_cost, Learner, MarketObservation, ReplayedJob};
-pub use machine_type::{allowed_fit, Class, MachineType};
+pub use machine_type::{allowed_fit, MachineClass, MachineType};
 pub use policy::{
     final_on_demand, owned_machines, parameter_grid, slackness, split, split_remainder, spot_bids,
     PolicyParameters, Split,
--- a/crates/controller/src/split/demand.rs
+++ b/crates/controller/src/split/demand.rs
@@ -22,19 +22,19 @@
     /// What one task takes of its machine.
     pub resources: Resources,
     /// Tasks that have not ended.
-    pub left: u32,
+    pub remaining_tasks: u32,
     /// Those of them that are on a machine.
-    pub placed: u32,
+    pub placed_tasks: u32,
     /// Run time of a task, corrected by what runs of its class showed, seconds.
     pub run_s: f64,
     /// Time since its submission, seconds.
     pub age_s: f64,
     /// Deadline, seconds from its submission; none for jobs without deadline.
-    pub due_s: Option<f64>,
+    pub deadline_s: Option<f64>,
     /// Size of its image, gigabytes.
     pub image_gb: f64,
     /// Priority.
-    pub urgency: u8,
+    pub priority: u8,
     /// Whether its tasks are independent, so that it can be split.
     pub deadline_array: bool,
     /// Whether it may run on spot machines.
@@ -58,7 +58,7 @@
 
     /// Tasks that are on no machine.
     pub fn waiting(&self) -> u32 {
-        self.left.saturating_sub(self.placed)
+        self.remaining_tasks.saturating_sub(self.placed_tasks)
     }
 }
 
--- a/crates/controller/src/split/learner.rs
+++ b/crates/controller/src/split/learner.rs
@@ -77,9 +77,9 @@
             owned,
         );
         let up = observed.up.clamp(0.0, 1.0);
-        let done = (parts.owned + parts.spot * up + parts.ordinary) * step;
+        let done = (parts.owned + parts.spot * up + parts.on_demand) * step;
         let needed = if done > work { work / done } else { 1.0 };
-        cost += (parts.spot * up * observed.price + parts.ordinary) * step * needed;
+        cost += (parts.spot * up * observed.price + parts.on_demand) * step * needed;
         work -= done * needed;
         window -= step;
     }
--- a/crates/controller/src/split/machine_type.rs
+++ b/crates/controller/src/split/machine_type.rs
@@ -32,7 +32,7 @@
 
 impl MachineType {
     /// The resources of an empty machine.
-    pub fn room(&self) -> Resources {
+    pub fn capacity(&self) -> Resources {
         Resources {
             cpus: self.cpus,
             gpus: self.gpus,
@@ -41,7 +41,7 @@
     }
 
     /// Number of tasks of this size that one machine runs at once.
-    pub fn fit(&self, resources: &Resources) -> u32 {
+    pub fn max_tasks(&self, resources: &Resources) -> u32 {
         let quotient = |available: f64, requested: f64| {
             if requested > 0.0 {
                 ((available + EPSILON) / requested).floor()
@@ -76,12 +76,12 @@
     {
         return 0;
     }
-    machine_type.fit(resources)
+    machine_type.max_tasks(resources)
 }
 
 /// Machines of one type, either spot or on-demand ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Class {
+pub struct MachineClass {
     /// Index into the machine types.
     pub machine_type: usize,
     /// Spot machines; otherwise on-demand ones.
--- a/crates/controller/src/split/policy.rs
+++ b/crates/controller/src/split/policy.rs
@@ -127,7 +127,7 @@
     /// On spot machines.
     pub spot: f64,
     /// On on-demand machines.
-    pub ordinary: f64,
+    pub on_demand: f64,
 }
 
 /// Algorithm 1 for the width that owned machines leave over: spot and on-demand width.
@@ -179,7 +179,7 @@
         return Split {
             owned,
             spot: remaining_width - ordinary,
-            ordinary,
+            on_demand: ordinary,
         };
     }
     let (spot, ordinary) = split_remainder(
@@ -192,6 +192,6 @@
     Split {
         owned,
         spot,
-        ordinary,
+        on_demand: ordinary,
     }
 }
--- a/crates/controller/src/split/tests.rs
+++ b/crates/controller/src/split/tests.rs
@@ -76,11 +76,11 @@
         let owned = owned_machines(delta, z, d, len, beta, idle);
         let p = split(delta, z, d, len, beta, owned);
         assert!(
-            (p.owned + p.spot + p.ordinary - delta).abs() < 1e-6,
+            (p.owned + p.spot + p.on_demand - delta).abs() < 1e-6,
             "{p:?} of {delta}"
         );
         assert!(
-            p.owned >= 0.0 && p.spot >= 0.0 && p.ordinary >= 0.0,
+            p.owned >= 0.0 && p.spot >= 0.0 && p.on_demand >= 0.0,
             "{p:?}"
         );
         let (a, b) = (rng.gen_range(0.0..1.0), rng.gen_range(0.0..1.0));
