--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -44,9 +44,9 @@
     /// Of these, CPUs that something uses.
     pub cpus_used: f64,
     /// Machines that report.
-    pub up: u32,
+    pub machines_up: u32,
     /// Machines that do not.
-    pub silent: u32,
+    pub machines_silent: u32,
 }
 
 /// Tasks of one job by the state of their allocation, as far as that is told.
@@ -442,10 +442,10 @@
                 continue;
             };
             if self.blocking_reason(now, machine) == Some(BlockingReason::Silent) {
-                totals.silent += 1;
+                totals.machines_silent += 1;
                 continue;
             }
-            totals.up += 1;
+            totals.machines_up += 1;
             totals.cpus += machine_type.cpus;
             totals.cpus_used += machine_type.cpus - machine.free(machine_types).cpus.max(0.0);
         }
