--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -5,41 +5,36 @@
 //! that bring the state service and the workers towards it. The numbered
 //! guards are those of `docs/safety.md`.
 
-use crate::calls::{SchedulerCall, Tag};
-use crate::configuration;
+use crate::calls::Tag;
+
 use crate::directives::ActiveDirectives;
 use crate::event_log::EventLog;
 use crate::faults::{broken, Faults};
-use crate::job_store::{self, JobKind, JobSpec, JobState, JobStore};
-use crate::leader_election::BLOCK_KEY;
-use crate::placement_pages::{self, PageId, PlacementPages, PlacementRow};
-use crate::progress::{self, ProgressPages, ProgressWrite};
+use crate::job_store::{JobKind, JobSpec, JobState, JobStore};
+use crate::placement_pages::PlacementPages;
+use crate::progress::{self, ProgressPages};
 use crate::split::{Demand, MachineType, Resources, EPSILON};
-use crate::store::{
-    CommitResponse, Outcome, Priority, Reply, ScanResponse, StoreClient, Transaction,
-    TransactionError,
-};
+use crate::store::StoreClient;
 use beamhinge_admin_api::messages::What;
 use beamhinge_configuration::Quota;
 use beamhinge_core::messages::TaskCounts;
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{FencingToken, JobId, MachineId, Revision, TaskId, Time, WallMs};
-use beamhinge_core::wire;
 use beamhinge_failure_detection::{FaultAttribution, ReportInterval};
 use beamhinge_preemption::{Nominations, PreemptionHistory, PreemptionStats};
 use beamhinge_priority_aging::{AgingPolicy, Reservations};
-use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction};
+use beamhinge_rate_limit::AdaptiveBackoff;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
 use allocation::{Allocation, TaskState};
-use job::{age_s, resources_of, total_cpus, Job, UNKNOWN_NEED};
+use job::{age_s, total_cpus, Job};
+use persistence::{InFlightCommit, RecoveryLoad, WorkUnit};
 use reconciliation::OrphanSummary;
-use types::{InFlightCommit, RecoveryLoad, WorkUnit};
 
 pub use machine::Machine;
+pub use persistence::CommitOutcome;
 pub use reconciliation::DirectCall;
-pub use types::CommitOutcome;
 
 mod aging;
 mod allocation;
@@ -60,7 +55,6 @@
 mod run_times;
 #[cfg(feature = "faults")]
 mod scattered_preemption;
-mod types;
 mod victims;
 
 /// A clock runs at most this much faster than another.
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -1,10 +1,26 @@
+use super::transaction::MAX_IDLE_UNREFERENCED_PAGES;
 use super::*;
+use crate::calls::{SchedulerCall, Tag};
+use crate::event_log::EventLog;
+use crate::faults::Faults;
+use crate::job_store::{JobSpec, JobStore};
+use crate::leader_election::BLOCK_KEY;
+use crate::progress;
+use crate::scheduler::allocation::Allocation;
+use crate::scheduler::job::Job;
+use crate::scheduler::machine::Machine;
+use crate::scheduler::Scheduler;
+use crate::split::Resources;
 use crate::store::StoreClient;
 use beamhinge_core::messages::Effect;
-use beamhinge_core::types::Attempt;
+use beamhinge_core::settings::Settings;
+use beamhinge_core::types::{Attempt, FencingToken, MachineId, Revision, TaskId};
+use beamhinge_core::wire;
+use beamhinge_priority_aging::AgingPolicy;
 use beamhinge_rate_limit::TransactionLimits;
 use proptest::prelude::*;
 use serde_json::json;
+use std::rc::Rc;
 
 /// What a controller finds to write at some moment.
 #[derive(Clone, Debug)]
@@ -226,7 +242,7 @@
             + scheduler
                 .pages
                 .unreferenced_count()
-                .saturating_sub(DEAD_PAGES);
+                .saturating_sub(MAX_IDLE_UNREFERENCED_PAGES);
         if left == 0 && scheduler.in_flight.is_none() {
             return Ok(round);
         }
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -4,7 +4,7 @@
 use crate::event_log::EventLog;
 use crate::job_store::{JobSpec, JobState};
 use crate::scheduler::allocation::{Allocation, TaskPhase, TaskState};
-use crate::scheduler::types::RecoveryLoad;
+use crate::scheduler::persistence::RecoveryLoad;
 use crate::split::tests::c8;
 use crate::split::Resources;
 use crate::worker_protocol::{CommandVerb, ExitCause, ReportedStatus, ReportedTask};
