--- a/crates/controller/src/capacity_planner/tests.rs
+++ b/crates/controller/src/capacity_planner/tests.rs
@@ -32,17 +32,9 @@
     );
 }
 
-/// Ninety machines were given back after a takeover and rented again ten
-/// seconds later: the new leader knew nothing of the load before it.
-#[test]
-fn new_leader_keeps_standby_capacity_of_the_old_one() {
-    let at = |s: f64| Time::from_micros(100_000_000).plus(s);
-    let mut a = Arrivals::default();
-    for i in 0..30 {
-        a.record(at(f64::from(i) * 2.0), 10.0, 20.0);
-        a.max_load(at(f64::from(i) * 2.0));
-    }
-    let d = Demand {
+/// A job of ten tasks that may not wait, four of which fit a machine of [`machine_type`].
+fn demand() -> Demand {
+    Demand {
         job: JobId::parse("job-7").expect("an id"),
         class: "prompt".into(),
         resources: Resources {
@@ -61,14 +53,11 @@
         spot: true,
         machine_types: None,
         zone: None,
-    };
-    let load = a.stored_load(&d, at(60.0)).expect("it is not dry");
-    let stored: StoredLoad = wire::from_value(&wire::to_value(&load)).expect("what was written");
-    assert!(stored == load && stored.is_plausible());
-    let operator = OperatorSettings::default();
-    let mut next = CapacityPlanner::new(&operator, FencingToken(9), at(60.0));
-    next.resume_class(at(60.0), "prompt".into(), &stored);
-    let machine_type = MachineType {
+    }
+}
+
+fn machine_type() -> MachineType {
+    MachineType {
         label: "c8".into(),
         cpus: 8.0,
         gpus: 0.0,
@@ -79,7 +68,35 @@
         low_price: 0.3,
         boot_s: 30.0,
         zones: vec!["north".into()],
-    };
+    }
+}
+
+/// The arrivals of thirty jobs, one every two seconds: ten of them run at once.
+fn steady_arrivals(at: impl Fn(f64) -> Time) -> Arrivals {
+    let mut arrivals = Arrivals::default();
+    for i in 0..30 {
+        arrivals.record(at(f64::from(i) * 2.0), 10.0, 20.0);
+        arrivals.max_load(at(f64::from(i) * 2.0));
+    }
+    arrivals
+}
+
+/// Ninety machines were returned after a failover and rented again ten seconds later: the new
+/// leader knew nothing of the load before it.
+#[test]
+fn new_leader_keeps_standby_capacity_of_the_old_one() {
+    let at = |s: f64| Time::from_micros(100_000_000).plus(s);
+    let mut arrivals = steady_arrivals(at);
+    let demand = demand();
+    let load = arrivals
+        .stored_load(&demand, at(60.0))
+        .expect("it is not dry");
+    let stored: StoredLoad = wire::from_value(&wire::to_value(&load)).expect("what was written");
+    assert!(stored == load && stored.is_plausible());
+    let operator = OperatorSettings::default();
+    let mut next = CapacityPlanner::new(&operator, FencingToken(9), at(60.0));
+    next.resume_class(at(60.0), "prompt".into(), &stored);
+    let machine_type = machine_type();
     let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("the sample", text).expect("it is sound");
     let mut ready = |s: f64| {
@@ -99,7 +116,7 @@
     );
     assert_eq!(ready(100.0), 0.0, "nothing came any more");
     assert!(
-        a.stored_load(&d, at(200.0)).is_none(),
+        arrivals.stored_load(&demand, at(200.0)).is_none(),
         "a dry class is not stored"
     );
     assert!(!StoredLoad {
@@ -109,22 +126,22 @@
     .is_plausible());
 }
 
-/// A drained burst once made room for 135 machines a minute after the last
-/// job: a class that has dried up stays dry, and a queue is no load.
+/// A queue that drained once had 135 machines rented a minute after the last job: a class that has
+/// ended stays so, and a queue is no load.
 #[test]
 fn standby_capacity_follows_arrivals() {
     let at = |s: f64| Time::from_micros(100_000_000).plus(s);
-    let mut a = Arrivals::default();
-    for i in 0..30 {
-        a.record(at(f64::from(i) * 2.0), 10.0, 20.0);
-        a.max_load(at(f64::from(i) * 2.0));
-    }
-    assert_eq!(a.max_load(at(59.0)), 100.0, "ten jobs of ten run at once");
-    assert!(!a.has_ended(at(65.0)));
+    let mut arrivals = steady_arrivals(at);
+    assert_eq!(
+        arrivals.max_load(at(59.0)),
+        100.0,
+        "ten jobs of ten run at once"
+    );
+    assert!(!arrivals.has_ended(at(65.0)));
     for s in 75..400 {
-        assert!(a.has_ended(at(f64::from(s))), "dry at {s} s");
+        assert!(arrivals.has_ended(at(f64::from(s))), "dry at {s} s");
     }
-    assert_eq!(a.max_load(at(400.0)), 0.0);
+    assert_eq!(arrivals.max_load(at(400.0)), 0.0);
 }
 
 #[test]
--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -34,27 +34,10 @@
     );
 }
 
-/// Every name, label and type on the page, with one value of each.
-#[test]
-fn rendered_page_keeps_its_form() {
-    let mut m = Metrics::new(true);
-    let at = |s: f64| Time::from_micros(1_000_000).plus(s);
-    let id = RequestId {
-        slot: 1,
-        generation: 2,
-    };
-    m.on_request(at(0.0), id, "jobs");
-    m.on_effects(
-        at(0.5),
-        &[Effect::Answer {
-            to: id,
-            status: 200,
-            retry_after: None,
-            body: Vec::new(),
-        }],
-    );
+/// One call of each kind, and one that is not timed.
+fn calls() -> Vec<(Destination, Method, &'static str)> {
     let worker = "127.0.0.1:9000".parse().expect("an address");
-    let calls = [
+    vec![
         (Destination::State, Method::Post, "/commit"),
         (
             Destination::State,
@@ -80,8 +63,29 @@
             Method::Get,
             "/up",
         ),
-    ];
-    for (i, (destination, method, path)) in calls.into_iter().enumerate() {
+    ]
+}
+
+/// Every name, label and type on the page, with one value of each.
+#[test]
+fn rendered_page_keeps_its_form() {
+    let mut m = Metrics::new(true);
+    let at = |s: f64| Time::from_micros(1_000_000).plus(s);
+    let id = RequestId {
+        slot: 1,
+        generation: 2,
+    };
+    m.on_request(at(0.0), id, "jobs");
+    m.on_effects(
+        at(0.5),
+        &[Effect::Answer {
+            to: id,
+            status: 200,
+            retry_after: None,
+            body: Vec::new(),
+        }],
+    );
+    for (i, (destination, method, path)) in calls().into_iter().enumerate() {
         for (id, answered) in [(CallId(i as u64), true), (CallId(100 + i as u64), false)] {
             let (path, body) = (path.to_string(), Vec::new());
             m.on_effects(
