--- a/crates/controller/src/job_store.rs
+++ b/crates/controller/src/job_store.rs
@@ -111,7 +111,7 @@
         let name = |index: u16| {
             self.summary_names
                 .get(usize::from(index))
-                .map(|n| n.to_string())
+                .map(ToString::to_string)
         };
         Some(JobSummary {
             team: name(summary.team)?,
--- a/crates/controller/src/leader_election/replies.rs
+++ b/crates/controller/src/leader_election/replies.rs
@@ -32,7 +32,7 @@
         } = reply;
         match call {
             ElectionCall::GrantLease => self.on_lease_granted(now, outcome, sent_at),
-            ElectionCall::RenewLease => self.on_lease_renewed(now, outcome, sent_at),
+            ElectionCall::RenewLease => self.on_lease_renewed(now, &outcome, sent_at),
             ElectionCall::ReadLeadership => self.on_leadership_read(now, outcome),
             ElectionCall::WatchLeadership => return self.on_leadership_watch(now, outcome),
             ElectionCall::ReadBlock => return self.on_block_read(now, outcome, sent_at),
@@ -57,7 +57,7 @@
         }
     }
 
-    fn on_lease_renewed(&mut self, now: Time, outcome: Outcome, sent_at: Time) {
+    fn on_lease_renewed(&mut self, now: Time, outcome: &Outcome, sent_at: Time) {
         self.lease.renewal_in_flight = false;
         match outcome {
             Outcome::Ok(_) => self.lease.renewed_at = sent_at,
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -7,42 +7,45 @@
 fn token_claim_that_was_never_issued_ends_one_term_only() {
     let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
-    let mut leader = LeaderElection::new(&settings, 7);
+    let mut election = LeaderElection::new(&settings, 7);
     let now = Time::from_micros(10_000_000);
-    leader.acquired(Revision(8), now);
-    assert_eq!(leader.on_token_claim(now, 8), LeadershipChange::Unchanged);
+    election.acquired(Revision(8), now);
+    assert_eq!(election.on_token_claim(now, 8), LeadershipChange::Unchanged);
     assert_eq!(
-        leader.on_token_claim(now, u64::MAX - 1),
+        election.on_token_claim(now, u64::MAX - 1),
         LeadershipChange::Lost
     );
-    leader.acquired(Revision(12), now);
+    election.acquired(Revision(12), now);
     assert_eq!(
-        leader.on_token_claim(now, u64::MAX - 1),
+        election.on_token_claim(now, u64::MAX - 1),
         LeadershipChange::Unchanged
     );
     assert_eq!(
-        leader.on_token_claim(now, u64::MAX),
+        election.on_token_claim(now, u64::MAX),
         LeadershipChange::Unchanged
     );
     // A token that may have been issued still ends the term.
-    assert_eq!(leader.on_token_claim(now, 15), LeadershipChange::Lost);
+    assert_eq!(election.on_token_claim(now, 15), LeadershipChange::Lost);
     assert_eq!(
-        leader.acquired(Revision(u64::MAX - 3), now),
+        election.acquired(Revision(u64::MAX - 3), now),
         LeadershipChange::Unchanged
     );
-    assert_eq!(leader.token(), None, "its attempt numbers would overflow");
-    leader.acquired(Revision(17), now);
+    assert_eq!(election.token(), None, "its attempt numbers would overflow");
+    election.acquired(Revision(17), now);
     assert_eq!(
-        (leader.on_token_claim(now, 15), leader.token()),
+        (election.on_token_claim(now, 15), election.token()),
         (LeadershipChange::Unchanged, Some(FencingToken(17)))
     );
-    assert_eq!(leader.on_token_claim(now, 19), LeadershipChange::Lost);
+    assert_eq!(election.on_token_claim(now, 19), LeadershipChange::Lost);
     // A claim slightly above is ignored only until revisions have risen that far.
-    leader.acquired(Revision(18), now);
-    assert_eq!(leader.on_token_claim(now, 20), LeadershipChange::Unchanged);
-    leader.step_down_deposed(now);
-    leader.acquired(Revision(23), now);
-    assert_eq!(leader.on_token_claim(now, 25), LeadershipChange::Lost);
+    election.acquired(Revision(18), now);
+    assert_eq!(
+        election.on_token_claim(now, 20),
+        LeadershipChange::Unchanged
+    );
+    election.step_down_deposed(now);
+    election.acquired(Revision(23), now);
+    assert_eq!(election.on_token_claim(now, 25), LeadershipChange::Lost);
 }
 
 /// Controllers hand leadership over and back within a second: the one that handed over and
@@ -50,17 +53,17 @@
 /// numbered from the token, and transactions of the former term may still be in flight.
 #[test]
 fn term_that_ended_is_not_resumed() {
-    for broken in [false, true] {
+    for resumes in [false, true] {
         let text = beamhinge_core::settings::SAMPLE;
         let settings = Settings::parse("t", text).expect("the sample is sound");
-        let mut leader = LeaderElection::new(&settings, 7);
-        leader.faults.old_term = broken;
+        let mut election = LeaderElection::new(&settings, 7);
+        election.faults.old_term = resumes;
         let now = Time::from_micros(10_000_000);
-        leader.acquired(Revision(8), now);
+        election.acquired(Revision(8), now);
         let mut store = StoreClient::new(&settings);
-        assert_eq!(leader.step_down(now, &mut store), LeadershipChange::Lost);
-        let read = |leader: &mut LeaderElection, revision: u64| {
-            let value = wire::to_value(&leader.identity);
+        assert_eq!(election.step_down(now, &mut store), LeadershipChange::Lost);
+        let read = |election: &mut LeaderElection, revision: u64| {
+            let value = wire::to_value(&election.identity);
             let pair = [
                 ("path", "block/0".into()),
                 ("value", value),
@@ -72,7 +75,7 @@
             let scan = scan.map(|(k, v)| (ciborium::Value::from(k), v)).to_vec();
             let outcome = Outcome::Ok(wire::encode(&ciborium::Value::Map(scan)));
             let tag = Tag::Election(ElectionCall::ReadBlock);
-            leader.apply(
+            election.apply(
                 now,
                 ElectionCall::ReadBlock,
                 Reply {
@@ -82,18 +85,18 @@
                 },
             )
         };
-        let again = read(&mut leader, 8);
+        let again = read(&mut election, 8);
         assert_eq!(
             again
                 == LeadershipChange::Acquired {
                     token: FencingToken(8)
                 },
-            broken
+            resumes
         );
         // A late acquisition of this process with a later revision is a new term.
-        if !broken {
+        if !resumes {
             assert_eq!(
-                read(&mut leader, 12),
+                read(&mut election, 12),
                 LeadershipChange::Acquired {
                     token: FencingToken(12)
                 }
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -60,7 +60,10 @@
 }
 
 /// What a peer knows after these frames, in this order.
-fn shown(list: &mut ProgressAssembler, frames: Vec<Frame>) -> Option<BTreeMap<JobId, TaskCounts>> {
+fn assemble(
+    list: &mut ProgressAssembler,
+    frames: Vec<Frame>,
+) -> Option<BTreeMap<JobId, TaskCounts>> {
     let mut whole = None;
     for frame in frames {
         let Frame::Progress(rows) = frame else {
@@ -75,12 +78,12 @@
 #[test]
 fn progress_of_more_jobs_than_a_frame_holds_is_assembled() {
     for count in [0, 1, 3_999, 4_000, 4_001, 8_000, 12_345] {
-        let told = counts(0..count, 7);
-        let got = shown(
+        let sent = counts(0..count, 7);
+        let assembled = assemble(
             &mut ProgressAssembler::default(),
-            progress_frames(told.iter().copied()),
+            progress_frames(sent.iter().copied()),
         );
-        assert_eq!(got, Some(told.into_iter().collect()));
+        assert_eq!(assembled, Some(sent.into_iter().collect()));
     }
 }
 
@@ -89,13 +92,13 @@
     let mut list = ProgressAssembler::default();
     let mut broken = progress_frames(counts(0..9_000, 1).into_iter());
     broken.pop();
-    assert_eq!(shown(&mut list, broken), None);
-    let told = counts(0..5_000, 2);
-    let got = shown(&mut list, progress_frames(told.iter().copied()));
-    assert_eq!(got, Some(told.into_iter().collect()));
+    assert_eq!(assemble(&mut list, broken), None);
+    let sent = counts(0..5_000, 2);
+    let assembled = assemble(&mut list, progress_frames(sent.iter().copied()));
+    assert_eq!(assembled, Some(sent.into_iter().collect()));
     let few = counts(7..9, 3);
     assert_eq!(
-        shown(&mut list, progress_frames(few.iter().copied())),
+        assemble(&mut list, progress_frames(few.iter().copied())),
         Some(few.into_iter().collect())
     );
 }
@@ -104,6 +107,6 @@
 fn progress_list_is_limited_in_size() {
     let mut list = ProgressAssembler::default();
     let frames = progress_frames(counts(0..100_000, 1).into_iter());
-    let got = shown(&mut list, frames).expect("the list");
-    assert_eq!(got.len(), ProgressAssembler::MAX_JOBS);
+    let assembled = assemble(&mut list, frames).expect("the list");
+    assert_eq!(assembled.len(), ProgressAssembler::MAX_JOBS);
 }
--- a/crates/controller/src/placement_pages.rs
+++ b/crates/controller/src/placement_pages.rs
@@ -46,6 +46,17 @@
     references: u32,
 }
 
+/// A page as the key-value store holds it.
+#[derive(Clone, Copy, Debug)]
+pub struct StoredPage<'a> {
+    /// Identifies the page within this process.
+    pub id: PageId,
+    /// The key of the page.
+    pub key: &'a str,
+    /// The revision of the key.
+    pub revision: Revision,
+}
+
 /// The pages that the key-value store holds, with their reference counts.
 pub struct PlacementPages {
     token: FencingToken,
@@ -108,11 +119,15 @@
         }
     }
 
-    /// Pages all of whose tasks have ended, which may be deleted: id, key and revision.
-    pub fn unreferenced(&self) -> impl Iterator<Item = (PageId, &str, Revision)> {
+    /// Pages all of whose tasks have ended, which may be deleted.
+    pub fn unreferenced(&self) -> impl Iterator<Item = StoredPage<'_>> {
         self.unreferenced.iter().filter_map(|id| {
             let page = self.pages.get(id)?;
-            Some((*id, page.key.as_str(), page.revision))
+            Some(StoredPage {
+                id: *id,
+                key: &page.key,
+                revision: page.revision,
+            })
         })
     }
 
--- a/crates/controller/src/placement_pages/tests.rs
+++ b/crates/controller/src/placement_pages/tests.rs
@@ -60,10 +60,7 @@
     pages.retain(b);
     pages.release(a);
     assert_eq!(
-        pages
-            .unreferenced()
-            .map(|(no, _, _)| no)
-            .collect::<Vec<_>>(),
+        pages.unreferenced().map(|page| page.id).collect::<Vec<_>>(),
         [a]
     );
     let rows = [(row("n-1", "job-1/3", 7), a), (row("n-2", "job-1/3", 9), b)];
@@ -102,7 +99,7 @@
     golden.check();
 }
 
-/// Pages as the bytes that are stored: of this version, and of the one before.
+/// Pages as stored bytes: of the present version and of the one before.
 #[test]
 fn stored_pages_of_both_versions_are_read() {
     let rows = vec![
--- a/crates/controller/src/progress/tests.rs
+++ b/crates/controller/src/progress/tests.rs
@@ -7,7 +7,7 @@
 }
 
 impl Jobs {
-    fn of(&mut self, n: u32) -> &mut JobProgress {
+    fn job(&mut self, n: u32) -> &mut JobProgress {
         self.jobs
             .entry(job(n))
             .or_insert_with(|| JobProgress::new(MAX_CHUNK_SIZE))
@@ -26,43 +26,38 @@
 
 #[test]
 fn progress_of_large_job_is_split_over_pages_within_the_value_limit() {
-    let mut ours = Jobs {
+    let mut local = Jobs {
         tasks: 100_000,
         ..Jobs::default()
     };
-    let mut progress_pages = ProgressPages::new(8 * 1024);
+    let mut pages = ProgressPages::new(8 * 1024);
     for i in (0..100_000).step_by(2) {
-        ours.of(1).mark_done(i);
-        progress_pages.mark_dirty(job(1), i, 100_000);
+        local.job(1).mark_done(i);
+        pages.mark_dirty(job(1), i, 100_000);
     }
-    let mut theirs = Jobs {
+    let mut remote = Jobs {
         tasks: 100_000,
         ..Jobs::default()
     };
-    theirs.of(1).mark_done(1);
+    remote.job(1).mark_done(1);
     let mut copy = ProgressPages::new(8 * 1024);
-    let due: Vec<usize> = progress_pages.dirty_pages().collect();
+    let due: Vec<usize> = pages.dirty_pages().collect();
     assert_eq!(due.len(), 4, "three chunks of 2,048 digits fit one page");
-    for progress_page in due {
+    for page in due {
         let mut sent = ProgressWrite::default();
-        let value = progress_pages
-            .begin_write(progress_page, &mut sent, &mut ours)
+        let value = pages
+            .begin_write(page, &mut sent, &mut local)
             .expect("value");
         assert!(wire::json_len(&value) <= 8 * 1024);
-        copy.load(
-            &progress_page_key(progress_page),
-            Revision(5),
-            &value,
-            &mut theirs,
-        )
-        .expect("sound");
-        progress_pages.on_written(sent, Revision(5), &mut ours);
+        copy.load(&progress_page_key(page), Revision(5), &value, &mut remote)
+            .expect("sound");
+        pages.on_written(sent, Revision(5), &mut local);
     }
-    let (p, q) = (ours.of(1), theirs.of(1));
-    assert_eq!((p.done_count(), q.done_count()), (50_000, 50_001));
-    assert!(p.is_durable(8_192 * 2));
+    let (here, there) = (local.job(1), remote.job(1));
+    assert_eq!((here.done_count(), there.done_count()), (50_000, 50_001));
+    assert!(here.is_durable(8_192 * 2));
     assert!(
-        q.is_durable(8_192 * 2) && !q.is_durable(1),
+        there.is_durable(8_192 * 2) && !there.is_durable(1),
         "a task that is known only locally is not durable"
     );
 }
@@ -90,26 +85,24 @@
         tasks: 60,
         ..Jobs::default()
     };
-    let mut progress_pages = ProgressPages::new(8 * 1024);
+    let mut pages = ProgressPages::new(8 * 1024);
     for n in 0..100 {
-        all.of(n).mark_done(n % 60);
-        progress_pages.mark_dirty(job(n), n % 60, 60);
+        all.job(n).mark_done(n % 60);
+        pages.mark_dirty(job(n), n % 60, 60);
     }
-    assert_eq!(progress_pages.dirty_pages().count(), 1);
+    assert_eq!(pages.dirty_pages().count(), 1);
     let mut sent = ProgressWrite::default();
-    let value = progress_pages
-        .begin_write(0, &mut sent, &mut all)
-        .expect("value");
+    let value = pages.begin_write(0, &mut sent, &mut all).expect("value");
     assert!(wire::json_len(&value) <= 8 * 1024);
     // A task that ends while the write is in flight is not taken for durable.
-    all.of(3).mark_done(59);
-    progress_pages.mark_dirty(job(3), 59, 60);
-    progress_pages.on_written(sent, Revision(9), &mut all);
-    assert!(all.of(4).is_durable(4) && !all.of(3).is_durable(59));
-    assert_eq!(progress_pages.dirty_pages().collect::<Vec<_>>(), [0]);
-    (0..100).for_each(|n| progress_pages.forget(job(n)));
-    assert_eq!(progress_pages.dirty_pages().count(), 0);
-    assert_eq!(progress_pages.empty_pages().collect::<Vec<_>>(), [0]);
+    all.job(3).mark_done(59);
+    pages.mark_dirty(job(3), 59, 60);
+    pages.on_written(sent, Revision(9), &mut all);
+    assert!(all.job(4).is_durable(4) && !all.job(3).is_durable(59));
+    assert_eq!(pages.dirty_pages().collect::<Vec<_>>(), [0]);
+    (0..100).for_each(|n| pages.forget(job(n)));
+    assert_eq!(pages.dirty_pages().count(), 0);
+    assert_eq!(pages.empty_pages().collect::<Vec<_>>(), [0]);
 }
 
 #[test]
@@ -118,17 +111,17 @@
         tasks: 4,
         ..Jobs::default()
     };
-    jobs.of(7);
-    let mut progress_pages = ProgressPages::new(8 * 1024);
+    jobs.job(7);
+    let mut pages = ProgressPages::new(8 * 1024);
     let old = wire::to_value(&serde_json::json!({"v": 1, "b": "05"}));
-    progress_pages
+    pages
         .load("d/job-000007/0", Revision(3), &old, &mut jobs)
         .expect("sound");
-    let p = jobs.of(7);
+    let p = jobs.job(7);
     assert!(p.is_done(0) && !p.is_done(1) && p.is_done(2));
     let open = |_: JobId| false;
     assert_eq!(
-        progress_pages.obsolete_keys(&open).count(),
+        pages.obsolete_keys(&open).count(),
         1,
         "removed once the job is over"
     );
@@ -139,9 +132,7 @@
     ] {
         let value = wire::to_value(&value);
         assert!(
-            progress_pages
-                .load(key, Revision(1), &value, &mut jobs)
-                .is_err(),
+            pages.load(key, Revision(1), &value, &mut jobs).is_err(),
             "{key}"
         );
     }
@@ -153,24 +144,24 @@
     golden.text("keys", &[0, 17, 12_345].map(progress_page_key).join(" "));
     let sizes = [64, 512, 1_024, 8 * 1024].map(|limit| chunk_size(limit).to_string());
     golden.text("tasks of a chunk by limit", &sizes.join(" "));
-    let mut ours = Jobs {
+    let mut local = Jobs {
         tasks: 20_000,
         ..Jobs::default()
     };
-    let mut progress_pages = ProgressPages::new(8 * 1024);
+    let mut pages = ProgressPages::new(8 * 1024);
     for (n, index) in [(1, 0), (1, 9), (1, 8_193), (2, 4), (2, 7)] {
-        ours.of(n).mark_done(index);
-        progress_pages.mark_dirty(job(n), index, ours.tasks);
+        local.job(n).mark_done(index);
+        pages.mark_dirty(job(n), index, local.tasks);
     }
-    let due: Vec<usize> = progress_pages.dirty_pages().collect();
-    for progress_page in due {
+    let due: Vec<usize> = pages.dirty_pages().collect();
+    for page in due {
         let mut sent = ProgressWrite::default();
-        let value = progress_pages
-            .begin_write(progress_page, &mut sent, &mut ours)
+        let value = pages
+            .begin_write(page, &mut sent, &mut local)
             .expect("something to write");
         let record: ProgressPageRecord = wire::from_value(&value).expect("sound");
         assert_eq!(wire::to_value(&record), value);
-        golden.stored(&progress_page_key(progress_page), &record);
+        golden.stored(&progress_page_key(page), &record);
     }
     golden.check();
 }
@@ -178,12 +169,12 @@
 /// Progress pages and keys of the legacy form, as the bytes that are stored.
 #[test]
 fn stored_progress_of_both_forms_is_read() {
-    let mut ours = Jobs {
+    let mut local = Jobs {
         tasks: 16,
         ..Jobs::default()
     };
-    ours.of(1);
-    let mut progress_pages = ProgressPages::new(8 * 1024);
+    local.job(1);
+    let mut pages = ProgressPages::new(8 * 1024);
     for (key, stored) in [
         (
             "d/s0003",
@@ -192,12 +183,12 @@
         ("d/job-000001/0", serde_json::json!({"v": 1, "b": "80"})),
     ] {
         let value: Value = wire::decode(&wire::encode(&stored)).expect("CBOR");
-        progress_pages
-            .load(key, Revision(5), &value, &mut ours)
-            .expect(key);
+        pages.load(key, Revision(5), &value, &mut local).expect(key);
     }
-    let done: Vec<u32> = (0..16).filter(|index| ours.of(1).is_done(*index)).collect();
+    let done: Vec<u32> = (0..16)
+        .filter(|index| local.job(1).is_done(*index))
+        .collect();
     assert_eq!(done, [0, 7, 9]);
-    assert_eq!(progress_pages.revision(3), Revision(5));
-    assert_eq!(progress_pages.obsolete_keys(&|_| false).count(), 1);
+    assert_eq!(pages.revision(3), Revision(5));
+    assert_eq!(pages.obsolete_keys(&|_| false).count(), 1);
 }
--- a/crates/controller/src/replica/tests.rs
+++ b/crates/controller/src/replica/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-fn replica() -> ReplicaCache {
+fn new_replica() -> ReplicaCache {
     ReplicaCache::new(ReplicaConfig {
         prefix: "o/",
         tag: Tag::Directives,
@@ -12,10 +12,14 @@
 }
 
 /// What a reply changes: keys, and whether they exist.
-fn take(m: &mut ReplicaCache, call: ReplicaCall, body: serde_json::Value) -> Vec<(String, bool)> {
+fn apply(
+    replica: &mut ReplicaCache,
+    call: ReplicaCall,
+    body: &serde_json::Value,
+) -> Vec<(String, bool)> {
     let at = Time::from_micros(1_000_000);
-    let outcome = Outcome::Ok(wire::encode(&body));
-    let update = m.on_reply(
+    let outcome = Outcome::Ok(wire::encode(body));
+    let update = replica.on_reply(
         at,
         call,
         Reply {
@@ -27,33 +31,33 @@
     update
         .changes
         .into_iter()
-        .map(|c| (c.key, c.value.is_some()))
+        .map(|change| (change.key, change.value.is_some()))
         .collect()
 }
 
 /// A directive that had been lifted was in force again in one controller's copy.
 #[test]
 fn late_watch_response_does_not_restore_deleted_key() {
-    let mut m = replica();
-    m.scan = Some(ScanState {
+    let mut replica = new_replica();
+    replica.scan = Some(ScanState {
         in_flight: true,
         after: None,
         revision: None,
         started: Time::default(),
     });
     let page = json!({"pairs": [], "more": false, "ledgerRev": 3});
-    assert!(take(&mut m, ReplicaCall::Scan, page).is_empty() && m.loaded());
+    assert!(apply(&mut replica, ReplicaCall::Scan, &page).is_empty() && replica.loaded());
     // Written at 4, deleted at 5: the watch that saw both is answered first.
     let deleted = json!({"ledgerRev": 5, "news": [{"delete": "o/zone/a", "stamp": 5}]});
     assert_eq!(
-        take(&mut m, ReplicaCall::Refresh, deleted),
+        apply(&mut replica, ReplicaCall::Refresh, &deleted),
         [("o/zone/a".to_string(), false)]
     );
     let written = json!({"ledgerRev": 4, "news": [{"write": "o/zone/a", "value": 1, "stamp": 4}]});
-    assert!(take(&mut m, ReplicaCall::Watch, written).is_empty());
+    assert!(apply(&mut replica, ReplicaCall::Watch, &written).is_empty());
     let newer = json!({"ledgerRev": 6, "news": [{"write": "o/zone/a", "value": 1, "stamp": 6}]});
     assert_eq!(
-        take(&mut m, ReplicaCall::Watch, newer),
+        apply(&mut replica, ReplicaCall::Watch, &newer),
         [("o/zone/a".to_string(), true)]
     );
 }
@@ -62,30 +66,30 @@
 /// that the store never issued is rejected, and the revision of the next scan is used.
 #[test]
 fn revision_that_was_never_issued_is_replaced_by_the_scan() {
-    let mut m = replica();
-    (m.loaded, m.revision) = (true, u64::MAX - 1);
+    let mut replica = new_replica();
+    (replica.loaded, replica.revision) = (true, u64::MAX - 1);
     let at = Time::from_micros(1_000_000);
     let refused = Reply {
         tag: Tag::Directives(ReplicaCall::Refresh),
         outcome: Outcome::Malformed,
         sent_at: at,
     };
-    let update = m.on_reply(at, ReplicaCall::Refresh, refused);
-    assert!(update.freshness == Freshness::Failed && !m.loaded());
-    m.scan = Some(ScanState {
+    let update = replica.on_reply(at, ReplicaCall::Refresh, refused);
+    assert!(update.freshness == Freshness::Failed && !replica.loaded());
+    replica.scan = Some(ScanState {
         in_flight: true,
         after: None,
         revision: None,
         started: at,
     });
-    take(
-        &mut m,
+    apply(
+        &mut replica,
         ReplicaCall::Scan,
-        json!({"pairs": [], "more": false, "ledgerRev": 3}),
+        &json!({"pairs": [], "more": false, "ledgerRev": 3}),
     );
     let news = json!({"ledgerRev": 5, "news": [{"write": "o/zone/a", "value": 1, "stamp": 5}]});
     assert_eq!(
-        take(&mut m, ReplicaCall::Refresh, news),
+        apply(&mut replica, ReplicaCall::Refresh, &news),
         [("o/zone/a".to_string(), true)]
     );
 }
@@ -94,8 +98,8 @@
 /// unavailable.
 #[test]
 fn unavailable_store_is_polled_with_growing_pauses() {
-    let mut m = replica();
-    m.loaded = true;
+    let mut replica = new_replica();
+    replica.loaded = true;
     let mut now = Time::from_micros(1_000_000);
     let mut gaps = Vec::new();
     for _ in 0..5 {
@@ -104,23 +108,29 @@
             outcome: Outcome::Refused,
             sent_at: now,
         };
-        m.on_reply(now, ReplicaCall::Refresh, reply);
+        replica.on_reply(now, ReplicaCall::Refresh, reply);
         let gap = (1..30)
             .map(|i| f64::from(i) * 0.1)
-            .find(|s| m.backoff.is_due(now.plus(*s)));
+            .find(|pause_s| replica.backoff.is_due(now.plus(*pause_s)));
         gaps.push(gap.expect("a retry in the end"));
         now = now.plus(3.0);
     }
     assert_eq!(gaps, [0.2, 0.4, 0.8, 1.0, 1.0]);
     let news = json!({"ledgerRev": 1, "news": []});
-    assert!(take(&mut m, ReplicaCall::Refresh, news).is_empty() && m.backoff.refusals() == 0);
+    assert!(
+        apply(&mut replica, ReplicaCall::Refresh, &news).is_empty()
+            && replica.backoff.refusals() == 0
+    );
 }
 
 #[test]
 fn watch_from_before_a_new_scan_is_ignored() {
-    let mut m = replica();
-    m.revision = 7;
+    let mut replica = new_replica();
+    replica.revision = 7;
     let old = json!({"ledgerRev": 9, "news": [{"delete": "o/zone/a", "stamp": 9}]});
-    assert!(take(&mut m, ReplicaCall::Watch, old).is_empty());
-    assert_eq!(m.revision, 7, "what it covers is read again after the scan");
+    assert!(apply(&mut replica, ReplicaCall::Watch, &old).is_empty());
+    assert_eq!(
+        replica.revision, 7,
+        "its events are read again after the scan"
+    );
 }
--- a/crates/controller/src/scheduler/persistence/transaction.rs
+++ b/crates/controller/src/scheduler/persistence/transaction.rs
@@ -366,9 +366,10 @@
     /// unreferenced pages, as after a takeover, goes at a part of the rate, so that
     /// placing does not wait behind it.
     fn add_removals(&mut self, now: Time, store: &mut StoreClient<Tag>, draft: &mut CommitDraft) {
-        let (level, rate) = store.write_budget(now);
+        let budget = store.write_budget(now);
+        let rate = budget.per_second;
         let writes = draft.transaction.write_count() as f64;
-        let spare = (level - writes - rate * SPARE_RATE_FRACTION).max(0.0) as usize;
+        let spare = (budget.available - writes - rate * SPARE_RATE_FRACTION).max(0.0) as usize;
         let due = now.since(self.last_cleanup) * rate * CLEANUP_RATE_FRACTION;
         let crowded = self
             .pages
@@ -388,12 +389,12 @@
         let unreferenced = self
             .pages
             .unreferenced()
-            .filter(|(page, _, _)| !self.is_deferred(WorkUnit::Page(*page)));
-        for (page, key, revision) in unreferenced.take(max_removals) {
-            if draft.transaction.delete(key, revision).is_err() {
+            .filter(|page| !self.is_deferred(WorkUnit::Page(page.id)));
+        for page in unreferenced.take(max_removals) {
+            if draft.transaction.delete(page.key, page.revision).is_err() {
                 break;
             }
-            draft.in_flight.removed_pages.push(page);
+            draft.in_flight.removed_pages.push(page.id);
         }
     }
 
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -147,6 +147,15 @@
     sent_at: Time,
 }
 
+/// The writes that a controller may still send.
+#[derive(Clone, Copy, Debug)]
+pub struct WriteBudget {
+    /// Writes that could be sent now; negative while the bucket is in debt.
+    pub available: f64,
+    /// The rate at which writes accrue.
+    pub per_second: f64,
+}
+
 /// The client; `T` names who waits for a reply, and for what.
 pub struct StoreClient<T> {
     requests: TokenBucket,
@@ -213,10 +222,13 @@
         Transaction::new(self.limits)
     }
 
-    /// Writes that could be sent now, and the rate at which they accrue per second.
-    pub fn write_budget(&mut self, now: Time) -> (f64, f64) {
+    /// The writes that this controller may still send.
+    pub fn write_budget(&mut self, now: Time) -> WriteBudget {
         self.writes.refill(now);
-        (self.writes.level, self.writes.rate)
+        WriteBudget {
+            available: self.writes.level,
+            per_second: self.writes.rate,
+        }
     }
 
     fn enqueue(&mut self, now: Time, priority: Priority, tag: T, request: Request) {
@@ -235,8 +247,8 @@
     /// Commits a transaction; answered with a [`CommitResponse`].
     pub fn commit(&mut self, now: Time, priority: Priority, tag: T, transaction: Transaction) {
         let request = Request {
-            body: transaction.body(),
             writes: transaction.write_count(),
+            body: transaction.into_body(),
             ..Request::new(Method::Post, "/commit".into(), COMMIT_TIMEOUT_S)
         };
         self.enqueue(now, priority, tag, request);
--- a/crates/controller/src/store/tests.rs
+++ b/crates/controller/src/store/tests.rs
@@ -38,7 +38,11 @@
         store.renew_lease(now, i, 1);
     }
     store.flush(now, &mut calls, &mut out);
-    let outcome = |l: &mut StoreClient<u32>, id, r| l.on_reply(CallId(id), r).map(|r| r.outcome);
+    let outcome = |store: &mut StoreClient<u32>, id, result| {
+        store
+            .on_reply(CallId(id), result)
+            .map(|reply| reply.outcome)
+    };
     assert!(matches!(
         outcome(&mut store, 1, None),
         Some(Outcome::Indeterminate)
@@ -134,24 +138,24 @@
 
 #[test]
 fn responses_of_the_store_are_decoded_field_by_field() {
-    fn read<T: serde::de::DeserializeOwned>(body: serde_json::Value) -> T {
-        wire::decode(&wire::encode(&body)).expect("an answer")
+    fn read<T: serde::de::DeserializeOwned>(body: &serde_json::Value) -> T {
+        wire::decode(&wire::encode(body)).expect("an answer")
     }
     let scan: ScanResponse = read(
-        serde_json::json!({"pairs": [{"path": "a/b", "value": "kept",
+        &serde_json::json!({"pairs": [{"path": "a/b", "value": "kept",
         "stamp": 412, "permit": 7}], "more": true, "ledgerRev": 431}),
     );
-    let item = &scan.entries[0];
+    let entry = &scan.entries[0];
     assert_eq!(
-        (scan.revision, scan.more, item.key.as_str(), item.revision),
+        (scan.revision, scan.more, entry.key.as_str(), entry.revision),
         (431, true, "a/b", 412)
     );
-    assert_eq!(item.value.as_text(), Some("kept"));
-    let news: WatchResponse = read(serde_json::json!({"ledgerRev": 433, "news": [
+    assert_eq!(entry.value.as_text(), Some("kept"));
+    let watch: WatchResponse = read(&serde_json::json!({"ledgerRev": 433, "news": [
         {"write": "c/9", "value": "new", "stamp": 433}, {"delete": "c/d", "stamp": 432}]}));
-    let (write, delete) = (&news.events[0], &news.events[1]);
+    let (write, delete) = (&watch.events[0], &watch.events[1]);
     assert_eq!(
-        (news.revision, write.write.as_deref(), write.revision),
+        (watch.revision, write.write.as_deref(), write.revision),
         (433, Some("c/9"), 433)
     );
     assert_eq!(write.value.as_ref().and_then(Value::as_text), Some("new"));
@@ -160,15 +164,15 @@
         (Some("c/d"), 432, &None)
     );
     assert_eq!(
-        read::<LeaseResponse>(serde_json::json!({"permit": 7})).lease_id,
+        read::<LeaseResponse>(&serde_json::json!({"permit": 7})).lease_id,
         7
     );
     assert_eq!(
-        read::<CommitResponse>(serde_json::json!({"ledgerRev": 432})).revision,
+        read::<CommitResponse>(&serde_json::json!({"ledgerRev": 432})).revision,
         432
     );
-    let failed: ErrorResponse = read(serde_json::json!({"failed": ["a/b"], "ledgerRev": 431}));
+    let failed: ErrorResponse = read(&serde_json::json!({"failed": ["a/b"], "ledgerRev": 431}));
     assert_eq!(failed.failed, ["a/b"]);
-    let failed: ErrorResponse = read(serde_json::json!({"error": "no such lease"}));
+    let failed: ErrorResponse = read(&serde_json::json!({"error": "no such lease"}));
     assert_eq!(failed.error.as_deref(), Some("no such lease"));
 }
--- a/crates/rate-limit/src/transaction.rs
+++ b/crates/rate-limit/src/transaction.rs
@@ -329,7 +329,7 @@
     }
 
     /// The encoded body of the commit request.
-    pub fn body(&self) -> Vec<u8> {
+    pub fn into_body(self) -> Vec<u8> {
         wire::encode(&WireTransaction {
             conditions: self
                 .conditions
--- a/crates/rate-limit/src/transaction/tests.rs
+++ b/crates/rate-limit/src/transaction/tests.rs
@@ -53,7 +53,7 @@
                 ),
             }
         }
-        let body: Value = wire::decode(&transaction.body()).expect("a valid body");
+        let body: Value = wire::decode(&transaction.into_body()).expect("a valid body");
         prop_assert!(wire::json_len(&body) <= MAX_BYTES);
         let list = |name: &str| -> Vec<Value> {
             let Value::Map(fields) = &body else { return Vec::new() };
