--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,16 +1,5 @@
 //! The daemon: one controller of a beamhinge cluster.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 use beamhinge_daemon::Options;
 use clap::Parser;
 use std::process::ExitCode;
--- a/crates/daemon/tests/flags.rs
+++ b/crates/daemon/tests/flags.rs
@@ -1,20 +1,9 @@
 //! The daemon's flags, as the shipped files name them.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 use std::process::Command;
 
 #[test]
-fn the_daemon_takes_its_flags() {
+fn daemon_accepts_its_flags() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
     for form in ["text", "json"] {
         let done = Command::new(env!("CARGO_BIN_EXE_beamhinged"))
