--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -17,13 +17,13 @@
   beamhinge explain job-000412                    why does it not run?
   beamhinge drain machine n-000007 --within-s 300"
 )]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// Contexts (INI); else $XDG_CONFIG_HOME/beamhinge/config.ini
     #[arg(long, global = true, env = "BEAMHINGE_CONFIG", value_name = "FILE")]
-    pub config: Option<PathBuf>,
+    pub(crate) config: Option<PathBuf>,
     /// Which context of the file
     #[arg(long, global = true, env = "BEAMHINGE_CONTEXT", value_name = "NAME")]
-    pub context: Option<String>,
+    pub(crate) context: Option<String>,
     /// Operators' addresses, separated by commas, instead of the context's
     #[arg(
         long,
@@ -31,34 +31,34 @@
         env = "BEAMHINGE_CONTROLLERS",
         value_name = "IP:PORT,..."
     )]
-    pub controllers: Option<String>,
+    pub(crate) controllers: Option<String>,
     /// Key file
     #[arg(long, global = true, env = "BEAMHINGE_KEY", value_name = "FILE")]
-    pub key: Option<PathBuf>,
+    pub(crate) key: Option<PathBuf>,
     /// Which key of the file
     #[arg(long, global = true, env = "BEAMHINGE_KEY_NAME", value_name = "NAME")]
-    pub key_name: Option<String>,
+    pub(crate) key_name: Option<String>,
     /// How answers look
     #[arg(long, short, global = true, value_enum, default_value = "table")]
-    pub output: Output,
+    pub(crate) output: Output,
     /// How long to go on trying, seconds
     #[arg(long, global = true, default_value_t = 30.0, value_name = "S")]
-    pub timeout_s: f64,
+    pub(crate) timeout_s: f64,
     /// Say nothing of what is tried again
     #[arg(long, short, global = true)]
-    pub quiet: bool,
+    pub(crate) quiet: bool,
     #[command(subcommand)]
-    pub verb: Verb,
+    pub(crate) verb: Verb,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum Output {
+pub(crate) enum Output {
     Table,
     Json,
 }
 
 #[derive(Subcommand)]
-pub enum Verb {
+pub(crate) enum Verb {
     /// Start a cluster on this machine: controllers, state service, cloud, workers
     #[command(after_help = "Examples:
   beamhinge up
@@ -204,150 +204,150 @@
 }
 
 #[derive(Args)]
-pub struct UpOptions {
+pub(crate) struct UpOptions {
     /// Controllers: 1 or 3
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=3))]
-    pub nodes: u8,
+    pub(crate) nodes: u8,
     /// Machines that are there from the start
     #[arg(long, default_value_t = 2)]
-    pub machines: u16,
+    pub(crate) machines: u16,
     /// Machines that can be rented beside them
     #[arg(long, default_value_t = 6)]
-    pub rentable: u16,
+    pub(crate) rentable: u16,
     /// Where state, logs and output are kept; survives an end and a new start
     #[arg(long, value_name = "DIR")]
-    pub dir: Option<PathBuf>,
+    pub(crate) dir: Option<PathBuf>,
     /// First of a hundred ports on loopback
     #[arg(long, default_value_t = 7_900)]
-    pub port: u16,
+    pub(crate) port: u16,
     /// Print no decisions
     #[arg(long)]
-    pub no_events: bool,
+    pub(crate) no_events: bool,
 }
 
 #[derive(Args)]
-pub struct SubmitOptions {
+pub(crate) struct SubmitOptions {
     /// A job as TOML; flags override it
     #[arg(long, short, value_name = "FILE")]
-    pub file: Option<PathBuf>,
+    pub(crate) file: Option<PathBuf>,
     /// Its id, of the form job-000412; drawn if absent
     #[arg(long)]
-    pub id: Option<String>,
+    pub(crate) id: Option<String>,
     #[arg(long)]
-    pub team: Option<String>,
+    pub(crate) team: Option<String>,
     #[arg(long)]
-    pub class: Option<String>,
+    pub(crate) class: Option<String>,
     /// critical, high, standard or best_effort
     #[arg(long)]
-    pub urgency: Option<String>,
+    pub(crate) urgency: Option<String>,
     /// A service: its tasks run until it is cancelled
     #[arg(long)]
-    pub standing: bool,
+    pub(crate) standing: bool,
     #[arg(long)]
-    pub tasks: Option<u32>,
+    pub(crate) tasks: Option<u32>,
     /// Per task
     #[arg(long)]
-    pub cpus: Option<f64>,
+    pub(crate) cpus: Option<f64>,
     #[arg(long)]
-    pub gpus: Option<f64>,
+    pub(crate) gpus: Option<f64>,
     #[arg(long)]
-    pub memory_gb: Option<f64>,
+    pub(crate) memory_gb: Option<f64>,
     #[arg(long)]
-    pub image: Option<String>,
+    pub(crate) image: Option<String>,
     #[arg(long)]
-    pub image_gb: Option<f64>,
+    pub(crate) image_gb: Option<f64>,
     /// Allowed machine types; may be given several times
     #[arg(long = "shape")]
-    pub shapes: Vec<String>,
+    pub(crate) shapes: Vec<String>,
     #[arg(long)]
-    pub zone: Option<String>,
+    pub(crate) zone: Option<String>,
     /// All tasks in one zone
     #[arg(long)]
-    pub one_zone: bool,
+    pub(crate) one_zone: bool,
     /// At most half of the tasks in one zone
     #[arg(long)]
-    pub spread: bool,
+    pub(crate) spread: bool,
     /// No spot machines
     #[arg(long)]
-    pub no_spot: bool,
+    pub(crate) no_spot: bool,
     /// Expected run time of a task, seconds; also how long it sleeps without a command
     #[arg(long)]
-    pub expect_s: Option<f64>,
+    pub(crate) expect_s: Option<f64>,
     /// Seconds of progress between checkpoints; 0: it never saves
     #[arg(long)]
-    pub checkpoint_s: Option<f64>,
+    pub(crate) checkpoint_s: Option<f64>,
     /// Seconds a task needs to save when it is stopped
     #[arg(long)]
-    pub save_s: Option<f64>,
+    pub(crate) save_s: Option<f64>,
     /// When it should be done, seconds from now
     #[arg(long)]
-    pub due_s: Option<f64>,
+    pub(crate) due_s: Option<f64>,
     /// Wait until it is over, with progress on standard error
     #[arg(long, short)]
-    pub wait: bool,
+    pub(crate) wait: bool,
     /// What each task runs
     #[arg(last = true, value_name = "COMMAND")]
-    pub command: Vec<String>,
+    pub(crate) command: Vec<String>,
 }
 
 #[derive(Args)]
-pub struct JobsOptions {
+pub(crate) struct JobsOptions {
     /// open, pending, running, done, cancelled; several with commas
     #[arg(long, default_value = "")]
-    pub state: String,
+    pub(crate) state: String,
     #[arg(long, default_value = "")]
-    pub team: String,
+    pub(crate) team: String,
     #[arg(long, default_value = "")]
-    pub class: String,
+    pub(crate) class: String,
     #[arg(long, default_value = "")]
-    pub urgency: String,
+    pub(crate) urgency: String,
     /// Submitted at least so many seconds ago
     #[arg(long)]
-    pub older_s: Option<f64>,
+    pub(crate) older_s: Option<f64>,
     /// Submitted at most so many seconds ago
     #[arg(long)]
-    pub younger_s: Option<f64>,
+    pub(crate) younger_s: Option<f64>,
     /// Go on behind this job
     #[arg(long, default_value = "")]
-    pub after: String,
+    pub(crate) after: String,
     /// Rows at most
     #[arg(long, default_value_t = 100)]
-    pub limit: usize,
+    pub(crate) limit: usize,
 }
 
 #[derive(Args)]
-pub struct SetQuotasOptions {
+pub(crate) struct SetQuotasOptions {
     /// What becomes of which teams
     #[arg(value_name = "FILE", required_unless_present = "restore_version")]
-    pub file: Option<PathBuf>,
+    pub(crate) file: Option<PathBuf>,
     /// Go back to what was in force at this version
     #[arg(long, conflicts_with = "file", requires = "seen")]
-    pub restore_version: Option<u64>,
+    pub(crate) restore_version: Option<u64>,
     /// The version that you saw
     #[arg(long)]
-    pub seen: Option<u64>,
+    pub(crate) seen: Option<u64>,
     #[arg(long, default_value = "")]
-    pub why: String,
+    pub(crate) why: String,
 }
 
 #[derive(Args)]
-pub struct DrainOptions {
+pub(crate) struct DrainOptions {
     #[arg(value_enum)]
-    pub kind: DrainKind,
-    pub name: String,
+    pub(crate) kind: DrainKind,
+    pub(crate) name: String,
     /// Stop what has not ended by then
     #[arg(long)]
-    pub within_s: Option<f64>,
+    pub(crate) within_s: Option<f64>,
     /// Keep the machine when it is empty
     #[arg(long)]
-    pub keep: bool,
+    pub(crate) keep: bool,
     /// For whoever reads the list
     #[arg(long, default_value = "")]
-    pub note: String,
+    pub(crate) note: String,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-pub enum DrainKind {
+pub(crate) enum DrainKind {
     Machine,
     Shape,
     Zone,
@@ -355,7 +355,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-pub enum FreezeKind {
+pub(crate) enum FreezeKind {
     Team,
     Class,
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -26,7 +26,7 @@
 
 /// Everything that ends a verb before its time, with its exit code.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub(crate) enum Failure {
     #[error(transparent)]
     Client(#[from] ClientError),
     #[error(transparent)]
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -11,7 +11,7 @@
 use std::io::{self, Write};
 
 /// Prints JSON, or what `table` makes.
-pub fn either<T: Serialize>(
+pub(crate) fn either<T: Serialize>(
     output: Output,
     value: &T,
     table: impl FnOnce(&T) -> String,
@@ -29,7 +29,7 @@
 }
 
 /// A plain table; columns whose names begin with `#` hold numbers.
-pub fn table(heads: &[&str], rows: Vec<Vec<String>>) -> String {
+pub(crate) fn table(heads: &[&str], rows: Vec<Vec<String>>) -> String {
     let mut t = Table::new();
     t.load_preset(presets::NOTHING)
         .set_content_arrangement(ContentArrangement::Disabled);
@@ -57,7 +57,7 @@
 }
 
 /// Seconds as one would say them.
-pub fn age(seconds: Option<f64>) -> String {
+pub(crate) fn age(seconds: Option<f64>) -> String {
     match seconds {
         None => "-".into(),
         Some(s) if s < 120.0 => format!("{:.0}s", s.max(0.0)),
@@ -76,7 +76,7 @@
         .map_or("-".into(), |u| format!("{u:?}").to_lowercase())
 }
 
-pub fn jobs(rows: &[JobRow]) -> String {
+pub(crate) fn jobs(rows: &[JobRow]) -> String {
     let rows = rows
         .iter()
         .map(|r| {
@@ -100,7 +100,7 @@
     )
 }
 
-pub fn job(d: &JobDetail) -> String {
+pub(crate) fn job(d: &JobDetail) -> String {
     let r = &d.row;
     let mut text = format!(
         "{} is {}: {} of {} tasks done, {} running; team {}, class {}, urgency {}, age {}\n",
@@ -154,7 +154,7 @@
     text
 }
 
-pub fn machines(rows: &[MachineRow]) -> String {
+pub(crate) fn machines(rows: &[MachineRow]) -> String {
     let rows = rows
         .iter()
         .map(|m| {
@@ -194,7 +194,7 @@
     table(&heads, rows)
 }
 
-pub fn teams(rows: &[TeamRow]) -> String {
+pub(crate) fn teams(rows: &[TeamRow]) -> String {
     let none = |v: f64| {
         if v > 0.0 {
             format!("{v:.0}")
@@ -235,7 +235,7 @@
 }
 
 /// Teams with their quotas, and whether these are in force everywhere.
-pub fn quotas(view: &ConfigurationView) -> String {
+pub(crate) fn quotas(view: &ConfigurationView) -> String {
     let none = |v: f64| {
         if v > 0.0 {
             format!("{v:.1}")
@@ -287,7 +287,7 @@
     text
 }
 
-pub fn nodes(rows: &[NodeRow]) -> String {
+pub(crate) fn nodes(rows: &[NodeRow]) -> String {
     let rows = rows
         .iter()
         .map(|n| {
@@ -327,7 +327,7 @@
 }
 
 /// A line of blocks, as high as the values.
-pub fn spark(values: &[f64]) -> String {
+pub(crate) fn spark(values: &[f64]) -> String {
     const BLOCKS: [char; 8] = ['▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     let top = values.iter().copied().fold(0.0, f64::max);
     values
@@ -339,7 +339,7 @@
         .collect()
 }
 
-pub fn summary(s: &Summary, running: &[f64], waiting: &[f64]) -> String {
+pub(crate) fn summary(s: &Summary, running: &[f64], waiting: &[f64]) -> String {
     let mut text = format!(
         "leader {} (token {})   jobs: {} open, {} running   machines: {} up, {} starting, {} silent   directives: {}\n",
         s.leader,
@@ -388,7 +388,11 @@
     key_name: Option<&'a str>,
 }
 
-pub fn config(overrides: &Overrides, context: &Context, output: Output) -> Result<(), Failure> {
+pub(crate) fn config(
+    overrides: &Overrides,
+    context: &Context,
+    output: Output,
+) -> Result<(), Failure> {
     let file = overrides.file.clone().or_else(config::default_file);
     let shown = ConfigShown {
         file: file.filter(|f| f.exists()).map(|f| f.display().to_string()),
@@ -415,20 +419,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn tables_are_plain_text_without_colours_or_trailing_spaces() {
-        let text = table(&["a", "#n"], vec![vec!["x".into(), "1".into()]]);
-        assert!(!text.contains('\u{1b}'));
-        assert!(text.lines().all(|l| !l.ends_with(' ')), "{text:?}");
-        assert_eq!(table(&["a"], Vec::new()), "none");
-    }
-
-    #[test]
-    fn a_plot_shows_its_highest_value_highest() {
-        assert_eq!(spark(&[0.0, 1.0, 2.0]), "▁▅█");
-        assert_eq!(spark(&[0.0, 0.0]), "▁▁");
-    }
-}
+mod tests;
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 #[derive(Debug, thiserror::Error)]
-pub enum UpError {
+pub(crate) enum UpError {
     #[error(transparent)]
     Cluster(#[from] ClusterError),
     #[error("cannot find this program's own file: {0}")]
@@ -47,7 +47,7 @@
 const FIRST_LEADER_S: u64 = 30;
 
 /// A controller of ours ends when we do, however we end.
-pub fn end_with_parent() {
+pub(crate) fn end_with_parent() {
     let _ = set_parent_process_death_signal(Some(Signal::KILL));
 }
 
@@ -56,7 +56,7 @@
 ///
 /// A shell that is killed leaves what it started behind: this process leads the
 /// group they are all in, and outlives none of them.
-pub fn keep_task(line: &str) -> ExitCode {
+pub(crate) fn keep_task(line: &str) -> ExitCode {
     let told = Arc::new(AtomicBool::new(false));
     let listens = signal_hook::flag::register(signal_hook::consts::SIGTERM, told.clone()).is_ok()
         && set_parent_process_death_signal(Some(Signal::TERM)).is_ok();
@@ -99,7 +99,7 @@
     Some(base.join("beamhinge").join("up"))
 }
 
-pub fn run(o: &UpOptions) -> Result<(), UpError> {
+pub(crate) fn run(o: &UpOptions) -> Result<(), UpError> {
     let dir = o.dir.clone().or_else(default_dir).ok_or(UpError::NoDir)?;
     std::fs::create_dir_all(&dir).map_err(|e| UpError::File(dir.clone(), e))?;
     // Two clusters in one place would write over each other's state.
--- /dev/null
+++ b/crates/cli/src/verbs/listing.rs
@@ -0,0 +1,122 @@
+//! Lists of jobs and machines, and why a job waits.
+
+use crate::arguments::{JobsOptions, Output};
+use crate::{show, Failure};
+use beamhinge_admin_api::messages::{Explanation, JobPage, MachinePage, Splits};
+use beamhinge_client::Client;
+
+/// Rows of one page, at most.
+const MAX_PAGE_ROWS: usize = 200;
+/// Width of the bar that stands for a weight of 1, characters.
+const WEIGHT_BAR_WIDTH: f64 = 40.0;
+
+pub(super) fn machines(
+    client: &mut Client,
+    machine_type: Option<String>,
+    zone: Option<String>,
+    output: Output,
+) -> Result<(), Failure> {
+    let page = all_machines(
+        client,
+        &machine_type.unwrap_or_default(),
+        &zone.unwrap_or_default(),
+    )?;
+    show::either(output, &page, |p| show::machines(&p.machines))
+}
+
+/// The text that explains why a job waits.
+pub(super) fn explanation(e: &Explanation) -> String {
+    let mut text = format!("{} is {}", e.job, e.state);
+    if e.waiting > 0 {
+        text.push_str(&format!(", {} tasks wait", e.waiting));
+    }
+    if e.text.is_empty() {
+        text.push_str(": nothing holds it back");
+    }
+    for line in &e.text {
+        text.push_str(&format!("\n  {line}"));
+    }
+    text
+}
+
+/// The table of the learner's pairs.
+pub(super) fn splits(splits: &Splits) -> String {
+    let rows = splits.pairs.iter().map(|p| {
+        let bar = "#".repeat((p.weight * WEIGHT_BAR_WIDTH).round() as usize);
+        let cells = [
+            p.beta0.to_string(),
+            p.beta.to_string(),
+            format!("{:.4}", p.weight),
+        ];
+        cells.into_iter().chain([p.jobs.to_string(), bar]).collect()
+    });
+    let heads = ["#beta0", "#beta", "#weight", "#open jobs", ""];
+    format!(
+        "update every {} s\n{}",
+        splits.update_s,
+        show::table(&heads, rows.collect())
+    )
+}
+
+/// Lists jobs, page by page up to the number of rows that was asked for.
+pub(super) fn jobs(client: &mut Client, o: &JobsOptions, output: Output) -> Result<(), Failure> {
+    let number = |n: Option<f64>| n.map_or(String::new(), |n| n.to_string());
+    let mut all = JobPage {
+        jobs: Vec::new(),
+        next: None,
+    };
+    let mut after = o.after.clone();
+    loop {
+        let left = o.limit.saturating_sub(all.jobs.len()).max(1);
+        let query = [
+            ("state", o.state.clone()),
+            ("team", o.team.clone()),
+            ("class", o.class.clone()),
+            ("urgency", o.urgency.clone()),
+            ("older_s", number(o.older_s)),
+            ("younger_s", number(o.younger_s)),
+            ("after", after),
+            ("limit", left.min(MAX_PAGE_ROWS).to_string()),
+        ];
+        let page = client.jobs(&query)?;
+        all.jobs.extend(page.jobs);
+        all.next = page.next;
+        match &all.next {
+            Some(next) if all.jobs.len() < o.limit => after = next.clone(),
+            _ => break,
+        }
+    }
+    show::either(output, &all, |p| {
+        let more = p.next.as_ref().map_or(String::new(), |n| {
+            format!("\nthere may be more: go on with --after {n}")
+        });
+        show::jobs(&p.jobs) + &more
+    })
+}
+
+/// All pages of machines.
+fn all_machines(
+    client: &mut Client,
+    machine_type: &str,
+    zone: &str,
+) -> Result<MachinePage, Failure> {
+    let mut all = MachinePage {
+        machines: Vec::new(),
+        next: None,
+    };
+    let mut after = String::new();
+    loop {
+        let query = [
+            ("shape", machine_type.to_string()),
+            ("zone", zone.to_string()),
+            ("after", after),
+            ("limit", MAX_PAGE_ROWS.to_string()),
+        ];
+        let page = client.machines(&query)?;
+        all.machines.extend(page.machines);
+        match page.next {
+            Some(next) => after = next,
+            None => return Ok(all),
+        }
+    }
+}
--- /dev/null
+++ b/crates/cli/src/verbs/submission.rs
@@ -0,0 +1,196 @@
+//! Submitting and cancelling jobs.
+
+use crate::arguments::{Output, SubmitOptions};
+use crate::{show, Failure};
+use beamhinge_admin_api::messages::{JobDetail, JobRequest, State};
+use beamhinge_client::{draw_job_id, Client, ClientError};
+use beamhinge_core::job::JobKind;
+use std::io::{self, IsTerminal};
+use std::time::Duration;
+
+/// Width of the progress bar, characters.
+const PROGRESS_BAR_WIDTH: usize = 30;
+/// How often a job that is waited for is looked up.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Quotes a word so that a shell reads it as one.
+pub(super) fn quoted(word: &str) -> String {
+    let plain = |c: char| c.is_ascii_alphanumeric() || "-_./=:,+@%".contains(c);
+    if !word.is_empty() && word.chars().all(plain) {
+        word.to_string()
+    } else {
+        format!("'{}'", word.replace('\'', "'\\''"))
+    }
+}
+
+/// The job that a file and flags describe; flags override the file.
+pub(super) fn request(o: &SubmitOptions) -> Result<JobRequest, Failure> {
+    let mut table = match &o.file {
+        Some(path) => {
+            let text = std::fs::read_to_string(path)
+                .map_err(|e| Failure::Usage(format!("{}: {e}", path.display())))?;
+            text.parse::<toml::Table>()
+                .map_err(|e| Failure::Usage(format!("{}: {e}", path.display())))?
+        }
+        None => toml::Table::new(),
+    };
+    apply_flags(&mut table, o);
+    if !table.contains_key("team") {
+        return Err(Failure::Usage(
+            "name the team that it counts for: --team NAME".into(),
+        ));
+    }
+    if !table.contains_key("job") {
+        table.insert("job".into(), draw_job_id().into());
+    }
+    let source = o
+        .file
+        .as_ref()
+        .map_or("the flags".into(), |f| f.display().to_string());
+    toml::Value::Table(table)
+        .try_into()
+        .map_err(|e: toml::de::Error| Failure::Usage(format!("{source}: {}", e.message())))
+}
+
+/// Puts what the flags say over what the file says.
+fn apply_flags(table: &mut toml::Table, o: &SubmitOptions) {
+    let mut set = |name: &str, value: Option<toml::Value>| {
+        if let Some(v) = value {
+            table.insert(name.into(), v);
+        }
+    };
+    let text = |v: &Option<String>| v.clone().map(toml::Value::from);
+    let number = |v: Option<f64>| v.map(toml::Value::from);
+    set("job", text(&o.id));
+    set("team", text(&o.team));
+    set("class", text(&o.class));
+    set("urgency", text(&o.urgency));
+    set("tasks", o.tasks.map(|t| toml::Value::from(i64::from(t))));
+    set("cpus", number(o.cpus));
+    set("gpus", number(o.gpus));
+    set("memory_gb", number(o.memory_gb));
+    set("image", text(&o.image));
+    set("image_gb", number(o.image_gb));
+    set("zone", text(&o.zone));
+    set("expect_s", number(o.expect_s));
+    set("checkpoint_s", number(o.checkpoint_s));
+    set("save_s", number(o.save_s));
+    set("due_s", number(o.due_s));
+    set("kind", o.standing.then(|| "standing".into()));
+    set("one_zone", o.one_zone.then_some(true.into()));
+    set("spread", o.spread.then_some(true.into()));
+    set("spot", o.no_spot.then_some(false.into()));
+    set(
+        "shapes",
+        (!o.shapes.is_empty()).then(|| o.shapes.clone().into()),
+    );
+    if !o.command.is_empty() {
+        // One word is a line for the shell; several are one command.
+        let line = match o.command.as_slice() {
+            [line] => line.clone(),
+            words => words
+                .iter()
+                .map(|w| quoted(w))
+                .collect::<Vec<_>>()
+                .join(" "),
+        };
+        set("command", Some(line.into()));
+    }
+}
+
+/// Submits a job and, with `--wait`, waits for its end.
+pub(super) fn submit(
+    client: &mut Client,
+    o: &SubmitOptions,
+    output: Output,
+) -> Result<(), Failure> {
+    let job = request(o)?;
+    if o.wait && job.kind == JobKind::Service {
+        return Err(Failure::Usage(
+            "a service runs until it is cancelled: leave --wait out".into(),
+        ));
+    }
+    let submitted = client.submit(&job).inspect_err(|e| {
+        if e.may_have_happened() {
+            // The id makes a repeated submission safe: it must not be lost.
+            eprintln!("beamhinge: the same again is safe: --id {}", job.job);
+        }
+    })?;
+    if !o.wait {
+        return show::either(output, &submitted, |t| format!("{} is {}", t.job, t.state));
+    }
+    if output == Output::Table {
+        println!("{} is {}", submitted.job, submitted.state);
+    }
+    let detail = wait(client, &job.job)?;
+    show::either(output, &detail, show::job)?;
+    if detail.row.state == State::Cancelled {
+        return Err(Failure::Cancelled(job.job));
+    }
+    Ok(())
+}
+
+/// Shows progress until the job has ended.
+fn wait(client: &mut Client, job: &str) -> Result<JobDetail, Failure> {
+    let live = io::stderr().is_terminal();
+    let mut shown = String::new();
+    loop {
+        // A wait outlives restarts: only a clear answer ends it.
+        let detail = match client.job(job) {
+            Ok(d) => d,
+            Err(ClientError::TimedOut { .. } | ClientError::Unreachable { .. }) => continue,
+            Err(e) => return Err(e.into()),
+        };
+        let r = &detail.row;
+        let filled = PROGRESS_BAR_WIDTH * r.done as usize / r.tasks.max(1) as usize;
+        let line = format!(
+            "[{}{}] {}/{} done, {} running",
+            "#".repeat(filled),
+            ".".repeat(PROGRESS_BAR_WIDTH - filled.min(PROGRESS_BAR_WIDTH)),
+            r.done,
+            r.tasks,
+            r.running
+        );
+        if line != shown {
+            if live {
+                eprint!("\r{line}  ");
+            } else {
+                eprintln!("{line}");
+            }
+            shown = line;
+        }
+        if r.state.is_final() {
+            if live {
+                eprintln!();
+            }
+            return Ok(detail);
+        }
+        std::thread::sleep(POLL_INTERVAL);
+    }
+}
+
+/// Cancels jobs; the first error decides the exit code.
+pub(super) fn cancel(client: &mut Client, jobs: &[String], output: Output) -> Result<(), Failure> {
+    let mut responses = Vec::new();
+    let mut first_error = None;
+    for job in jobs {
+        match client.cancel(job) {
+            Ok(t) => responses.push(t),
+            Err(e) => {
+                eprintln!("beamhinge: {job}: {e}");
+                first_error = first_error.or(Some(e));
+            }
+        }
+    }
+    show::either(output, &responses, |responses| {
+        let lines: Vec<String> = responses
+            .iter()
+            .map(|t| match t.state {
+                State::Done => format!("{} was done already", t.job),
+                state => format!("{} is {state}", t.job),
+            })
+            .collect();
+        lines.join("\n")
+    })?;
+    first_error.map_or(Ok(()), |e| Err(e.into()))
+}
--- /dev/null
+++ b/crates/cli/src/verbs/tests.rs
@@ -0,0 +1,44 @@
+use super::submission::{quoted, request};
+use crate::arguments::{Arguments, Verb};
+use crate::Failure;
+use beamhinge_admin_api::messages::JobRequest;
+use clap::Parser;
+
+fn parsed(words: &[&str]) -> Result<JobRequest, Failure> {
+    let all = ["beamhinge", "submit"].iter().chain(words).copied();
+    match Arguments::parse_from(all).verb {
+        Verb::Submit(o) => request(&o),
+        _ => panic!("it is a submission"),
+    }
+}
+
+#[test]
+fn flags_make_a_job_and_quote_its_command() {
+    let job = parsed(&[
+        "--team",
+        "home",
+        "--tasks",
+        "3",
+        "--no-spot",
+        "--",
+        "echo",
+        "a b",
+    ]);
+    let job = job.expect("sound");
+    assert_eq!((job.tasks, job.spot), (3, false));
+    assert_eq!(job.command.as_deref(), Some("echo 'a b'"));
+    assert!(job.job.starts_with("job-") && job.job.len() == 19);
+    assert_eq!(quoted("it's"), "'it'\\''s'");
+}
+
+#[test]
+fn invalid_submission_names_the_mistake() {
+    let error = parsed(&["--tasks", "3"]).expect_err("no team").to_string();
+    assert!(error.contains("--team"), "{error}");
+    let words = ["--team", "home", "--urgency", "soon"];
+    let error = parsed(&words).expect_err("no such urgency").to_string();
+    assert!(
+        error.contains("soon") && error.contains("best_effort"),
+        "{error}"
+    );
+}
