--- a/crates/emulator/src/user.rs
+++ b/crates/emulator/src/user.rs
@@ -9,7 +9,7 @@
 const RETRY_S: f64 = 1.0;
 
 /// A request of a user about a job.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UserRequest {
     /// To run it.
     Submit,
--- a/crates/testbed/src/doors.rs
+++ b/crates/testbed/src/doors.rs
@@ -1,5 +1,5 @@
-//! Hostile, mistaken and slow clients at the operators' door: each is told
-//! what is wrong, nothing changes, and the others are served meanwhile.
+//! Hostile, mistaken and slow clients at the operators' listener: each is told what is wrong,
+//! nothing changes, and the others are served meanwhile.
 
 use crate::place::{self, Folder, Lab};
 use crate::TestbedError;
@@ -8,15 +8,42 @@
 use beamhinge_client::connection::Connection;
 use beamhinge_client::{wall_ms, Client, ClientError, Timeouts};
 use beamhinge_core::http::Method;
+use beamhinge_dev_cluster::Cluster;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
+/// Bytes that every byte of the operator's and of the viewer's secret has.
+const OPERATOR_SECRET: u8 = 7;
+const VIEWER_SECRET: u8 = 8;
+/// Length of a secret, bytes.
+const SECRET_LENGTH: usize = 32;
+/// Readers that never take their answers, and the requests of each.
+const SLOW_READERS: usize = 5;
+const REQUESTS_OF_SLOW_READER: usize = 50;
+/// Others must be served within this time beside them, seconds.
+const MAX_BESIDE_S: f64 = 3.0;
+/// Nonces of the requests that are signed here; the client draws its own.
+const SUBMIT_NONCE: &str = "0000000000000001";
+const LATE_NONCE: &str = "0000000000000002";
+const FIRST_MISTAKE_NONCE: u32 = 100;
+/// How far the clock is behind in one check, milliseconds.
+const CLOCK_BEHIND_MS: u64 = 600_000;
+
 fn soon() -> Instant {
     Instant::now() + Duration::from_secs(5)
 }
 
+fn secret(byte: u8) -> String {
+    format!("{byte:02x}").repeat(SECRET_LENGTH)
+}
+
+fn key(name: &str, role: Role, byte: u8) -> Result<Key, TestbedError> {
+    Key::new(name, role, vec![byte; SECRET_LENGTH])
+        .ok_or_else(|| TestbedError::Other("the lab's own keys are unsound".into()))
+}
+
 struct Checks {
     failed: Vec<String>,
     made: u32,
@@ -32,243 +59,317 @@
     }
 }
 
-/// Status and code of an answer to one bare request.
+/// The answer to one bare request.
+struct Answer {
+    status: u16,
+    /// Of the problem; empty if there is none.
+    code: String,
+    /// How far the controller's clock is ahead, if it says so.
+    ahead_ms: Option<i64>,
+}
+
+/// Whether a request was refused with this status and code.
+fn is_refused(answer: Option<Answer>, status: u16, code: &str) -> bool {
+    answer.is_some_and(|a| a.status == status && a.code == code)
+}
+
+/// Sends one bare request; none if nobody answers.
 fn ask(
-    door: SocketAddrV4,
+    listener: SocketAddrV4,
     method: Method,
     path: &str,
     body: &[u8],
     authorization: Option<&str>,
-) -> Option<(u16, String, Option<i64>)> {
-    let mut c = Connection::open(door, soon()).ok()?;
-    let r = c.exchange(method, path, body, authorization, soon()).ok()?;
-    let problem = serde_json::from_slice::<Problem>(&r.body).ok();
+) -> Option<Answer> {
+    let mut connection = Connection::open(listener, soon()).ok()?;
+    let response = connection
+        .exchange(method, path, body, authorization, soon())
+        .ok()?;
+    let problem = serde_json::from_slice::<Problem>(&response.body).ok();
     let code = problem
         .as_ref()
         .and_then(|p| serde_json::to_value(p.code).ok());
-    let code = code
-        .and_then(|c| c.as_str().map(str::to_string))
-        .unwrap_or_default();
-    Some((r.status, code, problem.and_then(|p| p.ahead_ms)))
+    Some(Answer {
+        status: response.status,
+        code: code
+            .and_then(|c| c.as_str().map(str::to_string))
+            .unwrap_or_default(),
+        ahead_ms: problem.and_then(|p| p.ahead_ms),
+    })
 }
 
-pub fn run(lab: &Lab) -> Result<Value, TestbedError> {
-    let folder = Folder::new("doors")?;
-    let keys = folder.0.join("keys.ini");
-    let secret = |b: u8| {
-        [b; 32]
-            .iter()
-            .map(|x| format!("{x:02x}"))
-            .collect::<String>()
-    };
-    std::fs::write(
-        &keys,
-        format!(
+/// The cluster, and who asks it.
+struct Scene {
+    cluster: Cluster,
+    listeners: Vec<SocketAddrV4>,
+    operator_key: Key,
+    operator: Client,
+    viewer: Client,
+    checks: Checks,
+}
+
+/// What is signed for one process of a controller.
+struct SignedSubmission {
+    instance: String,
+    body: Vec<u8>,
+    authorization: String,
+}
+
+impl Scene {
+    fn new(lab: &Lab, folder: &Folder) -> Result<Scene, TestbedError> {
+        let keys = folder.0.join("keys.ini");
+        let text = format!(
             "[night]\nrole = operator\nsecret = {}\n[wall]\nrole = viewer\nsecret = {}\n",
-            secret(7),
-            secret(8)
-        ),
-    )?;
-    let mut plan = place::plan(lab, &folder.0);
-    plan.nodes = 2;
-    plan.operators = format!("keys = {}\nconnections = 6\n", keys.display());
-    let mut cluster = beamhinge_dev_cluster::Cluster::start(plan, Box::new(|_| {}))?;
-    let doors = place::doors(&cluster);
-    let new = |name, role, b| Key::new(name, role, vec![b; 32]);
-    let (Some(night), Some(wall)) = (
-        new("night", Role::Operator, 7),
-        new("wall", Role::Viewer, 8),
-    ) else {
-        return Err(TestbedError::Other("the lab's own keys are unsound".into()));
-    };
-    let timeouts = Timeouts {
-        total: Duration::from_secs(20),
-        per_attempt: Duration::from_secs(3),
-    };
-    let with = |key: &Key| Client::new(&doors, Some(key.clone()), timeouts, |_| {});
-    let mut operator = with(&night);
-    let mut viewer = with(&wall);
-    let mut checks = Checks {
-        failed: Vec::new(),
-        made: 0,
-    };
-    checks.that("a signed question is answered", operator.summary().is_ok());
-    checks.that("a viewer may look", viewer.nodes().is_ok());
-    let job = JobRequest::new("job-0001", "home");
-    let denied = viewer.submit(&job);
-    checks.that(
-        "a viewer may not submit",
-        matches!(denied, Err(ClientError::Denied(_))),
-    );
-    let door = doors[0];
-    let told = |r: Option<(u16, String, Option<i64>)>, status: u16, code: &str| {
-        r.is_some_and(|(s, c, _)| s == status && c == code)
-    };
-    let r = ask(door, Method::Get, "/v1/jobs", &[], None);
-    checks.that("without a signature: 401", told(r, 401, "unauthenticated"));
-    let r = ask(
-        door,
-        Method::Post,
-        "/v1/jobs",
-        b"{}",
-        Some("BH1 key=night,mac=00"),
-    );
-    checks.that(
-        "with half a signature: 401",
-        told(r, 401, "unauthenticated"),
-    );
-    let mut c = Connection::open(door, soon()).map_err(|e| TestbedError::Other(e.to_string()))?;
-    let hello = c
-        .exchange(Method::Get, "/v1/hello", &[], None, soon())
-        .map_err(|e| TestbedError::Other(e.to_string()))?;
-    let hello: Hello =
-        serde_json::from_slice(&hello.body).map_err(|e| TestbedError::Other(e.to_string()))?;
-    let sign = |nonce: &str, path: &str, body: &[u8], time_ms: u64, instance: &str| {
-        let method = if body.is_empty() { "GET" } else { "POST" };
-        night.sign(&Signed {
-            method,
-            path,
-            body,
-            time_ms,
-            nonce,
-            instance,
+            secret(OPERATOR_SECRET),
+            secret(VIEWER_SECRET)
+        );
+        std::fs::write(&keys, text)?;
+        let mut plan = place::plan(lab, &folder.0);
+        plan.nodes = 2;
+        plan.operators = format!("keys = {}\nconnections = 6\n", keys.display());
+        let cluster = Cluster::start(plan, Box::new(|_| {}))?;
+        let listeners = place::doors(&cluster);
+        let operator_key = key("night", Role::Operator, OPERATOR_SECRET)?;
+        let viewer_key = key("wall", Role::Viewer, VIEWER_SECRET)?;
+        let timeouts = Timeouts {
+            total: Duration::from_secs(20),
+            per_attempt: Duration::from_secs(3),
+        };
+        let client = |key: Key| Client::new(&listeners, Some(key), timeouts, |_| {});
+        Ok(Scene {
+            operator: client(operator_key.clone()),
+            viewer: client(viewer_key),
+            cluster,
+            listeners,
+            operator_key,
+            checks: Checks {
+                failed: Vec::new(),
+                made: 0,
+            },
         })
-    };
-    let body = serde_json::to_vec(&job).map_err(|e| TestbedError::Other(e.to_string()))?;
-    let signed = sign(
-        "0000000000000001",
-        "/v1/jobs",
-        &body,
-        wall_ms(),
-        &hello.instance,
-    );
-    let altered = serde_json::to_vec(&JobRequest::new("job-0002", "home"))
-        .map_err(|e| TestbedError::Other(e.to_string()))?;
-    let r = ask(door, Method::Post, "/v1/jobs", &altered, Some(&signed));
-    checks.that("an altered body: 401", told(r, 401, "unauthenticated"));
-    let r = ask(door, Method::Post, "/v1/jobs", &body, Some(&signed));
-    checks.that("the signed one: 201", r.is_some_and(|r| r.0 == 201));
-    let r = ask(door, Method::Post, "/v1/jobs", &body, Some(&signed));
-    checks.that("the same again: 401, replayed", told(r, 401, "replayed"));
-    let r = ask(doors[1], Method::Post, "/v1/jobs", &body, Some(&signed));
-    checks.that("the same to another: 401", told(r, 401, "other_instance"));
-    let late = sign(
-        "0000000000000002",
-        "/v1/teams",
-        &[],
-        wall_ms() - 600_000,
-        &hello.instance,
-    );
-    let r = ask(door, Method::Get, "/v1/teams", &[], Some(&late));
-    let ahead = r.as_ref().and_then(|r| r.2).unwrap_or(0);
-    checks.that(
-        "a clock ten minutes behind: told by how much",
-        (-601_000..-599_000).contains(&ahead),
-    );
-    checks.that("and as a matter of the clock", told(r, 401, "clock"));
-    for (what, method, path, body, status) in [
-        (
-            "an unknown path: 404",
-            Method::Get,
-            "/v1/planets",
-            &b""[..],
-            404,
-        ),
-        (
-            "a misspelt filter: 400",
-            Method::Get,
-            "/v1/jobs?stat=open",
-            b"",
-            400,
-        ),
-        (
-            "a body that is not JSON: 400",
-            Method::Post,
-            "/v1/jobs",
-            b"{\"job",
-            400,
-        ),
-        (
-            "a field that does not exist: 400",
-            Method::Post,
-            "/v1/directives",
-            b"{\"a\":1}",
-            400,
-        ),
-        ("a wrong method: 405", Method::Delete, "/v1/nodes", b"", 405),
-    ] {
-        let nonce = format!("{:016}", 100 + checks.made);
-        let (m, t) = (method.name(), wall_ms());
-        let instance = hello.instance.as_str();
-        let s = Signed {
-            method: m,
-            path,
+    }
+
+    /// The listener of the first controller.
+    fn listener(&self) -> SocketAddrV4 {
+        self.listeners[0]
+    }
+
+    fn check_roles(&mut self) {
+        let answered = self.operator.summary().is_ok();
+        self.checks.that("a signed question is answered", answered);
+        let looked = self.viewer.nodes().is_ok();
+        self.checks.that("a viewer may look", looked);
+        let denied = self.viewer.submit(&JobRequest::new("job-0001", "home"));
+        let denied = matches!(denied, Err(ClientError::Denied(_)));
+        self.checks.that("a viewer may not submit", denied);
+    }
+
+    /// Requests that are not signed, signed in part, altered or repeated.
+    fn check_signatures(&mut self) -> Result<SignedSubmission, TestbedError> {
+        let (first, second) = (self.listener(), self.listeners[1]);
+        let post = |listener, body: &[u8], authorization: &str| {
+            ask(
+                listener,
+                Method::Post,
+                "/v1/jobs",
+                body,
+                Some(authorization),
+            )
+        };
+        let bare = ask(first, Method::Get, "/v1/jobs", &[], None);
+        let refused = is_refused(bare, 401, "unauthenticated");
+        self.checks.that("without a signature: 401", refused);
+        let half = post(first, b"{}", "BH1 key=night,mac=00");
+        let refused = is_refused(half, 401, "unauthenticated");
+        self.checks.that("with half a signature: 401", refused);
+        let signed = self.sign_submission()?;
+        let (body, authorization) = (&signed.body, &signed.authorization);
+        let altered = encode(&JobRequest::new("job-0002", "home"))?;
+        let altered = post(first, &altered, authorization);
+        let refused = is_refused(altered, 401, "unauthenticated");
+        self.checks.that("an altered body: 401", refused);
+        let created = post(first, body, authorization).is_some_and(|a| a.status == 201);
+        self.checks.that("the signed one: 201", created);
+        let replayed = is_refused(post(first, body, authorization), 401, "replayed");
+        self.checks.that("the same again: 401, replayed", replayed);
+        let other = is_refused(post(second, body, authorization), 401, "other_instance");
+        self.checks.that("the same to another: 401", other);
+        Ok(signed)
+    }
+
+    fn sign_submission(&self) -> Result<SignedSubmission, TestbedError> {
+        let other = |e: &dyn std::fmt::Display| TestbedError::Other(e.to_string());
+        let mut connection = Connection::open(self.listener(), soon()).map_err(|e| other(&e))?;
+        let hello = connection
+            .exchange(Method::Get, "/v1/hello", &[], None, soon())
+            .map_err(|e| other(&e))?;
+        let hello: Hello = serde_json::from_slice(&hello.body).map_err(|e| other(&e))?;
+        let body = encode(&JobRequest::new("job-0001", "home"))?;
+        let authorization = self.operator_key.sign(&Signed {
+            method: "POST",
+            path: "/v1/jobs",
+            body: &body,
+            time_ms: wall_ms(),
+            nonce: SUBMIT_NONCE,
+            instance: &hello.instance,
+        });
+        Ok(SignedSubmission {
+            instance: hello.instance,
             body,
-            time_ms: t,
-            nonce: &nonce,
+            authorization,
+        })
+    }
+
+    fn check_clock(&mut self, instance: &str) {
+        let late = self.operator_key.sign(&Signed {
+            method: "GET",
+            path: "/v1/teams",
+            body: &[],
+            time_ms: wall_ms() - CLOCK_BEHIND_MS,
+            nonce: LATE_NONCE,
             instance,
-        };
-        let r = ask(door, method, path, body, Some(&night.sign(&s)));
-        checks.that(what, r.is_some_and(|r| r.0 == status));
+        });
+        let answer = ask(self.listener(), Method::Get, "/v1/teams", &[], Some(&late));
+        let ahead = answer.as_ref().and_then(|a| a.ahead_ms).unwrap_or(0);
+        self.checks.that(
+            "a clock ten minutes behind: told by how much",
+            (-601_000..-599_000).contains(&ahead),
+        );
+        let refused = is_refused(answer, 401, "clock");
+        self.checks.that("and as a matter of the clock", refused);
     }
-    let large = vec![b'x'; 80 * 1024];
-    let r = ask(door, Method::Post, "/v1/jobs", &large, None);
-    checks.that("an oversized body: 413", told(r, 413, "too_large"));
-    checks.that("bytes that are no HTTP: 400", garbage(door));
-    checks.that("nothing of this made a job", {
-        let page = operator.jobs(&[]);
-        page.is_ok_and(|p| p.jobs.len() == 1 && p.jobs[0].job == "job-0001")
-    });
-    // Readers that never take their answers hold their own connections only.
-    let mut slow = Vec::new();
-    for _ in 0..5 {
-        let mut s = TcpStream::connect(door)?;
-        for _ in 0..50 {
-            let _ = s.write_all(b"GET /v1/hello HTTP/1.1\r\nHost: x\r\n\r\n");
+
+    /// Signed requests that make no sense.
+    fn check_mistakes(&mut self, instance: &str) {
+        use Method::{Delete, Get, Post};
+        let mistakes: [(&str, Method, &str, &[u8], u16); 5] = [
+            ("an unknown path: 404", Get, "/v1/planets", b"", 404),
+            (
+                "a misspelt filter: 400",
+                Get,
+                "/v1/jobs?stat=open",
+                b"",
+                400,
+            ),
+            (
+                "a body that is not JSON: 400",
+                Post,
+                "/v1/jobs",
+                b"{\"job",
+                400,
+            ),
+            (
+                "a field that does not exist: 400",
+                Post,
+                "/v1/directives",
+                b"{\"a\":1}",
+                400,
+            ),
+            ("a wrong method: 405", Delete, "/v1/nodes", b"", 405),
+        ];
+        for (what, method, path, body, status) in mistakes {
+            let nonce = format!("{:016}", FIRST_MISTAKE_NONCE + self.checks.made);
+            let authorization = self.operator_key.sign(&Signed {
+                method: method.name(),
+                path,
+                body,
+                time_ms: wall_ms(),
+                nonce: &nonce,
+                instance,
+            });
+            let answer = ask(self.listener(), method, path, body, Some(&authorization));
+            let refused = answer.is_some_and(|a| a.status == status);
+            self.checks.that(what, refused);
         }
-        slow.push(s);
+        let large = vec![b'x'; 80 * 1024];
+        let answer = ask(self.listener(), Method::Post, "/v1/jobs", &large, None);
+        let refused = is_refused(answer, 413, "too_large");
+        self.checks.that("an oversized body: 413", refused);
+        let refused = refuses_garbage(self.listener());
+        self.checks.that("bytes that are no HTTP: 400", refused);
+        let jobs = self.operator.jobs(&[]);
+        let unchanged = jobs.is_ok_and(|p| p.jobs.len() == 1 && p.jobs[0].job == "job-0001");
+        self.checks.that("nothing of this made a job", unchanged);
     }
-    let began = Instant::now();
-    checks.that(
-        "others are served beside slow readers",
-        operator.summary().is_ok(),
-    );
-    let beside_s = began.elapsed().as_secs_f64();
-    checks.that("and not made to wait", beside_s < 3.0);
-    drop(slow);
-    // A restart: the old signature is void, the client signs anew by itself.
-    cluster.kill_node(0);
-    cluster.kill_node(1);
-    cluster.start_node(0)?;
-    cluster.start_node(1)?;
-    checks.that(
-        "the client goes on after a restart by itself",
-        operator.job("job-0001").is_ok(),
-    );
-    let r = ask(door, Method::Post, "/v1/jobs", &body, Some(&signed));
-    checks.that(
-        "what was signed before it is void",
-        told(r, 401, "other_instance"),
-    );
-    let log = std::fs::read_to_string(cluster.log_of(0)).unwrap_or_default();
-    checks.that(
-        "no secret stands in the log",
-        !log.contains(&secret(7)) && !log.is_empty(),
-    );
-    let ok = checks.failed.is_empty();
+
+    /// Readers that never take their answers hold their own connections only; returns how
+    /// long another waited, seconds.
+    fn check_slow_readers(&mut self) -> Result<f64, TestbedError> {
+        let mut readers = Vec::new();
+        for _ in 0..SLOW_READERS {
+            let mut reader = TcpStream::connect(self.listener())?;
+            for _ in 0..REQUESTS_OF_SLOW_READER {
+                let _ = reader.write_all(b"GET /v1/hello HTTP/1.1\r\nHost: x\r\n\r\n");
+            }
+            readers.push(reader);
+        }
+        let began = Instant::now();
+        let served = self.operator.summary().is_ok();
+        self.checks
+            .that("others are served beside slow readers", served);
+        let beside_s = began.elapsed().as_secs_f64();
+        self.checks
+            .that("and not made to wait", beside_s < MAX_BESIDE_S);
+        drop(readers);
+        Ok(beside_s)
+    }
+
+    /// A restart: the old signature is void, the client signs anew by itself.
+    fn check_restart(&mut self, signed: &SignedSubmission) -> Result<(), TestbedError> {
+        for node in 0..2 {
+            self.cluster.kill_node(node);
+        }
+        for node in 0..2 {
+            self.cluster.start_node(node)?;
+        }
+        let goes_on = self.operator.job("job-0001").is_ok();
+        self.checks
+            .that("the client goes on after a restart by itself", goes_on);
+        let answer = ask(
+            self.listener(),
+            Method::Post,
+            "/v1/jobs",
+            &signed.body,
+            Some(&signed.authorization),
+        );
+        let refused = is_refused(answer, 401, "other_instance");
+        self.checks
+            .that("what was signed before it is void", refused);
+        let log = std::fs::read_to_string(self.cluster.log_of(0)).unwrap_or_default();
+        let silent = !log.contains(&secret(OPERATOR_SECRET)) && !log.is_empty();
+        self.checks.that("no secret stands in the log", silent);
+        Ok(())
+    }
+}
+
+fn encode(job: &JobRequest) -> Result<Vec<u8>, TestbedError> {
+    serde_json::to_vec(job).map_err(|e| TestbedError::Other(e.to_string()))
+}
+
+/// Runs the experiment; returns the figures that it prints.
+pub(crate) fn run(lab: &Lab) -> Result<Value, TestbedError> {
+    let folder = Folder::new("doors")?;
+    let mut scene = Scene::new(lab, &folder)?;
+    scene.check_roles();
+    let signed = scene.check_signatures()?;
+    scene.check_clock(&signed.instance);
+    scene.check_mistakes(&signed.instance);
+    let beside_s = scene.check_slow_readers()?;
+    scene.check_restart(&signed)?;
+    let Checks { failed, made } = scene.checks;
     Ok(
-        json!({"ok": ok, "experiment": "doors", "checks": checks.made, "failed": checks.failed,
+        json!({"ok": failed.is_empty(), "experiment": "doors", "checks": made, "failed": failed,
         "beside_slow_readers_s": (beside_s * 1e3).round() / 1e3}),
     )
 }
 
 /// Whether bytes that are no request are answered as such.
-fn garbage(door: SocketAddrV4) -> bool {
-    let Ok(mut s) = TcpStream::connect(door) else {
+fn refuses_garbage(listener: SocketAddrV4) -> bool {
+    let Ok(mut stream) = TcpStream::connect(listener) else {
         return false;
     };
-    let _ = s.set_read_timeout(Some(Duration::from_secs(3)));
-    let _ = s.write_all(b"\x16\x03\x01\x02\x00\x01\r\n\r\n");
+    let _ = stream.set_read_timeout(Some(Duration::from_secs(3)));
+    let _ = stream.write_all(b"\x16\x03\x01\x02\x00\x01\r\n\r\n");
     let mut answer = [0u8; 64];
-    matches!(s.read(&mut answer), Ok(n) if answer[..n].starts_with(b"HTTP/1.1 400"))
+    matches!(stream.read(&mut answer), Ok(n) if answer[..n].starts_with(b"HTTP/1.1 400"))
 }
--- a/crates/testbed/src/list.rs
+++ b/crates/testbed/src/list.rs
@@ -5,6 +5,7 @@
 use crate::TestbedError;
 use beamhinge_admin_api::directives::{Afterwards, Directive, Target, VERSION};
 use beamhinge_admin_api::messages::JobRequest;
+use beamhinge_client::Client;
 use beamhinge_core::job::{done_record, open_record, JobSpec};
 use beamhinge_core::wire;
 use serde_json::{json, Value};
@@ -15,25 +16,30 @@
 /// What one controller may use on the bench, MB.
 const ALLOWED_MB: f64 = 40.0;
 
-fn finished(i: usize) -> JobSpec {
+/// Rows of a page.
+const PAGE: usize = 200;
+/// A job is submitted each time so many pages were read.
+const SUBMIT_EVERY: usize = 25;
+
+fn job_spec(i: usize) -> JobSpec {
     let team = ["home", "small"][i % 2];
     JobRequest::new(format!("job-{i:08}"), team).spec(1_700_000_000_000 + i as u64)
 }
 
-pub fn run(lab: &Lab, quick: bool, open: bool) -> Result<Value, TestbedError> {
-    let jobs = if quick { 5_000 } else { 50_000 };
-    let folder = Folder::new("list")?;
+/// The state service's log with so many jobs; open ones wait, since their teams are frozen.
+fn state_log(jobs: usize, open: bool) -> Result<String, TestbedError> {
     let mut log = String::new();
     for i in 0..jobs {
-        let spec = finished(i);
-        let value = if open {
+        let spec = job_spec(i);
+        let record = if open {
             open_record(&spec)
         } else {
             done_record(&spec)
         };
         let value: Value =
-            wire::from_value(&value).map_err(|e| TestbedError::Other(e.to_string()))?;
+            wire::from_value(&record).map_err(|e| TestbedError::Other(e.to_string()))?;
         let key = format!("j/job-{i:08}");
+        // Writing to a string cannot fail.
         let _ = writeln!(log, "{}", json!({"rev": i + 1, "key": key, "value": value}));
     }
     if open {
@@ -52,43 +58,56 @@
             let _ = writeln!(log, "{}", json!({"rev": rev, "key": key, "value": value}));
         }
     }
-    std::fs::write(folder.0.join("state.log"), log)?;
-    let mut plan = place::plan(lab, &folder.0);
-    (plan.nodes, plan.kept) = (1, true);
-    let began = Instant::now();
-    let cluster = place::start(plan, Box::new(|_| {}))?;
-    let loaded_s = began.elapsed().as_secs_f64();
-    let pid = cluster.processes().first().copied().unwrap_or(0);
-    let before = place::memory_mb(pid).0;
-    let mut client = place::client(&cluster, 20.0);
-    let (mut seen, mut repeated, mut pages, mut most_ms) = (BTreeSet::new(), 0, 0, 0.0f64);
+    Ok(log)
+}
+
+/// What reading the whole list came to.
+struct Listing {
+    seen: BTreeSet<String>,
+    /// Jobs that came more than once.
+    repeated: usize,
+    pages: usize,
+    /// The longest that a page took, milliseconds.
+    longest_page_ms: f64,
+    /// All pages, seconds.
+    seconds: f64,
+}
+
+/// Reads the whole list, page by page, while jobs come before and behind the cursor.
+fn read_list(client: &mut Client) -> Result<Listing, TestbedError> {
+    let mut listing = Listing {
+        seen: BTreeSet::new(),
+        repeated: 0,
+        pages: 0,
+        longest_page_ms: 0.0,
+        seconds: 0.0,
+    };
     let mut after = String::new();
     let began = Instant::now();
     loop {
         let asked = Instant::now();
-        let page = client.jobs(&[("after", after.clone()), ("limit", "200".into())])?;
-        most_ms = most_ms.max(asked.elapsed().as_secs_f64() * 1e3);
-        pages += 1;
-        // Jobs come while the list is read, before and behind the cursor.
-        if pages % 25 == 0 {
-            let mut job = JobRequest::new(format!("job-{:09}", pages), "home");
+        let page = client.jobs(&[("after", after.clone()), ("limit", PAGE.to_string())])?;
+        let page_ms = asked.elapsed().as_secs_f64() * 1e3;
+        listing.longest_page_ms = listing.longest_page_ms.max(page_ms);
+        listing.pages += 1;
+        if listing.pages % SUBMIT_EVERY == 0 {
+            let mut job = JobRequest::new(format!("job-{:09}", listing.pages), "home");
             job.expect_s = 0.1;
             client.submit(&job)?;
         }
         for row in page.jobs {
-            repeated += usize::from(!seen.insert(row.job));
-        }
-        match page.next {
-            Some(next) => after = next,
-            None => break,
+            listing.repeated += usize::from(!listing.seen.insert(row.job));
         }
+        let Some(next) = page.next else { break };
+        after = next;
     }
-    let listed_s = began.elapsed().as_secs_f64();
-    let missing = (0..jobs)
-        .filter(|i| !seen.contains(&format!("job-{i:08}")))
-        .count();
-    // A filter that matches nothing looks at bounded parts as well.
-    let (mut looks, mut after) = (0, String::new());
+    listing.seconds = began.elapsed().as_secs_f64();
+    Ok(listing)
+}
+
+/// How many pages a filter takes that matches nothing: it looks at bounded parts as well.
+fn pages_without_match(client: &mut Client) -> Result<usize, TestbedError> {
+    let (mut pages, mut after) = (0, String::new());
     loop {
         let query = [
             ("state", "cancelled".into()),
@@ -96,20 +115,44 @@
             ("after", after.clone()),
         ];
         let page = client.jobs(&query)?;
-        looks += 1;
+        pages += 1;
         match page.next {
             Some(next) => after = next,
-            None => break,
+            None => return Ok(pages),
         }
     }
+}
+
+/// Runs the experiment; returns the figures that it prints. `open`: none of the jobs is
+/// finished.
+pub(crate) fn run(lab: &Lab, quick: bool, open: bool) -> Result<Value, TestbedError> {
+    let jobs = if quick { 5_000 } else { 50_000 };
+    let folder = Folder::new("list")?;
+    std::fs::write(folder.0.join("state.log"), state_log(jobs, open)?)?;
+    let mut plan = place::plan(lab, &folder.0);
+    (plan.nodes, plan.kept) = (1, true);
+    let began = Instant::now();
+    let cluster = place::start(plan, Box::new(|_| {}))?;
+    let loaded_s = began.elapsed().as_secs_f64();
+    let pid = cluster.processes().first().copied().unwrap_or(0);
+    let before_mb = place::memory_mb(pid).0;
+    let mut client = place::client(&cluster, 20.0);
+    let listing = read_list(&mut client)?;
+    let missing = (0..jobs)
+        .filter(|i| !listing.seen.contains(&format!("job-{i:08}")))
+        .count();
+    let pages_without_match = pages_without_match(&mut client)?;
     let (now_mb, peak_mb) = place::memory_mb(pid);
     let round = |x: f64| (x * 1e3).round() / 1e3;
-    let ok = missing == 0 && repeated == 0 && peak_mb < ALLOWED_MB && pages >= jobs / 200;
+    let Listing {
+        repeated, pages, ..
+    } = listing;
+    let ok = missing == 0 && repeated == 0 && peak_mb < ALLOWED_MB && pages >= jobs / PAGE;
     Ok(
         json!({"ok": ok, "experiment": "list", "jobs": jobs, "open": open, "pages": pages, "missing": missing,
-        "repeated": repeated, "loaded_s": round(loaded_s), "listed_s": round(listed_s),
-        "longest_page_ms": round(most_ms), "pages_that_match_nothing": looks,
-        "memory_mb": {"before": round(before), "after": round(now_mb), "most": round(peak_mb),
+        "repeated": repeated, "loaded_s": round(loaded_s), "listed_s": round(listing.seconds),
+        "longest_page_ms": round(listing.longest_page_ms), "pages_that_match_nothing": pages_without_match,
+        "memory_mb": {"before": round(before_mb), "after": round(now_mb), "most": round(peak_mb),
             "allowed": ALLOWED_MB}}),
     )
 }
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -66,90 +66,119 @@
     kills: usize,
 }
 
-pub fn run(lab: &Lab, quick: bool, protocol_faults: ProtocolFaults) -> Result<Value, TestbedError> {
-    let size = if quick {
-        Size {
-            clients: 4,
-            jobs_each: 50,
-            kills: 4,
+impl Size {
+    fn new(quick: bool) -> Size {
+        if quick {
+            Size {
+                clients: 4,
+                jobs_each: 50,
+                kills: 4,
+            }
+        } else {
+            Size {
+                clients: 8,
+                jobs_each: 260,
+                kills: 24,
+            }
         }
-    } else {
-        Size {
-            clients: 8,
-            jobs_each: 260,
-            kills: 24,
+    }
+
+    /// Between two jobs of a client, seconds: the load lasts about as long as the kills do.
+    fn pause_s(&self) -> f64 {
+        self.kills as f64 * KILL_INTERVAL_S / self.jobs_each as f64
+    }
+}
+
+/// About so long is between two kills, seconds.
+const KILL_INTERVAL_S: f64 = 4.5;
+/// Longest time of an answer that is told apart, microseconds.
+const MAX_ANSWER_US: u64 = 120_000_000;
+/// Number of the client that asks for jobs which nobody submits, and its pause.
+const STRANGER: usize = 99;
+const STRANGER_PAUSE: Duration = Duration::from_millis(200);
+
+/// Where the controllers serve operators and users.
+#[derive(Clone)]
+struct Addresses {
+    operators: Vec<SocketAddrV4>,
+    users: Vec<SocketAddrV4>,
+}
+
+/// Starts the clients, and one who asks for jobs that nobody submits until `stop`: a
+/// controller that knows one has invented it.
+fn start_clients(
+    size: &Size,
+    seed: u64,
+    record: &Arc<Record>,
+    addresses: &Addresses,
+    stop: &Arc<AtomicBool>,
+) -> Vec<thread::JoinHandle<()>> {
+    let mut threads = Vec::new();
+    let (jobs, pause_s) = (size.jobs_each, size.pause_s());
+    for number in 0..size.clients {
+        let (record, addresses) = (record.clone(), addresses.clone());
+        let seed = seed.wrapping_mul(1_000).wrapping_add(number as u64);
+        threads.push(thread::spawn(move || {
+            Asker::new(number, seed, record, addresses).work(jobs, pause_s);
+        }));
+    }
+    let (record, addresses, stop) = (record.clone(), addresses.clone(), stop.clone());
+    let seed = seed ^ 0x5a5a;
+    threads.push(thread::spawn(move || {
+        let mut asker = Asker::new(STRANGER, seed, record, addresses);
+        while !stop.load(Ordering::Relaxed) {
+            asker.ask_unknown();
+            thread::sleep(STRANGER_PAUSE);
         }
-    };
+    }));
+    threads
+}
+
+/// Runs the experiment; returns the figures that it prints.
+pub(crate) fn run(
+    lab: &Lab,
+    quick: bool,
+    protocol_faults: ProtocolFaults,
+) -> Result<Value, TestbedError> {
+    let size = Size::new(quick);
     let folder = Folder::new("restart")?;
+    let times = Histogram::new_with_bounds(1, MAX_ANSWER_US, 3);
     let record = Arc::new(Record {
         began: Instant::now(),
         jobs: Mutex::default(),
         machines: Mutex::default(),
-        times: Mutex::new(
-            Histogram::new_with_bounds(1, 120_000_000, 3)
-                .map_err(|e| TestbedError::Other(e.to_string()))?,
-        ),
+        times: Mutex::new(times.map_err(|e| TestbedError::Other(e.to_string()))?),
         accepted: Mutex::default(),
     });
-    let watching = record.clone();
+    let observed = record.clone();
     let mut plan = place::plan(lab, &folder.0);
     plan.protocol_faults = protocol_faults;
-    let mut cluster = place::start(
-        plan,
-        Box::new(move |seen| {
-            let at = watching.now();
-            lock(&watching.machines).saw(at, &seen);
-        }),
-    )?;
-    let doors = place::doors(&cluster);
-    let users: Vec<SocketAddrV4> = (0..cluster.plan().nodes)
-        .map(|n| cluster.plan().users_of(n))
-        .collect();
+    let observer = Box::new(move |event| {
+        let at = observed.now();
+        lock(&observed.machines).saw(at, &event);
+    });
+    let mut cluster = place::start(plan, observer)?;
+    let plan = cluster.plan();
+    let addresses = Addresses {
+        operators: place::doors(&cluster),
+        users: (0..plan.nodes).map(|n| plan.users_of(n)).collect(),
+    };
     let stop = Arc::new(AtomicBool::new(false));
-    let mut threads = Vec::new();
-    // The load lasts about as long as the kills do.
-    let pause_s = size.kills as f64 * 4.5 / size.jobs_each as f64;
-    for c in 0..size.clients {
-        let (record, doors, users) = (record.clone(), doors.clone(), users.clone());
-        let seed = lab.seed.wrapping_mul(1_000).wrapping_add(c as u64);
-        let jobs = size.jobs_each;
-        threads.push(thread::spawn(move || {
-            Asker::new(c, seed, record, doors, users).work(jobs, pause_s);
-        }));
-    }
-    {
-        // Jobs that nobody submits: a controller that knows one has invented it.
-        let (record, doors, users) = (record.clone(), doors.clone(), users.clone());
-        let (stop, seed) = (stop.clone(), lab.seed ^ 0x5a5a);
-        threads.push(thread::spawn(move || {
-            let mut asker = Asker::new(99, seed, record, doors, users);
-            while !stop.load(Ordering::Relaxed) {
-                asker.ask_unknown();
-                thread::sleep(Duration::from_millis(200));
-            }
-        }));
-    }
+    let threads = start_clients(&size, lab.seed, &record, &addresses, &stop);
     let kills = kill_and_start(&mut cluster, lab.seed, size.kills, &record)?;
     stop.store(true, Ordering::Relaxed);
-    let mut failed_threads = 0;
-    for t in threads {
-        failed_threads += usize::from(t.join().is_err());
-    }
-    let unfinished = settle(&cluster, &record, &users);
+    let joined = threads.into_iter().map(thread::JoinHandle::join);
+    let failed_threads = joined.filter(Result::is_err).count();
+    let unfinished = settle(&record, &addresses);
     let fallen = cluster.fallen();
-    let memory = cluster
+    let memory_mb = cluster
         .processes()
         .into_iter()
         .map(|pid| place::memory_mb(pid).1)
         .fold(0.0f64, f64::max);
     drop(cluster);
-    report(
-        &record,
-        &kills,
-        &unfinished,
-        fallen.len() + failed_threads,
-        memory,
-    )
+    let ended = fallen.len() + failed_threads;
+    report(&record, &kills, &unfinished, ended, memory_mb)
 }
 
 /// When each kill was, and whether of all.
@@ -197,7 +226,7 @@
 
 /// Waits until every job that was accepted is over, by all controllers; those
 /// that are not.
-fn settle(cluster: &Cluster, record: &Arc<Record>, users: &[SocketAddrV4]) -> Vec<String> {
+fn settle(record: &Arc<Record>, addresses: &Addresses) -> Vec<String> {
     let jobs: Vec<String> = lock(&record.jobs)
         .iter()
         .filter(|(_, h)| h.answers.iter().any(|a| a.what != Said::Unknown))
@@ -208,16 +237,17 @@
         record.now(),
         jobs.len()
     );
-    let doors = place::doors(cluster);
     let end = Instant::now() + Duration::from_secs(90);
     let mut open = Vec::new();
-    for (node, door) in doors.iter().enumerate() {
+    for (node, operators) in addresses.operators.iter().enumerate() {
         let mut asker = Asker::new(
             200 + node,
             node as u64,
             record.clone(),
-            vec![*door],
-            vec![users[node]],
+            Addresses {
+                operators: vec![*operators],
+                users: vec![addresses.users[node]],
+            },
         );
         let mut left = jobs.clone();
         while !left.is_empty() && Instant::now() < end {
@@ -236,28 +266,20 @@
 struct Asker {
     record: Arc<Record>,
     rng: StdRng,
-    doors: Vec<SocketAddrV4>,
-    users: Vec<SocketAddrV4>,
+    addresses: Addresses,
     connection: Option<Connection>,
     client: Client,
     number: usize,
 }
 
 impl Asker {
-    fn new(
-        number: usize,
-        seed: u64,
-        record: Arc<Record>,
-        doors: Vec<SocketAddrV4>,
-        users: Vec<SocketAddrV4>,
-    ) -> Asker {
-        let client = place::client_of(&doors, 60.0);
+    fn new(number: usize, seed: u64, record: Arc<Record>, addresses: Addresses) -> Asker {
+        let client = place::client_of(&addresses.operators, 60.0);
         let rng = StdRng::seed_from_u64(seed);
         Asker {
             record,
             rng,
-            doors,
-            users,
+            addresses,
             connection: None,
             client,
             number,
@@ -324,7 +346,7 @@
         if let Some(h) = lock(&self.record.jobs).get_mut(job) {
             h.cancel_sent = true;
         }
-        let mut doors = self.doors.clone();
+        let mut doors = self.addresses.operators.clone();
         doors.rotate_left(1);
         let (record, other) = (self.record.clone(), job.to_string());
         let pair = thread::spawn(move || {
@@ -357,12 +379,12 @@
 
     /// The platform's users speak CBOR to another port: the same truth.
     fn ask_as_user(&mut self, job: &str) -> Option<State> {
-        let node = self.rng.gen_range(0..self.users.len());
+        let node = self.rng.gen_range(0..self.addresses.users.len());
         let until = Instant::now() + Duration::from_secs(3);
         let asked = self.record.now();
         let mut connection = match self.connection.take() {
             Some(c) => c,
-            None => Connection::open(self.users[node], until)
+            None => Connection::open(self.addresses.users[node], until)
                 .ok()?
                 .speaking(Content::Cbor),
         };
--- a/crates/testbed/src/scale/figures.rs
+++ b/crates/testbed/src/scale/figures.rs
@@ -92,6 +92,13 @@
     pub faults: Vec<String>,
 }
 
+impl Figures {
+    /// The figures of a role, by its name.
+    fn role(&self, name: &str) -> RoleUse {
+        self.roles.get(name).copied().unwrap_or_default()
+    }
+}
+
 /// Names of roles in [`Figures::roles`].
 pub const LEADER: &str = "controller that leads";
 pub const FOLLOWER: &str = "other controller (each)";
@@ -130,32 +137,39 @@
 }
 
 /// The operators' table against the figures, line by line.
-pub fn budget(size: &Size, f: &Figures) -> Vec<BudgetLine> {
-    let role = |name: &str| f.roles.get(name).copied().unwrap_or_default();
-    let worker = role(WORKER);
-    let worker_kb = [
-        "workers report in",
-        "workers report out",
-        "workers command in",
-        "workers command out",
-    ]
-    .iter()
-    .filter_map(|kind| f.flows.get(*kind))
-    .map(|rate| rate.bytes_per_s)
-    .sum::<f64>()
-        / f.workers.max(1) as f64
-        / 1e3;
-    let b = &size.budget;
-    let mut lines = vec![
+pub fn budget(size: &Size, figures: &Figures) -> Vec<BudgetLine> {
+    let mut lines = Vec::from(load_lines(size, figures));
+    lines.extend(worker_lines(size, figures));
+    lines.push(control_line(size, figures));
+    lines.extend(health_lines(figures));
+    if size.config_changes > 0 {
+        lines.push(configuration_line(size, &figures.configuration));
+    }
+    lines
+}
+
+/// The work, and how soon it starts.
+fn load_lines(size: &Size, f: &Figures) -> [BudgetLine; 3] {
+    [
         line(
             "starts a second",
-            format!("{:.0} in the mean, {:.1} were drawn", size.starts_per_s, f.offered_per_s),
-            format!("{:.1}; {:.1}% of all were started", f.starts_per_s, f.kept_up * 1e2),
+            format!(
+                "{:.0} in the mean, {:.1} were drawn",
+                size.starts_per_s, f.offered_per_s
+            ),
+            format!(
+                "{:.1}; {:.1}% of all were started",
+                f.starts_per_s,
+                f.kept_up * 1e2
+            ),
             f.kept_up >= START_TOLERANCE,
         ),
         line(
             "tasks running",
-            format!("{} in the mean, {:.0} were drawn", size.running, f.offered_running),
+            format!(
+                "{} in the mean, {:.0} were drawn",
+                size.running, f.offered_running
+            ),
             format!("{:.0}", f.running),
             f.running > 0.0 && f.running >= f.offered_running * RUNNING_TOLERANCE,
         ),
@@ -170,43 +184,73 @@
             ),
             f.urgent_start_ms.count > 0 && f.urgent_in_time >= URGENT_SHARE,
         ),
+    ]
+}
+
+/// What one worker costs.
+fn worker_lines(size: &Size, f: &Figures) -> [BudgetLine; 3] {
+    let worker = f.role(WORKER);
+    let flows = [
+        "workers report in",
+        "workers report out",
+        "workers command in",
+        "workers command out",
+    ];
+    let rates = flows.iter().filter_map(|kind| f.flows.get(*kind));
+    let bytes_per_s = rates.map(|rate| rate.bytes_per_s).sum::<f64>();
+    let worker_kb = bytes_per_s / f.workers.max(1) as f64 / 1e3;
+    let budget = &size.budget;
+    [
         line(
             "a worker's processor",
-            format!("{:.3} of a core", b.worker_core),
+            format!("{:.3} of a core", budget.worker_core),
             format!("{:.4}", worker.core),
-            worker.core <= b.worker_core,
+            worker.core <= budget.worker_core,
         ),
         line(
             "a worker's memory",
-            format!("{:.0} MB", b.worker_mb),
+            format!("{:.0} MB", budget.worker_mb),
             format!("{:.2} MB", worker.resident_mb),
-            worker.resident_mb <= b.worker_mb,
+            worker.resident_mb <= budget.worker_mb,
         ),
         line(
             "a worker's traffic",
-            format!("{:.0} KB a second", b.worker_kb_per_s),
+            format!("{:.0} KB a second", budget.worker_kb_per_s),
             format!("{worker_kb:.2}"),
-            worker_kb <= b.worker_kb_per_s,
+            worker_kb <= budget.worker_kb_per_s,
         ),
-        line(
-            "machines set aside",
-            b.machines.to_string(),
-            format!(
-                "{} controllers; the one that leads uses {:.2} of a core, {:.0} s at most above 0.8",
-                size.controllers,
-                role(LEADER).core,
-                f.leader_busy_s
-            ),
-            size.controllers <= b.machines && f.leader_busy_s < BUSY_S,
+    ]
+}
+
+/// The machines of the controllers.
+fn control_line(size: &Size, f: &Figures) -> BudgetLine {
+    line(
+        "machines set aside",
+        size.budget.machines.to_string(),
+        format!(
+            "{} controllers; the one that leads uses {:.2} of a core, {:.0} s at most above 0.8",
+            size.controllers,
+            f.role(LEADER).core,
+            f.leader_busy_s
         ),
+        size.controllers <= size.budget.machines && f.leader_busy_s < BUSY_S,
+    )
+}
+
+/// Rules, processes, and what the machine of the run can bear.
+fn health_lines(f: &Figures) -> [BudgetLine; 4] {
+    let broken: Vec<String> = f.broken.keys().cloned().collect();
+    let half_mb = f.machine_memory_mb / 2.0;
+    [
         line(
             "rules",
             "none broken".into(),
-            match f.broken.is_empty() {
-                true => "none broken".into(),
-                false => f.broken.keys().cloned().collect::<Vec<_>>().join(", "),
+            if broken.is_empty() {
+                "none broken".into()
+            } else {
+                broken.join(", ")
             },
-            f.broken.is_empty() && f.jobs.tasks_started > 0,
+            broken.is_empty() && f.jobs.tasks_started > 0,
         ),
         line(
             "controllers that end by themselves",
@@ -222,36 +266,36 @@
         ),
         line(
             "memory of this machine",
-            format!("{:.0} MB", f.machine_memory_mb / 2.0),
+            format!("{half_mb:.0} MB"),
             format!("{:.0} MB", f.memory_mb),
-            f.memory_mb <= f.machine_memory_mb / 2.0,
+            f.memory_mb <= half_mb,
         ),
-    ];
-    if size.config_changes > 0 {
-        let c = &f.configuration;
-        lines.push(line(
-            "changes of configuration",
-            format!(
-                "{} a day, each in force within {} s",
-                size.config_changes, size.config_in_force_s
-            ),
-            format!(
-                "{} made, {:.0} a day at that rate; in force {:.2} s p50, {:.2} s p99, {:.2} s most; \
-                 {} not in force",
-                c.made,
-                c.a_day,
-                c.in_force_ms.p50 / 1e3,
-                c.in_force_ms.p99 / 1e3,
-                c.in_force_ms.most / 1e3,
-                c.missed
-            ),
-            c.a_day >= f64::from(size.config_changes)
-                && c.missed == 0
-                && c.in_force_ms.count > 0
-                && c.in_force_ms.p99 <= size.config_in_force_s * 1e3,
-        ));
-    }
-    lines
+    ]
+}
+
+fn configuration_line(size: &Size, changes: &ConfigurationFigures) -> BudgetLine {
+    let in_force = &changes.in_force_ms;
+    line(
+        "changes of configuration",
+        format!(
+            "{} a day, each in force within {} s",
+            size.config_changes, size.config_in_force_s
+        ),
+        format!(
+            "{} made, {:.0} a day at that rate; in force {:.2} s p50, {:.2} s p99, {:.2} s most; \
+             {} not in force",
+            changes.made,
+            changes.a_day,
+            in_force.p50 / 1e3,
+            in_force.p99 / 1e3,
+            in_force.most / 1e3,
+            changes.missed
+        ),
+        changes.a_day >= f64::from(size.config_changes)
+            && changes.missed == 0
+            && in_force.count > 0
+            && in_force.p99 <= size.config_in_force_s * 1e3,
+    )
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/scale/role/cloud.rs
+++ b/crates/testbed/src/scale/role/cloud.rs
@@ -7,12 +7,12 @@
 use beamhinge_core::messages::{Effect, Service};
 use beamhinge_core::types::{RequestId, Time, WallMs};
 use beamhinge_emulator::cloud::{CapacityPool, Cloud, InstanceType};
-use beamhinge_emulator::{micros, Micros, SECOND};
+use beamhinge_emulator::{micros, respond, Micros, SECOND};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 
-/// The one type of machine.
+/// Label of the one type of machine.
 pub const SHAPE: &str = "m";
 /// A machine that stopped by itself is listed so after this long.
 const FAILED_LISTED: Micros = 30 * SECOND;
@@ -36,14 +36,11 @@
         links: Links,
     ) -> CloudRole {
         let mut cloud = Cloud::new(rps, list_lag_s);
-        cloud.instance_types = vec![InstanceType {
-            label: SHAPE.into(),
-            cpus: machines.cpus,
-            memory_gb: machines.memory_gb,
-            price: 1.0,
-            spot_price: 0.3,
-            boot_s: machines.boot_s,
-        }];
+        cloud.instance_types = vec![instance_type(
+            machines.cpus,
+            machines.memory_gb,
+            machines.boot_s,
+        )];
         for zone in &zones {
             let owned = machines.owned.iter().filter(|z| *z == zone).count() as u32;
             let key = |spot| CapacityPool::new(SHAPE, zone.clone(), spot);
@@ -68,7 +65,7 @@
         }
     }
 
-    fn obey(&mut self, now: Micros, command: Command) {
+    fn apply_command(&mut self, now: Micros, command: Command) {
         match command {
             Command::Endpoint { machine, address } => {
                 self.cloud.endpoints.insert(machine, address.to_string());
@@ -117,6 +114,18 @@
     }
 }
 
+/// The one type of machine.
+pub fn instance_type(cpus: f64, memory_gb: f64, boot_s: f64) -> InstanceType {
+    InstanceType {
+        label: SHAPE.into(),
+        cpus,
+        memory_gb,
+        price: 1.0,
+        spot_price: 0.3,
+        boot_s,
+    }
+}
+
 fn kind(method: Method, path: &str) -> &'static str {
     match (method, path) {
         (Method::Get, p) if p.starts_with("/hosts") => "list",
@@ -148,19 +157,14 @@
             .cloud
             .handle(us, method, path, &request.body, &mut self.rng);
         self.flows.answer(id, status, body.len());
-        out.push(Effect::Answer {
-            to: id,
-            status,
-            retry_after: None,
-            body,
-        });
+        respond(out, id, (status, body));
         self.tell_machines(us);
     }
 
     fn on_tick(&mut self, now: Time, _wall: WallMs, _out: &mut Vec<Effect>) {
         let us = micros(now);
         while let Some(command) = self.links.command() {
-            self.obey(us, command);
+            self.apply_command(us, command);
         }
         self.tell_machines(us);
         for what in self.cloud.violations.drain(..) {
--- a/crates/testbed/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -11,7 +11,7 @@
 
 use super::messages::{Command, Flows, Record, RolePlan};
 use beamhinge_core::messages::Service;
-use beamhinge_core::settings::ExternalServices;
+use beamhinge_core::settings::{ExternalServices, WorkerTimings};
 use beamhinge_core::types::Time;
 use beamhinge_emulator::Micros;
 use beamhinge_transport::{EventLoop, EventLoopError, Listener, ListenerKind, NetworkConfig};
@@ -136,32 +136,36 @@
         return Err(RoleError::NoPlan);
     }
     let plan: RolePlan = serde_json::from_str(&first)?;
-    let go = Arc::new(AtomicBool::new(true));
+    let running = Arc::new(AtomicBool::new(true));
+    let links = Links {
+        commands: read_commands(running.clone()),
+        records: Recorder::new(),
+        counted: Time::default(),
+    };
+    run_role(plan, &running, links)
+}
+
+/// Reads commands on a thread of its own; `running` is false when there are no more.
+fn read_commands(running: Arc<AtomicBool>) -> Receiver<Command> {
     let (sender, commands) = channel();
-    let ended = go.clone();
     std::thread::spawn(move || {
         for line in io::stdin().lock().lines() {
-            let Ok(command) = line
-                .map_err(|_| ())
-                .and_then(|l| serde_json::from_str::<Command>(&l).map_err(|_| ()))
-            else {
-                break;
-            };
+            let command = line.ok().and_then(|l| serde_json::from_str(&l).ok());
+            let Some(command) = command else { break };
             if sender.send(command).is_err() {
                 break;
             }
         }
-        ended.store(false, Ordering::Relaxed);
+        running.store(false, Ordering::Relaxed);
     });
-    let links = Links {
-        commands,
-        records: Recorder::new(),
-        counted: Time::default(),
-    };
+    commands
+}
+
+/// Runs one role until `running` is false.
+fn run_role(plan: RolePlan, running: &AtomicBool, links: Links) -> Result<(), RoleError> {
     match plan {
         RolePlan::State { addresses, limits } => {
-            let wiring = wiring(&addresses);
-            run_service(wiring, &go, links, |links, _| {
+            run_service(network(&addresses), running, links, |links, _| {
                 state::StateRole::new(&limits, links)
             })
         }
@@ -172,7 +176,7 @@
             machines,
             zones,
             seed,
-        } => run_service(wiring(&addresses), &go, links, |links, now| {
+        } => run_service(network(&addresses), running, links, |links, now| {
             cloud::CloudRole::new((rps, list_lag_s), &machines, zones, seed, now, links)
         }),
         RolePlan::Workers {
@@ -184,13 +188,12 @@
             workload,
             real,
         } => {
-            let settings = beamhinge_core::settings::WorkerTimings {
+            let settings = WorkerTimings {
                 report_s,
                 lease_s,
                 cancel_s,
             };
-            let wiring = wiring(&addresses);
-            run_service(wiring, &go, links, |links, _| {
+            run_service(network(&addresses), running, links, |links, _| {
                 workers::WorkersRole::new(controllers, addresses, settings, workload, real, links)
             })
         }
@@ -199,35 +202,35 @@
             workload,
             seconds,
             seed,
-        } => run_service(wiring(&[]), &go, links, |links, now| {
+        } => run_service(network(&[]), running, links, |links, now| {
             users::UsersRole::new(controllers, workload, seconds, seed, now, links)
         }),
     }
 }
 
 fn run_service<S: Service>(
-    wiring: NetworkConfig,
-    go: &AtomicBool,
+    network: NetworkConfig,
+    running: &AtomicBool,
     links: Links,
     make: impl FnOnce(Links, Time) -> S,
 ) -> Result<(), RoleError> {
     let records = links.records.clone();
-    let net = EventLoop::new(wiring, |now| make(links, now))?;
+    let event_loop = EventLoop::new(network, |now| make(links, now))?;
     records.send(&Record::Ready);
     records.flush();
-    net.run_while(|| go.load(Ordering::Relaxed))?;
+    event_loop.run_while(|| running.load(Ordering::Relaxed))?;
     Ok(())
 }
 
 /// A process that listens there and calls only controllers.
-fn wiring(addresses: &[SocketAddrV4]) -> NetworkConfig {
+fn network(addresses: &[SocketAddrV4]) -> NetworkConfig {
     let nowhere = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
-    let door = |addr: &SocketAddrV4| Listener {
+    let listener = |addr: &SocketAddrV4| Listener {
         addr: *addr,
         kind: ListenerKind::Platform,
     };
     NetworkConfig {
-        listeners: addresses.iter().map(door).collect(),
+        listeners: addresses.iter().map(listener).collect(),
         peers: None,
         members: Vec::new(),
         external: ExternalServices {
--- a/crates/testbed/src/scale/role/state.rs
+++ b/crates/testbed/src/scale/role/state.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    fn obey(&mut self, now: Micros, command: Command) {
+    fn apply_command(&mut self, now: Micros, command: Command) {
         let until = |seconds: f64| now + (seconds * 1e6) as Micros;
         match command {
             Command::HoldControllers {
@@ -156,7 +156,7 @@
     fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
         let us = micros(now);
         while let Some(command) = self.links.command() {
-            self.obey(us, command);
+            self.apply_command(us, command);
         }
         let before = out.len();
         self.release_held(now, out);
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -41,35 +41,19 @@
 struct Ask {
     at: Micros,
     job: u64,
-    kind: Kind,
+    kind: UserRequest,
     /// When it was due first.
     due: Micros,
     /// How many nodes refused the connection.
     refused: u32,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Kind {
-    Submit,
-    Poll,
-    Cancel,
-}
-
-impl Kind {
-    fn name(self) -> &'static str {
-        match self {
-            Kind::Submit => "submit",
-            Kind::Poll => "poll",
-            Kind::Cancel => "cancel",
-        }
-    }
-
-    fn what(self) -> UserRequest {
-        match self {
-            Kind::Submit => UserRequest::Submit,
-            Kind::Poll => UserRequest::Poll,
-            Kind::Cancel => UserRequest::Cancel,
-        }
+/// The name of a request in records and flows.
+fn name(request: UserRequest) -> &'static str {
+    match request {
+        UserRequest::Submit => "submit",
+        UserRequest::Poll => "poll",
+        UserRequest::Cancel => "cancel",
     }
 }
 
@@ -152,10 +136,10 @@
                     refused: 0,
                 })
             };
-            self.queue.push(ask(due, Kind::Submit));
+            self.queue.push(ask(due, UserRequest::Submit));
             if let Some(after_s) = job.cancel_s {
                 self.queue
-                    .push(ask(due + (after_s * 1e6) as Micros, Kind::Cancel));
+                    .push(ask(due + (after_s * 1e6) as Micros, UserRequest::Cancel));
             }
         }
     }
@@ -163,18 +147,18 @@
     fn send(&mut self, now: Micros, ask: Ask, out: &mut Vec<Effect>) {
         let job = self.workload.job(ask.job);
         let (method, path, body, timeout_s) = match ask.kind {
-            Kind::Submit => (
+            UserRequest::Submit => (
                 Method::Post,
                 "/api/jobs".into(),
                 wire::encode(&job.body()),
                 SUBMIT_WAIT_S,
             ),
-            Kind::Cancel => {
+            UserRequest::Cancel => {
                 self.note_cancel(ask.job);
                 let path = format!("/api/jobs/{}/cancel", job.id);
                 (Method::Post, path, wire::encode(&json!({})), SUBMIT_WAIT_S)
             }
-            Kind::Poll => (
+            UserRequest::Poll => (
                 Method::Get,
                 format!("/api/jobs/{}", job.id),
                 Vec::new(),
@@ -186,8 +170,7 @@
         self.in_flight.insert(id, InFlight { ask, sent: now });
         let address = self.controllers[self.rng.gen_range(0..self.controllers.len())];
         let caller = self.rng.gen_range(0..CALLERS);
-        self.flows
-            .call(ask.kind.name(), (method, &path), body.len());
+        self.flows.call(name(ask.kind), (method, &path), body.len());
         let destination = Destination::Node { address, caller };
         out.push(Effect::Call {
             id,
@@ -217,13 +200,13 @@
 
     fn again(&mut self, now: Micros, ask: Ask, after_s: f64, refused: u32) {
         let too_late = now > ask.due + (GIVE_UP_S * 1e6) as Micros;
-        if ask.kind != Kind::Poll && too_late {
+        if ask.kind != UserRequest::Poll && too_late {
             self.answered_at_last(now, ask, 0);
             return;
         }
         let at = now + (after_s * 1e6) as Micros;
         // A poll is a new question each time.
-        let due = if ask.kind == Kind::Poll && refused == 0 {
+        let due = if ask.kind == UserRequest::Poll && refused == 0 {
             at
         } else {
             ask.due
@@ -238,7 +221,7 @@
 
     fn answered_at_last(&self, now: Micros, ask: Ask, status: u16) {
         let ms = now.saturating_sub(ask.due) as f64 / 1e3;
-        let kind = ask.kind.name().to_string();
+        let kind = name(ask.kind).to_string();
         self.links
             .records
             .send(&Record::Answered { kind, ms, status });
@@ -255,11 +238,11 @@
                 false => self.again(now, ask, self.pause_s(ask.kind), 0),
             };
         };
-        self.flows.reply(ask.kind.name(), status, body.len());
+        self.flows.reply(name(ask.kind), status, body.len());
         let retried = !matches!(status, 200 | 201 | 400 | 404 | 422);
         // A cancellation may be there before its submission: it comes again.
         let early = status == 404
-            && ask.kind == Kind::Cancel
+            && ask.kind == UserRequest::Cancel
             && self.told.get(&ask.job).is_some_and(|t| !t.accepted);
         if retried || early {
             return self.again(now, ask, self.pause_s(ask.kind), 0);
@@ -283,8 +266,8 @@
         }
     }
 
-    fn pause_s(&self, kind: Kind) -> f64 {
-        if kind == Kind::Poll {
+    fn pause_s(&self, kind: UserRequest) -> f64 {
+        if kind == UserRequest::Poll {
             POLL_S
         } else {
             RETRY_S
@@ -305,7 +288,7 @@
         } = told.on_answer(&UserAnswer {
             asked: sent,
             received: now,
-            request: ask.kind.what(),
+            request: ask.kind,
             status,
             state,
             complete: true,
@@ -340,7 +323,7 @@
                 let poll = Ask {
                     at,
                     job: ask.job,
-                    kind: Kind::Poll,
+                    kind: UserRequest::Poll,
                     due: at,
                     refused: 0,
                 };
--- a/crates/testbed/src/scale/role/workers.rs
+++ b/crates/testbed/src/scale/role/workers.rs
@@ -1,6 +1,6 @@
 //! Workers of a scale run: a pool, and the links of theirs that are cut.
 
-use super::cloud::SHAPE;
+use super::cloud::{instance_type, SHAPE};
 use super::Links;
 use crate::scale::flows::FlowCounter;
 use crate::scale::messages::{wall_us, Command, Record};
@@ -103,7 +103,7 @@
             .any(|c| now < c.until && c.zones.contains(zone) && c.controllers.contains(&controller))
     }
 
-    fn obey(&mut self, now: Micros, command: Command) {
+    fn apply_command(&mut self, now: Micros, command: Command) {
         match command {
             Command::Boot {
                 machine,
@@ -113,61 +113,56 @@
                 memory_gb,
                 place,
             } => {
-                let Some(address) = self.addresses.get(place) else {
-                    return;
-                };
-                self.places[place] = Some(machine);
-                self.zones.insert(machine, zone.clone());
-                let machine_type = SHAPE.to_string();
-                let host = Instance {
-                    machine_type: machine_type.clone(),
+                let instance = Instance {
+                    machine_type: SHAPE.to_string(),
                     zone,
                     spot,
                     created: now,
                     up: now,
                     failed_at: None,
                 };
-                let kind = InstanceType {
-                    label: machine_type,
-                    cpus,
-                    memory_gb,
-                    price: 1.0,
-                    spot_price: 0.3,
-                    boot_s: 0.0,
-                };
-                self.pool
-                    .add(now, machine, (host, kind), address.to_string());
-            }
-            Command::Remove { machine } => {
-                self.pool.remove(now, machine);
-                self.zones.remove(&machine);
-                self.served_by.remove(&machine);
-                for place in self.places.iter_mut().filter(|p| **p == Some(machine)) {
-                    *place = None;
-                }
+                let instance_type = instance_type(cpus, memory_gb, 0.0);
+                self.boot(now, machine, (instance, instance_type), place);
             }
+            Command::Remove { machine } => self.remove(now, machine),
             Command::Reboot { machine } => self.pool.reboot(now, machine),
             Command::CutZones {
                 zones,
                 controllers,
                 seconds,
             } => {
-                let until = now + (seconds * 1e6) as Micros;
-                let controllers = controllers
-                    .iter()
-                    .filter_map(|c| self.controllers.get(*c).copied())
-                    .collect();
-                self.cuts.retain(|c| now < c.until);
-                self.cuts.push(Cut {
+                let addresses = controllers.iter().filter_map(|c| self.controllers.get(*c));
+                let cut = Cut {
                     zones,
-                    controllers,
-                    until,
-                });
+                    controllers: addresses.copied().collect(),
+                    until: now + (seconds * 1e6) as Micros,
+                };
+                self.cuts.retain(|cut| now < cut.until);
+                self.cuts.push(cut);
             }
             _ => {}
         }
     }
 
+    /// A machine is up, and its worker listens on the address at that place.
+    fn boot(&mut self, now: Micros, machine: u64, booted: (Instance, InstanceType), place: usize) {
+        let Some(address) = self.addresses.get(place) else {
+            return;
+        };
+        self.places[place] = Some(machine);
+        self.zones.insert(machine, booted.0.zone.clone());
+        self.pool.add(now, machine, booted, address.to_string());
+    }
+
+    fn remove(&mut self, now: Micros, machine: u64) {
+        self.pool.remove(now, machine);
+        self.zones.remove(&machine);
+        self.served_by.remove(&machine);
+        for place in self.places.iter_mut().filter(|p| **p == Some(machine)) {
+            *place = None;
+        }
+    }
+
     /// Counts reports, and keeps back those whose way is cut.
     fn send(&mut self, now: Micros, before: usize, out: &mut Vec<Effect>) {
         for call in out.split_off(before) {
@@ -260,7 +255,7 @@
     fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
         let us = micros(now);
         while let Some(command) = self.links.command() {
-            self.obey(us, command);
+            self.apply_command(us, command);
         }
         while self.lost.front().is_some_and(|(at, _)| *at <= us) {
             if let Some((_, id)) = self.lost.pop_front() {
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -1,14 +1,17 @@
 //! One scale run: starts everything, plays the load and the faults, and measures.
 
+mod faults;
+mod plans;
+mod report;
+
 use super::checker::Checker;
 use super::children::{RoleChild, RoleId};
 use super::config_changes::Operators;
-use super::faults::{self, Fault, FaultKind};
+use super::faults::Fault;
 use super::figures::{ConfigurationFigures, Figures, MAX_PROCESSES};
-use super::histograms::times;
 use super::layout::Layout;
 use super::measure::Measurement;
-use super::messages::{wall_us, Command, MachinePlan, Record, RolePlan, StateLimits};
+use super::messages::{wall_us, Command, Record};
 use super::relay::{Direction, Relays};
 use super::role::MAX_CONNECTIONS;
 use super::size::Size;
@@ -17,9 +20,10 @@
 use crate::place::{Folder, Lab};
 use crate::TestbedError;
 use beamhinge_dev_cluster::controllers::{ControllerFiles, ControllerProgram, Controllers};
+use beamhinge_dev_cluster::deployment::Deployment;
+use plans::{role_plans, users_plan};
 use rand::rngs::StdRng;
-use rand::seq::SliceRandom;
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -34,16 +38,12 @@
 const DRAIN_S: f64 = 6.0;
 const LOOK: Duration = Duration::from_millis(20);
 const PROGRESS_S: f64 = 5.0;
-/// Machines that can be rented beside those that are there, as a part of them.
-const SPARE: f64 = 0.05;
 /// The fleet is there all the time: what stands idle before the load, or between two
 /// jobs, is not given back (operators' INI).
 const STANDING_FLEET: &str = "[fleet]\nidle_s = 86400\n";
 /// Operators ask often whether their changes are in force.
 const OPERATORS: &str = "rps = 500\n";
 const CONFIGURATION: &str = "[configuration]\non = yes\n";
-/// Between a job's submission and its starts, in report intervals.
-const START_LAG: f64 = 1.5;
 /// The load has built up after so many run times and seconds.
 const BUILD_UP_RUNS: f64 = 1.3;
 const BUILD_UP_S: f64 = 3.0;
@@ -147,44 +147,14 @@
     ) -> Result<Run, TestbedError> {
         let folder = Folder::new("scale")?;
         let deployment = layout.deployment();
-        let directions = (0..plan.size.controllers)
-            .flat_map(|from| (0..plan.size.controllers).map(move |to| Direction { from, to }))
-            .filter(|d| d.from != d.to)
-            .map(|d| {
-                (
-                    d,
-                    layout.relay_address(d.from, d.to),
-                    deployment.nodes[d.to].peers,
-                )
-            })
-            .collect();
-        let relays = Relays::start(directions)?;
+        let relays = start_relays(&layout, &deployment)?;
         let (sender, records) = channel();
         let workload = Workload::new(&plan.size, lab.seed);
         let mut roles = BTreeMap::new();
         for (id, role) in role_plans(&plan, &layout, &workload, lab.seed) {
             roles.insert(id, RoleChild::start(id, &role, sender.clone())?);
         }
-        let mut controllers = Controllers::new(ControllerProgram {
-            program: lab.controller.clone(),
-            dir: folder.0.clone(),
-            log_level: "info".into(),
-        });
-        let changes = if plan.size.config_changes > 0 {
-            CONFIGURATION
-        } else {
-            ""
-        };
-        let operators_file = format!("{OPERATORS}{STANDING_FLEET}{changes}");
-        for (node, place) in deployment.nodes.iter().enumerate() {
-            let text = deployment.settings(node, &layout.links(node));
-            controllers.add(&ControllerFiles {
-                label: &place.label,
-                settings: &text,
-                operators: place.operators,
-                operator_lines: &operators_file,
-            })?;
-        }
+        let controllers = write_controllers(lab, &plan, &layout, &deployment, &folder)?;
         let team_limit = deployment.teams.first().map_or(0.0, |t| t.cpus_max);
         let checker = Checker::new(workload, team_limit, plan.size.platform.cancel_s);
         let free_places = (0..layout.worker_processes())
@@ -422,7 +392,7 @@
             }
             while faults.last().is_some_and(|f| f.at_s <= at) {
                 if let Some(fault) = faults.pop() {
-                    self.strike(at, fault.kind)?;
+                    self.strike(at, fault.kind);
                 }
             }
             if at >= progress {
@@ -455,313 +425,49 @@
             }
         );
     }
-
-    // ---- faults ----
-
-    fn later(&mut self, after_s: f64, what: Later) {
-        self.later
-            .push((Instant::now() + Duration::from_secs_f64(after_s), what));
-    }
-
-    fn act_later(&mut self, later: Later) -> Result<(), TestbedError> {
-        match later {
-            Later::StartController(node) => self.controllers.start(node)?,
-            Later::GoOn(node) => self.controllers.pause(node, false),
-            Later::MendLinks(links) => {
-                links
-                    .iter()
-                    .for_each(|(a, b)| self.relays.set_cut(*a, *b, false));
-            }
-        }
-        Ok(())
-    }
-
-    fn strike(&mut self, at: f64, kind: FaultKind) -> Result<(), TestbedError> {
-        eprintln!("{at:6.1} s  fault: {kind}");
-        self.marks.push((at, kind.to_string()));
-        match kind {
-            FaultKind::MachineFails => self.fail_machines(1, None),
-            FaultKind::RackFails => {
-                let zone = self.any_zone();
-                self.fail_machines(faults::RACK, Some(&zone));
-            }
-            FaultKind::MachineRestarts => {
-                let machines: Vec<u64> = self.machines.keys().copied().collect();
-                if let Some(machine) = machines.choose(&mut self.rng).copied() {
-                    let process = self.layout.process_of(machine);
-                    self.tell(RoleId::Workers(process), &Command::Reboot { machine });
-                }
-            }
-            FaultKind::ZoneCut => self.cut_zone(),
-            FaultKind::RegionsApart => self.cut_regions(),
-            FaultKind::LeaderKilled => {
-                if let Some(leader) = self.leader {
-                    self.controllers.kill(leader);
-                    self.later(faults::RESTART_S, Later::StartController(leader));
-                }
-            }
-            FaultKind::LeaderStopped => {
-                if let Some(leader) = self.leader {
-                    self.controllers.pause(leader, true);
-                    self.later(faults::STOPPED_S, Later::GoOn(leader));
-                }
-            }
-            FaultKind::StateSlow => {
-                let (delay_s, seconds) = (faults::STATE_DELAY_S, faults::STATE_S);
-                self.tell(RoleId::State, &Command::Slow { delay_s, seconds });
-            }
-            FaultKind::StateRefuses => {
-                self.tell(
-                    RoleId::State,
-                    &Command::Refuse {
-                        seconds: faults::STATE_S,
-                    },
-                );
-            }
-        }
-        Ok(())
-    }
-
-    fn any_zone(&mut self) -> String {
-        let zone = self.rng.gen_range(0..self.plan.size.zones);
-        self.plan.size.zone_name(zone)
-    }
-
-    /// Machines stop by themselves; the cloud lists them as failed after a while.
-    fn fail_machines(&mut self, count: usize, zone: Option<&str>) {
-        let there = self
-            .machines
-            .iter()
-            .filter(|(_, (_, z))| zone.is_none_or(|zone| zone == z));
-        let mut machines: Vec<u64> = there.map(|(machine, _)| *machine).collect();
-        machines.shuffle(&mut self.rng);
-        for machine in machines.into_iter().take(count) {
-            let process = self.layout.process_of(machine);
-            self.tell(RoleId::Workers(process), &Command::Remove { machine });
-            self.tell(RoleId::Cloud, &Command::Failed { machine });
-        }
-    }
-
-    /// A zone with its workers and controllers loses everything outside.
-    fn cut_zone(&mut self) {
-        let zone = self.rng.gen_range(0..self.plan.size.zones);
-        let all: Vec<usize> = (0..self.plan.size.controllers).collect();
-        let (inside, outside): (Vec<usize>, Vec<usize>) = all
-            .into_iter()
-            .partition(|node| self.layout.zone_of_controller(*node) == zone);
-        let name = self.plan.size.zone_name(zone);
-        let (within, without): (Vec<String>, Vec<String>) =
-            self.layout.zones().into_iter().partition(|z| *z == name);
-        self.cut(&inside, &outside, within, without);
-        // The state service and the cloud are in no zone: what is cut off loses them.
-        self.hold_controllers(inside);
-    }
-
-    /// Two regions lose each other. The state service and the cloud are in the first.
-    fn cut_regions(&mut self) {
-        let regions = self.plan.size.regions;
-        if regions < 2 {
-            return;
-        }
-        let first = self.rng.gen_range(0..regions);
-        let second = (first + self.rng.gen_range(1..regions)) % regions;
-        let (a, b) = (first.min(second), first.max(second));
-        let inside = self.layout.controllers_in_region(a);
-        let outside = self.layout.controllers_in_region(b);
-        let (within, without) = (
-            self.layout.zones_in_region(a),
-            self.layout.zones_in_region(b),
-        );
-        self.cut(&inside, &outside, within, without);
-        if a == 0 {
-            self.hold_controllers(outside);
-        }
-    }
-
-    fn cut(
-        &mut self,
-        inside: &[usize],
-        outside: &[usize],
-        within: Vec<String>,
-        without: Vec<String>,
-    ) {
-        let links: Vec<(usize, usize)> = inside
-            .iter()
-            .flat_map(|a| outside.iter().map(move |b| (*a, *b)))
-            .collect();
-        links
-            .iter()
-            .for_each(|(a, b)| self.relays.set_cut(*a, *b, true));
-        self.later(faults::CUT_S, Later::MendLinks(links));
-        let seconds = faults::CUT_S;
-        let sides = [(within, outside.to_vec()), (without, inside.to_vec())];
-        for (zones, controllers) in sides {
-            let command = Command::CutZones {
-                zones,
-                controllers,
-                seconds,
-            };
-            for process in 0..self.layout.worker_processes() {
-                self.tell(RoleId::Workers(process), &command);
-            }
-        }
-    }
-
-    fn hold_controllers(&mut self, controllers: Vec<usize>) {
-        let command = Command::HoldControllers {
-            controllers,
-            seconds: faults::CUT_S,
-        };
-        self.tell(RoleId::State, &command);
-        self.tell(RoleId::Cloud, &command);
-    }
-
-    // ---- the end ----
-
-    fn finish(mut self) -> Result<Played, TestbedError> {
-        // What is not in order yet is so by now.
-        self.checker.judge_until(wall_us() + 10_000_000);
-        let began_us = wall_us().saturating_sub(self.began.elapsed().as_micros() as u64);
-        let since_load = |at: u64| (at as f64 - began_us as f64) / 1e6;
-        let steady_us = began_us + (self.measurement.steady_from_s(self.began) * 1e6) as u64;
-        let waits = self
-            .checker
-            .urgent_histogram(steady_us)
-            .map_err(|e| TestbedError::Other(e.to_string()))?;
-        let limit_ms = (self.plan.size.urgent_start_s * 1e3) as u64;
-        let in_time = waits.count_between(0, limit_ms) as f64 / waits.len().max(1) as f64;
-        let starts: Vec<(f64, f64)> = self
-            .checker
-            .starts
-            .iter()
-            .map(|(s, n)| (since_load(s * 1_000_000), *n as f64))
-            .filter(|(at, _)| *at >= 0.0 && *at <= self.plan.seconds)
-            .collect();
-        let urgent = self
-            .checker
-            .urgent_waits
-            .iter()
-            .map(|(at, ms)| (since_load(*at), ms / 1e3))
-            .collect();
-        let measured = self.measurement.figures();
-        // Jobs start a while after they are due.
-        let from_s =
-            self.measurement.steady_from_s(self.began) - START_LAG * self.plan.size.report_s;
-        let offered = self
-            .checker
-            .workload()
-            .offered(from_s, from_s + measured.seconds);
-        let all = self.checker.workload().offered(0.0, self.plan.seconds);
-        let mut broken = self.checker.broken.clone();
-        broken.extend(measured.broken.clone());
-        let figures = Figures {
-            urgent_start_ms: times(&waits, 1.0),
-            urgent_in_time: in_time,
-            offered_per_s: offered.tasks as f64 / measured.seconds,
-            offered_running: offered.running,
-            kept_up: self.checker.counts.tasks_started as f64 / all.tasks.max(1) as f64,
-            lead_changes: self.lead_changes,
-            configuration: self.configuration,
-            longest_without_start_s: longest_gap(&starts, self.plan.seconds),
-            jobs: self.checker.counts,
-            late_starts: self.checker.late_starts,
-            broken,
-            fallen: self.fallen,
-            processes: self.plan.size.controllers + self.roles.len() + 1,
-            machine_memory_mb: usage::machine_memory_mb(),
-            faults: self
-                .marks
-                .iter()
-                .map(|(at, kind)| format!("{kind}@{at:.1}"))
-                .collect(),
-            ..measured
-        };
-        Ok(Played {
-            figures,
-            starts,
-            urgent,
-            marks: self.marks,
-        })
-    }
 }
 
-/// The longest time between seconds with starts.
-fn longest_gap(starts: &[(f64, f64)], until: f64) -> f64 {
-    let mut times: Vec<f64> = starts
-        .iter()
-        .filter(|(_, n)| *n > 0.0)
-        .map(|(at, _)| *at)
+/// Relays for the frames between each two controllers, so that they can be cut.
+fn start_relays(layout: &Layout, deployment: &Deployment) -> Result<Relays, TestbedError> {
+    let count = deployment.nodes.len();
+    let pairs = (0..count).flat_map(|from| (0..count).map(move |to| Direction { from, to }));
+    let directions = pairs
+        .filter(|direction| direction.from != direction.to)
+        .map(|direction| {
+            let Direction { from, to } = direction;
+            let relay = layout.relay_address(from, to);
+            (direction, relay, deployment.nodes[to].peers)
+        })
         .collect();
-    if times.is_empty() {
-        return until;
-    }
-    times.push(until);
-    // Starts are counted by whole seconds: neighbours are no gap.
-    times
-        .windows(2)
-        .map(|w| (w[1] - w[0] - 1.0).max(0.0))
-        .fold(0.0, f64::max)
+    Ok(Relays::start(directions)?)
 }
 
-fn role_plans(
+/// Writes the files of all controllers.
+fn write_controllers(
+    lab: &Lab,
     plan: &RunPlan,
     layout: &Layout,
-    workload: &Workload,
-    seed: u64,
-) -> Vec<(RoleId, RolePlan)> {
-    let table = &plan.size.platform;
-    let state = RolePlan::State {
-        addresses: layout.state_addresses(),
-        limits: StateLimits {
-            rps: table.state_rps,
-            write_rps: table.state_write_rps,
-            value_kb: table.value_kb,
-            txn_ops: table.txn_ops as usize,
-        },
-    };
-    let spare = (plan.size.workers as f64 * SPARE / plan.size.zones as f64).ceil() as u32;
-    let cloud = RolePlan::Cloud {
-        addresses: layout.cloud_addresses(),
-        rps: table.cloud_rps,
-        list_lag_s: table.list_lag_s,
-        machines: MachinePlan {
-            cpus: plan.size.machine.cpus,
-            memory_gb: plan.size.machine.memory_gb,
-            boot_s: plan.size.machine.boot_s,
-            owned: layout.owned(),
-            spare,
-        },
-        zones: layout.zones(),
-        seed,
-    };
-    let workers = (0..layout.worker_processes()).map(|process| {
-        let role = RolePlan::Workers {
-            controllers: user_addresses(layout),
-            addresses: layout.worker_addresses(process),
-            report_s: plan.size.report_s,
-            lease_s: table.lease_s,
-            cancel_s: table.cancel_s,
-            workload: workload.clone(),
-            real: layout.is_real(process),
-        };
-        (RoleId::Workers(process), role)
+    deployment: &Deployment,
+    folder: &Folder,
+) -> Result<Controllers, TestbedError> {
+    let mut controllers = Controllers::new(ControllerProgram {
+        program: lab.controller.clone(),
+        dir: folder.0.clone(),
+        log_level: "info".into(),
     });
-    [(RoleId::State, state), (RoleId::Cloud, cloud)]
-        .into_iter()
-        .chain(workers)
-        .collect()
-}
-
-fn users_plan(plan: &RunPlan, layout: &Layout, workload: &Workload) -> (RoleId, RolePlan) {
-    let role = RolePlan::Users {
-        controllers: user_addresses(layout),
-        workload: workload.clone(),
-        seconds: plan.seconds,
-        seed: workload.seed,
+    let changes = if plan.size.config_changes > 0 {
+        CONFIGURATION
+    } else {
+        ""
     };
-    (RoleId::Users, role)
-}
-
-fn user_addresses(layout: &Layout) -> Vec<std::net::SocketAddrV4> {
-    layout.deployment().nodes.iter().map(|n| n.users).collect()
+    let operator_lines = format!("{OPERATORS}{STANDING_FLEET}{changes}");
+    for (node, place) in deployment.nodes.iter().enumerate() {
+        controllers.add(&ControllerFiles {
+            label: &place.label,
+            settings: &deployment.settings(node, &layout.links(node)),
+            operators: place.operators,
+            operator_lines: &operator_lines,
+        })?;
+    }
+    Ok(controllers)
 }
--- /dev/null
+++ b/crates/testbed/src/scale/run/faults.rs
@@ -0,0 +1,170 @@
+//! The faults of a scale run: what is done to processes, links and machines when one is due.
+
+use super::{Later, Run};
+use crate::scale::children::RoleId;
+use crate::scale::faults::{self, FaultKind};
+use crate::scale::messages::Command;
+use crate::TestbedError;
+use rand::seq::SliceRandom;
+use rand::Rng;
+use std::time::{Duration, Instant};
+
+impl Run {
+    fn later(&mut self, after_s: f64, what: Later) {
+        self.later
+            .push((Instant::now() + Duration::from_secs_f64(after_s), what));
+    }
+
+    pub(super) fn act_later(&mut self, later: Later) -> Result<(), TestbedError> {
+        match later {
+            Later::StartController(node) => self.controllers.start(node)?,
+            Later::GoOn(node) => self.controllers.pause(node, false),
+            Later::MendLinks(links) => {
+                links
+                    .iter()
+                    .for_each(|(a, b)| self.relays.set_cut(*a, *b, false));
+            }
+        }
+        Ok(())
+    }
+
+    /// A fault strikes now, so many seconds after the load began.
+    pub(super) fn strike(&mut self, at: f64, kind: FaultKind) {
+        eprintln!("{at:6.1} s  fault: {kind}");
+        self.marks.push((at, kind.to_string()));
+        match kind {
+            FaultKind::MachineFails => self.fail_machines(1, None),
+            FaultKind::RackFails => {
+                let zone = self.any_zone();
+                self.fail_machines(faults::RACK, Some(&zone));
+            }
+            FaultKind::MachineRestarts => {
+                let machines: Vec<u64> = self.machines.keys().copied().collect();
+                if let Some(machine) = machines.choose(&mut self.rng).copied() {
+                    let process = self.layout.process_of(machine);
+                    self.tell(RoleId::Workers(process), &Command::Reboot { machine });
+                }
+            }
+            FaultKind::ZoneCut => self.cut_zone(),
+            FaultKind::RegionsApart => self.cut_regions(),
+            FaultKind::LeaderKilled => {
+                if let Some(leader) = self.leader {
+                    self.controllers.kill(leader);
+                    self.later(faults::RESTART_S, Later::StartController(leader));
+                }
+            }
+            FaultKind::LeaderStopped => {
+                if let Some(leader) = self.leader {
+                    self.controllers.pause(leader, true);
+                    self.later(faults::STOPPED_S, Later::GoOn(leader));
+                }
+            }
+            FaultKind::StateSlow => {
+                let (delay_s, seconds) = (faults::STATE_DELAY_S, faults::STATE_S);
+                self.tell(RoleId::State, &Command::Slow { delay_s, seconds });
+            }
+            FaultKind::StateRefuses => {
+                self.tell(
+                    RoleId::State,
+                    &Command::Refuse {
+                        seconds: faults::STATE_S,
+                    },
+                );
+            }
+        }
+    }
+
+    fn any_zone(&mut self) -> String {
+        let zone = self.rng.gen_range(0..self.plan.size.zones);
+        self.plan.size.zone_name(zone)
+    }
+
+    /// Machines stop by themselves; the cloud lists them as failed after a while.
+    fn fail_machines(&mut self, count: usize, zone: Option<&str>) {
+        let there = self
+            .machines
+            .iter()
+            .filter(|(_, (_, z))| zone.is_none_or(|zone| zone == z));
+        let mut machines: Vec<u64> = there.map(|(machine, _)| *machine).collect();
+        machines.shuffle(&mut self.rng);
+        for machine in machines.into_iter().take(count) {
+            let process = self.layout.process_of(machine);
+            self.tell(RoleId::Workers(process), &Command::Remove { machine });
+            self.tell(RoleId::Cloud, &Command::Failed { machine });
+        }
+    }
+
+    /// A zone with its workers and controllers loses everything outside.
+    fn cut_zone(&mut self) {
+        let zone = self.rng.gen_range(0..self.plan.size.zones);
+        let all: Vec<usize> = (0..self.plan.size.controllers).collect();
+        let (inside, outside): (Vec<usize>, Vec<usize>) = all
+            .into_iter()
+            .partition(|node| self.layout.zone_of_controller(*node) == zone);
+        let name = self.plan.size.zone_name(zone);
+        let (within, without): (Vec<String>, Vec<String>) =
+            self.layout.zones().into_iter().partition(|z| *z == name);
+        self.cut(&inside, &outside, within, without);
+        // The state service and the cloud are in no zone: what is cut off loses them.
+        self.hold_controllers(inside);
+    }
+
+    /// Two regions lose each other. The state service and the cloud are in the first.
+    fn cut_regions(&mut self) {
+        let regions = self.plan.size.regions;
+        if regions < 2 {
+            return;
+        }
+        let first = self.rng.gen_range(0..regions);
+        let second = (first + self.rng.gen_range(1..regions)) % regions;
+        let (a, b) = (first.min(second), first.max(second));
+        let inside = self.layout.controllers_in_region(a);
+        let outside = self.layout.controllers_in_region(b);
+        let (within, without) = (
+            self.layout.zones_in_region(a),
+            self.layout.zones_in_region(b),
+        );
+        self.cut(&inside, &outside, within, without);
+        if a == 0 {
+            self.hold_controllers(outside);
+        }
+    }
+
+    fn cut(
+        &mut self,
+        inside: &[usize],
+        outside: &[usize],
+        within: Vec<String>,
+        without: Vec<String>,
+    ) {
+        let links: Vec<(usize, usize)> = inside
+            .iter()
+            .flat_map(|a| outside.iter().map(move |b| (*a, *b)))
+            .collect();
+        links
+            .iter()
+            .for_each(|(a, b)| self.relays.set_cut(*a, *b, true));
+        self.later(faults::CUT_S, Later::MendLinks(links));
+        let seconds = faults::CUT_S;
+        let sides = [(within, outside.to_vec()), (without, inside.to_vec())];
+        for (zones, controllers) in sides {
+            let command = Command::CutZones {
+                zones,
+                controllers,
+                seconds,
+            };
+            for process in 0..self.layout.worker_processes() {
+                self.tell(RoleId::Workers(process), &command);
+            }
+        }
+    }
+
+    fn hold_controllers(&mut self, controllers: Vec<usize>) {
+        let command = Command::HoldControllers {
+            controllers,
+            seconds: faults::CUT_S,
+        };
+        self.tell(RoleId::State, &command);
+        self.tell(RoleId::Cloud, &command);
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/scale/run/report.rs
@@ -0,0 +1,94 @@
+//! What a scale run came to: its figures and its course.
+
+use super::{Played, Run};
+use crate::scale::figures::Figures;
+use crate::scale::histograms::times;
+use crate::scale::messages::wall_us;
+use crate::scale::usage;
+use crate::TestbedError;
+
+/// Between a job's submission and its starts, in report intervals.
+const START_LAG: f64 = 1.5;
+/// Orders that the checker waits for are there after this long, microseconds.
+const ORDER_TIME_US: u64 = 10_000_000;
+
+impl Run {
+    /// Ends the run.
+    pub(super) fn finish(mut self) -> Result<Played, TestbedError> {
+        // What is not in order yet is so by now.
+        self.checker.judge_until(wall_us() + ORDER_TIME_US);
+        let began_us = wall_us().saturating_sub(self.began.elapsed().as_micros() as u64);
+        let since_load = |at: u64| (at as f64 - began_us as f64) / 1e6;
+        let starts = self.checker.starts.iter();
+        let starts: Vec<(f64, f64)> = starts
+            .map(|(s, n)| (since_load(s * 1_000_000), *n as f64))
+            .filter(|(at, _)| *at >= 0.0 && *at <= self.plan.seconds)
+            .collect();
+        let urgent = self.checker.urgent_waits.iter();
+        let urgent = urgent.map(|(at, ms)| (since_load(*at), ms / 1e3)).collect();
+        let figures = self.figures(began_us, &starts)?;
+        Ok(Played {
+            figures,
+            starts,
+            urgent,
+            marks: self.marks,
+        })
+    }
+
+    fn figures(&self, began_us: u64, starts: &[(f64, f64)]) -> Result<Figures, TestbedError> {
+        let steady_from_s = self.measurement.steady_from_s(self.began);
+        let steady_us = began_us + (steady_from_s * 1e6) as u64;
+        let waits = self
+            .checker
+            .urgent_histogram(steady_us)
+            .map_err(|e| TestbedError::Other(e.to_string()))?;
+        let limit_ms = (self.plan.size.urgent_start_s * 1e3) as u64;
+        let in_time = waits.count_between(0, limit_ms) as f64 / waits.len().max(1) as f64;
+        let measured = self.measurement.figures();
+        // Jobs start a while after they are due.
+        let from_s = steady_from_s - START_LAG * self.plan.size.report_s;
+        let workload = self.checker.workload();
+        let offered = workload.offered(from_s, from_s + measured.seconds);
+        let all = workload.offered(0.0, self.plan.seconds);
+        let counts = self.checker.counts;
+        let mut broken = self.checker.broken.clone();
+        broken.extend(measured.broken.clone());
+        let faults = self.marks.iter();
+        Ok(Figures {
+            urgent_start_ms: times(&waits, 1.0),
+            urgent_in_time: in_time,
+            offered_per_s: offered.tasks as f64 / measured.seconds,
+            offered_running: offered.running,
+            kept_up: counts.tasks_started as f64 / all.tasks.max(1) as f64,
+            lead_changes: self.lead_changes,
+            configuration: self.configuration,
+            longest_without_start_s: longest_gap(starts, self.plan.seconds),
+            jobs: counts,
+            late_starts: self.checker.late_starts,
+            broken,
+            fallen: self.fallen,
+            processes: self.plan.size.controllers + self.roles.len() + 1,
+            machine_memory_mb: usage::machine_memory_mb(),
+            faults: faults.map(|(at, kind)| format!("{kind}@{at:.1}")).collect(),
+            ..measured
+        })
+    }
+}
+
+/// The longest time between seconds with starts.
+fn longest_gap(starts: &[(f64, f64)], until: f64) -> f64 {
+    let mut times: Vec<f64> = starts
+        .iter()
+        .filter(|(_, n)| *n > 0.0)
+        .map(|(at, _)| *at)
+        .collect();
+    if times.is_empty() {
+        return until;
+    }
+    times.push(until);
+    // Starts are counted by whole seconds: neighbours are no gap.
+    times
+        .windows(2)
+        .map(|w| (w[1] - w[0] - 1.0).max(0.0))
+        .fold(0.0, f64::max)
+}
