--- a/crates/testbed/src/ageing.rs
+++ b/crates/testbed/src/ageing.rs
@@ -16,7 +16,7 @@
 use std::time::Instant;
 
 #[derive(Args)]
-pub struct Options {
+pub(crate) struct Options {
     /// How many nights, each of its own seed
     #[arg(long, default_value_t = 3)]
     nights: u64,
--- a/crates/testbed/src/configuration.rs
+++ b/crates/testbed/src/configuration.rs
@@ -22,7 +22,7 @@
 const LONGEST_MS: u64 = 600_000;
 
 #[derive(Args)]
-pub struct Options {
+pub(crate) struct Options {
     /// How many days are played
     #[arg(long, default_value_t = 100)]
     days: u64,
@@ -76,7 +76,7 @@
     text
 }
 
-pub fn run(seed: u64, options: &Options) -> Result<Value, TestbedError> {
+pub(crate) fn run(seed: u64, options: &Options) -> Result<Value, TestbedError> {
     let next = AtomicU64::new(0);
     let all: Mutex<(Vec<f64>, Vec<String>)> = Mutex::default();
     let work = || loop {
@@ -85,7 +85,9 @@
             return;
         }
         let played = scenario::play(&day(seed * 10_000 + n, options), Faults::default());
-        let mut all = all.lock().unwrap_or_else(|e| e.into_inner());
+        let mut all = all
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         match played {
             Ok(outcome) => {
                 all.0.extend(outcome.in_force_s);
@@ -100,7 +102,9 @@
         }
     };
     std::thread::scope(|s| (0..THREADS).for_each(|_| drop(s.spawn(work))));
-    let (took, wrong) = all.into_inner().unwrap_or_else(|e| e.into_inner());
+    let (took, wrong) = all
+        .into_inner()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     let mut times = Histogram::<u64>::new_with_max(LONGEST_MS, 3)
         .map_err(|e| TestbedError::Other(e.to_string()))?;
     took.iter()
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 #[derive(Args)]
-pub struct Options {
+pub(crate) struct Options {
     /// How many days are played
     #[arg(long, default_value_t = 20)]
     days: u64,
--- a/crates/testbed/src/explain.rs
+++ b/crates/testbed/src/explain.rs
@@ -102,7 +102,7 @@
 
 type Case = fn(&Lab, &Path) -> Result<(Option<String>, bool), TestbedError>;
 
-pub fn run(lab: &Lab) -> Result<Value, TestbedError> {
+pub(crate) fn run(lab: &Lab) -> Result<Value, TestbedError> {
     let cases: [(&str, Case); 14] = [
         ("frozen", frozen),
         ("failures", failures),
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -10,7 +10,7 @@
 
 /// An answer about one job; times in seconds of the experiment.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub(crate) struct Answer {
     pub asked: f64,
     pub got: f64,
     pub what: Said,
@@ -19,7 +19,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub(crate) enum Said {
     Accepted,
     State(State),
     Unknown,
@@ -38,7 +38,7 @@
 }
 
 #[derive(Default)]
-pub struct JobHistory {
+pub(crate) struct JobHistory {
     pub tasks: u32,
     pub answers: Vec<Answer>,
     /// A cancel was sent, whatever came of it.
@@ -48,7 +48,7 @@
 }
 
 #[derive(Default)]
-pub struct Machines {
+pub(crate) struct Machines {
     /// task -> machine it is on
     on: BTreeMap<String, u64>,
     /// task -> when it first came to its own end
@@ -58,7 +58,7 @@
 }
 
 impl Machines {
-    pub fn saw(&mut self, at: f64, seen: &MachineEvent) {
+    pub(crate) fn saw(&mut self, at: f64, seen: &MachineEvent) {
         let task_id = &seen.event.task_id;
         match seen.event.transition {
             TaskTransition::Started => {
@@ -82,7 +82,7 @@
 }
 
 /// Everything that cannot be true at once, one line each.
-pub fn wrong(jobs: &BTreeMap<String, JobHistory>, machines: &Machines) -> Vec<String> {
+pub(crate) fn wrong(jobs: &BTreeMap<String, JobHistory>, machines: &Machines) -> Vec<String> {
     let mut wrong: Vec<String> = machines.twice.clone();
     for (job, h) in jobs {
         wrong.extend(wrong_answers(job, h));
--- a/crates/testbed/src/list.rs
+++ b/crates/testbed/src/list.rs
@@ -90,7 +90,7 @@
         let page_ms = asked.elapsed().as_secs_f64() * 1e3;
         listing.longest_page_ms = listing.longest_page_ms.max(page_ms);
         listing.pages += 1;
-        if listing.pages % SUBMIT_EVERY == 0 {
+        if listing.pages.is_multiple_of(SUBMIT_EVERY) {
             let mut job = JobRequest::new(format!("job-{:09}", listing.pages), "home");
             job.expect_s = 0.1;
             client.submit(&job)?;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,17 +1,6 @@
 //! Experiments on real processes, and days in simulated time. The last line is one JSON object with `"ok"`
 //! and the figures; the exit code is 1 when a check fails.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 mod ageing;
 mod configuration;
 mod days;
@@ -96,14 +85,19 @@
 /// What ends an experiment before its checks.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
+    /// The cluster could not be started.
     #[error(transparent)]
     Cluster(#[from] beamhinge_dev_cluster::ClusterError),
+    /// A controller did not answer as it should.
     #[error(transparent)]
     Client(#[from] beamhinge_client::ClientError),
+    /// A file or a socket.
     #[error("{0}")]
     Io(#[from] std::io::Error),
+    /// A scenario could not be played.
     #[error(transparent)]
     Scenario(#[from] beamhinge_sim::scenario::ScenarioError),
+    /// Anything else, in words.
     #[error("{0}")]
     Other(String),
 }
--- a/crates/testbed/src/place.rs
+++ b/crates/testbed/src/place.rs
@@ -10,13 +10,13 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-pub struct Lab {
+pub(crate) struct Lab {
     pub seed: u64,
     pub controller: (PathBuf, Vec<String>),
 }
 
 /// The named program, else `beamhinged` beside this one, else this one itself.
-pub fn controller(named: &Option<PathBuf>) -> (PathBuf, Vec<String>) {
+pub(crate) fn controller(named: &Option<PathBuf>) -> (PathBuf, Vec<String>) {
     let own = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("beamhinge-testbed"));
     let beside = own.with_file_name("beamhinged");
     match named {
@@ -28,10 +28,10 @@
 }
 
 /// A folder that goes with the experiment.
-pub struct Folder(pub PathBuf);
+pub(crate) struct Folder(pub PathBuf);
 
 impl Folder {
-    pub fn new(name: &str) -> Result<Folder, TestbedError> {
+    pub(crate) fn new(name: &str) -> Result<Folder, TestbedError> {
         let dir =
             std::env::temp_dir().join(format!("beamhinge-testbed-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
@@ -51,7 +51,7 @@
 const HUNDREDS: u32 = 200;
 
 /// A hundred free ports.
-pub fn free_ports() -> u16 {
+pub(crate) fn free_ports() -> u16 {
     let start = std::process::id() % HUNDREDS;
     let bases = (0..HUNDREDS).map(|i| FIRST_PORT + ((start + i * 7) % HUNDREDS) as u16 * 100);
     let free =
@@ -60,7 +60,7 @@
 }
 
 /// A cluster to experiment on; to be changed from here.
-pub fn plan(lab: &Lab, dir: &Path) -> ClusterPlan {
+pub(crate) fn plan(lab: &Lab, dir: &Path) -> ClusterPlan {
     let team = |name: &str, cpus_max| TeamPlan {
         name: name.into(),
         cpus: 0.0,
@@ -85,7 +85,7 @@
     }
 }
 
-pub fn start(plan: ClusterPlan, observer: MachineObserver) -> Result<Cluster, TestbedError> {
+pub(crate) fn start(plan: ClusterPlan, observer: MachineObserver) -> Result<Cluster, TestbedError> {
     let cluster = Cluster::start(plan, observer)?;
     let mut client = client(&cluster, 30.0);
     match client.summary() {
@@ -100,17 +100,17 @@
     }
 }
 
-pub fn doors(cluster: &Cluster) -> Vec<SocketAddrV4> {
+pub(crate) fn doors(cluster: &Cluster) -> Vec<SocketAddrV4> {
     (0..cluster.plan().nodes)
         .map(|n| cluster.plan().operators_of(n))
         .collect()
 }
 
-pub fn client(cluster: &Cluster, total_s: f64) -> Client {
+pub(crate) fn client(cluster: &Cluster, total_s: f64) -> Client {
     client_of(&doors(cluster), total_s)
 }
 
-pub fn client_of(doors: &[SocketAddrV4], total_s: f64) -> Client {
+pub(crate) fn client_of(doors: &[SocketAddrV4], total_s: f64) -> Client {
     let timeouts = Timeouts {
         total: Duration::from_secs_f64(total_s),
         per_attempt: Duration::from_secs_f64(total_s.min(3.0)),
@@ -119,7 +119,7 @@
 }
 
 /// Asks until it is so, or time runs out.
-pub fn until(seconds: f64, mut so: impl FnMut() -> bool) -> bool {
+pub(crate) fn until(seconds: f64, mut so: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + Duration::from_secs_f64(seconds);
     while Instant::now() < end {
         if so() {
@@ -131,7 +131,7 @@
 }
 
 /// Resident memory of a process and its most so far, MB.
-pub fn memory_mb(pid: u32) -> (f64, f64) {
+pub(crate) fn memory_mb(pid: u32) -> (f64, f64) {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let field = |name: &str| {
         let line = text.lines().find(|l| l.starts_with(name));
--- a/crates/testbed/src/scale/checker.rs
+++ b/crates/testbed/src/scale/checker.rs
@@ -16,7 +16,7 @@
 
 /// A rule that was broken: how often, and by what first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Broken {
+pub(super) struct Broken {
     pub times: u64,
     pub first: String,
 }
@@ -32,7 +32,7 @@
 /// Where an attempt runs.
 type Attempt = (u64, u64);
 
-pub struct Checker {
+pub(super) struct Checker {
     workload: Workload,
     /// CPUs that each team may use.
     team_limit: f64,
@@ -56,7 +56,7 @@
 
 /// How many jobs came how far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct JobCounts {
+pub(super) struct JobCounts {
     pub accepted: u64,
     pub done: u64,
     pub cancelled: u64,
@@ -64,7 +64,7 @@
 }
 
 impl Checker {
-    pub fn new(workload: Workload, team_limit: f64, cancel_s: f64) -> Checker {
+    pub(super) fn new(workload: Workload, team_limit: f64, cancel_s: f64) -> Checker {
         Checker {
             workload,
             team_limit,
@@ -83,12 +83,12 @@
         }
     }
 
-    pub fn workload(&self) -> &Workload {
+    pub(super) fn workload(&self) -> &Workload {
         &self.workload
     }
 
     /// Takes a record of a worker or a user; others are not its business.
-    pub fn take(&mut self, record: Record) {
+    pub(super) fn take(&mut self, record: Record) {
         if let Record::Task { at, .. } | Record::User { at, .. } = &record {
             self.next += 1;
             self.waiting.insert((*at, self.next), record);
@@ -96,7 +96,7 @@
     }
 
     /// Judges all that is old enough to be in order.
-    pub fn judge_until(&mut self, now: WallUs) {
+    pub(super) fn judge_until(&mut self, now: WallUs) {
         while let Some(entry) = self.waiting.first_entry() {
             if entry.key().0 + REORDER_US > now {
                 break;
@@ -143,7 +143,7 @@
             return self.break_rule("invented", task_id);
         };
         match event {
-            TaskTransition::Started => self.began(at, number, attempt, task_id),
+            TaskTransition::Started => self.began(at, number, attempt, &task_id),
             TaskTransition::Finished | TaskTransition::Stopped => {
                 self.left(at, number, attempt, &task_id);
                 if event == TaskTransition::Finished {
@@ -153,10 +153,10 @@
         }
     }
 
-    fn began(&mut self, at: WallUs, number: u64, attempt: Attempt, task_id: String) {
+    fn began(&mut self, at: WallUs, number: u64, attempt: Attempt, task_id: &str) {
         *self.starts.entry(at / 1_000_000).or_default() += 1;
         self.counts.tasks_started += 1;
-        let live = self.live.entry(task_id.clone()).or_default();
+        let live = self.live.entry(task_id.to_string()).or_default();
         let elsewhere: Vec<Attempt> = live.iter().copied().collect();
         live.insert(attempt);
         if !elsewhere.is_empty() {
@@ -263,7 +263,7 @@
     }
 
     /// Waits of urgent jobs accepted since then.
-    pub fn urgent_histogram(
+    pub(super) fn urgent_histogram(
         &self,
         since: WallUs,
     ) -> Result<Histogram<u64>, hdrhistogram::CreationError> {
--- a/crates/testbed/src/scale/children.rs
+++ b/crates/testbed/src/scale/children.rs
@@ -11,7 +11,7 @@
 
 /// Tells the children of a run apart, by their place in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum RoleId {
+pub(super) enum RoleId {
     State,
     Cloud,
     Workers(usize),
@@ -19,7 +19,7 @@
 }
 
 impl RoleId {
-    pub fn name(self) -> String {
+    pub(super) fn name(self) -> String {
         match self {
             RoleId::State => "state service".into(),
             RoleId::Cloud => "cloud".into(),
@@ -29,7 +29,7 @@
     }
 }
 
-pub struct RoleChild {
+pub(super) struct RoleChild {
     pub id: RoleId,
     child: Child,
     input: Option<ChildStdin>,
@@ -38,7 +38,7 @@
 
 impl RoleChild {
     /// Starts this program once more with a role; its records go to `records`.
-    pub fn start(
+    pub(super) fn start(
         id: RoleId,
         plan: &RolePlan,
         records: Sender<(RoleId, Record)>,
@@ -86,17 +86,17 @@
         }
     }
 
-    pub fn tell(&mut self, command: &Command) {
+    pub(super) fn tell(&mut self, command: &Command) {
         if let Ok(line) = serde_json::to_string(command) {
             self.write_line(&line);
         }
     }
 
-    pub fn pid(&self) -> u32 {
+    pub(super) fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    pub fn has_ended(&mut self) -> bool {
+    pub(super) fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 }
--- a/crates/testbed/src/scale/config_changes.rs
+++ b/crates/testbed/src/scale/config_changes.rs
@@ -42,7 +42,7 @@
 }
 
 /// Operators at work until they are stopped.
-pub struct Operators {
+pub(super) struct Operators {
     go: Arc<AtomicBool>,
     tally: Arc<Mutex<Tally>>,
     threads: Vec<JoinHandle<()>>,
@@ -50,7 +50,7 @@
 }
 
 impl Operators {
-    pub fn start(doors: &[SocketAddrV4], seed: u64) -> Result<Operators, TestbedError> {
+    pub(super) fn start(doors: &[SocketAddrV4], seed: u64) -> Result<Operators, TestbedError> {
         let histogram = answer_histogram().map_err(|e| TestbedError::Other(e.to_string()))?;
         let tally = Tally {
             micros: Some(histogram),
@@ -76,7 +76,7 @@
     }
 
     /// Ends their work; what it came to.
-    pub fn stop(mut self) -> ConfigurationFigures {
+    pub(super) fn stop(mut self) -> ConfigurationFigures {
         let seconds = self.began.elapsed().as_secs_f64();
         self.go.store(false, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/testbed/src/scale/faults.rs
@@ -8,21 +8,21 @@
 use std::str::FromStr;
 
 /// Machines of a rack, which fail together.
-pub const RACK: usize = 40;
+pub(super) const RACK: usize = 40;
 /// How long a link is cut, and how long a controller stands still, seconds.
-pub const CUT_S: f64 = 60.0;
-pub const STOPPED_S: f64 = 5.0;
+pub(super) const CUT_S: f64 = 60.0;
+pub(super) const STOPPED_S: f64 = 5.0;
 /// How long the state service is slow or refuses, and by how much it is slow, seconds.
-pub const STATE_S: f64 = 5.0;
-pub const STATE_DELAY_S: f64 = 0.3;
+pub(super) const STATE_S: f64 = 5.0;
+pub(super) const STATE_DELAY_S: f64 = 0.3;
 /// When a killed controller is started again, seconds.
-pub const RESTART_S: f64 = 3.0;
+pub(super) const RESTART_S: f64 = 3.0;
 
 const DAY_S: f64 = 86_400.0;
 const YEAR_S: f64 = 365.0 * DAY_S;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum FaultKind {
+pub(super) enum FaultKind {
     MachineFails,
     MachineRestarts,
     RackFails,
@@ -62,13 +62,13 @@
 
 /// A fault and when it comes, seconds after the load's beginning.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fault {
+pub(super) struct Fault {
     pub kind: FaultKind,
     pub at_s: f64,
 }
 
 #[derive(Debug, thiserror::Error, PartialEq)]
-pub enum FaultError {
+pub(super) enum FaultError {
     #[error("'{0}' is not KIND@SECONDS")]
     Form(String),
     #[error("no fault is called '{0}'; there are {names}", names = NAMES.map(|(n, _)| n).join(", "))]
@@ -113,7 +113,7 @@
 }
 
 /// Faults of `seconds` at the operators' rates times `speed_up`, in order.
-pub fn drawn(size: &Size, seconds: f64, speed_up: f64, seed: u64) -> Vec<Fault> {
+pub(super) fn drawn(size: &Size, seconds: f64, speed_up: f64, seed: u64) -> Vec<Fault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut faults = Vec::new();
     for (kind, rate) in per_second(&size.rates, size.regions) {
--- a/crates/testbed/src/scale/figures.rs
+++ b/crates/testbed/src/scale/figures.rs
@@ -7,7 +7,7 @@
 
 /// Times in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Times {
+pub(super) struct Times {
     pub count: u64,
     pub p50: f64,
     pub p90: f64,
@@ -17,7 +17,7 @@
 
 /// Processor time, in parts of a core, and memory of one role's processes together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct RoleUse {
+pub(super) struct RoleUse {
     pub processes: usize,
     pub core: f64,
     /// The most of any second.
@@ -27,14 +27,14 @@
 
 /// Messages and bytes a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Rate {
+pub(super) struct Rate {
     pub messages_per_s: f64,
     pub bytes_per_s: f64,
 }
 
 /// Changes of configuration in a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct ConfigurationFigures {
+pub(super) struct ConfigurationFigures {
     pub made: u64,
     /// Told that another was first, or to come back.
     pub refused: u64,
@@ -48,7 +48,7 @@
 
 /// All of one run, over its steady part where nothing else is said.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Figures {
+pub(super) struct Figures {
     /// The steady part, seconds.
     pub seconds: f64,
     pub workers: usize,
@@ -100,19 +100,19 @@
 }
 
 /// Names of roles in [`Figures::roles`].
-pub const LEADER: &str = "controller that leads";
-pub const FOLLOWER: &str = "other controller (each)";
-pub const WORKER: &str = "worker (each)";
-pub const STATE: &str = "state service";
-pub const CLOUD: &str = "cloud";
-pub const USERS: &str = "users";
+pub(super) const LEADER: &str = "controller that leads";
+pub(super) const FOLLOWER: &str = "other controller (each)";
+pub(super) const WORKER: &str = "worker (each)";
+pub(super) const STATE: &str = "state service";
+pub(super) const CLOUD: &str = "cloud";
+pub(super) const USERS: &str = "users";
 
 /// Part of the offered starts that have to be made by the end.
 const START_TOLERANCE: f64 = 0.98;
 /// Part of the tasks that have to run at the same time: those that wait do not.
 const RUNNING_TOLERANCE: f64 = 0.9;
 /// Processes that a run may have.
-pub const MAX_PROCESSES: usize = 200;
+pub(super) const MAX_PROCESSES: usize = 200;
 /// Part of urgent jobs that have to start in time.
 const URGENT_SHARE: f64 = 0.99;
 /// Most of a core that the leader may use for so long, seconds.
@@ -120,7 +120,7 @@
 
 /// One line of the operators' table against what was measured.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct BudgetLine {
+pub(super) struct BudgetLine {
     pub name: String,
     pub budget: String,
     pub measured: String,
@@ -137,7 +137,7 @@
 }
 
 /// The operators' table against the figures, line by line.
-pub fn budget(size: &Size, figures: &Figures) -> Vec<BudgetLine> {
+pub(super) fn budget(size: &Size, figures: &Figures) -> Vec<BudgetLine> {
     let mut lines = Vec::from(load_lines(size, figures));
     lines.extend(worker_lines(size, figures));
     lines.push(control_line(size, figures));
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -4,7 +4,7 @@
 
 /// A line y = intercept + slope · x and how well it fits, within the range of its points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Fit {
+pub(super) struct Fit {
     pub slope: f64,
     pub intercept: f64,
     /// Root of the mean squared distance of the points from the line, in units of y.
@@ -16,7 +16,7 @@
 }
 
 /// The line through at least three points with different x.
-pub fn least_squares(points: &[(f64, f64)]) -> Option<Fit> {
+pub(super) fn least_squares(points: &[(f64, f64)]) -> Option<Fit> {
     let sound = points.iter().all(|(x, y)| x.is_finite() && y.is_finite());
     if points.len() < 3 || !sound {
         return None;
@@ -52,7 +52,7 @@
 }
 
 impl Fit {
-    pub fn at(&self, x: f64) -> f64 {
+    pub(super) fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
--- a/crates/testbed/src/scale/flows.rs
+++ b/crates/testbed/src/scale/flows.rs
@@ -10,7 +10,7 @@
 
 /// Counters of one child, and the kinds of the requests that it has not answered.
 #[derive(Default)]
-pub struct FlowCounter {
+pub(super) struct FlowCounter {
     flows: Flows,
     open: BTreeMap<(usize, u64), &'static str>,
 }
@@ -25,7 +25,7 @@
     }
 
     /// A request came in.
-    pub fn request(
+    pub(super) fn request(
         &mut self,
         id: RequestId,
         kind: &'static str,
@@ -40,23 +40,23 @@
     }
 
     /// It is answered.
-    pub fn answer(&mut self, id: RequestId, status: u16, body: usize) {
+    pub(super) fn answer(&mut self, id: RequestId, status: u16, body: usize) {
         if let Some(kind) = self.open.remove(&(id.slot, id.generation)) {
             self.add(kind, "out", answer_bytes(status, body));
         }
     }
 
     /// We called.
-    pub fn call(&mut self, kind: &str, (method, path): (Method, &str), body: usize) {
+    pub(super) fn call(&mut self, kind: &str, (method, path): (Method, &str), body: usize) {
         self.add(kind, "out", request_bytes(method, path, body));
     }
 
     /// And were answered.
-    pub fn reply(&mut self, kind: &str, status: u16, body: usize) {
+    pub(super) fn reply(&mut self, kind: &str, status: u16, body: usize) {
         self.add(kind, "in", answer_bytes(status, body));
     }
 
-    pub fn flows(&self) -> &Flows {
+    pub(super) fn flows(&self) -> &Flows {
         &self.flows
     }
 }
--- a/crates/testbed/src/scale/layout.rs
+++ b/crates/testbed/src/scale/layout.rs
@@ -21,10 +21,10 @@
 
 /// The part of the fleet that a team is guaranteed, and the limit of each, as parts of
 /// the fleet over all teams.
-pub const GUARANTEED: f64 = 0.5;
-pub const LIMIT: f64 = 20.0;
+pub(super) const GUARANTEED: f64 = 0.5;
+pub(super) const LIMIT: f64 = 20.0;
 
-pub struct Layout {
+pub(super) struct Layout {
     pub size: Size,
     base_port: u16,
     /// Workers whose tasks are processes, on a process of their own.
@@ -36,7 +36,7 @@
 }
 
 impl Layout {
-    pub fn new(size: Size, base_port: u16, real_workers: usize) -> Layout {
+    pub(super) fn new(size: Size, base_port: u16, real_workers: usize) -> Layout {
         let real_workers = real_workers.min(size.workers.saturating_sub(1));
         Layout {
             size,
@@ -47,7 +47,7 @@
 
     /// Processes that hold workers: one for the real ones, if there are any, and the
     /// others by the thousand in a few.
-    pub fn worker_processes(&self) -> usize {
+    pub(super) fn worker_processes(&self) -> usize {
         usize::from(self.real_workers > 0) + self.hollow_processes()
     }
 
@@ -55,7 +55,7 @@
         (self.size.workers - self.real_workers).div_ceil(WORKERS_A_PROCESS)
     }
 
-    pub fn is_real(&self, process: usize) -> bool {
+    pub(super) fn is_real(&self, process: usize) -> bool {
         self.real_workers > 0 && process == 0
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// The process of a machine by its number.
-    pub fn process_of(&self, machine: u64) -> usize {
+    pub(super) fn process_of(&self, machine: u64) -> usize {
         let machine = machine as usize;
         if machine < self.real_workers {
             return 0;
@@ -77,7 +77,7 @@
     }
 
     /// The addresses of a process's workers.
-    pub fn worker_addresses(&self, process: usize) -> Vec<SocketAddrV4> {
+    pub(super) fn worker_addresses(&self, process: usize) -> Vec<SocketAddrV4> {
         let spare = (self.workers_of(process) as f64 * SPARE_PLACES).ceil() as usize + 2;
         let places = 0..self.workers_of(process) + spare;
         places
@@ -86,17 +86,17 @@
     }
 
     /// One of them, by its place.
-    pub fn worker_address(&self, process: usize, place: usize) -> SocketAddrV4 {
+    pub(super) fn worker_address(&self, process: usize, place: usize) -> SocketAddrV4 {
         let (third, fourth) = ((place / HOSTS) as u8, (place % HOSTS) as u8 + 1);
         let port = self.base_port + WORKER_PORT;
         loopback(WORKER_NETWORK + process as u8, third, fourth, port)
     }
 
-    pub fn state_addresses(&self) -> Vec<SocketAddrV4> {
+    pub(super) fn state_addresses(&self) -> Vec<SocketAddrV4> {
         self.control_addresses(STATE_PORTS)
     }
 
-    pub fn cloud_addresses(&self) -> Vec<SocketAddrV4> {
+    pub(super) fn cloud_addresses(&self) -> Vec<SocketAddrV4> {
         self.control_addresses(CLOUD_PORTS)
     }
 
@@ -108,18 +108,18 @@
     }
 
     /// Where frames from one controller to another pass.
-    pub fn relay_address(&self, from: usize, to: usize) -> SocketAddrV4 {
+    pub(super) fn relay_address(&self, from: usize, to: usize) -> SocketAddrV4 {
         loopback(1, 0, from as u8 + 1, self.base_port + to as u16)
     }
 
-    pub fn zones(&self) -> Vec<String> {
+    pub(super) fn zones(&self) -> Vec<String> {
         (0..self.size.zones)
             .map(|zone| self.size.zone_name(zone))
             .collect()
     }
 
     /// The zone of a controller: they are spread over the regions first.
-    pub fn zone_of_controller(&self, node: usize) -> usize {
+    pub(super) fn zone_of_controller(&self, node: usize) -> usize {
         let region = node % self.size.regions;
         let zones: Vec<usize> = (0..self.size.zones)
             .filter(|z| self.size.region_of(*z) == region)
@@ -127,12 +127,12 @@
         zones[(node / self.size.regions) % zones.len()]
     }
 
-    pub fn controllers_in_region(&self, region: usize) -> Vec<usize> {
+    pub(super) fn controllers_in_region(&self, region: usize) -> Vec<usize> {
         let of = |node: &usize| self.size.region_of(self.zone_of_controller(*node)) == region;
         (0..self.size.controllers).filter(of).collect()
     }
 
-    pub fn zones_in_region(&self, region: usize) -> Vec<String> {
+    pub(super) fn zones_in_region(&self, region: usize) -> Vec<String> {
         let of = |zone: &usize| self.size.region_of(*zone) == region;
         (0..self.size.zones)
             .filter(of)
@@ -141,13 +141,13 @@
     }
 
     /// Zones of the machines that are there from the start.
-    pub fn owned(&self) -> Vec<String> {
+    pub(super) fn owned(&self) -> Vec<String> {
         (0..self.size.workers)
             .map(|machine| self.size.zone_name(machine % self.size.zones))
             .collect()
     }
 
-    pub fn deployment(&self) -> Deployment {
+    pub(super) fn deployment(&self) -> Deployment {
         let size = &self.size;
         let place = |node: usize| NodePlace {
             label: char::from(b'a' + node as u8).to_string(),
@@ -174,11 +174,11 @@
 
     /// Sockets that a controller may have: one for each worker, and room for users,
     /// peers and what is about to close.
-    pub fn connections(&self) -> usize {
+    pub(super) fn connections(&self) -> usize {
         self.size.workers * 3 / 2 + 1_000
     }
 
-    pub fn links(&self, node: usize) -> Links {
+    pub(super) fn links(&self, node: usize) -> Links {
         Links {
             state: self.state_addresses()[node],
             cloud: self.cloud_addresses()[node],
@@ -189,7 +189,7 @@
     }
 
     /// An address that somebody else listens on already.
-    pub fn taken(&self) -> Option<SocketAddrV4> {
+    pub(super) fn taken(&self) -> Option<SocketAddrV4> {
         let deployment = self.deployment();
         let nodes = deployment
             .nodes
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -56,7 +56,7 @@
     gauges: BTreeMap<String, f64>,
 }
 
-pub struct Measurement {
+pub(super) struct Measurement {
     workers: usize,
     meter: Meter,
     sampled: Option<Instant>,
@@ -98,7 +98,7 @@
 }
 
 impl Measurement {
-    pub fn new(workers: usize) -> Measurement {
+    pub(super) fn new(workers: usize) -> Measurement {
         Measurement {
             workers,
             meter: Meter::default(),
@@ -121,11 +121,11 @@
         }
     }
 
-    pub fn counts(&mut self, id: RoleId, flows: Flows, gauges: BTreeMap<String, f64>) {
+    pub(super) fn counts(&mut self, id: RoleId, flows: Flows, gauges: BTreeMap<String, f64>) {
         self.counts.insert(id, Counts { flows, gauges });
     }
 
-    pub fn answered(&mut self, kind: &str, ms: f64, status: u16) {
+    pub(super) fn answered(&mut self, kind: &str, ms: f64, status: u16) {
         if !self.is_within() {
             return;
         }
@@ -143,13 +143,13 @@
         }
     }
 
-    pub fn abused(&mut self, what: String) {
+    pub(super) fn abused(&mut self, what: String) {
         if self.abused.len() < MAX_ABUSED {
             self.abused.push(what);
         }
     }
 
-    pub fn is_steady(&self) -> bool {
+    pub(super) fn is_steady(&self) -> bool {
         self.steady_from.is_some()
     }
 
@@ -157,26 +157,26 @@
         self.steady_from.is_some() && self.steady_to.is_none()
     }
 
-    pub fn begin_steady(&mut self, started: u64) {
+    pub(super) fn begin_steady(&mut self, started: u64) {
         self.steady_from = Some(Instant::now());
         self.counts_then = self.counts.clone();
         self.started_then = started;
     }
 
-    pub fn end_steady(&mut self, started: u64) {
+    pub(super) fn end_steady(&mut self, started: u64) {
         self.steady_to = Some(Instant::now());
         self.counts_at_end = self.counts.clone();
         self.started_at_end = started;
     }
 
     /// When the steady part began, seconds after `began`.
-    pub fn steady_from_s(&self, began: Instant) -> f64 {
+    pub(super) fn steady_from_s(&self, began: Instant) -> f64 {
         self.steady_from
             .map_or(0.0, |at| at.saturating_duration_since(began).as_secs_f64())
     }
 
     /// Tasks on machines, as workers told it last.
-    pub fn running(&self) -> f64 {
+    pub(super) fn running(&self) -> f64 {
         let told = self
             .counts
             .iter()
@@ -185,7 +185,7 @@
     }
 
     /// Looks at all processes once a second; all memory in use, MB, when it did.
-    pub fn sample(
+    pub(super) fn sample(
         &mut self,
         controllers: &[(usize, u32)],
         leader: Option<usize>,
@@ -275,7 +275,7 @@
     }
 
     /// The figures that are measured here; the others are left as they are by default.
-    pub fn figures(&self) -> Figures {
+    pub(super) fn figures(&self) -> Figures {
         let from = self.steady_from.unwrap_or_else(Instant::now);
         let to = self.steady_to.unwrap_or_else(Instant::now);
         let seconds = to.saturating_duration_since(from).as_secs_f64().max(1e-3);
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -3,16 +3,16 @@
 //! records on its standard output.
 
 use super::workload::Workload;
-pub use beamhinge_emulator::worker::TaskTransition;
+pub(super) use beamhinge_emulator::worker::TaskTransition;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Microseconds of the time of day: all processes are on one machine.
-pub type WallUs = u64;
+pub(super) type WallUs = u64;
 
-pub fn wall_us() -> WallUs {
+pub(super) fn wall_us() -> WallUs {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_micros() as u64)
@@ -20,7 +20,7 @@
 
 /// The published limits of the state service (PROTOCOL, "Limits and errors").
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct StateLimits {
+pub(super) struct StateLimits {
     pub rps: f64,
     pub write_rps: f64,
     pub value_kb: f64,
@@ -29,7 +29,7 @@
 
 /// A kind of machine and where it is.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct MachinePlan {
+pub(super) struct MachinePlan {
     pub cpus: f64,
     pub memory_gb: f64,
     pub boot_s: f64,
@@ -41,7 +41,7 @@
 
 /// What a child is.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum RolePlan {
+pub(super) enum RolePlan {
     State {
         /// An address for each controller, so that each can be cut off alone.
         addresses: Vec<SocketAddrV4>,
@@ -77,7 +77,7 @@
 
 /// Sent to a child while it runs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Command {
+pub(crate) enum Command {
     /// To workers: a machine is up, and listens on the address at that place.
     Boot {
         machine: u64,
@@ -116,18 +116,18 @@
 
 /// Messages of one kind and direction, and their bytes with heads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Flow {
+pub(crate) struct Flow {
     pub messages: u64,
     pub bytes: u64,
 }
 
 /// Counts since a child began, by kind: `report in`, `report out` and so on, seen from
 /// the child.
-pub type Flows = BTreeMap<String, Flow>;
+pub(super) type Flows = BTreeMap<String, Flow>;
 
 /// What a user was told or did.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum UserEvent {
+pub(crate) enum UserEvent {
     Accepted,
     /// The user asks to cancel it.
     CancelSent,
@@ -140,7 +140,7 @@
 
 /// Sent by a child.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Record {
+pub(crate) enum Record {
     /// It listens.
     Ready,
     Task {
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -14,7 +14,7 @@
 mod messages;
 mod plots;
 mod relay;
-pub mod role;
+pub(crate) mod role;
 mod run;
 mod size;
 mod sweep;
@@ -40,7 +40,7 @@
 const REAL_WORKERS: usize = 4;
 
 #[derive(Args)]
-pub struct Options {
+pub(crate) struct Options {
     /// The size as a file (TOML) instead of the operators' table
     #[arg(long, value_name = "FILE")]
     table: Option<PathBuf>,
@@ -158,7 +158,7 @@
     }
 }
 
-pub fn run(lab: &Lab, is_quick: bool, options: &Options) -> Result<Value, TestbedError> {
+pub(crate) fn run(lab: &Lab, is_quick: bool, options: &Options) -> Result<Value, TestbedError> {
     let size = options.size(is_quick)?;
     let seconds = options.seconds(is_quick)?;
     if let Some(folder) = &options.out {
--- a/crates/testbed/src/scale/plots.rs
+++ b/crates/testbed/src/scale/plots.rs
@@ -11,7 +11,7 @@
 const HEADROOM: f64 = 1.1;
 
 /// A series over seconds, with the times of faults.
-pub struct TimePlot<'a> {
+pub(super) struct TimePlot<'a> {
     pub title: &'a str,
     pub unit: &'a str,
     pub points: &'a [(f64, f64)],
@@ -33,7 +33,7 @@
     }
 }
 
-pub fn over_time(path: &Path, plot: &TimePlot) -> Result<(), TestbedError> {
+pub(super) fn over_time(path: &Path, plot: &TimePlot) -> Result<(), TestbedError> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(failed)?;
     let (end, top) = (
@@ -77,7 +77,7 @@
 }
 
 /// Measured points and the line through them.
-pub fn slope(
+pub(super) fn slope(
     path: &Path,
     title: &str,
     (x_name, y_name): (&str, &str),
--- a/crates/testbed/src/scale/relay.rs
+++ b/crates/testbed/src/scale/relay.rs
@@ -19,12 +19,12 @@
 
 /// One direction between two controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Direction {
+pub(super) struct Direction {
     pub from: usize,
     pub to: usize,
 }
 
-pub struct Relays {
+pub(super) struct Relays {
     cut: BTreeMap<Direction, Arc<AtomicBool>>,
     go: Arc<AtomicBool>,
     acceptor: Option<JoinHandle<()>>,
@@ -38,7 +38,9 @@
 
 impl Relays {
     /// Listens at the first address of each and passes on to the second.
-    pub fn start(directions: Vec<(Direction, SocketAddrV4, SocketAddrV4)>) -> io::Result<Relays> {
+    pub(super) fn start(
+        directions: Vec<(Direction, SocketAddrV4, SocketAddrV4)>,
+    ) -> io::Result<Relays> {
         let mut cut = BTreeMap::new();
         let mut listening = Vec::new();
         for (direction, at, target) in directions {
@@ -63,7 +65,7 @@
     }
 
     /// Cuts a link in both directions, or mends it.
-    pub fn set_cut(&self, a: usize, b: usize, cut: bool) {
+    pub(super) fn set_cut(&self, a: usize, b: usize, cut: bool) {
         for direction in [Direction { from: a, to: b }, Direction { from: b, to: a }] {
             if let Some(switch) = self.cut.get(&direction) {
                 switch.store(cut, Ordering::Relaxed);
--- a/crates/testbed/src/scale/role/cloud.rs
+++ b/crates/testbed/src/scale/role/cloud.rs
@@ -13,11 +13,11 @@
 use std::collections::BTreeMap;
 
 /// Label of the one type of machine.
-pub const SHAPE: &str = "m";
+pub(super) const SHAPE: &str = "m";
 /// A machine that stopped by itself is listed so after this long.
 const FAILED_LISTED: Micros = 30 * SECOND;
 
-pub struct CloudRole {
+pub(super) struct CloudRole {
     cloud: Cloud,
     rng: StdRng,
     booting: BTreeMap<u64, Micros>,
@@ -27,7 +27,7 @@
 }
 
 impl CloudRole {
-    pub fn new(
+    pub(super) fn new(
         (rps, list_lag_s): (f64, f64),
         machines: &MachinePlan,
         zones: Vec<String>,
@@ -115,7 +115,7 @@
 }
 
 /// The one type of machine.
-pub fn instance_type(cpus: f64, memory_gb: f64, boot_s: f64) -> InstanceType {
+pub(super) fn instance_type(cpus: f64, memory_gb: f64, boot_s: f64) -> InstanceType {
     InstanceType {
         label: SHAPE.into(),
         cpus,
--- a/crates/testbed/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -27,12 +27,12 @@
 /// the size of the fleet, and the stand-ins of the state service and of the cloud serve the
 /// controllers alone, so this does not grow with the workers. What does are a controller's
 /// sockets, and those are set by the layout.
-pub const MAX_CONNECTIONS: usize = 18_000;
+pub(crate) const MAX_CONNECTIONS: usize = 18_000;
 /// How often a child tells its counts, seconds.
 const COUNTS_S: f64 = 1.0;
 
 #[derive(Debug, thiserror::Error)]
-pub enum RoleError {
+pub(crate) enum RoleError {
     #[error("no plan on standard input: this is for `beamhinge-testbed scale` alone")]
     NoPlan,
     #[error("the plan is not understood: {0}")]
@@ -45,7 +45,7 @@
 
 /// Standard output as a channel of records.
 #[derive(Clone)]
-pub struct Recorder(Arc<Mutex<BufWriter<Stdout>>>);
+pub(crate) struct Recorder(Arc<Mutex<BufWriter<Stdout>>>);
 
 impl Recorder {
     fn new() -> Recorder {
@@ -53,13 +53,13 @@
     }
 
     /// What cannot be written has no reader any more: the child's input ends then too.
-    pub fn send(&self, record: &Record) {
+    pub(crate) fn send(&self, record: &Record) {
         let mut out = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let _ = serde_json::to_writer(&mut *out, record);
         let _ = out.write_all(b"\n");
     }
 
-    pub fn flush(&self) {
+    pub(crate) fn flush(&self) {
         let _ = self
             .0
             .lock()
@@ -69,7 +69,7 @@
 }
 
 /// What every role has: commands, records, and the time of the last counts.
-pub struct Links {
+pub(crate) struct Links {
     commands: Receiver<Command>,
     pub records: Recorder,
     counted: Time,
@@ -77,12 +77,12 @@
 
 impl Links {
     /// The next command, if one came.
-    pub fn command(&self) -> Option<Command> {
+    pub(crate) fn command(&self) -> Option<Command> {
         self.commands.try_recv().ok()
     }
 
     /// Tells the counts if they are due, and sends what was recorded.
-    pub fn tell_counts(&mut self, now: Time, flows: &Flows, gauges: &[(&str, f64)]) {
+    pub(crate) fn tell_counts(&mut self, now: Time, flows: &Flows, gauges: &[(&str, f64)]) {
         if now.since(self.counted) >= COUNTS_S {
             self.counted = now;
             let gauges: BTreeMap<String, f64> = gauges
@@ -100,12 +100,12 @@
 
 /// Controllers whose requests are held up, and until when.
 #[derive(Default)]
-pub struct HeldControllers {
+pub(crate) struct HeldControllers {
     until: Vec<Micros>,
 }
 
 impl HeldControllers {
-    pub fn hold(&mut self, controllers: &[usize], until: Micros) {
+    pub(crate) fn hold(&mut self, controllers: &[usize], until: Micros) {
         for controller in controllers {
             if self.until.len() <= *controller {
                 self.until.resize(controller + 1, 0);
@@ -114,13 +114,13 @@
         }
     }
 
-    pub fn is_held(&self, controller: usize, now: Micros) -> bool {
+    pub(crate) fn is_held(&self, controller: usize, now: Micros) -> bool {
         self.until.get(controller).is_some_and(|until| now < *until)
     }
 }
 
 /// Runs one role until its input ends.
-pub fn run() -> ExitCode {
+pub(crate) fn run() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/crates/testbed/src/scale/role/state.rs
+++ b/crates/testbed/src/scale/role/state.rs
@@ -16,7 +16,7 @@
 /// Requests of controllers that are cut off, held until the cut ends.
 const MAX_HELD: usize = 10_000;
 
-pub struct StateRole {
+pub(super) struct StateRole {
     server: StateServer,
     flows: FlowCounter,
     links: Links,
@@ -29,7 +29,7 @@
 }
 
 impl StateRole {
-    pub fn new(limits: &StateLimits, links: Links) -> StateRole {
+    pub(super) fn new(limits: &StateLimits, links: Links) -> StateRole {
         let StateLimits {
             rps,
             write_rps,
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -62,7 +62,7 @@
     sent: Micros,
 }
 
-pub struct UsersRole {
+pub(super) struct UsersRole {
     controllers: Vec<SocketAddrV4>,
     workload: Workload,
     began: Micros,
@@ -82,7 +82,7 @@
 }
 
 impl UsersRole {
-    pub fn new(
+    pub(super) fn new(
         controllers: Vec<SocketAddrV4>,
         workload: Workload,
         seconds: f64,
--- a/crates/testbed/src/scale/role/workers.rs
+++ b/crates/testbed/src/scale/role/workers.rs
@@ -12,7 +12,7 @@
 use beamhinge_emulator::cloud::{Instance, InstanceType};
 use beamhinge_emulator::processes::Processes;
 use beamhinge_emulator::worker_pool::{MachineEvent, WorkerPool, WorkerPoolConfig};
-use beamhinge_emulator::{micros, refuse, respond, Micros, ProtocolFaults};
+use beamhinge_emulator::{micros, refuse, respond, Micros, ProtocolFaults, Response};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
@@ -29,7 +29,7 @@
     to: SocketAddrV4,
 }
 
-pub struct WorkersRole {
+pub(super) struct WorkersRole {
     pool: WorkerPool,
     controllers: Vec<SocketAddrV4>,
     addresses: Vec<SocketAddrV4>,
@@ -49,7 +49,7 @@
 }
 
 impl WorkersRole {
-    pub fn new(
+    pub(super) fn new(
         controllers: Vec<SocketAddrV4>,
         addresses: Vec<SocketAddrV4>,
         settings: settings::WorkerTimings,
@@ -195,19 +195,18 @@
         }
     }
 
-    fn take_reply(&mut self, now: Micros, id: CallId, result: Option<(u16, Vec<u8>)>) {
-        if let Some((status, body)) = &result {
+    fn take_reply(&mut self, now: Micros, id: CallId, result: Option<&Response>) {
+        if let Some((status, body)) = result {
             self.flows.reply("report", *status, body.len());
         }
         if let Some(report) = self.reports.remove(&id) {
-            if result.as_ref().is_some_and(|(status, _)| *status == 200) {
+            if result.is_some_and(|(status, _)| *status == 200) {
                 self.served_by.insert(report.machine, report.to);
             }
         }
         let (workload, real) = (&self.workload, self.real);
-        self.pool.on_reply(now, id, result.as_ref(), &mut |job| {
-            workload.plan(job, real)
-        });
+        self.pool
+            .on_reply(now, id, result, &mut |job| workload.plan(job, real));
     }
 }
 
@@ -249,7 +248,7 @@
         result: Option<(u16, Vec<u8>)>,
         _out: &mut Vec<Effect>,
     ) {
-        self.take_reply(micros(now), id, result);
+        self.take_reply(micros(now), id, result.as_ref());
     }
 
     fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -51,7 +51,7 @@
 const STEADY_PART: f64 = 0.4;
 
 /// How a run is played.
-pub struct RunPlan {
+pub(super) struct RunPlan {
     pub size: Size,
     pub seconds: f64,
     pub real_workers: usize,
@@ -60,7 +60,7 @@
 }
 
 /// What a run came to: its figures, and its course by seconds.
-pub struct Played {
+pub(super) struct Played {
     pub figures: Figures,
     pub starts: Vec<(f64, f64)>,
     pub urgent: Vec<(f64, f64)>,
@@ -126,7 +126,11 @@
 }
 
 /// Plays one run.
-pub fn play(lab: &Lab, plan: RunPlan, stop: &Arc<AtomicBool>) -> Result<Played, TestbedError> {
+pub(super) fn play(
+    lab: &Lab,
+    plan: RunPlan,
+    stop: &Arc<AtomicBool>,
+) -> Result<Played, TestbedError> {
     plan.size
         .check()
         .map_err(|e| TestbedError::Other(e.to_string()))?;
--- a/crates/testbed/src/scale/size.rs
+++ b/crates/testbed/src/scale/size.rs
@@ -3,10 +3,11 @@
 
 use beamhinge_dev_cluster::deployment::PlatformLimits;
 use serde::{Deserialize, Serialize};
+use std::fmt::Display;
 use std::path::{Path, PathBuf};
 
 /// The operators' table as it was given.
-pub const OPERATORS_TABLE: &str = include_str!("operators_table.toml");
+pub(super) const OPERATORS_TABLE: &str = include_str!("operators_table.toml");
 
 /// Controllers are named by single letters.
 const MAX_CONTROLLERS: usize = 26;
@@ -18,7 +19,7 @@
 const MAX_STARTS_PER_S: f64 = 2_000.0;
 
 #[derive(Debug, thiserror::Error)]
-pub enum SizeError {
+pub(super) enum SizeError {
     #[error("{0}: {1}")]
     Read(PathBuf, std::io::Error),
     #[error("{0}: {1}")]
@@ -34,7 +35,7 @@
 /// What is spent on control at most.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Budget {
+pub(super) struct Budget {
     /// Part of a core, for each worker.
     pub worker_core: f64,
     /// Resident memory of a worker, MB.
@@ -48,7 +49,7 @@
 /// How often faults occur.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Rates {
+pub(super) struct Rates {
     pub failures_per_day: f64,
     pub replaced_per_day: f64,
     pub racks_per_year: f64,
@@ -59,7 +60,7 @@
 /// One machine of the fleet: CPUs, GB, seconds until it is up.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct MachineTable {
+pub(super) struct MachineTable {
     pub cpus: f64,
     pub memory_gb: f64,
     pub boot_s: f64,
@@ -68,7 +69,7 @@
 /// The whole table.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Size {
+pub(super) struct Size {
     pub workers: usize,
     pub controllers: usize,
     pub teams: usize,
@@ -90,7 +91,7 @@
     pub machine: MachineTable,
 }
 
-fn refuse(field: &'static str, value: impl ToString, problem: &'static str) -> SizeError {
+fn refuse(field: &'static str, value: impl Display, problem: &'static str) -> SizeError {
     SizeError::Value {
         field,
         value: value.to_string(),
@@ -100,18 +101,18 @@
 
 impl Size {
     /// Reads a table; unknown keys are refused with their line.
-    pub fn parse(name: &str, text: &str) -> Result<Size, SizeError> {
+    pub(super) fn parse(name: &str, text: &str) -> Result<Size, SizeError> {
         toml::from_str(text).map_err(|e| SizeError::Form(name.to_string(), e))
     }
 
-    pub fn load(path: &Path) -> Result<Size, SizeError> {
+    pub(super) fn load(path: &Path) -> Result<Size, SizeError> {
         let text =
             std::fs::read_to_string(path).map_err(|e| SizeError::Read(path.to_path_buf(), e))?;
         Size::parse(&path.display().to_string(), &text)
     }
 
     /// Whether it can be played at all.
-    pub fn check(&self) -> Result<(), SizeError> {
+    pub(super) fn check(&self) -> Result<(), SizeError> {
         let counts = [
             ("workers", self.workers, MAX_WORKERS),
             ("controllers", self.controllers, MAX_CONTROLLERS),
@@ -171,22 +172,22 @@
 
     /// What a task takes of its machine so that all that run fill seven tenths of the
     /// fleet, CPUs.
-    pub fn task_cpus(&self) -> f64 {
+    pub(super) fn task_cpus(&self) -> f64 {
         let fleet = self.workers as f64 * self.machine.cpus;
         (fleet * FILLED / self.running as f64 * 100.0).floor() / 100.0
     }
 
     /// How long a task runs in the mean, seconds.
-    pub fn run_s(&self) -> f64 {
+    pub(super) fn run_s(&self) -> f64 {
         self.running as f64 / self.starts_per_s
     }
 
     /// The region of a zone, both by their places: neighbouring zones share one.
-    pub fn region_of(&self, zone: usize) -> usize {
+    pub(super) fn region_of(&self, zone: usize) -> usize {
         zone * self.regions / self.zones
     }
 
-    pub fn zone_name(&self, zone: usize) -> String {
+    pub(super) fn zone_name(&self, zone: usize) -> String {
         format!("r{}-z{}", self.region_of(zone) + 1, zone + 1)
     }
 }
--- a/crates/testbed/src/scale/sweep.rs
+++ b/crates/testbed/src/scale/sweep.rs
@@ -9,7 +9,7 @@
 
 /// What is varied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Axis {
+pub(super) enum Axis {
     Workers,
     Starts,
     Running,
@@ -20,7 +20,7 @@
 const PARTS: [f64; 4] = [0.25, 0.5, 0.75, 1.0];
 
 impl Axis {
-    pub fn name(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             Axis::Workers => "workers",
             Axis::Starts => "starts a second",
@@ -31,7 +31,7 @@
 
     /// The sizes that are played: this one is varied, all others stay. What cannot stay
     /// is the length of the runs, which is running tasks by starts.
-    pub fn sizes(self, full: &Size) -> Vec<(f64, Size)> {
+    pub(super) fn sizes(self, full: &Size) -> Vec<(f64, Size)> {
         PARTS.iter().map(|part| self.part(full, *part)).collect()
     }
 
@@ -64,7 +64,7 @@
 
 /// One figure over the sizes.
 #[derive(Clone, Debug, Serialize)]
-pub struct Series {
+pub(super) struct Series {
     pub name: String,
     pub unit: &'static str,
     pub points: Vec<(f64, f64)>,
@@ -116,7 +116,7 @@
 ];
 
 /// A line through each figure.
-pub fn series(points: &[(f64, Figures)]) -> Vec<Series> {
+pub(super) fn series(points: &[(f64, Figures)]) -> Vec<Series> {
     SERIES
         .iter()
         .map(|(name, unit, of)| {
--- a/crates/testbed/src/scale/usage.rs
+++ b/crates/testbed/src/scale/usage.rs
@@ -8,7 +8,7 @@
 
 /// Of one process since it was first seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Usage {
+pub(super) struct Usage {
     /// Processor time, seconds.
     pub cpu_s: f64,
     /// Resident memory now, MB.
@@ -18,7 +18,7 @@
 const MB: f64 = 1024.0 * 1024.0;
 
 /// What a process has used; none if it is gone.
-pub fn of(pid: u32) -> Option<Usage> {
+pub(super) fn of(pid: u32) -> Option<Usage> {
     let process = Process::new(i32::try_from(pid).ok()?).ok()?;
     let stat = process.stat().ok()?;
     let ticks = procfs::ticks_per_second() as f64;
@@ -29,24 +29,24 @@
 }
 
 /// All memory of the machine, MB.
-pub fn machine_memory_mb() -> f64 {
+pub(super) fn machine_memory_mb() -> f64 {
     Meminfo::current().map_or(0.0, |m| m.mem_total as f64 / MB)
 }
 
 /// How many files a process of this user may have open; none: no limit.
-pub fn file_limit() -> Option<u64> {
+pub(super) fn file_limit() -> Option<u64> {
     getrlimit(Resource::Nofile).current
 }
 
 /// Differences between two looks at the same processes.
 #[derive(Default)]
-pub struct Meter {
+pub(super) struct Meter {
     last: BTreeMap<u32, f64>,
 }
 
 impl Meter {
     /// Processor seconds since the last look; 0 at the first look at a process.
-    pub fn spent(&mut self, pid: u32, usage: Usage) -> f64 {
+    pub(super) fn spent(&mut self, pid: u32, usage: Usage) -> f64 {
         let before = self.last.insert(pid, usage.cpu_s);
         before.map_or(0.0, |b| (usage.cpu_s - b).max(0.0))
     }
--- a/crates/testbed/src/scale/workload.rs
+++ b/crates/testbed/src/scale/workload.rs
@@ -28,7 +28,7 @@
 
 /// What all processes of a run know of its load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Workload {
+pub(super) struct Workload {
     pub seed: u64,
     pub starts_per_s: f64,
     pub run_s: f64,
@@ -38,7 +38,7 @@
 
 /// One job as its user means it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ScaleJob {
+pub(super) struct ScaleJob {
     pub id: String,
     pub team: String,
     pub urgent: bool,
@@ -55,7 +55,7 @@
 /// Tasks that are due in a span, and how many would run in the mean if each began when
 /// it is due.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Offered {
+pub(super) struct Offered {
     pub tasks: u64,
     pub running: f64,
 }
@@ -76,7 +76,7 @@
         URGENT_STARTS * bulk / (urgent - URGENT_STARTS * urgent + URGENT_STARTS * bulk)
     }
 
-    pub fn new(size: &Size, seed: u64) -> Workload {
+    pub(super) fn new(size: &Size, seed: u64) -> Workload {
         Workload {
             seed,
             starts_per_s: size.starts_per_s,
@@ -87,13 +87,13 @@
     }
 
     /// Seconds between jobs.
-    pub fn gap_s(&self) -> f64 {
+    pub(super) fn gap_s(&self) -> f64 {
         let part = self.urgent_jobs();
         let tasks = part * mean(URGENT_TASKS) + (1.0 - part) * mean(self.bulk_tasks());
         tasks / self.starts_per_s
     }
 
-    pub fn job(&self, number: u64) -> ScaleJob {
+    pub(super) fn job(&self, number: u64) -> ScaleJob {
         let mut rng = SmallRng::seed_from_u64(self.seed.rotate_left(32) ^ number);
         let urgent = rng.gen_bool(self.urgent_jobs());
         let (least, most) = if urgent {
@@ -122,7 +122,7 @@
     }
 
     /// What the jobs that are due in a span of seconds offer, without cancelled ones.
-    pub fn offered(&self, from_s: f64, to_s: f64) -> Offered {
+    pub(super) fn offered(&self, from_s: f64, to_s: f64) -> Offered {
         // No run is longer than this, so that earlier jobs are over.
         let longest_s = self.run_s * 2.0 * RUN_SPREAD.1;
         let first = ((from_s - longest_s) / self.gap_s() - 1.0).max(0.0) as u64;
@@ -149,7 +149,7 @@
     }
 
     /// The job of that name, as a worker knows it; none for a name of another form.
-    pub fn plan(&self, id: &str, real: bool) -> Option<JobPlan> {
+    pub(super) fn plan(&self, id: &str, real: bool) -> Option<JobPlan> {
         let job = self.job(id.strip_prefix("job-")?.parse().ok()?);
         let command = real.then(|| format!("exec sleep {:.2}", job.run_s));
         Some(JobPlan {
@@ -162,17 +162,17 @@
     }
 }
 
-pub fn team_name(team: usize) -> String {
+pub(super) fn team_name(team: usize) -> String {
     format!("team-{team:03}")
 }
 
 impl ScaleJob {
-    pub fn memory_gb(&self) -> f64 {
+    pub(super) fn memory_gb(&self) -> f64 {
         self.cpus * MEMORY_PER_CPU_GB
     }
 
     /// The submission (PROTOCOL, `POST /api/jobs`).
-    pub fn body(&self) -> Value {
+    pub(super) fn body(&self) -> Value {
         let (class, urgency) = if self.urgent {
             ("urgent", "critical")
         } else {
--- a/crates/testbed/tests/real.rs
+++ b/crates/testbed/tests/real.rs
@@ -1,16 +1,5 @@
 //! Small runs of the experiments, on real processes. Long ones are for hands.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 use std::process::Command;
 
 /// Exit code and last line of one experiment.
