--- a/crates/admin-api/src/auth.rs
+++ b/crates/admin-api/src/auth.rs
@@ -14,7 +14,7 @@
 
 const SCHEME: &str = "BH1";
 /// Shortest secret that is taken, in bytes.
-const SHORTEST_SECRET: usize = 16;
+const MIN_SECRET_BYTES: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
@@ -55,7 +55,7 @@
 impl Key {
     pub fn new(name: &str, role: Role, secret: Vec<u8>) -> Option<Key> {
         let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-        let sound = !name.is_empty() && name.bytes().all(plain) && secret.len() >= SHORTEST_SECRET;
+        let sound = !name.is_empty() && name.bytes().all(plain) && secret.len() >= MIN_SECRET_BYTES;
         sound.then(|| Key {
             name: name.to_string(),
             role,
@@ -111,7 +111,7 @@
         Ok(keys)
     }
 
-    fn mac(&self, what: &Signed<'_>) -> Hmac<Sha256> {
+    fn mac(&self, what: &SignedRequest<'_>) -> Hmac<Sha256> {
         let mut mac = match Hmac::<Sha256>::new_from_slice(&self.secret) {
             Ok(mac) => mac,
             // Any length of key is taken by this MAC; were it not, a MAC under
@@ -123,7 +123,7 @@
     }
 
     /// The `Authorization` header of a request.
-    pub fn sign(&self, what: &Signed<'_>) -> String {
+    pub fn sign(&self, what: &SignedRequest<'_>) -> String {
         let mac = hex::encode(self.mac(what).finalize().into_bytes());
         format!(
             "{SCHEME} key={},time={},nonce={},instance={},mac={mac}",
@@ -134,7 +134,7 @@
 
 /// All that a MAC covers.
 #[derive(Clone, Copy, Debug)]
-pub struct Signed<'a> {
+pub struct SignedRequest<'a> {
     pub method: &'a str,
     /// With its query.
     pub path: &'a str,
@@ -144,7 +144,7 @@
     pub instance: &'a str,
 }
 
-impl Signed<'_> {
+impl SignedRequest<'_> {
     fn text(&self) -> String {
         // One field a line, and none can hold a line's end: no two requests
         // have the same text.
@@ -168,7 +168,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Denied {
+pub enum AuthError {
     #[error("the request carries no valid signature: use a key from the controller's key file")]
     Unauthenticated,
     #[error("the client's clock is {} s {} the controller's; at most {allowed_s} s are allowed: set the clock of the machine you type on", ahead_ms.unsigned_abs() / 1000, if *ahead_ms > 0 { "ahead of" } else { "behind" })]
@@ -178,17 +178,17 @@
     #[error("the request was signed for another process; ask /v1/hello again")]
     OtherInstance,
     #[error("too many requests within the time that nonces are kept")]
-    Crowded,
+    TooManyRequests,
 }
 
-impl Denied {
+impl AuthError {
     pub fn code(&self) -> Code {
         match self {
-            Denied::Unauthenticated => Code::Unauthenticated,
-            Denied::Clock { .. } => Code::Clock,
-            Denied::Replayed => Code::Replayed,
-            Denied::OtherInstance => Code::OtherInstance,
-            Denied::Crowded => Code::Busy,
+            AuthError::Unauthenticated => Code::Unauthenticated,
+            AuthError::Clock { .. } => Code::Clock,
+            AuthError::Replayed => Code::Replayed,
+            AuthError::OtherInstance => Code::OtherInstance,
+            AuthError::TooManyRequests => Code::Busy,
         }
     }
 }
@@ -196,7 +196,7 @@
 /// Checks requests against the keys, and remembers their nonces for as long as
 /// their time would be accepted.
 #[derive(Debug)]
-pub struct Guard {
+pub struct Authenticator {
     keys: Vec<Key>,
     instance: String,
     allowed_ms: u64,
@@ -205,11 +205,11 @@
     seen: BTreeSet<(u64, [u8; 16])>,
 }
 
-impl Guard {
+impl Authenticator {
     /// Without keys everybody is an operator: only for a door on loopback.
-    pub fn new(keys: Vec<Key>, instance: String, allowed_s: f64, most: usize) -> Guard {
+    pub fn new(keys: Vec<Key>, instance: String, allowed_s: f64, most: usize) -> Authenticator {
         let allowed_ms = (allowed_s.max(1.0) * 1e3) as u64;
-        Guard {
+        Authenticator {
             keys,
             instance,
             allowed_ms,
@@ -229,7 +229,7 @@
         method: &str,
         path: &str,
         body: &[u8],
-    ) -> Result<Caller, Denied> {
+    ) -> Result<Caller, AuthError> {
         if self.keys.is_empty() {
             return Ok(Caller {
                 name: "loopback".into(),
@@ -238,23 +238,23 @@
         }
         let fields = authorization
             .and_then(fields)
-            .ok_or(Denied::Unauthenticated)?;
-        let field = |name: &str| fields.get(name).copied().ok_or(Denied::Unauthenticated);
+            .ok_or(AuthError::Unauthenticated)?;
+        let field = |name: &str| fields.get(name).copied().ok_or(AuthError::Unauthenticated);
         let (nonce, instance) = (field("nonce")?, field("instance")?);
         let time_ms: u64 = field("time")?
             .parse()
-            .map_err(|_| Denied::Unauthenticated)?;
+            .map_err(|_| AuthError::Unauthenticated)?;
         let name = field("key")?;
         let key = self
             .keys
             .iter()
             .find(|k| k.name == name)
-            .ok_or(Denied::Unauthenticated)?;
-        let mac = hex::decode(field("mac")?).map_err(|_| Denied::Unauthenticated)?;
+            .ok_or(AuthError::Unauthenticated)?;
+        let mac = hex::decode(field("mac")?).map_err(|_| AuthError::Unauthenticated)?;
         if nonce.len() < 16 || nonce.len() > 64 {
-            return Err(Denied::Unauthenticated);
+            return Err(AuthError::Unauthenticated);
         }
-        let what = Signed {
+        let what = SignedRequest {
             method,
             path,
             body,
@@ -265,7 +265,7 @@
         // `verify_slice` compares in constant time.
         key.mac(&what)
             .verify_slice(&mac)
-            .map_err(|_| Denied::Unauthenticated)?;
+            .map_err(|_| AuthError::Unauthenticated)?;
         let caller = Caller {
             name: key.name.clone(),
             role: key.role,
@@ -274,13 +274,13 @@
         let ahead_ms = time_ms as i128 - i128::from(wall_ms);
         if ahead_ms.unsigned_abs() > u128::from(self.allowed_ms) {
             let ahead_ms = ahead_ms.clamp(i128::from(i64::MIN), i128::from(i64::MAX)) as i64;
-            return Err(Denied::Clock {
+            return Err(AuthError::Clock {
                 ahead_ms,
                 allowed_s: self.allowed_ms / 1000,
             });
         }
         if instance != self.instance {
-            return Err(Denied::OtherInstance);
+            return Err(AuthError::OtherInstance);
         }
         let oldest = wall_ms.saturating_sub(self.allowed_ms);
         while self.seen.first().is_some_and(|(at, _)| *at < oldest) {
@@ -289,10 +289,10 @@
         let mut short = [0u8; 16];
         short.copy_from_slice(&Sha256::digest(format!("{name}\n{nonce}").as_bytes())[..16]);
         if self.seen.contains(&(time_ms, short)) {
-            return Err(Denied::Replayed);
+            return Err(AuthError::Replayed);
         }
         if self.seen.len() >= self.most {
-            return Err(Denied::Crowded);
+            return Err(AuthError::TooManyRequests);
         }
         self.seen.insert((time_ms, short));
         Ok(caller)
@@ -322,13 +322,13 @@
         Key::new("night", role, vec![7; 32]).expect("a sound key")
     }
 
-    fn guard() -> Guard {
-        Guard::new(vec![key(Role::Operator)], "i1".into(), 30.0, 100)
+    fn guard() -> Authenticator {
+        Authenticator::new(vec![key(Role::Operator)], "i1".into(), 30.0, 100)
     }
 
-    fn signed<'a>(nonce: &'a str, time_ms: u64) -> Signed<'a> {
+    fn signed<'a>(nonce: &'a str, time_ms: u64) -> SignedRequest<'a> {
         let (method, path) = ("POST", "/v1/jobs?x=1");
-        Signed {
+        SignedRequest {
             method,
             path,
             body: b"{}",
@@ -338,7 +338,7 @@
         }
     }
 
-    fn check(g: &mut Guard, header: &str) -> Result<Caller, Denied> {
+    fn check(g: &mut Authenticator, header: &str) -> Result<Caller, AuthError> {
         g.check(NOW, Some(header), "POST", "/v1/jobs?x=1", b"{}")
     }
 
@@ -347,7 +347,7 @@
         let mut g = guard();
         let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW));
         assert_eq!(check(&mut g, &header).map(|c| c.name), Ok("night".into()));
-        assert_eq!(check(&mut g, &header), Err(Denied::Replayed));
+        assert_eq!(check(&mut g, &header), Err(AuthError::Replayed));
     }
 
     #[test]
@@ -362,7 +362,7 @@
         ] {
             assert_eq!(
                 g.check(NOW, h, method, path, body),
-                Err(Denied::Unauthenticated)
+                Err(AuthError::Unauthenticated)
             );
         }
         for (from, to) in [
@@ -373,7 +373,7 @@
             let altered = header.replace(from, to);
             assert_eq!(
                 check(&mut g, &altered),
-                Err(Denied::Unauthenticated),
+                Err(AuthError::Unauthenticated),
                 "{to}"
             );
         }
@@ -385,7 +385,11 @@
             "BH1 key=night,key=night",
             "Basic x",
         ] {
-            assert_eq!(check(&mut g, junk), Err(Denied::Unauthenticated), "{junk}");
+            assert_eq!(
+                check(&mut g, junk),
+                Err(AuthError::Unauthenticated),
+                "{junk}"
+            );
         }
         assert!(
             check(&mut g, &header).is_ok(),
@@ -406,18 +410,18 @@
     /// new process has never seen its nonce.
     #[test]
     fn another_process_refuses_what_was_signed_for_this_one() {
-        let mut g = Guard::new(vec![key(Role::Operator)], "i2".into(), 30.0, 100);
+        let mut g = Authenticator::new(vec![key(Role::Operator)], "i2".into(), 30.0, 100);
         let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW));
-        assert_eq!(check(&mut g, &header), Err(Denied::OtherInstance));
+        assert_eq!(check(&mut g, &header), Err(AuthError::OtherInstance));
     }
 
     #[test]
     fn a_full_memory_refuses_and_never_forgets_what_could_be_played_again() {
-        let mut g = Guard::new(vec![key(Role::Operator)], "i1".into(), 30.0, 2);
+        let mut g = Authenticator::new(vec![key(Role::Operator)], "i1".into(), 30.0, 2);
         let sign = |n: u32| key(Role::Operator).sign(&signed(&format!("{n:016}"), NOW));
         assert!(check(&mut g, &sign(1)).is_ok() && check(&mut g, &sign(2)).is_ok());
-        assert_eq!(check(&mut g, &sign(3)), Err(Denied::Crowded));
-        assert_eq!(check(&mut g, &sign(1)), Err(Denied::Replayed));
+        assert_eq!(check(&mut g, &sign(3)), Err(AuthError::TooManyRequests));
+        assert_eq!(check(&mut g, &sign(1)), Err(AuthError::Replayed));
     }
 
     #[test]
--- a/crates/admin-api/src/directives.rs
+++ b/crates/admin-api/src/directives.rs
@@ -106,8 +106,9 @@
 
 /// `POST /v1/directives`: sets or lifts one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Change {
+// Operators are shown the text of decoding errors, which names what is expected.
+#[serde(deny_unknown_fields, expecting = "struct Change")]
+pub struct DirectiveChange {
     pub target: Target,
     /// false: lift it.
     pub set: bool,
@@ -122,7 +123,7 @@
 /// The answer to a change; the same whether it was the first to be made or
 /// stood already.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Changed {
+pub struct DirectiveChangeResult {
     pub target: Target,
     pub set: bool,
     /// false: it was so already.
--- a/crates/admin-api/src/messages.rs
+++ b/crates/admin-api/src/messages.rs
@@ -9,12 +9,12 @@
 use std::fmt;
 
 /// Rows of one page unless the request asks for fewer.
-pub const PAGE_ROWS: usize = 100;
+pub const DEFAULT_PAGE_ROWS: usize = 100;
 /// Most rows that one page may hold, so that no answer outgrows a frame
 /// between controllers.
 pub const MAX_ROWS: usize = 200;
 /// The largest body of a request.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// What kind of refusal it is; stable, for programs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
 
 /// `GET /v1/hello`: the one answer that needs no key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hello {
+pub struct ServerInfo {
     pub label: String,
     /// Tells this process from every other; requests are signed for it.
     pub instance: String,
@@ -228,7 +228,7 @@
 
 /// The answer to a submission or a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobTold {
+pub struct JobResponse {
     pub job: String,
     pub state: State,
 }
@@ -289,7 +289,7 @@
 
 /// What the holder alone knows of an open job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Placed {
+pub struct JobPlacement {
     pub done: u32,
     pub running: u32,
     pub waiting: u32,
@@ -304,7 +304,7 @@
     pub row: JobRow,
     pub spec: Option<SpecView>,
     /// Absent once the job is over.
-    pub placed: Option<Placed>,
+    pub placed: Option<JobPlacement>,
 }
 
 /// A job's description under its long names.
@@ -474,12 +474,12 @@
     pub serial: u64,
     /// Time of day of the holder, milliseconds.
     pub at_ms: u64,
-    pub what: What,
+    pub what: DecisionKind,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
+pub enum DecisionKind {
     Placed {
         task: String,
         machine: String,
@@ -525,25 +525,29 @@
     },
 }
 
-impl fmt::Display for What {
+impl fmt::Display for DecisionKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let kind = |spot: &bool| if *spot { "spot" } else { "ordinary" };
         match self {
-            What::Placed {
+            DecisionKind::Placed {
                 task,
                 machine,
                 ahead: false,
             } => write!(f, "{task} placed on {machine}"),
-            What::Placed {
+            DecisionKind::Placed {
                 task,
                 machine,
                 ahead: true,
             } => {
                 write!(f, "{task} placed on {machine} ahead of an end")
             }
-            What::Stopped { task, machine, why } => write!(f, "{task} stopped on {machine}: {why}"),
-            What::Ended { task, machine, why } => write!(f, "{task} ended on {machine}: {why}"),
-            What::Rented {
+            DecisionKind::Stopped { task, machine, why } => {
+                write!(f, "{task} stopped on {machine}: {why}")
+            }
+            DecisionKind::Ended { task, machine, why } => {
+                write!(f, "{task} ended on {machine}: {why}")
+            }
+            DecisionKind::Rented {
                 machine_type,
                 zone,
                 spot,
@@ -556,17 +560,17 @@
                     kind(spot)
                 )
             }
-            What::Refused {
+            DecisionKind::Refused {
                 machine_type,
                 zone,
                 spot,
             } => {
                 write!(f, "no {} {machine_type} to be had in {zone}", kind(spot))
             }
-            What::Returned { machine, why } => write!(f, "{machine} returned: {why}"),
-            What::SetAside { machine, why } => write!(f, "{machine} set aside: {why}"),
-            What::Done { job } => write!(f, "{job} is done"),
-            What::Took { token } => write!(f, "took the lead with token {token}"),
+            DecisionKind::Returned { machine, why } => write!(f, "{machine} returned: {why}"),
+            DecisionKind::SetAside { machine, why } => write!(f, "{machine} set aside: {why}"),
+            DecisionKind::Done { job } => write!(f, "{job} is done"),
+            DecisionKind::Took { token } => write!(f, "took the lead with token {token}"),
         }
     }
 }
@@ -627,7 +631,7 @@
 
 /// The answer to `POST /v1/configuration`: made, and the version that it is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ConfigurationMade {
+pub struct ConfigurationResponse {
     pub version: Version,
     /// What its author should know, though it was made.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/admin-api/src/reasons.rs
+++ b/crates/admin-api/src/reasons.rs
@@ -6,7 +6,7 @@
 
 /// How many machines stand in the way in one manner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct MachineTally {
     /// Of a fitting type and place, but with too little room.
     pub full: u32,
     /// Their next report has not come in time.
@@ -32,7 +32,7 @@
 
 /// A machine that is nearly enough.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Near {
+pub struct CandidateMachine {
     pub machine: String,
     pub lacks_cpus: f64,
     pub lacks_gpus: f64,
@@ -63,7 +63,10 @@
         limit: f64,
     },
     /// No machine has room now.
-    NoRoom { tally: Tally, near: Vec<Near> },
+    NoRoom {
+        tally: MachineTally,
+        near: Vec<CandidateMachine>,
+    },
     /// Machines that would fit are on their way.
     Booting {
         #[serde(rename = "shape")]
@@ -179,7 +182,7 @@
     }
 }
 
-impl fmt::Display for Tally {
+impl fmt::Display for MachineTally {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let parts = [
             (self.full, "too full"),
--- a/crates/admin-api/tests/golden.rs
+++ b/crates/admin-api/tests/golden.rs
@@ -15,10 +15,12 @@
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
 
-use beamhinge_admin_api::auth::{Key, Role, Signed};
-use beamhinge_admin_api::directives::{Afterwards, Change, Changed, Directive, Target};
+use beamhinge_admin_api::auth::{Key, Role, SignedRequest};
+use beamhinge_admin_api::directives::{
+    Afterwards, Directive, DirectiveChange, DirectiveChangeResult, Target,
+};
 use beamhinge_admin_api::messages::*;
-use beamhinge_admin_api::reasons::{Near, Reason, Tally};
+use beamhinge_admin_api::reasons::{CandidateMachine, MachineTally, Reason};
 use beamhinge_configuration::stored::Author;
 use beamhinge_configuration::{ConfigurationChange, Quota, TeamChange, Version};
 use beamhinge_core::job::{JobKind, JobSpec, Urgency};
@@ -102,7 +104,7 @@
 
 /// One of each kind, each field with a value of its own.
 fn reasons() -> Vec<Reason> {
-    let tally = Tally {
+    let tally = MachineTally {
         full: 1,
         silent: 2,
         unsynced: 3,
@@ -116,7 +118,7 @@
         other_shape: 11,
         other_zone: 12,
     };
-    let near = Near {
+    let near = CandidateMachine {
         machine: "n-1".into(),
         lacks_cpus: 1.5,
         lacks_gpus: 2.5,
@@ -233,7 +235,7 @@
         add(
             g,
             name,
-            &Change {
+            &DirectiveChange {
                 target,
                 set: true,
                 within_s: Some(1.5),
@@ -270,9 +272,9 @@
     let read: JobRequest = serde_json::from_str(text).expect("a job");
     assert_eq!(read, JobRequest::new("job-1", "vision"));
     let text = r#"{"target": {"team": "vision"}, "set": false}"#;
-    let read: Change = serde_json::from_str(text).expect("a change");
+    let read: DirectiveChange = serde_json::from_str(text).expect("a change");
     let (target, afterwards) = (Target::Team("vision".into()), Afterwards::Return);
-    let wanted = Change {
+    let wanted = DirectiveChange {
         target,
         set: false,
         within_s: None,
@@ -289,7 +291,7 @@
     add(
         g,
         "told",
-        &JobTold {
+        &JobResponse {
             job: "job-1".into(),
             state: State::Cancelled,
         },
@@ -336,7 +338,7 @@
         stopping: true,
     };
     let (tasks, reasons_of_one) = (vec![task], vec![Reason::Undecided]);
-    let placed = Placed {
+    let placed = JobPlacement {
         done: 1,
         running: 2,
         waiting: 3,
@@ -494,45 +496,45 @@
         || "it is sick".to_string(),
     );
     let whats = [
-        What::Placed {
+        DecisionKind::Placed {
             task: task(),
             machine: machine(),
             ahead: true,
         },
-        What::Stopped {
+        DecisionKind::Stopped {
             task: task(),
             machine: machine(),
             why: why(),
         },
-        What::Ended {
+        DecisionKind::Ended {
             task: task(),
             machine: machine(),
             why: why(),
         },
-        What::Rented {
+        DecisionKind::Rented {
             machine_type: machine_type(),
             zone: zone(),
             spot: true,
             asked: 12,
             got: 7,
         },
-        What::Refused {
+        DecisionKind::Refused {
             machine_type: machine_type(),
             zone: zone(),
             spot: false,
         },
-        What::Returned {
+        DecisionKind::Returned {
             machine: machine(),
             why: why(),
         },
-        What::SetAside {
+        DecisionKind::SetAside {
             machine: machine(),
             why: why(),
         },
-        What::Done {
+        DecisionKind::Done {
             job: "job-1".into(),
         },
-        What::Took { token: 41 },
+        DecisionKind::Took { token: 41 },
     ];
     for what in &whats {
         golden_words(g, "decision", &what.to_string());
@@ -558,7 +560,7 @@
     add(
         g,
         "hello",
-        &Hello {
+        &ServerInfo {
             label: "north-1".into(),
             instance: "i1".into(),
             version: "0.2.0".into(),
@@ -596,7 +598,7 @@
     add(
         g,
         "changed",
-        &Changed {
+        &DirectiveChangeResult {
             target,
             set: true,
             changed: false,
@@ -629,7 +631,7 @@
         ..view
     };
     add(g, "bare configuration", &bare);
-    let made = |warning| ConfigurationMade {
+    let made = |warning| ConfigurationResponse {
         version: Version(42),
         warning,
     };
@@ -673,7 +675,7 @@
         [Role::Operator, Role::Viewer]
     );
     let mut golden = Golden::new("tests/golden/signatures.txt");
-    let signed = Signed {
+    let signed = SignedRequest {
         method: "POST",
         path: "/v1/jobs?limit=7",
         body: b"{\"job\":\"job-1\"}",
--- a/crates/cli/src/verbs/directives.rs
+++ b/crates/cli/src/verbs/directives.rs
@@ -2,7 +2,7 @@
 
 use crate::arguments::{DrainKind, DrainOptions, FreezeKind, Output, SetQuotasOptions};
 use crate::{show, Failure};
-use beamhinge_admin_api::directives::{Afterwards, Change, Target};
+use beamhinge_admin_api::directives::{Afterwards, DirectiveChange, Target};
 use beamhinge_client::Client;
 use beamhinge_configuration::{ConfigurationChange, Version};
 
@@ -11,7 +11,7 @@
     options: DrainOptions,
     output: Output,
 ) -> Result<(), Failure> {
-    let drain = Change {
+    let drain = DirectiveChange {
         target: drain_target(options.kind, &options.name)?,
         set: true,
         within_s: options.within_s,
@@ -41,7 +41,7 @@
     note: String,
     output: Output,
 ) -> Result<(), Failure> {
-    let freeze = Change {
+    let freeze = DirectiveChange {
         set: true,
         note,
         ..lift(freeze_target(kind, name)?)
@@ -158,9 +158,9 @@
 }
 
 /// The change that takes a directive back.
-fn lift(target: Target) -> Change {
+fn lift(target: Target) -> DirectiveChange {
     let afterwards = Afterwards::Return;
-    Change {
+    DirectiveChange {
         target,
         set: false,
         within_s: None,
@@ -169,7 +169,7 @@
     }
 }
 
-fn change(client: &mut Client, change: &Change, output: Output) -> Result<(), Failure> {
+fn change(client: &mut Client, change: &DirectiveChange, output: Output) -> Result<(), Failure> {
     let made = client.change(change)?;
     show::either(output, &made, |m| {
         let verb = match (m.target.is_drain(), m.set) {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -8,11 +8,11 @@
 pub mod connection;
 pub mod routing;
 
-use beamhinge_admin_api::auth::{Key, Signed};
-use beamhinge_admin_api::directives::{Change, Changed};
+use beamhinge_admin_api::auth::{Key, SignedRequest};
+use beamhinge_admin_api::directives::{DirectiveChange, DirectiveChangeResult};
 use beamhinge_admin_api::messages::{
-    Code, ConfigurationMade, ConfigurationView, Decisions, Directives, Explanation, Hello,
-    JobDetail, JobPage, JobRequest, JobTold, MachinePage, NodeRow, Problem, Splits, Summary,
+    Code, ConfigurationResponse, ConfigurationView, Decisions, Directives, Explanation, JobDetail,
+    JobPage, JobRequest, JobResponse, MachinePage, NodeRow, Problem, ServerInfo, Splits, Summary,
     TeamRow,
 };
 use beamhinge_configuration::ConfigurationChange;
@@ -193,7 +193,7 @@
     let mut nonce = [0u8; 16];
     rand::thread_rng().fill(&mut nonce);
     let nonce: String = nonce.iter().map(|b| format!("{b:02x}")).collect();
-    key.sign(&Signed {
+    key.sign(&SignedRequest {
         method: request.method.name(),
         path: request.path,
         body: request.body,
@@ -348,7 +348,7 @@
                 body: &[],
             };
             let response = self.send(at, &hello, None, deadline)?;
-            let hello: Hello =
+            let hello: ServerInfo =
                 serde_json::from_slice(&response.body).map_err(|_| ConnectionError::Form)?;
             self.instances[at] = Some(hello.instance);
         }
@@ -401,15 +401,15 @@
     }
 
     /// Which process the controller is.
-    pub fn hello(&mut self) -> Result<Hello, ClientError> {
+    pub fn hello(&mut self) -> Result<ServerInfo, ClientError> {
         self.get("/v1/hello")
     }
     /// Submits a job. The same id again finds the same job.
-    pub fn submit(&mut self, job: &JobRequest) -> Result<JobTold, ClientError> {
+    pub fn submit(&mut self, job: &JobRequest) -> Result<JobResponse, ClientError> {
         self.post("/v1/jobs", job)
     }
     /// Cancels a job.
-    pub fn cancel(&mut self, job: &str) -> Result<JobTold, ClientError> {
+    pub fn cancel(&mut self, job: &str) -> Result<JobResponse, ClientError> {
         self.post(&format!("/v1/jobs/{job}/cancel"), &())
     }
     /// State and tasks of a job.
@@ -454,7 +454,10 @@
         self.get("/v1/directives")
     }
     /// Changes a directive.
-    pub fn change(&mut self, change: &Change) -> Result<Changed, ClientError> {
+    pub fn change(
+        &mut self,
+        change: &DirectiveChange,
+    ) -> Result<DirectiveChangeResult, ClientError> {
         self.post("/v1/directives", change)
     }
     /// Teams and quotas, their version, and which controllers serve by it.
@@ -465,7 +468,7 @@
     pub fn configure(
         &mut self,
         change: &ConfigurationChange,
-    ) -> Result<ConfigurationMade, ClientError> {
+    ) -> Result<ConfigurationResponse, ClientError> {
         self.post("/v1/configuration", change)
     }
     /// Metrics of one controller, as text.
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -29,7 +29,8 @@
 
 /// A change that an operator requests: of teams, or back to an earlier version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+// Operators are shown the text of decoding errors, which names what is expected.
+#[serde(deny_unknown_fields, expecting = "struct Change")]
 pub struct ConfigurationChange {
     /// The version that its author saw; the change is refused if another is in force.
     pub seen: Version,
--- a/crates/controller/src/admin_api.rs
+++ b/crates/controller/src/admin_api.rs
@@ -16,7 +16,7 @@
 pub use responses::{busy, refuse, respond};
 pub use route::{Rejection, Route};
 
-use beamhinge_admin_api::auth::{Caller, Denied, Guard, Role};
+use beamhinge_admin_api::auth::{AuthError, Authenticator, Caller, Role};
 use beamhinge_admin_api::messages::{Code, Problem, Query};
 use beamhinge_core::http::Request;
 use beamhinge_core::types::{Time, WallMs};
@@ -37,7 +37,7 @@
 
 /// The operators' interface of one controller.
 pub struct AdminApi {
-    authenticator: Guard,
+    authenticator: Authenticator,
     limits: AdminLimits,
     /// Requests that may be taken at once, as of `refilled_at`.
     tokens: f64,
@@ -48,7 +48,7 @@
 
 impl AdminApi {
     /// An interface without pending queries.
-    pub fn new(authenticator: Guard, limits: AdminLimits) -> AdminApi {
+    pub fn new(authenticator: Authenticator, limits: AdminLimits) -> AdminApi {
         AdminApi {
             authenticator,
             limits,
@@ -114,12 +114,16 @@
         self.authenticator
             .check(wall.0, authorization, method, path, &request.body)
             .map_err(|denied| Rejection {
-                status: if denied == Denied::Crowded { 503 } else { 401 },
+                status: if denied == AuthError::TooManyRequests {
+                    503
+                } else {
+                    401
+                },
                 problem: Problem {
                     code: denied.code(),
                     error: denied.to_string(),
                     ahead_ms: match denied {
-                        Denied::Clock { ahead_ms, .. } => Some(ahead_ms),
+                        AuthError::Clock { ahead_ms, .. } => Some(ahead_ms),
                         _ => None,
                     },
                 },
--- a/crates/controller/src/admin_api/route.rs
+++ b/crates/controller/src/admin_api/route.rs
@@ -1,9 +1,9 @@
 //! Requests of operators, parsed: the path, its parameters and the body.
 
 use beamhinge_admin_api::auth::Role;
-use beamhinge_admin_api::directives::{Change, Target};
+use beamhinge_admin_api::directives::{DirectiveChange, Target};
 use beamhinge_admin_api::messages::{
-    Code, JobFilter, JobRequest, Problem, Query, State, BODY_LIMIT, MAX_ROWS, PAGE_ROWS,
+    Code, JobFilter, JobRequest, Problem, Query, State, DEFAULT_PAGE_ROWS, MAX_BODY_BYTES, MAX_ROWS,
 };
 use beamhinge_configuration::ConfigurationChange;
 use beamhinge_core::http::{Method, Request};
@@ -42,7 +42,7 @@
     /// The directives in force.
     Directives,
     /// A directive is to be set or lifted.
-    ChangeDirective(Change),
+    ChangeDirective(DirectiveChange),
     /// The teams in effect.
     Configuration,
     /// The configuration is to be changed.
@@ -92,8 +92,8 @@
     /// # Errors
     /// The answer to a request of an unknown form.
     pub fn parse(request: &Request) -> Result<Route, Rejection> {
-        if request.body.len() > BODY_LIMIT {
-            let error = format!("a body may hold {BODY_LIMIT} bytes");
+        if request.body.len() > MAX_BODY_BYTES {
+            let error = format!("a body may hold {MAX_BODY_BYTES} bytes");
             return Err(Rejection::new(413, Code::TooLarge, error));
         }
         let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
@@ -212,8 +212,8 @@
 }
 
 /// The change of a directive, with its limits checked.
-fn parse_directive_change(body: &[u8]) -> Result<Change, Rejection> {
-    let change: Change = parse_json(body)?;
+fn parse_directive_change(body: &[u8]) -> Result<DirectiveChange, Rejection> {
+    let change: DirectiveChange = parse_json(body)?;
     let target = &change.target;
     let (kind, name) = (target.kind(), target.name());
     if Target::parse(kind, name).as_ref() != Some(target) {
@@ -269,7 +269,9 @@
 
     /// Rows of the page that is asked for.
     fn limit(&mut self) -> Result<usize, Rejection> {
-        let limit = self.number("limit")?.map_or(PAGE_ROWS, |n| n as usize);
+        let limit = self
+            .number("limit")?
+            .map_or(DEFAULT_PAGE_ROWS, |n| n as usize);
         Ok(limit.clamp(1, MAX_ROWS))
     }
 
--- a/crates/controller/src/admin_api/tests.rs
+++ b/crates/controller/src/admin_api/tests.rs
@@ -1,6 +1,6 @@
 use super::pending::QUERY_TIMEOUT_S;
 use super::*;
-use beamhinge_admin_api::messages::{State, BODY_LIMIT, MAX_ROWS};
+use beamhinge_admin_api::messages::{State, MAX_BODY_BYTES, MAX_ROWS};
 use beamhinge_core::http::Method;
 use beamhinge_core::job::Urgency;
 use beamhinge_core::types::{JobId, RequestId};
@@ -16,7 +16,7 @@
 }
 
 fn admin_api(waiting: usize) -> AdminApi {
-    let guard = Guard::new(Vec::new(), "i".into(), 30.0, 16);
+    let guard = Authenticator::new(Vec::new(), "i".into(), 30.0, 16);
     AdminApi::new(
         guard,
         AdminLimits {
@@ -59,7 +59,7 @@
     post.method = Method::Post;
     assert_eq!(Route::parse(&post).map_err(|r| r.status), Err(405));
     let mut large = get("/v1/jobs");
-    large.body = vec![b' '; BODY_LIMIT + 1];
+    large.body = vec![b' '; MAX_BODY_BYTES + 1];
     assert_eq!(Route::parse(&large).map_err(|r| r.status), Err(413));
 }
 
@@ -235,3 +235,25 @@
     assert_eq!((filter.older_s, filter.younger_s), (Some(1.5), Some(2.5)));
     assert_eq!(filter.after.as_deref(), Some("job-1"));
 }
+
+/// The text of decoding errors is shown to operators: it does not follow the names of types.
+#[test]
+fn body_of_wrong_type_is_refused_with_stable_text() {
+    for (path, expected) in [
+        ("/v1/jobs", "struct JobRequest"),
+        ("/v1/directives", "struct Change"),
+        ("/v1/configuration", "struct Change"),
+    ] {
+        let request = Request {
+            method: Method::Post,
+            body: b"1".to_vec(),
+            ..get(path)
+        };
+        let rejection = Route::parse(&request).expect_err(path);
+        let error = format!(
+            "the body is not as expected: invalid type: integer `1`, expected {expected} \
+             at line 1 column 1"
+        );
+        assert_eq!((rejection.status, rejection.problem.error), (400, error));
+    }
+}
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -16,7 +16,9 @@
 use crate::replica::{self, Freshness, ReplicaCache, ReplicaConfig};
 use crate::replica_scan::ScanCoverage;
 use crate::store::{CommitResponse, Outcome, Priority, Reply, StoreClient};
-use beamhinge_admin_api::directives::{Change, Changed, Directive, Target, VERSION};
+use beamhinge_admin_api::directives::{
+    Directive, DirectiveChange, DirectiveChangeResult, Target, VERSION,
+};
 use beamhinge_core::types::{RequestId, Revision, Time, WallMs};
 use beamhinge_core::wire;
 use serde::{Deserialize, Serialize};
@@ -45,7 +47,7 @@
 #[derive(Debug, PartialEq)]
 pub enum DirectiveResponse {
     /// The directive is in force, or lifted, as requested.
-    Applied(Changed),
+    Applied(DirectiveChangeResult),
     /// [`MAX_ACTIVE`] directives are in force.
     LimitReached,
     /// Not decided in time; the reason.
@@ -54,7 +56,7 @@
 
 /// A change that an operator requested.
 struct RequestedChange {
-    change: Change,
+    change: DirectiveChange,
     /// Name of the operator's key.
     by: String,
     /// Whether a transaction of this controller may have made the change.
@@ -126,7 +128,13 @@
 
     /// Queues a change; `false` when too many are pending.
     #[must_use]
-    pub fn change(&mut self, now: Time, request: RequestId, change: Change, by: String) -> bool {
+    pub fn change(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        change: DirectiveChange,
+        by: String,
+    ) -> bool {
         let sent = false;
         self.pending
             .push(now, request, RequestedChange { change, by, sent })
@@ -172,7 +180,7 @@
         let stored = self.entries.get(&change.target);
         let in_force = stored.and_then(|(_, directive)| directive.as_deref());
         if matches(in_force, change) {
-            return Some(DirectiveResponse::Applied(Changed {
+            return Some(DirectiveResponse::Applied(DirectiveChangeResult {
                 target: change.target.clone(),
                 set: change.set,
                 changed: *sent,
@@ -234,7 +242,7 @@
         let response = match reply.outcome {
             Outcome::Ok(body) if wire::decode::<CommitResponse>(&body).is_ok() => {
                 let change = &pending.change.change;
-                Some(DirectiveResponse::Applied(Changed {
+                Some(DirectiveResponse::Applied(DirectiveChangeResult {
                     target: change.target.clone(),
                     set: change.set,
                     changed: true,
@@ -332,7 +340,7 @@
 }
 
 /// Whether what is in force for the target of a change is what the change wants.
-fn matches(in_force: Option<&Directive>, change: &Change) -> bool {
+fn matches(in_force: Option<&Directive>, change: &DirectiveChange) -> bool {
     match (in_force, change.set) {
         (None, set) => !set,
         (Some(_), false) => false,
@@ -343,7 +351,7 @@
 }
 
 /// The directive that a change sets. The time limit of a drain that is changed begins anew.
-fn directive(change: &Change, by: &str, wall: WallMs) -> Directive {
+fn directive(change: &DirectiveChange, by: &str, wall: WallMs) -> Directive {
     Directive {
         target: change.target.clone(),
         since_ms: wall.0,
--- a/crates/controller/src/directives/tests.rs
+++ b/crates/controller/src/directives/tests.rs
@@ -53,7 +53,7 @@
     };
     d.on_reply(at.plus(1.0), ReplicaCall::Scan, reply);
     d.entries = kept;
-    let change = Change {
+    let change = DirectiveChange {
         target,
         set: false,
         within_s: None,
--- a/crates/controller/src/event_log.rs
+++ b/crates/controller/src/event_log.rs
@@ -2,7 +2,7 @@
 //!
 //! Bounded, and kept only where an admin address is set: without one nothing is recorded.
 
-use beamhinge_admin_api::messages::{Decision, What};
+use beamhinge_admin_api::messages::{Decision, DecisionKind};
 use beamhinge_core::types::WallMs;
 use std::collections::VecDeque;
 
@@ -28,17 +28,17 @@
     "took",
 ];
 
-fn kind_index(decision: &What) -> usize {
+fn kind_index(decision: &DecisionKind) -> usize {
     match decision {
-        What::Placed { .. } => 0,
-        What::Stopped { .. } => 1,
-        What::Ended { .. } => 2,
-        What::Rented { .. } => 3,
-        What::Refused { .. } => 4,
-        What::Returned { .. } => 5,
-        What::SetAside { .. } => 6,
-        What::Done { .. } => 7,
-        What::Took { .. } => 8,
+        DecisionKind::Placed { .. } => 0,
+        DecisionKind::Stopped { .. } => 1,
+        DecisionKind::Ended { .. } => 2,
+        DecisionKind::Rented { .. } => 3,
+        DecisionKind::Refused { .. } => 4,
+        DecisionKind::Returned { .. } => 5,
+        DecisionKind::SetAside { .. } => 6,
+        DecisionKind::Done { .. } => 7,
+        DecisionKind::Took { .. } => 8,
     }
 }
 
@@ -80,7 +80,7 @@
 
     /// Records a decision. It is built only if the log is enabled, since formatting names costs
     /// time.
-    pub fn record(&mut self, decision: impl FnOnce() -> What) {
+    pub fn record(&mut self, decision: impl FnOnce() -> DecisionKind) {
         if !self.enabled {
             return;
         }
--- a/crates/controller/src/fleet/scale_out.rs
+++ b/crates/controller/src/fleet/scale_out.rs
@@ -7,7 +7,7 @@
 use super::term::LeaderTerm;
 use crate::scheduler::Scheduler;
 use crate::split::{MachineClass, MachineType};
-use beamhinge_admin_api::messages::What;
+use beamhinge_admin_api::messages::DecisionKind;
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{MachineId, Time};
 
@@ -166,7 +166,7 @@
             "scaled out"
         );
         if let Some(scheduler) = scheduler {
-            scheduler.event_log.record(|| What::Rented {
+            scheduler.event_log.record(|| DecisionKind::Rented {
                 machine_type: entry.machine_type.clone(),
                 zone: entry.zone.clone(),
                 spot: entry.spot,
@@ -204,7 +204,7 @@
             "refused scale-out: no capacity"
         );
         if let Some(scheduler) = scheduler {
-            scheduler.event_log.record(|| What::Refused {
+            scheduler.event_log.record(|| DecisionKind::Refused {
                 machine_type: entry.machine_type.clone(),
                 zone: entry.zone.clone(),
                 spot: entry.spot,
--- a/crates/controller/src/node/admin.rs
+++ b/crates/controller/src/node/admin.rs
@@ -18,8 +18,8 @@
 use crate::directives::DirectiveResponse;
 use crate::user_api::{self, SubmittedJob};
 use beamhinge_admin_api::auth::Caller;
-use beamhinge_admin_api::directives::Change;
-use beamhinge_admin_api::messages::{Code, ConfigurationMade, Hello, JobRequest};
+use beamhinge_admin_api::directives::DirectiveChange;
+use beamhinge_admin_api::messages::{Code, ConfigurationResponse, JobRequest, ServerInfo};
 use beamhinge_configuration::ConfigurationChange;
 use beamhinge_core::http::{Content, Request};
 use beamhinge_core::messages::Effect;
@@ -108,12 +108,12 @@
         }
     }
 
-    fn hello_view(&self, wall: WallMs) -> Hello {
+    fn hello_view(&self, wall: WallMs) -> ServerInfo {
         let instance = self
             .admin_api
             .as_ref()
             .map(|api| api.instance().to_string());
-        Hello {
+        ServerInfo {
             label: self.settings.label.clone(),
             instance: instance.unwrap_or_default(),
             version: env!("CARGO_PKG_VERSION").to_string(),
@@ -177,7 +177,7 @@
         &mut self,
         now: Time,
         request: RequestId,
-        change: Change,
+        change: DirectiveChange,
         by: String,
         out: &mut Vec<Effect>,
     ) {
@@ -223,7 +223,7 @@
         for (request, response) in responses {
             match response {
                 ChangeResponse::Applied { version, warning } => {
-                    let made = ConfigurationMade { version, warning };
+                    let made = ConfigurationResponse { version, warning };
                     admin_api::respond(out, request, 200, &made);
                 }
                 ChangeResponse::Refused(error) => {
--- a/crates/controller/src/node/admin/delegated.rs
+++ b/crates/controller/src/node/admin/delegated.rs
@@ -2,7 +2,7 @@
 
 use super::super::Node;
 use crate::admin_api;
-use beamhinge_admin_api::messages::{Code, JobTold, State};
+use beamhinge_admin_api::messages::{Code, JobResponse, State};
 use beamhinge_core::messages::Effect;
 use beamhinge_core::types::RequestId;
 use beamhinge_core::wire;
@@ -60,7 +60,7 @@
     let job = answer.as_ref().and_then(|answer| answer.job.clone());
     match (state, job) {
         (Some(state), Some(job)) if status < 300 => {
-            admin_api::respond(&mut out, to, status, &JobTold { job, state });
+            admin_api::respond(&mut out, to, status, &JobResponse { job, state });
         }
         _ => {
             let reason = answer.and_then(|answer| answer.error).unwrap_or_default();
--- a/crates/controller/src/node/admin/leader_queries.rs
+++ b/crates/controller/src/node/admin/leader_queries.rs
@@ -7,7 +7,7 @@
 use crate::fleet::MachineQuery;
 use crate::scheduler::Scheduler;
 use beamhinge_admin_api::messages::{
-    Decisions, Explanation, JobDetail, JobRow, Placed, Query, SpecView, State, Summary,
+    Decisions, Explanation, JobDetail, JobPlacement, JobRow, Query, SpecView, State, Summary,
 };
 use beamhinge_core::http::Content;
 use beamhinge_core::messages::Effect;
@@ -208,7 +208,7 @@
         wall: WallMs,
         job: &str,
         scheduler: &Scheduler,
-    ) -> Option<Placed> {
+    ) -> Option<JobPlacement> {
         let id = JobId::parse(job)?;
         let machine_types = self.fleet.machine_types();
         let mut placed = scheduler.describe_job(now, wall, id, &self.settings, machine_types)?;
@@ -270,7 +270,7 @@
             body: response.body,
         }),
         ResponseMerge::Job { row, spec, explain } => {
-            match serde_json::from_slice::<Placed>(&response.body) {
+            match serde_json::from_slice::<JobPlacement>(&response.body) {
                 Ok(placed) => answer_open_job(request, *row, *spec, explain, placed, out),
                 Err(_) => {
                     admin_api::busy(out, request, "the holder answered in an unknown form");
@@ -286,7 +286,7 @@
     mut row: JobRow,
     spec: Option<SpecView>,
     explain: bool,
-    placed: Placed,
+    placed: JobPlacement,
     out: &mut Vec<Effect>,
 ) {
     (row.done, row.running) = (placed.done, placed.running);
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -4,7 +4,7 @@
 use crate::event_log::EventLog;
 use crate::leader_election::LeadershipChange;
 use crate::scheduler::Scheduler;
-use beamhinge_admin_api::messages::What;
+use beamhinge_admin_api::messages::DecisionKind;
 use beamhinge_core::types::{FencingToken, Time};
 use beamhinge_failure_detection::PeerObservations;
 use beamhinge_priority_aging::AgingPolicy;
@@ -48,7 +48,7 @@
     fn new_scheduler(&self, now: Time, token: FencingToken) -> Scheduler {
         let mut event_log = EventLog::new(self.admin_api.is_some());
         event_log.set_time(self.wall);
-        event_log.record(|| What::Took { token: token.0 });
+        event_log.record(|| DecisionKind::Took { token: token.0 });
         let mut scheduler = Scheduler::new(
             &self.settings,
             token,
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -35,7 +35,7 @@
 use crate::scheduler::Scheduler;
 use crate::store::StoreClient;
 use crate::user_api::UserApi;
-use beamhinge_admin_api::auth::{Guard, Key};
+use beamhinge_admin_api::auth::{Authenticator, Key};
 use beamhinge_core::http::Request;
 use beamhinge_core::messages::{Effect, Service};
 use beamhinge_core::peers::{encode, Frame};
@@ -123,7 +123,7 @@
                 max_rps: listener.rps,
             };
             AdminApi::new(
-                Guard::new(keys, format!("{nonce:x}"), skew_s, MAX_NONCES),
+                Authenticator::new(keys, format!("{nonce:x}"), skew_s, MAX_NONCES),
                 limits,
             )
         });
--- a/crates/controller/src/scheduler/bin_packing.rs
+++ b/crates/controller/src/scheduler/bin_packing.rs
@@ -8,7 +8,7 @@
 use super::Scheduler;
 use crate::job_store::JobSpec;
 use crate::split::Resources;
-use beamhinge_admin_api::messages::What;
+use beamhinge_admin_api::messages::DecisionKind;
 use beamhinge_core::types::{Attempt, JobId, MachineId, TaskId, Time};
 use std::cmp::Ordering;
 
@@ -188,7 +188,7 @@
         allocation.boosted = cycle.filling_lane;
         machine.resident.allocations.insert(task, allocation);
         self.event_log.record_placement(job.spec.submitted);
-        self.event_log.record(|| What::Placed {
+        self.event_log.record(|| DecisionKind::Placed {
             task: task.to_string(),
             machine: machine_id.to_string(),
             ahead: nominated.is_some(),
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -14,8 +14,8 @@
 use crate::directives::ActiveDirectives;
 use crate::job_store::{JobSpec, JobState};
 use crate::split::{Demand, MachineType};
-use beamhinge_admin_api::messages::{MachineRow, Placed, TaskRow, TeamRow, MAX_ROWS};
-use beamhinge_admin_api::reasons::{Near, Reason, Tally};
+use beamhinge_admin_api::messages::{JobPlacement, MachineRow, TaskRow, TeamRow, MAX_ROWS};
+use beamhinge_admin_api::reasons::{CandidateMachine, MachineTally, Reason};
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{JobId, MachineId, Time, WallMs};
 use std::cmp::Ordering;
@@ -62,9 +62,9 @@
 /// All machines as one job finds them.
 #[derive(Default)]
 struct FeasibilityReport {
-    tally: Tally,
+    tally: MachineTally,
     /// Those that only lack room, the one that lacks least in front.
-    nearest: Vec<Near>,
+    nearest: Vec<CandidateMachine>,
     /// One has room.
     has_room: bool,
 }
@@ -118,12 +118,12 @@
         id: JobId,
         settings: &Settings,
         machine_types: &[MachineType],
-    ) -> Option<Placed> {
+    ) -> Option<JobPlacement> {
         let job = self.jobs.get(&id)?;
-        let mut placed = Placed {
+        let mut placed = JobPlacement {
             done: job.progress.done_count(),
             waiting: job.pending_tasks(),
-            ..Placed::default()
+            ..JobPlacement::default()
         };
         let counts = self.list_tasks(now, id, &mut placed);
         let reasons = &mut placed.reasons;
@@ -159,7 +159,7 @@
     }
 
     /// Lists the job's allocated tasks in `placed`, and counts them by state.
-    fn list_tasks(&self, now: Time, id: JobId, placed: &mut Placed) -> AllocationCounts {
+    fn list_tasks(&self, now: Time, id: JobId, placed: &mut JobPlacement) -> AllocationCounts {
         let mut counts = AllocationCounts::default();
         for (machine_id, machine) in &self.machines {
             for (task, allocation) in machine
@@ -459,13 +459,13 @@
     id: MachineId,
     machine: &Machine,
     machine_types: &[MachineType],
-) -> Option<Near> {
+) -> Option<CandidateMachine> {
     let resources = job.resources();
     let free = machine.unpromised(machine_types);
     if resources.fits(&free) {
         return None;
     }
-    Some(Near {
+    Some(CandidateMachine {
         machine: id.to_string(),
         lacks_cpus: (resources.cpus - free.cpus).max(0.0),
         lacks_gpus: (resources.gpus - free.gpus).max(0.0),
@@ -474,8 +474,8 @@
 }
 
 /// The one that lacks fewer GPUs first, then CPUs, then memory.
-fn compare_lacking(a: &Near, b: &Near) -> Ordering {
-    let lacking = |machine: &Near| {
+fn compare_lacking(a: &CandidateMachine, b: &CandidateMachine) -> Ordering {
+    let lacking = |machine: &CandidateMachine| {
         [
             machine.lacks_gpus,
             machine.lacks_cpus,
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -24,7 +24,7 @@
 use crate::progress::ProgressPages;
 use crate::split::MachineType;
 use crate::store::StoreClient;
-use beamhinge_admin_api::messages::What;
+use beamhinge_admin_api::messages::DecisionKind;
 use beamhinge_configuration::Quota;
 use beamhinge_core::messages::TaskCounts;
 use beamhinge_core::settings::Settings;
@@ -372,7 +372,7 @@
 
     /// The machine is being returned to the cloud, and gets nothing new.
     pub fn begin_return(&mut self, id: MachineId, why: &str) {
-        self.event_log.record(|| What::Returned {
+        self.event_log.record(|| DecisionKind::Returned {
             machine: id.to_string(),
             why: why.to_string(),
         });
--- a/crates/controller/src/scheduler/persistence/outcome.rs
+++ b/crates/controller/src/scheduler/persistence/outcome.rs
@@ -9,7 +9,7 @@
 use crate::scheduler::allocation::TaskState;
 use crate::scheduler::Scheduler;
 use crate::store::{CommitResponse, Outcome, Reply};
-use beamhinge_admin_api::messages::What;
+use beamhinge_admin_api::messages::DecisionKind;
 use beamhinge_core::types::{JobId, MachineId, Revision, TaskId, Time};
 use beamhinge_core::wire;
 use beamhinge_rate_limit::RetryAction;
@@ -214,7 +214,7 @@
                 self.terminating_jobs.insert(id);
             }
             tracing::debug!(job = %id, "finished job");
-            self.event_log.record(|| What::Done {
+            self.event_log.record(|| DecisionKind::Done {
                 job: id.to_string(),
             });
         }
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -13,7 +13,7 @@
 use super::{age_s, Scheduler};
 use crate::job_store::JobSpec;
 use crate::split::Resources;
-use beamhinge_admin_api::messages::What;
+use beamhinge_admin_api::messages::DecisionKind;
 use beamhinge_core::job::Urgency;
 use beamhinge_core::types::{JobId, MachineId, TaskId, Time, WallMs};
 use beamhinge_preemption::PreemptionOffer;
@@ -274,7 +274,7 @@
 
     /// Asks for a task to be stopped, with the time that it needs to save its progress.
     pub(super) fn stop_task(&mut self, machine: MachineId, task: TaskId, reason: &str) {
-        self.event_log.record(|| What::Stopped {
+        self.event_log.record(|| DecisionKind::Stopped {
             task: task.to_string(),
             machine: machine.to_string(),
             why: reason.to_string(),
--- a/crates/controller/src/scheduler/reconciliation/exits.rs
+++ b/crates/controller/src/scheduler/reconciliation/exits.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::run_times::{MIN_RUN_TIME_SAMPLES, RUN_TIME_RATIO_RANGE};
 use crate::scheduler::Scheduler;
 use crate::worker_protocol::ExitCause;
-use beamhinge_admin_api::messages::What;
+use beamhinge_admin_api::messages::DecisionKind;
 use beamhinge_core::types::{JobId, MachineId, TaskId, Time};
 use beamhinge_failure_detection::AttributionChange;
 
@@ -26,7 +26,7 @@
         task: TaskId,
         cause: Option<&ExitCause>,
     ) {
-        self.event_log.record(|| What::Ended {
+        self.event_log.record(|| DecisionKind::Ended {
             task: task.to_string(),
             machine: id.to_string(),
             why: cause
@@ -134,7 +134,7 @@
         tracing::info!(machine = %id, speed_ratio = speed.ratio, "cordoned slow machine");
         let why = format!("takes {:.1} times as long as others", speed.ratio);
         health.slow = true;
-        self.event_log.record(|| What::SetAside {
+        self.event_log.record(|| DecisionKind::SetAside {
             machine: id.to_string(),
             why,
         });
@@ -168,7 +168,7 @@
             tracing::info!(machine = %id, "quarantined machine that fails tasks which succeed elsewhere");
             machine.health.quarantined = true;
             let why = "fails tasks that end well elsewhere".to_string();
-            self.event_log.record(|| What::SetAside {
+            self.event_log.record(|| DecisionKind::SetAside {
                 machine: id.to_string(),
                 why,
             });
--- a/crates/sim/src/cluster/machines.rs
+++ b/crates/sim/src/cluster/machines.rs
@@ -3,7 +3,7 @@
 use super::links::LinkEnd;
 use super::Sim;
 use crate::event::{Event, Report};
-use beamhinge_admin_api::messages::What as Decision;
+use beamhinge_admin_api::messages::DecisionKind as Decision;
 use beamhinge_core::wire;
 use beamhinge_emulator::worker::Worker;
 use beamhinge_emulator::{Micros, SECOND};
--- a/crates/testbed/src/doors.rs
+++ b/crates/testbed/src/doors.rs
@@ -3,8 +3,8 @@
 
 use crate::place::{self, Folder, Lab};
 use crate::TestbedError;
-use beamhinge_admin_api::auth::{Key, Role, Signed};
-use beamhinge_admin_api::messages::{Hello, JobRequest, Problem};
+use beamhinge_admin_api::auth::{Key, Role, SignedRequest};
+use beamhinge_admin_api::messages::{JobRequest, Problem, ServerInfo};
 use beamhinge_client::connection::Connection;
 use beamhinge_client::{wall_ms, Client, ClientError, Timeouts};
 use beamhinge_core::http::Method;
@@ -203,9 +203,9 @@
         let hello = connection
             .exchange(Method::Get, "/v1/hello", &[], None, soon())
             .map_err(|e| other(&e))?;
-        let hello: Hello = serde_json::from_slice(&hello.body).map_err(|e| other(&e))?;
+        let hello: ServerInfo = serde_json::from_slice(&hello.body).map_err(|e| other(&e))?;
         let body = encode(&JobRequest::new("job-0001", "home"))?;
-        let authorization = self.operator_key.sign(&Signed {
+        let authorization = self.operator_key.sign(&SignedRequest {
             method: "POST",
             path: "/v1/jobs",
             body: &body,
@@ -221,7 +221,7 @@
     }
 
     fn check_clock(&mut self, instance: &str) {
-        let late = self.operator_key.sign(&Signed {
+        let late = self.operator_key.sign(&SignedRequest {
             method: "GET",
             path: "/v1/teams",
             body: &[],
@@ -269,7 +269,7 @@
         ];
         for (what, method, path, body, status) in mistakes {
             let nonce = format!("{:016}", FIRST_MISTAKE_NONCE + self.checks.made);
-            let authorization = self.operator_key.sign(&Signed {
+            let authorization = self.operator_key.sign(&SignedRequest {
                 method: method.name(),
                 path,
                 body,
--- a/crates/testbed/src/explain.rs
+++ b/crates/testbed/src/explain.rs
@@ -3,7 +3,7 @@
 
 use crate::place::{self, Folder, Lab};
 use crate::TestbedError;
-use beamhinge_admin_api::directives::{Afterwards, Change, Target};
+use beamhinge_admin_api::directives::{Afterwards, DirectiveChange, Target};
 use beamhinge_admin_api::messages::{JobRequest, State};
 use beamhinge_admin_api::reasons::Reason;
 use beamhinge_client::Client;
@@ -77,7 +77,7 @@
     fn direct(&mut self, target: Target, set: bool) -> Result<(), TestbedError> {
         let afterwards = Afterwards::Keep;
         let note = String::new();
-        self.client.change(&Change {
+        self.client.change(&DirectiveChange {
             target,
             set,
             within_s: None,
