--- a/crates/controller/src/scheduler/bin_packing.rs
+++ b/crates/controller/src/scheduler/bin_packing.rs
@@ -5,6 +5,7 @@
 use super::cycle::{MachineCapacity, SchedulingCycle};
 use super::feasibility::{is_feasible, violates_zone_rule};
 use super::job::resources_of;
+use super::machine::Machine;
 use super::Scheduler;
 use crate::job_store::JobSpec;
 use crate::split::Resources;
@@ -80,7 +81,7 @@
             let index = candidate.index;
             while placed < max_tasks && resources.fits(&cycle.capacities[index].free) {
                 let machine = cycle.capacities[index].id;
-                let Some(zone) = self.machines.get(&machine).map(|found| found.zone()) else {
+                let Some(zone) = self.machines.get(&machine).map(Machine::zone) else {
                     break;
                 };
                 if violates_zone_rule(&spec, cycle.tasks_by_zone.entry(id).or_default(), zone) {
--- a/crates/controller/src/scheduler/victims.rs
+++ b/crates/controller/src/scheduler/victims.rs
@@ -140,6 +140,23 @@
         }
     }
 
+    /// Counts what is on a machine, and is not being stopped, for its teams.
+    fn count_usage(&mut self, machine: &Machine) {
+        for allocation in machine
+            .resident
+            .allocations
+            .values()
+            .filter(|allocation| allocation.kill_grace_s.is_none())
+        {
+            if let Some(over) = allocation
+                .team
+                .and_then(|team| self.over_guarantee.get_mut(team))
+            {
+                *over += allocation.resources.cpus;
+            }
+        }
+    }
+
     /// These tasks are being stopped: their tenants and teams hold less from now on.
     pub(super) fn record_preempted(&mut self, preempted: &VictimSet) {
         for task in &preempted.tasks {
@@ -213,19 +230,7 @@
         let mut candidates = Vec::new();
         let mut usable_cpus = vec![0.0; machine_types.len()];
         for (id, machine) in &self.machines {
-            for allocation in machine
-                .resident
-                .allocations
-                .values()
-                .filter(|allocation| allocation.kill_grace_s.is_none())
-            {
-                if let Some(over) = allocation
-                    .team
-                    .and_then(|team| victims.over_guarantee.get_mut(team))
-                {
-                    *over += allocation.resources.cpus;
-                }
-            }
+            victims.count_usage(machine);
             let Some(index) = machine
                 .identity
                 .machine_type
