--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -16,7 +16,9 @@
 
 use beamhinge_core::types::Revision;
 use beamhinge_rate_limit::TransactionLimits;
-use beamhinge_sharding::{Entry, Name, Outcome, Shares, Slot, Slots, Write};
+use beamhinge_sharding::{
+    ProcessId, Slot, SlotOwnership, SlotRecord, SlotWrite, Slots, WriteOutcome,
+};
 use std::collections::{HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
@@ -83,14 +85,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Ctl {
     life: u64,
-    shares: Shares,
+    shares: SlotOwnership,
     books: [Option<Books>; 2],
-    flying: [bool; 2],
+    in_flight: [bool; 2],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Kind {
-    Hold(Write),
+    Hold(SlotWrite),
     Place { task: usize, home: u64, row: u64 },
     End { task: usize, row: u64 },
     Rehome { task: usize, home: u64, row: u64 },
@@ -137,7 +139,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     rev: u64,
-    slot: [Entry; 2],
+    slot: [SlotRecord; 2],
     home: [(u8, u64); 2],
     /// Where a task is placed, by which attempt; and the key's stamp.
     row: [(Option<(u8, u64)>, u64); 2],
@@ -150,8 +152,8 @@
     left: Left,
 }
 
-fn name(c: usize, life: u64) -> Name {
-    Name {
+fn name(c: usize, life: u64) -> ProcessId {
+    ProcessId {
         label: ["a", "b"][c].into(),
         nonce: life,
     }
@@ -167,21 +169,21 @@
 }
 
 fn start(left: Left) -> World {
-    let entry = |c: usize, revision: u64| Entry {
-        holder: Some(name(c, 0)),
+    let entry = |c: usize, revision: u64| SlotRecord {
+        owner: Some(name(c, 0)),
         revision: Revision(revision),
     };
     let slot = [entry(0, 1), entry(1, 2)];
     let ctl = |c: usize| {
-        let mut shares = Shares::new(name(c, 0), two_slots());
+        let mut shares = SlotOwnership::new(name(c, 0), two_slots());
         for (s, entry) in slot.iter().enumerate() {
-            shares.saw(Slot(s as u16), entry.clone());
+            shares.on_record(Slot(s as u16), entry.clone());
         }
         Ctl {
             life: 0,
             shares,
             books: [None, None],
-            flying: [false; 2],
+            in_flight: [false; 2],
         }
     };
     let worker = |baton| Worker {
@@ -218,7 +220,7 @@
         let now = self.clone();
         txns.retain(|t| {
             let mut w = now.clone();
-            !t.orphan || w.apply(t, Defect::None) != Outcome::Conflict
+            !t.orphan || w.apply(t, Defect::None) != WriteOutcome::Conflict
         });
         txns.sort_by_key(|t| (t.by, t.slot, t.orphan, t.token));
         self.txns = txns;
@@ -248,10 +250,10 @@
     }
 
     /// Whether the transaction's conditions hold; applies it if they do.
-    fn apply(&mut self, t: &Txn, defect: Defect) -> Outcome {
+    fn apply(&mut self, t: &Txn, defect: Defect) -> WriteOutcome {
         let s = t.slot;
         let held = match t.kind {
-            Kind::Hold(ref w) => self.slot[s].revision == w.when,
+            Kind::Hold(ref w) => self.slot[s].revision == w.expected,
             Kind::Place { .. } if defect == Defect::Unconditional => true,
             _ => self.slot[s].revision.0 == t.token,
         };
@@ -270,14 +272,14 @@
                 Kind::Touch { own } => self.part[s].1 == own,
             };
         if !ok {
-            return Outcome::Conflict;
+            return WriteOutcome::Conflict;
         }
         self.rev += 1;
         let rev = self.rev;
         match &t.kind {
             Kind::Hold(w) => {
-                self.slot[s] = Entry {
-                    holder: Some(w.holder.clone()),
+                self.slot[s] = SlotRecord {
+                    owner: Some(w.owner.clone()),
                     revision: Revision(rev),
                 }
             }
@@ -295,22 +297,22 @@
             }
             Kind::Touch { .. } => self.part[s].1 = rev,
         }
-        Outcome::Applied(Revision(rev))
+        WriteOutcome::Applied(Revision(rev))
     }
 
     /// Its sender learns what became of it.
-    fn told(&mut self, t: &Txn, outcome: Outcome, defect: Defect) {
+    fn told(&mut self, t: &Txn, outcome: WriteOutcome, defect: Defect) {
         let ctl = &mut self.ctl[t.by];
         if ctl.life != t.life {
             return;
         }
-        ctl.flying[t.slot] = false;
+        ctl.in_flight[t.slot] = false;
         if let Kind::Hold(w) = &t.kind {
-            ctl.shares.wrote(w, outcome);
+            ctl.shares.on_write(w, outcome);
             return;
         }
         let applied = match outcome {
-            Outcome::Applied(revision) => Some(revision.0),
+            WriteOutcome::Applied(revision) => Some(revision.0),
             _ => None,
         };
         let Some(b) = ctl.books[t.slot].as_mut().filter(|b| b.token == t.token) else {
@@ -329,7 +331,7 @@
             }
             (Kind::Shift { .. }, Some(rev)) => b.part = (b.part.0 - 1, rev),
             (Kind::Touch { .. }, Some(rev)) => (b.part.1, b.unsure) = (rev, false),
-            (Kind::Shift { .. }, None) if outcome == Outcome::Unknown => {
+            (Kind::Shift { .. }, None) if outcome == WriteOutcome::Unknown => {
                 b.unsure = defect != Defect::PartUsedAgain;
             }
             // Whatever else is not known is read again.
@@ -338,7 +340,7 @@
     }
 
     fn send(&mut self, c: usize, slot: usize, token: u64, kind: Kind) {
-        self.ctl[c].flying[slot] = true;
+        self.ctl[c].in_flight[slot] = true;
         let life = self.ctl[c].life;
         self.txns.push(Txn {
             by: c,
@@ -357,7 +359,7 @@
             return;
         };
         if r.baton > token.0 && defect != Defect::OneToken {
-            self.ctl[c].shares.deposed(Slot(s as u16));
+            self.ctl[c].shares.on_lost(Slot(s as u16));
             return;
         }
         let told = if defect == Defect::OneToken {
@@ -384,7 +386,7 @@
                     Run::Sent(a, _) | Run::Inherited(a) if here(a) => b.run[k] = Run::Seen(a),
                     Run::Sent(a, at) if ours && r.id > at => b.run[k] = Run::Committed(a),
                     Run::Seen(a) | Run::Inherited(a)
-                        if ours && !here(a) && ended.is_none() && !self.ctl[c].flying[s] =>
+                        if ours && !here(a) && ended.is_none() && !self.ctl[c].in_flight[s] =>
                     {
                         b.run[k] = Run::Ending(a);
                         ended = Some((k, b.row[k]));
@@ -428,7 +430,7 @@
                     w.left.unknown -= 1;
                     w.txns[i].orphan = true;
                     let t = w.txns[i].clone();
-                    w.told(&t, Outcome::Unknown, defect);
+                    w.told(&t, WriteOutcome::Unknown, defect);
                 });
             }
         }
@@ -494,12 +496,12 @@
                         .iter_mut()
                         .filter(|t| t.by == c)
                         .for_each(|t| t.orphan = true);
-                    let shares = Shares::new(name(c, life), two_slots());
+                    let shares = SlotOwnership::new(name(c, life), two_slots());
                     w.ctl[c] = Ctl {
                         life,
                         shares,
                         books: [None, None],
-                        flying: [false; 2],
+                        in_flight: [false; 2],
                     };
                 });
             }
@@ -514,12 +516,12 @@
         let slot = Slot(s as u16);
         step(&|| format!("{c} reads slot {s}"), &|w| {
             let entry = w.slot[s].clone();
-            w.ctl[c].shares.saw(slot, entry);
+            w.ctl[c].shares.on_record(slot, entry);
         });
-        if self.ctl[c].flying[s] {
+        if self.ctl[c].in_flight[s] {
             return;
         }
-        let hold = |w: &mut World, write: Option<Write>| {
+        let hold = |w: &mut World, write: Option<SlotWrite>| {
             if let Some(write) = write {
                 w.send(c, s, 0, Kind::Hold(write));
             }
@@ -527,7 +529,7 @@
         if self.left.takes > 0 && s == 0 {
             step(&|| format!("{c} takes slot {s}"), &|w| {
                 w.left.takes -= 1;
-                let write = w.ctl[c].shares.take(slot);
+                let write = w.ctl[c].shares.acquire(slot);
                 hold(w, write);
             });
         }
@@ -535,12 +537,12 @@
             step(&|| format!("{c} gives slot {s}"), &|w| {
                 w.left.gives -= 1;
                 let to = name(1 - c, w.ctl[1 - c].life);
-                let write = w.ctl[c].shares.give(slot, to);
+                let write = w.ctl[c].shares.transfer(slot, to);
                 hold(w, write);
             });
         }
         step(&|| format!("{c} takes slot {s} back"), &|w| {
-            let write = w.ctl[c].shares.take_back(slot);
+            let write = w.ctl[c].shares.reclaim(slot);
             hold(w, write);
         });
         let Some(token) = self.ctl[c].shares.token(slot) else {
@@ -778,12 +780,12 @@
     ]
 }
 
-const MOST: usize = 40_000;
+const MAX_SLOTS: usize = 40_000;
 
 #[test]
 fn no_reachable_state_breaks_a_rule() {
     for (what, left) in worlds() {
-        let (states, all, way) = explore(left, Defect::None, MOST);
+        let (states, all, way) = explore(left, Defect::None, MAX_SLOTS);
         println!(
             "{what}: {states} states, {}",
             if all { "all" } else { "bounded" }
@@ -848,7 +850,7 @@
             },
         ),
     ] {
-        let (states, _, way) = explore(left, defect, MOST * 8);
+        let (states, _, way) = explore(left, defect, MAX_SLOTS * 8);
         let Some(way) = way else {
             panic!("{defect:?} is not found in {states} states")
         };
