--- a/crates/controller/src/capacity_planner/tests.rs
+++ b/crates/controller/src/capacity_planner/tests.rs
@@ -21,11 +21,11 @@
 
 #[test]
 fn capacity_that_becomes_free_in_time_is_no_shortfall() {
-    let pool = vec![(0.0, 4.0), (10.0, 4.0)];
+    let free = vec![(0.0, 4.0), (10.0, 4.0)];
     // Starts at 0, 10, 20 and 30: all before 40.
-    assert_eq!(shortfall_cpus(&pool, &mut [queued(4, Some(40.0))]), 0.0);
+    assert_eq!(shortfall_cpus(&free, &mut [queued(4, Some(40.0))]), 0.0);
     // Two more would start at 40 and 50: the last is too late.
-    assert_eq!(shortfall_cpus(&pool, &mut [queued(6, Some(45.0))]), 4.0);
+    assert_eq!(shortfall_cpus(&free, &mut [queued(6, Some(45.0))]), 4.0);
     assert_eq!(
         shortfall_cpus(&FreeCapacity::new(), &mut [queued(2, Some(45.0))]),
         8.0
--- a/crates/controller/src/fleet/scale_plan.rs
+++ b/crates/controller/src/fleet/scale_plan.rs
@@ -24,7 +24,7 @@
     /// Those of them that report.
     up: BTreeMap<MachineClass, u32>,
     /// CPUs by when they are or become free, by machine type.
-    pools: BTreeMap<usize, FreeCapacity>,
+    free_capacity: BTreeMap<usize, FreeCapacity>,
     owned_cpus: f64,
     idle_owned_cpus: f64,
     /// Expected value of the shielded machines not counted yet, by class.
@@ -52,7 +52,7 @@
         if *credit >= 1.0 {
             *credit -= 1.0;
             self.add_machines(class, 1);
-            self.pools
+            self.free_capacity
                 .entry(class.machine_type)
                 .or_default()
                 .push((machine_type.boot_s, machine_type.cpus));
@@ -72,14 +72,14 @@
         let machine = scheduler.machine(id);
         let machine_type = machine_types.get(class.machine_type);
         self.add_machines(class, 1);
-        let pool = self.pools.entry(class.machine_type).or_default();
+        let free = self.free_capacity.entry(class.machine_type).or_default();
         if machine.is_some_and(|m| m.last_heartbeat().is_some()) {
             *self.up.entry(class).or_default() += 1;
-            scheduler.capacity_over_time(now, id, machine_types, pool);
+            scheduler.capacity_over_time(now, id, machine_types, free);
         } else if let Some(machine_type) = machine_type {
             let boot_s = machine_type.boot_s;
             let left_s = boot_s * BOOT_SPREAD - now.since(instance.rented_at);
-            pool.push((left_s.max(boot_s * MIN_BOOT_FRACTION), machine_type.cpus));
+            free.push((left_s.max(boot_s * MIN_BOOT_FRACTION), machine_type.cpus));
         }
         if instance.owned {
             let cpus = machine_type.map_or(0.0, |t| t.cpus);
@@ -94,9 +94,9 @@
     fn add_requested(&mut self, class: MachineClass, count: u32, machine_types: &[MachineType]) {
         self.add_machines(class, count);
         if let Some(machine_type) = machine_types.get(class.machine_type) {
-            let pool = self.pools.entry(class.machine_type).or_default();
+            let free = self.free_capacity.entry(class.machine_type).or_default();
             let ready_s = machine_type.boot_s * BOOT_SPREAD;
-            pool.extend((0..count).map(|_| (ready_s, machine_type.cpus)));
+            free.extend((0..count).map(|_| (ready_s, machine_type.cpus)));
         }
     }
 }
@@ -135,7 +135,7 @@
             offered,
             context.settings,
             capacity.owned_cpus,
-            &capacity.pools,
+            &capacity.free_capacity,
         );
         let targets = self.target_machines(&wants, &capacity, offered);
         if let Some(observation) = targets.observation {
@@ -337,9 +337,9 @@
         );
     }
     // On-demand machines stay as long as spot ones do not reach.
-    let pool = whole(want.spot + want.standby);
+    let spot = whole(want.spot + want.standby);
     let kept = (whole(want.spot) - have.spot).clamp(0.0, spare);
-    ((pool - kept) as u32, (bound + kept) as u32)
+    ((spot - kept) as u32, (bound + kept) as u32)
 }
 
 #[cfg(test)]
