--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -68,6 +68,7 @@
 
 /// Changes of leadership that the node has to act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[must_use = "the node has to begin or end its term"]
 pub enum LeadershipChange {
     /// This controller leads, or does not lead, as before.
     Unchanged,
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -2,6 +2,15 @@
 use crate::store::Outcome;
 use beamhinge_core::wire;
 
+/// Begins a term with the token `revision`.
+fn acquire(election: &mut LeaderElection, revision: u64, now: Time) {
+    let token = FencingToken(revision);
+    assert_eq!(
+        election.acquired(Revision(revision), now),
+        LeadershipChange::Acquired { token }
+    );
+}
+
 /// Every report of a worker that claimed a token near the maximum ended a term.
 #[test]
 fn token_claim_that_was_never_issued_ends_one_term_only() {
@@ -9,13 +18,13 @@
     let settings = Settings::parse("t", text).expect("the sample is sound");
     let mut election = LeaderElection::new(&settings, 7);
     let now = Time::from_micros(10_000_000);
-    election.acquired(Revision(8), now);
+    acquire(&mut election, 8, now);
     assert_eq!(election.on_token_claim(now, 8), LeadershipChange::Unchanged);
     assert_eq!(
         election.on_token_claim(now, u64::MAX - 1),
         LeadershipChange::Lost
     );
-    election.acquired(Revision(12), now);
+    acquire(&mut election, 12, now);
     assert_eq!(
         election.on_token_claim(now, u64::MAX - 1),
         LeadershipChange::Unchanged
@@ -31,20 +40,20 @@
         LeadershipChange::Unchanged
     );
     assert_eq!(election.token(), None, "its attempt numbers would overflow");
-    election.acquired(Revision(17), now);
+    acquire(&mut election, 17, now);
     assert_eq!(
         (election.on_token_claim(now, 15), election.token()),
         (LeadershipChange::Unchanged, Some(FencingToken(17)))
     );
     assert_eq!(election.on_token_claim(now, 19), LeadershipChange::Lost);
     // A claim slightly above is ignored only until revisions have risen that far.
-    election.acquired(Revision(18), now);
+    acquire(&mut election, 18, now);
     assert_eq!(
         election.on_token_claim(now, 20),
         LeadershipChange::Unchanged
     );
-    election.step_down_deposed(now);
-    election.acquired(Revision(23), now);
+    assert_eq!(election.step_down_deposed(now), LeadershipChange::Lost);
+    acquire(&mut election, 23, now);
     assert_eq!(election.on_token_claim(now, 25), LeadershipChange::Lost);
 }
 
@@ -59,7 +68,7 @@
         let mut election = LeaderElection::new(&settings, 7);
         election.faults.old_term = resumes;
         let now = Time::from_micros(10_000_000);
-        election.acquired(Revision(8), now);
+        acquire(&mut election, 8, now);
         let mut store = StoreClient::new(&settings);
         assert_eq!(election.step_down(now, &mut store), LeadershipChange::Lost);
         let read = |election: &mut LeaderElection, revision: u64| {
--- a/crates/controller/src/placement_pages/tests.rs
+++ b/crates/controller/src/placement_pages/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use proptest::prelude::*;
 
 fn row(machine: &str, task: &str, attempt: u64) -> PlacementRow {
     PlacementRow {
@@ -115,3 +116,29 @@
         assert_eq!(decode_page(&value).expect("a page"), rows, "{stored}");
     }
 }
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 64,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(7),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
+    /// Any rows come back from their stored form, in the order of machines and jobs.
+    #[test]
+    fn any_page_round_trips(
+        rows in prop::collection::vec((0..9u32, 0..5u32, any::<u32>(), any::<u64>()), 0..60),
+    ) {
+        let mut rows: Vec<PlacementRow> = rows
+            .into_iter()
+            .map(|(machine, job, index, attempt)| {
+                row(&format!("n-{machine}"), &format!("job-{job}/{index}"), attempt)
+            })
+            .collect();
+        let stored = wire::decode(&wire::encode(&encode_page(&rows))).expect("CBOR");
+        let mut decoded = decode_page(&stored).expect("a page");
+        rows.sort();
+        decoded.sort();
+        prop_assert_eq!(decoded, rows);
+    }
+}
--- a/crates/controller/src/progress/tests.rs
+++ b/crates/controller/src/progress/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use proptest::prelude::*;
 
 #[derive(Default)]
 struct Jobs {
@@ -192,3 +193,33 @@
     assert_eq!(pages.revision(3), Revision(5));
     assert_eq!(pages.obsolete_keys(&|_| false).count(), 1);
 }
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 64,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(7),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
+    /// What is done on either side is done, and counted once, after a merge of stored chunks.
+    #[test]
+    fn merged_progress_is_the_union_of_both_sides(
+        local in prop::collection::btree_set(0..300u32, 0..80),
+        stored in prop::collection::btree_set(0..300u32, 0..80),
+    ) {
+        let progress = |done: &std::collections::BTreeSet<u32>| {
+            let mut progress = JobProgress::new(64);
+            done.iter().for_each(|index| progress.mark_done(*index));
+            progress
+        };
+        let (mut merged, source) = (progress(&local), progress(&stored));
+        for chunk in source.dirty_chunks() {
+            let digits = source.encode_chunk(chunk).expect("a chunk");
+            merged.merge_chunk(chunk, &digits).expect("digits");
+        }
+        let union: Vec<u32> = local.union(&stored).copied().collect();
+        let done: Vec<u32> = (0..300).filter(|index| merged.is_done(*index)).collect();
+        prop_assert_eq!(merged.done_count() as usize, union.len());
+        prop_assert_eq!(done, union);
+    }
+}
--- a/crates/controller/src/replica.rs
+++ b/crates/controller/src/replica.rs
@@ -45,6 +45,7 @@
 }
 
 /// What a reply changed.
+#[must_use = "changes that are not applied are lost"]
 pub struct ReplicaUpdate {
     /// The changes, oldest first.
     pub changes: Vec<ReplicaChange>,
--- a/crates/controller/src/replica/tests.rs
+++ b/crates/controller/src/replica/tests.rs
@@ -108,7 +108,8 @@
             outcome: Outcome::Refused,
             sent_at: now,
         };
-        replica.on_reply(now, ReplicaCall::Refresh, reply);
+        let update = replica.on_reply(now, ReplicaCall::Refresh, reply);
+        assert_eq!(update.freshness, Freshness::Failed);
         let gap = (1..30)
             .map(|i| f64::from(i) * 0.1)
             .find(|pause_s| replica.backoff.is_due(now.plus(*pause_s)));
--- a/crates/rate-limit/src/backoff.rs
+++ b/crates/rate-limit/src/backoff.rs
@@ -11,6 +11,7 @@
 
 /// What to do after a request was rejected as malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[must_use = "work that is not set aside is retried for ever"]
 pub enum RetryAction {
     /// Retry with a smaller size, divided by [`AdaptiveBackoff::divisor`].
     Reduce,
--- a/crates/rate-limit/src/transaction.rs
+++ b/crates/rate-limit/src/transaction.rs
@@ -168,6 +168,7 @@
 /// Invariants: it is within its limits at every moment, and every write has a condition on
 /// the revision of its key (there is no unconditional write).
 #[derive(Debug)]
+#[must_use = "a transaction has no effect until it is committed"]
 pub struct Transaction {
     limits: TransactionLimits,
     conditions: BTreeMap<String, Revision>,
