--- a/crates/standby/src/failure_detector.rs
+++ b/crates/standby/src/failure_detector.rs
@@ -174,8 +174,8 @@
 
     /// The leader that is presumed dead, if it is this controller's turn to take over.
     ///
-    /// A returned suspicion counts as acted on: the next one follows after
-    /// [`MIN_SUSPICION_INTERVAL_S`] at the earliest.
+    /// A returned suspicion counts as acted on: the next one follows fifteen seconds later at the
+    /// earliest.
     pub fn suspect(&mut self, now: Time, observer: Observer) -> Option<&str> {
         let leader = self.leader.as_deref()?;
         let known = self.last_heartbeat.since(self.known_since) >= MIN_KNOWN_S;
