--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,7 @@
-//! The command line.
+//! The command line: verbs and flags.
+//!
+//! Doc comments of fields and variants are the help texts; names are the flags and verbs that
+//! scripts use.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,4 +1,4 @@
-//! How answers look: tables for a terminal, JSON for programs.
+//! Output: tables for a terminal, JSON for programs.
 
 use crate::arguments::Output;
 use crate::Failure;
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use std::io::{self, Write};
 
-/// Prints JSON, or what `table` makes.
+/// Prints a value as JSON, or as the text that `table` makes of it.
 pub(crate) fn either<T: Serialize>(
     output: Output,
     value: &T,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Seconds as one would say them.
+/// A duration in its largest suitable unit; `-` if there is none.
 pub(crate) fn age(seconds: Option<f64>) -> String {
     match seconds {
         None => "-".into(),
@@ -76,6 +76,7 @@
         .map_or("-".into(), |u| format!("{u:?}").to_lowercase())
 }
 
+/// The table of jobs.
 pub(crate) fn jobs(rows: &[JobRow]) -> String {
     let rows = rows
         .iter()
@@ -100,6 +101,7 @@
     )
 }
 
+/// One job with its tasks and the reasons why tasks wait.
 pub(crate) fn job(d: &JobDetail) -> String {
     let r = &d.row;
     let mut text = format!(
@@ -154,6 +156,7 @@
     text
 }
 
+/// The table of machines.
 pub(crate) fn machines(rows: &[MachineRow]) -> String {
     let rows = rows
         .iter()
@@ -194,6 +197,7 @@
     table(&heads, rows)
 }
 
+/// The table of teams with use and quotas.
 pub(crate) fn teams(rows: &[TeamRow]) -> String {
     let none = |v: f64| {
         if v > 0.0 {
@@ -287,6 +291,7 @@
     text
 }
 
+/// The table of controllers.
 pub(crate) fn nodes(rows: &[NodeRow]) -> String {
     let rows = rows
         .iter()
@@ -326,7 +331,7 @@
     )
 }
 
-/// A line of blocks, as high as the values.
+/// A plot of one line, scaled to the highest value.
 pub(crate) fn spark(values: &[f64]) -> String {
     const BLOCKS: [char; 8] = ['▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     let top = values.iter().copied().fold(0.0, f64::max);
@@ -339,6 +344,7 @@
         .collect()
 }
 
+/// The overview; `running` and `waiting` are earlier numbers of tasks, oldest first.
 pub(crate) fn summary(s: &Summary, running: &[f64], waiting: &[f64]) -> String {
     let mut text = format!(
         "leader {} (token {})   jobs: {} open, {} running   machines: {} up, {} starting, {} silent   directives: {}\n",
@@ -379,6 +385,7 @@
     text
 }
 
+/// The configuration as it is printed.
 #[derive(Serialize)]
 struct ConfigShown<'a> {
     file: Option<String>,
@@ -388,6 +395,7 @@
     key_name: Option<&'a str>,
 }
 
+/// Prints which controllers and key are used, and from which file.
 pub(crate) fn config(
     overrides: &Overrides,
     context: &Context,
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -226,7 +226,7 @@
 
 fn print_usage(endpoints: &Endpoints, dir: &Path, started_in: Duration) {
     let operators = joined(&endpoints.operators);
-    // The client finds the default ports without being told.
+    // The client finds the default ports without an option.
     let has_default_ports = UP_PORTS[0] == endpoints.operators[0].port();
     let with = if has_default_ports {
         String::new()
--- a/crates/cli/tests/up.rs
+++ b/crates/cli/tests/up.rs
@@ -45,11 +45,11 @@
 impl Up {
     fn end(mut self, signal: &str) {
         let pid = self.child.id().to_string();
-        let told = Command::new("kill")
+        let sent = Command::new("kill")
             .args([signal, &pid])
             .status()
             .expect("kill is there");
-        assert!(told.success());
+        assert!(sent.success());
         self.child.wait().expect("it ends");
     }
     fn says(&self, words: &[&str], code: i32) -> String {
@@ -107,7 +107,7 @@
     up.says(&["job", "job-2"], 4);
     up.says(&["submit", "--tasks", "2"], 2);
     up.says(&["submit", "--team", "nobody"], 3);
-    // A second one in the same place is told so.
+    // A second cluster in the same directory is refused.
     let mut second = start(&dir, port + 50);
     assert_eq!(second.child.wait().expect("it ends").code(), Some(1));
     up.end("-INT");
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -255,7 +255,7 @@
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] if the file cannot be read or the key cannot be told.
+    /// [`ConfigError`] if the file cannot be read, or does not hold exactly one matching key.
     pub fn load_key(&self) -> Result<Option<Key>, ConfigError> {
         let Some(path) = &self.key else {
             return Ok(None);
--- a/crates/core/src/peers/tests.rs
+++ b/crates/core/src/peers/tests.rs
@@ -51,16 +51,16 @@
 fn list_beyond_one_frame_is_split_without_loss() {
     for count in [0, 1, 4_000, 4_001, 8_192, 8_193, 20_000] {
         let (all, ended) = (machines(count), jobs(count));
-        let mut heard = Vec::new();
+        let mut received = Vec::new();
         for frame in Frame::misrouted_workers("a", &all) {
             assert!(encode(&frame).len() <= MAX_FRAME_BYTES);
             let Frame::MisroutedWorkers { label, machines } = frame else {
                 panic!("another frame")
             };
             assert!(label == "a" && !machines.is_empty());
-            heard.extend(machines.iter().filter_map(|m| MachineId::parse(m)));
+            received.extend(machines.iter().filter_map(|m| MachineId::parse(m)));
         }
-        assert_eq!(heard, all);
+        assert_eq!(received, all);
         let mut over = Vec::new();
         for frame in Frame::jobs_ended(&ended) {
             assert!(encode(&frame).len() <= MAX_FRAME_BYTES);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -241,7 +241,7 @@
         Ok(())
     }
 
-    /// Reports failed calls to the service, including those that it makes on being told.
+    /// Reports failed calls to the service, including those that it makes in turn.
     fn report_failed_calls(&mut self) {
         while let Some(id) = self.failed_calls.pop_front() {
             let mut out = Vec::new();
