--- a/crates/controller/src/scheduler/persistence/recovery.rs
+++ b/crates/controller/src/scheduler/persistence/recovery.rs
@@ -100,7 +100,7 @@
             return;
         }
         if let Some(load) = self.recovery.take() {
-            self.restore(now, load, job_store);
+            self.restore(now, &load, job_store);
         }
     }
 
@@ -118,7 +118,7 @@
     pub(in crate::scheduler) fn restore(
         &mut self,
         now: Time,
-        load: RecoveryLoad,
+        load: &RecoveryLoad,
         job_store: &JobStore,
     ) {
         let open_jobs: Vec<JobId> = job_store
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -139,7 +139,7 @@
     Ok(())
 }
 
-/// Guard 1, and the one condition that every write has: on the block as we took it,
+/// Guard 1, and the one condition that every write has: on the leadership key as it was acquired,
 /// and on each key that it changes.
 fn rests(body: &[u8]) -> Result<(), String> {
     let transaction: serde_json::Value = wire::decode::<ciborium::Value>(body)
@@ -164,9 +164,9 @@
     }
 }
 
-/// A transaction of a former holder that is carried out late places nothing.
+/// A transaction of a former leader that is carried out late places nothing.
 #[test]
-fn every_transaction_rests_on_the_block() {
+fn transaction_always_requires_the_leadership_key() {
     let b = Backlog {
         placed: vec![3; 9],
         ended: vec![2; 5],
@@ -277,7 +277,7 @@
 /// A hundred jobs, each with a condition of its own, beside as many pages to
 /// remove as a transaction may: what stopped a simulated day for ever.
 #[test]
-fn pages_leave_conditions_for_removals() {
+fn page_leaves_conditions_for_removals() {
     let b = Backlog {
         placed: vec![1; 400],
         ended: vec![3; 30],
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn ten_thousand_dead_pages_do_not_keep_a_task_waiting() {
+fn placement_is_not_delayed_by_ten_thousand_unreferenced_pages() {
     let b = Backlog {
         placed: vec![20; 10],
         ended: Vec::new(),
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -78,15 +78,15 @@
     kills.map(|o| o.task.as_str()).collect()
 }
 
-/// A holder that had not read the pages, or whose token the worker had not shown
-/// yet, renewed leases of cancelled tasks without a word, for H from its own take.
+/// A leader that had not loaded the pages, or whose token the worker had not shown
+/// yet, renewed leases of cancelled tasks without a kill, for H from its own takeover.
 #[test]
-fn an_answer_that_renews_a_lease_stops_what_is_cancelled() {
+fn answer_that_renews_a_lease_kills_tasks_of_cancelled_jobs() {
     for (loaded, fencing_token) in [(false, 4), (false, 9), (true, 4)] {
         let (job_store, mut scheduler) = cancelled("job-1");
         scheduler.loaded = loaded;
-        let said = report(1, fencing_token, &["job-1/0", "job-1/2", "job-2/0"]);
-        let commands = scheduler.on_report(at(NOW), &said, &[], &job_store);
+        let incoming = report(1, fencing_token, &["job-1/0", "job-1/2", "job-2/0"]);
+        let commands = scheduler.on_report(at(NOW), &incoming, &[], &job_store);
         assert_eq!(
             killed(&commands),
             ["job-1/0", "job-1/2"],
@@ -95,9 +95,9 @@
         // What is not known, or runs still, is left alone.
         assert_eq!(commands.len(), 2);
         scheduler.faults.late_stops = true;
-        let said = report(2, fencing_token, &["job-1/0"]);
+        let incoming = report(2, fencing_token, &["job-1/0"]);
         assert!(scheduler
-            .on_report(at(NOW + 1.0), &said, &[], &job_store)
+            .on_report(at(NOW + 1.0), &incoming, &[], &job_store)
             .is_empty());
     }
 }
@@ -105,7 +105,7 @@
 /// A command was lost and its job cancelled before the worker reported again: as a
 /// placement whose `run` never goes out it stayed, with its machine and its job.
 #[test]
-fn a_stop_whose_run_was_lost_leaves_the_books() {
+fn allocation_to_be_stopped_whose_run_was_lost_ends() {
     for broken in [false, true] {
         let (job_store, mut scheduler) = cancelled("job-1");
         (scheduler.loaded, scheduler.faults.stuck_stop) = (true, broken);
@@ -140,17 +140,17 @@
     }
 }
 
-/// Guard 3: until its worker has shown our token an earlier holder may still send
+/// Guard 3: until its worker has shown this term's token an earlier leader may still send
 /// what is in the pages, whatever the report does not list; and a report that is
-/// not newer than the last proves nothing, with our token neither.
+/// not newer than the last proves nothing, with this term's token neither.
 #[test]
-fn absence_is_proof_only_with_our_token_and_in_a_newer_report() {
+fn missing_task_ends_only_with_current_token_and_newer_report() {
     let id = MachineId::parse("n-000001").expect("a machine");
     let task = TaskId {
         job: job("job-1"),
         index: 0,
     };
-    // What the report says of tenure, sequence and token; whether the task is gone.
+    // What the report says of incarnation, sequence and token; whether the task is gone.
     let cases = [
         ((1, 8, 4), false),
         ((2, 1, 4), false),
@@ -181,9 +181,9 @@
                 .resident
                 .allocations
                 .insert(task, entry);
-            let mut said = report(sequence, fencing_token, &[]);
-            said.incarnation = incarnation;
-            scheduler.on_report(at(NOW + 1.0), &said, &[], &job_store);
+            let mut incoming = report(sequence, fencing_token, &[]);
+            incoming.incarnation = incarnation;
+            scheduler.on_report(at(NOW + 1.0), &incoming, &[], &job_store);
             let was = scheduler.machine(id).is_some_and(Machine::is_empty);
             let excused = (hasty && fencing_token == 4) || (old && sequence == 7);
             assert_eq!(
@@ -198,7 +198,7 @@
 /// Reports with counts near their end, from elsewhere, or of no sense free nothing
 /// and start nothing.
 #[test]
-fn counts_at_their_end_and_nonsense_are_taken_for_what_they_are() {
+fn report_with_extreme_counts_or_unknown_words_is_handled() {
     let (job_store, mut scheduler) = cancelled("job-1");
     scheduler.loaded = true;
     let mut last_report = report(
@@ -235,7 +235,7 @@
 /// Guards against an answer that a worker cannot take: it would report the
 /// same again, and get the same again.
 #[test]
-fn the_longest_answer_fits_its_limit() {
+fn longest_answer_fits_body_limit() {
     let task = TaskId::parse("job-123456789012345678/99999").expect("a task");
     let commands: Vec<WorkerCommand> = (0..MAX_COMMANDS)
         .map(|_| WorkerCommand::kill(task, Attempt(u64::MAX), 12.5))
@@ -264,10 +264,10 @@
     entry
 }
 
-/// Guard 3: an old report may be the first word that a new leader hears of a machine. It
-/// is answered, and no sign of life; the worker's own next one is, or one with our token.
+/// Guard 3: an old report may be the first that a new leader gets of a machine. It
+/// is answered, and no sign of life; the worker's own next one is, or one with this term's token.
 #[test]
-fn a_first_word_of_an_earlier_term_is_no_sign_of_life() {
+fn first_report_without_current_token_is_no_heartbeat() {
     let last_heartbeat = |scheduler: &Scheduler| {
         scheduler
             .machine(machine())
@@ -290,14 +290,17 @@
         assert!(last_heartbeat(&scheduler), "its own next report");
         let (job_store, mut scheduler) = cancelled("job-1");
         scheduler.on_report(at(NOW), &report(5, 9, &[]), &[], &job_store);
-        assert!(last_heartbeat(&scheduler), "one that carries our token");
+        assert!(
+            last_heartbeat(&scheduler),
+            "one that carries this term's token"
+        );
     }
 }
 
 /// Guard 3: what was reported before the pages were read counts as the newest all the
-/// same: an older report after them, with our token too, ends nothing.
+/// same: an older report after them, with this term's token too, ends nothing.
 #[test]
-fn a_report_from_before_the_pages_were_read_makes_older_ones_old() {
+fn report_before_load_makes_older_reports_stale() {
     let (job_store, mut scheduler) = cancelled("job-1");
     scheduler.on_report(at(NOW), &report(8, 9, &[]), &[], &job_store);
     let load = RecoveryLoad {
@@ -307,7 +310,7 @@
         in_flight: false,
         after: None,
     };
-    scheduler.restore(at(NOW), load, &job_store);
+    scheduler.restore(at(NOW), &load, &job_store);
     assert!(scheduler.loaded);
     let task = TaskId {
         job: job("job-1"),
@@ -324,11 +327,11 @@
 }
 
 /// Guard 3: a machine that reaches nobody answers direct commands. Their bodies are newer
-/// reports by token, tenure and sequence, they renew nothing, and they do not show that the
+/// reports by token, incarnation and sequence, they renew nothing, and they do not show that the
 /// answer to its last report was dropped.
 #[test]
-fn a_direct_answer_of_a_silent_machine_proves_what_it_shows_and_no_more() {
-    // What was in the books, what the body says of itself; whether the task is gone.
+fn direct_response_of_silent_machine_proves_only_what_it_lists() {
+    // What was allocated, what the body says of itself; whether the task is gone.
     let seen = TaskState::Observed(TaskPhase::Running);
     let sent = TaskState::RunSent(ReportVersion {
         incarnation: 1,
@@ -355,13 +358,13 @@
             };
             let m = scheduler.machines.get_mut(&machine()).expect("known");
             m.resident.allocations.insert(task, entry(state));
-            let mut said = report(sequence, fencing_token, &[]);
-            said.incarnation = incarnation;
+            let mut incoming = report(sequence, fencing_token, &[]);
+            incoming.incarnation = incarnation;
             // One that reports says so itself, and is answered.
-            scheduler.on_direct_response(at(NOW + 0.5), &said, &job_store);
+            scheduler.on_direct_response(at(NOW + 0.5), &incoming, &job_store);
             assert!(!scheduler.machine(machine()).expect("known").is_empty());
             let silent = at(NOW + scheduler.silence_timeout_s() + 1.0);
-            scheduler.on_direct_response(silent, &said, &job_store);
+            scheduler.on_direct_response(silent, &incoming, &job_store);
             let m = scheduler.machine(machine()).expect("known");
             let left = m.resident.allocations.get(&task).map(|e| e.state);
             // Left out, it is given up, or taken for one whose `run` was lost, and goes
@@ -392,9 +395,9 @@
     }
 }
 
-/// Silent machines with tasks are asked, and told again what is to stop there.
+/// Silent machines with tasks are probed, and commanded again what is to stop there.
 #[test]
-fn silent_machines_with_tasks_are_asked() {
+fn silent_machine_with_tasks_is_probed() {
     let (job_store, mut scheduler) = cancelled("job-1");
     scheduler.loaded = true;
     scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
@@ -431,10 +434,10 @@
     );
 }
 
-/// A task that the books do not know counts for its team and on its machine until it is
+/// A task without an allocation counts for its team and on its machine until it is
 /// gone, also when its job is over and its record has lost its description.
 #[test]
-fn an_orphan_of_a_job_that_is_over_counts_until_it_is_gone() {
+fn orphan_of_ended_job_counts_until_it_is_gone() {
     let text = beamhinge_core::settings::SAMPLE;
     let mut settings = Settings::parse("t", text).expect("the sample is sound");
     settings.params.teams[0].name = "one".into();
@@ -487,39 +490,40 @@
     assert_eq!((used(&scheduler, at(NOW)), free(&scheduler)), (0.0, 8.0));
 }
 
-/// Whatever a cancelled task does at the time, it is told to end at once, without time
+/// Whatever a cancelled task does at the time, it is killed at once, without time
 /// to save: nobody has any use for what it does.
 #[test]
-fn cancelled_tasks_that_fetch_or_save_are_ended_at_once() {
+fn cancelled_task_that_fetches_or_checkpoints_is_killed_at_once() {
     for status in ["pulling", "running", "saving", "a state of a later version"] {
         let (job_store, mut scheduler) = cancelled("job-1");
         scheduler.loaded = true;
-        let mut said = report(7, 9, &["job-1/0"]);
-        said.reported_tasks[0].status = ReportedStatus::from(status.to_string());
+        let mut incoming = report(7, 9, &["job-1/0"]);
+        incoming.reported_tasks[0].status = ReportedStatus::from(status.to_string());
         let task = TaskId {
             job: job("job-1"),
             index: 0,
         };
         for (sequence, known) in [(7, false), (8, true)] {
             if known {
-                // As it was told to save, to make room, before it was cancelled.
+                // As it was stopped with time to save, to make room, before it was cancelled.
                 let mut there = entry(TaskState::Observed(TaskPhase::Checkpointing));
                 there.kill_grace_s = Some(4.0);
                 let m = scheduler.machines.get_mut(&machine()).expect("known");
                 m.resident.allocations.insert(task, there);
             }
-            said.sequence = sequence;
-            let commands = scheduler.on_report(at(NOW + sequence as f64), &said, &[], &job_store);
+            incoming.sequence = sequence;
+            let commands =
+                scheduler.on_report(at(NOW + sequence as f64), &incoming, &[], &job_store);
             assert_eq!(killed(&commands), ["job-1/0"], "{status}");
             assert_eq!(commands.len(), 1);
         }
     }
 }
 
-/// A machine that reaches nobody at a takeover is told our token directly: what it answers
+/// A machine that reaches nobody at a takeover gets this term's token directly: what it answers
 /// carries it, and proves what a report would; what is cancelled there is stopped.
 #[test]
-fn a_direct_answer_proves_also_what_was_inherited() {
+fn direct_response_ends_inherited_allocations_it_does_not_list() {
     for (fencing_token, listed, loaded) in [
         (9, false, true),
         (9, true, true),
@@ -544,8 +548,8 @@
                 .is_none(),
             "where it is is not known"
         );
-        let said = report(5, fencing_token, if listed { &["job-1/0"] } else { &[] });
-        scheduler.on_direct_response(at(NOW), &said, &job_store);
+        let incoming = report(5, fencing_token, if listed { &["job-1/0"] } else { &[] });
+        scheduler.on_direct_response(at(NOW), &incoming, &job_store);
         let m = scheduler.machine(machine()).expect("known");
         assert_eq!(m.is_empty(), loaded && fencing_token == 9 && !listed);
         assert!(
@@ -582,10 +586,10 @@
     }
 }
 
-/// A holder that does not know which limits stand sends no `run`: what it placed may be
+/// A leader that does not know which quotas are in force sends no `run`: what it placed may be
 /// beyond a limit that was lowered meanwhile.
 #[test]
-fn no_run_goes_out_on_a_configuration_that_is_too_old() {
+fn run_on_outdated_configuration_is_not_sent() {
     let (_, mut scheduler) = cancelled("job-1");
     let now = at(NOW);
     assert!(scheduler.may_run(now), "nothing was ever changed");
@@ -596,7 +600,7 @@
 /// A fleet of 8,192 machines that is replaced as a whole: late copies in the name of any of
 /// them are known as such. Beyond 4,096 those of the lowest numbers were not.
 #[test]
-fn a_large_fleet_that_is_gone_is_remembered_and_memory_is_bounded() {
+fn removed_machines_of_a_large_fleet_are_remembered_within_a_bound() {
     let (_, mut scheduler) = cancelled("job-1");
     let id = |n: usize| MachineId::parse(&format!("n-{n:06}")).expect("a name");
     (0..8_192).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
@@ -610,7 +614,7 @@
 
 /// Each verb that a worker knows, as its orders are encoded.
 #[test]
-fn orders_keep_their_form() {
+fn commands_keep_their_wire_form() {
     let (mut job_store, mut scheduler) = cancelled("job-1");
     let spec = job_store.get(job("job-1")).and_then(|e| e.spec.clone());
     job_store.on_committed(job("job-2"), Revision(6), JobState::Open, spec);
@@ -626,11 +630,11 @@
         .resident
         .allocations
         .insert(task, entry(TaskState::Committed));
-    let mut said = report(2, 9, &["job-1/0", "job-3/0"]);
-    said.reported_tasks[1].status = ReportedStatus::Exited;
-    said.reported_tasks[1].cause = Some(ExitCause::Stopped);
+    let mut incoming = report(2, 9, &["job-1/0", "job-3/0"]);
+    incoming.reported_tasks[1].status = ReportedStatus::Exited;
+    incoming.reported_tasks[1].cause = Some(ExitCause::Stopped);
     let mut golden = crate::golden::Golden::new("tests/golden/orders.hex");
-    let commands = scheduler.on_report(at(NOW + 1.0), &said, &[], &job_store);
+    let commands = scheduler.on_report(at(NOW + 1.0), &incoming, &[], &job_store);
     assert_eq!(
         commands
             .iter()
@@ -650,7 +654,7 @@
 /// Two tasks on each of 8,192 machines, each stopped once: none is forgotten. Beyond 4,096
 /// the others could be stopped again at once.
 #[test]
-fn the_stops_of_a_large_fleets_tasks_are_remembered() {
+fn preemptions_of_a_large_fleet_are_remembered() {
     let (_, mut scheduler) = cancelled("job-1");
     let task = |index: usize| TaskId {
         job: job("job-1"),
--- a/crates/controller/src/worker_protocol.rs
+++ b/crates/controller/src/worker_protocol.rs
@@ -237,3 +237,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
