--- a/crates/emulator/src/worker_pool/tests.rs
+++ b/crates/emulator/src/worker_pool/tests.rs
@@ -125,7 +125,7 @@
 /// processes, to the end of their lease.
 #[test]
 fn emulated_and_real_tasks_behave_alike_on_the_same_script() {
-    let (mut hollow, mut real) = (watched(false), watched(true));
+    let (mut emulated, mut real) = (watched(false), watched(true));
     let began = Instant::now();
     let both_ended = |a: &Watched, b: &Watched| {
         let stopped = |w: &Watched| {
@@ -136,17 +136,17 @@
         };
         stopped(a) && stopped(b)
     };
-    while !both_ended(&hollow, &real) && began.elapsed() < Duration::from_secs(30) {
+    while !both_ended(&emulated, &real) && began.elapsed() < Duration::from_secs(30) {
         let now = SECOND + began.elapsed().as_micros() as Micros;
-        hollow.turn(now);
+        emulated.turn(now);
         real.turn(now);
         std::thread::sleep(Duration::from_millis(5));
     }
     let events = |w: &Watched| w.events.lock().expect("one thread").clone();
-    let (of_hollow, of_real) = (events(&hollow), events(&real));
-    assert_eq!(of_hollow, of_real);
-    assert_eq!(hollow.reported, real.reported);
-    let count = |what| of_hollow.iter().filter(|(_, _, w)| *w == what).count();
+    let (of_emulated, of_real) = (events(&emulated), events(&real));
+    assert_eq!(of_emulated, of_real);
+    assert_eq!(emulated.reported, real.reported);
+    let count = |what| of_emulated.iter().filter(|(_, _, w)| *w == what).count();
     assert_eq!(
         (
             count(TaskTransition::Started),
@@ -154,6 +154,6 @@
             count(TaskTransition::Stopped)
         ),
         (3, 1, 2),
-        "{of_hollow:?}"
+        "{of_emulated:?}"
     );
 }
--- a/crates/sim/tests/false_takes.rs
+++ b/crates/sim/tests/false_takes.rs
@@ -1,4 +1,4 @@
-//! How often the lead is taken from a holder that lives: none of so many drawn days
+//! How often leadership is taken from a leader that lives: never on so many drawn days
 //! with slow and lossy links, standstills and machines that boot.
 
 use beamhinge_controller::faults::Faults;
@@ -9,7 +9,7 @@
 /// Days that are played at the same time.
 const THREADS: u64 = 4;
 
-/// Five and seven controllers in turn; a holder that stands still for less than a
+/// Five and seven controllers in turn; a leader that stands still for less than a
 /// worker's time-out, links that lose one frame in twenty, and machines that come.
 fn day(seed: u64) -> String {
     let nodes = if seed.is_multiple_of(2) { 5 } else { 7 };
--- a/crates/testbed/src/ageing.rs
+++ b/crates/testbed/src/ageing.rs
@@ -29,7 +29,7 @@
 const MACHINES: u64 = 20;
 /// Longest that a task occupies a machine: an urgent one at its longest, its
 /// fetch, and the reports that start it and tell its end.
-const LONGEST_S: f64 = 64.0 * 1.4 + 1.0 + 2.0 * REPORT_S;
+const MAX_RUN_S: f64 = 64.0 * 1.4 + 1.0 + 2.0 * REPORT_S;
 const REPORT_S: f64 = 5.0;
 /// The oldest low job is to start within this, seconds.
 const AIM_S: f64 = 7_200.0;
@@ -124,15 +124,15 @@
     }
     rises.sort_by(|a, b| a.0.total_cmp(&b.0));
     let cpus = MACHINES as f64 * 8.0;
-    let rate_per_s = lane_throughput_per_s(policy, widest, LONGEST_S, cpus);
+    let rate_per_s = lane_throughput_per_s(policy, widest, MAX_RUN_S, cpus);
     let load = BoostedLoad {
         arrivals: ArrivalCurve::tightest(rate_per_s, &rises),
         max_task_cpus: widest,
-        max_task_s: LONGEST_S,
+        max_task_s: MAX_RUN_S,
     };
     let capacity = ClusterCapacity {
         cpus,
-        downtime_s: takeovers * (outcome.leaderless_s + 2.0 * LONGEST_S),
+        downtime_s: takeovers * (outcome.leaderless_s + 2.0 * MAX_RUN_S),
     };
     max_wait_s(policy, Urgency::BestEffort, &load, &capacity)
         .map_err(|e| TestbedError::Other(e.to_string()))
--- a/crates/testbed/src/configuration.rs
+++ b/crates/testbed/src/configuration.rs
@@ -19,7 +19,7 @@
 const CHANGES: u32 = 12;
 const EVERY_S: f64 = 5.0;
 const THREADS: usize = 6;
-const LONGEST_MS: u64 = 600_000;
+const MAX_IN_FORCE_MS: u64 = 600_000;
 
 #[derive(Args)]
 pub(crate) struct Options {
@@ -105,7 +105,7 @@
     let (took, wrong) = all
         .into_inner()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut times = Histogram::<u64>::new_with_max(LONGEST_MS, 3)
+    let mut times = Histogram::<u64>::new_with_max(MAX_IN_FORCE_MS, 3)
         .map_err(|e| TestbedError::Other(e.to_string()))?;
     took.iter()
         .for_each(|s| times.saturating_record((s * 1e3) as u64));
--- a/crates/testbed/src/place.rs
+++ b/crates/testbed/src/context.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-pub(crate) struct Lab {
+pub(crate) struct TestContext {
     pub seed: u64,
     pub controller: (PathBuf, Vec<String>),
 }
@@ -60,7 +60,7 @@
 }
 
 /// A cluster to experiment on; to be changed from here.
-pub(crate) fn plan(lab: &Lab, dir: &Path) -> ClusterPlan {
+pub(crate) fn plan(context: &TestContext, dir: &Path) -> ClusterPlan {
     let team = |name: &str, cpus_max| TeamPlan {
         name: name.into(),
         cpus: 0.0,
@@ -75,13 +75,13 @@
         dir: dir.to_path_buf(),
         port: free_ports(),
         kept: false,
-        controller: lab.controller.clone(),
+        controller: context.controller.clone(),
         keeper: None,
         teams: vec![team("home", 0.0), team("small", 4.0)],
         protocol_faults: ProtocolFaults::default(),
         operators: "rps = 2000\nconnections = 64\nwaiting = 512\n".into(),
         log_level: "info".into(),
-        seed: lab.seed,
+        seed: context.seed,
     }
 }
 
@@ -100,22 +100,22 @@
     }
 }
 
-pub(crate) fn doors(cluster: &Cluster) -> Vec<SocketAddrV4> {
+pub(crate) fn admin_listeners(cluster: &Cluster) -> Vec<SocketAddrV4> {
     (0..cluster.plan().nodes)
         .map(|n| cluster.plan().operators_of(n))
         .collect()
 }
 
 pub(crate) fn client(cluster: &Cluster, total_s: f64) -> Client {
-    client_of(&doors(cluster), total_s)
+    client_of(&admin_listeners(cluster), total_s)
 }
 
-pub(crate) fn client_of(doors: &[SocketAddrV4], total_s: f64) -> Client {
+pub(crate) fn client_of(admin_listeners: &[SocketAddrV4], total_s: f64) -> Client {
     let timeouts = Timeouts {
         total: Duration::from_secs_f64(total_s),
         per_attempt: Duration::from_secs_f64(total_s.min(3.0)),
     };
-    Client::new(doors, None, timeouts, |_| {})
+    Client::new(admin_listeners, None, timeouts, |_| {})
 }
 
 /// Asks until it is so, or time runs out.
--- a/crates/testbed/src/doors.rs
+++ b/crates/testbed/src/doors.rs
@@ -1,7 +1,7 @@
 //! Hostile, mistaken and slow clients at the operators' listener: each is told what is wrong,
 //! nothing changes, and the others are served meanwhile.
 
-use crate::place::{self, Folder, Lab};
+use crate::context::{self, Folder, TestContext};
 use crate::TestbedError;
 use beamhinge_admin_api::auth::{Key, Role, SignedRequest};
 use beamhinge_admin_api::messages::{JobRequest, Problem, ServerInfo};
@@ -116,7 +116,7 @@
 }
 
 impl Scene {
-    fn new(lab: &Lab, folder: &Folder) -> Result<Scene, TestbedError> {
+    fn new(context: &TestContext, folder: &Folder) -> Result<Scene, TestbedError> {
         let keys = folder.0.join("keys.ini");
         let text = format!(
             "[night]\nrole = operator\nsecret = {}\n[wall]\nrole = viewer\nsecret = {}\n",
@@ -124,11 +124,11 @@
             secret(VIEWER_SECRET)
         );
         std::fs::write(&keys, text)?;
-        let mut plan = place::plan(lab, &folder.0);
+        let mut plan = context::plan(context, &folder.0);
         plan.nodes = 2;
         plan.operators = format!("keys = {}\nconnections = 6\n", keys.display());
         let cluster = Cluster::start(plan, Box::new(|_| {}))?;
-        let listeners = place::doors(&cluster);
+        let listeners = context::admin_listeners(&cluster);
         let operator_key = key("night", Role::Operator, OPERATOR_SECRET)?;
         let viewer_key = key("wall", Role::Viewer, VIEWER_SECRET)?;
         let timeouts = Timeouts {
@@ -347,9 +347,9 @@
 }
 
 /// Runs the experiment; returns the figures that it prints.
-pub(crate) fn run(lab: &Lab) -> Result<Value, TestbedError> {
+pub(crate) fn run(context: &TestContext) -> Result<Value, TestbedError> {
     let folder = Folder::new("doors")?;
-    let mut scene = Scene::new(lab, &folder)?;
+    let mut scene = Scene::new(context, &folder)?;
     scene.check_roles();
     let signed = scene.check_signatures()?;
     scene.check_clock(&signed.instance);
--- a/crates/testbed/src/explain.rs
+++ b/crates/testbed/src/explain.rs
@@ -1,7 +1,7 @@
 //! Each reason why a job does not run is caused on real processes, told by
 //! `explain`, and taken away: then the job runs.
 
-use crate::place::{self, Folder, Lab};
+use crate::context::{self, Folder, TestContext};
 use crate::TestbedError;
 use beamhinge_admin_api::directives::{Afterwards, DirectiveChange, Target};
 use beamhinge_admin_api::messages::{JobRequest, State};
@@ -25,11 +25,11 @@
 
 impl Stage {
     fn new(plan: ClusterPlan) -> Result<Stage, TestbedError> {
-        let cluster = place::start(plan, Box::new(|_| {}))?;
-        let mut client = place::client(&cluster, 20.0);
+        let cluster = context::start(plan, Box::new(|_| {}))?;
+        let mut client = context::client(&cluster, 20.0);
         let machines = cluster.plan().machines;
         // All that is there from the start has reported.
-        place::until(15.0, || {
+        context::until(15.0, || {
             client
                 .machines(&[])
                 .is_ok_and(|p| p.machines.iter().filter(|m| m.state == "up").count() >= machines)
@@ -53,7 +53,7 @@
     /// Waits until the reason is told in words that hold these.
     fn sees(&mut self, job: &str, name: &str, words: &str) -> Option<String> {
         let mut told = None;
-        place::until(SHOWS_S, || {
+        context::until(SHOWS_S, || {
             let e = self.client.explain(job).ok();
             // Told anew each time: the first look may come before all is placed.
             told = e.and_then(|e| {
@@ -67,7 +67,7 @@
     }
 
     fn ends(&mut self, job: &str) -> bool {
-        place::until(ENDS_S, || {
+        context::until(ENDS_S, || {
             self.client
                 .job(job)
                 .is_ok_and(|d| d.row.state == State::Done)
@@ -89,20 +89,20 @@
 }
 
 /// The whole room is one machine that nothing can be added to.
-fn narrow(lab: &Lab, dir: &Path) -> ClusterPlan {
+fn narrow(context: &TestContext, dir: &Path) -> ClusterPlan {
     ClusterPlan {
         nodes: 2,
         machines: 1,
         rentable: 0,
         cpus: 4.0,
         keeper: Some(Vec::new()),
-        ..place::plan(lab, dir)
+        ..context::plan(context, dir)
     }
 }
 
-type Case = fn(&Lab, &Path) -> Result<(Option<String>, bool), TestbedError>;
+type Case = fn(&TestContext, &Path) -> Result<(Option<String>, bool), TestbedError>;
 
-pub(crate) fn run(lab: &Lab) -> Result<Value, TestbedError> {
+pub(crate) fn run(context: &TestContext) -> Result<Value, TestbedError> {
     let cases: [(&str, Case); 14] = [
         ("frozen", frozen),
         ("failures", failures),
@@ -122,7 +122,7 @@
     let (mut ok, mut told) = (true, serde_json::Map::new());
     for (name, case) in cases {
         let folder = Folder::new(&format!("explain-{name}"))?;
-        let (words, ran) = match case(lab, &folder.0) {
+        let (words, ran) = match case(context, &folder.0) {
             Ok(found) => found,
             Err(e) => {
                 eprintln!("{name}: {e}");
@@ -140,8 +140,8 @@
     Ok(json!({"ok": ok, "experiment": "explain", "reasons": told}))
 }
 
-fn frozen(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(lab, dir))?;
+fn frozen(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let mut s = Stage::new(narrow(context, dir))?;
     s.direct(Target::Team("home".into()), true)?;
     let job = s.job(|_| {})?;
     let told = s.sees(&job, "frozen", "");
@@ -149,8 +149,8 @@
     Ok((told, s.ends(&job)))
 }
 
-fn failures(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut plan = narrow(lab, dir);
+fn failures(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let mut plan = narrow(context, dir);
     plan.machines = 4;
     plan.rentable = 4;
     let mut s = Stage::new(plan)?;
@@ -162,8 +162,8 @@
     Ok((told, s.ends(&job)))
 }
 
-fn team_limit(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut plan = narrow(lab, dir);
+fn team_limit(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let mut plan = narrow(context, dir);
     plan.machines = 3;
     let mut s = Stage::new(plan)?;
     let first = s.job(|j| {
@@ -176,8 +176,8 @@
     Ok((told, s.ends(&job)))
 }
 
-fn filled(lab: &Lab, dir: &Path) -> Result<(Stage, String), TestbedError> {
-    let mut s = Stage::new(narrow(lab, dir))?;
+fn filled(context: &TestContext, dir: &Path) -> Result<(Stage, String), TestbedError> {
+    let mut s = Stage::new(narrow(context, dir))?;
     let first = s.job(|j| {
         j.cpus = 3.0;
         j.command = Some("sleep 300".into());
@@ -185,16 +185,16 @@
     Ok((s, first))
 }
 
-fn no_room(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let (mut s, first) = filled(lab, dir)?;
+fn no_room(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let (mut s, first) = filled(context, dir)?;
     let job = s.job(|j| j.cpus = 3.0)?;
     let told = s.sees(&job, "no_room", "lacks 2.00 CPUs");
     s.client.cancel(&first)?;
     Ok((told, s.ends(&job)))
 }
 
-fn behind(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let (mut s, first) = filled(lab, dir)?;
+fn behind(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let (mut s, first) = filled(context, dir)?;
     let other = s.job(|j| {
         j.cpus = 3.0;
         j.urgency = beamhinge_core::job::Urgency::High;
@@ -205,16 +205,19 @@
     Ok((told, s.ends(&job)))
 }
 
-fn market_refused(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let (mut s, first) = filled(lab, dir)?;
+fn market_refused(
+    context: &TestContext,
+    dir: &Path,
+) -> Result<(Option<String>, bool), TestbedError> {
+    let (mut s, first) = filled(context, dir)?;
     let job = s.job(|j| j.cpus = 3.0)?;
     let told = s.sees(&job, "market_refused", "");
     s.client.cancel(&first)?;
     Ok((told, s.ends(&job)))
 }
 
-fn booting(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut plan = narrow(lab, dir);
+fn booting(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let mut plan = narrow(context, dir);
     plan.rentable = 2;
     plan.boot_s = 4.0;
     let mut s = Stage::new(plan)?;
@@ -227,8 +230,8 @@
     Ok((told, s.ends(&job)))
 }
 
-fn renting(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut plan = narrow(lab, dir);
+fn renting(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let mut plan = narrow(context, dir);
     plan.rentable = 2;
     let mut s = Stage::new(plan)?;
     // While the cloud is away the rental is asked for, and nothing boots.
@@ -243,8 +246,8 @@
     Ok((told, s.ends(&job)))
 }
 
-fn drained(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(lab, dir))?;
+fn drained(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let mut s = Stage::new(narrow(context, dir))?;
     s.direct(Target::MachineType("m".into()), true)?;
     let job = s.job(|_| {})?;
     let told = s.sees(&job, "drained", "");
@@ -252,15 +255,15 @@
     Ok((told, s.ends(&job)))
 }
 
-fn fetching(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(lab, dir))?;
+fn fetching(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let mut s = Stage::new(narrow(context, dir))?;
     let job = s.job(|j| (j.image, j.image_gb) = ("tools".into(), 2.0))?;
     let told = s.sees(&job, "fetching", "");
     Ok((told, s.ends(&job)))
 }
 
-fn starting(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(lab, dir))?;
+fn starting(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let mut s = Stage::new(narrow(context, dir))?;
     // A machine that hangs has not fetched its order yet.
     s.cluster.inject(PlatformFault::Hang {
         machine: 0,
@@ -272,18 +275,18 @@
     Ok((told, s.ends(&job)))
 }
 
-fn ahead(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(lab, dir))?;
+fn ahead(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let mut s = Stage::new(narrow(context, dir))?;
     s.job(|j| (j.cpus, j.expect_s) = (4.0, 3.0))?;
     let job = s.job(|j| j.cpus = 4.0)?;
     let told = s.sees(&job, "ahead", "");
     Ok((told, s.ends(&job)))
 }
 
-fn inherited(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(lab, dir))?;
+fn inherited(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let mut s = Stage::new(narrow(context, dir))?;
     let job = s.job(|j| j.expect_s = 2.0)?;
-    place::until(10.0, || s.client.job(&job).is_ok_and(|d| d.row.running > 0));
+    context::until(10.0, || s.client.job(&job).is_ok_and(|d| d.row.running > 0));
     s.cluster.inject(PlatformFault::Hang {
         machine: 0,
         seconds: 6.0,
@@ -298,8 +301,8 @@
     Ok((told, s.ends(&job)))
 }
 
-fn split(lab: &Lab, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let (mut s, first) = filled(lab, dir)?;
+fn split(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
+    let (mut s, first) = filled(context, dir)?;
     let job = s.job(|j| {
         j.cpus = 3.0;
         j.due_s = Some(60.0);
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -13,25 +13,25 @@
 pub(crate) struct Answer {
     pub asked: f64,
     pub got: f64,
-    pub what: Said,
+    pub what: JobReply,
     /// Who said it, for the reader of a failure.
     pub by: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Said {
+pub(crate) enum JobReply {
     Accepted,
     State(State),
     Unknown,
 }
 
-impl Said {
+impl JobReply {
     fn known(self) -> bool {
-        self != Said::Unknown
+        self != JobReply::Unknown
     }
     fn last(self) -> Option<State> {
         match self {
-            Said::State(s) if s.is_final() => Some(s),
+            JobReply::State(s) if s.is_final() => Some(s),
             _ => None,
         }
     }
@@ -58,7 +58,7 @@
 }
 
 impl Machines {
-    pub(crate) fn saw(&mut self, at: f64, seen: &MachineEvent) {
+    pub(crate) fn on_event(&mut self, at: f64, seen: &MachineEvent) {
         let task_id = &seen.event.task_id;
         match seen.event.transition {
             TaskTransition::Started => {
@@ -90,7 +90,7 @@
         let first_done = h
             .answers
             .iter()
-            .filter(|a| a.what == Said::State(State::Done))
+            .filter(|a| a.what == JobReply::State(State::Done))
             .map(|a| a.got)
             .fold(f64::INFINITY, f64::min);
         if first_done.is_finite() {
@@ -126,14 +126,14 @@
             last = last.or(g.what.last().map(|_| g));
             next += 1;
         }
-        if let (Some(k), Said::Unknown) = (known, a.what) {
+        if let (Some(k), JobReply::Unknown) = (known, a.what) {
             wrong.push(format!(
                 "{job} was known to {} at {:.3} s, and unknown to {} at {:.3} s",
                 k.by, k.got, a.by, a.got
             ));
         }
         if let Some(l) = last {
-            let same = a.what.last() == l.what.last() || a.what == Said::Unknown;
+            let same = a.what.last() == l.what.last() || a.what == JobReply::Unknown;
             if !same {
                 wrong.push(format!(
                     "{job} was {:?} by {} at {:.3} s, then {:?} by {} at {:.3} s",
--- a/crates/testbed/src/history/tests.rs
+++ b/crates/testbed/src/history/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use beamhinge_emulator::worker::TaskEvent;
 
-fn answer(asked: f64, got: f64, what: Said) -> Answer {
+fn answer(asked: f64, got: f64, what: JobReply) -> Answer {
     Answer {
         asked,
         got,
@@ -23,22 +23,28 @@
 
 #[test]
 fn answers_that_cross_may_differ_and_later_ones_may_not() {
-    let (done, open) = (Said::State(State::Done), Said::State(State::Running));
+    let (done, open) = (
+        JobReply::State(State::Done),
+        JobReply::State(State::Running),
+    );
     assert!(judged(vec![answer(0.0, 5.0, open), answer(1.0, 2.0, done)], false).is_empty());
     assert_eq!(
         judged(vec![answer(0.0, 1.0, done), answer(2.0, 3.0, open)], false).len(),
         1
     );
-    let unknown = answer(2.0, 3.0, Said::Unknown);
+    let unknown = answer(2.0, 3.0, JobReply::Unknown);
     assert_eq!(
-        judged(vec![answer(0.0, 1.0, Said::Accepted), unknown], false).len(),
+        judged(vec![answer(0.0, 1.0, JobReply::Accepted), unknown], false).len(),
         1
     );
 }
 
 #[test]
 fn two_final_answers_and_a_cancel_by_nobody_are_found() {
-    let (done, gone) = (Said::State(State::Done), Said::State(State::Cancelled));
+    let (done, gone) = (
+        JobReply::State(State::Done),
+        JobReply::State(State::Cancelled),
+    );
     // Crossing, so that neither came after the other.
     let both = vec![answer(0.0, 5.0, done), answer(1.0, 4.0, gone)];
     assert_eq!(judged(both, true).len(), 1);
@@ -57,10 +63,10 @@
             transition: what,
         },
     };
-    m.saw(1.0, &seen(1, TaskTransition::Started));
-    m.saw(2.0, &seen(2, TaskTransition::Started));
+    m.on_event(1.0, &seen(1, TaskTransition::Started));
+    m.on_event(2.0, &seen(2, TaskTransition::Started));
     assert_eq!(m.twice.len(), 1);
-    let answers = vec![answer(2.0, 2.5, Said::State(State::Done))];
+    let answers = vec![answer(2.0, 2.5, JobReply::State(State::Done))];
     let h = JobHistory {
         tasks: 1,
         answers,
@@ -70,6 +76,6 @@
     let jobs = BTreeMap::from([("job-1".to_string(), h)]);
     assert_eq!(wrong(&jobs, &m).len(), 2, "twice, and done with one open");
     m.twice.clear();
-    m.saw(2.2, &seen(2, TaskTransition::Finished));
+    m.on_event(2.2, &seen(2, TaskTransition::Finished));
     assert!(wrong(&jobs, &m).is_empty());
 }
--- a/crates/testbed/src/list.rs
+++ b/crates/testbed/src/list.rs
@@ -1,7 +1,7 @@
 //! A long list of jobs: every page is bounded, the cursor misses and repeats
 //! nothing while jobs come and go, and the controller's memory is told.
 
-use crate::place::{self, Folder, Lab};
+use crate::context::{self, Folder, TestContext};
 use crate::TestbedError;
 use beamhinge_admin_api::directives::{Afterwards, Directive, Target, VERSION};
 use beamhinge_admin_api::messages::JobRequest;
@@ -125,24 +125,24 @@
 
 /// Runs the experiment; returns the figures that it prints. `open`: none of the jobs is
 /// finished.
-pub(crate) fn run(lab: &Lab, quick: bool, open: bool) -> Result<Value, TestbedError> {
+pub(crate) fn run(context: &TestContext, quick: bool, open: bool) -> Result<Value, TestbedError> {
     let jobs = if quick { 5_000 } else { 50_000 };
     let folder = Folder::new("list")?;
     std::fs::write(folder.0.join("state.log"), state_log(jobs, open)?)?;
-    let mut plan = place::plan(lab, &folder.0);
+    let mut plan = context::plan(context, &folder.0);
     (plan.nodes, plan.kept) = (1, true);
     let began = Instant::now();
-    let cluster = place::start(plan, Box::new(|_| {}))?;
+    let cluster = context::start(plan, Box::new(|_| {}))?;
     let loaded_s = began.elapsed().as_secs_f64();
     let pid = cluster.processes().first().copied().unwrap_or(0);
-    let before_mb = place::memory_mb(pid).0;
-    let mut client = place::client(&cluster, 20.0);
+    let before_mb = context::memory_mb(pid).0;
+    let mut client = context::client(&cluster, 20.0);
     let listing = read_list(&mut client)?;
     let missing = (0..jobs)
         .filter(|i| !listing.seen.contains(&format!("job-{i:08}")))
         .count();
     let pages_without_match = pages_without_match(&mut client)?;
-    let (now_mb, peak_mb) = place::memory_mb(pid);
+    let (now_mb, peak_mb) = context::memory_mb(pid);
     let round = |x: f64| (x * 1e3).round() / 1e3;
     let Listing {
         repeated, pages, ..
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -3,12 +3,12 @@
 
 mod ageing;
 mod configuration;
+mod context;
 mod days;
 mod doors;
 mod explain;
 mod history;
 mod list;
-mod place;
 mod restart;
 mod scale;
 
@@ -45,7 +45,7 @@
     Restart {
         /// Break a guard of a stand-in: the checks must find it
         #[arg(long = "break", value_enum)]
-        broken: Option<Broken>,
+        broken: Option<ProtocolFault>,
     },
     /// Each reason why a job does not run is caused, told, and taken away
     Explain,
@@ -73,7 +73,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Broken {
+enum ProtocolFault {
     /// Workers leave running tasks out of their reports
     HideTasks,
     /// The state service forgets jobs after a while
@@ -110,29 +110,29 @@
     if let Experiment::Role = &arguments.experiment {
         return scale::role::run();
     }
-    let lab = place::Lab {
+    let context = context::TestContext {
         seed: arguments.seed,
-        controller: place::controller(&arguments.controller),
+        controller: context::controller(&arguments.controller),
     };
     let quick = arguments.quick;
     let result = match arguments.experiment {
         Experiment::Restart { broken } => {
             let mut protocol_faults = ProtocolFaults::default();
             match broken {
-                Some(Broken::HideTasks) => protocol_faults.hide_tasks = true,
-                Some(Broken::ForgetJobs) => protocol_faults.forgets_jobs = true,
-                Some(Broken::EarlyDone) => protocol_faults.early_done = true,
+                Some(ProtocolFault::HideTasks) => protocol_faults.hide_tasks = true,
+                Some(ProtocolFault::ForgetJobs) => protocol_faults.forgets_jobs = true,
+                Some(ProtocolFault::EarlyDone) => protocol_faults.early_done = true,
                 None => {}
             }
-            restart::run(&lab, quick, protocol_faults)
+            restart::run(&context, quick, protocol_faults)
         }
-        Experiment::Explain => explain::run(&lab),
+        Experiment::Explain => explain::run(&context),
         Experiment::Days(options) => days::run(arguments.seed, quick, &options),
         Experiment::Ageing(options) => ageing::run(arguments.seed, quick, &options),
         Experiment::Configuration(options) => configuration::run(arguments.seed, &options),
-        Experiment::Doors => doors::run(&lab),
-        Experiment::List { open } => list::run(&lab, quick, open),
-        Experiment::Scale(options) => scale::run(&lab, quick, &options),
+        Experiment::Doors => doors::run(&context),
+        Experiment::List { open } => list::run(&context, quick, open),
+        Experiment::Scale(options) => scale::run(&context, quick, &options),
         Experiment::Role | Experiment::Controller(_) => return ExitCode::FAILURE,
     };
     let figures = result.unwrap_or_else(|e| {
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -2,8 +2,8 @@
 //! together, while clients submit, ask and cancel in pairs. Whether every job
 //! keeps one final answer is judged by histories kept outside.
 
-use crate::history::{wrong, Answer, JobHistory, Machines, Said};
-use crate::place::{self, Folder, Lab};
+use crate::context::{self, Folder, TestContext};
+use crate::history::{wrong, Answer, JobHistory, JobReply, Machines};
 use crate::TestbedError;
 use beamhinge_admin_api::messages::{JobRequest, State};
 use beamhinge_client::connection::Connection;
@@ -42,7 +42,7 @@
         self.began.elapsed().as_secs_f64()
     }
 
-    fn heard(&self, job: &str, asked: f64, what: Said, by: &str) {
+    fn heard(&self, job: &str, asked: f64, what: JobReply, by: &str) {
         let got = self.now();
         let answer = Answer {
             asked,
@@ -136,7 +136,7 @@
 
 /// Runs the experiment; returns the figures that it prints.
 pub(crate) fn run(
-    lab: &Lab,
+    context: &TestContext,
     quick: bool,
     protocol_faults: ProtocolFaults,
 ) -> Result<Value, TestbedError> {
@@ -151,21 +151,21 @@
         accepted: Mutex::default(),
     });
     let observed = record.clone();
-    let mut plan = place::plan(lab, &folder.0);
+    let mut plan = context::plan(context, &folder.0);
     plan.protocol_faults = protocol_faults;
     let observer = Box::new(move |event| {
         let at = observed.now();
-        lock(&observed.machines).saw(at, &event);
+        lock(&observed.machines).on_event(at, &event);
     });
-    let mut cluster = place::start(plan, observer)?;
+    let mut cluster = context::start(plan, observer)?;
     let plan = cluster.plan();
     let addresses = Addresses {
-        operators: place::doors(&cluster),
+        operators: context::admin_listeners(&cluster),
         users: (0..plan.nodes).map(|n| plan.users_of(n)).collect(),
     };
     let stop = Arc::new(AtomicBool::new(false));
-    let threads = start_clients(&size, lab.seed, &record, &addresses, &stop);
-    let kills = kill_and_start(&mut cluster, lab.seed, size.kills, &record)?;
+    let threads = start_clients(&size, context.seed, &record, &addresses, &stop);
+    let kills = kill_and_start(&mut cluster, context.seed, size.kills, &record)?;
     stop.store(true, Ordering::Relaxed);
     let joined = threads.into_iter().map(thread::JoinHandle::join);
     let failed_threads = joined.filter(Result::is_err).count();
@@ -174,7 +174,7 @@
     let memory_mb = cluster
         .processes()
         .into_iter()
-        .map(|pid| place::memory_mb(pid).1)
+        .map(|pid| context::memory_mb(pid).1)
         .fold(0.0f64, f64::max);
     drop(cluster);
     let ended = fallen.len() + failed_threads;
@@ -190,7 +190,7 @@
 ) -> Result<Vec<(f64, bool)>, TestbedError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let nodes = cluster.plan().nodes;
-    let mut client = place::client(cluster, 1.0);
+    let mut client = context::client(cluster, 1.0);
     let mut made = Vec::new();
     thread::sleep(Duration::from_secs(2));
     for k in 0..kills {
@@ -229,7 +229,7 @@
 fn settle(record: &Arc<Record>, addresses: &Addresses) -> Vec<String> {
     let jobs: Vec<String> = lock(&record.jobs)
         .iter()
-        .filter(|(_, h)| h.answers.iter().any(|a| a.what != Said::Unknown))
+        .filter(|(_, h)| h.answers.iter().any(|a| a.what != JobReply::Unknown))
         .map(|(job, _)| job.clone())
         .collect();
     eprintln!(
@@ -274,7 +274,7 @@
 
 impl Asker {
     fn new(number: usize, seed: u64, record: Arc<Record>, addresses: Addresses) -> Asker {
-        let client = place::client_of(&addresses.operators, 60.0);
+        let client = context::client_of(&addresses.operators, 60.0);
         let rng = StdRng::seed_from_u64(seed);
         Asker {
             record,
@@ -326,8 +326,8 @@
         let asked = self.record.now();
         if let Ok(told) = self.client.submit(&request) {
             let what = match told.state {
-                s if s.is_final() => Said::State(s),
-                _ => Said::Accepted,
+                s if s.is_final() => JobReply::State(s),
+                _ => JobReply::Accepted,
             };
             let by = self.by();
             self.record.heard(job, asked, what, &by);
@@ -346,11 +346,11 @@
         if let Some(h) = lock(&self.record.jobs).get_mut(job) {
             h.cancel_sent = true;
         }
-        let mut doors = self.addresses.operators.clone();
-        doors.rotate_left(1);
+        let mut admin_listeners = self.addresses.operators.clone();
+        admin_listeners.rotate_left(1);
         let (record, other) = (self.record.clone(), job.to_string());
         let pair = thread::spawn(move || {
-            let mut client = place::client_of(&doors, 60.0);
+            let mut client = context::client_of(&admin_listeners, 60.0);
             cancel(&mut client, &record, &other);
         });
         cancel(&mut self.client, &self.record, job);
@@ -366,11 +366,12 @@
         let by = self.by();
         match answer {
             Ok(d) => {
-                self.record.heard(job, asked, Said::State(d.row.state), &by);
+                self.record
+                    .heard(job, asked, JobReply::State(d.row.state), &by);
                 Some(d.row.state)
             }
             Err(ClientError::NotFound(_)) => {
-                self.record.heard(job, asked, Said::Unknown, &by);
+                self.record.heard(job, asked, JobReply::Unknown, &by);
                 None
             }
             Err(_) => None,
@@ -396,16 +397,16 @@
             self.connection = Some(connection);
         }
         let what = match r.status {
-            404 => Said::Unknown,
+            404 => JobReply::Unknown,
             200 => {
                 let v: Value = wire::decode(&r.body).ok()?;
-                Said::State(State::parse(v["status"].as_str()?)?)
+                JobReply::State(State::parse(v["status"].as_str()?)?)
             }
             _ => return None,
         };
         self.record.heard(job, asked, what, "the users' interface");
         match what {
-            Said::State(s) => Some(s),
+            JobReply::State(s) => Some(s),
             _ => None,
         }
     }
@@ -428,8 +429,8 @@
         .last_controller()
         .map_or(String::new(), |a| format!("cancel by {a}"));
     match answer {
-        Ok(told) => record.heard(job, asked, Said::State(told.state), &by),
-        Err(ClientError::NotFound(_)) => record.heard(job, asked, Said::Unknown, &by),
+        Ok(told) => record.heard(job, asked, JobReply::State(told.state), &by),
+        Err(ClientError::NotFound(_)) => record.heard(job, asked, JobReply::Unknown, &by),
         Err(_) => {}
     }
 }
@@ -474,10 +475,10 @@
     for job in unfinished.iter().take(10) {
         eprintln!("not over: {job}");
     }
-    let known = |h: &&JobHistory| h.answers.iter().any(|a| a.what != Said::Unknown);
+    let known = |h: &&JobHistory| h.answers.iter().any(|a| a.what != JobReply::Unknown);
     let accepted = jobs.values().filter(known).count();
     let of = |state| {
-        let told = |h: &&JobHistory| h.answers.iter().any(|a| a.what == Said::State(state));
+        let told = |h: &&JobHistory| h.answers.iter().any(|a| a.what == JobReply::State(state));
         jobs.values().filter(told).count()
     };
     let answered = gaps(kills, &lock(&record.accepted));
--- a/crates/testbed/src/scale/checker.rs
+++ b/crates/testbed/src/scale/checker.rs
@@ -16,7 +16,7 @@
 
 /// A rule that was broken: how often, and by what first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub(super) struct Broken {
+pub(super) struct RuleViolation {
     pub times: u64,
     pub first: String,
 }
@@ -44,7 +44,7 @@
     use_of_teams: BTreeMap<String, f64>,
     /// Cancelled jobs with tasks on machines.
     leaving: BTreeMap<u64, WallUs>,
-    pub broken: BTreeMap<String, Broken>,
+    pub broken: BTreeMap<String, RuleViolation>,
     /// Starts by the second of the day.
     pub starts: BTreeMap<u64, u64>,
     /// Waits of urgent jobs by the second of their acceptance, milliseconds.
@@ -96,7 +96,7 @@
     }
 
     /// Judges all that is old enough to be in order.
-    pub(super) fn judge_until(&mut self, now: WallUs) {
+    pub(super) fn check_until(&mut self, now: WallUs) {
         while let Some(entry) = self.waiting.first_entry() {
             if entry.key().0 + REORDER_US > now {
                 break;
@@ -236,7 +236,7 @@
                     self.break_rule("not_done", what);
                 }
             }
-            UserEvent::Broken(rule) => self.break_rule(&rule, format!("job-{number:06}")),
+            UserEvent::RuleViolation(rule) => self.break_rule(&rule, format!("job-{number:06}")),
             UserEvent::CancelSent => {}
         }
     }
--- a/crates/testbed/src/scale/checker/tests.rs
+++ b/crates/testbed/src/scale/checker/tests.rs
@@ -38,7 +38,7 @@
 }
 
 fn broken(mut checker: Checker) -> Vec<String> {
-    checker.judge_until(1_000 * SECOND);
+    checker.check_until(1_000 * SECOND);
     checker.broken.keys().cloned().collect()
 }
 
@@ -80,7 +80,7 @@
     });
     task(&mut c, 2, 0, "job-000001/0", 1, TaskTransition::Finished);
     task(&mut c, 3, 3, "job-000001/2", 1, TaskTransition::Started);
-    c.judge_until(100 * SECOND);
+    c.check_until(100 * SECOND);
     assert!(c.broken.is_empty());
     task(&mut c, 101, 4, "job-000001/3", 1, TaskTransition::Started);
     assert_eq!(broken(c), ["quota"]);
@@ -96,7 +96,7 @@
             task(&mut c, s, 1, "job-000001/0", 1, TaskTransition::Stopped);
         }
         for s in 3..30 {
-            c.judge_until(s * SECOND);
+            c.check_until(s * SECOND);
         }
         assert_eq!(c.broken.contains_key("ran_cancelled"), want, "{left:?}");
     }
@@ -104,7 +104,7 @@
     user(&mut c, 2, 1, UserEvent::Cancelled);
     task(&mut c, 3, 1, "job-000001/0", 1, TaskTransition::Started);
     task(&mut c, 4, 1, "job-000001/0", 1, TaskTransition::Stopped);
-    c.judge_until(30 * SECOND);
+    c.check_until(30 * SECOND);
     assert!(c.late_starts == 1 && c.broken.is_empty());
     task(&mut c, 31, 1, "job-000001/1", 1, TaskTransition::Started);
     assert_eq!(broken(c), ["ran_cancelled"]);
@@ -147,7 +147,7 @@
         1,
         TaskTransition::Started,
     );
-    c.judge_until(100 * SECOND);
+    c.check_until(100 * SECOND);
     assert_eq!(c.urgent_waits, [(5 * SECOND, 2_000.0)]);
     assert_eq!(c.urgent_histogram(0).expect("made").len(), 1);
     assert_eq!(c.urgent_histogram(6 * SECOND).expect("made").len(), 0);
@@ -156,12 +156,12 @@
 #[test]
 fn what_users_found_broken_is_kept_with_its_job() {
     let mut c = checker();
-    user(&mut c, 1, 7, UserEvent::Broken("forgotten".into()));
-    user(&mut c, 2, 8, UserEvent::Broken("forgotten".into()));
-    c.judge_until(100 * SECOND);
+    user(&mut c, 1, 7, UserEvent::RuleViolation("forgotten".into()));
+    user(&mut c, 2, 8, UserEvent::RuleViolation("forgotten".into()));
+    c.check_until(100 * SECOND);
     assert_eq!(
         c.broken["forgotten"],
-        Broken {
+        RuleViolation {
             times: 2,
             first: "job-000007".into()
         }
--- a/crates/testbed/src/scale/config_changes.rs
+++ b/crates/testbed/src/scale/config_changes.rs
@@ -4,7 +4,7 @@
 use super::figures::ConfigurationFigures;
 use super::histograms::{answer_histogram, times};
 use super::layout::{GUARANTEED, LIMIT};
-use crate::place;
+use crate::context;
 use crate::TestbedError;
 use beamhinge_client::Client;
 use beamhinge_configuration::{ConfigurationChange, Quota, TeamChange};
@@ -27,7 +27,7 @@
 /// One gives up on a change after this, seconds.
 const GIVE_UP_S: f64 = 60.0;
 /// How long one answer may take, seconds.
-const PATIENCE_S: f64 = 10.0;
+const ANSWER_TIMEOUT_S: f64 = 10.0;
 /// Guarantees move between these parts of what they were.
 const MOVES: (f64, f64) = (0.5, 1.0);
 
@@ -50,7 +50,10 @@
 }
 
 impl Operators {
-    pub(super) fn start(doors: &[SocketAddrV4], seed: u64) -> Result<Operators, TestbedError> {
+    pub(super) fn start(
+        admin_listeners: &[SocketAddrV4],
+        seed: u64,
+    ) -> Result<Operators, TestbedError> {
         let histogram = answer_histogram().map_err(|e| TestbedError::Other(e.to_string()))?;
         let tally = Tally {
             micros: Some(histogram),
@@ -59,9 +62,10 @@
         let (go, tally) = (Arc::new(AtomicBool::new(true)), Arc::new(Mutex::new(tally)));
         let threads = (0..OPERATORS)
             .map(|n| {
-                let (go, tally, doors) = (go.clone(), tally.clone(), doors.to_vec());
+                let (go, tally, admin_listeners) =
+                    (go.clone(), tally.clone(), admin_listeners.to_vec());
                 std::thread::spawn(move || {
-                    let client = place::client_of(&doors, PATIENCE_S);
+                    let client = context::client_of(&admin_listeners, ANSWER_TIMEOUT_S);
                     let rng = StdRng::seed_from_u64(seed.wrapping_add(n));
                     Operator { client, rng, tally }.work(&go);
                 })
--- a/crates/testbed/src/scale/figures.rs
+++ b/crates/testbed/src/scale/figures.rs
@@ -1,6 +1,6 @@
 //! What a scale run measured, by role, and the operators' budgets against it.
 
-use super::checker::{Broken, JobCounts};
+use super::checker::{JobCounts, RuleViolation};
 use super::size::Size;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -83,7 +83,7 @@
     pub configuration: ConfigurationFigures,
     pub jobs: JobCounts,
     pub late_starts: u64,
-    pub broken: BTreeMap<String, Broken>,
+    pub broken: BTreeMap<String, RuleViolation>,
     /// Controllers that ended by themselves.
     pub fallen: u64,
     pub processes: usize,
--- a/crates/testbed/src/scale/figures/tests.rs
+++ b/crates/testbed/src/scale/figures/tests.rs
@@ -68,7 +68,7 @@
         }),
         ("machines set aside", |f| f.leader_busy_s = 10.0),
         ("rules", |f| {
-            f.broken.insert("quota".into(), Broken::default());
+            f.broken.insert("quota".into(), RuleViolation::default());
         }),
         ("rules", |f| f.jobs.tasks_started = 0),
         ("memory of this machine", |f| f.memory_mb = 12_001.0),
--- a/crates/testbed/src/scale/layout.rs
+++ b/crates/testbed/src/scale/layout.rs
@@ -48,10 +48,10 @@
     /// Processes that hold workers: one for the real ones, if there are any, and the
     /// others by the thousand in a few.
     pub(super) fn worker_processes(&self) -> usize {
-        usize::from(self.real_workers > 0) + self.hollow_processes()
+        usize::from(self.real_workers > 0) + self.timer_processes()
     }
 
-    fn hollow_processes(&self) -> usize {
+    fn timer_processes(&self) -> usize {
         (self.size.workers - self.real_workers).div_ceil(WORKERS_A_PROCESS)
     }
 
@@ -64,7 +64,7 @@
         if self.is_real(process) {
             return self.real_workers;
         }
-        (self.size.workers - self.real_workers).div_ceil(self.hollow_processes())
+        (self.size.workers - self.real_workers).div_ceil(self.timer_processes())
     }
 
     /// The process of a machine by its number.
@@ -73,7 +73,7 @@
         if machine < self.real_workers {
             return 0;
         }
-        usize::from(self.real_workers > 0) + (machine - self.real_workers) % self.hollow_processes()
+        usize::from(self.real_workers > 0) + (machine - self.real_workers) % self.timer_processes()
     }
 
     /// The addresses of a process's workers.
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -185,7 +185,7 @@
     }
 
     /// Looks at all processes once a second; all memory in use, MB, when it did.
-    pub(super) fn sample(
+    pub(super) fn sample_processes(
         &mut self,
         controllers: &[(usize, u32)],
         leader: Option<usize>,
@@ -302,7 +302,7 @@
             let times = self.abused.len() as u64;
             broken.insert(
                 "protocol".into(),
-                super::checker::Broken {
+                super::checker::RuleViolation {
                     times,
                     first: first.clone(),
                 },
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -135,7 +135,8 @@
     Cancelled,
     Done,
     /// The answer breaks a rule of the protocol.
-    Broken(String),
+    #[serde(rename = "Broken")]
+    RuleViolation(String),
 }
 
 /// Sent by a child.
@@ -163,7 +164,8 @@
         status: u16,
     },
     /// From the state service: who holds the lead now.
-    Lead {
+    #[serde(rename = "Lead")]
+    LeaderChanged {
         at: WallUs,
         label: Option<String>,
     },
@@ -182,7 +184,8 @@
         gauges: BTreeMap<String, f64>,
     },
     /// What a controller did that the protocol does not allow.
-    Abused {
+    #[serde(rename = "Abused")]
+    ProtocolViolation {
         what: String,
     },
 }
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,5 +1,6 @@
-//! A scale run: real controllers, hollow workers by the thousand beside a few real ones,
-//! stand-ins and users in processes of their own, on loopback and in real time.
+//! A scale run: real controllers, workers whose tasks are timers by the thousand beside a few
+//! whose tasks are processes,
+//! emulators and users in processes of their own, on loopback and in real time.
 
 mod checker;
 mod children;
@@ -21,7 +22,7 @@
 mod usage;
 mod workload;
 
-use crate::place::{self, Lab};
+use crate::context::{self, TestContext};
 use crate::TestbedError;
 use clap::Args;
 use faults::Fault;
@@ -139,13 +140,13 @@
         Ok(minutes * 60.0)
     }
 
-    fn plan(&self, lab: &Lab, size: Size, seconds: f64) -> RunPlan {
+    fn plan(&self, context: &TestContext, size: Size, seconds: f64) -> RunPlan {
         let mut faults = self.faults.clone();
         faults.extend(faults::drawn(
             &size,
             seconds,
             self.speed_up.max(0.0),
-            lab.seed,
+            context.seed,
         ));
         let real_workers = self.real;
         RunPlan {
@@ -153,12 +154,16 @@
             seconds,
             real_workers,
             faults,
-            base_port: place::free_ports(),
+            base_port: context::free_ports(),
         }
     }
 }
 
-pub(crate) fn run(lab: &Lab, is_quick: bool, options: &Options) -> Result<Value, TestbedError> {
+pub(crate) fn run(
+    context: &TestContext,
+    is_quick: bool,
+    options: &Options,
+) -> Result<Value, TestbedError> {
     let size = options.size(is_quick)?;
     let seconds = options.seconds(is_quick)?;
     if let Some(folder) = &options.out {
@@ -169,15 +174,15 @@
         signal_hook::flag::register(signal, stop.clone())?;
     }
     match options.sweep {
-        Some(axis) => run_sweep(lab, options, axis, &size, seconds, &stop),
+        Some(axis) => run_sweep(context, options, axis, &size, seconds, &stop),
         None => {
-            let played = run::play(lab, options.plan(lab, size.clone(), seconds), &stop)?;
+            let played = run::play(context, options.plan(context, size.clone(), seconds), &stop)?;
             let lines = figures::budget(&size, &played.figures);
             print_budget(&lines);
             if let Some(folder) = &options.out {
                 write_run(folder, &played, &lines)?;
             }
-            Ok(summary(lab.seed, &size, &played.figures, &lines))
+            Ok(summary(context.seed, &size, &played.figures, &lines))
         }
     }
 }
@@ -238,7 +243,7 @@
 }
 
 fn run_sweep(
-    lab: &Lab,
+    context: &TestContext,
     options: &Options,
     axis: Axis,
     full: &Size,
@@ -249,7 +254,7 @@
     let mut broken = false;
     for (x, size) in axis.sizes(full) {
         eprintln!("{}: {x}", axis.name());
-        let played = run::play(lab, options.plan(lab, size, seconds), stop)?;
+        let played = run::play(context, options.plan(context, size, seconds), stop)?;
         broken |= !played.figures.broken.is_empty();
         points.push((x, played.figures));
     }
@@ -271,7 +276,7 @@
         write_sweep(folder, axis, &series, &points)?;
     }
     Ok(json!({
-        "ok": !broken, "experiment": "scale", "seed": lab.seed, "sweep": axis.name(),
+        "ok": !broken, "experiment": "scale", "seed": context.seed, "sweep": axis.name(),
         "series": series,
     }))
 }
--- a/crates/testbed/src/scale/role/cloud.rs
+++ b/crates/testbed/src/scale/role/cloud.rs
@@ -87,7 +87,7 @@
     }
 
     /// Tells which machines are up or gone.
-    fn tell_machines(&mut self, now: Micros) {
+    fn report_machines(&mut self, now: Micros) {
         self.booting.extend(self.cloud.take_created());
         for machine in self.cloud.take_gone() {
             self.booting.remove(&machine);
@@ -158,7 +158,7 @@
             .handle(us, method, path, &request.body, &mut self.rng);
         self.flows.answer(id, status, body.len());
         respond(out, id, (status, body));
-        self.tell_machines(us);
+        self.report_machines(us);
     }
 
     fn on_tick(&mut self, now: Time, _wall: WallMs, _out: &mut Vec<Effect>) {
@@ -166,11 +166,11 @@
         while let Some(command) = self.links.command() {
             self.apply_command(us, command);
         }
-        self.tell_machines(us);
+        self.report_machines(us);
         for what in self.cloud.violations.drain(..) {
-            self.links.records.send(&Record::Abused { what });
+            self.links.records.send(&Record::ProtocolViolation { what });
         }
         let gauges = [("machines", self.cloud.instances.len() as f64)];
-        self.links.tell_counts(now, self.flows.flows(), &gauges);
+        self.links.report_counts(now, self.flows.flows(), &gauges);
     }
 }
--- a/crates/testbed/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -82,7 +82,7 @@
     }
 
     /// Tells the counts if they are due, and sends what was recorded.
-    pub(crate) fn tell_counts(&mut self, now: Time, flows: &Flows, gauges: &[(&str, f64)]) {
+    pub(crate) fn report_counts(&mut self, now: Time, flows: &Flows, gauges: &[(&str, f64)]) {
         if now.since(self.counted) >= COUNTS_S {
             self.counted = now;
             let gauges: BTreeMap<String, f64> = gauges
--- a/crates/testbed/src/scale/role/state.rs
+++ b/crates/testbed/src/scale/role/state.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    fn note_lead(&mut self) {
+    fn report_leader(&mut self) {
         let label = self
             .server
             .state
@@ -111,7 +111,7 @@
             .and_then(|v| v["label"].as_str());
         if label != self.lead.as_deref() {
             self.lead = label.map(String::from);
-            self.links.records.send(&Record::Lead {
+            self.links.records.send(&Record::LeaderChanged {
                 at: wall_us(),
                 label: self.lead.clone(),
             });
@@ -150,7 +150,7 @@
         let before = out.len();
         self.server.on_request(now, id, &request, out);
         self.pass(micros(now), before, out);
-        self.note_lead();
+        self.report_leader();
     }
 
     fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
@@ -165,9 +165,9 @@
         while self.delayed.front().is_some_and(|(at, _)| *at <= us) {
             out.extend(self.delayed.pop_front().map(|(_, answer)| answer));
         }
-        self.note_lead();
+        self.report_leader();
         for what in self.server.state.violations.drain(..) {
-            self.links.records.send(&Record::Abused { what });
+            self.links.records.send(&Record::ProtocolViolation { what });
         }
         let state = &self.server.state;
         let gauges = [
@@ -176,6 +176,6 @@
             ("keys", state.keys_under("") as f64),
             ("held", self.held.len() as f64),
         ];
-        self.links.tell_counts(now, self.flows.flows(), &gauges);
+        self.links.report_counts(now, self.flows.flows(), &gauges);
     }
 }
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -201,7 +201,7 @@
     fn again(&mut self, now: Micros, ask: Ask, after_s: f64, refused: u32) {
         let too_late = now > ask.due + (GIVE_UP_S * 1e6) as Micros;
         if ask.kind != UserRequest::Poll && too_late {
-            self.answered_at_last(now, ask, 0);
+            self.record_answer(now, ask, 0);
             return;
         }
         let at = now + (after_s * 1e6) as Micros;
@@ -219,7 +219,7 @@
         }));
     }
 
-    fn answered_at_last(&self, now: Micros, ask: Ask, status: u16) {
+    fn record_answer(&self, now: Micros, ask: Ask, status: u16) {
         let ms = now.saturating_sub(ask.due) as f64 / 1e3;
         let kind = name(ask.kind).to_string();
         self.links
@@ -227,7 +227,7 @@
             .send(&Record::Answered { kind, ms, status });
     }
 
-    fn take_reply(&mut self, now: Micros, id: CallId, result: Option<(u16, Vec<u8>)>) {
+    fn on_reply_to(&mut self, now: Micros, id: CallId, result: Option<(u16, Vec<u8>)>) {
         let Some(InFlight { ask, sent }) = self.in_flight.remove(&id) else {
             return;
         };
@@ -247,12 +247,12 @@
         if retried || early {
             return self.again(now, ask, self.pause_s(ask.kind), 0);
         }
-        self.answered_at_last(now, ask, status);
-        self.take_answer(now, sent, ask, status, &body);
+        self.record_answer(now, ask, status);
+        self.on_final_answer(now, sent, ask, status, &body);
     }
 
     /// An accepted job about which nothing was told for so long counts as forgotten.
-    fn look_for_forgotten(&mut self, now: Micros) {
+    fn check_forgotten(&mut self, now: Micros) {
         let late = (FORGOTTEN_S * 1e6) as Micros;
         let forgotten: Vec<u64> = self
             .last_told
@@ -262,7 +262,7 @@
             .collect();
         for job in forgotten {
             self.last_told.remove(&job);
-            self.record(job, UserEvent::Broken("forgotten".into()));
+            self.record(job, UserEvent::RuleViolation("forgotten".into()));
         }
     }
 
@@ -274,7 +274,7 @@
         }
     }
 
-    fn take_answer(&mut self, now: Micros, sent: Micros, ask: Ask, status: u16, body: &[u8]) {
+    fn on_final_answer(&mut self, now: Micros, sent: Micros, ask: Ask, status: u16, body: &[u8]) {
         let value = decode(body);
         let state = value["status"].as_str().unwrap_or("");
         let Some(told) = self.told.get_mut(&ask.job) else {
@@ -295,7 +295,7 @@
         });
         let after = (told.accepted, told.over, told.done);
         for rule in broken {
-            self.record(ask.job, UserEvent::Broken(rule.to_string()));
+            self.record(ask.job, UserEvent::RuleViolation(rule.to_string()));
         }
         if after.0 && after.1.is_none() {
             self.last_told.insert(ask.job, now);
@@ -354,7 +354,7 @@
         result: Option<(u16, Vec<u8>)>,
         _out: &mut Vec<Effect>,
     ) {
-        self.take_reply(micros(now), id, result);
+        self.on_reply_to(micros(now), id, result);
     }
 
     fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
@@ -365,7 +365,7 @@
             }
         }
         self.submit_due(us);
-        self.look_for_forgotten(us);
+        self.check_forgotten(us);
         while self.queue.peek().is_some_and(|Reverse(ask)| ask.at <= us) {
             if let Some(Reverse(ask)) = self.queue.pop() {
                 self.send(us, ask, out);
@@ -376,6 +376,6 @@
             ("open", self.open as f64),
             ("flying", self.in_flight.len() as f64),
         ];
-        self.links.tell_counts(now, self.flows.flows(), &gauges);
+        self.links.report_counts(now, self.flows.flows(), &gauges);
     }
 }
--- a/crates/testbed/src/scale/role/workers.rs
+++ b/crates/testbed/src/scale/role/workers.rs
@@ -195,7 +195,7 @@
         }
     }
 
-    fn take_reply(&mut self, now: Micros, id: CallId, result: Option<&Response>) {
+    fn on_reply_to(&mut self, now: Micros, id: CallId, result: Option<&Response>) {
         if let Some((status, body)) = result {
             self.flows.reply("report", *status, body.len());
         }
@@ -248,7 +248,7 @@
         result: Option<(u16, Vec<u8>)>,
         _out: &mut Vec<Effect>,
     ) {
-        self.take_reply(micros(now), id, result.as_ref());
+        self.on_reply_to(micros(now), id, result.as_ref());
     }
 
     fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
@@ -258,7 +258,7 @@
         }
         while self.lost.front().is_some_and(|(at, _)| *at <= us) {
             if let Some((_, id)) = self.lost.pop_front() {
-                self.take_reply(us, id, None);
+                self.on_reply_to(us, id, None);
             }
         }
         let before = out.len();
@@ -267,6 +267,6 @@
         let workers = self.pool.workers().count();
         let on_machines: usize = self.pool.workers().map(|(_, w)| w.running().count()).sum();
         let gauges = [("workers", workers as f64), ("running", on_machines as f64)];
-        self.links.tell_counts(now, self.flows.flows(), &gauges);
+        self.links.report_counts(now, self.flows.flows(), &gauges);
     }
 }
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -17,7 +17,7 @@
 use super::size::Size;
 use super::usage;
 use super::workload::Workload;
-use crate::place::{Folder, Lab};
+use crate::context::{Folder, TestContext};
 use crate::TestbedError;
 use beamhinge_dev_cluster::controllers::{ControllerFiles, ControllerProgram, Controllers};
 use beamhinge_dev_cluster::deployment::Deployment;
@@ -68,10 +68,10 @@
 }
 
 /// What is done later because of a fault.
-enum Later {
+enum ScheduledAction {
     StartController(usize),
-    GoOn(usize),
-    MendLinks(Vec<(usize, usize)>),
+    Resume(usize),
+    RestoreLinks(Vec<(usize, usize)>),
 }
 
 struct Run {
@@ -88,7 +88,7 @@
     free_places: Vec<BTreeSet<usize>>,
     machines: BTreeMap<u64, (usize, String)>,
     leader: Option<usize>,
-    later: Vec<(Instant, Later)>,
+    schedule: Vec<(Instant, ScheduledAction)>,
     rng: StdRng,
     seed: u64,
     configuration: ConfigurationFigures,
@@ -127,7 +127,7 @@
 
 /// Plays one run.
 pub(super) fn play(
-    lab: &Lab,
+    context: &TestContext,
     plan: RunPlan,
     stop: &Arc<AtomicBool>,
 ) -> Result<Played, TestbedError> {
@@ -136,7 +136,7 @@
         .map_err(|e| TestbedError::Other(e.to_string()))?;
     let layout = Layout::new(plan.size.clone(), plan.base_port, plan.real_workers);
     check_machine(&layout)?;
-    let mut run = Run::start(lab, plan, layout, stop.clone())?;
+    let mut run = Run::start(context, plan, layout, stop.clone())?;
     run.wait_until_ready()?;
     run.play_load()?;
     run.finish()
@@ -144,7 +144,7 @@
 
 impl Run {
     fn start(
-        lab: &Lab,
+        context: &TestContext,
         plan: RunPlan,
         layout: Layout,
         stop: Arc<AtomicBool>,
@@ -153,12 +153,12 @@
         let deployment = layout.deployment();
         let relays = start_relays(&layout, &deployment)?;
         let (sender, records) = channel();
-        let workload = Workload::new(&plan.size, lab.seed);
+        let workload = Workload::new(&plan.size, context.seed);
         let mut roles = BTreeMap::new();
-        for (id, role) in role_plans(&plan, &layout, &workload, lab.seed) {
+        for (id, role) in role_plans(&plan, &layout, &workload, context.seed) {
             roles.insert(id, RoleChild::start(id, &role, sender.clone())?);
         }
-        let controllers = write_controllers(lab, &plan, &layout, &deployment, &folder)?;
+        let controllers = write_controllers(context, &plan, &layout, &deployment, &folder)?;
         let team_limit = deployment.teams.first().map_or(0.0, |t| t.cpus_max);
         let checker = Checker::new(workload, team_limit, plan.size.platform.cancel_s);
         let free_places = (0..layout.worker_processes())
@@ -166,8 +166,8 @@
             .collect();
         Ok(Run {
             measurement: Measurement::new(plan.size.workers),
-            rng: StdRng::seed_from_u64(lab.seed),
-            seed: lab.seed,
+            rng: StdRng::seed_from_u64(context.seed),
+            seed: context.seed,
             configuration: ConfigurationFigures::default(),
             plan,
             layout,
@@ -180,7 +180,7 @@
             free_places,
             machines: BTreeMap::new(),
             leader: None,
-            later: Vec::new(),
+            schedule: Vec::new(),
             began: Instant::now(),
             fallen: 0,
             lead_changes: 0,
@@ -224,7 +224,7 @@
                     "no controller leads after {READY_S} s; the first one's last lines: {end:?}"
                 )));
             }
-            self.turn()?;
+            self.poll()?;
         }
         self.run_for(SETTLE_S)
     }
@@ -246,13 +246,13 @@
     fn run_for(&mut self, seconds: f64) -> Result<(), TestbedError> {
         let until = Instant::now() + Duration::from_secs_f64(seconds);
         while Instant::now() < until {
-            self.turn()?;
+            self.poll()?;
         }
         Ok(())
     }
 
     /// Takes records for a moment, and does what is due.
-    fn turn(&mut self) -> Result<(), TestbedError> {
+    fn poll(&mut self) -> Result<(), TestbedError> {
         self.check_running()?;
         let until = Instant::now() + LOOK;
         while let Some(left) = until.checked_duration_since(Instant::now()) {
@@ -261,29 +261,32 @@
                 Err(_) => break,
             }
         }
-        let due: Vec<usize> = (0..self.later.len())
+        let due: Vec<usize> = (0..self.schedule.len())
             .rev()
-            .filter(|i| self.later[*i].0 <= Instant::now())
+            .filter(|i| self.schedule[*i].0 <= Instant::now())
             .collect();
         for i in due {
-            let (_, later) = self.later.swap_remove(i);
-            self.act_later(later)?;
+            let (_, schedule) = self.schedule.swap_remove(i);
+            self.run_scheduled(schedule)?;
         }
         let fallen = self.controllers.fallen();
         for node in fallen {
             self.fallen += 1;
             self.controllers.start(node)?;
         }
-        self.checker.judge_until(wall_us());
-        self.sample()
+        self.checker.check_until(wall_us());
+        self.sample_processes()
     }
 
-    fn sample(&mut self) -> Result<(), TestbedError> {
+    fn sample_processes(&mut self) -> Result<(), TestbedError> {
         let controllers: Vec<(usize, u32)> = (0..self.plan.size.controllers)
             .filter_map(|node| Some((node, self.controllers.pid(node)?)))
             .collect();
         let roles: Vec<(RoleId, u32)> = self.roles.iter().map(|(id, r)| (*id, r.pid())).collect();
-        let Some(memory_mb) = self.measurement.sample(&controllers, self.leader, &roles) else {
+        let Some(memory_mb) = self
+            .measurement
+            .sample_processes(&controllers, self.leader, &roles)
+        else {
             return Ok(());
         };
         let half = usage::machine_memory_mb() / 2.0;
@@ -306,14 +309,14 @@
             Record::Task { .. } | Record::User { .. } => self.checker.take(record),
             Record::Counts { flows, gauges } => self.measurement.counts(id, flows, gauges),
             Record::Answered { kind, ms, status } => self.measurement.answered(&kind, ms, status),
-            Record::Lead { label, .. } => self.lead(label),
+            Record::LeaderChanged { label, .. } => self.lead(label),
             Record::Booted {
                 machine,
                 zone,
                 spot,
             } => self.boot(machine, zone, spot),
             Record::Gone { machine } => self.remove(machine),
-            Record::Abused { what } => self.measurement.abused(what),
+            Record::ProtocolViolation { what } => self.measurement.abused(what),
             Record::Ready => {}
         }
     }
@@ -370,7 +373,7 @@
         let users = RoleChild::start(id, &role, self.sender.clone())?;
         self.roles.insert(id, users);
         self.began = Instant::now();
-        let doors: Vec<_> = self
+        let admin_listeners: Vec<_> = self
             .layout
             .deployment()
             .nodes
@@ -379,7 +382,7 @@
             .collect();
         let operators = match self.plan.size.config_changes {
             0 => None,
-            _ => Some(Operators::start(&doors, self.seed)?),
+            _ => Some(Operators::start(&admin_listeners, self.seed)?),
         };
         let seconds = self.plan.seconds;
         let build_up = (self.plan.size.run_s() * BUILD_UP_RUNS + BUILD_UP_S)
@@ -388,7 +391,7 @@
         faults.sort_by(|a, b| b.at_s.total_cmp(&a.at_s));
         let mut progress = 0.0;
         loop {
-            self.turn()?;
+            self.poll()?;
             let at = self.began.elapsed().as_secs_f64();
             if at >= build_up && !self.measurement.is_steady() {
                 self.measurement
@@ -396,12 +399,12 @@
             }
             while faults.last().is_some_and(|f| f.at_s <= at) {
                 if let Some(fault) = faults.pop() {
-                    self.strike(at, fault.kind);
+                    self.inject(at, fault.kind);
                 }
             }
             if at >= progress {
                 progress = at + PROGRESS_S;
-                self.tell_progress(at);
+                self.print_progress(at);
             }
             if at >= seconds {
                 break;
@@ -414,7 +417,7 @@
         self.run_for(DRAIN_S)
     }
 
-    fn tell_progress(&self, at: f64) {
+    fn print_progress(&self, at: f64) {
         let counts = self.checker.counts;
         eprintln!(
             "{at:6.1} s  {} jobs accepted, {} done, {} tasks started, {:.0} run; {} machines{}",
@@ -448,14 +451,14 @@
 
 /// Writes the files of all controllers.
 fn write_controllers(
-    lab: &Lab,
+    context: &TestContext,
     plan: &RunPlan,
     layout: &Layout,
     deployment: &Deployment,
     folder: &Folder,
 ) -> Result<Controllers, TestbedError> {
     let mut controllers = Controllers::new(ControllerProgram {
-        program: lab.controller.clone(),
+        program: context.controller.clone(),
         dir: folder.0.clone(),
         log_level: "info".into(),
     });
--- a/crates/testbed/src/scale/run/faults.rs
+++ b/crates/testbed/src/scale/run/faults.rs
@@ -1,6 +1,6 @@
 //! The faults of a scale run: what is done to processes, links and machines when one is due.
 
-use super::{Later, Run};
+use super::{Run, ScheduledAction};
 use crate::scale::children::RoleId;
 use crate::scale::faults::{self, FaultKind};
 use crate::scale::messages::Command;
@@ -10,16 +10,16 @@
 use std::time::{Duration, Instant};
 
 impl Run {
-    fn later(&mut self, after_s: f64, what: Later) {
-        self.later
+    fn schedule(&mut self, after_s: f64, what: ScheduledAction) {
+        self.schedule
             .push((Instant::now() + Duration::from_secs_f64(after_s), what));
     }
 
-    pub(super) fn act_later(&mut self, later: Later) -> Result<(), TestbedError> {
-        match later {
-            Later::StartController(node) => self.controllers.start(node)?,
-            Later::GoOn(node) => self.controllers.pause(node, false),
-            Later::MendLinks(links) => {
+    pub(super) fn run_scheduled(&mut self, schedule: ScheduledAction) -> Result<(), TestbedError> {
+        match schedule {
+            ScheduledAction::StartController(node) => self.controllers.start(node)?,
+            ScheduledAction::Resume(node) => self.controllers.pause(node, false),
+            ScheduledAction::RestoreLinks(links) => {
                 links
                     .iter()
                     .for_each(|(a, b)| self.relays.set_cut(*a, *b, false));
@@ -29,7 +29,7 @@
     }
 
     /// A fault strikes now, so many seconds after the load began.
-    pub(super) fn strike(&mut self, at: f64, kind: FaultKind) {
+    pub(super) fn inject(&mut self, at: f64, kind: FaultKind) {
         eprintln!("{at:6.1} s  fault: {kind}");
         self.marks.push((at, kind.to_string()));
         match kind {
@@ -50,13 +50,13 @@
             FaultKind::LeaderKilled => {
                 if let Some(leader) = self.leader {
                     self.controllers.kill(leader);
-                    self.later(faults::RESTART_S, Later::StartController(leader));
+                    self.schedule(faults::RESTART_S, ScheduledAction::StartController(leader));
                 }
             }
             FaultKind::LeaderStopped => {
                 if let Some(leader) = self.leader {
                     self.controllers.pause(leader, true);
-                    self.later(faults::STOPPED_S, Later::GoOn(leader));
+                    self.schedule(faults::STOPPED_S, ScheduledAction::Resume(leader));
                 }
             }
             FaultKind::StateSlow => {
@@ -144,7 +144,7 @@
         links
             .iter()
             .for_each(|(a, b)| self.relays.set_cut(*a, *b, true));
-        self.later(faults::CUT_S, Later::MendLinks(links));
+        self.schedule(faults::CUT_S, ScheduledAction::RestoreLinks(links));
         let seconds = faults::CUT_S;
         let sides = [(within, outside.to_vec()), (without, inside.to_vec())];
         for (zones, controllers) in sides {
--- a/crates/testbed/src/scale/run/report.rs
+++ b/crates/testbed/src/scale/run/report.rs
@@ -16,7 +16,7 @@
     /// Ends the run.
     pub(super) fn finish(mut self) -> Result<Played, TestbedError> {
         // What is not in order yet is so by now.
-        self.checker.judge_until(wall_us() + ORDER_TIME_US);
+        self.checker.check_until(wall_us() + ORDER_TIME_US);
         let began_us = wall_us().saturating_sub(self.began.elapsed().as_micros() as u64);
         let since_load = |at: u64| (at as f64 - began_us as f64) / 1e6;
         let starts = self.checker.starts.iter();
