--- a/crates/admin-api/src/auth.rs
+++ b/crates/admin-api/src/auth.rs
@@ -1,24 +1,30 @@
-//! Who sent a request: a MAC over method, path, body, time, a nonce and the
-//! process it is meant for.
+//! Authentication of requests: a MAC over method, path, body, time, a nonce and the process that
+//! the request is meant for.
 //!
-//! The process is part of it since a nonce is remembered by one process only:
-//! a request that was overheard could else be played to another controller, or
-//! to this one after a restart.
+//! The process is part of it since a nonce is remembered by one process only: a request that was
+//! overheard could otherwise be replayed to another controller, or to the same one after a
+//! restart.
 
 use crate::messages::Code;
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
+use std::ops::RangeInclusive;
 use std::path::Path;
 
+/// Scheme of the `Authorization` header.
 const SCHEME: &str = "BH1";
-/// Shortest secret that is taken, in bytes.
+/// Shortest secret that is accepted, bytes.
 const MIN_SECRET_BYTES: usize = 16;
 
+/// Lengths of a nonce that are accepted, bytes.
+const NONCE_BYTES: RangeInclusive<usize> = 16..=64;
+
+/// What the owner of a key may do; a greater role includes the lesser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// May ask.
+    /// May query.
     Viewer,
     /// May also submit, cancel, drain and freeze.
     Operator,
@@ -27,7 +33,9 @@
 /// A named secret. Its `Debug` shows the name only: a key never gets into a log.
 #[derive(Clone)]
 pub struct Key {
+    /// Name of the key, as it appears in logs and directives.
     pub name: String,
+    /// What its owner may do.
     pub role: Role,
     secret: Vec<u8>,
 }
@@ -38,21 +46,29 @@
     }
 }
 
+/// Why a key file is not accepted. Never shows a secret.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
+    /// The file cannot be read: its path, and the error.
     #[error("cannot read the key file {0}: {1}")]
     Read(String, std::io::Error),
+    /// The file as a whole is not valid: its path, and the problem.
     #[error("key file {0}: {1}")]
     Form(String, String),
+    /// One section is not valid.
     #[error("key file {file}, [{section}]: {problem}")]
     Section {
+        /// Path of the file.
         file: String,
+        /// Name of the section.
         section: String,
+        /// What is wrong.
         problem: &'static str,
     },
 }
 
 impl Key {
+    /// A key; `None` where its name is not plain or its secret too short.
     pub fn new(name: &str, role: Role, secret: Vec<u8>) -> Option<Key> {
         let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
         let sound = !name.is_empty() && name.bytes().all(plain) && secret.len() >= MIN_SECRET_BYTES;
@@ -63,13 +79,20 @@
         })
     }
 
-    /// A key file: one INI section per key, with `role` and `secret` (hex).
+    /// Reads a key file: one INI section for each key, with `role` and `secret` (hex).
+    ///
+    /// # Errors
+    /// Where the file cannot be read or is not valid.
     pub fn load_all(path: &Path) -> Result<Vec<Key>, KeyError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| KeyError::Read(file.clone(), e))?;
         Key::parse_all(&file, &text)
     }
 
+    /// Parses the text of a key file; `file` is its path, for errors.
+    ///
+    /// # Errors
+    /// Where the text is not valid.
     pub fn parse_all(file: &str, text: &str) -> Result<Vec<Key>, KeyError> {
         let ini = ini::Ini::load_from_str(text)
             .map_err(|e| KeyError::Form(file.into(), e.to_string()))?;
@@ -114,8 +137,8 @@
     fn mac(&self, what: &SignedRequest<'_>) -> Hmac<Sha256> {
         let mut mac = match Hmac::<Sha256>::new_from_slice(&self.secret) {
             Ok(mac) => mac,
-            // Any length of key is taken by this MAC; were it not, a MAC under
-            // no key would match nothing that a client could have made.
+            // This MAC accepts a key of any length; did it not, a MAC under no key would match
+            // nothing that a client could have made.
             Err(_) => Hmac::<Sha256>::new(&Default::default()),
         };
         mac.update(what.text().as_bytes());
@@ -135,19 +158,24 @@
 /// All that a MAC covers.
 #[derive(Clone, Copy, Debug)]
 pub struct SignedRequest<'a> {
+    /// Name of the HTTP method.
     pub method: &'a str,
-    /// With its query.
+    /// The path with its query.
     pub path: &'a str,
+    /// The body.
     pub body: &'a [u8],
+    /// Time of day of the client, milliseconds.
     pub time_ms: u64,
+    /// Drawn by the client for this request.
     pub nonce: &'a str,
+    /// The process that the request is meant for.
     pub instance: &'a str,
 }
 
 impl SignedRequest<'_> {
     fn text(&self) -> String {
-        // One field a line, and none can hold a line's end: no two requests
-        // have the same text.
+        // One field on each line, and none can hold a line break: no two requests have the
+        // same text.
         format!(
             "{SCHEME}\n{}\n{}\n{}\n{}\n{}\n{}\n",
             self.method,
@@ -160,28 +188,42 @@
     }
 }
 
-/// Who a request is from, once it is proven.
+/// Who sent a request, once that is proven.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
+    /// Name of the key.
     pub name: String,
+    /// What the key allows.
     pub role: Role,
 }
 
+/// Why a request is not authenticated. The texts are shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AuthError {
+    /// No signature, an unknown key, or a MAC that does not match.
     #[error("the request carries no valid signature: use a key from the controller's key file")]
     Unauthenticated,
+    /// The client's clock is too far off.
     #[error("the client's clock is {} s {} the controller's; at most {allowed_s} s are allowed: set the clock of the machine you type on", ahead_ms.unsigned_abs() / 1000, if *ahead_ms > 0 { "ahead of" } else { "behind" })]
-    Clock { ahead_ms: i64, allowed_s: u64 },
+    Clock {
+        /// How far the client is ahead, milliseconds.
+        ahead_ms: i64,
+        /// How far it may be, seconds.
+        allowed_s: u64,
+    },
+    /// The same request was accepted before.
     #[error("this very request came before")]
     Replayed,
+    /// It was signed for another process.
     #[error("the request was signed for another process; ask /v1/hello again")]
     OtherInstance,
+    /// No more nonces can be remembered.
     #[error("too many requests within the time that nonces are kept")]
     TooManyRequests,
 }
 
 impl AuthError {
+    /// The code of the answer.
     pub fn code(&self) -> Code {
         match self {
             AuthError::Unauthenticated => Code::Unauthenticated,
@@ -193,35 +235,47 @@
     }
 }
 
-/// Checks requests against the keys, and remembers their nonces for as long as
-/// their time would be accepted.
+/// Checks requests against the keys, and remembers their nonces for as long as their time would
+/// be accepted.
 #[derive(Debug)]
 pub struct Authenticator {
     keys: Vec<Key>,
     instance: String,
-    allowed_ms: u64,
-    /// Most nonces that are kept; a full memory refuses rather than forgets.
-    most: usize,
+    max_clock_skew_ms: u64,
+    /// Nonces that are remembered at most; beyond it requests are refused, since a forgotten
+    /// nonce could be replayed.
+    max_nonces: usize,
+    /// Time and digest of the nonces of accepted requests.
     seen: BTreeSet<(u64, [u8; 16])>,
 }
 
 impl Authenticator {
-    /// Without keys everybody is an operator: only for a door on loopback.
-    pub fn new(keys: Vec<Key>, instance: String, allowed_s: f64, most: usize) -> Authenticator {
-        let allowed_ms = (allowed_s.max(1.0) * 1e3) as u64;
+    /// Without keys everybody is an operator: only for a listener on loopback.
+    pub fn new(
+        keys: Vec<Key>,
+        instance: String,
+        max_clock_skew_s: f64,
+        max_nonces: usize,
+    ) -> Authenticator {
+        let max_clock_skew_ms = (max_clock_skew_s.max(1.0) * 1e3) as u64;
         Authenticator {
             keys,
             instance,
-            allowed_ms,
-            most,
+            max_clock_skew_ms,
+            max_nonces,
             seen: BTreeSet::new(),
         }
     }
 
+    /// The process that requests must be signed for.
     pub fn instance(&self) -> &str {
         &self.instance
     }
 
+    /// Authenticates a request that was received at this time of day.
+    ///
+    /// # Errors
+    /// Why it is not accepted.
     pub fn check(
         &mut self,
         wall_ms: u64,
@@ -240,65 +294,91 @@
             .and_then(fields)
             .ok_or(AuthError::Unauthenticated)?;
         let field = |name: &str| fields.get(name).copied().ok_or(AuthError::Unauthenticated);
-        let (nonce, instance) = (field("nonce")?, field("instance")?);
-        let time_ms: u64 = field("time")?
-            .parse()
-            .map_err(|_| AuthError::Unauthenticated)?;
-        let name = field("key")?;
+        let request = SignedRequest {
+            method,
+            path,
+            body,
+            nonce: field("nonce")?,
+            instance: field("instance")?,
+            time_ms: field("time")?
+                .parse()
+                .map_err(|_| AuthError::Unauthenticated)?,
+        };
+        let caller = self.verify(&request, field("key")?, field("mac")?)?;
+        // Only a proven caller is told of clocks and processes.
+        self.check_clock(wall_ms, request.time_ms)?;
+        if request.instance != self.instance {
+            return Err(AuthError::OtherInstance);
+        }
+        self.remember(wall_ms, &caller.name, &request)?;
+        Ok(caller)
+    }
+
+    /// Verifies the MAC of a request under the key of this name.
+    fn verify(
+        &self,
+        request: &SignedRequest<'_>,
+        key_name: &str,
+        mac: &str,
+    ) -> Result<Caller, AuthError> {
         let key = self
             .keys
             .iter()
-            .find(|k| k.name == name)
+            .find(|key| key.name == key_name)
             .ok_or(AuthError::Unauthenticated)?;
-        let mac = hex::decode(field("mac")?).map_err(|_| AuthError::Unauthenticated)?;
-        if nonce.len() < 16 || nonce.len() > 64 {
+        let mac = hex::decode(mac).map_err(|_| AuthError::Unauthenticated)?;
+        if !NONCE_BYTES.contains(&request.nonce.len()) {
             return Err(AuthError::Unauthenticated);
         }
-        let what = SignedRequest {
-            method,
-            path,
-            body,
-            time_ms,
-            nonce,
-            instance,
-        };
         // `verify_slice` compares in constant time.
-        key.mac(&what)
+        key.mac(request)
             .verify_slice(&mac)
             .map_err(|_| AuthError::Unauthenticated)?;
-        let caller = Caller {
+        Ok(Caller {
             name: key.name.clone(),
             role: key.role,
-        };
-        // Only a proven caller is told of clocks and processes.
-        let ahead_ms = time_ms as i128 - i128::from(wall_ms);
-        if ahead_ms.unsigned_abs() > u128::from(self.allowed_ms) {
-            let ahead_ms = ahead_ms.clamp(i128::from(i64::MIN), i128::from(i64::MAX)) as i64;
-            return Err(AuthError::Clock {
-                ahead_ms,
-                allowed_s: self.allowed_ms / 1000,
-            });
-        }
-        if instance != self.instance {
-            return Err(AuthError::OtherInstance);
+        })
+    }
+
+    fn check_clock(&self, wall_ms: u64, time_ms: u64) -> Result<(), AuthError> {
+        let ahead_ms = i128::from(time_ms) - i128::from(wall_ms);
+        if ahead_ms.unsigned_abs() <= u128::from(self.max_clock_skew_ms) {
+            return Ok(());
         }
-        let oldest = wall_ms.saturating_sub(self.allowed_ms);
+        Err(AuthError::Clock {
+            ahead_ms: ahead_ms.clamp(i128::from(i64::MIN), i128::from(i64::MAX)) as i64,
+            allowed_s: self.max_clock_skew_ms / 1000,
+        })
+    }
+
+    /// Remembers the nonce of a request, unless it is known; forgets those whose time would no
+    /// longer be accepted.
+    fn remember(
+        &mut self,
+        wall_ms: u64,
+        key_name: &str,
+        request: &SignedRequest<'_>,
+    ) -> Result<(), AuthError> {
+        let oldest = wall_ms.saturating_sub(self.max_clock_skew_ms);
         while self.seen.first().is_some_and(|(at, _)| *at < oldest) {
             self.seen.pop_first();
         }
+        let digest = Sha256::digest(format!("{key_name}\n{}", request.nonce).as_bytes());
         let mut short = [0u8; 16];
-        short.copy_from_slice(&Sha256::digest(format!("{name}\n{nonce}").as_bytes())[..16]);
-        if self.seen.contains(&(time_ms, short)) {
+        short.copy_from_slice(&digest[..16]);
+        let nonce = (request.time_ms, short);
+        if self.seen.contains(&nonce) {
             return Err(AuthError::Replayed);
         }
-        if self.seen.len() >= self.most {
+        if self.seen.len() >= self.max_nonces {
             return Err(AuthError::TooManyRequests);
         }
-        self.seen.insert((time_ms, short));
-        Ok(caller)
+        self.seen.insert(nonce);
+        Ok(())
     }
 }
 
+/// The fields of an `Authorization` header.
 fn fields(header: &str) -> Option<BTreeMap<&str, &str>> {
     let rest = header.strip_prefix(SCHEME)?.strip_prefix(' ')?;
     let mut out = BTreeMap::new();
@@ -313,134 +393,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const NOW: u64 = 1_700_000_000_000;
-
-    fn key(role: Role) -> Key {
-        Key::new("night", role, vec![7; 32]).expect("a sound key")
-    }
-
-    fn guard() -> Authenticator {
-        Authenticator::new(vec![key(Role::Operator)], "i1".into(), 30.0, 100)
-    }
-
-    fn signed<'a>(nonce: &'a str, time_ms: u64) -> SignedRequest<'a> {
-        let (method, path) = ("POST", "/v1/jobs?x=1");
-        SignedRequest {
-            method,
-            path,
-            body: b"{}",
-            time_ms,
-            nonce,
-            instance: "i1",
-        }
-    }
-
-    fn check(g: &mut Authenticator, header: &str) -> Result<Caller, AuthError> {
-        g.check(NOW, Some(header), "POST", "/v1/jobs?x=1", b"{}")
-    }
-
-    #[test]
-    fn a_signed_request_passes_once() {
-        let mut g = guard();
-        let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW));
-        assert_eq!(check(&mut g, &header).map(|c| c.name), Ok("night".into()));
-        assert_eq!(check(&mut g, &header), Err(AuthError::Replayed));
-    }
-
-    #[test]
-    fn whatever_is_altered_is_refused() {
-        let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW));
-        let mut g = guard();
-        let h = Some(header.as_str());
-        for (method, path, body) in [
-            ("GET", "/v1/jobs?x=1", &b"{}"[..]),
-            ("POST", "/v1/jobs?x=2", b"{}"),
-            ("POST", "/v1/jobs?x=1", b"{ }"),
-        ] {
-            assert_eq!(
-                g.check(NOW, h, method, path, body),
-                Err(AuthError::Unauthenticated)
-            );
-        }
-        for (from, to) in [
-            ("time=17", "time=16"),
-            ("nonce=0", "nonce=1"),
-            ("instance=i1", "instance=i2"),
-        ] {
-            let altered = header.replace(from, to);
-            assert_eq!(
-                check(&mut g, &altered),
-                Err(AuthError::Unauthenticated),
-                "{to}"
-            );
-        }
-        for junk in [
-            "",
-            "BH1",
-            "BH1 key",
-            "BH1 key=night",
-            "BH1 key=night,key=night",
-            "Basic x",
-        ] {
-            assert_eq!(
-                check(&mut g, junk),
-                Err(AuthError::Unauthenticated),
-                "{junk}"
-            );
-        }
-        assert!(
-            check(&mut g, &header).is_ok(),
-            "and the original still passes"
-        );
-    }
-
-    #[test]
-    fn a_clock_ten_minutes_off_is_told_so() {
-        let mut g = guard();
-        let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW + 600_000));
-        let denied = check(&mut g, &header).expect_err("too far ahead");
-        assert_eq!(denied.code(), Code::Clock);
-        assert!(denied.to_string().contains("600 s ahead of"), "{denied}");
-    }
-
-    /// A request overheard before a restart must not act after it, though the
-    /// new process has never seen its nonce.
-    #[test]
-    fn another_process_refuses_what_was_signed_for_this_one() {
-        let mut g = Authenticator::new(vec![key(Role::Operator)], "i2".into(), 30.0, 100);
-        let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW));
-        assert_eq!(check(&mut g, &header), Err(AuthError::OtherInstance));
-    }
-
-    #[test]
-    fn a_full_memory_refuses_and_never_forgets_what_could_be_played_again() {
-        let mut g = Authenticator::new(vec![key(Role::Operator)], "i1".into(), 30.0, 2);
-        let sign = |n: u32| key(Role::Operator).sign(&signed(&format!("{n:016}"), NOW));
-        assert!(check(&mut g, &sign(1)).is_ok() && check(&mut g, &sign(2)).is_ok());
-        assert_eq!(check(&mut g, &sign(3)), Err(AuthError::TooManyRequests));
-        assert_eq!(check(&mut g, &sign(1)), Err(AuthError::Replayed));
-    }
-
-    #[test]
-    fn key_files_are_refused_with_the_section_at_fault_and_never_shown() {
-        let good = "[night]\nrole=operator\nsecret=000102030405060708090a0b0c0d0e0f\n";
-        let keys = Key::parse_all("k", good).expect("sound");
-        assert_eq!(format!("{:?}", keys[0]), "Key(night, Operator)");
-        for bad in [
-            "",
-            "[a]\nrole=king\nsecret=000102030405060708090a0b0c0d0e0f\n",
-            "[a]\nrole=viewer\nsecret=0001\n",
-            "[a]\nrole=viewer\nsecret=nothex\n",
-            "[a]\nrole=viewer\n",
-        ] {
-            let error = Key::parse_all("k", bad).expect_err(bad).to_string();
-            assert!(
-                !error.contains("0001") && !error.contains("nothex"),
-                "{error}"
-            );
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/admin-api/src/auth/tests.rs
@@ -0,0 +1,129 @@
+use super::*;
+
+const NOW: u64 = 1_700_000_000_000;
+
+fn key(role: Role) -> Key {
+    Key::new("night", role, vec![7; 32]).expect("a sound key")
+}
+
+fn authenticator() -> Authenticator {
+    Authenticator::new(vec![key(Role::Operator)], "i1".into(), 30.0, 100)
+}
+
+fn signed<'a>(nonce: &'a str, time_ms: u64) -> SignedRequest<'a> {
+    let (method, path) = ("POST", "/v1/jobs?x=1");
+    SignedRequest {
+        method,
+        path,
+        body: b"{}",
+        time_ms,
+        nonce,
+        instance: "i1",
+    }
+}
+
+fn check(g: &mut Authenticator, header: &str) -> Result<Caller, AuthError> {
+    g.check(NOW, Some(header), "POST", "/v1/jobs?x=1", b"{}")
+}
+
+#[test]
+fn signed_request_passes_once() {
+    let mut g = authenticator();
+    let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW));
+    assert_eq!(check(&mut g, &header).map(|c| c.name), Ok("night".into()));
+    assert_eq!(check(&mut g, &header), Err(AuthError::Replayed));
+}
+
+#[test]
+fn altered_request_is_refused() {
+    let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW));
+    let mut g = authenticator();
+    let h = Some(header.as_str());
+    for (method, path, body) in [
+        ("GET", "/v1/jobs?x=1", &b"{}"[..]),
+        ("POST", "/v1/jobs?x=2", b"{}"),
+        ("POST", "/v1/jobs?x=1", b"{ }"),
+    ] {
+        assert_eq!(
+            g.check(NOW, h, method, path, body),
+            Err(AuthError::Unauthenticated)
+        );
+    }
+    for (from, to) in [
+        ("time=17", "time=16"),
+        ("nonce=0", "nonce=1"),
+        ("instance=i1", "instance=i2"),
+    ] {
+        let altered = header.replace(from, to);
+        assert_eq!(
+            check(&mut g, &altered),
+            Err(AuthError::Unauthenticated),
+            "{to}"
+        );
+    }
+    for junk in [
+        "",
+        "BH1",
+        "BH1 key",
+        "BH1 key=night",
+        "BH1 key=night,key=night",
+        "Basic x",
+    ] {
+        assert_eq!(
+            check(&mut g, junk),
+            Err(AuthError::Unauthenticated),
+            "{junk}"
+        );
+    }
+    assert!(
+        check(&mut g, &header).is_ok(),
+        "and the original still passes"
+    );
+}
+
+#[test]
+fn clock_ten_minutes_off_is_refused_with_the_difference() {
+    let mut g = authenticator();
+    let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW + 600_000));
+    let denied = check(&mut g, &header).expect_err("too far ahead");
+    assert_eq!(denied.code(), Code::Clock);
+    assert!(denied.to_string().contains("600 s ahead of"), "{denied}");
+}
+
+/// A request overheard before a restart must not act after it, though the
+/// new process has never seen its nonce.
+#[test]
+fn request_signed_for_another_process_is_refused() {
+    let mut g = Authenticator::new(vec![key(Role::Operator)], "i2".into(), 30.0, 100);
+    let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW));
+    assert_eq!(check(&mut g, &header), Err(AuthError::OtherInstance));
+}
+
+#[test]
+fn full_nonce_memory_refuses_and_keeps_nonces() {
+    let mut g = Authenticator::new(vec![key(Role::Operator)], "i1".into(), 30.0, 2);
+    let sign = |n: u32| key(Role::Operator).sign(&signed(&format!("{n:016}"), NOW));
+    assert!(check(&mut g, &sign(1)).is_ok() && check(&mut g, &sign(2)).is_ok());
+    assert_eq!(check(&mut g, &sign(3)), Err(AuthError::TooManyRequests));
+    assert_eq!(check(&mut g, &sign(1)), Err(AuthError::Replayed));
+}
+
+#[test]
+fn invalid_key_file_is_refused_without_showing_secrets() {
+    let good = "[night]\nrole=operator\nsecret=000102030405060708090a0b0c0d0e0f\n";
+    let keys = Key::parse_all("k", good).expect("sound");
+    assert_eq!(format!("{:?}", keys[0]), "Key(night, Operator)");
+    for bad in [
+        "",
+        "[a]\nrole=king\nsecret=000102030405060708090a0b0c0d0e0f\n",
+        "[a]\nrole=viewer\nsecret=0001\n",
+        "[a]\nrole=viewer\nsecret=nothex\n",
+        "[a]\nrole=viewer\n",
+    ] {
+        let error = Key::parse_all("k", bad).expect_err(bad).to_string();
+        assert!(
+            !error.contains("0001") && !error.contains("nothex"),
+            "{error}"
+        );
+    }
+}
--- a/crates/admin-api/tests/golden.rs
+++ b/crates/admin-api/tests/golden.rs
@@ -112,10 +112,10 @@
         taken: 5,
         leaving: 6,
         drained: 7,
-        sick: 8,
+        quarantined: 8,
         slow: 9,
         spot: 10,
-        other_shape: 11,
+        other_machine_type: 11,
         other_zone: 12,
     };
     let near = CandidateMachine {
@@ -527,14 +527,14 @@
             machine: machine(),
             why: why(),
         },
-        DecisionKind::SetAside {
+        DecisionKind::Quarantined {
             machine: machine(),
             why: why(),
         },
         DecisionKind::Done {
             job: "job-1".into(),
         },
-        DecisionKind::Took { token: 41 },
+        DecisionKind::LeadershipAcquired { token: 41 },
     ];
     for what in &whats {
         golden_words(g, "decision", &what.to_string());
--- a/crates/controller/src/event_log.rs
+++ b/crates/controller/src/event_log.rs
@@ -36,9 +36,9 @@
         DecisionKind::Rented { .. } => 3,
         DecisionKind::Refused { .. } => 4,
         DecisionKind::Returned { .. } => 5,
-        DecisionKind::SetAside { .. } => 6,
+        DecisionKind::Quarantined { .. } => 6,
         DecisionKind::Done { .. } => 7,
-        DecisionKind::Took { .. } => 8,
+        DecisionKind::LeadershipAcquired { .. } => 8,
     }
 }
 
--- a/crates/controller/src/event_log/tests.rs
+++ b/crates/controller/src/event_log/tests.rs
@@ -4,7 +4,7 @@
 fn forgotten_decisions_are_counted() {
     let mut c = EventLog::new(true);
     for i in 0..MAX_DECISIONS as u64 + 10 {
-        c.record(|| DecisionKind::Took { token: i });
+        c.record(|| DecisionKind::LeadershipAcquired { token: i });
     }
     let DecisionPage {
         decisions: rows,
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -48,7 +48,7 @@
     fn new_scheduler(&self, now: Time, token: FencingToken) -> Scheduler {
         let mut event_log = EventLog::new(self.admin_api.is_some());
         event_log.set_time(self.wall);
-        event_log.record(|| DecisionKind::Took { token: token.0 });
+        event_log.record(|| DecisionKind::LeadershipAcquired { token: token.0 });
         let mut scheduler = Scheduler::new(
             &self.settings,
             token,
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -88,7 +88,7 @@
     /// Counts a machine for the constraint of the job that it does not meet.
     fn count_unschedulable(&mut self, reason: UnschedulableReason) {
         match reason {
-            UnschedulableReason::MachineType => self.tally.other_shape += 1,
+            UnschedulableReason::MachineType => self.tally.other_machine_type += 1,
             UnschedulableReason::Zone => self.tally.other_zone += 1,
             UnschedulableReason::Spot => self.tally.spot += 1,
         }
@@ -103,7 +103,7 @@
             BlockingReason::Reclaimed => self.tally.taken += 1,
             BlockingReason::Returning => self.tally.leaving += 1,
             BlockingReason::Drained => self.tally.drained += 1,
-            BlockingReason::Quarantined => self.tally.sick += 1,
+            BlockingReason::Quarantined => self.tally.quarantined += 1,
             BlockingReason::Slow => self.tally.slow += 1,
         }
     }
--- a/crates/controller/src/scheduler/reconciliation/exits.rs
+++ b/crates/controller/src/scheduler/reconciliation/exits.rs
@@ -134,7 +134,7 @@
         tracing::info!(machine = %id, speed_ratio = speed.ratio, "cordoned slow machine");
         let why = format!("takes {:.1} times as long as others", speed.ratio);
         health.slow = true;
-        self.event_log.record(|| DecisionKind::SetAside {
+        self.event_log.record(|| DecisionKind::Quarantined {
             machine: id.to_string(),
             why,
         });
@@ -168,7 +168,7 @@
             tracing::info!(machine = %id, "quarantined machine that fails tasks which succeed elsewhere");
             machine.health.quarantined = true;
             let why = "fails tasks that end well elsewhere".to_string();
-            self.event_log.record(|| DecisionKind::SetAside {
+            self.event_log.record(|| DecisionKind::Quarantined {
                 machine: id.to_string(),
                 why,
             });
