--- a/crates/controller/src/node/admin/tests.rs
+++ b/crates/controller/src/node/admin/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::calls::{ReplicaCall, SchedulerCall, Tag};
 use crate::event_log::EventLog;
-use crate::scheduler::Scheduler;
+use crate::scheduler::{Scheduler, SchedulerTick};
 use crate::store::{Outcome, Reply};
 use beamhinge_core::settings::{OperatorSettings, Settings, SAMPLE};
 use beamhinge_core::types::FencingToken;
@@ -37,15 +37,14 @@
     node.job_store.tick(now, true, true, &mut node.store);
     node.job_store
         .on_reply(now, ReplicaCall::Scan, empty(Tag::Job(ReplicaCall::Scan)));
-    scheduler.tick(
+    let context = SchedulerTick {
         now,
-        WallMs(1),
-        true,
-        &node.settings,
-        &[],
-        &node.job_store,
-        &mut node.store,
-    );
+        wall: WallMs(1),
+        may_place: true,
+        settings: &node.settings,
+        machine_types: &[],
+    };
+    scheduler.tick(&context, &node.job_store, &mut node.store);
     for call in [SchedulerCall::Pages, SchedulerCall::Progress] {
         scheduler.on_reply(now, call, empty(Tag::Scheduler(call)), &mut node.job_store);
     }
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -32,7 +32,7 @@
 use crate::leader_election::LeaderElection;
 use crate::metrics::Metrics;
 use crate::peers::PeerTable;
-use crate::scheduler::Scheduler;
+use crate::scheduler::{Scheduler, SchedulerTick};
 use crate::store::StoreClient;
 use crate::user_api::UserApi;
 use beamhinge_admin_api::auth::{Authenticator, Key};
@@ -275,15 +275,14 @@
         let may_place = entitled && teams_known && is_current(self.directives.fresh_as_of());
         let starts_allowed_until = self.configuration.starts_allowed_until();
         scheduler.set_configuration_condition(self.configuration.condition(), starts_allowed_until);
-        scheduler.tick(
+        let context = SchedulerTick {
             now,
             wall,
             may_place,
-            &self.settings,
-            self.fleet.machine_types(),
-            &self.job_store,
-            &mut self.store,
-        );
+            settings: &self.settings,
+            machine_types: self.fleet.machine_types(),
+        };
+        scheduler.tick(&context, &self.job_store, &mut self.store);
         if scheduler.loaded() {
             self.metrics.on_state_loaded(now);
         }
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -84,6 +84,21 @@
 /// forgotten. Two for each of 8,192 machines.
 const MAX_PREEMPTED_TASKS: usize = 16_384;
 
+/// What a tick of the scheduler is given by the node.
+#[derive(Clone, Copy)]
+pub struct SchedulerTick<'a> {
+    /// Monotonic time of this controller.
+    pub now: Time,
+    /// Time of day.
+    pub wall: WallMs,
+    /// Whether this controller is entitled to place tasks now.
+    pub may_place: bool,
+    /// Settings of the cluster.
+    pub settings: &'a Settings,
+    /// The machine types that the cloud publishes.
+    pub machine_types: &'a [MachineType],
+}
+
 /// The leader's view of jobs and machines, for one term of leadership.
 pub struct Scheduler {
     /// Token of this term.
@@ -397,19 +412,14 @@
             .filter_map(|id| Some((*id, self.counts(*id)?)))
     }
 
-    /// Runs the loops that are due: load, silence, scheduling, commit. `may_place` says whether
-    /// this controller is entitled to place tasks now.
-    #[allow(clippy::too_many_arguments)]
+    /// Runs the loops that are due: load, silence, scheduling, commit.
     pub fn tick(
         &mut self,
-        now: Time,
-        wall: WallMs,
-        may_place: bool,
-        settings: &Settings,
-        machine_types: &[MachineType],
+        context: &SchedulerTick,
         job_store: &JobStore,
         store: &mut StoreClient<Tag>,
     ) {
+        let SchedulerTick { now, wall, .. } = *context;
         if self.halted {
             return;
         }
@@ -439,11 +449,11 @@
         }
         if now.since(self.last_cycle) >= MIN_CYCLE_INTERVAL_S
             && (self.replan || now.since(self.last_cycle) > MAX_CYCLE_INTERVAL_S)
-            && may_place
+            && context.may_place
         {
             self.last_cycle = now;
             self.replan = false;
-            self.plan(now, wall, settings, machine_types);
+            self.plan(now, wall, context.settings, context.machine_types);
         }
         self.forget_ended_jobs();
         self.commit(now, store);
