--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -98,7 +98,7 @@
     ));
     c.refresh_effective();
     assert!(c.stored.unreadable && c.fresh_as_of().is_none() && limit(&c) == 8.0);
-    // A key of a kind that we don't know is another program's business.
+    // A key of an unknown kind belongs to a newer program and is left alone.
     let mut c = configuration();
     c.stored.apply(&changed("c/later/thing", 5, &1));
     assert!(!c.stored.unreadable);
--- a/crates/controller/src/faults.rs
+++ b/crates/controller/src/faults.rs
@@ -1,7 +1,7 @@
 //! Faults of old and guards left out, to be put in by tests: a check that cannot
 //! find them is none.
 //!
-//! The daemon is built without the feature `faults`, and then [`Faults::put_back`]
+//! The daemon is built without the feature `faults`, and then [`Node::inject_faults`](crate::node::Node)
 //! does not exist and every question here is answered no; the simulator sets it.
 
 /// Which faults are there again, and which guards of `docs/safety.md` are left out.
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -166,7 +166,7 @@
 
     /// Injects faults; for tests that must find them.
     #[cfg(feature = "faults")]
-    pub fn put_back(&mut self, faults: Faults) {
+    pub fn inject_faults(&mut self, faults: Faults) {
         self.faults = faults;
         self.fleet.set_faults(faults);
         self.election.faults = faults;
--- a/crates/controller/src/node/worker_calls.rs
+++ b/crates/controller/src/node/worker_calls.rs
@@ -39,7 +39,7 @@
         let token = scheduler.fencing_token();
         let reported = |id: MachineId| {
             let machine = scheduler.machine(id);
-            machine.and_then(|m| m.last_heartbeat()).is_some()
+            machine.is_some_and(|machine| machine.last_heartbeat().is_some())
         };
         let announced = |id: &MachineId| {
             let at = self.token_announced_at.get(id);
--- a/crates/sim/src/cluster/controllers.rs
+++ b/crates/sim/src/cluster/controllers.rs
@@ -50,7 +50,7 @@
         let now = Time::from_micros(self.now);
         let settings = self.settings[controller].clone();
         let mut node = Node::new(settings, operator, Vec::new(), nonce, now);
-        node.put_back(self.regressions);
+        node.inject_faults(self.regressions);
         self.controllers[controller] = Some(node);
         let process = self.process(controller);
         self.push(self.now + FIRST_TICK, Event::Tick(process));
