--- a/crates/controller/src/worker_protocol.rs
+++ b/crates/controller/src/worker_protocol.rs
@@ -1,7 +1,8 @@
 //! Reports of workers and commands to them, as they stand on the wire.
 //!
-//! This module alone knows the wire's words for them: each field maps its word to the term
-//! that the rest of the controller uses. Status, cause and verb are decoded to enums here, and
+//! This module maps the wire's words for them to the terms that the rest of the controller
+//! uses; `node::worker_messages` does so for the bodies that commands are sent in. Nothing
+//! else knows these words. Status, cause and verb are decoded to enums here, and
 //! words that this version does not know keep a meaning (guard 5 of `docs/safety.md`).
 
 use beamhinge_core::types::{Attempt, TaskId};
