--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -3,17 +3,6 @@
 //! late or not at all, replies and answers that are lost, copies of reports, ends,
 //! takes from a holder that lives. The shares are the package's own.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 use beamhinge_core::types::Revision;
 use beamhinge_rate_limit::TransactionLimits;
 use beamhinge_sharding::{
@@ -406,6 +395,8 @@
     }
 
     /// What may happen next.
+    // One entry for each step of the model: it is read as a list.
+    #[allow(clippy::too_many_lines)]
     fn next(&self, defect: Defect, describe: bool) -> Vec<(String, World)> {
         let mut out = Vec::new();
         let mut step = |what: &dyn Fn() -> String, f: &dyn Fn(&mut World)| {
@@ -512,6 +503,8 @@
         out
     }
 
+    // One entry for each step of the model: it is read as a list.
+    #[allow(clippy::too_many_lines)]
     fn holder_steps(&self, c: usize, s: usize, defect: Defect, step: &mut Step) {
         let slot = Slot(s as u16);
         step(&|| format!("{c} reads slot {s}"), &|w| {
@@ -709,6 +702,8 @@
 };
 
 /// Small worlds, each of which is looked at in full or as far as said.
+// A table: one entry for each world.
+#[allow(clippy::too_many_lines)]
 fn worlds() -> Vec<(&'static str, Left)> {
     let one = Left {
         reports: [2, 0],
--- a/crates/sim/tests/hold_model.rs
+++ b/crates/sim/tests/hold_model.rs
@@ -8,17 +8,6 @@
 //! model says that the rules they follow are enough, and with which of them left out
 //! they are not. Planted defects must be found.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 use std::collections::{HashSet, VecDeque};
 use std::hash::Hash;
 
@@ -113,7 +102,7 @@
     }
 
     #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-    pub struct World {
+    pub(super) struct World {
         block: u8,
         /// Since the last take.
         taken: u8,
@@ -136,7 +125,7 @@
         read: false,
     };
 
-    pub fn begin() -> World {
+    pub(super) fn begin() -> World {
         World {
             block: 1,
             taken: REPLY + 1,
@@ -158,7 +147,7 @@
         }
     }
 
-    pub fn broken(w: &World) -> bool {
+    pub(super) fn broken(w: &World) -> bool {
         w.alive && w.cancelled.is_some_and(|at| at > CANCEL)
     }
 
@@ -186,7 +175,10 @@
         }
     }
 
-    pub fn next(w: &World, d: Defects) -> Vec<(&'static str, World)> {
+    /// Every step that can come next.
+    // One entry for each step of the model: it is read as a list.
+    #[allow(clippy::too_many_lines)]
+    pub(super) fn next(w: &World, d: Defects) -> Vec<(&'static str, World)> {
         let mut out = Vec::new();
         if !w.alive {
             return out;
@@ -347,7 +339,7 @@
     }
 
     #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-    pub struct World {
+    pub(super) struct World {
         block: u8,
         controllers: [Controller; 2],
         seen: u8,
@@ -372,7 +364,7 @@
         last: (0, 0),
     };
 
-    pub fn begin() -> World {
+    pub(super) fn begin() -> World {
         let holder = Controller {
             token: 1,
             hold: 0,
@@ -395,7 +387,7 @@
     }
 
     /// On the worker and elsewhere at the same time, or on two others.
-    pub fn broken(w: &World) -> bool {
+    pub(super) fn broken(w: &World) -> bool {
         w.elsewhere > 1 || w.on && w.elsewhere > 0
     }
 
@@ -425,7 +417,10 @@
         run
     }
 
-    pub fn next(w: &World, d: Defects) -> Vec<(&'static str, World)> {
+    /// Every step that can come next.
+    // One entry for each step of the model: it is read as a list.
+    #[allow(clippy::too_many_lines)]
+    pub(super) fn next(w: &World, d: Defects) -> Vec<(&'static str, World)> {
         let mut out = Vec::new();
         let mut add = |what, change: &dyn Fn(&mut World)| {
             let mut then = w.clone();
