--- a/crates/controller/src/admin_api/tests.rs
+++ b/crates/controller/src/admin_api/tests.rs
@@ -138,17 +138,17 @@
     );
 }
 
+fn post(path: &str, body: &str) -> Request {
+    Request {
+        method: Method::Post,
+        body: body.as_bytes().to_vec(),
+        ..get(path)
+    }
+}
+
 /// Every path of the operators' interface: which route it is, and its name on the metrics page.
 #[test]
 fn routes_have_stable_paths_and_metric_names() {
-    let post = |path: &str, body: &str| {
-        let body = body.as_bytes().to_vec();
-        Request {
-            method: Method::Post,
-            body,
-            ..get(path)
-        }
-    };
     let change = r#"{"seen": 3, "teams": {"one": "remove"}}"#;
     for (request, name) in [
         (get("/v1/hello"), "op_hello"),
@@ -187,6 +187,10 @@
             request.path
         );
     }
+}
+
+#[test]
+fn leader_queries_read_their_parameters() {
     let machines = get("/v1/machines?shape=g8&zone=a&after=n-1&limit=7");
     let Ok(Route::LeaderQuery(query)) = Route::parse(&machines) else {
         panic!("machines")
@@ -213,6 +217,10 @@
             limit: 5
         }
     );
+}
+
+#[test]
+fn job_filter_reads_its_parameters() {
     let path = "/v1/jobs?state=pending,running,done,cancelled&team=t&class=c&urgency=high\
         &older_s=1.5&younger_s=2.5&after=job-1&limit=3";
     let Ok(Route::Jobs(filter)) = Route::parse(&get(path)) else {
--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -158,6 +158,30 @@
     assert!(off.condition().is_none() && off.starts_allowed_until().is_none() && off.is_ready());
 }
 
+/// The author of a change, with every field set.
+fn full_author(restores: Option<Version>) -> Author {
+    Author {
+        id: "a1b2".into(),
+        at_ms: 1_700_000_000_123,
+        by: "alice".into(),
+        why: "more cards".into(),
+        restores,
+    }
+}
+
+/// A stored team with every field set.
+fn full_team(removed: bool) -> TeamState {
+    TeamState {
+        quota: Quota {
+            cpus: 16.5,
+            cpus_max: 32.5,
+            gpus: 1.5,
+            gpus_max: 2.5,
+        },
+        removed,
+    }
+}
+
 #[test]
 fn stored_configuration_matches_golden_file() {
     let mut golden = crate::golden::Golden::new("tests/golden/configuration.hex");
@@ -172,39 +196,23 @@
         "chunks of teams",
         &format!("{CHUNKS} {:?}", ["one", "two", "vision"].map(chunk_of)),
     );
-    let author = |restores| Author {
-        id: "a1b2".into(),
-        at_ms: 1_700_000_000_123,
-        by: "alice".into(),
-        why: "more cards".into(),
-        restores,
-    };
-    let state = |removed| TeamState {
-        quota: Quota {
-            cpus: 16.5,
-            cpus_max: 32.5,
-            gpus: 1.5,
-            gpus_max: 2.5,
-        },
-        removed,
-    };
     let unknown = [("later".to_string(), wire::to_value(&"kept"))];
     let head = Head {
         v: FORMAT_VERSION,
         version: Version(41),
-        author: author(None),
+        author: full_author(None),
         unknown: [].into(),
     };
     golden.stored("head", &head);
     let restored = Head {
-        author: author(Some(Version(39))),
+        author: full_author(Some(Version(39))),
         unknown: unknown.into(),
         ..head
     };
     golden.stored("head that restores", &restored);
     let teams = [
-        ("one".to_string(), state(false)),
-        ("two".to_string(), state(true)),
+        ("one".to_string(), full_team(false)),
+        ("two".to_string(), full_team(true)),
     ];
     golden.stored(
         "chunk",
@@ -214,12 +222,12 @@
         },
     );
     let before = [
-        ("one".to_string(), Some(state(true))),
+        ("one".to_string(), Some(full_team(true))),
         ("two".to_string(), None),
     ];
     let part = RecordPart {
         v: FORMAT_VERSION,
-        author: author(None),
+        author: full_author(None),
         parts: 3,
         before: before.into(),
     };
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -4,17 +4,6 @@
 //! events and the time go in, messages come out. That lets tests run whole
 //! clusters in simulated time, and keeps every socket in `beamhinge-transport`.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 pub mod admin_api;
 pub mod calls;
 pub mod capacity_planner;
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -34,54 +34,62 @@
     read_submission(&wire::encode(&ciborium::Value::Map(map)), WallMs(1)).is_ok()
 }
 
-/// Every field of a submission: absent, null, of a wrong type, negative, not finite, too
-/// long. Only what may be null may be absent; all else is malformed, never accepted.
+const TEXT_FIELDS: [&str; 6] = [
+    "nameId", "jobClass", "owner", "jobKind", "urgency", "bundle",
+];
+const AMOUNT_FIELDS: [&str; 7] = [
+    "vcpus",
+    "cards",
+    "memoryGb",
+    "imageGb",
+    "expectS",
+    "snapshotEveryS",
+    "snapshotS",
+];
+const FLAG_FIELDS: [&str; 3] = ["oneZone", "apart", "loaners"];
+
+fn text(value: &str) -> ciborium::Value {
+    ciborium::Value::Text(value.into())
+}
+
+/// Every field of a submission: absent, null, of a wrong type. Only what may be null may be
+/// absent; all else is malformed, never accepted.
 #[test]
-fn submission_with_missing_or_invalid_field_is_malformed() {
+fn submission_with_missing_field_or_wrong_type_is_malformed() {
     use ciborium::Value as V;
-    assert!(sound_with("unknown", Some(V::Text("field".into()))));
-    let text = |s: &str| V::Text(s.into());
+    assert!(sound_with("unknown", Some(text("field"))));
     for field in ["shapes", "yard", "dueS"] {
         assert!(sound_with(field, None), "{field} may be absent");
         assert!(sound_with(field, Some(V::Null)), "{field} may be null");
         assert!(!sound_with(field, Some(V::Bool(true))), "{field}");
         assert!(!sound_with(field, Some(V::Map(Vec::new()))), "{field}");
     }
-    let words = [
-        "nameId", "jobClass", "owner", "jobKind", "urgency", "bundle",
-    ];
-    let amounts = [
-        "vcpus",
-        "cards",
-        "memoryGb",
-        "imageGb",
-        "expectS",
-        "snapshotEveryS",
-        "snapshotS",
-    ];
-    let flags = ["oneZone", "apart", "loaners"];
-    let all = words
+    let all = TEXT_FIELDS
         .iter()
-        .chain(&amounts)
-        .chain(&flags)
+        .chain(&AMOUNT_FIELDS)
+        .chain(&FLAG_FIELDS)
         .chain(&["pieces"]);
     for field in all {
         assert!(!sound_with(field, None), "{field} is missing");
         assert!(!sound_with(field, Some(V::Null)), "{field} is null");
-        assert!(
-            !sound_with(field, Some(V::Array(vec![V::Null]))),
-            "{field} is a list"
-        );
-        assert!(
-            !sound_with(field, Some(V::Map(Vec::new()))),
-            "{field} is a map"
-        );
+        let list = V::Array(vec![V::Null]);
+        assert!(!sound_with(field, Some(list)), "{field} is a list");
+        let map = V::Map(Vec::new());
+        assert!(!sound_with(field, Some(map)), "{field} is a map");
     }
-    for field in words {
-        assert!(
-            !sound_with(field, Some(V::Integer(7.into()))),
-            "{field} is a number"
-        );
+    let numbers = V::Array(vec![V::Integer(1.into())]);
+    assert!(!sound_with("shapes", Some(numbers)));
+    for body in [&b""[..], b"\xff", b"\x01", b"\x80"] {
+        assert!(read_submission(body, WallMs(1)).is_err());
+    }
+}
+
+#[test]
+fn submission_with_invalid_text_is_malformed() {
+    use ciborium::Value as V;
+    for field in TEXT_FIELDS {
+        let number = V::Integer(7.into());
+        assert!(!sound_with(field, Some(number)), "{field} is a number");
         assert!(!sound_with(field, Some(V::Bool(true))), "{field} is a flag");
     }
     for field in ["jobKind", "urgency", "nameId"] {
@@ -100,41 +108,39 @@
     for field in ["owner", "jobClass"] {
         assert!(!sound_with(field, Some(text(""))), "{field} is empty");
     }
-    for field in amounts.iter().chain(&["dueS"]) {
+}
+
+/// Amounts that are negative, not finite or no numbers, and counts out of range.
+#[test]
+fn submission_with_invalid_amount_or_count_is_malformed() {
+    use ciborium::Value as V;
+    for field in AMOUNT_FIELDS.iter().chain(&["dueS"]) {
         for bad in [-1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
             assert!(!sound_with(field, Some(V::Float(bad))), "{field} is {bad}");
         }
         assert!(!sound_with(field, Some(text("2"))), "{field} is text");
         assert!(!sound_with(field, Some(V::Bool(true))), "{field} is a flag");
-        assert!(
-            sound_with(field, Some(V::Integer(3.into()))),
-            "a whole amount is one"
-        );
+        let whole = V::Integer(3.into());
+        assert!(sound_with(field, Some(whole)), "a whole amount is one");
     }
     for bad in [-1.0, 0.0, 1.5, 100_001.0, f64::NAN, f64::INFINITY, 1e300] {
-        assert!(
-            !sound_with("pieces", Some(V::Float(bad))),
-            "pieces is {bad}"
-        );
+        let count = V::Float(bad);
+        assert!(!sound_with("pieces", Some(count)), "pieces is {bad}");
     }
     for bad in [-1, 0, 100_001, i64::MAX, i64::MIN] {
-        assert!(
-            !sound_with("pieces", Some(V::Integer(bad.into()))),
-            "pieces is {bad}"
-        );
+        let count = V::Integer(bad.into());
+        assert!(!sound_with("pieces", Some(count)), "pieces is {bad}");
     }
-    for flag in flags {
+}
+
+#[test]
+fn submission_with_invalid_flag_is_malformed() {
+    use ciborium::Value as V;
+    for flag in FLAG_FIELDS {
         for bad in [text("true"), V::Integer(1.into()), V::Float(1.0)] {
             assert!(!sound_with(flag, Some(bad)), "{flag}");
         }
     }
-    assert!(!sound_with(
-        "shapes",
-        Some(V::Array(vec![V::Integer(1.into())]))
-    ));
-    for body in [&b""[..], b"\xff", b"\x01", b"\x80"] {
-        assert!(read_submission(body, WallMs(1)).is_err());
-    }
 }
 
 /// What can never run, told apart from what cannot be decided yet.
@@ -214,7 +220,7 @@
             now,
             sent,
             ReplicaCall::Scan,
-            json!({"pairs": [], "more": false, "ledgerRev": 3}),
+            &json!({"pairs": [], "more": false, "ledgerRev": 3}),
         );
         copy
     }
@@ -234,11 +240,11 @@
         now: Time,
         id: beamhinge_core::types::CallId,
         call: ReplicaCall,
-        body: Json,
+        body: &Json,
     ) -> Freshness {
         let reply = self
             .store
-            .on_reply(id, Some((200, wire::encode(&body))))
+            .on_reply(id, Some((200, wire::encode(body))))
             .expect("ours");
         self.job_store.on_reply(now, call, reply)
     }
@@ -282,7 +288,7 @@
             at(1.4),
             sent,
             ReplicaCall::Refresh,
-            json!({"ledgerRev": 4, "news": []}),
+            &json!({"ledgerRev": 4, "news": []}),
         );
         user_api.on_fresh(at(1.4), fresh, &copy.job_store, &Nobody, &mut out);
         let expected: &[(u16, String)] = &[(200, "pending".into())];
@@ -296,7 +302,7 @@
         let sent = copy.ask(at(1.5));
         let cancelled = json!({"ledgerRev": 5, "news": [{"write": job_store::key(id), "stamp": 5,
             "value": job_store::cancelled_record(&spec)}]});
-        let fresh = copy.take(at(1.6), sent, ReplicaCall::Refresh, cancelled);
+        let fresh = copy.take(at(1.6), sent, ReplicaCall::Refresh, &cancelled);
         user_api.on_fresh(at(1.6), fresh, &copy.job_store, &Nobody, &mut out);
         assert_eq!(told(&mut out), [(200, "cancelled".into())]);
         assert_eq!(
--- a/crates/controller/src/worker_protocol/tests.rs
+++ b/crates/controller/src/worker_protocol/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-fn reported(fields: serde_json::Value) -> ReportedTask {
+fn reported(fields: &serde_json::Value) -> ReportedTask {
     let mut body = json!({"piece": "job-1/0", "try": 3});
     let (body_fields, fields) = (body.as_object_mut(), fields.as_object().cloned());
     body_fields
@@ -22,7 +22,7 @@
         ("", ReportedStatus::FetchingImage),
         ("a status of a later version", ReportedStatus::FetchingImage),
     ] {
-        let task = reported(json!({"status": word}));
+        let task = reported(&json!({"status": word}));
         assert_eq!(task.status, status, "{word}");
     }
 }
@@ -40,12 +40,12 @@
         ("Done", ExitCause::Other("Done".into())),
         ("later", ExitCause::Other("later".into())),
     ] {
-        let task = reported(json!({"status": "exited", "cause": word}));
+        let task = reported(&json!({"status": "exited", "cause": word}));
         assert_eq!(task.cause.as_ref().map(ExitCause::as_str), Some(word));
         assert_eq!(task.cause, Some(cause));
     }
-    let null = reported(json!({"status": "exited", "cause": null}));
-    let absent = reported(json!({"status": "exited"}));
+    let null = reported(&json!({"status": "exited", "cause": null}));
+    let absent = reported(&json!({"status": "exited"}));
     assert_eq!((null.cause, absent.cause), (None, None));
 }
 
@@ -61,8 +61,8 @@
         ("unknown", false),
         ("later", false),
     ] {
-        let task = reported(json!({"status": "exited", "cause": cause}));
+        let task = reported(&json!({"status": "exited", "cause": cause}));
         assert_eq!(task.occupied_machine(), occupied, "{cause}");
     }
-    assert!(reported(json!({"status": "later"})).occupied_machine());
+    assert!(reported(&json!({"status": "later"})).occupied_machine());
 }
