--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -1,8 +1,8 @@
 //! The leader's work: which task is on which machine, what workers report and what they are
 //! commanded.
 //!
-//! The wanted state is the set of allocations; commits ([`persistence`]) and commands
-//! ([`reconciliation`]) are the loops that bring the state service and the workers towards it.
+//! The wanted state is the set of allocations; commits (`persistence`) and commands
+//! (`reconciliation`) are the loops that bring the state service and the workers towards it.
 //! A [`Scheduler`] exists for one term of leadership and is dropped with it. It reads the stored
 //! state first ([`Scheduler::loaded`]), and places nothing before. It does no input or output:
 //! transactions go to the [`StoreClient`], commands are returned.
