--- a/crates/admin-api/tests/golden.rs
+++ b/crates/admin-api/tests/golden.rs
@@ -1,17 +1,6 @@
 //! The operators' interface as JSON: what the client sends, what controllers answer, and
 //! what `beamhinge --output json` therefore prints.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
 
@@ -103,6 +92,10 @@
 };
 
 /// One of each kind, each field with a value of its own.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one value of each reason, with every field set"
+)]
 fn reasons() -> Vec<Reason> {
     let tally = MachineTally {
         full: 1,
@@ -285,6 +278,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one value of each message, with every field set"
+)]
 fn answers_about_jobs_keep_their_form() {
     let mut golden = Golden::new("tests/golden/jobs.json.txt");
     let g = &mut golden;
@@ -381,6 +378,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one value of each message, with every field set"
+)]
 fn answers_about_the_cluster_keep_their_form() {
     let mut golden = Golden::new("tests/golden/cluster.json.txt");
     let g = &mut golden;
@@ -571,6 +572,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one value of each message, with every field set"
+)]
 fn directives_configuration_and_problems_keep_their_form() {
     let mut golden = Golden::new("tests/golden/directives.json.txt");
     let g = &mut golden;
--- a/crates/controller/tests/scenarios.rs
+++ b/crates/controller/tests/scenarios.rs
@@ -1,16 +1,5 @@
 //! All scenarios: the files in `tests/scenarios/`, played by the one runner.
 
-// TODO(readability): lifted once this crate is finished.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::wildcard_imports,
-    clippy::needless_pass_by_value,
-    clippy::redundant_closure_for_method_calls
-)]
-
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::scenario;
 use libtest_mimic::{Arguments, Failed, Trial};
