--- a/crates/controller/src/scheduler/machine.rs
+++ b/crates/controller/src/scheduler/machine.rs
@@ -193,11 +193,6 @@
         self.lifecycle.reclaim_announced
     }
 
-    /// Whether it is being returned to the cloud.
-    pub fn is_returning(&self) -> bool {
-        self.lifecycle.returning
-    }
-
     /// The operators' drain that it is under.
     pub fn drain(&self) -> Option<&Rc<Directive>> {
         self.lifecycle.drain.as_ref()
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -30,10 +30,6 @@
     pub fn minus(self, seconds: f64) -> Time {
         Time(self.0.saturating_sub((seconds.max(0.0) * 1e6) as u64))
     }
-    /// Time from `self` until `later`; zero if `later` has passed.
-    pub fn duration_until(self, later: Time) -> Duration {
-        Duration::from_micros(later.0.saturating_sub(self.0))
-    }
 }
 
 impl Add<Duration> for Time {
