--- a/crates/controller/src/scheduler/aging.rs
+++ b/crates/controller/src/scheduler/aging.rs
@@ -3,7 +3,7 @@
 //! The rules are those of `beamhinge_priority_aging`; here they meet the scheduler's state. All
 //! that decides is stored: when a job was submitted, and what is allocated. A new leader finds
 //! the same order. Reservations and the counts of preemptions are made anew: the bound in
-//! `docs/ageing.md` counts a failover for that.
+//! `docs/priority-aging.md` counts a failover for that.
 
 use super::allocation::Allocation;
 use super::bin_packing::PlacementPass;
--- a/crates/failure-detection/src/lib.rs
+++ b/crates/failure-detection/src/lib.rs
@@ -11,7 +11,7 @@
 //! machine is decided by Guard 3 of `docs/safety.md`, and nothing here weakens it.
 //!
 //! Sans-IO: times come in and findings go out; nothing here reads a clock or sends a message.
-//! Alternatives that were weighed stand in `docs/suspicion.md`.
+//! Alternatives that were weighed stand in `docs/failure-detection.md`.
 
 mod ack_tracker;
 mod fault_attribution;
--- a/crates/failure-detection/src/peer_observations/tests.rs
+++ b/crates/failure-detection/src/peer_observations/tests.rs
@@ -36,7 +36,7 @@
 }
 
 /// With more machines than 4,096, those of the highest numbers were never named to the
-/// holder, which took them for dead.
+/// leader, which took them for dead.
 #[test]
 fn all_machines_of_a_large_fleet_are_remembered() {
     let id = |n: u32| MachineId::parse(&format!("n-{n:06}")).expect("a name");
--- a/crates/sim/tests/false_takes.rs
+++ b/crates/sim/tests/false_takes.rs
@@ -28,7 +28,7 @@
     )
 }
 
-/// The days on which the lead moved.
+/// The days on which leadership moved.
 fn moved(seeds: impl Iterator<Item = u64>) -> Vec<(u64, Vec<String>)> {
     seeds
         .filter_map(|seed| {
--- a/crates/sim/tests/found.rs
+++ b/crates/sim/tests/found.rs
@@ -76,7 +76,7 @@
     fails_only_with(faults, include_str!("found/own_take.txt"));
 }
 
-/// A holder that had been refused for long found its machines idle and its own link
+/// A leader that had been refused for long found its machines idle and its own link
 /// silent, and gave them back, healthy as they were (days meet-302-6 and meet-302-750).
 #[test]
 fn nothing_idle_is_given_back_while_our_own_link_is_silent() {
--- a/crates/sim/tests/hold_model.rs
+++ b/crates/sim/tests/hold_model.rs
@@ -11,7 +11,7 @@
 use std::collections::{HashSet, VecDeque};
 use std::hash::Hash;
 
-/// Steps that a lease lasts, that a holder answers after its last exchange, and in
+/// Steps that a lease lasts, that a leader answers after its last exchange, and in
 /// which a cancelled task must be gone. H + LEASE < CANCEL, with one step of margin.
 const LEASE: u8 = 3;
 const H: u8 = 2;
@@ -87,7 +87,7 @@
 
 // ---- the gap: hold, cancellation, stops and leases ----
 
-/// A task runs on a worker; its job is cancelled, and the lead may move.
+/// A task runs on a worker; its job is cancelled, and leadership may move.
 mod gap {
     use super::*;
 
@@ -292,9 +292,9 @@
     }
 }
 
-// ---- proof: what was placed by one holder, and placed again by another ----
+// ---- proof: what was placed by one leader, and placed again by another ----
 
-/// A placement on a worker is committed, its `run` not yet sent; the lead may move, and
+/// A placement on a worker is committed, its `run` not yet sent; leadership may move, and
 /// the task may be placed elsewhere once it is known not to be on the worker.
 mod proof {
     use super::*;
@@ -313,7 +313,7 @@
         Free,
         Committed,
         Sent(Moment),
-        /// Listed, or found in a page of an earlier holder.
+        /// Listed, or found in a page of an earlier leader.
         There,
         Elsewhere,
     }
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -163,7 +163,7 @@
         ms: f64,
         status: u16,
     },
-    /// From the state service: who holds the lead now.
+    /// From the state service: who leads now.
     #[serde(rename = "Lead")]
     LeaderChanged {
         at: WallUs,
