--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -135,7 +135,7 @@
             .detector
             .assess(now, scheduler.overdue_s(), &observations);
         #[cfg(feature = "faults")]
-        let assessment = if self.faults.hasty {
+        let assessment = if self.faults.silence_proves_death {
             assess_without_shields(&observations, silence_thresholds(settings).dead_after_s)
         } else {
             assessment
