--- a/crates/controller/src/fleet/scale_in.rs
+++ b/crates/controller/src/fleet/scale_in.rs
@@ -101,7 +101,7 @@
     ) {
         if let Some(scheduler) = scheduler {
             for id in &machines {
-                scheduler.machine_gone(now, *id);
+                scheduler.on_machine_removed(now, *id);
             }
         }
         for id in machines {
--- a/crates/controller/src/scheduler/reconciliation/silence.rs
+++ b/crates/controller/src/scheduler/reconciliation/silence.rs
@@ -33,7 +33,7 @@
 
 impl Scheduler {
     /// The cloud has confirmed that the machine and all on it are gone.
-    pub fn machine_gone(&mut self, now: Time, id: MachineId) {
+    pub fn on_machine_removed(&mut self, now: Time, id: MachineId) {
         if self.removed_machines.len() >= MAX_GONE_MACHINES {
             // Names are given in order: the lowest has been gone longest, or nearly.
             self.removed_machines.pop_first();
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -609,9 +609,9 @@
 fn removed_machines_of_a_large_fleet_are_remembered_within_a_bound() {
     let (_, mut scheduler) = cancelled("job-1");
     let id = |n: usize| MachineId::parse(&format!("n-{n:06}")).expect("a name");
-    (0..8_192).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
+    (0..8_192).for_each(|n| scheduler.on_machine_removed(at(NOW), id(n)));
     assert!((0..8_192).all(|n| scheduler.removed_machines.contains(&id(n))));
-    (0..MAX_GONE_MACHINES + 100).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
+    (0..MAX_GONE_MACHINES + 100).for_each(|n| scheduler.on_machine_removed(at(NOW), id(n)));
     assert_eq!(scheduler.removed_machines.len(), MAX_GONE_MACHINES);
     assert!(scheduler
         .removed_machines
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -290,7 +290,7 @@
     }
 
     /// The replica of the jobs was refreshed, or could not be.
-    pub fn on_fresh(
+    pub fn on_replica_refresh(
         &mut self,
         now: Time,
         freshness: Freshness,
