--- a/crates/controller/src/scheduler/aging.rs
+++ b/crates/controller/src/scheduler/aging.rs
@@ -1,9 +1,9 @@
-//! Priority aging: the lane of boosted jobs, and reservations of machines.
+//! Priority aging: the priority lane of boosted jobs, and machine reservations.
 //!
-//! The rules are those of `beamhinge_priority_aging`; here they meet the scheduler's state. All
-//! that decides is stored: when a job was submitted, and what is allocated. A new leader finds
-//! the same order. Reservations and the counts of preemptions are made anew: the bound in
-//! `docs/priority-aging.md` counts a failover for that.
+//! This module applies the rules of `beamhinge_priority_aging` to the scheduler's state. The order
+//! depends only on stored state, which is the submission times and the allocations, so a new leader
+//! computes the same order. Reservations and preemption counts are not stored and start empty after
+//! a failover; the bound in `docs/priority-aging.md` accounts for that.
 
 use super::allocation::Allocation;
 use super::bin_packing::PlacementPass;
@@ -18,12 +18,13 @@
 use beamhinge_core::types::{JobId, MachineId, TaskId, Time, WallMs};
 use beamhinge_priority_aging::{earliest_fit_s, PriorityLane, Reservation, RunningTask};
 
-/// One machine in so many may be reserved for starving jobs.
+/// One machine out of this number may be reserved for starving jobs, and at least one in total.
 const MACHINES_PER_STARVING_RESERVATION: usize = 20;
 
 impl Scheduler {
-    /// When a job is boosted, milliseconds of the time of day. Services never are: one in the
-    /// lane would hold it for ever.
+    /// When a job becomes boosted, milliseconds of wall-clock time; `None` if it never does.
+    /// Services are never boosted, because a service in the priority lane would occupy it
+    /// indefinitely.
     fn boosted_at_ms(&self, spec: &JobSpec) -> Option<u64> {
         let ends_by_itself = spec.kind == JobKind::Batch;
         ends_by_itself
@@ -31,7 +32,7 @@
             .flatten()
     }
 
-    /// Pending jobs that are boosted, the one that has been so for longest in front.
+    /// Pending boosted jobs, the one that was boosted earliest first.
     pub(super) fn boosted_jobs(&self, now: Time, wall: WallMs) -> Vec<JobId> {
         if !self.aging.is_enabled() {
             return Vec::new();
@@ -50,7 +51,7 @@
         boosted.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The lane with what its tasks hold now.
+    /// The priority lane with its current usage.
     pub(super) fn priority_lane(&self, now: Time, machine_types: &[MachineType]) -> PriorityLane {
         let usable = self
             .machines
@@ -72,7 +73,7 @@
         lane
     }
 
-    /// Places boosted jobs, as far as the lane is wide.
+    /// Places tasks of boosted jobs up to the width of the priority lane.
     pub(super) fn fill_lane(&mut self, now: Time, wall: WallMs, cycle: &mut SchedulingCycle) {
         let boosted = self.boosted_jobs(now, wall);
         if boosted.is_empty() {
@@ -87,11 +88,11 @@
                     .team_index(&job.spec)
                     .and_then(|team| self.quota_exceeded(cycle.team_usage[team], team, &resources));
                 if exceeded.is_some() {
-                    // Its team's limit, and no lack of room, is in its way.
+                    // Its team's limit blocks the job, not a lack of free capacity.
                     break;
                 }
-                // Guard of the bound: nobody passes one for whom the lane is too full. Smaller
-                // ones behind it would keep it so for ever.
+                // Guards the bound on the wait: no job overtakes a job for which the lane is too
+                // full. Smaller jobs behind it would otherwise keep the lane full indefinitely.
                 if cycle.remaining_placements == 0 || !lane.admits(resources.cpus) {
                     break 'jobs;
                 }
@@ -107,8 +108,9 @@
         cycle.filling_lane = false;
     }
 
-    /// Reserves, for each starving job that found no room for its first task, the machine that
-    /// will have it first: else smaller tasks take each piece that comes free.
+    /// For each starving job whose first task fits on no machine, reserves the machine that will
+    /// have enough free capacity first. Otherwise smaller tasks would use up all capacity as soon
+    /// as it becomes free.
     pub(super) fn reserve_for_starving(
         &mut self,
         now: Time,
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Ends the reservations of jobs that are not in `wanted`, and those of machines that the
+    /// Releases the reservations of jobs that are not in `wanted`, and those of machines that their
     /// job can no longer use.
     pub(super) fn retain_reservations(
         &mut self,
@@ -154,8 +156,8 @@
         self.reservations = reserved;
     }
 
-    /// Reserves the machine that will have room first for the job's next task. A reservation that
-    /// the job has already is kept.
+    /// Reserves the machine that will have enough free capacity for the job's next task first. An
+    /// existing reservation of the job is kept. Returns `None` if no machine can be reserved.
     fn reserve_machine(
         &mut self,
         now: Time,
@@ -191,8 +193,8 @@
         Some(reservation)
     }
 
-    /// Seconds until the machine has room for a task of the job by the estimates; none if it
-    /// never has.
+    /// Estimated time until the machine has enough free capacity for a task of the job, seconds;
+    /// `None` if it never will.
     fn available_in_s(
         &self,
         now: Time,
@@ -209,7 +211,8 @@
         earliest_fit_s(free, &mut running, job.resources())
     }
 
-    /// What was nominated for the machine has not begun: it goes elsewhere.
+    /// Withdraws the nominations for a machine. Their tasks have not started and can be placed on
+    /// another machine.
     fn withdraw_nominations(&mut self, now: Time, machine_id: MachineId) {
         let Some(machine) = self.machines.get(&machine_id) else {
             return;
@@ -226,7 +229,7 @@
         }
     }
 
-    /// What occupies a machine, and for how long by the estimates.
+    /// Tasks that occupy a machine, with their estimated remaining run times.
     fn running_tasks(&self, now: Time, machine: &Machine) -> Vec<RunningTask> {
         let allocations = machine
             .resident
@@ -236,7 +239,7 @@
         allocations
             .filter_map(|(task, allocation)| {
                 let job = self.jobs.get(&task.job)?;
-                // A service ends when it is told to, which nobody can foresee.
+                // A service runs until it is stopped, so its end cannot be estimated.
                 (job.spec.kind == JobKind::Batch).then(|| RunningTask {
                     remaining_s: (self.expected_run_s(job) - allocation.ran_s(now)).max(0.0),
                     resources: allocation.resources,
@@ -245,8 +248,8 @@
             .collect()
     }
 
-    /// How far a pending job's wait has raised its priority, for operators; none while aging is
-    /// off.
+    /// Explains to operators how far a pending job's wait has increased its priority; `None` if
+    /// aging is disabled or the job is unknown.
     pub(super) fn explain_aging(
         &self,
         now: Time,
@@ -272,8 +275,8 @@
         })
     }
 
-    /// Whether a machine is reserved for another job, and a task of this one would stay there
-    /// beyond the time at which it is needed.
+    /// Whether a machine is reserved for another job and a task of this job could not finish there
+    /// as backfill before the reservation needs the machine.
     pub(super) fn is_reserved_for_other(&self, now: Time, machine: MachineId, id: JobId) -> bool {
         let Some((owner, reservation)) = self.reservations.owner(machine) else {
             return false;
@@ -286,7 +289,8 @@
         owner != id && !ends_in_time
     }
 
-    /// Whether a task counts as boosted: it is not preempted for work up to the ceiling.
+    /// Whether a task counts as boosted. A boosted task is not preempted for jobs whose urgency is
+    /// at most the ceiling.
     pub(super) fn is_boosted(&self, wall: WallMs, allocation: &Allocation, job: &Job) -> bool {
         let boosted_by_age = || {
             self.boosted_at_ms(&job.spec)
--- a/crates/controller/src/scheduler/allocation.rs
+++ b/crates/controller/src/scheduler/allocation.rs
@@ -1,11 +1,11 @@
-//! An allocation: one attempt at a task on one machine, from the plan to the proof of its end.
+//! Allocations: one attempt of a task on one machine, from planning until its end is proven.
 
 use crate::placement_pages::PageId;
 use crate::split::Resources;
 use crate::worker_protocol::{ReportVersion, WorkerCommand};
 use beamhinge_core::types::{Attempt, TaskId, Time};
 
-/// What a running attempt does, as far as its worker says.
+/// Phase of an attempt on its machine, as reported by the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TaskPhase {
     FetchingImage,
@@ -13,55 +13,55 @@
     Checkpointing,
 }
 
-/// How far an allocation has come.
+/// State of an allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TaskState {
-    /// Chosen, not yet committed: `run` must not be sent.
+    /// Planned but not committed: `run` must not be sent.
     Planned,
-    /// Committed; `run` was never sent, or was proven not to have arrived.
+    /// Committed. `run` was never sent, or provably did not arrive.
     Committed,
-    /// `run` went out with the answer to this report.
+    /// `run` was sent in the answer to this report.
     RunSent(ReportVersion),
-    /// The worker has listed it.
+    /// The worker has listed the task in a report.
     Observed(TaskPhase),
-    /// Found in a page of an earlier leader: it may or may not be on the machine.
+    /// Loaded from a placement page of an earlier leader: it may or may not be on the machine.
     Inherited,
 }
 
-/// One attempt at a task on one machine.
+/// One attempt of a task on one machine.
 #[derive(Clone, Debug)]
 pub(super) struct Allocation {
-    /// Which attempt at the task it is.
+    /// Number of the attempt.
     pub(super) attempt: Attempt,
-    /// What it takes of the machine.
+    /// Resources that it uses on the machine.
     pub(super) resources: Resources,
-    /// Index of its team, against whose quota it counts.
+    /// Index of the team whose quota it counts against; `None` if the team is unknown.
     pub(super) team: Option<usize>,
-    /// How far it has come.
+    /// Its state.
     pub(super) state: TaskState,
-    /// It is to be stopped, with so many seconds to save its progress.
+    /// Grace period to save a checkpoint, seconds, if it is to be stopped; `None` otherwise.
     pub(super) kill_grace_s: Option<f64>,
-    /// The page that names it is in a transaction without a reply.
+    /// Its page is in a transaction that awaits its reply.
     pub(super) in_flight: bool,
-    /// When it was first seen running.
+    /// When a report first listed it as running.
     pub(super) started_at: Option<Time>,
-    /// Started under an earlier leader: how long it has run is unknown.
+    /// It started under an earlier leader, so its elapsed run time is unknown.
     pub(super) inherited: bool,
-    /// The page that names it, once committed.
+    /// The placement page that contains it; `None` until it is committed.
     pub(super) page: Option<PageId>,
-    /// When it was planned, or inherited.
+    /// When it was planned or inherited.
     pub(super) placed_at: Time,
-    /// Nominated: placed, at this time, before the machine had room. It runs as soon as
-    /// something else there ends.
+    /// When it was nominated, which is a placement before the machine has enough free capacity: the
+    /// task starts as soon as another task there ends. `None` if it is not nominated.
     pub(super) nominated_at: Option<Time>,
-    /// Nominated where others were preempted for it: nobody else gets that room.
+    /// Other tasks were preempted for this nomination, so the freed capacity is reserved for it.
     pub(super) reserved: bool,
-    /// It got its room as one with a priority boost, and counts against the boosted lane.
+    /// It was placed with a priority boost and counts against the priority lane.
     pub(super) boosted: bool,
 }
 
 impl Allocation {
-    /// Chosen for a machine, and not yet in any transaction.
+    /// Creates a planned allocation that is in no transaction yet.
     pub(super) fn planned(
         attempt: Attempt,
         resources: Resources,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Read from a page of an earlier leader.
+    /// Creates an allocation that was read from a placement page of an earlier leader.
     pub(super) fn inherited(
         attempt: Attempt,
         resources: Resources,
@@ -102,31 +102,31 @@
         }
     }
 
-    /// Whether it may be on the machine, by all that was sent.
+    /// Whether it may be on the machine, according to the commands sent.
     pub(super) fn may_be_on_machine(&self) -> bool {
         !matches!(self.state, TaskState::Planned | TaskState::Committed)
     }
 
-    /// Whether its worker has listed it.
+    /// Whether its worker has listed it in a report.
     pub(super) fn is_observed(&self) -> bool {
         matches!(self.state, TaskState::Observed(_))
     }
 
-    /// The command that stops it, if it is to be stopped.
+    /// The command that stops it; `None` if it is not to be stopped.
     pub(super) fn kill_command(&self, task: TaskId) -> Option<WorkerCommand> {
         self.kill_grace_s
             .map(|grace_s| WorkerCommand::kill(task, self.attempt, grace_s))
     }
 
-    /// Seconds for which it was seen running.
+    /// Time since it was first reported as running, seconds; 0 if it never was.
     pub(super) fn ran_s(&self, now: Time) -> f64 {
         self.started_at
             .map_or(0.0, |started_at| now.since(started_at))
     }
 }
 
-/// A task that a worker lists and no allocation names: it takes room, and its team's
-/// quota, until it is gone, also when its job is over.
+/// A task that a worker lists without an allocation. It uses resources and counts against its
+/// team's quota until it ends, even if its job has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct OrphanTask {
     pub(super) task: TaskId,
--- a/crates/controller/src/scheduler/bin_packing.rs
+++ b/crates/controller/src/scheduler/bin_packing.rs
@@ -1,5 +1,5 @@
-//! Bin packing: first fit of a job's tasks onto machines that have room now, and the allocation
-//! itself, which every way of placing a task goes through.
+//! Bin packing: first-fit placement of a job's tasks on machines with enough free capacity, and
+//! [`Scheduler::allocate`], which every kind of placement uses.
 
 use super::allocation::Allocation;
 use super::cycle::{MachineCapacity, SchedulingCycle};
@@ -13,45 +13,45 @@
 use beamhinge_core::types::{Attempt, JobId, MachineId, TaskId, Time};
 use std::cmp::Ordering;
 
-/// Which machines a job may take in one pass over the queue.
+/// Which machines a job may use in one pass over the queue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum PlacementPass {
-    /// Any, for jobs that are pressing.
+    /// Any machine, for jobs that must not wait (`PendingJob::pressing`).
     Pressing,
-    /// Only those with the image: a fetch costs the machine a quarter of a task's time, and
-    /// another job whose image is there may have it meanwhile.
+    /// Only machines that have cached the image. Fetching an image occupies the machine for a
+    /// quarter of a task's run time, during which it could run a job whose image is cached.
     WithImage,
-    /// Any, for jobs that are not pressing.
+    /// Any machine, for the other jobs.
     Any,
 }
 
-/// Order among machines of one size; the lowest goes first. The order of the fields is the order
-/// of their weight.
+/// Preference among machines of the same size; the lowest goes first. Preferences are compared
+/// field by field in declaration order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct MachinePreference {
-    /// Spot machines first, so that on-demand ones empty.
+    /// Spot machines first, so that on-demand machines become empty.
     on_demand: bool,
-    /// Then where the image is.
+    /// Then machines that have cached the image.
     lacks_image: bool,
-    /// Then the fuller machine, so that others can empty.
+    /// Then the fuller machine, so that others become empty.
     idle: bool,
     free_milli_cpus: i64,
 }
 
-/// A machine that has room for a task of the job.
+/// A machine with enough free capacity for a task of the job.
 struct Candidate {
-    /// Index into the capacities of the cycle.
+    /// Index into the machine capacities of the cycle.
     index: usize,
     unacknowledged: bool,
-    /// CPUs of the empty machine: the smaller type first, so that large machines stay free for
-    /// tasks that fit nowhere else.
+    /// Total CPUs of the machine. Smaller types go first, so that large machines stay free for
+    /// tasks that fit on no other type.
     machine_type_cpus: f64,
     preference: MachinePreference,
 }
 
 impl Candidate {
-    /// The machine to be filled first is the least: what acknowledges, then the smaller type, then
-    /// the preference.
+    /// Orders candidates so that the machine to fill first is the least. Machines that acknowledge
+    /// commands come first, then the smaller machine type, then the lower preference.
     fn compare(&self, other: &Candidate) -> Ordering {
         self.unacknowledged
             .cmp(&other.unacknowledged)
@@ -61,8 +61,8 @@
 }
 
 impl Scheduler {
-    /// Places as many tasks of one job as there is room for, `max_tasks` of them at most. Gives
-    /// how many were placed.
+    /// Places as many tasks of one job as the free capacity allows, at most `max_tasks`. Returns
+    /// the number of placed tasks.
     pub(super) fn place_first_fit(
         &mut self,
         now: Time,
@@ -103,7 +103,7 @@
         placed
     }
 
-    /// Machines that have room for a task of the job now, the preferred one first.
+    /// Machines with enough free capacity for a task of the job, the preferred one first.
     fn candidates(
         &self,
         now: Time,
@@ -129,7 +129,7 @@
         candidates
     }
 
-    /// The machine as a candidate, if the job may use it in this pass.
+    /// The machine as a candidate; `None` if the job may not use it in this pass.
     fn candidate(
         &self,
         cycle: &SchedulingCycle,
@@ -156,8 +156,9 @@
         })
     }
 
-    /// Allocates the job's next task to a machine; none when its team's quota, the cycle or the
-    /// job lets none start. `nominated`: since when it waits for others to end there.
+    /// Allocates the job's next task to a machine. Returns `None` if the team's quota, the limit on
+    /// placements per cycle or the state of the job does not allow it. `nominated` is the time of
+    /// the nomination if the task has to wait for others on the machine to end.
     pub(super) fn allocate(
         &mut self,
         now: Time,
@@ -194,7 +195,7 @@
             machine: machine_id.to_string(),
             ahead: nominated.is_some(),
         });
-        // It will be fetched for this task: the next one need not wait.
+        // The image will be fetched for this task, so the next task can already count on it.
         machine.remember_image(&job.spec.image);
         self.commit_queue.push_back((machine_id, task));
         job.retry_at.remove(&index);
--- a/crates/controller/src/scheduler/cycle.rs
+++ b/crates/controller/src/scheduler/cycle.rs
@@ -1,5 +1,5 @@
-//! The state of one scheduling cycle: what is free, what each team uses, and what the cycle has
-//! learnt so far. All that places tasks shares it; nothing of it outlives the cycle.
+//! State of one scheduling cycle: free capacity, usage of each team and intermediate results. All
+//! code that places tasks shares it, and it is dropped at the end of the cycle.
 
 use super::feasibility::ZoneCounts;
 use super::machine::Machine;
@@ -14,18 +14,18 @@
 use beamhinge_core::types::{JobId, MachineId, Time};
 use std::collections::BTreeMap;
 
-/// Pages of placements that one cycle may fill.
+/// Maximum number of placement pages that one cycle may fill.
 const MAX_PAGES: usize = 4;
 
-/// A machine that accepts tasks, with what is still free on it in this cycle.
+/// A machine that accepts tasks, with its remaining free capacity in this cycle.
 pub(super) struct MachineCapacity {
     pub(super) id: MachineId,
     /// Index into the machine types of the cycle.
     pub(super) machine_type: usize,
     pub(super) free: Resources,
-    /// Something runs there, or was placed there in this cycle.
+    /// The machine has allocations or orphan tasks, or got a task in this cycle.
     pub(super) occupied: bool,
-    /// It has not acknowledged what was sent to it lately: one task is enough to try it.
+    /// It has not acknowledged recent commands: it gets a single task as a probe.
     pub(super) unacknowledged: bool,
 }
 
@@ -39,40 +39,40 @@
 pub(super) struct UpcomingExits {
     pub(super) machine: MachineId,
     pub(super) exits: Vec<ExpectedExit>,
-    /// The highest urgency among tasks that are nominated for the machine already.
+    /// The highest urgency among tasks already nominated for the machine; `None` without any.
     pub(super) nominated: Option<Urgency>,
 }
 
-/// One pass of the scheduler over the pending jobs.
+/// One scheduling cycle over the pending jobs.
 pub(super) struct SchedulingCycle<'a> {
     pub(super) settings: &'a Settings,
     pub(super) machine_types: &'a [MachineType],
-    /// Machines with something free, in order of their ids.
+    /// Machines with free CPUs, in order of their ids.
     pub(super) capacities: Vec<MachineCapacity>,
-    /// By index of the team.
+    /// Usage by team index.
     pub(super) team_usage: Vec<TeamUsage>,
-    /// For jobs with a rule about zones, and all that got a task in this cycle.
+    /// Tasks by zone, for jobs with a zone rule and all jobs that got a task in this cycle.
     pub(super) tasks_by_zone: BTreeMap<JobId, ZoneCounts>,
-    /// Tasks that may still be placed: no more than the next few transactions carry.
+    /// Number of tasks that may still be placed, limited to what the next few transactions carry.
     pub(super) remaining_placements: usize,
-    /// No machine has more CPUs free.
+    /// The most CPUs that are free on any one machine.
     pub(super) max_free_cpus: f64,
-    /// What is placed now counts against the lane of boosted jobs.
+    /// Tasks placed now count against the priority lane.
     pub(super) filling_lane: bool,
-    /// Found when it is first asked for.
+    /// Computed on first use.
     pub(super) upcoming_exits: Option<Vec<UpcomingExits>>,
-    /// Made when it is first asked for.
+    /// Computed on first use.
     pub(super) preemption_plan: Option<PreemptionPlan>,
 }
 
 impl SchedulingCycle<'_> {
-    /// Counts one task more of the job in a zone.
+    /// Counts one more task of the job in a zone.
     pub(super) fn count_in_zone(&mut self, job: JobId, zone: &str) {
         let counts = self.tasks_by_zone.entry(job).or_default();
         *counts.entry(zone.to_string()).or_default() += 1;
     }
 
-    /// Counts a task that was allocated. One that is nominated takes no room before others end.
+    /// Accounts for an allocated task. A nominated task uses no capacity until other tasks end.
     pub(super) fn consume(
         &mut self,
         machine: MachineId,
@@ -89,7 +89,7 @@
         self.remaining_placements -= 1;
     }
 
-    /// Looks again for the most CPUs that any machine has free.
+    /// Recomputes the most CPUs that are free on any one machine.
     pub(super) fn update_max_free_cpus(&mut self) {
         let free = self.capacities.iter().map(|capacity| capacity.free.cpus);
         self.max_free_cpus = free.fold(0.0, f64::max);
@@ -97,7 +97,7 @@
 }
 
 impl Scheduler {
-    /// Starts a cycle from the present allocations.
+    /// Starts a cycle from the current allocations.
     pub(super) fn begin_cycle<'a>(
         &self,
         now: Time,
@@ -124,10 +124,10 @@
         cycle
     }
 
-    /// Counts what is on a machine for its teams, and for the zones of its jobs.
+    /// Counts the tasks on a machine towards the usage of their teams and the zones of their jobs.
     fn count_tasks(&self, machine: &Machine, cycle: &mut SchedulingCycle) {
         for (task, allocation) in &machine.resident.allocations {
-            // Guard: what is to be stopped counts until the proof that it is gone.
+            // Guard: a task that is being stopped counts until its end is proven.
             let forgotten =
                 allocation.kill_grace_s.is_some() && broken!(self.faults, forget_stopped);
             if let Some(team) = allocation.team.filter(|_| !forgotten) {
@@ -141,14 +141,14 @@
             if let Some(team) = orphan.team {
                 cycle.team_usage[team].add(&orphan.resources);
             }
-            // Guards against `wrong_place`: it may stand in the way of its own job.
+            // Guards against `wrong_place`: an orphan task also occupies a zone of its job.
             if self.has_zone_rule(orphan.task.job) {
                 cycle.count_in_zone(orphan.task.job, &machine.identity.zone);
             }
         }
     }
 
-    /// Whether the zones of the job's tasks matter: only then they are counted.
+    /// Whether the job has a zone rule. Tasks are counted by zone only for such jobs.
     fn has_zone_rule(&self, id: JobId) -> bool {
         let job = self.jobs.get(&id);
         job.is_some_and(|job| job.spec.single_zone || job.spec.spread)
--- a/crates/controller/src/scheduler/demand.rs
+++ b/crates/controller/src/scheduler/demand.rs
@@ -1,4 +1,4 @@
-//! Open work and free capacity, as the fleet's scaling asks for them.
+//! Demand of jobs and free capacity over time, the inputs of fleet scaling.
 
 use super::job::{age_s, Job};
 use super::Scheduler;
@@ -6,32 +6,32 @@
 use crate::split::{Demand, MachineType, EPSILON};
 use beamhinge_core::types::{JobId, MachineId, Time, WallMs};
 
-/// A task that has run longer than expected may go on for this part of its run time.
+/// Fraction of its expected run time for which a task that has exceeded it is assumed to continue.
 const OVERRUN_FRACTION: f64 = 0.25;
 
 impl Scheduler {
-    /// Open work of all jobs that may start.
+    /// Demand of all open jobs that are not frozen.
     pub fn demands(&self, wall: WallMs) -> Vec<Demand> {
         self.jobs
             .iter()
             .filter(|(_, job)| job.state == JobState::Open && !job.is_complete())
-            // The fleet does not scale out for what may not start.
+            // The fleet does not scale out for jobs that may not start.
             .filter(|(id, _)| !self.is_frozen(**id))
             .map(|(id, job)| self.demand(wall, *id, job))
             .collect()
     }
 
-    /// One job's open work.
+    /// Demand of one job.
     pub(super) fn demand(&self, wall: WallMs, id: JobId, job: &Job) -> Demand {
         let spec = &job.spec;
         let unfinished = spec.tasks - job.progress.done_count().min(spec.tasks);
-        // A job that fails everywhere earns no machines while it waits.
+        // No machines are rented for a job that fails on all machines while it is in backoff.
         let left = if self.fault_attribution.is_job_faulty(id) {
             unfinished.min(1)
         } else {
             unfinished
         };
-        // Above its team's limit nothing of it can run.
+        // Tasks beyond the team's limit cannot run.
         let cpus_max = self.team_index(spec).map(|team| self.teams[team].cpus_max);
         let max_tasks = match cpus_max {
             Some(cpus_max) if cpus_max > 0.0 && spec.cpus > 0.0 => {
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Adds a machine's CPUs to `pool`, by the seconds after which they are or become free.
+    /// Adds a machine's CPUs to `pool` as pairs of the seconds until they become free and their
+    /// number.
     pub fn capacity_over_time(
         &self,
         now: Time,
--- a/crates/controller/src/scheduler/drain.rs
+++ b/crates/controller/src/scheduler/drain.rs
@@ -1,5 +1,6 @@
-//! Operators' directives and quotas, enforced: nothing new on drained machines or of frozen
-//! teams and classes, and what is there ends, saves its progress or moves in time.
+//! Enforcement of operator directives and quotas. Drained machines get no new tasks, and neither
+//! do frozen teams and classes. Tasks on a drained machine end, save a checkpoint or move to
+//! another machine before the deadline of the drain.
 
 use super::quota::TeamUsage;
 use super::Scheduler;
@@ -11,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// An allocation whose `run` never went out.
+/// An allocation whose `run` was never sent.
 #[derive(Clone, Copy)]
 struct UnsentAllocation {
     machine: MachineId,
@@ -20,8 +21,8 @@
 }
 
 impl Scheduler {
-    /// Takes over changed directives. What was placed against them, and whose `run`
-    /// never went out, is withdrawn at once.
+    /// Applies changed directives. Allocations that violate them and whose `run` was never sent are
+    /// withdrawn immediately.
     pub fn set_active_directives(
         &mut self,
         now: Time,
@@ -42,13 +43,13 @@
         self.withdraw_unsent(now);
     }
 
-    /// Takes over changed teams. A limit that was lowered stops nothing; what was placed
-    /// above it, and whose `run` never went out, is withdrawn.
+    /// Applies changed teams. A lowered limit stops no running task, but allocations above it whose
+    /// `run` was never sent are withdrawn.
     pub fn set_teams(&mut self, now: Time, effective: &EffectiveTeams) {
         for team in &effective.teams {
             match self.team_names.iter().position(|name| *name == team.name) {
                 Some(index) => self.teams[index] = team.quota,
-                // Allocations name teams by their index: none ever moves.
+                // Allocations refer to teams by index, so the index of a team never changes.
                 None => {
                     self.team_names.push(team.name.clone());
                     self.teams.push(team.quota);
@@ -61,8 +62,8 @@
         self.withdraw_above_quota(now);
     }
 
-    /// The configuration that placements rest on from here on, and until when a `run` may go out
-    /// by it; `None` is without an end.
+    /// Sets the configuration that placements depend on from now on, and the time until which `run`
+    /// may be sent under it; `None` means no limit.
     pub fn set_configuration_condition(
         &mut self,
         key: Option<(&'static str, Revision)>,
@@ -72,13 +73,14 @@
         self.runs_allowed_until = runs_allowed_until;
     }
 
-    /// Whether a `run` may go out: the quotas that it was placed by are known to be in
-    /// force, or were changed too short a while ago to matter.
+    /// Whether `run` may be sent: the quotas used for the placement are known to be in force, or
+    /// any change to them is too recent to matter.
     pub(super) fn may_run(&self, now: Time) -> bool {
         broken!(self.faults, stale_runs) || self.runs_allowed_until.is_none_or(|until| now < until)
     }
 
-    /// Tasks that were there before their team was known count for it from now on.
+    /// Assigns allocations that were made before their team was known to that team, so that they
+    /// count against its quota.
     fn assign_teams(&mut self) {
         let teams: BTreeMap<JobId, Option<usize>> = self
             .jobs
@@ -93,7 +95,7 @@
         }
     }
 
-    /// While a team uses more than its limit, what was never sent is withdrawn.
+    /// Withdraws allocations of teams that exceed their limit, if their `run` was never sent.
     fn withdraw_above_quota(&mut self, now: Time) {
         if !self.teams_over_quota {
             return;
@@ -122,8 +124,8 @@
         self.teams_over_quota = commits_in_flight;
     }
 
-    /// Withdraws one team's unsent allocations, the last first, until the rest is within its
-    /// limits. True if some of them are in a transaction and have to be looked at again.
+    /// Withdraws one team's unsent allocations, the last first, until its usage is within its
+    /// limits. Returns true if some of them are in a transaction and have to be checked again.
     fn withdraw_of_team(
         &mut self,
         now: Time,
@@ -138,7 +140,7 @@
                 break;
             }
             let UnsentAllocation { machine, task, .. } = *allocation;
-            // A commit in flight is waited for: its page names the task.
+            // Wait for the commit in flight: its page contains the task.
             if self
                 .allocation_mut(machine, task)
                 .is_some_and(|allocation| allocation.in_flight)
@@ -152,8 +154,8 @@
         commits_in_flight
     }
 
-    /// Committed or planned is not started: on drained machines and of frozen jobs these go
-    /// elsewhere, or wait.
+    /// Withdraws unsent allocations on drained machines and of frozen jobs. These tasks have not
+    /// started, so they are placed on other machines or wait.
     fn withdraw_unsent(&mut self, now: Time) {
         if self.active_directives.is_empty() {
             return;
@@ -163,7 +165,7 @@
             let drained = machine.lifecycle.drain.is_some();
             let allocations = machine.resident.allocations.iter();
             for (task, allocation) in allocations.filter(|(_, a)| !a.may_be_on_machine()) {
-                // A commit in flight is waited for: its page names the task.
+                // Wait for the commit in flight: its page contains the task.
                 if (drained || self.is_frozen(task.job)) && !allocation.in_flight {
                     withdrawn.push((*id, *task));
                 }
@@ -183,8 +185,8 @@
         })
     }
 
-    /// Drains whose time is running out stop what has not ended, so that what
-    /// can save its progress has done so by then.
+    /// Stops the remaining tasks on machines whose drain deadline is near, early enough for a task
+    /// that supports checkpoints to save one before the deadline.
     pub(super) fn enforce_drains(&mut self, now: Time, wall: WallMs) {
         self.withdraw_above_quota(now);
         if self.active_directives.is_empty() {
@@ -199,8 +201,8 @@
             let Some(within_s) = drain.within_s else {
                 continue;
             };
-            // By the time of day of whoever took the drain: a skew moves the
-            // moment, it breaks no rule.
+            // `since_ms` is the wall-clock time of the controller that accepted the drain. Clock
+            // skew shifts the time of the stop but violates no guarantee.
             let elapsed_s = (wall.0 as f64 - drain.since_ms as f64) / 1e3;
             let allocations = machine.resident.allocations.iter();
             for (task, allocation) in allocations.filter(|(_, a)| a.kill_grace_s.is_none()) {
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -1,7 +1,7 @@
-//! Explanations for operators: why a job's tasks do not run, and what is on machines.
+//! Explanations for operators: why tasks of a job do not run, and the state of machines.
 //!
-//! They are given by the functions that decide: the same order, the same limits, the same checks
-//! of each machine.
+//! They are produced by the functions that make the scheduling decisions, with the same order, the
+//! same limits and the same checks of each machine.
 
 use super::allocation::{Allocation, TaskPhase, TaskState};
 use super::feasibility::{
@@ -21,17 +21,17 @@
 use std::cmp::Ordering;
 use std::rc::Rc;
 
-/// Machines named as those that lack least.
+/// Maximum number of machines listed as closest to having enough free capacity.
 const MAX_NEAREST: usize = 3;
-/// Jobs named as being ahead of one.
+/// Maximum number of jobs listed as being ahead of a job in the queue.
 const MAX_JOBS_AHEAD: usize = 5;
 
-/// Numbers of the whole cluster, for a summary.
+/// Totals of the whole cluster, for a summary.
 #[derive(Default)]
 pub struct Totals {
-    /// Jobs that are not over.
+    /// Open jobs with unfinished tasks.
     pub jobs_open: u32,
-    /// Of these, jobs with a task that has a machine.
+    /// Of these, jobs with a task that is allocated to a machine or orphaned on one.
     pub jobs_running: u32,
     /// Tasks that workers report as running.
     pub tasks_running: u32,
@@ -41,15 +41,15 @@
     pub oldest_wait_s: f64,
     /// CPUs of all machines that report.
     pub cpus: f64,
-    /// Of these, CPUs that something uses.
+    /// Of these, CPUs in use.
     pub cpus_used: f64,
     /// Machines that report.
     pub machines_up: u32,
-    /// Machines that do not.
+    /// Machines that do not report.
     pub machines_silent: u32,
 }
 
-/// Tasks of one job by the state of their allocation, as far as that is told.
+/// Tasks of one job, counted by those allocation states that are explained to operators.
 #[derive(Default)]
 struct AllocationCounts {
     starting: u32,
@@ -59,18 +59,18 @@
     longest_fetch_s: f64,
 }
 
-/// All machines as one job finds them.
+/// Feasibility of all machines for one job.
 #[derive(Default)]
 struct FeasibilityReport {
     tally: MachineTally,
-    /// Those that only lack room, the one that lacks least in front.
+    /// Machines that only lack free capacity, the one that lacks the least first.
     nearest: Vec<CandidateMachine>,
-    /// One has room.
+    /// Whether a machine has enough free capacity.
     has_room: bool,
 }
 
 impl TaskState {
-    /// The state as operators read it.
+    /// Name of the state as shown to operators.
     fn name(self) -> &'static str {
         match self {
             TaskState::Planned => "planned",
@@ -85,7 +85,7 @@
 }
 
 impl FeasibilityReport {
-    /// Counts a machine for the constraint of the job that it does not meet.
+    /// Counts a machine under the constraint of the job that it does not meet.
     fn count_unschedulable(&mut self, reason: UnschedulableReason) {
         match reason {
             UnschedulableReason::MachineType => self.tally.other_machine_type += 1,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Counts a machine for what keeps all tasks from it.
+    /// Counts a machine under the reason why it gets no tasks.
     fn count_blocked(&mut self, reason: BlockingReason) {
         match reason {
             BlockingReason::Silent => self.tally.silent += 1,
@@ -110,7 +110,8 @@
 }
 
 impl Scheduler {
-    /// What is known of one open job: its tasks, and why the others wait.
+    /// Describes a job: its allocated tasks, and why the others wait. Returns `None` if the job is
+    /// unknown.
     pub fn describe_job(
         &self,
         now: Time,
@@ -193,8 +194,8 @@
         counts
     }
 
-    /// Adds the reasons for which tasks of the job have no machine, the first that holds in the
-    /// order in which a scheduling cycle checks them.
+    /// Adds the reasons why tasks of the job have no machine. Conditions are checked in the order
+    /// of a scheduling cycle, up to the first that applies.
     fn explain_wait(
         &self,
         now: Time,
@@ -227,7 +228,7 @@
         let tasks_by_zone = cycle.tasks_by_zone.get(&id).unwrap_or(&no_tasks);
         let report = self.assess_machines(now, job, tasks_by_zone, machine_types);
         if report.has_room {
-            // The next scheduling cycle takes it.
+            // The next scheduling cycle can place a task on this machine.
             return reasons.push(Reason::Undecided);
         }
         reasons.push(Reason::NoRoom {
@@ -238,7 +239,7 @@
         reasons.extend(self.explain_queue(now, wall, id, settings));
     }
 
-    /// Why the job is passed over before any machine is looked at.
+    /// Explains why the job is skipped before any machine is considered; `None` if it is not.
     fn explain_pause(&self, now: Time, wall: WallMs, id: JobId, job: &Job) -> Option<Reason> {
         match self.pause_reason(now, id, job)? {
             PauseReason::Frozen(freeze) => Some(Reason::Frozen {
@@ -262,7 +263,7 @@
         }
     }
 
-    /// Which jobs go ahead of this one; none when it is the first.
+    /// Explains which jobs go ahead of this one; `None` if it is the first in the queue.
     fn explain_queue(
         &self,
         now: Time,
@@ -291,7 +292,7 @@
         })
     }
 
-    /// What stands against each machine for a task of the job.
+    /// Checks for each machine why it cannot run a task of the job.
     fn assess_machines(
         &self,
         now: Time,
@@ -323,18 +324,18 @@
         report
     }
 
-    /// One job's demand, as the fleet sees it.
+    /// Demand of one job, as passed to fleet scaling; `None` if the job is unknown.
     pub fn demand_of(&self, wall: WallMs, id: JobId) -> Option<(Demand, Rc<JobSpec>)> {
         let job = self.jobs.get(&id)?;
         Some((self.demand(wall, id, job), job.spec.clone()))
     }
 
-    /// The operators' directives that are in force.
+    /// The operator directives in force.
     pub fn active_directives(&self) -> &Rc<ActiveDirectives> {
         &self.active_directives
     }
 
-    /// Fills in what the scheduler knows of a machine.
+    /// Fills in the scheduler's state of a machine.
     pub fn describe_machine(
         &self,
         now: Time,
@@ -356,7 +357,7 @@
         row.state = self.machine_state(now, machine).into();
     }
 
-    /// State of a machine as operators read it.
+    /// State of a machine as shown to operators.
     fn machine_state(&self, now: Time, machine: &Machine) -> &'static str {
         match self.blocking_reason(now, machine) {
             None | Some(BlockingReason::Refusing | BlockingReason::Unsynced) => "up",
@@ -372,7 +373,7 @@
         }
     }
 
-    /// Quota, usage and queue of each team, in the order of the settings.
+    /// Quota, usage and number of waiting tasks of each team, in the order of the settings.
     pub fn describe_teams(
         &self,
         now: Time,
@@ -410,14 +411,14 @@
         rows
     }
 
-    /// Jobs that are open and have tasks left to do.
+    /// Open jobs with unfinished tasks.
     fn unfinished_jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs
             .values()
             .filter(|job| job.state == JobState::Open && !job.is_complete())
     }
 
-    /// Numbers of the whole cluster.
+    /// Totals of the whole cluster.
     pub fn totals(&self, now: Time, wall: WallMs, machine_types: &[MachineType]) -> Totals {
         let mut totals = Totals::default();
         for job in self.unfinished_jobs() {
@@ -453,7 +454,7 @@
     }
 }
 
-/// What the machine lacks for a task of the job; none when it has room.
+/// Resources that the machine lacks for a task of the job; `None` if it has enough free capacity.
 fn lacking_resources(
     job: &Job,
     id: MachineId,
@@ -473,7 +474,7 @@
     })
 }
 
-/// The one that lacks fewer GPUs first, then CPUs, then memory.
+/// Orders machines by lacking GPUs, then CPUs, then memory, the least lacking first.
 fn compare_lacking(a: &CandidateMachine, b: &CandidateMachine) -> Ordering {
     let lacking = |machine: &CandidateMachine| {
         [
--- a/crates/controller/src/scheduler/feasibility.rs
+++ b/crates/controller/src/scheduler/feasibility.rs
@@ -1,6 +1,6 @@
-//! Feasibility: which machines accept tasks at all, and which a job may use.
+//! Feasibility: which machines accept tasks, and which of them a job may use.
 //!
-//! Nothing here compares free resources; that is the business of `bin_packing`.
+//! This module does not compare free resources; `bin_packing` does.
 
 use super::machine::Machine;
 use super::Scheduler;
@@ -9,22 +9,22 @@
 use beamhinge_core::types::Time;
 use std::collections::BTreeMap;
 
-/// Tasks of one job by the zone of their machine; the empty name stands for machines whose zone
-/// is not known yet.
+/// Number of tasks of one job by the zone of their machine. The empty name stands for machines
+/// whose zone is not known yet.
 pub(super) type ZoneCounts = BTreeMap<String, u32>;
 
-/// Constraint of a job that a machine does not meet, however much is free on it.
+/// Constraint of a job that a machine does not meet, regardless of its free resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UnschedulableReason {
-    /// The job names machine types, and not this one.
+    /// The job requires other machine types.
     MachineType,
-    /// The job names another zone.
+    /// The job requires another zone.
     Zone,
     /// The job does not tolerate spot machines.
     Spot,
 }
 
-/// The first constraint of the job that the machine does not meet.
+/// The first constraint of the job that the machine does not meet; `None` if it meets all.
 pub(super) fn unschedulable_reason(
     spec: &JobSpec,
     machine_type: &MachineType,
@@ -54,8 +54,8 @@
     unschedulable_reason(spec, machine_type, machine).is_none()
 }
 
-/// Guards against `wrong_place`: whether another task in `zone` would break the job's rule about
-/// zones, given where its other tasks are.
+/// Guards against `wrong_place`: whether another task in `zone` would violate the job's zone rule,
+/// given the zones of its other tasks.
 pub(super) fn violates_zone_rule(spec: &JobSpec, tasks_by_zone: &ZoneCounts, zone: &str) -> bool {
     if spec.single_zone && tasks_by_zone.keys().any(|other| other != zone) {
         return true;
@@ -65,26 +65,26 @@
     spec.spread && in_zone >= spec.tasks.div_ceil(2)
 }
 
-/// Why a machine gets no tasks of any job for now.
+/// Why a machine currently gets no tasks of any job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BlockingReason {
-    /// Its reports stay away, or come too irregularly.
+    /// It has not reported recently, or reports too irregularly.
     Silent,
     /// Its newest report did not carry the fencing token of this leader.
     Unsynced,
-    /// It refused a task a moment ago.
+    /// It refused a task recently.
     Refusing,
-    /// It does not do what it is told.
+    /// It does not acknowledge commands and is in backoff.
     Unresponsive,
-    /// The cloud reclaims it.
+    /// The cloud has announced that it will reclaim it.
     Reclaimed,
     /// It is being returned to the cloud.
     Returning,
-    /// Operators drain it.
+    /// It is drained by operators.
     Drained,
-    /// Tasks fail on it.
+    /// Tasks fail on it that succeed on other machines.
     Quarantined,
-    /// Tasks run too slowly on it.
+    /// Tasks run much slower on it than on other machines.
     Slow,
 }
 
@@ -94,7 +94,7 @@
         self.blocking_reason(now, machine).is_none()
     }
 
-    /// The first reason that keeps all tasks from a machine.
+    /// The first reason why a machine gets no tasks; `None` if it may get tasks.
     pub(super) fn blocking_reason(&self, now: Time, machine: &Machine) -> Option<BlockingReason> {
         let alive = machine
             .liveness
--- a/crates/controller/src/scheduler/job.rs
+++ b/crates/controller/src/scheduler/job.rs
@@ -1,4 +1,4 @@
-//! A job as the scheduler knows it: which of its tasks are done, placed or pending.
+//! The scheduler's state of a job: which of its tasks are done, placed or pending.
 
 use crate::job_store::{JobKind, JobSpec, JobState};
 use crate::progress::{JobProgress, OpenJobs};
@@ -7,24 +7,24 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What a task takes whose job has no description: a whole machine.
+/// Resources assumed for a task whose job specification is unknown: a whole machine.
 pub(super) const UNKNOWN_NEED: Resources = Resources {
     cpus: 1e9,
     gpus: 0.0,
     memory_gb: 0.0,
 };
 
-/// Run times of a job's tasks over the estimate.
+/// Ratios of actual to estimated run time of a job's tasks.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RunTimeRatios {
-    /// Sum of the ratios' logarithms.
+    /// Sum of the natural logarithms of the ratios.
     pub(super) log_sum: f64,
-    /// How many tasks have ended.
+    /// Number of ended tasks in the sum.
     pub(super) samples: u32,
 }
 
 impl RunTimeRatios {
-    /// The geometric mean; meaningless without samples.
+    /// The geometric mean; not a number without samples.
     pub(super) fn mean(self) -> f64 {
         (self.log_sum / f64::from(self.samples)).exp()
     }
@@ -35,31 +35,31 @@
     }
 }
 
-/// A job that was accepted, until nothing of it is left on any machine.
+/// An accepted job, kept until none of its tasks is left on any machine.
 #[derive(Debug)]
 pub(super) struct Job {
-    /// What its user asked for.
+    /// The specification submitted by its user.
     pub(super) spec: Rc<JobSpec>,
-    /// Revision of its key in the state service.
+    /// Revision of its key in the key-value store.
     pub(super) revision: Revision,
     /// Whether it is open, done or cancelled.
     pub(super) state: JobState,
     /// Which of its tasks are done.
     pub(super) progress: JobProgress,
-    /// No task from this index on was ever placed.
+    /// All tasks below this index have been placed before.
     pub(super) next_unstarted: u32,
-    /// Tasks that ended without being done, and from when each may be tried again.
+    /// Tasks that ended without completing, and when each may be retried.
     pub(super) retry_at: BTreeMap<u32, Time>,
-    /// Tasks with an allocation or an orphan somewhere, and how many of these.
+    /// Number of allocations and orphan tasks, by index of the task.
     pub(super) attempts_by_task: BTreeMap<u32, u32>,
-    /// How far its run times are from the estimate.
+    /// How far its run times deviate from the estimate.
     pub(super) run_time_ratios: RunTimeRatios,
-    /// Nothing of it is placed until then.
+    /// Earliest time at which its tasks may be placed.
     pub(super) hold_until: Time,
 }
 
 impl Job {
-    /// An open job of which nothing is placed or done.
+    /// Creates an open job without placed or done tasks.
     pub(super) fn new(spec: Rc<JobSpec>, revision: Revision, chunk_size: u32, now: Time) -> Job {
         Job {
             spec,
@@ -79,12 +79,12 @@
         self.spec.kind == JobKind::Batch && self.progress.done_count() >= self.spec.tasks
     }
 
-    /// What each of its tasks takes.
+    /// Resources of each of its tasks.
     pub(super) fn resources(&self) -> Resources {
         resources_of(&self.spec)
     }
 
-    /// Number of tasks that are on some machine, or planned for one, and not done yet.
+    /// Number of unfinished tasks that are allocated to a machine or orphaned on one.
     pub(super) fn active_tasks(&self) -> u32 {
         self.attempts_by_task
             .keys()
@@ -104,7 +104,7 @@
         *self.attempts_by_task.entry(index).or_insert(0) += 1;
     }
 
-    /// Counts one allocation or orphan of the task less; true when none is left.
+    /// Removes one allocation or orphan of the task from the count. Returns true when none is left.
     pub(super) fn release_attempt(&mut self, index: u32) -> bool {
         match self.attempts_by_task.get_mut(&index) {
             Some(attempts) if *attempts > 1 => {
@@ -118,8 +118,8 @@
         }
     }
 
-    /// The task to place next: one that is to be tried again, else the lowest that was
-    /// never placed.
+    /// The task to place next: a task that is due for a retry, else the lowest one that was never
+    /// placed; `None` if no task can be placed now.
     pub(super) fn next_task(&mut self, now: Time) -> Option<u32> {
         let ready = self
             .retry_at
@@ -155,12 +155,12 @@
     }
 }
 
-/// CPUs that all tasks of a job take together.
+/// CPUs of all tasks of a job together.
 pub(super) fn total_cpus(spec: &JobSpec) -> f64 {
     f64::from(spec.tasks) * spec.cpus
 }
 
-/// What one task of a job takes.
+/// Resources of one task of a job.
 pub(super) fn resources_of(spec: &JobSpec) -> Resources {
     Resources {
         cpus: spec.cpus,
@@ -169,7 +169,7 @@
     }
 }
 
-/// Seconds since the submission, by the time of day.
+/// Time since the submission of a job by the wall clock, seconds.
 pub(super) fn age_s(wall: WallMs, spec: &JobSpec) -> f64 {
     (wall.0 as f64 - spec.submitted as f64) / 1e3
 }
--- a/crates/controller/src/scheduler/lifecycle.rs
+++ b/crates/controller/src/scheduler/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Jobs and allocations from their start to their end.
+//! Lifecycle of jobs and allocations.
 
 use super::allocation::Allocation;
 use super::job::{total_cpus, Job};
@@ -7,11 +7,12 @@
 use crate::progress;
 use beamhinge_core::types::{JobId, MachineId, TaskId, Time};
 
-/// Classes whose largest job is known; guards memory, names are the users'.
+/// Maximum number of classes whose largest job is recorded. Bounds memory, because users choose the
+/// class names.
 const MAX_KNOWN_CLASSES: usize = 256;
 
 impl Scheduler {
-    /// Takes over what the job store says of a job: a new one, another revision, or its end.
+    /// Applies a change of a job from the job store: a new job, a new revision, or its end.
     pub fn sync_job(&mut self, now: Time, id: JobId, job_store: &JobStore) {
         let Some(entry) = job_store.get(id) else {
             return;
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The job is over: nothing of it may start, everything must go.
+    /// Ends a job: none of its tasks may start, and all that may be running are stopped.
     fn terminate_job(&mut self, now: Time, id: JobId) {
         let placed: Vec<(MachineId, TaskId)> = self
             .machines
@@ -63,7 +64,8 @@
                 continue;
             };
             allocation.kill_grace_s = Some(0.0);
-            // `run` was never sent, or proven lost: it cannot be on the machine.
+            // Otherwise `run` was never sent or was proven lost, so the task cannot be on the
+            // machine.
             if allocation.may_be_on_machine() {
                 self.pending_kills.insert(machine);
             } else {
@@ -72,7 +74,7 @@
         }
     }
 
-    /// The allocation of a task on a machine.
+    /// The allocation of a task on a machine; `None` if there is none.
     pub(super) fn allocation_mut(
         &mut self,
         machine: MachineId,
@@ -82,9 +84,9 @@
         machine.resident.allocations.get_mut(&task)
     }
 
-    /// Ends an allocation: with the task `done`, or to be tried again after `delay_s`.
+    /// Ends an allocation. The task is either `done` or retried after `delay_s` seconds.
     ///
-    /// Guard 3: called only with proof that the task is off the machine.
+    /// Guard 3: called only with proof that the task no longer runs on the machine.
     pub(super) fn release_allocation(
         &mut self,
         now: Time,
@@ -102,14 +104,14 @@
         if let Some(page) = allocation.page {
             self.pages.release(page);
         }
-        // Those who wait for its end wait no longer; its own nomination, if it never
-        // began there, came to nothing.
+        // Nominations that wait for this task to end stop waiting for it. If the task itself was
+        // nominated and never started, its nomination is abandoned.
         self.nominations.on_task_ended(machine_id, task);
         if self.nominations.on_abandoned(now, task, allocation.attempt) {
             tracing::info!(
                 machine = %machine_id,
                 task = %task,
-                "abandoned nomination that others were preempted for"
+                "abandoned nomination with preempted victims"
             );
         }
         if machine.resident.allocations.is_empty() {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// The task has completed; its progress page is to be written.
+    /// Marks a task as completed, and its progress page as to be written.
     pub(super) fn mark_done(&mut self, task: TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Forgets jobs that are over and have left nothing behind.
+    /// Removes ended jobs that have no tasks left on any machine.
     pub(super) fn forget_ended_jobs(&mut self) {
         let is_gone = |id: &JobId| {
             self.jobs
--- a/crates/controller/src/scheduler/machine.rs
+++ b/crates/controller/src/scheduler/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as the leader knows it: by its worker's reports and by what was sent there.
+//! The leader's state of a machine, derived from its worker's reports and the commands sent to it.
 
 use super::allocation::{Allocation, OrphanTask};
 use crate::split::{MachineType, Resources};
@@ -10,86 +10,87 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// Images that are remembered as cached on a machine; the one used longest ago is forgotten.
+/// Maximum number of images tracked as cached on a machine; the least recently used is dropped.
 const MAX_CACHED_IMAGES: usize = 24;
 
-/// What a machine is, by its last report.
+/// Properties of a machine according to its last report.
 #[derive(Debug, Default)]
 pub(super) struct Identity {
-    /// Index of its type among the cluster's machine types.
+    /// Index of its type among the cluster's machine types; `None` while it is unknown.
     pub(super) machine_type: Option<usize>,
-    /// Its zone; empty until one is known.
+    /// Its zone; empty until it is known.
     pub(super) zone: String,
-    /// The cloud may reclaim it.
+    /// It is a spot machine, which the cloud may reclaim.
     pub(super) spot: bool,
-    /// Where its worker takes direct commands.
+    /// Address at which its worker accepts direct commands; `None` if it accepts none.
     pub(super) endpoint: Option<SocketAddrV4>,
 }
 
-/// When a machine was heard.
+/// When a machine reported.
 #[derive(Debug)]
 pub(super) struct Liveness {
-    /// When its first report in this term came.
+    /// When its first report of this term arrived.
     pub(super) first_report: Option<Time>,
-    /// When it last gave a sign of life.
+    /// Time of its last heartbeat; `None` before the first one in this term.
     pub(super) last_heartbeat: Option<Time>,
-    /// When a report of it was last answered.
+    /// When one of its reports was last answered.
     pub(super) last_answered: Option<Time>,
-    /// Its last report came in time after the one before. Where answers do not
-    /// arrive, a worker rotates through all controllers and reports here seldom: it is
-    /// heard just now, and gone again before the next.
+    /// Its last report followed the previous one in time. A worker that receives no answers
+    /// rotates through all controllers, so it reports to each one only rarely: it looks reachable
+    /// right after a report, but is not until the next one.
     pub(super) regular: bool,
 }
 
-/// What its reports prove about the answers that it received.
+/// What a machine's reports prove about the answers that its worker received.
 #[derive(Debug, Default)]
 pub(super) struct Acknowledgement {
-    /// Its newest report.
+    /// Version of its newest report.
     pub(super) last_report: Option<ReportVersion>,
-    /// Its newest response to a direct command.
+    /// Version of its newest response to a direct command.
     pub(super) last_direct_response: Option<ReportVersion>,
     /// Its newest report carried the fencing token of this term.
     pub(super) has_current_token: bool,
-    /// One of its reports did, so it accepts no earlier leader any more.
+    /// One of its reports carried it, so its worker no longer accepts an earlier leader.
     pub(super) ever_had_current_token: bool,
-    /// It reported again without this term's token, though an answer with it had gone out.
+    /// It reported without this term's fencing token after an answer that contained the token.
     pub(super) stale_token: bool,
-    /// Whether commands leave a trace in its reports.
+    /// Tracks whether its reports acknowledge the commands sent to it.
     pub(super) tracker: AckTracker,
 }
 
-/// Why and since when a machine is leaving, drained or idle.
+/// Whether a machine is being removed or drained, and since when it is idle.
 #[derive(Debug)]
 pub(super) struct Lifecycle {
-    /// The cloud has announced that it reclaims the machine.
+    /// The cloud has announced that it will reclaim the machine.
     pub(super) reclaim_announced: bool,
     /// It is being returned to the cloud.
     pub(super) returning: bool,
-    /// The operators' drain that it is under.
+    /// The operator drain that applies to it.
     pub(super) drain: Option<Rc<Directive>>,
-    /// Since when it has no allocation.
+    /// When its last allocation ended, or when it became known.
     pub(super) idle_since: Time,
 }
 
-/// What its tasks show about its condition.
+/// Health of a machine, inferred from its tasks.
 #[derive(Debug, Default)]
 pub(super) struct Health {
-    /// It refused a task for which the allocations left room: until then it gets none.
+    /// It refused a task although its allocations left enough free capacity. It gets no tasks until
+    /// this time.
     pub(super) refuses_until: Time,
-    /// It fails tasks that succeed elsewhere.
+    /// Tasks fail on it that succeed on other machines.
     pub(super) quarantined: bool,
-    /// How its run times compare with those of other machines.
+    /// Its run times compared with those of other machines.
     pub(super) speed: SpeedEstimate,
-    /// It takes much longer than other machines.
+    /// Its tasks take much longer than on other machines.
     pub(super) slow: bool,
 }
 
-/// Run times on a machine over those expected.
+/// Ratio of actual to expected run times on a machine.
 #[derive(Debug)]
 pub(super) struct SpeedEstimate {
-    /// Above 1: slower than others.
+    /// Above 1, the machine is slower than others.
     pub(super) ratio: f64,
-    /// Tasks that it was measured on.
+    /// Number of tasks in the estimate.
     pub(super) samples: u32,
 }
 
@@ -102,18 +103,18 @@
     }
 }
 
-/// What is, may be or will be on a machine.
+/// Tasks that are, may be or will be on a machine.
 #[derive(Debug, Default)]
 pub(super) struct ResidentTasks {
-    /// What was planned for it, or inherited, and has not been proven to have ended.
+    /// Allocations, planned or inherited, whose end is not proven.
     pub(super) allocations: BTreeMap<TaskId, Allocation>,
-    /// Listed by the worker, though no allocation names them.
+    /// Tasks that the worker lists without an allocation.
     pub(super) orphans: Vec<OrphanTask>,
-    /// Images of its last tasks, the latest last.
+    /// Images of its recent tasks, the most recently used last.
     pub(super) cached_images: Vec<Rc<str>>,
 }
 
-/// A machine, by its worker's reports and by what was sent there.
+/// The leader's state of a machine.
 #[derive(Debug)]
 pub struct Machine {
     pub(super) identity: Identity,
@@ -125,7 +126,7 @@
 }
 
 impl Machine {
-    /// A machine of which nothing is known yet.
+    /// Creates a machine without any known properties.
     pub(super) fn new(now: Time) -> Machine {
         Machine {
             identity: Identity::default(),
@@ -147,13 +148,13 @@
         }
     }
 
-    /// Nothing is, may be or will be on it.
+    /// Whether it has neither allocations nor orphan tasks.
     pub fn is_empty(&self) -> bool {
         self.resident.orphans.is_empty() && self.resident.allocations.is_empty()
     }
 
-    /// Its reports come and the answers do not arrive: its worker goes from controller to
-    /// controller.
+    /// Whether its reports arrive but the answers do not reach its worker, which therefore rotates
+    /// through the controllers.
     pub fn rotates_controllers(&self, now: Time) -> bool {
         self.acknowledgement.stale_token
             || self
@@ -163,62 +164,62 @@
                 .is_some()
     }
 
-    /// Index of its type among the cluster's machine types.
+    /// Index of its type among the cluster's machine types; `None` while it is unknown.
     pub fn machine_type(&self) -> Option<usize> {
         self.identity.machine_type
     }
 
-    /// Its zone; empty until one is known.
+    /// Its zone; empty until it is known.
     pub fn zone(&self) -> &str {
         &self.identity.zone
     }
 
-    /// Whether the cloud may reclaim it.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub fn is_spot(&self) -> bool {
         self.identity.spot
     }
 
-    /// Where its worker takes direct commands.
+    /// Address at which its worker accepts direct commands; `None` if it accepts none.
     pub fn endpoint(&self) -> Option<SocketAddrV4> {
         self.identity.endpoint
     }
 
-    /// When it last gave a sign of life in this term.
+    /// Time of its last heartbeat in this term; `None` before the first one.
     pub fn last_heartbeat(&self) -> Option<Time> {
         self.liveness.last_heartbeat
     }
 
-    /// Whether the cloud has announced that it reclaims the machine.
+    /// Whether the cloud has announced that it will reclaim the machine.
     pub fn reclaim_announced(&self) -> bool {
         self.lifecycle.reclaim_announced
     }
 
-    /// The operators' drain that it is under.
+    /// The operator drain that applies to it; `None` if it is not drained.
     pub fn drain(&self) -> Option<&Rc<Directive>> {
         self.lifecycle.drain.as_ref()
     }
 
-    /// Whether commands leave a trace in its reports.
+    /// Tracks whether its reports acknowledge the commands sent to it.
     pub fn ack_tracker(&self) -> &AckTracker {
         &self.acknowledgement.tracker
     }
 
-    /// Since when it has no allocation.
+    /// When its last allocation ended, or when it became known.
     pub fn idle_since(&self) -> Time {
         self.lifecycle.idle_since
     }
 
-    /// Whether it fails tasks that succeed elsewhere.
+    /// Whether tasks fail on it that succeed on other machines.
     pub fn is_quarantined(&self) -> bool {
         self.health.quarantined
     }
 
-    /// Whether it takes much longer than other machines.
+    /// Whether its tasks take much longer than on other machines.
     pub fn is_slow(&self) -> bool {
         self.health.slow
     }
 
-    /// Its machine type, once it has reported one that the cloud publishes.
+    /// Its machine type; `None` until it has reported one that the cloud offers.
     pub(super) fn lookup_type<'a>(
         &self,
         machine_types: &'a [MachineType],
@@ -226,7 +227,7 @@
         machine_types.get(self.identity.machine_type?)
     }
 
-    /// Capacity beside what may be on it.
+    /// Capacity minus the resources of all tasks that may be on it.
     pub(super) fn free(&self, machine_types: &[MachineType]) -> Resources {
         let mut free = self
             .lookup_type(machine_types)
@@ -242,7 +243,8 @@
         free
     }
 
-    /// Capacity that is not promised either: without what was planned into it.
+    /// Free capacity minus the allocations whose `run` was not sent yet. Of nominated ones, only
+    /// those with reserved capacity are subtracted.
     pub(super) fn unpromised(&self, machine_types: &[MachineType]) -> Resources {
         let mut free = self.free(machine_types);
         let promised =
@@ -253,7 +255,7 @@
         free
     }
 
-    /// Notes that the image is on the machine, as the latest used.
+    /// Records that the image is cached on the machine, as the most recently used one.
     pub(super) fn remember_image(&mut self, image: &Rc<str>) {
         let images = &mut self.resident.cached_images;
         images.retain(|cached| cached != image);
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -1,19 +1,20 @@
-//! The leader's work: which task is on which machine, what workers report and what they are
-//! commanded.
+//! The leader's scheduler: assigns tasks to machines, processes worker reports and produces the
+//! commands for workers.
 //!
-//! The wanted state is the set of allocations; commits (`persistence`) and commands
-//! (`reconciliation`) are the loops that bring the state service and the workers towards it.
-//! A [`Scheduler`] exists for one term of leadership and is dropped with it. It reads the stored
-//! state first ([`Scheduler::loaded`]), and places nothing before. It does no input or output:
-//! transactions go to the [`StoreClient`], commands are returned.
+//! The desired state is the set of allocations. Two loops drive the key-value store and the
+//! workers towards it: commits (`persistence`) and worker commands (`reconciliation`).
+//! A [`Scheduler`] exists for one leadership term and is dropped when the term ends. It first loads
+//! the stored state ([`Scheduler::loaded`]) and places no task before that. It performs no I/O:
+//! transactions go to the [`StoreClient`], and commands are returned to the caller.
 //!
 //! Invariants, with the numbers of `docs/safety.md`:
 //!
-//! - Guard 1: each transaction rests on the leadership's key.
-//! - Guard 2: `run` is sent only for a committed allocation of an open job, in an answer.
-//! - Guard 3: an allocation ends only with proof that its task is off the machine.
+//! - Guard 1: each transaction is conditional on the leadership key.
+//! - Guard 2: `run` is sent only in the answer to a report, and only for a committed allocation of
+//!   an open job.
+//! - Guard 3: an allocation ends only with proof that its task no longer runs on the machine.
 //! - Guard 4: commands go out only while the controller is entitled to act as leader.
-//! - Guard 5: unknown words of a worker never count as the end of a task.
+//! - Guard 5: an unknown task state in a worker report never counts as the end of a task.
 
 use crate::calls::Tag;
 use crate::directives::ActiveDirectives;
@@ -68,150 +69,151 @@
 mod scattered_preemption;
 mod victims;
 
-/// A clock runs at most this much faster than another.
+/// Maximum ratio between the rates of any two clocks of the cluster.
 const MAX_CLOCK_DRIFT: f64 = 1.002;
-/// A leader asks the state service each second: without a reply for longer than this it counts
-/// as unreachable, seconds.
+/// The key-value store counts as unreachable after this many seconds without a successful reply.
+/// The leader sends it a request every second.
 const STORE_TIMEOUT_S: f64 = 1.8;
-/// How often machines are checked for silence, seconds.
+/// Interval between checks for unreachable machines, seconds.
 const SILENCE_CHECK_INTERVAL_S: f64 = 0.2;
-/// Least time between two scheduling cycles, seconds.
+/// Minimum time between two scheduling cycles, seconds.
 const MIN_CYCLE_INTERVAL_S: f64 = 0.05;
-/// A scheduling cycle runs this often also when nothing has changed, seconds.
+/// Maximum time between two scheduling cycles when nothing has changed, seconds.
 const MAX_CYCLE_INTERVAL_S: f64 = 1.0;
 
-/// Tasks whose preemptions are remembered; beyond it the one that was preempted least is
-/// forgotten. Two for each of 8,192 machines.
+/// Maximum number of tasks in the preemption history. When it is full, the task with the fewest
+/// preemptions is evicted. Allows two tasks for each of 8,192 machines.
 const MAX_PREEMPTED_TASKS: usize = 16_384;
 
-/// What a tick of the scheduler is given by the node.
+/// Input of one scheduler tick, provided by the controller node.
 #[derive(Clone, Copy)]
 pub struct SchedulerTick<'a> {
     /// Monotonic time of this controller.
     pub now: Time,
-    /// Time of day.
+    /// Wall-clock time.
     pub wall: WallMs,
     /// Whether this controller is entitled to place tasks now.
     pub may_place: bool,
-    /// Settings of the cluster.
+    /// Cluster settings.
     pub settings: &'a Settings,
-    /// The machine types that the cloud publishes.
+    /// Machine types offered by the cloud.
     pub machine_types: &'a [MachineType],
 }
 
-/// The leader's view of jobs and machines, for one term of leadership.
+/// The leader's view of jobs and machines during one leadership term.
 pub struct Scheduler {
-    /// Token of this term.
+    /// Fencing token of this term.
     fencing_token: FencingToken,
-    /// When the leadership was acquired.
+    /// Time of the leadership acquisition.
     acquired_at: Time,
-    /// Until when an earlier leader's answers may still keep tasks alive.
+    /// Until this time, answers of an earlier leader may still keep worker leases valid.
     previous_leases_until: Time,
-    /// How long a worker keeps its tasks without an answer, seconds.
+    /// Duration of a worker's lease, seconds: without an answer, it keeps its tasks this long.
     lease_s: f64,
-    /// How often a worker reports, seconds.
+    /// Interval between reports of a worker, seconds.
     report_s: f64,
-    /// Margin for errors of clocks and delays, seconds.
+    /// Safety margin for clock errors and delays, seconds.
     margin_s: f64,
-    /// Limit of one value in the state service.
+    /// Maximum size of one value in the key-value store, bytes.
     max_value_bytes: usize,
-    /// How waiting raises a job's priority.
+    /// How a job's priority increases with its waiting time.
     aging: AgingPolicy,
-    /// Machines reserved for boosted tasks that fit nowhere now.
+    /// Machines reserved for boosted or starving jobs whose next task fits on no machine now.
     reservations: Reservations,
-    /// Tasks that were preempted.
+    /// Tasks that were preempted, with their preemption counts.
     preemption_history: PreemptionHistory,
-    /// Whose fault failures are.
+    /// Attributes task failures to jobs or to machines.
     fault_attribution: FaultAttribution,
-    /// Places that are kept for those whom others were preempted for.
+    /// Open nominations of tasks that wait for other tasks on their machine to end.
     nominations: Nominations,
-    /// The CPUs of the largest job that was seen of each class.
+    /// Total CPUs of the largest job seen so far, by class.
     largest_job_cpus: BTreeMap<String, f64>,
-    /// Machines that the cloud has confirmed to be gone: reports in their names are
-    /// copies that come late.
+    /// Machines whose termination the cloud has confirmed. Reports in their names are delayed
+    /// copies.
     removed_machines: BTreeSet<MachineId>,
-    /// When all that could be preempted was surveyed last.
+    /// Time of the last survey of all preemption candidates.
     last_preemption_check: Time,
-    /// When this controller resumed after a suspension of its process.
+    /// When this controller's process last resumed after a suspension; `None` if it never did.
     pub resumed_at: Option<Time>,
-    /// The state service answered a moment ago: what is planned will be committed.
+    /// The key-value store replied within [`STORE_TIMEOUT_S`], so plans can be committed.
     store_reachable: bool,
-    /// All machines that were heard or have allocations.
+    /// All machines that have reported or have allocations.
     machines: BTreeMap<MachineId, Machine>,
-    /// Open jobs, and those that are over until nothing of them is left.
+    /// Open jobs, and ended jobs that still have tasks on machines.
     jobs: BTreeMap<JobId, Job>,
-    /// The stored pages of allocations.
+    /// The stored placement pages.
     pages: PlacementPages,
-    /// The stored pages of completed tasks.
+    /// The stored progress pages.
     progress_pages: ProgressPages,
-    /// When progress was written last.
+    /// When a progress page was last written.
     last_progress_write: Time,
-    /// Machines on which something is to be stopped without delay.
+    /// Machines with tasks that must be stopped without delay.
     pending_kills: BTreeSet<MachineId>,
-    /// Planned, in this order, and not yet in a transaction.
+    /// Planned allocations that are in no transaction yet, in planning order.
     commit_queue: VecDeque<(MachineId, TaskId)>,
-    /// Jobs all of whose tasks are done, though their key does not say so yet.
+    /// Jobs whose tasks are all done but whose key does not say so yet.
     completed_jobs: BTreeSet<JobId>,
-    /// Jobs that are over, until nothing of them is left anywhere.
+    /// Ended jobs that may still have tasks on machines.
     terminating_jobs: BTreeSet<JobId>,
-    /// A load of the stored state that is under way.
+    /// The load of the stored state in progress; `None` if there is none.
     recovery: Option<RecoveryLoad>,
-    /// The stored state was loaded in this term.
+    /// Whether the stored state was loaded in this term.
     loaded: bool,
-    /// Something stored is unreadable: nothing is placed or written any more.
+    /// Some stored state is unreadable: the scheduler no longer places or writes anything.
     halted: bool,
-    /// The transaction that is without a reply.
+    /// The transaction that awaits its reply.
     in_flight: Option<InFlightCommit>,
-    /// No transaction before then.
+    /// Earliest time of the next transaction.
     next_commit_at: Time,
-    /// How a refused transaction is tried again.
+    /// Backoff for retries of refused transactions.
     commit_backoff: AdaptiveBackoff,
-    /// How a refused load is tried again.
+    /// Backoff for retries of refused loads.
     load_backoff: AdaptiveBackoff,
-    /// What the state service does not take, and until when it is left alone.
+    /// Writes that the key-value store rejects, and until when each is not retried.
     deferred: BTreeMap<WorkUnit, Time>,
-    /// Index of the kind of writes that comes first where few writes fit.
+    /// Index of the kind of write that goes first when a transaction has space for few writes.
     next_write_kind: usize,
-    /// The progress page that was written last.
+    /// Index of the progress page that was last written.
     last_progress_page: usize,
-    /// When unreferenced pages were removed last.
+    /// When unreferenced pages were last removed.
     last_cleanup: Time,
-    /// When a commit or a part of a load last succeeded.
+    /// When a commit or a step of a load last succeeded.
     last_store_progress: Time,
-    /// Orphan tasks that were found and not logged yet.
+    /// Orphan tasks that were found but not logged yet; `None` if there are none.
     orphan_summary: Option<OrphanSummary>,
-    /// How far apart reports usually are.
+    /// Estimate of the usual interval between reports.
     report_interval: ReportInterval,
-    /// Faults that tests inject.
+    /// Faults injected by tests.
     pub faults: Faults,
     /// When the last scheduling cycle ran.
     last_cycle: Time,
-    /// When machines were last checked for silence.
+    /// When unreachable machines were last checked for.
     last_silence_check: Time,
-    /// Something has changed that a scheduling cycle has to see.
+    /// A change requires a new scheduling cycle.
     replan: bool,
-    /// The highest number of an attempt that was given out.
+    /// The highest attempt number assigned so far.
     next_attempt: u64,
-    /// Names of the teams; allocations name teams by their index.
+    /// Team names; allocations refer to teams by index.
     team_names: Vec<String>,
-    /// Quotas of the teams, in the same order.
+    /// Team quotas, in the same order.
     teams: Vec<Quota>,
-    /// The key and revision of the configuration that the quotas are from.
+    /// Key and revision of the configuration that defines the quotas; `None` without one.
     configuration_condition: Option<(&'static str, Revision)>,
-    /// No `run` is sent from then on, until the configuration is read again.
+    /// From this time on no `run` is sent until the configuration is read again; `None` means no
+    /// limit.
     runs_allowed_until: Option<Time>,
-    /// Some team may use more than a limit that was lowered.
+    /// Whether a team may exceed its limit because the limit was lowered.
     teams_over_quota: bool,
-    /// The operators' directives that are in force.
+    /// Operator directives in force.
     active_directives: Rc<ActiveDirectives>,
-    /// Decisions, for the operators' event log.
+    /// Event log of scheduling decisions, for operators.
     pub event_log: EventLog,
-    /// Run time over estimate, by class.
+    /// Ratio of actual to estimated run time, by class.
     run_time_ratios: BTreeMap<String, f64>,
 }
 
 impl Scheduler {
-    /// The scheduler of a term that begins now. Nothing is loaded yet.
+    /// Creates the scheduler of a term that begins now, with no state loaded yet.
     pub fn new(
         settings: &Settings,
         fencing_token: FencingToken,
@@ -222,10 +224,10 @@
     ) -> Scheduler {
         let workers = &settings.params.workers;
         let teams = &settings.params.teams;
-        // Guard 4: an earlier leader may have answered until H after its last
-        // exchange, and its workers live lease_s longer. That the last leader
-        // was an earlier process of this controller that ended does not help: the one before it
-        // may be cut off and still be answering.
+        // Guard 4: an earlier leader may have answered workers until H after its last exchange
+        // with the key-value store, and their tasks survive lease_s longer. The wait also applies
+        // if the previous leader was an earlier, terminated process of this controller: the leader
+        // before that one may be partitioned and still be answering.
         let previous_answers_s = settings.serving_deadline_s();
         let previous_leases_s = (previous_answers_s + workers.lease_s) * MAX_CLOCK_DRIFT;
         Scheduler {
@@ -285,17 +287,17 @@
         }
     }
 
-    /// Index of the job's team, if it is known.
+    /// Index of the job's team; `None` if the team is unknown.
     fn team_index(&self, spec: &JobSpec) -> Option<usize> {
         self.team_names.iter().position(|name| **name == *spec.team)
     }
 
-    /// Token of this term.
+    /// Fencing token of this term.
     pub fn fencing_token(&self) -> FencingToken {
         self.fencing_token
     }
 
-    /// When the leadership was acquired.
+    /// Time of the leadership acquisition.
     pub fn acquired_at(&self) -> Time {
         self.acquired_at
     }
@@ -305,17 +307,17 @@
         self.loaded
     }
 
-    /// All machines, by their ids.
+    /// All machines, in order of their ids.
     pub fn machines(&self) -> impl Iterator<Item = (&MachineId, &Machine)> {
         self.machines.iter()
     }
 
-    /// The machine of this id.
+    /// The machine with this id; `None` if it is unknown.
     pub fn machine(&self, id: MachineId) -> Option<&Machine> {
         self.machines.get(&id)
     }
 
-    /// How many machines report in time, and how many with tasks do not.
+    /// Number of machines that report on time, and of machines that may have tasks but do not.
     pub fn liveness_counts(&self, now: Time) -> (u32, u32) {
         let timeout_s = self.report_s * 2.5 + 2.0;
         let (mut heard, mut silent) = (0, 0);
@@ -332,29 +334,29 @@
                 at if now.since(at) <= timeout_s => {
                     heard += u32::from(last_heartbeat.is_some());
                 }
-                // That a machine without tasks is silent proves nothing.
+                // A missing report from a machine without tasks does not indicate a failure.
                 _ => silent += u32::from(may_have_tasks(machine)),
             }
         }
         (heard, silent)
     }
 
-    /// Figures of preemption in this term.
+    /// Preemption statistics of this term.
     pub fn preemption_stats(&self) -> &PreemptionStats {
         self.nominations.stats()
     }
 
-    /// Nominations kept now, and how many there may be.
+    /// Number of open nominations, and how many with victims may be open at once.
     pub fn nomination_counts(&self) -> (usize, usize) {
         (self.nominations.open_count(), self.nominations.window())
     }
 
-    /// When a commit or a part of a load last succeeded.
+    /// When a commit or a step of a load last succeeded.
     pub fn last_store_progress(&self) -> Time {
         self.last_store_progress
     }
 
-    /// Whether there is something to write, or to read before anything can be.
+    /// Whether state has to be written, or has to be loaded before anything can be written.
     pub fn has_work(&self) -> bool {
         !self.loaded
             || self.recovery.is_some()
@@ -367,17 +369,17 @@
             || self.halted
     }
 
-    /// Another leader got nothing committed: begin with the smallest transactions.
+    /// Starts with the smallest transactions, because another leader could not commit anything.
     pub fn slow_start(&mut self) {
         self.commit_backoff.slow_start();
     }
 
-    /// Silence from which a machine is overdue, seconds.
+    /// Time without a report after which a machine is overdue, seconds.
     pub fn overdue_s(&self) -> f64 {
         self.report_interval.overdue_s()
     }
 
-    /// The machine reports again before it was returned to the cloud.
+    /// Cancels the return of a machine that reports again before the cloud has removed it.
     pub fn cancel_return(&mut self, id: MachineId) {
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.lifecycle.returning = false;
@@ -385,7 +387,7 @@
         }
     }
 
-    /// The machine is being returned to the cloud, and gets nothing new.
+    /// Marks the machine as being returned to the cloud; it gets no new tasks.
     pub fn begin_return(&mut self, id: MachineId, why: &str) {
         self.event_log.record(|| DecisionKind::Returned {
             machine: id.to_string(),
@@ -396,7 +398,7 @@
         }
     }
 
-    /// How many tasks of a job are done and active; `None` if the job is unknown.
+    /// Number of done and of active tasks of a job; `None` if the job is unknown.
     pub fn counts(&self, id: JobId) -> Option<TaskCounts> {
         let job = self.jobs.get(&id)?;
         Some(TaskCounts {
@@ -405,14 +407,14 @@
         })
     }
 
-    /// The counts of all jobs.
+    /// Task counts of all jobs.
     pub fn all_counts(&self) -> impl Iterator<Item = (JobId, TaskCounts)> + '_ {
         self.jobs
             .keys()
             .filter_map(|id| Some((*id, self.counts(*id)?)))
     }
 
-    /// Runs the loops that are due: load, silence, scheduling, commit.
+    /// Runs the loops that are due: load, check for unreachable machines, scheduling, commit.
     pub fn tick(
         &mut self,
         context: &SchedulerTick,
@@ -424,7 +426,7 @@
             return;
         }
         if !self.loaded {
-            // Jobs first: pages mean nothing without them.
+            // Jobs are loaded first: pages cannot be interpreted without them.
             if job_store.loaded()
                 && job_store
                     .fresh_as_of()
@@ -440,7 +442,7 @@
         self.store_reachable = store
             .last_success()
             .is_some_and(|at| now.since(at) < STORE_TIMEOUT_S);
-        // Silence is a matter of seconds: a check after every report would cost
+        // Machines become unreachable on a scale of seconds. A check after every report would scan
         // the whole fleet each time.
         if now.since(self.last_silence_check) >= SILENCE_CHECK_INTERVAL_S {
             self.last_silence_check = now;
--- a/crates/controller/src/scheduler/plan.rs
+++ b/crates/controller/src/scheduler/plan.rs
@@ -1,6 +1,6 @@
-//! One scheduling cycle from its start to its end: pending jobs are placed where there is room,
-//! nominated for machines where others are about to end, and, where neither helps and they may
-//! not wait, others are preempted for them.
+//! Runs one scheduling cycle. Pending tasks are placed on machines with free capacity or nominated
+//! for machines where other tasks are about to end. If neither is possible and a job must not wait,
+//! other tasks are preempted for it.
 
 use super::bin_packing::PlacementPass;
 use super::cycle::SchedulingCycle;
@@ -13,12 +13,13 @@
 use std::collections::BTreeSet;
 use std::ops::ControlFlow;
 
-/// Jobs that others may be preempted for in one cycle, beside those within a guarantee.
+/// Maximum number of jobs for which tasks may be preempted in one cycle, not counting jobs within a
+/// guarantee.
 const MAX_CLAIMS: usize = 24;
 
 impl Scheduler {
-    /// Runs one cycle. Its effects are planned allocations and preemptions; commits and commands
-    /// follow from them elsewhere.
+    /// Runs one cycle. It only plans allocations and preemptions; `persistence` commits them and
+    /// `reconciliation` sends the commands.
     pub(super) fn plan(
         &mut self,
         now: Time,
@@ -60,8 +61,9 @@
         }
     }
 
-    /// The starving jobs of the queue. Where its team's limit is in its way no room helps: a
-    /// machine reserved for such a job would stand idle for as long.
+    /// The starving jobs of the queue, except those blocked by their team's limit. Free capacity
+    /// does not help a blocked job, and a machine reserved for it would stay idle as long as it is
+    /// blocked.
     fn starving_jobs(&self, cycle: &SchedulingCycle, queue: &[PendingJob]) -> Vec<JobId> {
         let limited = |id: JobId| {
             let Some(job) = self.jobs.get(&id) else {
@@ -79,7 +81,8 @@
             .collect()
     }
 
-    /// Places the jobs of one rank where there is room. Breaks when the cycle may place no more.
+    /// Places the jobs of one rank on machines with free capacity. Breaks when the cycle may not
+    /// place any more tasks.
     fn place_group(
         &mut self,
         now: Time,
@@ -98,8 +101,8 @@
                 if cycle.remaining_placements == 0 {
                     return ControlFlow::Break(());
                 }
-                // In a full fleet a queue costs one look at each job, not one at each machine
-                // for each job.
+                // In a full fleet this skips the search over all machines, so that the cost is one
+                // comparison per job.
                 if pending.cpus > cycle.max_free_cpus + EPSILON {
                     continue;
                 }
@@ -110,9 +113,9 @@
         ControlFlow::Continue(())
     }
 
-    /// Preempts for a job within its team's guarantee, and nominates tasks for machines where
-    /// others are about to end. A job whose class has an objective on the wait is not nominated:
-    /// others are preempted for it instead.
+    /// Preempts tasks for a job within its team's guarantee, and nominates the job's tasks for
+    /// machines where others are about to end. A job whose class has a wait objective is not
+    /// nominated: other tasks are preempted for it instead.
     fn place_without_room(
         &mut self,
         now: Time,
--- a/crates/controller/src/scheduler/queue.rs
+++ b/crates/controller/src/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! The queue: which jobs wait for placement, and in which order they get it.
+//! The queue of pending jobs and the order in which their tasks are placed.
 
 use super::job::{total_cpus, Job};
 use super::quota::TeamUsage;
@@ -13,44 +13,44 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Within so many seconds the largest jobs of a class have to start.
+/// Time within which the largest jobs of a class have to start, seconds.
 const MAX_START_DELAY_S: f64 = 240.0;
-/// Part of that delay after which such a job goes ahead of others of its urgency.
+/// Fraction of [`MAX_START_DELAY_S`] after which such a job counts as starving and goes first.
 const STARVATION_FRACTION: f64 = 0.6;
-/// Jobs of at least this part of the largest job of their class count as large.
+/// Fraction of the size of the largest job of a class from which a job counts as large.
 const LARGE_JOB_FRACTION: f64 = 0.75;
-/// Part of the time to its objective during which a job leaves machines to those whose image is
-/// there.
+/// Fraction of the time to its objective during which a job leaves machines without its image to
+/// jobs whose image is cached there.
 const PATIENT_FRACTION: f64 = 0.7;
-/// Part of its run time: a job with less time left to its deadline can no longer make it.
+/// Fraction of a job's expected run time: with less time left to its deadline, it cannot meet it.
 const LATE_FRACTION: f64 = 0.7;
 
-/// What a pending job can still be in time for.
+/// Which objectives a pending job can still meet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Lateness {
-    /// For all that is asked of it.
+    /// It can still meet all its objectives.
     OnTime,
-    /// It has waited longer than the objective of its class on the wait.
+    /// It has exceeded the wait objective of its class.
     WaitMissed,
-    /// It can no longer make its deadline.
+    /// It can no longer meet its deadline.
     DeadlineMissed,
 }
 
-/// Rank of a pending job; the lowest goes first. The order of the fields is the order of their
-/// weight.
+/// Rank of a pending job; the lowest rank goes first. Ranks are compared field by field in
+/// declaration order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueRank {
-    /// Not within its team's guarantee, or no longer within the time in which that is granted.
+    /// Not within its team's guarantee, or past the time within which guaranteed jobs go first.
     pub(super) not_prompt: bool,
     pub(super) urgency: Reverse<Urgency>,
     pub(super) lateness: Lateness,
-    /// Beyond its team's guarantee.
+    /// Exceeds its team's guarantee.
     pub(super) borrowing: bool,
 }
 
 impl QueueRank {
-    /// Whether boosted jobs go ahead of this rank: they go behind prompt guaranteed jobs and
-    /// behind what is more urgent than the ceiling.
+    /// Whether the priority lane goes ahead of this rank. Boosted jobs go behind prompt guaranteed
+    /// jobs and behind jobs more urgent than `ceiling`.
     pub(super) fn is_behind_lane(&self, ceiling: Urgency) -> bool {
         self.not_prompt && self.urgency.0 <= ceiling
     }
@@ -60,35 +60,36 @@
 pub(super) struct PendingJob {
     pub(super) id: JobId,
     pub(super) rank: QueueRank,
-    /// Order within the rank, the lowest first.
+    /// Sort key within the rank; the lowest goes first.
     order_in_rank: f64,
-    /// So late that it may not wait for a machine that has its image.
+    /// Too late to wait for a machine that has its image.
     pub(super) pressing: bool,
-    /// Objective of its class on the wait, seconds.
+    /// Wait objective of its class, seconds; `None` if the class has none.
     pub(super) wait_objective_s: Option<f64>,
-    /// By when it should be done, seconds after its submission.
+    /// Its deadline, else the completion objective of its class, seconds after its submission.
     pub(super) finish_objective_s: Option<f64>,
-    /// One of the largest of its class that has waited so long that it starts next, with one
-    /// task.
+    /// One of the largest jobs of its class that has waited so long that it starts next, with a
+    /// single task.
     pub(super) starving: bool,
-    /// Of one task.
+    /// CPUs of one task.
     pub(super) cpus: f64,
 }
 
-/// Why a job is passed over, before any machine is looked at.
+/// Why a job is skipped before any machine is considered.
 pub(super) enum PauseReason {
     /// It has ended.
     Closed,
-    /// Its tasks failed: the next try waits.
+    /// Its tasks failed, and it is in backoff.
     Failures,
-    /// None of its tasks waits.
+    /// None of its tasks is pending.
     NothingPending,
-    /// Operators froze its team or class.
+    /// Operators have frozen its team or class.
     Frozen(Rc<Directive>),
 }
 
 impl Scheduler {
-    /// Why a job gets nothing in this cycle, before any machine is looked at.
+    /// Why a job gets no placement in this cycle before any machine is considered; `None` if it may
+    /// get one.
     pub(super) fn pause_reason(&self, now: Time, id: JobId, job: &Job) -> Option<PauseReason> {
         if job.state != JobState::Open {
             return Some(PauseReason::Closed);
@@ -99,7 +100,7 @@
         {
             return Some(PauseReason::Frozen(freeze.clone()));
         }
-        // What fails everywhere is tried with one task at a time.
+        // A job that fails on all machines is retried with one task at a time.
         let retry_at = self.fault_attribution.job_retry_at(id);
         if job.hold_until > now
             || retry_at.is_some_and(|until| until > now || job.active_tasks() > 0)
@@ -109,8 +110,8 @@
         (job.pending_tasks() == 0).then_some(PauseReason::NothingPending)
     }
 
-    /// Jobs that fit into their team's guarantee together with its earlier unfinished jobs: they
-    /// need not wait for other teams.
+    /// Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
+    /// They do not wait for other teams.
     pub(super) fn guaranteed_jobs(&self) -> BTreeSet<JobId> {
         let mut within = BTreeSet::new();
         if self
@@ -150,7 +151,7 @@
         within
     }
 
-    /// The pending jobs, in the order in which they are placed.
+    /// The pending jobs, in placement order.
     pub(super) fn pending_jobs(
         &self,
         now: Time,
@@ -177,8 +178,8 @@
         queue
     }
 
-    /// One job as the queue sees it. `prompt_s`: for how long after its submission a job within
-    /// its team's guarantee (`within`) goes ahead of all others.
+    /// The queue entry of one job. `within` states whether the job is within its team's guarantee;
+    /// such a job goes ahead of all others until `prompt_s` seconds after its submission.
     fn pending_job(
         &self,
         wall: WallMs,
@@ -199,8 +200,8 @@
             (None, Some(finish)) => age > finish * PATIENT_FRACTION,
             (None, None) => age > run_s,
         };
-        // Once the objective on guaranteed work is missed, it waits its turn: what is preempted
-        // for it later costs others and meets no objective.
+        // A guaranteed job whose objective is already missed queues like the others: preempting
+        // tasks for it would cost other jobs without meeting any objective.
         let prompt = within && age <= prompt_s;
         let starving = self.is_starving(job, age);
         let mut rank = QueueRank {
@@ -225,9 +226,10 @@
         }
     }
 
-    /// Of its class's largest jobs, what might not start within the time that the protocol bears
-    /// starts first, with one task: by urgency and least work alone these would be last for ever.
-    /// (With all of its tasks it was tried: prairie-fleet `loss` 0.69 to 0.61 and 0.63.)
+    /// Whether the job is one of the largest of its class and might not start within
+    /// [`MAX_START_DELAY_S`]. Such a job starts first, because ordering by urgency and least
+    /// remaining work alone would always put it last. It starts with a single task: starting all of
+    /// its tasks lowered `loss` in the prairie-fleet scenario from 0.69 to 0.61 and 0.63.
     fn is_starving(&self, job: &Job, age: f64) -> bool {
         let spec = &job.spec;
         let largest = || {
@@ -243,8 +245,9 @@
     }
 }
 
-/// A job that can no longer make its deadline lets those pass that can. Likewise what can still
-/// start within its class's objective goes before what has already waited longer.
+/// Lateness of a job. Jobs that can still meet their deadline go ahead of those that cannot, and
+/// jobs that can still start within the wait objective of their class go ahead of those that have
+/// already exceeded it.
 fn lateness(spec: &JobSpec, run_s: f64, age: f64, wait_objective_s: Option<f64>) -> Lateness {
     if spec
         .due_s
@@ -258,9 +261,13 @@
     }
 }
 
-/// Among the late the longest goes first, so that none drags on alone at the end. Of those that
-/// can make their deadline, the one with the least work left goes first: where not all can be in
-/// time, most jobs are. Arrays without a deadline keep their order of arrival.
+/// Sort key of a job within its rank; the lowest goes first.
+///
+/// Among jobs that miss their deadline, the longest goes first, so that no long job runs alone at
+/// the end. Among jobs that can meet their deadline, the one with the least remaining work goes
+/// first, which maximizes the number of jobs on time when not all can be; in classes with a wait
+/// objective, the one with the earliest deadline does. Job arrays without a deadline stay in order
+/// of submission.
 fn order_in_rank(
     job: &Job,
     run_s: f64,
--- a/crates/controller/src/scheduler/queue/tests.rs
+++ b/crates/controller/src/scheduler/queue/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Each rank goes ahead of all that follow it.
+/// The ranks are listed in ascending order, and each goes ahead of all that follow it.
 #[test]
 fn rank_weighs_guarantee_then_urgency_then_lateness_then_borrowing() {
     let rank = |not_prompt, urgency, lateness, borrowing| QueueRank {
--- a/crates/controller/src/scheduler/quota.rs
+++ b/crates/controller/src/scheduler/quota.rs
@@ -1,10 +1,10 @@
-//! Quotas of teams: what a team uses, and which of its limits another task would exceed.
+//! Team quotas: the usage of a team, and which of its limits another task would exceed.
 
 use super::Scheduler;
 use crate::split::{Resources, EPSILON};
 use beamhinge_configuration::Quota;
 
-/// Resources that the tasks of one team use, from the plan until proof of their end.
+/// Resources that the tasks of one team use, from planning until their end is proven.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct TeamUsage {
     pub(super) cpus: f64,
@@ -12,19 +12,19 @@
 }
 
 impl TeamUsage {
-    /// Counts one task more.
+    /// Adds the resources of one task.
     pub(super) fn add(&mut self, resources: &Resources) {
         self.cpus += resources.cpus;
         self.gpus += resources.gpus;
     }
 
-    /// Counts one task less.
+    /// Subtracts the resources of one task.
     pub(super) fn sub(&mut self, resources: &Resources) {
         self.cpus -= resources.cpus;
         self.gpus -= resources.gpus;
     }
 
-    /// Whether it is beyond a limit of the quota.
+    /// Whether it exceeds a limit of the quota.
     pub(super) fn exceeds(&self, quota: &Quota) -> bool {
         quota.cpus_max > 0.0 && self.cpus > quota.cpus_max + EPSILON
             || quota.gpus_max > 0.0 && self.gpus > quota.gpus_max + EPSILON
@@ -33,19 +33,20 @@
 
 /// A limit of a team that another task would exceed.
 pub(super) struct QuotaExceeded {
-    /// Name of the resource, as operators read it.
+    /// Name of the resource as shown to operators.
     pub(super) resource: &'static str,
-    /// What the team uses now.
+    /// Amount that the team uses now.
     pub(super) used: f64,
-    /// What the task would add.
+    /// Amount that the task would add.
     pub(super) wanted: f64,
-    /// What the team may use.
+    /// Amount that the team may use.
     pub(super) limit: f64,
 }
 
 impl Scheduler {
-    /// Guard: a team's tasks never use more than its limit, counted from the plan until proof of
-    /// the end. Gives the first limit that a task of this size would exceed.
+    /// Guard: a team's tasks never use more than its limit, counted from planning until their end
+    /// is proven. Returns the first limit that a task of this size would exceed; `None` if there
+    /// is none.
     pub(super) fn quota_exceeded(
         &self,
         usage: TeamUsage,
--- a/crates/controller/src/scheduler/run_times.rs
+++ b/crates/controller/src/scheduler/run_times.rs
@@ -1,18 +1,18 @@
-//! How long tasks run: estimates, corrected by the tasks that ended.
+//! Run time estimates of tasks, corrected by the run times of ended tasks.
 
 use super::job::Job;
 use super::Scheduler;
 use std::collections::BTreeMap;
 
-/// Tasks of a job that must have ended before its own run times count.
+/// Minimum number of ended tasks of a job before its own run times are used.
 pub(super) const MIN_RUN_TIME_SAMPLES: u32 = 4;
 
-/// Least and greatest correction of a class's estimates.
+/// Minimum and maximum correction factor for the estimates of a class.
 pub(super) const RUN_TIME_RATIO_RANGE: (f64, f64) = (0.2, 5.0);
 
 impl Scheduler {
-    /// Run time of a job's task in seconds, as far as known: by its own tasks that ended,
-    /// else by those of its class, else as estimated.
+    /// Expected run time of a job's task, seconds. The estimate of the job is corrected by its own
+    /// ended tasks, else by those of its class; without either, it is used as is.
     pub(super) fn expected_run_s(&self, job: &Job) -> f64 {
         let factor = if job.run_time_ratios.samples >= MIN_RUN_TIME_SAMPLES {
             job.run_time_ratios.mean()
@@ -22,17 +22,17 @@
         job.spec.expected_run_s * factor
     }
 
-    /// How far runs of a class were from their estimates.
+    /// Ratio of actual to estimated run time of a class; 1 if none is known.
     fn class_run_time_ratio(&self, class: &str) -> f64 {
         self.run_time_ratios.get(class).copied().unwrap_or(1.0)
     }
 
-    /// Run time over estimate, by class.
+    /// Ratio of actual to estimated run time, by class.
     pub fn run_time_ratios(&self) -> &BTreeMap<String, f64> {
         &self.run_time_ratios
     }
 
-    /// Takes over what an earlier leader learnt, for classes that this one knows nothing of.
+    /// Restores the ratios recorded by an earlier leader, for classes that have none in this term.
     pub fn restore_run_time_ratios(&mut self, ratios: BTreeMap<String, f64>) {
         let (min, max) = RUN_TIME_RATIO_RANGE;
         for (class, ratio) in ratios {
