--- a/crates/controller/src/scheduler/aging.rs
+++ b/crates/controller/src/scheduler/aging.rs
@@ -74,13 +74,18 @@
     }
 
     /// Places tasks of boosted jobs up to the width of the priority lane.
-    pub(super) fn fill_lane(&mut self, now: Time, wall: WallMs, cycle: &mut SchedulingCycle) {
+    pub(super) fn fill_priority_lane(
+        &mut self,
+        now: Time,
+        wall: WallMs,
+        cycle: &mut SchedulingCycle,
+    ) {
         let boosted = self.boosted_jobs(now, wall);
         if boosted.is_empty() {
             return;
         }
         let mut lane = self.priority_lane(now, cycle.machine_types);
-        cycle.filling_lane = true;
+        cycle.filling_priority_lane = true;
         'jobs: for id in boosted {
             while let Some(job) = self.jobs.get(&id).filter(|job| job.pending_tasks() > 0) {
                 let resources = job.resources();
@@ -105,7 +110,7 @@
                 lane.add(resources.cpus);
             }
         }
-        cycle.filling_lane = false;
+        cycle.filling_priority_lane = false;
     }
 
     /// For each starving job whose first task fits on no machine, reserves the machine that will
@@ -129,31 +134,31 @@
         }
     }
 
-    /// Releases the reservations of jobs that are not in `wanted`, and those of machines that their
+    /// Releases the reservations of jobs that are not in `jobs`, and those of machines that their
     /// job can no longer use.
     pub(super) fn retain_reservations(
         &mut self,
         now: Time,
         machine_types: &[MachineType],
-        wanted: &[JobId],
+        jobs: &[JobId],
     ) {
         if self.reservations.is_empty() {
             return;
         }
-        let mut reserved = std::mem::take(&mut self.reservations);
-        reserved.retain(|id, reservation| {
+        let mut reservations = std::mem::take(&mut self.reservations);
+        reservations.retain(|id, reservation| {
             let (Some(job), Some(machine)) =
                 (self.jobs.get(&id), self.machines.get(&reservation.machine))
             else {
                 return false;
             };
             let machine_type = machine.lookup_type(machine_types);
-            wanted.contains(&id)
+            jobs.contains(&id)
                 && self.accepts_tasks(now, machine)
                 && machine_type
                     .is_some_and(|machine_type| is_feasible(&job.spec, machine_type, machine))
         });
-        self.reservations = reserved;
+        self.reservations = reservations;
     }
 
     /// Reserves the machine that will have enough free capacity for the job's next task first. An
--- a/crates/controller/src/scheduler/bin_packing.rs
+++ b/crates/controller/src/scheduler/bin_packing.rs
@@ -187,7 +187,7 @@
         self.next_attempt += 1;
         let attempt = Attempt(self.next_attempt);
         let mut allocation = Allocation::planned(attempt, resources, team, now, nominated);
-        allocation.boosted = cycle.filling_lane;
+        allocation.boosted = cycle.filling_priority_lane;
         machine.resident.allocations.insert(task, allocation);
         self.event_log.record_placement(job.spec.submitted);
         self.event_log.record(|| DecisionKind::Placed {
@@ -201,7 +201,7 @@
         job.retry_at.remove(&index);
         job.add_attempt(index);
         cycle.count_in_zone(job_id, &machine.identity.zone);
-        cycle.consume(machine_id, team, &resources, nominated.is_some());
+        cycle.record_allocation(machine_id, team, &resources, nominated.is_some());
         Some(task)
     }
 }
--- a/crates/controller/src/scheduler/cycle.rs
+++ b/crates/controller/src/scheduler/cycle.rs
@@ -58,7 +58,7 @@
     /// The most CPUs that are free on any one machine.
     pub(super) max_free_cpus: f64,
     /// Tasks placed now count against the priority lane.
-    pub(super) filling_lane: bool,
+    pub(super) filling_priority_lane: bool,
     /// Computed on first use.
     pub(super) upcoming_exits: Option<Vec<UpcomingExits>>,
     /// Computed on first use.
@@ -73,7 +73,7 @@
     }
 
     /// Accounts for an allocated task. A nominated task uses no capacity until other tasks end.
-    pub(super) fn consume(
+    pub(super) fn record_allocation(
         &mut self,
         machine: MachineId,
         team: Option<usize>,
@@ -113,7 +113,7 @@
             tasks_by_zone: BTreeMap::new(),
             remaining_placements: max_placements.saturating_sub(self.commit_queue.len()),
             max_free_cpus: 0.0,
-            filling_lane: false,
+            filling_priority_lane: false,
             upcoming_exits: None,
             preemption_plan: None,
         };
@@ -128,9 +128,9 @@
     fn count_tasks(&self, machine: &Machine, cycle: &mut SchedulingCycle) {
         for (task, allocation) in &machine.resident.allocations {
             // Guard: a task that is being stopped counts until its end is proven.
-            let forgotten =
+            let excluded =
                 allocation.kill_grace_s.is_some() && broken!(self.faults, forget_stopped);
-            if let Some(team) = allocation.team.filter(|_| !forgotten) {
+            if let Some(team) = allocation.team.filter(|_| !excluded) {
                 cycle.team_usage[team].add(&allocation.resources);
             }
             if self.has_zone_rule(task.job) {
--- a/crates/controller/src/scheduler/demand.rs
+++ b/crates/controller/src/scheduler/demand.rs
@@ -26,7 +26,7 @@
         let spec = &job.spec;
         let unfinished = spec.tasks - job.progress.done_count().min(spec.tasks);
         // No machines are rented for a job that fails on all machines while it is in backoff.
-        let left = if self.fault_attribution.is_job_faulty(id) {
+        let remaining = if self.fault_attribution.is_job_faulty(id) {
             unfinished.min(1)
         } else {
             unfinished
@@ -43,7 +43,7 @@
             job: id,
             class: spec.class.clone(),
             resources: job.resources(),
-            remaining_tasks: left.min(max_tasks),
+            remaining_tasks: remaining.min(max_tasks),
             placed_tasks: job.active_tasks().min(max_tasks),
             run_s: self.expected_run_s(job),
             age_s: age_s(wall, spec),
@@ -79,13 +79,13 @@
                 continue;
             };
             let (run_s, ran_s) = (self.expected_run_s(job), allocation.ran_s(now));
-            let left_s = if ran_s < run_s {
+            let remaining_s = if ran_s < run_s {
                 run_s - ran_s
             } else {
                 run_s * OVERRUN_FRACTION
             };
             if job.spec.kind == JobKind::Batch {
-                pool.push((left_s, allocation.resources.cpus));
+                pool.push((remaining_s, allocation.resources.cpus));
             }
         }
         if free_cpus > EPSILON {
--- a/crates/controller/src/scheduler/drain.rs
+++ b/crates/controller/src/scheduler/drain.rs
@@ -119,14 +119,14 @@
         }
         let mut commits_in_flight = false;
         for (team, unsent) in unsent.iter().enumerate() {
-            commits_in_flight |= self.withdraw_of_team(now, team, usage[team], unsent);
+            commits_in_flight |= self.withdraw_unsent_of_team(now, team, usage[team], unsent);
         }
         self.teams_over_quota = commits_in_flight;
     }
 
     /// Withdraws one team's unsent allocations, the last first, until its usage is within its
     /// limits. Returns true if some of them are in a transaction and have to be checked again.
-    fn withdraw_of_team(
+    fn withdraw_unsent_of_team(
         &mut self,
         now: Time,
         team: usize,
@@ -193,7 +193,7 @@
             return;
         }
         self.withdraw_unsent(now);
-        let mut due = Vec::new();
+        let mut tasks_to_stop = Vec::new();
         for (id, machine) in &self.machines {
             let Some(drain) = &machine.lifecycle.drain else {
                 continue;
@@ -213,11 +213,11 @@
                 if allocation.may_be_on_machine()
                     && elapsed_s + checkpoint_s + self.report_s >= within_s
                 {
-                    due.push((*id, *task));
+                    tasks_to_stop.push((*id, *task));
                 }
             }
         }
-        for (machine, task) in due {
+        for (machine, task) in tasks_to_stop {
             tracing::info!(machine = %machine, task = %task, "stopped task on drained machine");
             self.stop_task(machine, task, "its machine is drained");
         }
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -66,7 +66,7 @@
     /// Machines that only lack free capacity, the one that lacks the least first.
     nearest: Vec<CandidateMachine>,
     /// Whether a machine has enough free capacity.
-    has_room: bool,
+    has_capacity: bool,
 }
 
 impl TaskState {
@@ -97,8 +97,8 @@
     /// Counts a machine under the reason why it gets no tasks.
     fn count_blocked(&mut self, reason: BlockingReason) {
         match reason {
-            BlockingReason::Silent => self.tally.silent += 1,
-            BlockingReason::Unsynced | BlockingReason::Unresponsive => self.tally.unsynced += 1,
+            BlockingReason::Unreachable => self.tally.silent += 1,
+            BlockingReason::StaleToken | BlockingReason::Unresponsive => self.tally.unsynced += 1,
             BlockingReason::Refusing => self.tally.refusing += 1,
             BlockingReason::Reclaimed => self.tally.taken += 1,
             BlockingReason::Returning => self.tally.leaving += 1,
@@ -227,7 +227,7 @@
         let no_tasks = ZoneCounts::new();
         let tasks_by_zone = cycle.tasks_by_zone.get(&id).unwrap_or(&no_tasks);
         let report = self.assess_machines(now, job, tasks_by_zone, machine_types);
-        if report.has_room {
+        if report.has_capacity {
             // The next scheduling cycle can place a task on this machine.
             return reasons.push(Reason::Undecided);
         }
@@ -316,7 +316,7 @@
                 report.tally.full += 1;
                 report.nearest.push(lacking);
             } else {
-                report.has_room = true;
+                report.has_capacity = true;
             }
         }
         report.nearest.sort_by(compare_lacking);
@@ -360,10 +360,12 @@
     /// State of a machine as shown to operators.
     fn machine_state(&self, now: Time, machine: &Machine) -> &'static str {
         match self.blocking_reason(now, machine) {
-            None | Some(BlockingReason::Refusing | BlockingReason::Unsynced) => "up",
+            None | Some(BlockingReason::Refusing | BlockingReason::StaleToken) => "up",
             Some(BlockingReason::Unresponsive) => "deaf",
-            Some(BlockingReason::Silent) if machine.liveness.last_heartbeat.is_none() => "starting",
-            Some(BlockingReason::Silent) => "silent",
+            Some(BlockingReason::Unreachable) if machine.liveness.last_heartbeat.is_none() => {
+                "starting"
+            }
+            Some(BlockingReason::Unreachable) => "silent",
             Some(BlockingReason::Reclaimed) => "taken",
             Some(BlockingReason::Returning) => "leaving",
             Some(BlockingReason::Drained) if machine.is_empty() => "drained",
@@ -442,7 +444,7 @@
             let Some(machine_type) = machine.lookup_type(machine_types) else {
                 continue;
             };
-            if self.blocking_reason(now, machine) == Some(BlockingReason::Silent) {
+            if self.blocking_reason(now, machine) == Some(BlockingReason::Unreachable) {
                 totals.machines_silent += 1;
                 continue;
             }
--- a/crates/controller/src/scheduler/feasibility.rs
+++ b/crates/controller/src/scheduler/feasibility.rs
@@ -69,9 +69,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BlockingReason {
     /// It has not reported recently, or reports too irregularly.
-    Silent,
+    Unreachable,
     /// Its newest report did not carry the fencing token of this leader.
-    Unsynced,
+    StaleToken,
     /// It refused a task recently.
     Refusing,
     /// It does not acknowledge commands and is in backoff.
@@ -103,10 +103,13 @@
         let conditions = [
             (machine.lifecycle.drain.is_some(), BlockingReason::Drained),
             (machine.lifecycle.returning, BlockingReason::Returning),
-            (!alive || !machine.liveness.regular, BlockingReason::Silent),
+            (
+                !alive || !machine.liveness.regular,
+                BlockingReason::Unreachable,
+            ),
             (
                 !machine.acknowledgement.has_current_token,
-                BlockingReason::Unsynced,
+                BlockingReason::StaleToken,
             ),
             (
                 machine.lifecycle.reclaim_announced,
--- a/crates/controller/src/scheduler/lifecycle.rs
+++ b/crates/controller/src/scheduler/lifecycle.rs
@@ -145,7 +145,7 @@
 
     /// Removes ended jobs that have no tasks left on any machine.
     pub(super) fn forget_ended_jobs(&mut self) {
-        let is_gone = |id: &JobId| {
+        let has_no_attempts = |id: &JobId| {
             self.jobs
                 .get(id)
                 .is_none_or(|job| job.attempts_by_task.is_empty())
@@ -153,7 +153,7 @@
         let ended: Vec<JobId> = self
             .terminating_jobs
             .iter()
-            .filter(|id| is_gone(id))
+            .filter(|id| has_no_attempts(id))
             .copied()
             .collect();
         for id in ended {
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -75,7 +75,7 @@
 /// The leader sends it a request every second.
 const STORE_TIMEOUT_S: f64 = 1.8;
 /// Interval between checks for unreachable machines, seconds.
-const SILENCE_CHECK_INTERVAL_S: f64 = 0.2;
+const REACHABILITY_CHECK_INTERVAL_S: f64 = 0.2;
 /// Minimum time between two scheduling cycles, seconds.
 const MIN_CYCLE_INTERVAL_S: f64 = 0.05;
 /// Maximum time between two scheduling cycles when nothing has changed, seconds.
@@ -188,7 +188,7 @@
     /// When the last scheduling cycle ran.
     last_cycle: Time,
     /// When unreachable machines were last checked for.
-    last_silence_check: Time,
+    last_reachability_check: Time,
     /// A change requires a new scheduling cycle.
     replan: bool,
     /// The highest attempt number assigned so far.
@@ -273,7 +273,7 @@
             report_interval: ReportInterval::new(workers.report_s),
             faults: Faults::default(),
             last_cycle: Time::default(),
-            last_silence_check: Time::default(),
+            last_reachability_check: Time::default(),
             replan: true,
             next_attempt: fencing_token.0 << 20,
             run_time_ratios: BTreeMap::new(),
@@ -320,7 +320,7 @@
     /// Number of machines that report on time, and of machines that may have tasks but do not.
     pub fn liveness_counts(&self, now: Time) -> (u32, u32) {
         let timeout_s = self.report_s * 2.5 + 2.0;
-        let (mut heard, mut silent) = (0, 0);
+        let (mut reporting, mut unreachable) = (0, 0);
         let may_have_tasks = |machine: &Machine| {
             let mut allocations = machine.resident.allocations.values();
             !machine.resident.orphans.is_empty() || allocations.any(Allocation::may_be_on_machine)
@@ -332,13 +332,13 @@
             let last_heartbeat = machine.liveness.last_heartbeat;
             match last_heartbeat.unwrap_or(self.acquired_at) {
                 at if now.since(at) <= timeout_s => {
-                    heard += u32::from(last_heartbeat.is_some());
+                    reporting += u32::from(last_heartbeat.is_some());
                 }
                 // A missing report from a machine without tasks does not indicate a failure.
-                _ => silent += u32::from(may_have_tasks(machine)),
+                _ => unreachable += u32::from(may_have_tasks(machine)),
             }
         }
-        (heard, silent)
+        (reporting, unreachable)
     }
 
     /// Preemption statistics of this term.
@@ -444,8 +444,8 @@
             .is_some_and(|at| now.since(at) < STORE_TIMEOUT_S);
         // Machines become unreachable on a scale of seconds. A check after every report would scan
         // the whole fleet each time.
-        if now.since(self.last_silence_check) >= SILENCE_CHECK_INTERVAL_S {
-            self.last_silence_check = now;
+        if now.since(self.last_reachability_check) >= REACHABILITY_CHECK_INTERVAL_S {
+            self.last_reachability_check = now;
             self.check_silence(now);
             self.log_orphans(now);
         }
--- a/crates/controller/src/scheduler/plan.rs
+++ b/crates/controller/src/scheduler/plan.rs
@@ -15,7 +15,7 @@
 
 /// Maximum number of jobs for which tasks may be preempted in one cycle, not counting jobs within a
 /// guarantee.
-const MAX_CLAIMS: usize = 24;
+const MAX_CLAIMS_PER_CYCLE: usize = 24;
 
 impl Scheduler {
     /// Runs one cycle. It only plans allocations and preemptions; `persistence` commits them and
@@ -33,30 +33,30 @@
         let guaranteed = self.guaranteed_jobs();
         let queue = self.pending_jobs(now, wall, settings, &guaranteed);
         let starving = self.starving_jobs(&cycle, &queue);
-        let mut reserving = self.boosted_jobs(now, wall);
-        reserving.extend(&starving);
-        self.retain_reservations(now, machine_types, &reserving);
+        let mut reserving_jobs = self.boosted_jobs(now, wall);
+        reserving_jobs.extend(&starving);
+        self.retain_reservations(now, machine_types, &reserving_jobs);
         let mut claims: Vec<PreemptionClaim> = Vec::new();
-        let mut lane_filled = false;
+        let mut priority_lane_filled = false;
         for group in queue.chunk_by(|a, b| a.rank == b.rank) {
-            let behind_lane = group
+            let behind_priority_lane = group
                 .first()
-                .is_some_and(|pending| pending.rank.is_behind_lane(self.aging.ceiling()));
-            if behind_lane && !lane_filled {
-                lane_filled = true;
-                self.fill_lane(now, wall, &mut cycle);
+                .is_some_and(|pending| pending.rank.is_behind_priority_lane(self.aging.ceiling()));
+            if behind_priority_lane && !priority_lane_filled {
+                priority_lane_filled = true;
+                self.fill_priority_lane(now, wall, &mut cycle);
             }
             if self.place_group(now, &mut cycle, group).is_break() {
                 return;
             }
             cycle.update_max_free_cpus();
             for pending in group {
-                self.place_without_room(now, wall, &mut cycle, pending, &guaranteed);
+                self.preempt_and_nominate(now, wall, &mut cycle, pending, &guaranteed);
                 claims.extend(self.preemption_claim(wall, pending));
             }
         }
         self.reserve_for_starving(now, &cycle, &starving);
-        for claim in claims.iter().take(MAX_CLAIMS) {
+        for claim in claims.iter().take(MAX_CLAIMS_PER_CYCLE) {
             self.preempt_for(now, wall, &mut cycle, claim, &guaranteed);
         }
     }
@@ -65,7 +65,7 @@
     /// does not help a blocked job, and a machine reserved for it would stay idle as long as it is
     /// blocked.
     fn starving_jobs(&self, cycle: &SchedulingCycle, queue: &[PendingJob]) -> Vec<JobId> {
-        let limited = |id: JobId| {
+        let blocked_by_limit = |id: JobId| {
             let Some(job) = self.jobs.get(&id) else {
                 return false;
             };
@@ -76,7 +76,7 @@
         };
         queue
             .iter()
-            .filter(|pending| pending.starving && !limited(pending.id))
+            .filter(|pending| pending.starving && !blocked_by_limit(pending.id))
             .map(|pending| pending.id)
             .collect()
     }
@@ -116,7 +116,7 @@
     /// Preempts tasks for a job within its team's guarantee, and nominates the job's tasks for
     /// machines where others are about to end. A job whose class has a wait objective is not
     /// nominated: other tasks are preempted for it instead.
-    fn place_without_room(
+    fn preempt_and_nominate(
         &mut self,
         now: Time,
         wall: WallMs,
--- a/crates/controller/src/scheduler/queue.rs
+++ b/crates/controller/src/scheduler/queue.rs
@@ -51,7 +51,7 @@
 impl QueueRank {
     /// Whether the priority lane goes ahead of this rank. Boosted jobs go behind prompt guaranteed
     /// jobs and behind jobs more urgent than `ceiling`.
-    pub(super) fn is_behind_lane(&self, ceiling: Urgency) -> bool {
+    pub(super) fn is_behind_priority_lane(&self, ceiling: Urgency) -> bool {
         self.not_prompt && self.urgency.0 <= ceiling
     }
 }
@@ -113,13 +113,13 @@
     /// Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
     /// They do not wait for other teams.
     pub(super) fn guaranteed_jobs(&self) -> BTreeSet<JobId> {
-        let mut within = BTreeSet::new();
+        let mut guaranteed = BTreeSet::new();
         if self
             .teams
             .iter()
             .all(|quota| quota.cpus <= 0.0 && quota.gpus <= 0.0)
         {
-            return within;
+            return guaranteed;
         }
         let open = |job: &Job| job.state == JobState::Open && !job.is_complete();
         let mut by_age: Vec<(u64, JobId)> = self
@@ -145,10 +145,10 @@
                 && used[team].cpus <= quota.cpus + EPSILON
                 && (job.spec.gpus == 0.0 || used[team].gpus <= quota.gpus + EPSILON);
             if fits {
-                within.insert(id);
+                guaranteed.insert(id);
             }
         }
-        within
+        guaranteed
     }
 
     /// The pending jobs, in placement order.
@@ -167,8 +167,8 @@
             .iter()
             .filter(|(id, job)| self.pause_reason(now, **id, job).is_none())
             .map(|(id, job)| {
-                let within = guaranteed.contains(id);
-                self.pending_job(wall, settings, *id, job, within, prompt_s)
+                let is_guaranteed = guaranteed.contains(id);
+                self.pending_job(wall, settings, *id, job, is_guaranteed, prompt_s)
             })
             .collect();
         queue.sort_by(|a, b| {
@@ -178,15 +178,15 @@
         queue
     }
 
-    /// The queue entry of one job. `within` states whether the job is within its team's guarantee;
-    /// such a job goes ahead of all others until `prompt_s` seconds after its submission.
+    /// The queue entry of one job. `is_guaranteed` states whether the job is within its team's
+    /// guarantee; such a job goes ahead of all others until `prompt_s` seconds after its submission.
     fn pending_job(
         &self,
         wall: WallMs,
         settings: &Settings,
         id: JobId,
         job: &Job,
-        within: bool,
+        is_guaranteed: bool,
         prompt_s: f64,
     ) -> PendingJob {
         let spec = &job.spec;
@@ -202,13 +202,13 @@
         };
         // A guaranteed job whose objective is already missed queues like the others: preempting
         // tasks for it would cost other jobs without meeting any objective.
-        let prompt = within && age <= prompt_s;
+        let prompt = is_guaranteed && age <= prompt_s;
         let starving = self.is_starving(job, age);
         let mut rank = QueueRank {
             not_prompt: !prompt,
             urgency: Reverse(spec.urgency),
             lateness,
-            borrowing: !within,
+            borrowing: !is_guaranteed,
         };
         if starving {
             rank.urgency = Reverse(Urgency::Critical);
--- a/crates/controller/src/scheduler/queue/tests.rs
+++ b/crates/controller/src/scheduler/queue/tests.rs
@@ -2,7 +2,7 @@
 
 /// The ranks are listed in ascending order, and each goes ahead of all that follow it.
 #[test]
-fn rank_weighs_guarantee_then_urgency_then_lateness_then_borrowing() {
+fn rank_orders_by_guarantee_then_urgency_then_lateness_then_borrowing() {
     let rank = |not_prompt, urgency, lateness, borrowing| QueueRank {
         not_prompt,
         urgency: Reverse(urgency),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn lane_goes_ahead_of_ranks_up_to_the_ceiling_that_are_not_prompt() {
+fn priority_lane_goes_ahead_of_non_prompt_ranks_up_to_the_ceiling() {
     let behind = |not_prompt, urgency| {
         let rank = QueueRank {
             not_prompt,
@@ -31,7 +31,7 @@
             lateness: Lateness::OnTime,
             borrowing: true,
         };
-        rank.is_behind_lane(Urgency::High)
+        rank.is_behind_priority_lane(Urgency::High)
     };
     assert!(behind(true, Urgency::High) && behind(true, Urgency::BestEffort));
     assert!(!behind(true, Urgency::Critical) && !behind(false, Urgency::BestEffort));
