--- a/crates/controller/src/scheduler/aging.rs
+++ b/crates/controller/src/scheduler/aging.rs
@@ -134,13 +134,13 @@
         }
     }
 
-    /// Releases the reservations of jobs that are not in `jobs`, and those of machines that their
-    /// job can no longer use.
+    /// Releases the reservations of jobs that are not in `eligible_jobs`, and the reservations of
+    /// machines that their job can no longer use.
     pub(super) fn retain_reservations(
         &mut self,
         now: Time,
         machine_types: &[MachineType],
-        jobs: &[JobId],
+        eligible_jobs: &[JobId],
     ) {
         if self.reservations.is_empty() {
             return;
@@ -153,7 +153,7 @@
                 return false;
             };
             let machine_type = machine.lookup_type(machine_types);
-            jobs.contains(&id)
+            eligible_jobs.contains(&id)
                 && self.accepts_tasks(now, machine)
                 && machine_type
                     .is_some_and(|machine_type| is_feasible(&job.spec, machine_type, machine))
--- a/crates/controller/src/scheduler/allocation.rs
+++ b/crates/controller/src/scheduler/allocation.rs
@@ -43,7 +43,7 @@
     pub(super) kill_grace_s: Option<f64>,
     /// Its page is in a transaction that awaits its reply.
     pub(super) in_flight: bool,
-    /// When a report first listed it as running.
+    /// When a report first listed it as running; `None` until then.
     pub(super) started_at: Option<Time>,
     /// It started under an earlier leader, so its elapsed run time is unknown.
     pub(super) inherited: bool,
--- a/crates/controller/src/scheduler/cycle.rs
+++ b/crates/controller/src/scheduler/cycle.rs
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether the job has a zone rule. Tasks are counted by zone only for such jobs.
+    /// Whether the job has a zone rule. Existing tasks are counted by zone only for such jobs.
     fn has_zone_rule(&self, id: JobId) -> bool {
         let job = self.jobs.get(&id);
         job.is_some_and(|job| job.spec.single_zone || job.spec.spread)
--- a/crates/controller/src/scheduler/demand.rs
+++ b/crates/controller/src/scheduler/demand.rs
@@ -25,7 +25,8 @@
     pub(super) fn demand(&self, wall: WallMs, id: JobId, job: &Job) -> Demand {
         let spec = &job.spec;
         let unfinished = spec.tasks - job.progress.done_count().min(spec.tasks);
-        // No machines are rented for a job that fails on all machines while it is in backoff.
+        // A job that fails on all machines demands capacity for at most one task, so that no
+        // further machines are rented for it while it is in backoff.
         let remaining = if self.fault_attribution.is_job_faulty(id) {
             unfinished.min(1)
         } else {
--- a/crates/controller/src/scheduler/machine.rs
+++ b/crates/controller/src/scheduler/machine.rs
@@ -31,7 +31,8 @@
 pub(super) struct Liveness {
     /// When its first report of this term arrived.
     pub(super) first_report: Option<Time>,
-    /// Time of its last heartbeat; `None` before the first one in this term.
+    /// Time of its last heartbeat in this term; `None` before the first one, and after the cloud
+    /// has confirmed the termination of the machine.
     pub(super) last_heartbeat: Option<Time>,
     /// When one of its reports was last answered.
     pub(super) last_answered: Option<Time>,
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -14,7 +14,7 @@
 //!   an open job.
 //! - Guard 3: an allocation ends only with proof that its task no longer runs on the machine.
 //! - Guard 4: commands go out only while the controller is entitled to act as leader.
-//! - Guard 5: an unknown task state in a worker report never counts as the end of a task.
+//! - Guard 5: an unknown task status in a worker report never counts as the end of the task.
 
 use crate::calls::Tag;
 use crate::directives::ActiveDirectives;
--- a/crates/controller/src/scheduler/queue.rs
+++ b/crates/controller/src/scheduler/queue.rs
@@ -66,7 +66,8 @@
     pub(super) pressing: bool,
     /// Wait objective of its class, seconds; `None` if the class has none.
     pub(super) wait_objective_s: Option<f64>,
-    /// Its deadline, else the completion objective of its class, seconds after its submission.
+    /// Its deadline, else the completion objective of its class, seconds after its submission;
+    /// `None` without either.
     pub(super) finish_objective_s: Option<f64>,
     /// One of the largest jobs of its class that has waited so long that it starts next, with a
     /// single task.
@@ -179,7 +180,8 @@
     }
 
     /// The queue entry of one job. `is_guaranteed` states whether the job is within its team's
-    /// guarantee; such a job goes ahead of all others until `prompt_s` seconds after its submission.
+    /// guarantee. Such a job goes ahead of all others until `prompt_s` seconds after its
+    /// submission.
     fn pending_job(
         &self,
         wall: WallMs,
