--- a/crates/controller/src/scheduler/drain.rs
+++ b/crates/controller/src/scheduler/drain.rs
@@ -6,7 +6,7 @@
 use super::Scheduler;
 use crate::configuration::EffectiveTeams;
 use crate::directives::ActiveDirectives;
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::split::{MachineType, Resources};
 use beamhinge_core::types::{JobId, MachineId, Revision, TaskId, Time, WallMs};
 use std::collections::BTreeMap;
@@ -76,7 +76,8 @@
     /// Whether `run` may be sent: the quotas used for the placement are known to be in force, or
     /// any change to them is too recent to matter.
     pub(super) fn may_run(&self, now: Time) -> bool {
-        broken!(self.faults, stale_runs) || self.runs_allowed_until.is_none_or(|until| now < until)
+        fault_injected!(self.faults, run_with_stale_configuration)
+            || self.runs_allowed_until.is_none_or(|until| now < until)
     }
 
     /// Assigns allocations that were made before their team was known to that team, so that they
