--- a/crates/controller/src/scheduler/demand.rs
+++ b/crates/controller/src/scheduler/demand.rs
@@ -1,4 +1,4 @@
-//! Open work and free capacity, as the fleet's scaling asks for them.
+//! Demand of jobs and free capacity over time, the inputs of fleet scaling.
 
 use super::job::{age_s, Job};
 use super::Scheduler;
@@ -6,32 +6,33 @@
 use crate::split::{Demand, MachineType, EPSILON};
 use beamhinge_core::types::{JobId, MachineId, Time, WallMs};
 
-/// A task that has run longer than expected may go on for this part of its run time.
+/// Fraction of its expected run time for which a task that has exceeded it is assumed to continue.
 const OVERRUN_FRACTION: f64 = 0.25;
 
 impl Scheduler {
-    /// Open work of all jobs that may start.
+    /// Demand of all open jobs that are not frozen.
     pub fn demands(&self, wall: WallMs) -> Vec<Demand> {
         self.jobs
             .iter()
             .filter(|(_, job)| job.state == JobState::Open && !job.is_complete())
-            // The fleet does not scale out for what may not start.
+            // The fleet does not scale out for jobs that may not start.
             .filter(|(id, _)| !self.is_frozen(**id))
             .map(|(id, job)| self.demand(wall, *id, job))
             .collect()
     }
 
-    /// One job's open work.
+    /// Demand of one job.
     pub(super) fn demand(&self, wall: WallMs, id: JobId, job: &Job) -> Demand {
         let spec = &job.spec;
         let unfinished = spec.tasks - job.progress.done_count().min(spec.tasks);
-        // A job that fails everywhere earns no machines while it waits.
-        let left = if self.fault_attribution.is_job_faulty(id) {
+        // A job that fails on all machines demands capacity for at most one task, so that no
+        // further machines are rented for it while it is in backoff.
+        let remaining = if self.fault_attribution.is_job_faulty(id) {
             unfinished.min(1)
         } else {
             unfinished
         };
-        // Above its team's limit nothing of it can run.
+        // Tasks beyond the team's limit cannot run.
         let cpus_max = self.team_index(spec).map(|team| self.teams[team].cpus_max);
         let max_tasks = match cpus_max {
             Some(cpus_max) if cpus_max > 0.0 && spec.cpus > 0.0 => {
@@ -43,7 +44,7 @@
             job: id,
             class: spec.class.clone(),
             resources: job.resources(),
-            remaining_tasks: left.min(max_tasks),
+            remaining_tasks: remaining.min(max_tasks),
             placed_tasks: job.active_tasks().min(max_tasks),
             run_s: self.expected_run_s(job),
             age_s: age_s(wall, spec),
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Adds a machine's CPUs to `pool`, by the seconds after which they are or become free.
+    /// Adds a machine's CPUs to `pool` as pairs of the seconds until they become free and their
+    /// number.
     pub fn capacity_over_time(
         &self,
         now: Time,
@@ -78,13 +80,13 @@
                 continue;
             };
             let (run_s, ran_s) = (self.expected_run_s(job), allocation.ran_s(now));
-            let left_s = if ran_s < run_s {
+            let remaining_s = if ran_s < run_s {
                 run_s - ran_s
             } else {
                 run_s * OVERRUN_FRACTION
             };
             if job.spec.kind == JobKind::Batch {
-                pool.push((left_s, allocation.resources.cpus));
+                pool.push((remaining_s, allocation.resources.cpus));
             }
         }
         if free_cpus > EPSILON {
--- a/crates/controller/src/scheduler/plan.rs
+++ b/crates/controller/src/scheduler/plan.rs
@@ -1,6 +1,6 @@
-//! One scheduling cycle from its start to its end: pending jobs are placed where there is room,
-//! nominated for machines where others are about to end, and, where neither helps and they may
-//! not wait, others are preempted for them.
+//! Runs one scheduling cycle. Pending tasks are placed on machines with free capacity or nominated
+//! for machines where other tasks are about to end. If neither is possible and a job must not wait,
+//! other tasks are preempted for it.
 
 use super::bin_packing::PlacementPass;
 use super::cycle::SchedulingCycle;
@@ -13,12 +13,13 @@
 use std::collections::BTreeSet;
 use std::ops::ControlFlow;
 
-/// Jobs that others may be preempted for in one cycle, beside those within a guarantee.
-const MAX_CLAIMS: usize = 24;
+/// Maximum number of jobs for which tasks may be preempted in one cycle, not counting jobs within a
+/// guarantee.
+const MAX_CLAIMS_PER_CYCLE: usize = 24;
 
 impl Scheduler {
-    /// Runs one cycle. Its effects are planned allocations and preemptions; commits and commands
-    /// follow from them elsewhere.
+    /// Runs one cycle. It only plans allocations and preemptions; `persistence` commits them and
+    /// `reconciliation` sends the commands.
     pub(super) fn plan(
         &mut self,
         now: Time,
@@ -32,38 +33,39 @@
         let guaranteed = self.guaranteed_jobs();
         let queue = self.pending_jobs(now, wall, settings, &guaranteed);
         let starving = self.starving_jobs(&cycle, &queue);
-        let mut reserving = self.boosted_jobs(now, wall);
-        reserving.extend(&starving);
-        self.retain_reservations(now, machine_types, &reserving);
+        let mut reserving_jobs = self.boosted_jobs(now, wall);
+        reserving_jobs.extend(&starving);
+        self.retain_reservations(now, machine_types, &reserving_jobs);
         let mut claims: Vec<PreemptionClaim> = Vec::new();
-        let mut lane_filled = false;
+        let mut priority_lane_filled = false;
         for group in queue.chunk_by(|a, b| a.rank == b.rank) {
-            let behind_lane = group
+            let behind_priority_lane = group
                 .first()
-                .is_some_and(|pending| pending.rank.is_behind_lane(self.aging.ceiling()));
-            if behind_lane && !lane_filled {
-                lane_filled = true;
-                self.fill_lane(now, wall, &mut cycle);
+                .is_some_and(|pending| pending.rank.is_behind_priority_lane(self.aging.ceiling()));
+            if behind_priority_lane && !priority_lane_filled {
+                priority_lane_filled = true;
+                self.fill_priority_lane(now, wall, &mut cycle);
             }
             if self.place_group(now, &mut cycle, group).is_break() {
                 return;
             }
             cycle.update_max_free_cpus();
             for pending in group {
-                self.place_without_room(now, wall, &mut cycle, pending, &guaranteed);
+                self.preempt_and_nominate(now, wall, &mut cycle, pending, &guaranteed);
                 claims.extend(self.preemption_claim(wall, pending));
             }
         }
         self.reserve_for_starving(now, &cycle, &starving);
-        for claim in claims.iter().take(MAX_CLAIMS) {
+        for claim in claims.iter().take(MAX_CLAIMS_PER_CYCLE) {
             self.preempt_for(now, wall, &mut cycle, claim, &guaranteed);
         }
     }
 
-    /// The starving jobs of the queue. Where its team's limit is in its way no room helps: a
-    /// machine reserved for such a job would stand idle for as long.
+    /// The starving jobs of the queue, except those blocked by their team's limit. Free capacity
+    /// does not help a blocked job, and a machine reserved for it would stay idle as long as it is
+    /// blocked.
     fn starving_jobs(&self, cycle: &SchedulingCycle, queue: &[PendingJob]) -> Vec<JobId> {
-        let limited = |id: JobId| {
+        let blocked_by_limit = |id: JobId| {
             let Some(job) = self.jobs.get(&id) else {
                 return false;
             };
@@ -74,12 +76,13 @@
         };
         queue
             .iter()
-            .filter(|pending| pending.starving && !limited(pending.id))
+            .filter(|pending| pending.starving && !blocked_by_limit(pending.id))
             .map(|pending| pending.id)
             .collect()
     }
 
-    /// Places the jobs of one rank where there is room. Breaks when the cycle may place no more.
+    /// Places the jobs of one rank on machines with free capacity. Breaks when the cycle may not
+    /// place any more tasks.
     fn place_group(
         &mut self,
         now: Time,
@@ -98,8 +101,8 @@
                 if cycle.remaining_placements == 0 {
                     return ControlFlow::Break(());
                 }
-                // In a full fleet a queue costs one look at each job, not one at each machine
-                // for each job.
+                // In a full fleet this skips the search over all machines, so that the cost is one
+                // comparison per job.
                 if pending.cpus > cycle.max_free_cpus + EPSILON {
                     continue;
                 }
@@ -110,10 +113,10 @@
         ControlFlow::Continue(())
     }
 
-    /// Preempts for a job within its team's guarantee, and nominates tasks for machines where
-    /// others are about to end. A job whose class has an objective on the wait is not nominated:
-    /// others are preempted for it instead.
-    fn place_without_room(
+    /// Preempts tasks for a job within its team's guarantee, and nominates the job's tasks for
+    /// machines where others are about to end. A job whose class has a wait objective is not
+    /// nominated: other tasks are preempted for it instead.
+    fn preempt_and_nominate(
         &mut self,
         now: Time,
         wall: WallMs,
