--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -1,6 +1,7 @@
 //! Tags of the calls to the key-value store: which module waits for a reply, and for what.
 //!
-//! The tags stand below all modules that send requests, so that none depends on another.
+//! The tags are defined in a module of their own, so that the modules that send requests need not
+//! depend on each other.
 
 use beamhinge_core::types::JobId;
 
@@ -11,7 +12,7 @@
     Refresh,
     /// A watch that waits for a change.
     Watch,
-    /// One page of a scan.
+    /// A scan, which returns one page of keys.
     Scan,
 }
 
@@ -24,15 +25,15 @@
     RenewLease,
     /// Scans for the leadership key.
     ReadLeadership,
-    /// Waits for a change of the leadership key.
+    /// Watches the leadership key for a change.
     WatchLeadership,
     /// Scans for the block key.
     ReadBlock,
-    /// Writes leadership key and block key: begins a term.
+    /// Acquires the leadership: writes the leadership key and the block key, which begins a term.
     Acquire,
-    /// Writes the leadership key again during a term.
+    /// Rewrites the leadership key during a term.
     Reclaim,
-    /// Compares the block key with the fencing token.
+    /// Compares the revision of the block key with the fencing token.
     CheckBlock,
     /// Revokes the session lease.
     RevokeLease,
@@ -41,11 +42,12 @@
 /// A call of the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SchedulerCall {
-    /// Scans the placement pages, at the beginning of a term.
+    /// Scans the placement pages, at the beginning of a term and after a transaction of unknown
+    /// outcome.
     Pages,
-    /// Scans the progress pages, at the beginning of a term.
+    /// Scans the progress pages, after the placement pages.
     Progress,
-    /// Commits placements, progress and the ends of jobs.
+    /// Commits placements, progress and finished jobs.
     Commit,
 }
 
@@ -54,7 +56,7 @@
 pub enum UserApiCall {
     /// Stores submitted jobs.
     Accept(Vec<JobId>),
-    /// Stores that a job is cancelled.
+    /// Marks a job's record as cancelled.
     Cancel(JobId),
 }
 
@@ -78,13 +80,13 @@
     Job(ReplicaCall),
     /// The replica of the operators' directives.
     Directives(ReplicaCall),
-    /// A change of a directive, by its serial number.
+    /// A change of a directive, identified by its serial number.
     DirectiveChange(u64),
     /// The replica of the configuration.
     Configuration(ReplicaCall),
-    /// This controller's own key, which holds the configuration version it serves.
+    /// The key of this controller that records which configuration version it serves.
     ConfigurationMember,
-    /// A change of configuration, by its serial number.
+    /// A configuration change, identified by its serial number.
     ConfigurationChange(u64),
     /// The leader election.
     Election(ElectionCall),
--- a/crates/controller/src/job_store.rs
+++ b/crates/controller/src/job_store.rs
@@ -1,7 +1,8 @@
-//! The job store: a copy of all jobs that the key-value store holds under `j/`.
+//! The job store: a replica of all job records in the key-value store, under the prefix `j/`.
 //!
-//! A job's key is created when the job is accepted and changes only when the job is cancelled
-//! or done, so its revision is a condition that a placement can rest on. Keys are never deleted.
+//! A job's key is created when the job is accepted and changes only when the job is cancelled or
+//! done, so a placement can be committed on the condition that its revision is unchanged. Keys are
+//! never deleted.
 
 use crate::calls::{ReplicaCall, Tag};
 use crate::replica::{Freshness, ReplicaCache, ReplicaConfig};
@@ -18,31 +19,33 @@
 use std::ops::Bound;
 use std::rc::Rc;
 
-/// Names of teams, classes and images that are kept once however many jobs have them; further
-/// ones are kept by each of their jobs. 16,384 allow each of 8,192 machines to run an image of
-/// its own, beside as many names of teams and classes.
+/// Maximum number of distinct names of teams, classes and images that jobs share in memory; each
+/// job keeps its own copies of further names. 16,384 are enough for 8,192 machines that each run a
+/// different image, and for as many names of teams and classes.
 const MAX_SHARED_NAMES: usize = 16_384;
 
-/// Names of teams and classes of jobs that are over; the jobs of further ones have no summary.
+/// Maximum number of team and class names in summaries of done and cancelled jobs; jobs with
+/// further names have no summary.
 const MAX_SUMMARY_NAMES: usize = 1_024;
 
-/// A job as the key-value store holds it.
+/// A job's record in the key-value store.
 #[derive(Clone, Debug)]
 pub struct JobEntry {
     /// The revision of the job's key.
     pub revision: Revision,
     /// Whether the job is open, cancelled or done.
     pub state: JobState,
-    /// The description; none once the job is over.
+    /// The job description; `None` once the job is done or cancelled.
     pub spec: Option<Rc<JobSpec>>,
-    /// The number of tasks, also once the job is over.
+    /// The number of tasks; stays known once the job is done or cancelled.
     pub tasks: u32,
-    /// Team, class and urgency, once the job is over.
+    /// Team, class and urgency once the job is done or cancelled; `None` while it is open or if
+    /// they are unknown.
     summary: Option<CompactSummary>,
 }
 
-/// A [`JobSummary`] in sixteen bytes: the job store holds every job there ever was. Team and
-/// class are indexes into [`JobStore::summary_names`].
+/// A [`JobSummary`] in sixteen bytes, because the job store holds every job that was ever
+/// accepted. Team and class are indexes into [`JobStore::summary_names`].
 #[derive(Clone, Copy, Debug)]
 struct CompactSummary {
     team: u16,
@@ -55,13 +58,13 @@
 pub struct JobStore {
     entries: BTreeMap<JobId, JobEntry>,
     replica: ReplicaCache,
-    /// A record has an unknown form or version: answers about jobs would be guesses.
+    /// Whether a record has an unknown format or version, so that the state of jobs is uncertain.
     unreadable: bool,
     /// Jobs that changed since [`JobStore::take_changed`].
     changed: Vec<JobId>,
-    /// The names that compact summaries refer to, by index.
+    /// The names to which compact summaries refer by index.
     summary_names: Vec<Rc<str>>,
-    /// The names and images of descriptions, each kept once however many jobs have it.
+    /// The team, class and image names of job descriptions, each stored once for all jobs.
     shared_names: BTreeSet<Rc<str>>,
 }
 
@@ -95,14 +98,14 @@
         self.entries.iter()
     }
 
-    /// The jobs behind `after` in the order of their ids. The order never changes, so a cursor
-    /// stays valid whatever jobs are added or end meanwhile.
+    /// The jobs with ids above `after`, in the order of their ids; all jobs if `after` is `None`.
+    /// The order never changes, so a cursor stays valid when jobs are added or end.
     pub fn after(&self, after: Option<JobId>) -> impl Iterator<Item = (&JobId, &JobEntry)> {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.entries.range((start, Bound::Unbounded))
     }
 
-    /// Team, class and urgency of a job, as far as its record holds them.
+    /// Team, class and urgency of a job; `None` if they are unknown.
     pub fn summary(&self, entry: &JobEntry) -> Option<JobSummary> {
         if let Some(spec) = &entry.spec {
             return Some(JobSummary::from(&**spec));
@@ -121,12 +124,12 @@
         })
     }
 
-    /// Whether the copy is complete and could be read.
+    /// Whether the replica is complete and all its records are readable.
     pub fn loaded(&self) -> bool {
         self.replica.loaded() && !self.unreadable
     }
 
-    /// The copy holds everything that was committed before this time.
+    /// The time up to which the replica contains every committed change; `None` if unknown.
     pub fn fresh_as_of(&self) -> Option<Time> {
         if self.unreadable {
             return None;
@@ -134,29 +137,30 @@
         self.replica.fresh_as_of()
     }
 
-    /// Takes the jobs that changed since the last call.
+    /// Returns the jobs that changed since the last call.
     pub fn take_changed(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Refreshes the copy at the next [`tick`](Self::tick), because something else showed that
-    /// it is out of date.
+    /// Requests a refresh of the replica at the next [`tick`](Self::tick), because other evidence
+    /// shows that it is out of date.
     pub fn request_refresh(&mut self) {
         self.replica.request_refresh();
     }
 
-    /// Keeps the copy up to date: `refresh` if a request waits for a fresh copy, `follow` on the
-    /// leader.
+    /// Keeps the replica up to date. `refresh` is set if a request waits for a fresh replica, and
+    /// `follow` on the leader.
     pub fn tick(&mut self, now: Time, refresh: bool, follow: bool, store: &mut StoreClient<Tag>) {
         self.replica.tick(now, refresh, follow, store);
     }
 
-    /// The index of a name in the list of summary names, to which it is added.
+    /// Returns the index of a name in the list of summary names, and adds the name if necessary;
+    /// `None` if the list is full.
     fn summary_name(&mut self, name: &str) -> Option<u16> {
         if let Some(index) = self.summary_names.iter().position(|known| **known == *name) {
             return u16::try_from(index).ok();
         }
-        // Teams and classes are few; an excess of names is not remembered.
+        // There are few teams and classes; names beyond the limit are not stored.
         if self.summary_names.len() >= MAX_SUMMARY_NAMES {
             return None;
         }
@@ -164,12 +168,12 @@
         u16::try_from(self.summary_names.len() - 1).ok()
     }
 
-    /// Replaces a description's names by the copies that other jobs share.
+    /// Replaces the names in a job description with the copies that are shared by all jobs.
     fn share_names(&mut self, mut spec: JobSpec) -> JobSpec {
         for name in [&mut spec.team, &mut spec.class, &mut spec.image] {
             match self.shared_names.get(name) {
                 Some(known) => *name = known.clone(),
-                // An excess of names is kept by each job alone.
+                // Beyond the limit, each job keeps its own copy of a name.
                 None if self.shared_names.len() < MAX_SHARED_NAMES => {
                     self.shared_names.insert(name.clone());
                 }
@@ -195,10 +199,10 @@
     /// Applies the stored value of a key.
     fn apply(&mut self, key: &str, revision: u64, value: &Value) {
         let Some(id) = key.strip_prefix(PREFIX).and_then(JobId::parse) else {
-            tracing::error!(key, "ignored key that is not a job");
+            tracing::error!(key, "ignored key that is not a valid job key");
             return;
         };
-        // A reply that overtook another must not restore an older state.
+        // Replies may arrive out of order; an older revision must not replace a newer one.
         if self
             .entries
             .get(&id)
@@ -231,19 +235,19 @@
             _ => {
                 tracing::error!(
                     key,
-                    "stopped serving jobs: record of unknown form or version"
+                    "stopped serving jobs: record has an unknown format or version"
                 );
                 self.unreadable = true;
             }
         }
     }
 
-    /// Handles the reply to one of the copy's calls; returns what it means for requests that wait
-    /// for a fresh copy.
+    /// Handles the reply to one of the replica's calls; returns what it means for requests that
+    /// wait for a fresh replica.
     pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Freshness {
         let update = self.replica.on_reply(now, call, reply);
         for change in &update.changes {
-            // A job's key is never deleted, so a missing value proves nothing.
+            // A job's key is never deleted, so a missing value is not evidence of a change.
             if let Some(value) = &change.value {
                 self.apply(&change.key, change.revision, value);
             }
@@ -251,7 +255,7 @@
         update.freshness
     }
 
-    /// Applies what this controller's own committed transaction wrote, ahead of any watch.
+    /// Applies a committed write of this controller before any watch reports it.
     pub fn on_committed(
         &mut self,
         id: JobId,
--- a/crates/controller/src/job_store/tests.rs
+++ b/crates/controller/src/job_store/tests.rs
@@ -7,7 +7,8 @@
     serde_json::from_value(body).expect("a description")
 }
 
-/// Beyond 4,096 names each job once kept copies of its own.
+/// Guards against a limit that is too low: with 4,096 shared names, each job kept its own copies of
+/// the names beyond the limit.
 #[test]
 fn names_of_a_large_fleet_are_shared_within_a_memory_limit() {
     let mut job_store = JobStore::default();
--- a/crates/controller/src/pending_changes.rs
+++ b/crates/controller/src/pending_changes.rs
@@ -1,43 +1,45 @@
-//! Queue of requested changes to versioned state that is held in a
+//! Queue of requested changes to versioned state that is replicated in a
 //! [`ReplicaCache`](crate::replica::ReplicaCache).
 //!
-//! A change is decided on only by a replica that is at least as fresh as the change itself
-//! ([`PendingChange::is_decidable`]), then committed as one conditional transaction. A commit
-//! that lost its condition, or whose fate is unknown, is decided on again from a replica that
-//! is read afterwards ([`PendingChanges::retry`]). The queue is bounded in length
-//! ([`MAX_PENDING`]); how a change that has waited for too long ends is for its owner to say.
+//! A change is decided on only with a replica that is at least as fresh as the request
+//! ([`PendingChange::is_decidable`]), and is then committed as one conditional transaction. If the
+//! condition fails or the outcome of the transaction is unknown, the change is decided on again
+//! with a replica that is read afterwards ([`PendingChanges::retry`]). The length of the queue is
+//! bounded ([`MAX_PENDING`]); the owner of the queue decides how a change that has waited for too
+//! long ends ([`PendingChange::is_late`]).
 
 use beamhinge_core::types::{RequestId, Time};
 use std::collections::VecDeque;
 
-/// Changes that may wait in one queue; more are refused.
+/// Maximum number of changes in one queue; further changes are rejected.
 const MAX_PENDING: usize = 32;
-/// How long a change may take before its author is told to try again, seconds.
+/// How long a change may take before the requester is told to retry, seconds.
 const TIMEOUT_S: f64 = 3.0;
 
-/// One requested change and how far it got.
+/// One requested change and its progress.
 pub(crate) struct PendingChange<T> {
-    /// Identifies the change among all that this queue ever held; replies of the key-value
-    /// store name it.
+    /// Identifies the change among all changes that were ever in this queue; it is part of the tag
+    /// of the change's calls to the key-value store.
     pub(crate) serial: u64,
     /// The request that is answered once the change is decided.
     pub(crate) request: RequestId,
-    /// What is to be changed.
+    /// The change itself.
     pub(crate) change: T,
-    /// Whether a transaction with this change awaits its reply.
+    /// Whether the reply to a transaction with this change is outstanding.
     pub(crate) in_flight: bool,
     started: Time,
-    /// The replica must be at least this fresh to decide on the change.
+    /// Minimum freshness of the replica to decide on the change.
     needs_fresh_as_of: Time,
 }
 
 impl<T> PendingChange<T> {
-    /// Whether the change has waited for longer than its author is kept waiting.
+    /// Whether the change has waited for longer than the timeout.
     pub(crate) fn is_late(&self, now: Time) -> bool {
         now.since(self.started) > TIMEOUT_S
     }
 
-    /// Whether a replica of this freshness shows all that the decision depends on.
+    /// Whether a replica of this freshness is sufficient to decide on the change. `None`: the
+    /// freshness is unknown.
     pub(crate) fn is_decidable(&self, fresh_as_of: Option<Time>) -> bool {
         !self.in_flight && fresh_as_of.is_some_and(|fresh| fresh >= self.needs_fresh_as_of)
     }
@@ -59,7 +61,7 @@
 }
 
 impl<T> PendingChanges<T> {
-    /// Appends a change; `false` when the queue is full and the change was dropped.
+    /// Appends a change; returns `false` if the queue is full and the change was dropped.
     #[must_use]
     pub(crate) fn push(&mut self, now: Time, request: RequestId, change: T) -> bool {
         if self.queue.len() >= MAX_PENDING {
@@ -92,7 +94,7 @@
             .find(|pending| pending.serial == serial)
     }
 
-    /// Takes one change off the queue.
+    /// Removes one change from the queue.
     pub(crate) fn remove(&mut self, serial: u64) -> Option<PendingChange<T>> {
         let at = self.queue.iter().position(|p| p.serial == serial)?;
         self.queue.remove(at)
@@ -115,8 +117,8 @@
         responses
     }
 
-    /// The transaction of a change did not make it: it is decided on anew, by a replica that
-    /// is read from `now` on.
+    /// Handles a transaction that was not committed or whose outcome is unknown: the change is
+    /// decided on again with a replica that is read at `now` or later.
     pub(crate) fn retry(&mut self, now: Time, serial: u64) {
         if let Some(pending) = self.get_mut(serial) {
             pending.in_flight = false;
--- a/crates/controller/src/placement_pages.rs
+++ b/crates/controller/src/placement_pages.rs
@@ -1,12 +1,12 @@
-//! Placement pages: the stored record of which task is on which machine.
+//! Placement pages: the stored records of which task is placed on which machine.
 //!
-//! A page holds the tasks that were placed together. It is written once, by the transaction
-//! that places them, and deleted when all of them have ended; in between it may name tasks
-//! that ended long ago. A placement thus costs one write, however many machines it touches.
+//! A page lists the tasks that were placed together. It is written once, by the transaction that
+//! places them, and deleted when all of them have ended; in between it may list tasks that ended
+//! long ago. A placement thus costs one write, regardless of the number of machines.
 //!
-//! Invariant: a page is written only together with a condition on the block key. A controller
-//! that lost the block key can place nothing any more, however late its transaction is
-//! committed.
+//! Invariant: a page is written only together with a condition on the block key. Once another
+//! controller has changed the block key, a former leader can no longer place tasks, however late
+//! its transaction is executed.
 
 use beamhinge_core::types::{Attempt, FencingToken, JobId, MachineId, Revision, TaskId};
 use beamhinge_core::wire::{self, DecodeError};
@@ -18,19 +18,19 @@
 pub const PAGE_PREFIX: &str = "p/";
 /// Prefix of the keys of progress pages.
 pub const PROGRESS_PREFIX: &str = "d/";
-/// Version of the stored form; version 1 is read as well.
+/// Version of the stored format; version 1 is read as well.
 const PAGE_VERSION: u32 = 2;
-/// Upper bound of the JSON length of one row, so that a page never exceeds its limit.
+/// Upper bound of the JSON length of one row, bytes.
 const ROW_BYTES: usize = 44;
 
 /// One attempt of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PlacementRow {
-    /// Where the task was placed.
+    /// The machine on which the task was placed.
     pub machine: MachineId,
     /// The task that was placed.
     pub task: TaskId,
-    /// Which attempt of the task this is.
+    /// The attempt of the task.
     pub attempt: Attempt,
 }
 
@@ -42,11 +42,11 @@
 struct Page {
     key: String,
     revision: Revision,
-    /// Allocations of the scheduler that rest on this page.
+    /// Number of the scheduler's allocations that this page records.
     references: u32,
 }
 
-/// A page as the key-value store holds it.
+/// A page in the key-value store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoredPage<'a> {
     /// Identifies the page within this process.
@@ -57,17 +57,18 @@
     pub revision: Revision,
 }
 
-/// The pages that the key-value store holds, with their reference counts.
+/// The pages in the key-value store, with their reference counts.
 pub struct PlacementPages {
     token: FencingToken,
-    /// Shared by page ids and keys.
+    /// The last number assigned; page ids and keys share one sequence of numbers.
     last_number: u64,
     pages: BTreeMap<PageId, Page>,
     unreferenced: BTreeSet<PageId>,
 }
 
 impl PlacementPages {
-    /// No pages yet; `token` is the fencing token of the term, which is part of new keys.
+    /// Creates an empty set of pages; `token` is the fencing token of the term, which is part of
+    /// new keys.
     pub fn new(token: FencingToken) -> PlacementPages {
         PlacementPages {
             token,
@@ -82,7 +83,8 @@
         self.last_number
     }
 
-    /// A key that no page ever had: it consists of the fencing token and a running number.
+    /// Returns a key that no page has ever had: it consists of the fencing token and a sequence
+    /// number.
     pub fn new_key(&mut self) -> String {
         let number = self.next_number();
         format!("{PAGE_PREFIX}{}-{number}", self.token.0)
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Pages all of whose tasks have ended, which may be deleted.
+    /// The pages without references; all their tasks have ended, so they may be deleted.
     pub fn unreferenced(&self) -> impl Iterator<Item = StoredPage<'_>> {
         self.unreferenced.iter().filter_map(|id| {
             let page = self.pages.get(id)?;
@@ -131,25 +133,25 @@
         })
     }
 
-    /// The number of pages that may be deleted.
+    /// The number of pages without references.
     pub fn unreferenced_count(&self) -> usize {
         self.unreferenced.len()
     }
 
-    /// The store has deleted this page.
+    /// Handles the committed deletion of a page.
     pub fn on_removed(&mut self, id: PageId) {
         self.pages.remove(&id);
         self.unreferenced.remove(&id);
     }
 
-    /// Forgets all pages, before they are read anew. Numbers are not used again.
+    /// Discards all pages before a new load. Numbers are not reused.
     pub fn clear(&mut self) {
         self.pages.clear();
         self.unreferenced.clear();
     }
 }
 
-/// The number of rows that always fit a value of so many bytes.
+/// The number of rows that always fit a value of `value_limit` bytes; at least one.
 pub fn rows_per_page(value_limit: usize) -> usize {
     (value_limit / ROW_BYTES).max(1)
 }
@@ -157,19 +159,19 @@
 /// Machine -> job -> (task index, attempt).
 type StoredRows = BTreeMap<String, BTreeMap<String, Vec<(u32, u64)>>>;
 
-/// The stored form of a page.
+/// The stored format of a page.
 #[derive(Serialize, Deserialize)]
 struct PageRecord {
     #[serde(rename = "v")]
     version: u32,
-    /// Attempts are stored relative to this one; version 1 stored them absolute.
+    /// Attempt numbers are stored relative to this one; version 1 stored absolute numbers.
     #[serde(rename = "a", default)]
     base_attempt: u64,
     #[serde(rename = "m")]
     rows: StoredRows,
 }
 
-/// The stored form of a page with these rows.
+/// Encodes a page with these rows in the stored format.
 pub fn encode_page(rows: &[PlacementRow]) -> Value {
     let base_attempt = rows.iter().map(|row| row.attempt.0).min().unwrap_or(0);
     let mut stored = StoredRows::new();
@@ -188,11 +190,11 @@
     })
 }
 
-/// The rows of a stored page, of the present version or the one before.
+/// Decodes the rows of a stored page, of the present version or the previous one.
 ///
 /// # Errors
-/// If the page has another version or an invalid id. It is rejected as a whole: a guess at
-/// what runs where could start a task twice.
+/// If the page has an unknown version or an invalid id. The page is then rejected as a whole,
+/// because a wrong guess at where a task runs could start it twice.
 pub fn decode_page(value: &Value) -> Result<Vec<PlacementRow>, DecodeError> {
     let record: PageRecord = wire::from_value(value)?;
     let base_attempt = match record.version {
@@ -218,10 +220,10 @@
     Ok(rows)
 }
 
-/// For each task the row of its highest attempt, with its page.
+/// Returns the row of the highest attempt of each task, with its page.
 ///
-/// Only that attempt can still be on a machine: a further one is committed only after proof
-/// that the one before has ended.
+/// Only that attempt can still be on a machine: a new attempt is committed only after proof that
+/// the previous one has ended.
 pub fn newest_rows(
     rows: impl Iterator<Item = (PlacementRow, PageId)>,
 ) -> Vec<(PlacementRow, PageId)> {
--- a/crates/controller/src/placement_pages/tests.rs
+++ b/crates/controller/src/placement_pages/tests.rs
@@ -22,7 +22,7 @@
         .collect();
     let value = encode_page(&rows);
     assert!(wire::json_len(&value) <= rows.len() * ROW_BYTES);
-    let mut back = decode_page(&value).expect("sound");
+    let mut back = decode_page(&value).expect("valid page");
     back.sort();
     assert_eq!(back, rows);
 }
@@ -38,11 +38,11 @@
         })
     };
     assert_eq!(
-        decode_page(&page(1)).expect("sound"),
+        decode_page(&page(1)).expect("valid page"),
         [row("n-1", "job-1/3", 77)]
     );
     assert_eq!(
-        decode_page(&page(2)).expect("sound"),
+        decode_page(&page(2)).expect("valid page"),
         [row("n-1", "job-1/3", 1_077)]
     );
     assert!(decode_page(&page(3)).is_err());
@@ -84,23 +84,23 @@
         row("n-7", "job-000412/70000", (41 << 20) + 8),
     ];
     let page = encode_page(&rows);
-    assert_eq!(decode_page(&page).expect("sound"), rows);
+    assert_eq!(decode_page(&page).expect("valid page"), rows);
     golden.stored(
         "page",
-        &wire::from_value::<PageRecord>(&page).expect("sound"),
+        &wire::from_value::<PageRecord>(&page).expect("valid page"),
     );
     assert_eq!(
-        wire::to_value(&wire::from_value::<PageRecord>(&page).expect("sound")),
+        wire::to_value(&wire::from_value::<PageRecord>(&page).expect("valid page")),
         page
     );
     golden.stored(
         "empty page",
-        &wire::from_value::<PageRecord>(&encode_page(&[])).expect("sound"),
+        &wire::from_value::<PageRecord>(&encode_page(&[])).expect("valid page"),
     );
     golden.check();
 }
 
-/// Pages as stored bytes: of the present version and of the one before.
+/// Reads pages of the present and the previous version from their stored bytes.
 #[test]
 fn stored_pages_of_both_versions_are_read() {
     let rows = vec![
@@ -124,7 +124,7 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// Any rows come back from their stored form, in the order of machines and jobs.
+    /// Decoding an encoded page returns the same rows, up to their order.
     #[test]
     fn any_page_round_trips(
         rows in prop::collection::vec((0..9u32, 0..5u32, any::<u32>(), any::<u64>()), 0..60),
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -1,8 +1,8 @@
-//! Which tasks of each job are done, and the progress pages that store it.
+//! Progress: which tasks of each job are done, and the progress pages that store it.
 //!
-//! A progress page is one value of the key-value store with the progress of many jobs, so a
-//! second in which fifty tasks end costs one or two writes and not one per job. Each chunk of
-//! a job's tasks stays on the page it was assigned to first.
+//! A progress page is one value of the key-value store with the progress of many jobs, so fifty
+//! tasks that end within a second cost one or two writes instead of one write per job. Each chunk
+//! of a job's tasks stays on the page that it was first assigned to.
 
 mod completion;
 
@@ -14,29 +14,30 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most tasks of a chunk: 8,192 bits are 2,048 hexadecimal digits.
+/// Maximum number of tasks per chunk: 8,192 bits are 2,048 hexadecimal digits.
 const MAX_CHUNK_SIZE: u32 = 8_192;
-/// Tasks of a chunk where values are tiny.
+/// Minimum number of tasks per chunk, for stores with a very small value limit.
 const MIN_CHUNK_SIZE: u32 = 64;
-/// Version of the stored form.
+/// Version of the stored format.
 const PAGE_VERSION: u32 = 2;
-/// Version of the legacy form, with one key per chunk.
+/// Version of the legacy format, with one key per chunk.
 const LEGACY_VERSION: u32 = 1;
-/// Highest number of a page that is read; guards memory.
+/// Highest page number that is accepted when pages are loaded; bounds memory use.
 const MAX_PAGE_NUMBER: usize = 100_000;
-/// JSON length of a page without its entries.
+/// JSON length of a page without its entries, bytes.
 const FRAME_BYTES: usize = 64;
-/// JSON length of an entry without its digits.
+/// JSON length of an entry without its digits, bytes.
 const CHUNK_ENTRY_BYTES: usize = 34;
 
-/// Tasks per chunk, so that one chunk always fits a value of this length. It determines what
-/// is stored, so it must be the same for all controllers of a deployment.
+/// Returns the number of tasks per chunk for which one chunk always fits a value of `value_limit`
+/// bytes. The stored data depends on it, so it must be the same for all controllers of a
+/// deployment.
 pub fn chunk_size(value_limit: usize) -> u32 {
     let digits = value_limit.saturating_sub(FRAME_BYTES + CHUNK_ENTRY_BYTES);
     (digits as u32 * 4 / 8 * 8).clamp(MIN_CHUNK_SIZE, MAX_CHUNK_SIZE)
 }
 
-/// The stored form of a page.
+/// The stored format of a page.
 #[derive(Serialize, Deserialize)]
 struct ProgressPageRecord {
     #[serde(rename = "v")]
@@ -46,7 +47,7 @@
     chunks: BTreeMap<String, String>,
 }
 
-/// The legacy form: one key per job and chunk.
+/// The legacy format: one key per job and chunk.
 #[derive(Deserialize)]
 struct ChunkRecord {
     #[serde(rename = "v")]
@@ -63,7 +64,7 @@
 }
 
 impl ChunkId {
-    /// Reads the stored form `job/chunk`.
+    /// Parses the stored format `job/chunk`.
     fn parse(text: &str) -> Option<ChunkId> {
         let (job, chunk) = text.split_once('/')?;
         Some(ChunkId {
@@ -73,7 +74,7 @@
     }
 }
 
-/// The stored form `job/chunk`.
+/// Writes the stored format `job/chunk`.
 impl std::fmt::Display for ChunkId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}/{}", self.job, self.chunk)
@@ -82,23 +83,24 @@
 
 #[derive(Default)]
 struct ProgressPage {
-    /// The revision of the stored page (0: not stored).
+    /// The revision of the stored page; 0 if the page is not stored.
     revision: Revision,
-    /// The chunks on the page, with the most bytes that each takes.
+    /// The chunks on the page, with the maximum number of bytes of each.
     chunks: BTreeMap<ChunkId, usize>,
-    /// The sum of these bytes.
+    /// The sum of the maximum sizes of all chunks on the page.
     bytes: usize,
-    /// Holds progress that has to be written.
+    /// Whether the page has progress that must be written.
     dirty: bool,
 }
 
-/// Open jobs, whose progress is written to pages and read from them.
+/// Access to the open jobs, whose progress is written to pages and read from them.
 pub trait OpenJobs {
-    /// The number of tasks and the progress of a job that is open.
+    /// Returns the number of tasks and the progress of a job, or `None` if the job is not open.
     fn progress(&mut self, job: JobId) -> Option<(u32, &mut JobProgress)>;
 }
 
-/// Pages and keys of one transaction, to be handed back with its outcome.
+/// The pages and keys that one transaction writes or deletes. It is passed to
+/// [`ProgressPages::on_written`] or [`ProgressPages::on_write_failed`] once the outcome is known.
 #[derive(Default)]
 pub struct ProgressWrite {
     written: Vec<(usize, Vec<ChunkId>)>,
@@ -107,12 +109,12 @@
 }
 
 impl ProgressWrite {
-    /// The transaction deletes an empty page.
+    /// Records that the transaction deletes an empty page.
     pub fn remove_page(&mut self, page: usize) {
         self.removed.push(page);
     }
 
-    /// The transaction deletes a key of the legacy form.
+    /// Records that the transaction deletes a key of the legacy format.
     pub fn remove_legacy_key(&mut self, key: String) {
         self.removed_legacy_keys.push(key);
     }
@@ -128,7 +130,7 @@
     }
 }
 
-/// The most bytes that one chunk of a job takes on a page.
+/// The maximum number of bytes that one chunk of a job takes on a page.
 fn chunk_entry_bytes(chunk_size: u32, chunk: u32, tasks: u32) -> usize {
     let bits = tasks.saturating_sub(chunk * chunk_size).min(chunk_size) as usize;
     CHUNK_ENTRY_BYTES + bits.div_ceil(8) * 2
@@ -139,20 +141,21 @@
     format!("{PROGRESS_PREFIX}s{page:04}")
 }
 
-/// Which page holds the progress of each job, and which pages have to be written.
+/// Assigns the chunks of all jobs to progress pages and tracks which pages must be written.
 pub struct ProgressPages {
-    /// Bytes that the entries of a page may take.
+    /// Maximum total size of the entries of a page, bytes.
     max_bytes: usize,
     /// Tasks per chunk.
     chunk_size: u32,
     pages: Vec<ProgressPage>,
     page_of_chunk: BTreeMap<ChunkId, usize>,
-    /// Keys of the legacy form, to be deleted when their job is over.
+    /// Keys of the legacy format, to be deleted once their job is done or cancelled.
     legacy_keys: BTreeMap<String, (JobId, Revision)>,
 }
 
 impl ProgressPages {
-    /// No pages yet; `value_limit`: bytes of the largest value of the store.
+    /// Creates an empty set of pages. `value_limit` is the maximum size of a value of the key-value
+    /// store, in bytes.
     pub fn new(value_limit: usize) -> ProgressPages {
         ProgressPages {
             max_bytes: value_limit.saturating_sub(FRAME_BYTES),
@@ -163,7 +166,8 @@
         }
     }
 
-    /// A task was done: the page of its chunk has to be written. `tasks`: the tasks of the job.
+    /// Marks the page of a task's chunk for writing, after the task is done. `tasks` is the number
+    /// of tasks of the job.
     pub fn mark_dirty(&mut self, job: JobId, index: u32, tasks: u32) {
         let id = ChunkId {
             job,
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Assigns a chunk to the first page with room for it, or to a new one.
+    /// Assigns a chunk to the first page with enough free space, or to a new page.
     fn assign_to_free_page(&mut self, id: ChunkId, tasks: u32) -> usize {
         let bytes = chunk_entry_bytes(self.chunk_size, id.chunk, tasks);
         let has_room = |page: &ProgressPage| page.bytes + bytes <= self.max_bytes;
@@ -198,7 +202,7 @@
         }
     }
 
-    /// The job is over: its progress is needed no more.
+    /// Discards the progress of a job that is done or cancelled.
     pub fn forget(&mut self, job: JobId) {
         let first = ChunkId { job, chunk: 0 };
         let last = ChunkId {
@@ -221,7 +225,7 @@
         }
     }
 
-    /// The pages that have to be written.
+    /// The pages that must be written.
     pub fn dirty_pages(&self) -> impl Iterator<Item = usize> + '_ {
         self.numbers_of(|page| page.dirty && !page.chunks.is_empty())
     }
@@ -239,7 +243,7 @@
             .map(|(number, _)| number)
     }
 
-    /// Keys of the legacy form whose job is not open any more.
+    /// Keys of the legacy format whose job is no longer open.
     pub fn obsolete_keys<'a>(
         &'a self,
         is_open: &'a dyn Fn(JobId) -> bool,
@@ -250,15 +254,15 @@
             .map(|(key, (_, revision))| (key, *revision))
     }
 
-    /// The revision of a stored page; 0: it is not stored.
+    /// The revision of a stored page; 0 if the page is not stored.
     pub fn revision(&self, page: usize) -> Revision {
         self.pages
             .get(page)
             .map_or(Revision(0), |page| page.revision)
     }
 
-    /// The value of a page as it is now, for a transaction; its chunks count as in flight.
-    /// The page is added to `write`.
+    /// Returns the present value of a page for a transaction, marks its chunks as in flight, and
+    /// adds the page to `write`. Returns `None` if there is no such page.
     pub fn begin_write(
         &mut self,
         page: usize,
@@ -286,7 +290,7 @@
         Some(wire::to_value(&record))
     }
 
-    /// The transaction was committed with this revision.
+    /// Handles a transaction that was committed with this revision.
     pub fn on_written(
         &mut self,
         write: ProgressWrite,
@@ -313,7 +317,7 @@
         }
     }
 
-    /// The transaction was not committed, or its outcome is unknown: its pages have to be
+    /// Handles a transaction that was not committed or whose outcome is unknown: its pages must be
     /// written again.
     pub fn on_write_failed(&mut self, write: &ProgressWrite, jobs: &mut impl OpenJobs) {
         for (page, ids) in &write.written {
@@ -328,7 +332,7 @@
         }
     }
 
-    /// All stored pages are about to be read: what is known of their revisions is discarded.
+    /// Prepares for a load of all stored pages: discards the known revisions.
     pub fn begin_load(&mut self) {
         self.legacy_keys.clear();
         for page in &mut self.pages {
@@ -337,10 +341,10 @@
         }
     }
 
-    /// Reads one stored value, of the present form or the legacy one.
+    /// Loads one stored value, in the present or the legacy format.
     ///
     /// # Errors
-    /// If key or value have a form that this version does not know.
+    /// If the key or the value has an unknown format or version.
     pub fn load(
         &mut self,
         key: &str,
--- a/crates/controller/src/progress/completion.rs
+++ b/crates/controller/src/progress/completion.rs
@@ -3,7 +3,7 @@
 use beamhinge_core::wire::DecodeError;
 use std::collections::BTreeMap;
 
-/// Which tasks of a job are done, in chunks that are stored one by one.
+/// Which tasks of a job are done, in chunks that are stored separately.
 #[derive(Clone, Debug)]
 pub struct JobProgress {
     /// Tasks per chunk.
@@ -14,11 +14,11 @@
 
 #[derive(Clone, Debug, Default)]
 struct Chunk {
-    /// One bit for each task, the lowest bit of the first byte first.
+    /// One bit per task, beginning with the lowest bit of the first byte.
     bits: Vec<u8>,
-    /// Holds tasks that were not sent to the key-value store yet.
+    /// Whether the chunk has done tasks that were not sent to the key-value store yet.
     dirty: bool,
-    /// Holds tasks of a transaction whose outcome is not known yet.
+    /// Whether the chunk has done tasks in a transaction whose outcome is not known yet.
     in_flight: bool,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl JobProgress {
-    /// Nothing is done; `chunk_size` is the number of tasks per chunk
+    /// Creates progress without done tasks; `chunk_size` is the number of tasks per chunk
     /// ([`chunk_size`](super::chunk_size)).
     pub fn new(chunk_size: u32) -> JobProgress {
         JobProgress {
@@ -58,7 +58,7 @@
             .is_some_and(|byte| byte & (1 << (bit % 8)) != 0)
     }
 
-    /// Marks a task as done; it has to be written then.
+    /// Marks a task as done and its chunk as dirty.
     pub fn mark_done(&mut self, index: u32) {
         if self.is_done(index) {
             return;
@@ -84,7 +84,7 @@
                 .is_some_and(|chunk| !chunk.dirty && !chunk.in_flight)
     }
 
-    /// The chunks that have to be written.
+    /// The chunks that must be written.
     pub fn dirty_chunks(&self) -> impl Iterator<Item = u32> + '_ {
         self.chunks
             .iter()
@@ -92,7 +92,8 @@
             .map(|(number, _)| *number)
     }
 
-    /// The stored form of a chunk: its bits as hexadecimal digits.
+    /// Encodes a chunk for storage, its bits as hexadecimal digits; `None` if no task of it is
+    /// done.
     pub(super) fn encode_chunk(&self, chunk: u32) -> Option<String> {
         let chunk = self.chunks.get(&chunk)?;
         let digit = |nibble: u8| char::from_digit(u32::from(nibble), 16).unwrap_or('0');
@@ -105,8 +106,8 @@
         )
     }
 
-    /// A transaction with the chunk as it is now was sent; tasks that end later make the chunk
-    /// dirty again.
+    /// Handles a sent transaction with the present state of the chunk. Tasks that end later make
+    /// the chunk dirty again.
     pub(super) fn on_sent(&mut self, chunk: u32) {
         if let Some(chunk) = self.chunks.get_mut(&chunk) {
             chunk.in_flight = chunk.dirty;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// The transaction with the chunk was not committed.
+    /// Handles a transaction with the chunk that was not committed.
     pub(super) fn on_write_failed(&mut self, chunk: u32) {
         if let Some(chunk) = self.chunks.get_mut(&chunk) {
             chunk.dirty |= chunk.in_flight;
@@ -122,23 +123,23 @@
         }
     }
 
-    /// The transaction with the chunk was committed.
+    /// Handles a committed transaction with the chunk.
     pub(super) fn on_written(&mut self, chunk: u32) {
         if let Some(chunk) = self.chunks.get_mut(&chunk) {
             chunk.in_flight = false;
         }
     }
 
-    /// Adds what the key-value store holds of a chunk. Tasks that are known to be done here
-    /// only keep the chunk dirty.
+    /// Merges the stored digits of a chunk into it. The chunk stays dirty if it has done tasks that
+    /// the key-value store has not recorded.
     ///
     /// # Errors
     /// If `digits` are not pairs of hexadecimal digits.
     pub(super) fn merge_chunk(&mut self, number: u32, digits: &str) -> Result<(), DecodeError> {
         let mut stored = decode_digits(digits)?;
-        // A chunk of another size, written by an earlier version: bits beyond this size would
-        // be counted twice once their own chunk is read, and the job would be called done
-        // too early. Those tasks are started again, which finds them done.
+        // An earlier version may have stored a chunk of a larger size. Bits beyond the present
+        // size would be counted twice once the next chunk is loaded, and the job would count as
+        // done too early. The tasks of the dropped bits are started again, which finds them done.
         stored.truncate((self.chunk_size / 8) as usize);
         let chunk = self.chunks.entry(number).or_default();
         let before = chunk.done_count();
--- a/crates/controller/src/progress/tests.rs
+++ b/crates/controller/src/progress/tests.rs
@@ -51,7 +51,7 @@
             .expect("value");
         assert!(wire::json_len(&value) <= 8 * 1024);
         copy.load(&progress_page_key(page), Revision(5), &value, &mut remote)
-            .expect("sound");
+            .expect("valid page");
         pages.on_written(sent, Revision(5), &mut local);
     }
     let (here, there) = (local.job(1), remote.job(1));
@@ -95,7 +95,7 @@
     let mut sent = ProgressWrite::default();
     let value = pages.begin_write(0, &mut sent, &mut all).expect("value");
     assert!(wire::json_len(&value) <= 8 * 1024);
-    // A task that ends while the write is in flight is not taken for durable.
+    // A task that ends while the write is in flight does not count as durable.
     all.job(3).mark_done(59);
     pages.mark_dirty(job(3), 59, 60);
     pages.on_written(sent, Revision(9), &mut all);
@@ -117,14 +117,14 @@
     let old = wire::to_value(&serde_json::json!({"v": 1, "b": "05"}));
     pages
         .load("d/job-000007/0", Revision(3), &old, &mut jobs)
-        .expect("sound");
+        .expect("valid page");
     let p = jobs.job(7);
     assert!(p.is_done(0) && !p.is_done(1) && p.is_done(2));
     let open = |_: JobId| false;
     assert_eq!(
         pages.obsolete_keys(&open).count(),
         1,
-        "removed once the job is over"
+        "removed once the job is done or cancelled"
     );
     for (key, value) in [
         ("d/s0000", serde_json::json!({"v": 9, "s": {}})),
@@ -160,14 +160,14 @@
         let value = pages
             .begin_write(page, &mut sent, &mut local)
             .expect("something to write");
-        let record: ProgressPageRecord = wire::from_value(&value).expect("sound");
+        let record: ProgressPageRecord = wire::from_value(&value).expect("valid page");
         assert_eq!(wire::to_value(&record), value);
         golden.stored(&progress_page_key(page), &record);
     }
     golden.check();
 }
 
-/// Progress pages and keys of the legacy form, as the bytes that are stored.
+/// Reads progress pages and keys of the legacy format from their stored bytes.
 #[test]
 fn stored_progress_of_both_forms_is_read() {
     let mut local = Jobs {
@@ -201,7 +201,7 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// What is done on either side is done, and counted once, after a merge of stored chunks.
+    /// After stored chunks are merged, each task that is done on either side counts as done once.
     #[test]
     fn merged_progress_is_the_union_of_both_sides(
         local in prop::collection::btree_set(0..300u32, 0..80),
--- a/crates/controller/src/scheduler/persistence.rs
+++ b/crates/controller/src/scheduler/persistence.rs
@@ -1,8 +1,9 @@
-//! The scheduler's records in the state service: reading them after a takeover, and the
-//! transactions that change them.
+//! The scheduler's records in the key-value store: loads them after a leadership acquisition and
+//! commits the transactions that change them.
 //!
-//! The parts: [`recovery`] reads pages and progress, [`transaction`] writes what has changed,
-//! and [`outcome`] handles the reply. At most one transaction is in flight.
+//! [`recovery`] loads placement pages and progress pages, [`transaction`] builds and sends a
+//! transaction with all pending changes, and [`outcome`] handles the reply. At most one
+//! transaction is in flight.
 
 use crate::placement_pages::{PageId, PlacementRow};
 use crate::progress::ProgressWrite;
@@ -14,51 +15,51 @@
 
 pub(super) use recovery::RecoveryLoad;
 
-/// How long what the state service does not take is left alone, seconds.
+/// How long a unit of work that the key-value store rejects is deferred, seconds.
 const DEFERRAL_S: f64 = 30.0;
 
-/// What a transaction without a reply contains.
+/// The content of the transaction whose reply is outstanding.
 #[derive(Default)]
 pub(super) struct InFlightCommit {
-    /// The new pages with what they place.
+    /// The new placement pages with their rows.
     pages: Vec<NewPage>,
-    /// The progress pages that are written or removed.
+    /// The progress pages that the transaction writes or removes.
     progress_write: ProgressWrite,
-    /// Jobs whose record becomes `done`.
+    /// Jobs whose records become `done`.
     finished_jobs: Vec<JobId>,
-    /// Pages without use that are removed.
+    /// Unreferenced placement pages that the transaction removes.
     removed_pages: Vec<PageId>,
 }
 
-/// A page that is to be created.
+/// A placement page that a transaction creates.
 struct NewPage {
     key: String,
     rows: Vec<PlacementRow>,
 }
 
-/// A part of the work that can be deferred.
+/// A unit of work that can be deferred on its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum WorkUnit {
-    /// The end of a job.
+    /// Marks a job's record as `done`.
     Job(JobId),
-    /// The write of a progress page.
+    /// Writes a progress page.
     ProgressPage(usize),
-    /// The removal of a placement page.
+    /// Removes a placement page.
     Page(PageId),
 }
 
-/// What the node has to do after a reply.
+/// What the controller has to do after a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// Nothing.
+    /// Nothing has to be done.
     Unchanged,
-    /// Step down: another controller holds the leadership.
+    /// Step down: another controller is the leader.
     Deposed,
-    /// Count the leadership as confirmed at this time.
+    /// The leadership was confirmed as of this time.
     Confirmed(Time),
-    /// Read the jobs again.
+    /// Refresh the replica of the jobs.
     RefreshJobs,
-    /// Read the teams' quotas again: the placement was made by older ones.
+    /// Refresh the configuration: the placements are based on outdated team quotas.
     RefreshConfiguration,
 }
 
--- a/crates/controller/src/scheduler/persistence/outcome.rs
+++ b/crates/controller/src/scheduler/persistence/outcome.rs
@@ -1,4 +1,5 @@
-//! The reply to a transaction: applied, refused, in conflict, or unknown.
+//! Handles the reply to a transaction: committed, refused, malformed, in conflict, or of unknown
+//! outcome.
 
 use super::{CommitOutcome, InFlightCommit, WorkUnit, DEFERRAL_S};
 use crate::calls::{SchedulerCall, Tag};
@@ -15,14 +16,14 @@
 use beamhinge_rate_limit::RetryAction;
 use std::collections::BTreeSet;
 
-/// How long a job waits whose transaction met a conflict, seconds.
+/// How long a job waits after a conflict on its key, seconds.
 const CONFLICT_BACKOFF_S: f64 = 0.3;
 
-/// How long nothing is committed after a transaction that was not applied, seconds.
+/// Pause before the next transaction after one that was not committed, seconds.
 const RETRY_INTERVAL_S: f64 = 0.05;
 
 impl Scheduler {
-    /// Takes the reply to a scan or a transaction.
+    /// Handles the reply to a scan or a transaction.
     pub fn on_reply(
         &mut self,
         now: Time,
@@ -59,7 +60,7 @@
                 self.on_malformed(now, in_flight);
                 CommitOutcome::Unchanged
             }
-            // Whether it was or will be applied is unknown: read again.
+            // The transaction may have been committed or may still be: reload the stored state.
             _ => {
                 self.on_not_committed(now, in_flight);
                 self.reload();
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Some keys had other revisions than the transaction rests on.
+    /// Handles a conflict: some keys had other revisions than the transaction required.
     fn on_conflict(
         &mut self,
         now: Time,
@@ -84,7 +85,7 @@
         if failed_keys.iter().any(is_page) {
             self.reload();
         }
-        // Plans for a job that changed are dropped; what it is now, the job store will say.
+        // Planned allocations of a changed job are dropped; the job store provides its new state.
         let changed_jobs = failed_keys
             .iter()
             .filter_map(|key| JobId::parse(key.strip_prefix(job_store::PREFIX)?));
@@ -100,8 +101,8 @@
         CommitOutcome::RefreshJobs
     }
 
-    /// The same again would be refused again: less of it is tried, and
-    /// in the end what it holds is deferred.
+    /// Handles a rejection as malformed. An identical transaction would be rejected again, so
+    /// smaller ones are tried; if the smallest is rejected too, its content is deferred.
     fn on_malformed(&mut self, now: Time, in_flight: InFlightCommit) {
         if broken!(self.faults, unbounded) {
             return self.on_not_committed(now, in_flight);
@@ -116,12 +117,12 @@
         }
     }
 
-    /// What the state service keeps refusing, at the smallest size, is deferred and
-    /// logged, so that the rest goes on.
+    /// Defers and logs the content of a transaction that the key-value store rejects even at the
+    /// smallest size, so that other work can proceed.
     fn defer_work(&mut self, now: Time, in_flight: &InFlightCommit) {
         let until = now.plus(DEFERRAL_S);
         for id in &in_flight.finished_jobs {
-            tracing::error!(job = %id, "deferred the end of a job, as it is refused as malformed");
+            tracing::error!(job = %id, "deferred job completion: rejected as malformed");
             self.deferred.insert(WorkUnit::Job(*id), until);
         }
         let placed: BTreeSet<JobId> = in_flight
@@ -131,14 +132,11 @@
             .map(|row| row.task.job)
             .collect();
         for id in placed {
-            tracing::error!(job = %id, "deferred placing a job, as it is refused as malformed");
+            tracing::error!(job = %id, "deferred job placement: rejected as malformed");
             self.defer_job(now, id);
         }
         for page in in_flight.progress_write.written_pages() {
-            tracing::error!(
-                page,
-                "deferred progress page, as it is refused as malformed"
-            );
+            tracing::error!(page, "deferred progress page: rejected as malformed");
             self.deferred.insert(WorkUnit::ProgressPage(page), until);
         }
         for page in &in_flight.removed_pages {
@@ -146,8 +144,7 @@
         }
     }
 
-    /// A job whose placement the state service does not take waits, so that
-    /// the others go on.
+    /// Defers a job whose placement the key-value store rejects, so that other jobs can proceed.
     pub(super) fn defer_job(&mut self, now: Time, id: JobId) {
         self.withdraw_planned(now, id);
         if let Some(job) = self.jobs.get_mut(&id) {
@@ -155,7 +152,7 @@
         }
     }
 
-    /// Gives up the job's plans that are in no transaction.
+    /// Releases the job's planned allocations that are not part of a transaction.
     fn withdraw_planned(&mut self, now: Time, id: JobId) {
         let planned: Vec<(MachineId, TaskId)> = self
             .commit_queue
@@ -173,7 +170,7 @@
         }
     }
 
-    /// The transaction was applied.
+    /// Handles a committed transaction.
     fn on_committed(
         &mut self,
         now: Time,
@@ -185,7 +182,7 @@
         for page in in_flight.pages {
             let page_id = self.pages.insert(page.key, revision);
             for row in page.rows {
-                // What was given up meanwhile never gets its `run`.
+                // An allocation that was released in the meantime is never sent as `run`.
                 let Some(allocation) = self
                     .allocation_mut(row.machine, row.task)
                     .filter(|allocation| allocation.attempt == row.attempt)
@@ -223,7 +220,7 @@
         }
     }
 
-    /// The transaction was not applied, or nobody knows whether it was.
+    /// Handles a transaction that was not committed or whose outcome is unknown.
     fn on_not_committed(&mut self, now: Time, in_flight: InFlightCommit) {
         for page in in_flight.pages.into_iter().rev() {
             self.requeue_rows(page.rows);
--- a/crates/controller/src/scheduler/persistence/recovery.rs
+++ b/crates/controller/src/scheduler/persistence/recovery.rs
@@ -1,4 +1,5 @@
-//! Reads pages and progress: after a takeover, and after a transaction of unknown outcome.
+//! Loads placement pages and progress pages: after a leadership acquisition, and after a
+//! transaction of unknown outcome.
 
 use crate::calls::{SchedulerCall, Tag};
 use crate::faults::broken;
@@ -12,21 +13,21 @@
 use beamhinge_core::types::{JobId, Revision, TaskId, Time};
 use beamhinge_core::wire;
 
-/// A load of all pages and all progress that is under way.
+/// A load in progress of all placement pages and all progress pages.
 pub(in crate::scheduler) struct RecoveryLoad {
     pub(in crate::scheduler) pages: Vec<KeyValue>,
     pub(in crate::scheduler) progress: Vec<KeyValue>,
-    /// Pages are read first, then progress.
+    /// The current stage: placement pages are read first, then progress pages.
     pub(in crate::scheduler) stage: SchedulerCall,
-    /// A scan is without a reply.
+    /// Whether the reply to a scan is outstanding.
     pub(in crate::scheduler) in_flight: bool,
-    /// The key after which the next scan begins.
+    /// The key after which the next scan begins; `None` at the beginning of a stage.
     pub(in crate::scheduler) after: Option<String>,
 }
 
 impl Scheduler {
-    /// Reads pages and progress again: after a takeover, and whenever a
-    /// transaction's outcome is unknown.
+    /// Starts to load pages and progress, unless a load is in progress already: after a
+    /// leadership acquisition, and whenever the outcome of a transaction is unknown.
     pub(in crate::scheduler) fn reload(&mut self) {
         if self.recovery.is_none() {
             self.recovery = Some(RecoveryLoad {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Sends the next scan of a load that is under way.
+    /// Sends the next scan of the load in progress.
     pub(in crate::scheduler) fn drive_load(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         let Some(load) = &mut self.recovery else {
             return;
@@ -61,7 +62,7 @@
         );
     }
 
-    /// Takes the reply to a scan.
+    /// Handles the reply to a scan.
     pub(super) fn on_load(
         &mut self,
         now: Time,
@@ -104,17 +105,17 @@
         }
     }
 
-    /// A value of a form or version that this program does not know: nothing
-    /// is guessed, placement stops.
+    /// Halts scheduling because a stored value has a format or version that this program does not
+    /// know; a guess at its meaning would not be safe.
     fn halt_unreadable(&mut self, key: &str) {
         tracing::error!(
             key,
-            "halted scheduling, as a stored value has an unknown form or version"
+            "halted scheduling: stored value has an unknown format or version"
         );
         self.halted = true;
     }
 
-    /// Takes over what was loaded.
+    /// Applies the loaded pages and progress to the scheduler's state.
     pub(in crate::scheduler) fn restore(
         &mut self,
         now: Time,
@@ -144,7 +145,7 @@
         self.replan = true;
     }
 
-    /// Reads progress pages; false if one is unreadable.
+    /// Reads the progress pages; returns `false` if one is unreadable.
     fn restore_progress(&mut self, items: &[KeyValue]) -> bool {
         self.progress_pages.begin_load();
         for item in items {
@@ -173,7 +174,8 @@
         true
     }
 
-    /// Reads placement pages; the rows with their pages, or `None` if a page is unreadable.
+    /// Reads the placement pages; returns the rows with their pages, or `None` if a page is
+    /// unreadable.
     fn restore_pages(&mut self, items: &[KeyValue]) -> Option<Vec<(PlacementRow, PageId)>> {
         self.pages.clear();
         let mut rows = Vec::new();
@@ -188,10 +190,11 @@
         Some(rows)
     }
 
-    /// After a transaction of unknown outcome: what of it is stored now.
+    /// After a transaction of unknown outcome, determines which allocations it has stored.
     ///
-    /// Only this controller can have written pages since it holds the leadership, and rows that
-    /// no allocation matches have ended, or were plans given up before any `run`.
+    /// Only this controller can have written pages since its leadership acquisition. A row that
+    /// matches no allocation belongs to a task that has ended, or to a planned allocation that was
+    /// released before any `run` was sent.
     fn reattach_pages(&mut self, now: Time, rows: Vec<(PlacementRow, PageId)>) {
         for machine in self.machines.values_mut() {
             for allocation in machine.resident.allocations.values_mut() {
@@ -230,15 +233,16 @@
         }
     }
 
-    /// After a takeover: what earlier leaders placed may or may not be on its machine.
+    /// After a leadership acquisition, records the allocations of previous leaders; the tasks may
+    /// or may not be on their machines.
     fn inherit_allocations(
         &mut self,
         now: Time,
         rows: Vec<(PlacementRow, PageId)>,
         job_store: &JobStore,
     ) {
-        // Guard 3: a task that is done has exited, and of several rows for one
-        // task only the newest can be on a machine.
+        // Guard 3: a task that is done has exited, and of several rows for one task only the
+        // newest can be on a machine.
         let jobs = &self.jobs;
         let is_done = |task: &TaskId| {
             jobs.get(&task.job)
@@ -251,7 +255,8 @@
             let spec = entry.and_then(|entry| entry.spec.clone());
             let is_over = entry.is_none_or(|entry| entry.state != JobState::Open)
                 && !broken!(self.faults, inherited_runs);
-            // Without a description its size is unknown: the machine is full.
+            // The resources of a task without a job description are unknown: its machine counts
+            // as full.
             let resources = spec
                 .as_ref()
                 .map_or(UNKNOWN_NEED, |spec| resources_of(spec));
@@ -272,7 +277,7 @@
         tracing::info!(
             jobs = self.jobs.len(),
             machines = self.machines.len(),
-            "loaded the state of earlier leaders"
+            "loaded state of previous leaders"
         );
     }
 }
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -22,17 +22,18 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// What a controller finds to write at some moment.
+/// Pending changes that a controller has to write.
 #[derive(Clone, Debug)]
 struct Backlog {
-    /// Tasks of jobs that wait for their page, by job.
+    /// Number of planned tasks of each job with tasks that no page lists yet.
     placed: Vec<u32>,
-    /// Tasks of jobs that are complete.
+    /// Number of tasks of each job whose tasks are all done.
     ended: Vec<u32>,
+    /// Number of unreferenced placement pages.
     dead: usize,
     /// Digits in the names of jobs and machines.
     digits: usize,
-    /// Transactions that the service calls malformed before it takes any.
+    /// Number of transactions that the key-value store rejects as malformed before it accepts one.
     malformed: u32,
 }
 
@@ -108,7 +109,7 @@
     }
 }
 
-/// Counts a body anew, without the code that built it.
+/// Checks the size of a transaction against the limits, independently of the code that built it.
 fn within(body: &[u8], limits: TransactionLimits) -> Result<(), String> {
     let transaction: serde_json::Value = wire::decode::<ciborium::Value>(body)
         .ok()
@@ -134,13 +135,13 @@
         limits.value_bytes,
     );
     if sizes.0 > most.0 || sizes.1 > most.1 || sizes.2 > most.2 || sizes.3 > most.3 {
-        return Err(format!("{sizes:?} where {most:?} are allowed"));
+        return Err(format!("sizes {sizes:?} exceed the limits {most:?}"));
     }
     Ok(())
 }
 
-/// Guard 1, and the one condition that every write has: on the leadership key as it was acquired,
-/// and on each key that it changes.
+/// Checks the conditions that every transaction needs: on the block key with the revision of the
+/// leadership acquisition (Guard 1), and on each key that it changes.
 fn rests(body: &[u8]) -> Result<(), String> {
     let transaction: serde_json::Value = wire::decode::<ciborium::Value>(body)
         .ok()
@@ -150,7 +151,7 @@
     let when = list("when");
     let on = |key: &serde_json::Value| when.iter().find(|w| w["path"] == *key);
     if on(&json!(BLOCK_KEY)).is_none_or(|w| w["stamp"] != 9) {
-        return Err("does not rest on the block".into());
+        return Err("no condition on the block key".into());
     }
     let keys = list("then")
         .into_iter()
@@ -164,7 +165,7 @@
     }
 }
 
-/// A transaction of a former leader that is carried out late places nothing.
+/// Guards against a transaction of a former leader that is executed late and places tasks.
 #[test]
 fn transaction_always_requires_the_leadership_key() {
     let b = Backlog {
@@ -180,10 +181,10 @@
         ..Faults::default()
     };
     let found = work_off_with(&b, 8, 8.0, without);
-    assert_eq!(found, Err("does not rest on the block".into()));
+    assert_eq!(found, Err("no condition on the block key".into()));
 }
 
-/// Plays the state service until nothing is left to write.
+/// Acts as the key-value store until nothing is left to write; returns the number of rounds.
 fn work_off(b: &Backlog, txn_ops: usize, value_kb: f64) -> Result<u32, String> {
     work_off_with(b, txn_ops, value_kb, Faults::default())
 }
@@ -195,7 +196,7 @@
     faults: Faults,
 ) -> Result<u32, String> {
     let mut settings =
-        Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("the sample is sound");
+        Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("valid sample");
     settings.params.state.txn_ops = txn_ops;
     settings.params.state.value_kb = value_kb;
     let limits = TransactionLimits::from(&settings.params.state);
@@ -233,7 +234,9 @@
             } else {
                 (200, wire::encode(&json!({ "ledgerRev": rev })))
             };
-            let reply = store.on_reply(id, Some(reply)).ok_or("no such call")?;
+            let reply = store
+                .on_reply(id, Some(reply))
+                .ok_or("reply to an unknown call")?;
             scheduler.on_reply(now, SchedulerCall::Commit, reply, &mut job_store);
         }
         let left = scheduler.commit_queue.len()
@@ -248,7 +251,7 @@
         }
     }
     Err(format!(
-        "{} plans, {} ends left",
+        "{} planned tasks and {} finished jobs left",
         scheduler.commit_queue.len(),
         scheduler.completed_jobs.len()
     ))
@@ -261,8 +264,8 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// Guards against a transaction that is refused as too large and built
-    /// again alike, for ever: nothing started or ended for the rest of a day.
+    /// Guards against a transaction that is rejected as too large and rebuilt with the same
+    /// content on every retry: no task started or ended for the rest of a simulated day.
     #[test]
     fn no_transaction_is_too_large_and_every_backlog_is_worked_off(
         b in backlog(),
@@ -274,8 +277,9 @@
     }
 }
 
-/// A hundred jobs, each with a condition of its own, beside as many pages to
-/// remove as a transaction may: what stopped a simulated day for ever.
+/// Guards against a transaction that exceeds the limit of conditions: a hundred jobs that
+/// each need a condition, together with as many page removals as one transaction may have, stopped
+/// all scheduling for the rest of a simulated day.
 #[test]
 fn page_leaves_conditions_for_removals() {
     let b = Backlog {
--- a/crates/controller/src/scheduler/persistence/transaction.rs
+++ b/crates/controller/src/scheduler/persistence/transaction.rs
@@ -1,4 +1,4 @@
-//! Builds the one transaction that carries all that changed.
+//! Builds the transaction that carries all pending changes of the scheduler's records.
 
 use super::{InFlightCommit, NewPage, WorkUnit, DEFERRAL_S};
 use crate::calls::{SchedulerCall, Tag};
@@ -16,23 +16,25 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// How often progress is written, seconds. What ended since is still listed by its
-/// worker, so a takeover in between loses nothing.
+/// Interval between writes of progress, seconds. Workers still list the tasks that ended since
+/// the last write, so a failover in between loses nothing.
 const PROGRESS_WRITE_INTERVAL_S: f64 = 0.5;
 
-/// Least time between two transactions, seconds.
+/// Minimum time between two transactions, seconds.
 const COMMIT_INTERVAL_S: f64 = 0.02;
 
-/// Pages without use that may stay until writes are to spare.
+/// Number of unreferenced pages that may remain until there are spare writes to remove them.
 pub(super) const MAX_IDLE_UNREFERENCED_PAGES: usize = 150;
 
-/// Part of the write rate that is left to others before removals count as to spare.
+/// Fraction of the write rate that stays reserved for other writes; only writes beyond it are
+/// spare and may be used for removals.
 const SPARE_RATE_FRACTION: f64 = 0.4;
 
-/// Part of the write rate that removals may take when there are more.
+/// Fraction of the write rate that removals may use while there are more than
+/// [`MAX_IDLE_UNREFERENCED_PAGES`].
 const CLEANUP_RATE_FRACTION: f64 = 0.4;
 
-/// What a transaction is made of, in the order of importance.
+/// The kinds of writes in a transaction, most important first.
 #[derive(Clone, Copy)]
 enum WriteKind {
     FinishedJobs,
@@ -48,20 +50,20 @@
     WriteKind::Removals,
 ];
 
-/// A transaction that is being built, and what it contains.
+/// A transaction under construction, with its content.
 struct CommitDraft {
     transaction: Transaction,
     in_flight: InFlightCommit,
-    /// So few writes fit that the kinds take turns.
+    /// Whether the transaction has fewer writes than there are kinds, so that the kinds rotate.
     few_writes: bool,
 }
 
 impl Scheduler {
-    /// One transaction carries all that changed: finished jobs, new pages,
-    /// progress, and the removal of pages whose tasks have all ended.
+    /// Commits all pending changes in one transaction: finished jobs, new pages, progress, and
+    /// the removal of pages whose tasks have all ended.
     ///
-    /// What does not fit stays for the next; where few writes fit, the kinds
-    /// take turns, so that no backlog of one keeps another waiting for ever.
+    /// Changes that do not fit wait for the next transaction. Where few writes fit, the kinds
+    /// rotate, so that a backlog of one kind does not starve another.
     pub(in crate::scheduler) fn commit(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if self.in_flight.is_some() || self.recovery.is_some() || now < self.next_commit_at {
             return;
@@ -118,16 +120,17 @@
         limits
     }
 
-    /// An empty transaction with the conditions that each one has; `None` if these do not fit.
+    /// Returns an empty transaction with the conditions that every transaction has, or `None` if
+    /// these do not fit.
     fn begin_transaction(&self, limits: TransactionLimits) -> Option<Transaction> {
         let mut transaction = Transaction::new(limits);
-        // Guard 1: whoever lost the leadership can commit nothing.
+        // Guard 1: a controller that has lost the leadership cannot commit anything.
         if !broken!(self.faults, no_block) {
             transaction
                 .require(BLOCK_KEY, Revision(self.fencing_token.0))
                 .ok()?;
         }
-        // No placement made by an older version of the teams' quotas commits.
+        // Placements that are based on outdated team quotas must not commit.
         if let Some((key, revision)) = self.configuration_condition {
             if !broken!(self.faults, no_configuration) {
                 transaction.require(key, revision).ok()?;
@@ -153,13 +156,13 @@
         );
     }
 
-    /// Whether the unit of work is left alone for now.
+    /// Whether the unit of work is deferred at present.
     pub(in crate::scheduler) fn is_deferred(&self, unit: WorkUnit) -> bool {
         self.deferred.contains_key(&unit)
     }
 
-    /// `done` is written only when every task is, and on condition that nobody
-    /// cancelled the job meanwhile.
+    /// Adds records of finished jobs. A job's record becomes `done` only when all its tasks are
+    /// done, and on the condition that the job was not cancelled in the meantime.
     fn add_finished_jobs(&mut self, draft: &mut CommitDraft) {
         let remaining = draft.transaction.remaining_writes();
         let max_jobs = if draft.few_writes {
@@ -173,9 +176,9 @@
             .filter(|id| !self.is_deferred(WorkUnit::Job(**id)))
             .copied()
             .collect();
-        // Where more end than can be written, those are written first whose users wait
-        // for something: by their ids, urgent work with a deadline was written minutes
-        // late behind thousands of guests' single tasks.
+        // If more jobs have finished than can be written, urgent jobs and jobs with a deadline
+        // are written first: in the order of job ids, they were written minutes late, behind
+        // thousands of single-task jobs of guest tenants.
         if due.len() > max_jobs {
             due.sort_by_key(|id| {
                 let spec = self.jobs.get(id).map(|job| &job.spec);
@@ -201,14 +204,14 @@
         }
     }
 
-    /// New pages for what is planned, as many as fit.
+    /// Adds as many new pages with planned allocations as fit.
     fn add_pages(&mut self, now: Time, draft: &mut CommitDraft) {
-        // One write stays for progress, without which nothing is cleared.
+        // One write is reserved for progress: without it, workers cannot clear ended tasks.
         let reserved_writes = usize::from(!draft.few_writes);
         while draft.transaction.remaining_writes() > reserved_writes && self.add_page(now, draft) {}
     }
 
-    /// One more page with the next plans; false when none went in.
+    /// Adds one page with the next planned allocations; returns whether a page was added.
     fn add_page(&mut self, now: Time, draft: &mut CommitDraft) -> bool {
         let key = self.pages.new_key();
         let max_bytes = draft
@@ -220,7 +223,7 @@
             return false;
         }
         let mut value = placement_pages::encode_page(&rows);
-        // Longer names than usual: fewer rows fit.
+        // Fewer rows fit if names are longer than usual.
         while wire::json_len(&value) > max_bytes && rows.len() > 1 {
             let rest = rows.split_off(rows.len() / 2);
             self.requeue_rows(rest);
@@ -232,11 +235,7 @@
                 true
             }
             Err(TransactionError::TooLarge { bytes, limit }) => {
-                tracing::error!(
-                    bytes,
-                    limit,
-                    "deferred jobs, as a page of one row is too large"
-                );
+                tracing::error!(bytes, limit, "deferred jobs: page of one row is too large");
                 let jobs: BTreeSet<JobId> = rows.iter().map(|row| row.task.job).collect();
                 self.requeue_rows(rows);
                 jobs.into_iter().for_each(|job| self.defer_job(now, job));
@@ -249,14 +248,15 @@
         }
     }
 
-    /// Takes plans from the queue for one page, with the conditions that they rest on.
+    /// Removes planned allocations from the commit queue for one page, and adds the conditions
+    /// that they depend on to the transaction.
     fn take_planned_rows(
         &mut self,
         max_bytes: usize,
         transaction: &mut Transaction,
     ) -> Vec<PlacementRow> {
-        // A condition stays for each write that may follow: a page that took
-        // them all left a transaction that was refused as too large, for ever.
+        // One condition is reserved for each further write. A page that used up all conditions
+        // once led to a transaction that was rejected as too large on every retry.
         let reserved_conditions = transaction.remaining_writes();
         let mut rows: Vec<PlacementRow> = Vec::new();
         while rows.len() < placement_pages::rows_per_page(max_bytes)
@@ -271,8 +271,7 @@
             if !self.is_plan_to_commit(machine, task) {
                 continue;
             }
-            // Guard 2: a placement rests on its job being neither cancelled
-            // nor done.
+            // Guard 2: a placement commits only if its job is neither cancelled nor done.
             if transaction
                 .require(job_store::key(task.job), revision)
                 .is_err()
@@ -299,7 +298,7 @@
             .is_some_and(|a| a.state == TaskState::Planned && !a.in_flight)
     }
 
-    /// Rows that did not go out are planned as before, in the same order.
+    /// Puts rows that were not committed back at the front of the commit queue, in the same order.
     pub(super) fn requeue_rows(&mut self, rows: Vec<PlacementRow>) {
         for row in rows.into_iter().rev() {
             let Some(allocation) = self.allocation_mut(row.machine, row.task) else {
@@ -321,7 +320,8 @@
             .dirty_pages()
             .filter(|page| !self.is_deferred(WorkUnit::ProgressPage(*page)))
             .collect();
-        // After the one written last, so that many full ones all get their turn.
+        // Starts after the page that was written last, so that every page is written in turn
+        // when there are many full ones.
         let (before, after): (Vec<usize>, Vec<usize>) = dirty
             .into_iter()
             .partition(|page| *page <= self.last_progress_page);
@@ -362,9 +362,9 @@
         }
     }
 
-    /// Removals wait until writes are to spare: they only tidy up. A crowd of
-    /// unreferenced pages, as after a takeover, goes at a part of the rate, so that
-    /// placing does not wait behind it.
+    /// Adds removals. They only free storage, so they wait until there are spare writes. A large
+    /// number of unreferenced pages, as after a failover, is removed at a fraction of the write
+    /// rate, so that it does not delay placements.
     fn add_removals(&mut self, now: Time, store: &mut StoreClient<Tag>, draft: &mut CommitDraft) {
         let budget = store.write_budget(now);
         let rate = budget.per_second;
@@ -398,7 +398,7 @@
         }
     }
 
-    /// Removes empty progress pages and keys of earlier forms.
+    /// Removes empty progress pages and keys of the legacy format.
     fn remove_progress_keys(&mut self, mut max_removals: usize, draft: &mut CommitDraft) {
         let empty: Vec<usize> = self
             .progress_pages
