--- a/crates/controller/src/job_store.rs
+++ b/crates/controller/src/job_store.rs
@@ -22,7 +22,7 @@
 /// Maximum number of distinct names of teams, classes and images that jobs share in memory; each
 /// job keeps its own copies of further names. 16,384 are enough for 8,192 machines that each run a
 /// different image, and for as many names of teams and classes.
-const MAX_SHARED_NAMES: usize = 16_384;
+const MAX_INTERNED_NAMES: usize = 16_384;
 
 /// Maximum number of team and class names in summaries of done and cancelled jobs; jobs with
 /// further names have no summary.
@@ -65,7 +65,7 @@
     /// The names to which compact summaries refer by index.
     summary_names: Vec<Rc<str>>,
     /// The team, class and image names of job descriptions, each stored once for all jobs.
-    shared_names: BTreeSet<Rc<str>>,
+    interned_names: BTreeSet<Rc<str>>,
 }
 
 impl Default for JobStore {
@@ -82,7 +82,7 @@
             unreadable: false,
             changed: Vec::new(),
             summary_names: Vec::new(),
-            shared_names: BTreeSet::new(),
+            interned_names: BTreeSet::new(),
         }
     }
 }
@@ -156,7 +156,7 @@
 
     /// Returns the index of a name in the list of summary names, and adds the name if necessary;
     /// `None` if the list is full.
-    fn summary_name(&mut self, name: &str) -> Option<u16> {
+    fn summary_name_index(&mut self, name: &str) -> Option<u16> {
         if let Some(index) = self.summary_names.iter().position(|known| **known == *name) {
             return u16::try_from(index).ok();
         }
@@ -169,13 +169,13 @@
     }
 
     /// Replaces the names in a job description with the copies that are shared by all jobs.
-    fn share_names(&mut self, mut spec: JobSpec) -> JobSpec {
+    fn intern_names(&mut self, mut spec: JobSpec) -> JobSpec {
         for name in [&mut spec.team, &mut spec.class, &mut spec.image] {
-            match self.shared_names.get(name) {
+            match self.interned_names.get(name) {
                 Some(known) => *name = known.clone(),
                 // Beyond the limit, each job keeps its own copy of a name.
-                None if self.shared_names.len() < MAX_SHARED_NAMES => {
-                    self.shared_names.insert(name.clone());
+                None if self.interned_names.len() < MAX_INTERNED_NAMES => {
+                    self.interned_names.insert(name.clone());
                 }
                 None => {}
             }
@@ -183,10 +183,10 @@
         spec
     }
 
-    fn compact(&mut self, summary: &JobSummary) -> Option<CompactSummary> {
+    fn compact_summary(&mut self, summary: &JobSummary) -> Option<CompactSummary> {
         let (team, class) = (
-            self.summary_name(&summary.team)?,
-            self.summary_name(&summary.class)?,
+            self.summary_name_index(&summary.team)?,
+            self.summary_name_index(&summary.class)?,
         );
         Some(CompactSummary {
             team,
@@ -215,8 +215,8 @@
                 let summary = record
                     .summary
                     .as_ref()
-                    .and_then(|summary| self.compact(summary));
-                let spec = record.spec.map(|spec| Rc::new(self.share_names(spec)));
+                    .and_then(|summary| self.compact_summary(summary));
+                let spec = record.spec.map(|spec| Rc::new(self.intern_names(spec)));
                 self.entries.insert(
                     id,
                     JobEntry {
@@ -271,7 +271,7 @@
             return;
         }
         let spec = spec.map(|spec| match Rc::try_unwrap(spec) {
-            Ok(unshared) => Rc::new(self.share_names(unshared)),
+            Ok(unshared) => Rc::new(self.intern_names(unshared)),
             Err(shared) => shared,
         });
         let known = self.entries.get(&id);
@@ -286,7 +286,7 @@
         let summary = if spec.is_some() {
             None
         } else {
-            summary.and_then(|summary| self.compact(&summary))
+            summary.and_then(|summary| self.compact_summary(&summary))
         };
         self.entries.insert(
             id,
--- a/crates/controller/src/job_store/tests.rs
+++ b/crates/controller/src/job_store/tests.rs
@@ -10,14 +10,14 @@
 /// Guards against a limit that is too low: with 4,096 shared names, each job kept its own copies of
 /// the names beyond the limit.
 #[test]
-fn names_of_a_large_fleet_are_shared_within_a_memory_limit() {
+fn names_of_a_large_fleet_are_interned_up_to_a_limit() {
     let mut job_store = JobStore::default();
     let images = 8_192;
-    (0..images).for_each(|image| drop(job_store.share_names(spec(image))));
+    (0..images).for_each(|image| drop(job_store.intern_names(spec(image))));
     for image in [0, 4_096, images - 1] {
         let (one, other) = (
-            job_store.share_names(spec(image)),
-            job_store.share_names(spec(image)),
+            job_store.intern_names(spec(image)),
+            job_store.intern_names(spec(image)),
         );
         assert!(
             Rc::ptr_eq(&one.image, &other.image),
@@ -25,6 +25,6 @@
         );
         assert!(Rc::ptr_eq(&one.team, &other.team) && Rc::ptr_eq(&one.class, &other.class));
     }
-    (0..MAX_SHARED_NAMES + 100).for_each(|image| drop(job_store.share_names(spec(image))));
-    assert_eq!(job_store.shared_names.len(), MAX_SHARED_NAMES);
+    (0..MAX_INTERNED_NAMES + 100).for_each(|image| drop(job_store.intern_names(spec(image))));
+    assert_eq!(job_store.interned_names.len(), MAX_INTERNED_NAMES);
 }
--- a/crates/controller/src/pending_changes.rs
+++ b/crates/controller/src/pending_changes.rs
@@ -29,7 +29,7 @@
     pub(crate) in_flight: bool,
     started: Time,
     /// Minimum freshness of the replica to decide on the change.
-    needs_fresh_as_of: Time,
+    min_fresh_as_of: Time,
 }
 
 impl<T> PendingChange<T> {
@@ -41,7 +41,7 @@
     /// Whether a replica of this freshness is sufficient to decide on the change. `None`: the
     /// freshness is unknown.
     pub(crate) fn is_decidable(&self, fresh_as_of: Option<Time>) -> bool {
-        !self.in_flight && fresh_as_of.is_some_and(|fresh| fresh >= self.needs_fresh_as_of)
+        !self.in_flight && fresh_as_of.is_some_and(|fresh| fresh >= self.min_fresh_as_of)
     }
 }
 
@@ -74,7 +74,7 @@
             change,
             in_flight: false,
             started: now,
-            needs_fresh_as_of: now,
+            min_fresh_as_of: now,
         });
         true
     }
@@ -122,7 +122,7 @@
     pub(crate) fn retry(&mut self, now: Time, serial: u64) {
         if let Some(pending) = self.get_mut(serial) {
             pending.in_flight = false;
-            pending.needs_fresh_as_of = now;
+            pending.min_fresh_as_of = now;
         }
     }
 }
--- a/crates/controller/src/placement_pages.rs
+++ b/crates/controller/src/placement_pages.rs
@@ -21,7 +21,7 @@
 /// Version of the stored format; version 1 is read as well.
 const PAGE_VERSION: u32 = 2;
 /// Upper bound of the JSON length of one row, bytes.
-const ROW_BYTES: usize = 44;
+const MAX_ROW_BYTES: usize = 44;
 
 /// One attempt of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -153,7 +153,7 @@
 
 /// The number of rows that always fit a value of `value_limit` bytes; at least one.
 pub fn rows_per_page(value_limit: usize) -> usize {
-    (value_limit / ROW_BYTES).max(1)
+    (value_limit / MAX_ROW_BYTES).max(1)
 }
 
 /// Machine -> job -> (task index, attempt).
--- a/crates/controller/src/placement_pages/tests.rs
+++ b/crates/controller/src/placement_pages/tests.rs
@@ -21,7 +21,7 @@
         })
         .collect();
     let value = encode_page(&rows);
-    assert!(wire::json_len(&value) <= rows.len() * ROW_BYTES);
+    assert!(wire::json_len(&value) <= rows.len() * MAX_ROW_BYTES);
     let mut back = decode_page(&value).expect("valid page");
     back.sort();
     assert_eq!(back, rows);
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -25,15 +25,15 @@
 /// Highest page number that is accepted when pages are loaded; bounds memory use.
 const MAX_PAGE_NUMBER: usize = 100_000;
 /// JSON length of a page without its entries, bytes.
-const FRAME_BYTES: usize = 64;
+const PAGE_OVERHEAD_BYTES: usize = 64;
 /// JSON length of an entry without its digits, bytes.
-const CHUNK_ENTRY_BYTES: usize = 34;
+const CHUNK_ENTRY_OVERHEAD_BYTES: usize = 34;
 
 /// Returns the number of tasks per chunk for which one chunk always fits a value of `value_limit`
 /// bytes. The stored data depends on it, so it must be the same for all controllers of a
 /// deployment.
 pub fn chunk_size(value_limit: usize) -> u32 {
-    let digits = value_limit.saturating_sub(FRAME_BYTES + CHUNK_ENTRY_BYTES);
+    let digits = value_limit.saturating_sub(PAGE_OVERHEAD_BYTES + CHUNK_ENTRY_OVERHEAD_BYTES);
     (digits as u32 * 4 / 8 * 8).clamp(MIN_CHUNK_SIZE, MAX_CHUNK_SIZE)
 }
 
@@ -131,9 +131,9 @@
 }
 
 /// The maximum number of bytes that one chunk of a job takes on a page.
-fn chunk_entry_bytes(chunk_size: u32, chunk: u32, tasks: u32) -> usize {
+fn max_chunk_entry_bytes(chunk_size: u32, chunk: u32, tasks: u32) -> usize {
     let bits = tasks.saturating_sub(chunk * chunk_size).min(chunk_size) as usize;
-    CHUNK_ENTRY_BYTES + bits.div_ceil(8) * 2
+    CHUNK_ENTRY_OVERHEAD_BYTES + bits.div_ceil(8) * 2
 }
 
 /// The key of a page.
@@ -144,7 +144,7 @@
 /// Assigns the chunks of all jobs to progress pages and tracks which pages must be written.
 pub struct ProgressPages {
     /// Maximum total size of the entries of a page, bytes.
-    max_bytes: usize,
+    max_entry_bytes: usize,
     /// Tasks per chunk.
     chunk_size: u32,
     pages: Vec<ProgressPage>,
@@ -158,7 +158,7 @@
     /// store, in bytes.
     pub fn new(value_limit: usize) -> ProgressPages {
         ProgressPages {
-            max_bytes: value_limit.saturating_sub(FRAME_BYTES),
+            max_entry_bytes: value_limit.saturating_sub(PAGE_OVERHEAD_BYTES),
             chunk_size: chunk_size(value_limit),
             pages: Vec::new(),
             page_of_chunk: BTreeMap::new(),
@@ -184,9 +184,9 @@
 
     /// Assigns a chunk to the first page with enough free space, or to a new page.
     fn assign_to_free_page(&mut self, id: ChunkId, tasks: u32) -> usize {
-        let bytes = chunk_entry_bytes(self.chunk_size, id.chunk, tasks);
-        let has_room = |page: &ProgressPage| page.bytes + bytes <= self.max_bytes;
-        let page = self.pages.iter().position(has_room).unwrap_or_else(|| {
+        let bytes = max_chunk_entry_bytes(self.chunk_size, id.chunk, tasks);
+        let fits = |page: &ProgressPage| page.bytes + bytes <= self.max_entry_bytes;
+        let page = self.pages.iter().position(fits).unwrap_or_else(|| {
             self.pages.push(ProgressPage::default());
             self.pages.len() - 1
         });
@@ -227,19 +227,22 @@
 
     /// The pages that must be written.
     pub fn dirty_pages(&self) -> impl Iterator<Item = usize> + '_ {
-        self.numbers_of(|page| page.dirty && !page.chunks.is_empty())
+        self.page_numbers_where(|page| page.dirty && !page.chunks.is_empty())
     }
 
     /// The stored pages without chunks, which may be deleted.
     pub fn empty_pages(&self) -> impl Iterator<Item = usize> + '_ {
-        self.numbers_of(|page| page.chunks.is_empty() && page.revision != Revision(0))
+        self.page_numbers_where(|page| page.chunks.is_empty() && page.revision != Revision(0))
     }
 
-    fn numbers_of(&self, selects: fn(&ProgressPage) -> bool) -> impl Iterator<Item = usize> + '_ {
+    fn page_numbers_where(
+        &self,
+        predicate: fn(&ProgressPage) -> bool,
+    ) -> impl Iterator<Item = usize> + '_ {
         self.pages
             .iter()
             .enumerate()
-            .filter(move |(_, page)| selects(page))
+            .filter(move |(_, page)| predicate(page))
             .map(|(number, _)| number)
     }
 
@@ -391,7 +394,7 @@
             };
             progress.merge_chunk(id.chunk, digits)?;
             if !self.page_of_chunk.contains_key(&id) {
-                let bytes = chunk_entry_bytes(self.chunk_size, id.chunk, tasks);
+                let bytes = max_chunk_entry_bytes(self.chunk_size, id.chunk, tasks);
                 self.assign(id, page, bytes);
             }
         }
--- a/crates/controller/src/progress/tests.rs
+++ b/crates/controller/src/progress/tests.rs
@@ -41,24 +41,32 @@
         ..Jobs::default()
     };
     remote.job(1).mark_done(1);
-    let mut copy = ProgressPages::new(8 * 1024);
-    let due: Vec<usize> = pages.dirty_pages().collect();
-    assert_eq!(due.len(), 4, "three chunks of 2,048 digits fit one page");
-    for page in due {
-        let mut sent = ProgressWrite::default();
+    let mut remote_pages = ProgressPages::new(8 * 1024);
+    let dirty_pages: Vec<usize> = pages.dirty_pages().collect();
+    assert_eq!(
+        dirty_pages.len(),
+        4,
+        "three chunks of 2,048 digits fit one page"
+    );
+    for page in dirty_pages {
+        let mut write = ProgressWrite::default();
         let value = pages
-            .begin_write(page, &mut sent, &mut local)
+            .begin_write(page, &mut write, &mut local)
             .expect("value");
         assert!(wire::json_len(&value) <= 8 * 1024);
-        copy.load(&progress_page_key(page), Revision(5), &value, &mut remote)
+        remote_pages
+            .load(&progress_page_key(page), Revision(5), &value, &mut remote)
             .expect("valid page");
-        pages.on_written(sent, Revision(5), &mut local);
+        pages.on_written(write, Revision(5), &mut local);
     }
-    let (here, there) = (local.job(1), remote.job(1));
-    assert_eq!((here.done_count(), there.done_count()), (50_000, 50_001));
-    assert!(here.is_durable(8_192 * 2));
+    let (local_progress, remote_progress) = (local.job(1), remote.job(1));
+    assert_eq!(
+        (local_progress.done_count(), remote_progress.done_count()),
+        (50_000, 50_001)
+    );
+    assert!(local_progress.is_durable(8_192 * 2));
     assert!(
-        there.is_durable(8_192 * 2) && !there.is_durable(1),
+        remote_progress.is_durable(8_192 * 2) && !remote_progress.is_durable(1),
         "a task that is known only locally is not durable"
     );
 }
@@ -69,15 +77,15 @@
     let size = chunk_size(limit);
     assert!((64..2_048).contains(&size), "{size}");
     assert_eq!(chunk_size(32 * 1024), MAX_CHUNK_SIZE);
-    let mut p = JobProgress::new(size);
-    (0..10 * size).for_each(|i| p.mark_done(i));
-    assert!(chunk_entry_bytes(size, 0, 100_000) <= limit - FRAME_BYTES);
-    let mut q = JobProgress::new(size);
-    let long: String = "ff".repeat((size / 8 * 3) as usize);
-    q.merge_chunk(0, &long).expect("digits");
-    assert_eq!(q.done_count(), size);
-    q.merge_chunk(1, &long).expect("digits");
-    assert_eq!(q.done_count(), 2 * size);
+    let mut progress = JobProgress::new(size);
+    (0..10 * size).for_each(|i| progress.mark_done(i));
+    assert!(max_chunk_entry_bytes(size, 0, 100_000) <= limit - PAGE_OVERHEAD_BYTES);
+    let mut merged = JobProgress::new(size);
+    let long_digits: String = "ff".repeat((size / 8 * 3) as usize);
+    merged.merge_chunk(0, &long_digits).expect("digits");
+    assert_eq!(merged.done_count(), size);
+    merged.merge_chunk(1, &long_digits).expect("digits");
+    assert_eq!(merged.done_count(), 2 * size);
 }
 
 #[test]
@@ -92,13 +100,13 @@
         pages.mark_dirty(job(n), n % 60, 60);
     }
     assert_eq!(pages.dirty_pages().count(), 1);
-    let mut sent = ProgressWrite::default();
-    let value = pages.begin_write(0, &mut sent, &mut all).expect("value");
+    let mut write = ProgressWrite::default();
+    let value = pages.begin_write(0, &mut write, &mut all).expect("value");
     assert!(wire::json_len(&value) <= 8 * 1024);
     // A task that ends while the write is in flight does not count as durable.
     all.job(3).mark_done(59);
     pages.mark_dirty(job(3), 59, 60);
-    pages.on_written(sent, Revision(9), &mut all);
+    pages.on_written(write, Revision(9), &mut all);
     assert!(all.job(4).is_durable(4) && !all.job(3).is_durable(59));
     assert_eq!(pages.dirty_pages().collect::<Vec<_>>(), [0]);
     (0..100).for_each(|n| pages.forget(job(n)));
@@ -118,8 +126,8 @@
     pages
         .load("d/job-000007/0", Revision(3), &old, &mut jobs)
         .expect("valid page");
-    let p = jobs.job(7);
-    assert!(p.is_done(0) && !p.is_done(1) && p.is_done(2));
+    let progress = jobs.job(7);
+    assert!(progress.is_done(0) && !progress.is_done(1) && progress.is_done(2));
     let open = |_: JobId| false;
     assert_eq!(
         pages.obsolete_keys(&open).count(),
@@ -154,11 +162,11 @@
         local.job(n).mark_done(index);
         pages.mark_dirty(job(n), index, local.tasks);
     }
-    let due: Vec<usize> = pages.dirty_pages().collect();
-    for page in due {
-        let mut sent = ProgressWrite::default();
+    let dirty_pages: Vec<usize> = pages.dirty_pages().collect();
+    for page in dirty_pages {
+        let mut write = ProgressWrite::default();
         let value = pages
-            .begin_write(page, &mut sent, &mut local)
+            .begin_write(page, &mut write, &mut local)
             .expect("something to write");
         let record: ProgressPageRecord = wire::from_value(&value).expect("valid page");
         assert_eq!(wire::to_value(&record), value);
--- a/crates/controller/src/scheduler/persistence/outcome.rs
+++ b/crates/controller/src/scheduler/persistence/outcome.rs
@@ -32,7 +32,7 @@
         job_store: &mut JobStore,
     ) -> CommitOutcome {
         if call != SchedulerCall::Commit {
-            self.on_load(now, call, reply, job_store);
+            self.on_scan_reply(now, call, reply, job_store);
             return CommitOutcome::Unchanged;
         }
         let Some(in_flight) = self.in_flight.take() else {
@@ -90,7 +90,7 @@
             .iter()
             .filter_map(|key| JobId::parse(key.strip_prefix(job_store::PREFIX)?));
         for id in changed_jobs {
-            self.withdraw_planned(now, id);
+            self.release_planned_allocations(now, id);
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.hold_until = now.plus(CONFLICT_BACKOFF_S);
             }
@@ -109,7 +109,7 @@
         }
         let set_aside = self.commit_backoff.on_malformed(now) == RetryAction::SetAside;
         if set_aside {
-            self.defer_work(now, &in_flight);
+            self.defer_content(now, &in_flight);
         }
         self.on_not_committed(now, in_flight);
         if set_aside {
@@ -119,7 +119,7 @@
 
     /// Defers and logs the content of a transaction that the key-value store rejects even at the
     /// smallest size, so that other work can proceed.
-    fn defer_work(&mut self, now: Time, in_flight: &InFlightCommit) {
+    fn defer_content(&mut self, now: Time, in_flight: &InFlightCommit) {
         let until = now.plus(DEFERRAL_S);
         for id in &in_flight.finished_jobs {
             tracing::error!(job = %id, "deferred job completion: rejected as malformed");
@@ -146,14 +146,14 @@
 
     /// Defers a job whose placement the key-value store rejects, so that other jobs can proceed.
     pub(super) fn defer_job(&mut self, now: Time, id: JobId) {
-        self.withdraw_planned(now, id);
+        self.release_planned_allocations(now, id);
         if let Some(job) = self.jobs.get_mut(&id) {
             job.hold_until = now.plus(DEFERRAL_S);
         }
     }
 
     /// Releases the job's planned allocations that are not part of a transaction.
-    fn withdraw_planned(&mut self, now: Time, id: JobId) {
+    fn release_planned_allocations(&mut self, now: Time, id: JobId) {
         let planned: Vec<(MachineId, TaskId)> = self
             .commit_queue
             .iter()
@@ -178,7 +178,7 @@
         revision: Revision,
         job_store: &mut JobStore,
     ) {
-        let mut ended = Vec::new();
+        let mut to_release = Vec::new();
         for page in in_flight.pages {
             let page_id = self.pages.insert(page.key, revision);
             for row in page.rows {
@@ -193,12 +193,12 @@
                 allocation.state = TaskState::Committed;
                 allocation.page = Some(page_id);
                 if allocation.kill_grace_s.is_some() {
-                    ended.push((row.machine, row.task));
+                    to_release.push((row.machine, row.task));
                 }
                 self.pages.retain(page_id);
             }
         }
-        for (machine, task) in ended {
+        for (machine, task) in to_release {
             self.release_allocation(now, machine, task, false, 0.0);
         }
         self.progress_pages
--- a/crates/controller/src/scheduler/persistence/recovery.rs
+++ b/crates/controller/src/scheduler/persistence/recovery.rs
@@ -63,7 +63,7 @@
     }
 
     /// Handles the reply to a scan.
-    pub(super) fn on_load(
+    pub(super) fn on_scan_reply(
         &mut self,
         now: Time,
         call: SchedulerCall,
@@ -107,7 +107,7 @@
 
     /// Halts scheduling because a stored value has a format or version that this program does not
     /// know; a guess at its meaning would not be safe.
-    fn halt_unreadable(&mut self, key: &str) {
+    fn halt_scheduling(&mut self, key: &str) {
         tracing::error!(
             key,
             "halted scheduling: stored value has an unknown format or version"
@@ -155,7 +155,7 @@
                 .load(key, revision, &item.value, &mut self.jobs)
                 .is_err()
             {
-                self.halt_unreadable(key);
+                self.halt_scheduling(key);
                 return false;
             }
         }
@@ -181,7 +181,7 @@
         let mut rows = Vec::new();
         for item in items {
             let Ok(page) = placement_pages::decode_page(&item.value) else {
-                self.halt_unreadable(&item.key);
+                self.halt_scheduling(&item.key);
                 return None;
             };
             let page_id = self.pages.insert(item.key.clone(), Revision(item.revision));
@@ -215,20 +215,20 @@
             }
         }
         self.commit_queue.clear();
-        let mut ended = Vec::new();
+        let mut to_release = Vec::new();
         for (id, machine) in &self.machines {
             for (task, allocation) in &machine.resident.allocations {
                 let to_be_stopped = allocation.kill_grace_s.is_some();
                 match allocation.state {
                     TaskState::Planned | TaskState::Committed if to_be_stopped => {
-                        ended.push((*id, *task));
+                        to_release.push((*id, *task));
                     }
                     TaskState::Planned => self.commit_queue.push_back((*id, *task)),
                     _ => {}
                 }
             }
         }
-        for (machine, task) in ended {
+        for (machine, task) in to_release {
             self.release_allocation(now, machine, task, false, 0.0);
         }
     }
@@ -253,7 +253,7 @@
         for (row, page) in rows {
             let entry = job_store.get(row.task.job);
             let spec = entry.and_then(|entry| entry.spec.clone());
-            let is_over = entry.is_none_or(|entry| entry.state != JobState::Open)
+            let is_terminated = entry.is_none_or(|entry| entry.state != JobState::Open)
                 && !broken!(self.faults, inherited_runs);
             // The resources of a task without a job description are unknown: its machine counts
             // as full.
@@ -262,7 +262,7 @@
                 .map_or(UNKNOWN_NEED, |spec| resources_of(spec));
             let team = spec.as_ref().and_then(|spec| self.team_index(spec));
             let mut allocation = Allocation::inherited(row.attempt, resources, team, now, page);
-            allocation.kill_grace_s = is_over.then_some(0.0);
+            allocation.kill_grace_s = is_terminated.then_some(0.0);
             self.machines
                 .entry(row.machine)
                 .or_insert_with(|| Machine::new(now))
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -26,19 +26,19 @@
 #[derive(Clone, Debug)]
 struct Backlog {
     /// Number of planned tasks of each job with tasks that no page lists yet.
-    placed: Vec<u32>,
+    planned_tasks: Vec<u32>,
     /// Number of tasks of each job whose tasks are all done.
-    ended: Vec<u32>,
+    done_tasks: Vec<u32>,
     /// Number of unreferenced placement pages.
-    dead: usize,
+    unreferenced_pages: usize,
     /// Digits in the names of jobs and machines.
-    digits: usize,
+    name_digits: usize,
     /// Number of transactions that the key-value store rejects as malformed before it accepts one.
-    malformed: u32,
+    malformed_replies: u32,
 }
 
-fn backlog() -> impl Strategy<Value = Backlog> {
-    let jobs = |most| prop::collection::vec(1..most, 0..40usize);
+fn any_backlog() -> impl Strategy<Value = Backlog> {
+    let jobs = |max_tasks| prop::collection::vec(1..max_tasks, 0..40usize);
     (
         jobs(60u32),
         jobs(9_000u32),
@@ -46,13 +46,17 @@
         6..18usize,
         0..8u32,
     )
-        .prop_map(|(placed, ended, dead, digits, malformed)| Backlog {
-            placed,
-            ended,
-            dead,
-            digits,
-            malformed,
-        })
+        .prop_map(
+            |(planned_tasks, done_tasks, unreferenced_pages, name_digits, malformed_replies)| {
+                Backlog {
+                    planned_tasks,
+                    done_tasks,
+                    unreferenced_pages,
+                    name_digits,
+                    malformed_replies,
+                }
+            },
+        )
 }
 
 fn spec(tasks: u32) -> Rc<JobSpec> {
@@ -62,21 +66,21 @@
     Rc::new(serde_json::from_value(body).expect("a description"))
 }
 
-fn fill(scheduler: &mut Scheduler, b: &Backlog, now: Time) {
-    let w = b.digits;
+fn add_backlog(scheduler: &mut Scheduler, backlog: &Backlog, now: Time) {
+    let width = backlog.name_digits;
     let chunk = progress::chunk_size(scheduler.max_value_bytes);
     let mut number = 0;
     let mut id = || {
         number += 1;
-        JobId::parse(&format!("job-{number:0w$}")).expect("a job")
+        JobId::parse(&format!("job-{number:0width$}")).expect("a job")
     };
-    for tasks in &b.placed {
+    for tasks in &backlog.planned_tasks {
         let job = id();
         scheduler
             .jobs
             .insert(job, Job::new(spec(*tasks), Revision(7), chunk, now));
         for index in 0..*tasks {
-            let name = format!("n-{:0w$}", index * 7 % 50);
+            let name = format!("n-{:0width$}", index * 7 % 50);
             let machine = MachineId::parse(&name).expect("a machine");
             let task = TaskId { job, index };
             scheduler.next_attempt += 1;
@@ -95,7 +99,7 @@
             scheduler.commit_queue.push_back((machine, task));
         }
     }
-    for tasks in &b.ended {
+    for tasks in &backlog.done_tasks {
         let job = id();
         scheduler
             .jobs
@@ -104,20 +108,20 @@
             scheduler.mark_done(TaskId { job, index });
         }
     }
-    for n in 0..b.dead {
+    for n in 0..backlog.unreferenced_pages {
         scheduler.pages.insert(format!("p/1-{n}"), Revision(3));
     }
 }
 
 /// Checks the size of a transaction against the limits, independently of the code that built it.
-fn within(body: &[u8], limits: TransactionLimits) -> Result<(), String> {
+fn check_limits(body: &[u8], limits: TransactionLimits) -> Result<(), String> {
     let transaction: serde_json::Value = wire::decode::<ciborium::Value>(body)
         .ok()
         .and_then(|v| v.deserialized().ok())
         .ok_or("not CBOR")?;
     let list = |name: &str| transaction[name].as_array().cloned().unwrap_or_default();
     let (when, then) = (list("when"), list("then"));
-    let longest = then
+    let max_value_bytes = then
         .iter()
         .map(|t| t["value"].to_string().len())
         .max()
@@ -126,31 +130,35 @@
         then.len(),
         when.len(),
         transaction.to_string().len(),
-        longest,
+        max_value_bytes,
     );
-    let most = (
+    let max_sizes = (
         limits.writes,
         limits.conditions,
         limits.bytes,
         limits.value_bytes,
     );
-    if sizes.0 > most.0 || sizes.1 > most.1 || sizes.2 > most.2 || sizes.3 > most.3 {
-        return Err(format!("sizes {sizes:?} exceed the limits {most:?}"));
+    if sizes.0 > max_sizes.0
+        || sizes.1 > max_sizes.1
+        || sizes.2 > max_sizes.2
+        || sizes.3 > max_sizes.3
+    {
+        return Err(format!("sizes {sizes:?} exceed the limits {max_sizes:?}"));
     }
     Ok(())
 }
 
 /// Checks the conditions that every transaction needs: on the block key with the revision of the
 /// leadership acquisition (Guard 1), and on each key that it changes.
-fn rests(body: &[u8]) -> Result<(), String> {
+fn check_conditions(body: &[u8]) -> Result<(), String> {
     let transaction: serde_json::Value = wire::decode::<ciborium::Value>(body)
         .ok()
         .and_then(|v| v.deserialized().ok())
         .ok_or("not CBOR")?;
     let list = |name: &str| transaction[name].as_array().cloned().unwrap_or_default();
     let when = list("when");
-    let on = |key: &serde_json::Value| when.iter().find(|w| w["path"] == *key);
-    if on(&json!(BLOCK_KEY)).is_none_or(|w| w["stamp"] != 9) {
+    let condition_on = |key: &serde_json::Value| when.iter().find(|w| w["path"] == *key);
+    if condition_on(&json!(BLOCK_KEY)).is_none_or(|w| w["stamp"] != 9) {
         return Err("no condition on the block key".into());
     }
     let keys = list("then")
@@ -159,7 +167,7 @@
             true => t["delete"].clone(),
             false => t["write"].clone(),
         });
-    match keys.into_iter().find(|key| on(key).is_none()) {
+    match keys.into_iter().find(|key| condition_on(key).is_none()) {
         Some(key) => Err(format!("{key} is changed without a condition on it")),
         None => Ok(()),
     }
@@ -167,30 +175,30 @@
 
 /// Guards against a transaction of a former leader that is executed late and places tasks.
 #[test]
-fn transaction_always_requires_the_leadership_key() {
-    let b = Backlog {
-        placed: vec![3; 9],
-        ended: vec![2; 5],
-        dead: 9,
-        digits: 6,
-        malformed: 0,
+fn transaction_always_requires_the_block_key() {
+    let backlog = Backlog {
+        planned_tasks: vec![3; 9],
+        done_tasks: vec![2; 5],
+        unreferenced_pages: 9,
+        name_digits: 6,
+        malformed_replies: 0,
     };
-    assert!(work_off(&b, 8, 8.0).is_ok());
-    let without = Faults {
+    assert!(commit_backlog(&backlog, 8, 8.0).is_ok());
+    let faults = Faults {
         no_block: true,
         ..Faults::default()
     };
-    let found = work_off_with(&b, 8, 8.0, without);
-    assert_eq!(found, Err("no condition on the block key".into()));
+    let result = commit_backlog_with_faults(&backlog, 8, 8.0, faults);
+    assert_eq!(result, Err("no condition on the block key".into()));
 }
 
 /// Acts as the key-value store until nothing is left to write; returns the number of rounds.
-fn work_off(b: &Backlog, txn_ops: usize, value_kb: f64) -> Result<u32, String> {
-    work_off_with(b, txn_ops, value_kb, Faults::default())
+fn commit_backlog(backlog: &Backlog, txn_ops: usize, value_kb: f64) -> Result<u32, String> {
+    commit_backlog_with_faults(backlog, txn_ops, value_kb, Faults::default())
 }
 
-fn work_off_with(
-    b: &Backlog,
+fn commit_backlog_with_faults(
+    backlog: &Backlog,
     txn_ops: usize,
     value_kb: f64,
     faults: Faults,
@@ -213,40 +221,40 @@
     );
     scheduler.loaded = true;
     scheduler.faults = faults;
-    fill(&mut scheduler, b, now);
-    let (mut job_store, mut calls, mut rev) = (JobStore::default(), 0, 100);
-    let mut refuse = b.malformed;
+    add_backlog(&mut scheduler, backlog, now);
+    let (mut job_store, mut calls, mut revision) = (JobStore::default(), 0, 100);
+    let mut refuse = backlog.malformed_replies;
     for round in 0..20_000 {
         now = now.plus(0.3);
         scheduler.commit(now, &mut store);
         let mut out = Vec::new();
         store.flush(now, &mut calls, &mut out);
-        for o in out {
-            let Effect::Call { id, body, .. } = o else {
+        for effect in out {
+            let Effect::Call { id, body, .. } = effect else {
                 continue;
             };
-            within(&body, limits)?;
-            rests(&body)?;
-            rev += 1;
+            check_limits(&body, limits)?;
+            check_conditions(&body)?;
+            revision += 1;
             let reply = if refuse > 0 {
                 refuse -= 1;
                 (400, wire::encode(&json!({"error": "too many operations"})))
             } else {
-                (200, wire::encode(&json!({ "ledgerRev": rev })))
+                (200, wire::encode(&json!({ "ledgerRev": revision })))
             };
             let reply = store
                 .on_reply(id, Some(reply))
                 .ok_or("reply to an unknown call")?;
             scheduler.on_reply(now, SchedulerCall::Commit, reply, &mut job_store);
         }
-        let left = scheduler.commit_queue.len()
+        let remaining = scheduler.commit_queue.len()
             + scheduler.completed_jobs.len()
             + scheduler.progress_pages.dirty_pages().count()
             + scheduler
                 .pages
                 .unreferenced_count()
                 .saturating_sub(MAX_IDLE_UNREFERENCED_PAGES);
-        if left == 0 && scheduler.in_flight.is_none() {
+        if remaining == 0 && scheduler.in_flight.is_none() {
             return Ok(round);
         }
     }
@@ -267,13 +275,13 @@
     /// Guards against a transaction that is rejected as too large and rebuilt with the same
     /// content on every retry: no task started or ended for the rest of a simulated day.
     #[test]
-    fn no_transaction_is_too_large_and_every_backlog_is_worked_off(
-        b in backlog(),
+    fn transactions_stay_within_limits_until_every_backlog_is_committed(
+        backlog in any_backlog(),
         txn_ops in 2..40usize,
         value_kb in prop_oneof![Just(0.5), 0.5..4.0f64, Just(8.0), Just(32.0)],
     ) {
-        let done = work_off(&b, txn_ops, value_kb);
-        prop_assert!(done.is_ok(), "{done:?}");
+        let result = commit_backlog(&backlog, txn_ops, value_kb);
+        prop_assert!(result.is_ok(), "{result:?}");
     }
 }
 
@@ -282,26 +290,31 @@
 /// all scheduling for the rest of a simulated day.
 #[test]
 fn page_leaves_conditions_for_removals() {
-    let b = Backlog {
-        placed: vec![1; 400],
-        ended: vec![3; 30],
-        dead: 400,
-        digits: 6,
-        malformed: 0,
+    let backlog = Backlog {
+        planned_tasks: vec![1; 400],
+        done_tasks: vec![3; 30],
+        unreferenced_pages: 400,
+        name_digits: 6,
+        malformed_replies: 0,
     };
-    work_off(&b, 24, 8.0).expect("worked off");
+    commit_backlog(&backlog, 24, 8.0).expect("backlog is committed");
 }
 
 #[test]
 fn placement_is_not_delayed_by_ten_thousand_unreferenced_pages() {
-    let b = Backlog {
-        placed: vec![20; 10],
-        ended: Vec::new(),
-        dead: 10_000,
-        digits: 6,
-        malformed: 0,
+    let backlog = Backlog {
+        planned_tasks: vec![20; 10],
+        done_tasks: Vec::new(),
+        unreferenced_pages: 10_000,
+        name_digits: 6,
+        malformed_replies: 0,
     };
-    assert!(work_off(&b, 2, 8.0).expect("worked off") > 100);
-    let only = Backlog { dead: 0, ..b };
-    assert!(work_off(&only, 2, 8.0).expect("worked off") < 40);
+    assert!(commit_backlog(&backlog, 2, 8.0).expect("backlog is committed") > 100);
+    let without_unreferenced_pages = Backlog {
+        unreferenced_pages: 0,
+        ..backlog
+    };
+    assert!(
+        commit_backlog(&without_unreferenced_pages, 2, 8.0).expect("backlog is committed") < 40
+    );
 }
--- a/crates/controller/src/scheduler/persistence/transaction.rs
+++ b/crates/controller/src/scheduler/persistence/transaction.rs
@@ -218,7 +218,7 @@
             .transaction
             .remaining_value_bytes(key.len())
             .min(self.max_value_bytes);
-        let mut rows = self.take_planned_rows(max_bytes, &mut draft.transaction);
+        let mut rows = self.dequeue_planned_rows(max_bytes, &mut draft.transaction);
         if rows.is_empty() {
             return false;
         }
@@ -250,7 +250,7 @@
 
     /// Removes planned allocations from the commit queue for one page, and adds the conditions
     /// that they depend on to the transaction.
-    fn take_planned_rows(
+    fn dequeue_planned_rows(
         &mut self,
         max_bytes: usize,
         transaction: &mut Transaction,
@@ -268,7 +268,7 @@
             let Some(revision) = self.jobs.get(&task.job).map(|job| job.revision) else {
                 continue;
             };
-            if !self.is_plan_to_commit(machine, task) {
+            if !self.awaits_commit(machine, task) {
                 continue;
             }
             // Guard 2: a placement commits only if its job is neither cancelled nor done.
@@ -291,7 +291,7 @@
         rows
     }
 
-    fn is_plan_to_commit(&self, machine: MachineId, task: TaskId) -> bool {
+    fn awaits_commit(&self, machine: MachineId, task: TaskId) -> bool {
         self.machines
             .get(&machine)
             .and_then(|machine| machine.resident.allocations.get(&task))
@@ -369,14 +369,18 @@
         let budget = store.write_budget(now);
         let rate = budget.per_second;
         let writes = draft.transaction.write_count() as f64;
-        let spare = (budget.available - writes - rate * SPARE_RATE_FRACTION).max(0.0) as usize;
-        let due = now.since(self.last_cleanup) * rate * CLEANUP_RATE_FRACTION;
-        let crowded = self
+        let spare_writes =
+            (budget.available - writes - rate * SPARE_RATE_FRACTION).max(0.0) as usize;
+        let cleanup_allowance = now.since(self.last_cleanup) * rate * CLEANUP_RATE_FRACTION;
+        let excess_pages = self
             .pages
             .unreferenced_count()
             .saturating_sub(MAX_IDLE_UNREFERENCED_PAGES)
-            .min(due.min(rate) as usize);
-        let max_removals = draft.transaction.remaining_writes().min(spare.max(crowded));
+            .min(cleanup_allowance.min(rate) as usize);
+        let max_removals = draft
+            .transaction
+            .remaining_writes()
+            .min(spare_writes.max(excess_pages));
         self.remove_unreferenced_pages(max_removals, draft);
         let max_removals = max_removals.saturating_sub(draft.in_flight.removed_pages.len());
         self.remove_progress_keys(max_removals, draft);
