--- a/crates/controller/src/placement_pages.rs
+++ b/crates/controller/src/placement_pages.rs
@@ -20,7 +20,7 @@
 pub const PROGRESS_PREFIX: &str = "d/";
 /// Version of the stored format; version 1 is read as well.
 const PAGE_VERSION: u32 = 2;
-/// Upper bound of the JSON length of one row, bytes.
+/// Upper bound of the JSON length of one row, bytes; it keeps pages within the value limit.
 const MAX_ROW_BYTES: usize = 44;
 
 /// One attempt of a task on a machine.
--- a/crates/controller/src/progress/completion.rs
+++ b/crates/controller/src/progress/completion.rs
@@ -92,8 +92,8 @@
             .map(|(number, _)| *number)
     }
 
-    /// Encodes a chunk for storage, its bits as hexadecimal digits; `None` if no task of it is
-    /// done.
+    /// Encodes a chunk for storage, its bits as hexadecimal digits; `None` if no task of it was
+    /// marked as done or loaded.
     pub(super) fn encode_chunk(&self, chunk: u32) -> Option<String> {
         let chunk = self.chunks.get(&chunk)?;
         let digit = |nibble: u8| char::from_digit(u32::from(nibble), 16).unwrap_or('0');
