--- a/crates/controller/src/scheduler/persistence/recovery.rs
+++ b/crates/controller/src/scheduler/persistence/recovery.rs
@@ -2,7 +2,7 @@
 //! transaction of unknown outcome.
 
 use crate::calls::{SchedulerCall, Tag};
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::job_store::{JobState, JobStore};
 use crate::placement_pages::{self, PageId, PlacementRow};
 use crate::scheduler::allocation::{Allocation, TaskState};
@@ -254,7 +254,7 @@
             let entry = job_store.get(row.task.job);
             let spec = entry.and_then(|entry| entry.spec.clone());
             let is_terminated = entry.is_none_or(|entry| entry.state != JobState::Open)
-                && !broken!(self.faults, inherited_runs);
+                && !fault_injected!(self.faults, cancelled_tasks_inherited);
             // The resources of a task without a job description are unknown: its machine counts
             // as full.
             let resources = spec
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -185,7 +185,7 @@
     };
     assert!(commit_backlog(&backlog, 8, 8.0).is_ok());
     let faults = Faults {
-        no_block: true,
+        placements_without_block: true,
         ..Faults::default()
     };
     let result = commit_backlog_with_faults(&backlog, 8, 8.0, faults);
