--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -1,22 +1,23 @@
 //! Leader election and fencing.
 //!
-//! Two keys of the key-value store decide who leads:
+//! Two keys of the key-value store determine which controller is the leader:
 //!
-//! - the *leadership key* (`lead/now`) is bound to the session lease of its owner and
-//!   disappears when that lease expires;
-//! - the *block key* (`block/0`) has no lease. It is written by the transaction that
+//! - The *leadership key* (`lead/now`) is bound to the session lease of its owner and is
+//!   deleted when that lease expires.
+//! - The *block key* (`block/0`) has no lease. It is written by the transaction that
 //!   acquires leadership, and the revision of that write is the fencing token that the
 //!   leader sends to workers.
 //!
 //! Invariants:
 //!
 //! - Only the owner of the block key may place tasks: each placement transaction compares
-//!   the key with the leader's fencing token.
-//! - Tokens rise: the block key is only ever replaced by a later revision.
+//!   the key's revision with the leader's fencing token.
+//! - Fencing tokens increase monotonically: each write of the block key has a higher
+//!   revision than the one before.
 //! - A term that has ended is never resumed, even if the block key still has its revision.
 //!
-//! The block key outlives the lease, so a leader that was merely slow keeps its token
-//! until another controller acquires leadership.
+//! The block key is not deleted when the lease expires, so a leader that was merely too slow
+//! to renew its lease keeps its token until another controller acquires leadership.
 
 mod acquisition;
 mod replies;
@@ -28,7 +29,7 @@
 use beamhinge_core::types::{FencingToken, Revision, Time};
 use serde::{Deserialize, Serialize};
 
-/// The key whose owner is the leader; bound to the owner's session lease.
+/// The key whose owner is the leader; it is bound to the owner's session lease.
 const LEADERSHIP_KEY: &str = "lead/now";
 /// The prefix that is scanned and watched for the leadership key.
 const LEADERSHIP_PREFIX: &str = "lead/";
@@ -37,40 +38,42 @@
 /// The prefix that is scanned for the block key.
 const BLOCK_PREFIX: &str = "block/";
 
-/// How long a leader that stepped down leaves leadership to others, seconds.
+/// Time for which a leader that stepped down does not try to acquire leadership, in seconds.
 const YIELD_S: f64 = 8.0;
-/// How long a controller that must not lead now leaves leadership to others, seconds.
+/// Time for which [`LeaderElection::defer`] postpones an acquisition, in seconds.
 const DEFER_S: f64 = 2.0;
-/// Pause after an acquisition that the store rejects as malformed, seconds; other
-/// controllers may succeed meanwhile.
+/// Pause after an acquisition that the store rejects as malformed, in seconds. Other
+/// controllers may acquire leadership during the pause.
 const MALFORMED_RETRY_S: f64 = 5.0;
-/// Pause after a leadership record that exceeds the limits of a transaction, seconds.
+/// Pause after a leadership record that exceeds the limits of a transaction, in seconds.
 const UNWRITABLE_RETRY_S: f64 = 10.0;
-/// Part of the lease's duration after which it is renewed.
+/// Fraction of the lease duration after which the lease is renewed.
 const RENEWAL_FRACTION: f64 = 0.25;
-/// Longest that the store holds a watch of the leadership key open, seconds.
+/// Maximum time for which the store keeps a watch of the leadership key open, in seconds.
 const WATCH_WAIT_S: f64 = 3.0;
-/// Seconds between two confirmations of the block key.
+/// Interval between two checks that this controller still owns the block key, in seconds.
 const BLOCK_CHECK_INTERVAL_S: f64 = 1.0;
-/// No store reaches this revision within a thousand years at a hundred changes a second.
-/// Attempts are numbered from the token shifted left, which a higher token would overflow.
+/// The lowest fencing token that is rejected. Attempt numbers start at the token shifted
+/// left, so a higher token would overflow. At a hundred changes a second, a store does not
+/// reach this revision within a thousand years.
 const MAX_TOKEN: u64 = 1 << 43;
 
-/// The value of the leadership key and of the block key: one process of one controller.
+/// The value of the leadership key and of the block key; identifies one controller process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ProcessIdentity {
     #[serde(rename = "v")]
     version: u32,
     label: String,
-    /// Drawn at the start of the process; tells two processes of one label apart.
+    /// Random number drawn when the process starts. It distinguishes processes that have the
+    /// same label.
     nonce: u64,
 }
 
-/// Changes of leadership that the node has to act on.
+/// A change of leadership, which the caller must act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[must_use = "the node has to begin or end its term"]
+#[must_use = "the caller must begin or end its term"]
 pub enum LeadershipChange {
-    /// This controller leads, or does not lead, as before.
+    /// This controller is still the leader, or still not the leader.
     Unchanged,
     /// A new term of this controller has begun.
     Acquired {
@@ -83,14 +86,15 @@
 
 /// The session lease of this controller.
 ///
-/// The two flags do not exclude each other: a renewal may still be in flight when its lease
-/// is revoked and the next one is requested.
+/// Both flags can be set at once: a renewal may still be in flight when its lease is revoked
+/// and the next one is requested.
 #[derive(Debug, Default)]
 struct SessionLease {
-    /// Requested duration, seconds.
+    /// Requested duration, in seconds.
     duration_s: f64,
+    /// `None` until a lease is granted, and after it was revoked or has expired.
     id: Option<u64>,
-    /// When the latest successful grant or renewal was sent.
+    /// When the request for the latest successful grant or renewal was sent.
     renewed_at: Time,
     grant_in_flight: bool,
     renewal_in_flight: bool,
@@ -103,41 +107,42 @@
     revision: Revision,
 }
 
-/// The leadership key, as far as known.
+/// The leadership key as last read, and its pending reads.
 #[derive(Debug, Default)]
 struct LeadershipState {
+    /// `None` if the key is absent, cannot be decoded, or has not been read.
     record: Option<LeadershipRecord>,
-    /// The store's revision up to which the key was read; none: it has to be read anew.
+    /// The store's revision up to which the key has been read; `None` if it must be scanned.
     read_up_to: Option<u64>,
     /// A scan or a watch is in flight.
     read_in_flight: bool,
-    /// The revision of the leadership key whose owner was found dead: it may be replaced
-    /// before its lease expires.
+    /// The revision of the leadership key whose owner is presumed dead. That revision may be
+    /// replaced before the owner's lease expires.
     presumed_dead: Option<Revision>,
 }
 
-/// The block key, as far as known.
+/// The block key as last read, and its pending reads and checks.
 #[derive(Debug, Default)]
 struct BlockState {
-    /// The key's revision (0: absent) as last read; none: it has to be read before an
-    /// acquisition.
+    /// The key's revision as last read (0 if the key is absent); `None` if the key must be
+    /// read before an acquisition.
     revision: Option<Revision>,
     read_in_flight: bool,
     check_in_flight: bool,
-    /// When the newest request was sent that confirmed the key as this controller's own.
+    /// Send time of the latest request that confirmed that this controller owns the key.
     confirmed_at: Time,
     check_sent_at: Time,
-    /// The revision of the leadership key, owned by this process, after which the block
-    /// key was last read.
+    /// The revision of the leadership key, owned by this process, for which the block key
+    /// was last read.
     read_for: Revision,
 }
 
-/// Fencing tokens that others claimed to have seen.
+/// Fencing tokens that workers and peers claim to have seen.
 #[derive(Debug)]
 struct TokenClaims {
-    /// The claimed token that ended the last term; 0: none did.
+    /// The claimed token that ended the last term; 0 if no claim ended it.
     highest: u64,
-    /// Claims from here on are ignored, because no such token was ever issued.
+    /// Claims of this token or a higher one are ignored, because no such token was issued.
     never_issued_from: u64,
 }
 
@@ -150,7 +155,7 @@
     }
 }
 
-/// Takes part in the election of the leader, and holds the fencing token while leading.
+/// Takes part in leader election and keeps the fencing token while this controller leads.
 pub struct LeaderElection {
     identity: ProcessIdentity,
     lease: SessionLease,
@@ -158,23 +163,23 @@
     block: BlockState,
     /// A transaction that acquires or reclaims leadership is in flight.
     acquiring: bool,
-    /// The token of the current term; none: this controller does not lead.
+    /// The fencing token of the current term; `None` if this controller is not the leader.
     token: Option<FencingToken>,
-    /// The token of the last term that ended here.
+    /// The fencing token of this controller's last ended term; 0 if there was none.
     last_token: FencingToken,
     claims: TokenClaims,
     /// No request is sent before this time.
     retry_at: Time,
-    /// Leadership is left to others until this time.
+    /// This controller does not try to acquire leadership before this time.
     yield_until: Time,
-    /// Defects that tests inject.
+    /// Faults that tests inject.
     pub faults: Faults,
 }
 
 impl LeaderElection {
-    /// A controller that has neither a lease nor any knowledge of the leader.
+    /// Creates the state of a controller that has no lease and does not know the leader.
     ///
-    /// `nonce` must differ between all processes that ever run with the same label.
+    /// `nonce` must be unique among all processes that ever run with the same label.
     pub fn new(settings: &Settings, nonce: u64) -> LeaderElection {
         LeaderElection {
             identity: ProcessIdentity {
@@ -198,29 +203,30 @@
         }
     }
 
-    /// The session lease of this controller, if it has one.
+    /// The id of this controller's session lease; `None` if it has none.
     pub fn lease_id(&self) -> Option<u64> {
         self.lease.id
     }
 
-    /// The fencing token, while this controller leads.
+    /// The fencing token of the current term; `None` if this controller is not the leader.
     pub fn token(&self) -> Option<FencingToken> {
         self.token
     }
 
-    /// When the newest request was sent with which the store confirmed that this controller
-    /// owns the block key.
+    /// Send time of the latest request by which the store confirmed that this controller owns
+    /// the block key.
     pub fn block_confirmed_at(&self) -> Time {
         self.block.confirmed_at
     }
 
-    /// A transaction sent at `sent_at` compared the block key and was committed, which
-    /// confirms the key as a check does.
+    /// Records that a transaction sent at `sent_at` compared the block key and was committed.
+    /// Like a check, this confirms that this controller owns the key.
     pub fn confirm_block(&mut self, sent_at: Time) {
         self.block.confirmed_at = self.block.confirmed_at.max(sent_at);
     }
 
-    /// The label of the leader to redirect to: none if unknown or this controller itself.
+    /// The label of the leader to redirect to; `None` if the leader is unknown or is this
+    /// controller.
     pub fn other_leader(&self) -> Option<&str> {
         self.leadership
             .record
@@ -229,10 +235,10 @@
             .filter(|label| *label != self.identity.label)
     }
 
-    /// Ends the term because another controller took the block key: a worker has seen a
-    /// higher token, or a comparison with the key failed.
+    /// Ends the term because another controller has written the block key: a worker reported a
+    /// higher fencing token, or a comparison with the key failed.
     ///
-    /// Guard 1: from here on no worker is answered with 200.
+    /// Guard 1: after this call, no request of a worker is answered with status 200.
     pub fn step_down_deposed(&mut self, now: Time) -> LeadershipChange {
         let Some(token) = self.token.take() else {
             return LeadershipChange::Unchanged;
@@ -245,13 +251,14 @@
         LeadershipChange::Lost
     }
 
-    /// Handles the claim that a fencing token has been seen. A higher one than this
-    /// controller's own ends its term.
+    /// Handles a claim that a worker or peer has seen the fencing token `token`. The claim
+    /// ends the term if `token` is higher than this controller's token.
     ///
-    /// A token is a revision, so one that was claimed before the block was acquired at a
-    /// lower revision was never issued; such claims are ignored, or one worker with an
-    /// invented token would end every term a second after it began. Ignoring them is safe:
-    /// whoever has really seen a higher token rejects what this controller sends.
+    /// A fencing token is a revision of the store. If `token` was claimed before leadership was
+    /// acquired at a lower revision, it was never issued, and further claims of it are ignored;
+    /// otherwise one worker with an invented token would end every term a second after it
+    /// began. Ignoring them is safe: a worker that has in fact seen a higher token rejects the
+    /// requests of this controller.
     pub fn on_token_claim(&mut self, now: Time, token: u64) -> LeadershipChange {
         if self.token.is_none_or(|own| token <= own.0) || token >= self.claims.never_issued_from {
             return LeadershipChange::Unchanged;
@@ -260,8 +267,8 @@
         self.step_down_deposed(now)
     }
 
-    /// Gives leadership up because other controllers can do more with it: revokes the lease
-    /// at once and leaves the others time to take over.
+    /// Ends the term because other controllers are better able to lead: revokes the lease at
+    /// once, and does not compete for leadership for a while so that another one acquires it.
     pub fn step_down(&mut self, now: Time, store: &mut StoreClient<Tag>) -> LeadershipChange {
         if self.token.is_none() {
             return LeadershipChange::Unchanged;
@@ -271,9 +278,9 @@
         self.step_down_deposed(now)
     }
 
-    /// Hands leadership over: revokes the lease so that another controller takes over at
-    /// once, and goes on with the current token until it has. The successor's transaction
-    /// ends this term as any other acquisition does.
+    /// Starts a transfer of leadership: revokes the lease so that another controller can
+    /// acquire leadership at once. This controller continues to lead with its current token
+    /// until the successor's transaction ends the term, as any other acquisition does.
     pub fn transfer(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if self.token.is_none() || now < self.yield_until {
             return;
@@ -288,9 +295,9 @@
         }
     }
 
-    /// The leader with this label was found dead before its lease expired (early failover).
-    /// The acquisition compares the leadership key as it is known now, so it fails if that
-    /// leader or another has written the key meanwhile.
+    /// Records that the leader with this label is presumed dead although its lease has not
+    /// expired (early failover). The acquisition compares the leadership key with the revision
+    /// known now, so it fails if any controller has written the key since.
     pub fn presume_dead(&mut self, leader: &str) {
         self.leadership.presumed_dead = self
             .leadership
@@ -300,22 +307,23 @@
             .map(|record| record.revision);
     }
 
-    /// Leaves leadership to others for a while longer; no effect while leading.
+    /// Postpones this controller's next attempt to acquire leadership, because it should not
+    /// lead at present. Has no effect while this controller is the leader.
     pub fn defer(&mut self, now: Time) {
         if self.token.is_none() {
             self.yield_until = self.yield_until.max(now.plus(DEFER_S));
         }
     }
 
-    /// Makes the next [`tick`](Self::tick) confirm the block key ahead of the interval.
+    /// Makes the next [`tick`](Self::tick) check the block key before the interval has passed.
     pub fn request_block_check(&mut self, now: Time) {
         if now.since(self.block.check_sent_at) > 0.1 {
             self.block.check_sent_at = self.block.check_sent_at.minus(BLOCK_CHECK_INTERVAL_S);
         }
     }
 
-    /// Sends what is due: grant or renewal of the lease, the watch of the leadership key,
-    /// the confirmation of the block key, and an attempt to acquire leadership.
+    /// Sends the requests that are due: grant or renewal of the lease, the scan or watch of the
+    /// leadership key, the check of the block key, and an attempt to acquire leadership.
     pub fn tick(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if now < self.retry_at {
             return;
@@ -326,6 +334,7 @@
         self.try_acquire(now, store);
     }
 
+    /// Requests a lease if this controller has none, and renews it when that is due.
     fn keep_lease(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         let lease = &mut self.lease;
         match lease.id {
@@ -345,7 +354,7 @@
         }
     }
 
-    /// Keeps one scan or watch of the leadership key in flight.
+    /// Sends a scan or watch of the leadership key, unless one is in flight.
     fn follow_leadership(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if self.leadership.read_in_flight {
             return;
@@ -370,7 +379,7 @@
         }
     }
 
-    /// Confirms the block key by a transaction that compares it and writes nothing.
+    /// Checks the block key with a transaction that compares it and writes nothing.
     fn check_block(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         let due = now.since(self.block.check_sent_at) > BLOCK_CHECK_INTERVAL_S;
         let Some(token) = self.token.filter(|_| due && !self.block.check_in_flight) else {
@@ -389,7 +398,7 @@
         }
     }
 
-    /// Handles the reply to one of this module's calls, and sends what became due by it.
+    /// Handles the reply to one of this module's calls, and sends the requests that are due.
     pub fn on_reply(
         &mut self,
         now: Time,
@@ -402,13 +411,14 @@
         change
     }
 
-    /// Begins a term with the fencing token `revision`, unless that token is too high.
+    /// Begins a term with the fencing token `revision`, unless it reaches
+    /// [`MAX_FENCING_TOKEN`].
     fn acquired(&mut self, revision: Revision, sent_at: Time) -> LeadershipChange {
         let token = FencingToken(revision.0);
         if token.0 >= MAX_TOKEN {
             tracing::error!(
                 revision = token.0,
-                "rejected leadership: revision of the store exceeds the highest fencing token"
+                "rejected leadership: store revision exceeds the highest fencing token"
             );
             self.retry_at = sent_at.plus(MALFORMED_RETRY_S);
             return LeadershipChange::Unchanged;
@@ -421,7 +431,7 @@
             self.claims.never_issued_from = self.claims.never_issued_from.min(self.claims.highest);
         }
         if token.0 >= self.claims.never_issued_from {
-            // Revisions have risen this far by now, so such tokens may have been issued.
+            // The store's revision has reached the ignored tokens, so they may have been issued.
             self.claims.never_issued_from = u64::MAX;
         }
         self.claims.highest = 0;
--- a/crates/controller/src/leader_election/acquisition.rs
+++ b/crates/controller/src/leader_election/acquisition.rs
@@ -8,8 +8,9 @@
 use beamhinge_core::wire;
 
 impl LeaderElection {
-    /// Acquires or reclaims leadership if its key may be replaced and nothing that is
-    /// needed for it is still unknown.
+    /// Acquires or reclaims leadership if the leadership key may be replaced and this
+    /// controller has a lease. An acquisition reads the block key first if its revision is
+    /// unknown.
     pub(super) fn try_acquire(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if self.leadership.read_up_to.is_none() || self.acquiring || now < self.yield_until {
             return;
@@ -29,12 +30,12 @@
         }
     }
 
-    /// Whether the leadership key may be replaced, and its revision (0: absent).
+    /// Whether the leadership key may be replaced, and its revision (0 if the key is absent).
     ///
-    /// An owner with this controller's label and another nonce is an earlier process of it,
-    /// which has ended: waiting for its lease to expire would only cost time. Waiting until
-    /// the jobs are read was tried as well: after a restart of all controllers workers
-    /// learned the new token later.
+    /// An owner with this controller's label and another nonce is an earlier process of this
+    /// controller, which has ended, so its key is replaced before its lease expires. The
+    /// acquisition does not wait until the jobs are read either: with that wait, workers
+    /// learned the new fencing token later after a restart of all controllers.
     fn leadership_availability(&self) -> (bool, Revision) {
         let Some(record) = &self.leadership.record else {
             return (true, Revision(0));
@@ -45,11 +46,14 @@
         (own_earlier_process || presumed_dead, record.revision)
     }
 
-    /// Guard 1: the leadership key names this process, which has no token: an acquisition
-    /// whose reply was lost was committed late. No other controller replaces the key while
-    /// this one renews its lease, and this one would take it for another's, so nobody would
-    /// lead for as long as this process lives. What is known of the block key is from
-    /// before that commit; it is read once for each revision of the leadership key.
+    /// Reads the block key if the leadership key names this process although it has no fencing
+    /// token.
+    ///
+    /// Guard 1: an acquisition whose reply was lost was committed late. No other controller
+    /// replaces the leadership key while this process renews its lease, and this process
+    /// would not replace it either, so the cluster would have no leader until this process
+    /// ends. The block key as last read is from before that commit; it is read once for each
+    /// revision of the leadership key.
     fn read_block_of_own_leadership(
         &mut self,
         now: Time,
@@ -68,8 +72,8 @@
         }
     }
 
-    /// Writes the leadership key again while the term goes on: the lease expired, but no
-    /// other controller took the block key.
+    /// Writes the leadership key again during a term whose lease expired before another
+    /// controller wrote the block key.
     fn reclaim(
         &mut self,
         now: Time,
@@ -93,7 +97,7 @@
         );
     }
 
-    /// Begins a term: writes both keys in one transaction.
+    /// Acquires leadership by writing both keys in one transaction.
     fn acquire(
         &mut self,
         now: Time,
@@ -127,7 +131,7 @@
                 self.acquiring = true;
                 store.commit(now, Priority::Lease, Tag::Election(call), transaction);
             }
-            // A label that is too long for any value: this controller can never lead.
+            // The label is too long for a value of the store: this controller can never lead.
             Err(error) => {
                 tracing::error!(%error, "cannot write leadership record");
                 self.retry_at = now.plus(UNWRITABLE_RETRY_S);
--- a/crates/controller/src/leader_election/replies.rs
+++ b/crates/controller/src/leader_election/replies.rs
@@ -1,4 +1,4 @@
-//! What each reply of the key-value store means for the election.
+//! Handles the replies of the key-value store to the calls of leader election.
 
 use super::{
     LeaderElection, LeadershipChange, LeadershipRecord, ProcessIdentity, BLOCK_KEY, LEADERSHIP_KEY,
@@ -12,15 +12,15 @@
 use beamhinge_core::types::{Revision, Time};
 use beamhinge_core::wire;
 
-/// Pause after a failed request to the store, seconds.
+/// Pause after a failed request to the store, in seconds.
 const RETRY_S: f64 = 0.2;
-/// Pause after a failed renewal, and before leadership is read anew, seconds.
+/// Pause after a failed lease renewal, and before both keys are read again, in seconds.
 const SHORT_RETRY_S: f64 = 0.1;
-/// Pause after a reply that cannot be decoded, seconds.
+/// Pause after a reply that cannot be decoded, in seconds.
 const UNREADABLE_RETRY_S: f64 = 0.5;
 
 impl LeaderElection {
-    /// Applies the reply to `call`, without sending anything.
+    /// Applies the reply to `call` without sending any request.
     pub(super) fn apply(
         &mut self,
         now: Time,
@@ -114,7 +114,8 @@
     }
 
     fn on_leadership_event(&mut self, event: &WatchEvent) {
-        // An event from before this controller's own acquisition is out of date.
+        // Ignore an event that is older than the known record, for example from before this
+        // controller's acquisition.
         let known = self.leadership.record.as_ref();
         if known.is_some_and(|record| record.revision.0 > event.revision) {
             return;
@@ -141,7 +142,8 @@
             return LeadershipChange::Unchanged;
         };
         if let Some(record) = &self.leadership.record {
-            // A read from before that leadership was written says nothing about it.
+            // A scan from before the leadership key was written does not show the block key
+            // that was written with it.
             if record.owner == self.identity && scan.revision >= record.revision.0 {
                 self.block.read_for = record.revision;
             }
@@ -150,8 +152,8 @@
         let owner = block.and_then(|entry| wire::from_value::<ProcessIdentity>(&entry.value).ok());
         let revision = Revision(block.map_or(0, |entry| entry.revision));
         // If the reply to an acquisition was lost, the nonce shows that its transaction was
-        // committed, and the revision is the token. The token of a term that ended here is
-        // never used again: transactions of that term may still be in flight.
+        // committed, and the revision is the fencing token. The token of an ended term is never
+        // used again, because transactions of that term may still be in flight.
         if owner.as_ref() == Some(&self.identity)
             && self.token.is_none()
             && (revision.0 > self.last_token.0 || broken!(self.faults, old_term))
@@ -223,7 +225,8 @@
         });
     }
 
-    /// Reads both keys anew after an acquisition that did not succeed.
+    /// Discards what is known of the keys after a failed acquisition or reclaim, so that they
+    /// are read again after a pause. The block key's revision is kept while leading.
     fn reload(&mut self, now: Time) {
         self.leadership.read_up_to = None;
         if self.token.is_none() {
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -2,7 +2,7 @@
 use crate::store::Outcome;
 use beamhinge_core::wire;
 
-/// Begins a term with the token `revision`.
+/// Begins a term with the fencing token `revision`.
 fn acquire(election: &mut LeaderElection, revision: u64, now: Time) {
     let token = FencingToken(revision);
     assert_eq!(
@@ -11,11 +11,12 @@
     );
 }
 
-/// Every report of a worker that claimed a token near the maximum ended a term.
+/// Guards against claims of a token that was never issued: each report of a worker that claimed
+/// a token near the maximum once ended a term.
 #[test]
 fn token_claim_that_was_never_issued_ends_one_term_only() {
     let text = beamhinge_core::settings::SAMPLE;
-    let settings = Settings::parse("t", text).expect("the sample is sound");
+    let settings = Settings::parse("t", text).expect("the sample settings are valid");
     let mut election = LeaderElection::new(&settings, 7);
     let now = Time::from_micros(10_000_000);
     acquire(&mut election, 8, now);
@@ -33,20 +34,20 @@
         election.on_token_claim(now, u64::MAX),
         LeadershipChange::Unchanged
     );
-    // A token that may have been issued still ends the term.
+    // A claim of a token that may have been issued still ends the term.
     assert_eq!(election.on_token_claim(now, 15), LeadershipChange::Lost);
     assert_eq!(
         election.acquired(Revision(u64::MAX - 3), now),
         LeadershipChange::Unchanged
     );
-    assert_eq!(election.token(), None, "its attempt numbers would overflow");
+    assert_eq!(election.token(), None, "attempt numbers derived from this token would overflow");
     acquire(&mut election, 17, now);
     assert_eq!(
         (election.on_token_claim(now, 15), election.token()),
         (LeadershipChange::Unchanged, Some(FencingToken(17)))
     );
     assert_eq!(election.on_token_claim(now, 19), LeadershipChange::Lost);
-    // A claim slightly above is ignored only until revisions have risen that far.
+    // A claim slightly above the token is ignored only until the store reaches that revision.
     acquire(&mut election, 18, now);
     assert_eq!(
         election.on_token_claim(now, 20),
@@ -57,14 +58,15 @@
     assert_eq!(election.on_token_claim(now, 25), LeadershipChange::Lost);
 }
 
-/// Controllers hand leadership over and back within a second: the one that handed over and
-/// finds the block key unchanged must not begin a term with its former token. Attempts are
-/// numbered from the token, and transactions of the former term may still be in flight.
+/// A controller that stepped down and finds the block key unchanged must not begin a term with
+/// its former token: attempt numbers start at the token, and transactions of the former term may
+/// still be in flight. This occurs when controllers hand leadership over and back within a
+/// second.
 #[test]
 fn term_that_ended_is_not_resumed() {
     for resumes in [false, true] {
         let text = beamhinge_core::settings::SAMPLE;
-        let settings = Settings::parse("t", text).expect("the sample is sound");
+        let settings = Settings::parse("t", text).expect("the sample settings are valid");
         let mut election = LeaderElection::new(&settings, 7);
         election.faults.old_term = resumes;
         let now = Time::from_micros(10_000_000);
@@ -102,7 +104,8 @@
                 },
             resumes
         );
-        // A late acquisition of this process with a later revision is a new term.
+        // An acquisition by this process that was committed late, with a higher revision,
+        // begins a new term.
         if !resumes {
             assert_eq!(
                 read(&mut election, 12),
@@ -114,7 +117,7 @@
     }
 }
 
-/// `lead/now` and `block/0` hold the same value.
+/// `lead/now` and `block/0` have the same value.
 #[test]
 fn leadership_keys_keep_their_stored_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/leadership.hex");
@@ -123,7 +126,7 @@
         &format!("{LEADERSHIP_KEY} {LEADERSHIP_PREFIX} {BLOCK_KEY} {BLOCK_PREFIX}"),
     );
     let text = beamhinge_core::settings::SAMPLE;
-    let settings = Settings::parse("t", text).expect("the sample is sound");
+    let settings = Settings::parse("t", text).expect("the sample settings are valid");
     golden.stored(
         "name of a new leader",
         &LeaderElection::new(&settings, 70_000).identity,
