--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -53,9 +53,9 @@
 const WATCH_WAIT_S: f64 = 3.0;
 /// Interval between two checks that this controller still owns the block key, in seconds.
 const BLOCK_CHECK_INTERVAL_S: f64 = 1.0;
-/// The lowest fencing token that is rejected. Attempt numbers start at the token shifted
-/// left, so a higher token would overflow. At a hundred changes a second, a store does not
-/// reach this revision within a thousand years.
+/// Exclusive upper bound of fencing tokens. Attempt numbers start at the token shifted left,
+/// so a higher token would overflow. At a hundred changes a second, a store does not reach
+/// this revision within a thousand years.
 const MAX_TOKEN: u64 = 1 << 43;
 
 /// The value of the leadership key and of the block key; identifies one controller process.
@@ -256,8 +256,8 @@
     ///
     /// A fencing token is a revision of the store. If `token` was claimed before leadership was
     /// acquired at a lower revision, it was never issued, and further claims of it are ignored;
-    /// otherwise one worker with an invented token would end every term a second after it
-    /// began. Ignoring them is safe: a worker that has in fact seen a higher token rejects the
+    /// otherwise one worker that claims such a token would end every term a second after
+    /// it began. Ignoring them is safe: a worker that has in fact seen a higher token rejects the
     /// requests of this controller.
     pub fn on_token_claim(&mut self, now: Time, token: u64) -> LeadershipChange {
         if self.token.is_none_or(|own| token <= own.0) || token >= self.claims.never_issued_from {
@@ -411,8 +411,7 @@
         change
     }
 
-    /// Begins a term with the fencing token `revision`, unless it reaches
-    /// [`MAX_FENCING_TOKEN`].
+    /// Begins a term with the fencing token `revision`, unless that is too high for a token.
     fn acquired(&mut self, revision: Revision, sent_at: Time) -> LeadershipChange {
         let token = FencingToken(revision.0);
         if token.0 >= MAX_TOKEN {
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -40,7 +40,11 @@
         election.acquired(Revision(u64::MAX - 3), now),
         LeadershipChange::Unchanged
     );
-    assert_eq!(election.token(), None, "attempt numbers derived from this token would overflow");
+    assert_eq!(
+        election.token(),
+        None,
+        "attempt numbers derived from this token would overflow"
+    );
     acquire(&mut election, 17, now);
     assert_eq!(
         (election.on_token_claim(now, 15), election.token()),
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,8 +1,8 @@
-//! One controller, sans-IO.
+//! The controller of the cluster scheduler, sans-IO.
 //!
-//! Each module is a slice by duty. Slices do no input or output of their own:
-//! events and the time go in, messages come out. That lets tests run whole
-//! clusters in simulated time, and keeps every socket in `beamhinge-transport`.
+//! Each module has one responsibility and performs no input or output: it receives events and
+//! the current time, and returns messages. Tests can therefore run whole clusters in simulated
+//! time, and all sockets are in `beamhinge-transport`.
 
 pub mod admin_api;
 pub mod calls;
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,72 +1,74 @@
-//! What this controller learned from its peers' frames: liveness, readiness, leader and the
-//! progress of jobs.
+//! State received in the frames of peers: liveness, readiness, leader and the progress of jobs.
 //!
-//! Nothing here is a guard: frames may be lost, late or invented. They decide where requests
-//! are redirected to and when a controller hands over, not who may place tasks.
+//! No safety property depends on this state, because frames may be lost, delayed or forged. It
+//! determines where requests are redirected and when a controller transfers leadership, not
+//! which controller may place tasks.
 
 use beamhinge_core::messages::TaskCounts;
 use beamhinge_core::peers::Frame;
 use beamhinge_core::types::{FencingToken, JobId, Time};
 use std::collections::BTreeMap;
 
-/// After so long without a repetition an announced token counts no more, seconds: longer than
-/// a former leader goes on answering.
+/// Time after which an announced fencing token that was not announced again no longer counts, in
+/// seconds. It is longer than the time for which a former leader still answers requests.
 const ANNOUNCEMENT_EXPIRY_S: f64 = 90.0;
-/// A frame that is older says nothing about its sender's present state, seconds.
+/// Maximum age of a frame that still shows the state of its sender, in seconds.
 const MAX_FRAME_AGE_S: f64 = 3.0;
-/// A peer whose store answered it within this time reaches the store, seconds.
+/// Maximum time since the store last answered a peer that counts as able to reach the store, in
+/// seconds.
 const MAX_STORE_AGE_S: f64 = 3.0;
-/// A heartbeat that is older does not show that its sender reaches the store, seconds.
+/// Maximum age of a heartbeat that shows whether its sender can reach the store, in seconds.
 const MAX_HEARTBEAT_AGE_S: f64 = 4.0;
 
 /// The last heartbeat of a peer.
 struct Heartbeat {
     received_at: Time,
-    /// Seconds since the key-value store last answered the peer, when it sent the heartbeat.
+    /// Time since the key-value store last answered the peer, as of the heartbeat, in seconds.
     store_age_s: f64,
 }
 
-/// What a peer last announced about its ability to take over.
+/// The last announcement of a peer on whether it can take over leadership.
 struct Readiness {
     received_at: Time,
     ready: bool,
     drained: bool,
 }
 
-/// Which peer last announced itself as the leader.
+/// The last accepted announcement of a peer that it is the leader.
 struct LeaderAnnouncement {
     label: String,
     token: FencingToken,
     received_at: Time,
 }
 
-/// What is known of a peer, for display.
+/// The status of a peer, for display.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerStatus {
-    /// Seconds since its last heartbeat.
+    /// Time since its last heartbeat arrived, in seconds.
     pub heartbeat_age_s: f64,
-    /// Seconds since the key-value store last answered it, as far as known.
+    /// Time since the key-value store last answered it, by its last heartbeat, in seconds.
     pub store_age_s: f64,
-    /// It could take over at once.
+    /// Whether it can take over leadership at once.
     pub ready: bool,
-    /// Operators have drained it.
+    /// Whether operators have drained it.
     pub drained: bool,
 }
 
-/// What was last received from each peer, by its label.
+/// The state last received from each peer, by the label of the peer.
 #[derive(Default)]
 pub struct PeerTable {
     heartbeats: BTreeMap<String, Heartbeat>,
     readiness: BTreeMap<String, Readiness>,
-    /// When this controller last sent a heartbeat of its own.
+    /// When this controller last sent a heartbeat.
     pub last_sent: Time,
-    /// The progress of jobs, as far as its frames have arrived.
+    /// Assembles the progress of jobs from the frames of the leader.
     pub progress: ProgressAssembler,
     leader: Option<LeaderAnnouncement>,
 }
 
 impl PeerTable {
-    /// Handles a heartbeat; `store_age_s`: seconds since the store last answered the peer.
+    /// Handles a heartbeat; `store_age_s` is the time since the store last answered the peer, in
+    /// seconds.
     pub fn on_heartbeat(&mut self, now: Time, label: &str, store_age_s: f64) {
         let heartbeat = Heartbeat {
             received_at: now,
@@ -75,7 +77,8 @@
         self.heartbeats.insert(label.to_string(), heartbeat);
     }
 
-    /// Handles the announcement whether a peer could take over and whether it is drained.
+    /// Handles a peer's announcement of whether it can take over leadership and whether it is
+    /// drained.
     pub fn on_readiness(&mut self, now: Time, label: &str, ready: bool, drained: bool) {
         let readiness = Readiness {
             received_at: now,
@@ -85,7 +88,8 @@
         self.readiness.insert(label.to_string(), readiness);
     }
 
-    /// Whether some peer could take over at once, and operators have not drained it.
+    /// Whether at least one peer can take over leadership at once, reaches the store and is not
+    /// drained.
     pub fn has_successor(&self, now: Time) -> bool {
         let reaches_store = |label: &String| {
             self.heartbeats.get(label).is_some_and(|heartbeat| {
@@ -101,7 +105,7 @@
         })
     }
 
-    /// What is known of a peer; none if it never sent a heartbeat.
+    /// The status of a peer; `None` if no heartbeat of it has arrived.
     pub fn status(&self, now: Time, label: &str) -> Option<PeerStatus> {
         let heartbeat = self.heartbeats.get(label)?;
         let heartbeat_age_s = now.since(heartbeat.received_at);
@@ -114,11 +118,12 @@
         })
     }
 
-    /// Handles a peer's announcement that it owns the block key with this token.
+    /// Handles a peer's announcement that it owns the block key with this fencing token.
     ///
-    /// An announcement with a lower token than one received before comes from a former leader,
-    /// unless nobody has repeated the higher one for a long time: then it was invented, and
-    /// would keep every real leader from being named.
+    /// An announcement with a lower token than the known one comes from a former leader and is
+    /// ignored. If the higher token has not been announced again for [`ANNOUNCEMENT_EXPIRY_S`],
+    /// the lower one replaces it: the higher token is then assumed never to have been issued,
+    /// and would prevent every actual leader from being recognized.
     pub fn on_leader_announcement(&mut self, now: Time, label: &str, token: FencingToken) {
         let superseded = self.leader.as_ref().is_some_and(|known| {
             known.token > token && now.since(known.received_at) <= ANNOUNCEMENT_EXPIRY_S
@@ -132,8 +137,8 @@
         }
     }
 
-    /// The leader by its own recent announcement, for a controller that cannot read it in the
-    /// key-value store.
+    /// The label of the peer that recently announced itself as leader, for a controller that
+    /// cannot read the leader from the key-value store; `None` without a recent announcement.
     pub fn leader(&self, now: Time) -> Option<&str> {
         self.leader
             .as_ref()
@@ -141,7 +146,7 @@
             .map(|known| known.label.as_str())
     }
 
-    /// The token that this peer announced, if it is the last that announced itself as leader.
+    /// The fencing token that this peer announced; `None` if it is not the last known leader.
     pub fn token_of(&self, label: &str) -> Option<u64> {
         self.leader
             .as_ref()
@@ -149,7 +154,7 @@
             .map(|known| known.token.0)
     }
 
-    /// Seconds since the last heartbeat of any peer; none if there never was one.
+    /// Time since the latest heartbeat of any peer, in seconds; `None` if none has arrived.
     pub fn silence_s(&self, now: Time) -> Option<f64> {
         self.heartbeats
             .values()
@@ -157,7 +162,8 @@
             .min_by(f64::total_cmp)
     }
 
-    /// Whether some peer reaches the key-value store, though this controller may not.
+    /// Whether at least one peer reaches the key-value store, which this controller may be
+    /// unable to reach.
     pub fn peers_reach_store(&self, now: Time) -> bool {
         self.heartbeats.values().any(|heartbeat| {
             now.since(heartbeat.received_at) < MAX_HEARTBEAT_AGE_S
@@ -166,7 +172,7 @@
     }
 }
 
-/// The frames that carry the progress of all jobs with tasks done or running.
+/// Builds the frames with the progress of all jobs that have completed or running tasks.
 pub fn progress_frames(counts: impl Iterator<Item = (JobId, TaskCounts)>) -> Vec<Frame> {
     let active = counts.filter(|(_, counts)| counts.done > 0 || counts.running > 0);
     Frame::progress(
@@ -176,23 +182,24 @@
     )
 }
 
-/// Assembles the leader's list of progress from the frames that carry it.
+/// Assembles the leader's list of job progress from its frames.
 ///
-/// Job ids rise through a list and its last frame is not full; frames of one list arrive in
-/// order or not at all.
+/// Job ids increase within a list, and its last frame is not full. The frames of one list arrive
+/// in order, but some may be lost.
 #[derive(Default)]
 pub struct ProgressAssembler {
-    /// The part of a list whose last frame has not arrived yet.
+    /// The rows received of a list whose last frame has not arrived.
     partial: BTreeMap<JobId, TaskCounts>,
 }
 
 impl ProgressAssembler {
-    /// Jobs of one list that are kept: four for each of 8,192 machines. Further ones are not
-    /// displayed, and a warning says so.
+    /// Maximum number of jobs of one list: four for each of 8,192 machines. Further jobs are
+    /// dropped with a warning and not displayed.
     const MAX_JOBS: usize = 32_768;
 
-    /// Adds a frame's rows: job, tasks done, tasks running. Returns the whole list with its
-    /// last frame.
+    /// Adds a frame's rows, each of which contains a job id, the number of completed tasks and
+    /// the number of running tasks. Returns the whole list if this is its last frame, else
+    /// `None`.
     pub fn add_frame(
         &mut self,
         rows: Vec<(String, u32, u32)>,
@@ -204,7 +211,7 @@
                 Some((JobId::parse(&job)?, TaskCounts { done, running }))
             })
             .collect();
-        // An id that is not higher begins another list: the end of the last one was lost.
+        // An id that is not higher begins another list: the end of the previous one was lost.
         let continues = self.partial.keys().next_back() < part.keys().next();
         if !part.is_empty() && !continues {
             self.partial.clear();
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!(peers.leader(at(3.0 + ANNOUNCEMENT_EXPIRY_S)), Some("a"));
 }
 
-/// What travels inside of [`beamhinge_core::peers::Frame::Query`].
+/// Pins the payload of [`beamhinge_core::peers::Frame::Query`].
 #[test]
 fn queries_to_the_leader_keep_their_wire_form() {
     use beamhinge_admin_api::messages::Query;
@@ -54,12 +54,12 @@
 }
 
 fn counts(jobs: std::ops::Range<u32>, done: u32) -> Vec<(JobId, TaskCounts)> {
-    let id = |n| JobId::parse(&format!("job-{n}")).expect("an id");
+    let id = |n| JobId::parse(&format!("job-{n}")).expect("a valid job id");
     jobs.map(|n| (id(n), TaskCounts { done, running: 1 }))
         .collect()
 }
 
-/// What a peer knows after these frames, in this order.
+/// Adds the frames in order; returns the last list that was completed.
 fn assemble(
     list: &mut ProgressAssembler,
     frames: Vec<Frame>,
@@ -67,7 +67,7 @@
     let mut whole = None;
     for frame in frames {
         let Frame::Progress(rows) = frame else {
-            panic!("another frame")
+            panic!("expected a progress frame")
         };
         whole = list.add_frame(rows).or(whole);
     }
@@ -107,6 +107,6 @@
 fn progress_list_is_limited_in_size() {
     let mut list = ProgressAssembler::default();
     let frames = progress_frames(counts(0..100_000, 1).into_iter());
-    let assembled = assemble(&mut list, frames).expect("the list");
+    let assembled = assemble(&mut list, frames).expect("a complete list");
     assert_eq!(assembled.len(), ProgressAssembler::MAX_JOBS);
 }
--- a/crates/controller/src/replica.rs
+++ b/crates/controller/src/replica.rs
@@ -1,12 +1,12 @@
-//! A local copy of the keys under one prefix of the key-value store, with its freshness.
+//! Replica of the keys under one prefix of the key-value store, with its freshness.
 //!
-//! A scan fills the copy, watches keep it current. One watch that returns at once brings the
-//! whole copy up to date, however many requests wait for it: that is how an answer is never
-//! older than its request. The job store, the operators' directives and the configuration keep
-//! such copies.
+//! A scan loads the replica, and watches keep it up to date. Before a request is answered from
+//! the replica, one watch that returns at once refreshes it for all waiting requests, so an
+//! answer is never older than its request. The job store, the operators' directives and the
+//! configuration are such replicas.
 //!
-//! This module tracks revisions and sends the calls; what the keys mean is their owner's
-//! business, who applies the [`ReplicaChange`]s.
+//! This module tracks revisions and sends the calls. The owner of a replica stores and interprets
+//! the keys: it applies the [`ReplicaChange`]s.
 
 use crate::calls::{ReplicaCall, Tag};
 use crate::store::{
@@ -17,42 +17,42 @@
 use beamhinge_rate_limit::AdaptiveBackoff;
 use ciborium::Value;
 
-/// Shortest pause after a read that failed, seconds.
+/// Minimum pause after a failed read, in seconds.
 const MIN_PAUSE_S: f64 = 0.2;
-/// Longest pause after a read that failed, seconds: so much does a copy lag behind at most
-/// when the store is available again.
+/// Maximum pause after a failed read, in seconds. It bounds the delay until a replica is read
+/// again once the store is available.
 const MAX_PAUSE_S: f64 = 1.0;
 
-/// What a reply means for requests that wait for a fresh copy.
+/// Effect of a reply on requests that wait for a fresh replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// The copy was brought up to date.
+    /// The replica was brought up to date.
     Fresh,
     /// The refresh failed.
     Failed,
-    /// The reply says nothing about it.
+    /// The reply does not affect the requests.
     Unchanged,
 }
 
-/// One key as a reply showed it.
+/// The write or deletion of one key.
 pub struct ReplicaChange {
-    /// The whole key, with its prefix.
+    /// The full key, including its prefix.
     pub key: String,
     /// The revision of the change.
     pub revision: u64,
-    /// The new value; none: the key was deleted.
+    /// The new value; `None` if the key was deleted.
     pub value: Option<Value>,
 }
 
-/// What a reply changed.
+/// The changes of a reply, and its effect on requests that wait.
 #[must_use = "changes that are not applied are lost"]
 pub struct ReplicaUpdate {
     /// The changes, oldest first.
     pub changes: Vec<ReplicaChange>,
-    /// What the reply means for requests that wait.
+    /// Effect of the reply on requests that wait for a fresh replica.
     pub freshness: Freshness,
-    /// A scan of this revision has ended: keys that it did not show, and that are not newer
-    /// than it, do not exist any more.
+    /// The revision of a scan that this reply completed, else `None`. Keys that the scan did not
+    /// return and whose revision is not higher no longer exist.
     pub scan_revision: Option<u64>,
 }
 
@@ -66,27 +66,27 @@
     }
 }
 
-/// Which keys a copy holds, and how it is kept up to date.
+/// Which keys a replica contains, and how it is kept up to date.
 #[derive(Clone, Copy)]
 pub struct ReplicaConfig {
     /// The prefix of the keys.
     pub prefix: &'static str,
-    /// The tag of the owner's calls.
+    /// Builds the tag of the owner's calls.
     pub tag: fn(ReplicaCall) -> Tag,
-    /// Longest that a watch may wait for a change, seconds.
+    /// Maximum time for which a watch waits for a change, in seconds.
     pub watch_wait_s: f64,
-    /// The priority of a watch that waits.
+    /// The priority of a watch that waits for a change.
     pub watch_priority: Priority,
-    /// Age at which the copy is refreshed without a request, seconds.
+    /// Age above which the replica is refreshed even if no request waits, in seconds.
     pub max_age_s: f64,
 }
 
-/// A scan that has not ended.
+/// A scan in progress.
 struct ScanState {
     in_flight: bool,
-    /// The last key of the pages so far.
+    /// The last key of the pages read so far; `None` before the first page.
     after: Option<String>,
-    /// The revision of the first page.
+    /// The revision of the first page; `None` before it is read.
     revision: Option<u64>,
     /// When the first page was requested.
     started: Time,
@@ -103,13 +103,14 @@
     }
 }
 
-/// Keeps track of one copy: its revision, its freshness and the calls in flight.
+/// Tracks one replica: its revision, its freshness and the calls in flight.
 pub struct ReplicaCache {
     config: ReplicaConfig,
-    /// The store's revision that the copy shows.
+    /// The revision of the store up to which the replica is complete.
     revision: u64,
-    /// A scan has ended, and watches go on from its revision.
+    /// A scan has been completed, and watches continue from its revision.
     loaded: bool,
+    /// The replica includes everything committed before this time; `None` until it is loaded.
     fresh_as_of: Option<Time>,
     refresh_in_flight: bool,
     watch_in_flight: bool,
@@ -120,7 +121,7 @@
 }
 
 impl ReplicaCache {
-    /// An empty copy, which the next [`tick`](Self::tick) starts to load.
+    /// Creates the state of an empty replica, which the next [`tick`](Self::tick) starts to load.
     pub fn new(config: ReplicaConfig) -> ReplicaCache {
         ReplicaCache {
             config,
@@ -135,24 +136,25 @@
         }
     }
 
-    /// Whether the copy is complete.
+    /// Whether a scan has loaded the whole replica.
     pub fn loaded(&self) -> bool {
         self.loaded
     }
 
-    /// The copy holds everything that was committed before this time.
+    /// The replica includes everything that was committed before this time; `None` if it has
+    /// never been loaded.
     pub fn fresh_as_of(&self) -> Option<Time> {
         self.fresh_as_of
     }
 
-    /// Refreshes the copy at the next [`tick`](Self::tick), because something else showed that
-    /// it is out of date.
+    /// Makes the next [`tick`](Self::tick) refresh the replica, because the caller found that it
+    /// is out of date.
     pub fn request_refresh(&mut self) {
         self.refresh_requested = true;
     }
 
-    /// Sends the calls that are due: `refresh` if a request waits for a fresh copy, `follow`
-    /// if each change is to be seen at once.
+    /// Sends the calls that are due. `refresh` says that a request waits for a fresh replica,
+    /// `follow` that the replica must receive each change without delay.
     pub fn tick(&mut self, now: Time, refresh: bool, follow: bool, store: &mut StoreClient<Tag>) {
         if !self.backoff.is_due(now) {
             return;
@@ -199,7 +201,7 @@
         );
     }
 
-    /// Handles the reply to one of this copy's calls; the owner applies the changes.
+    /// Handles the reply to one of this replica's calls; the owner applies the changes.
     pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> ReplicaUpdate {
         match call {
             ReplicaCall::Refresh => self.refresh_in_flight = false,
@@ -210,8 +212,8 @@
                 }
             }
         }
-        // A watch from before a new scan says nothing about what the scan has shown meanwhile:
-        // the next watch starts from the scan's own revision.
+        // A watch that was sent before a new scan does not extend the result of that scan: the
+        // next watch starts from the revision of the scan.
         if call != ReplicaCall::Scan && !self.loaded {
             return ReplicaUpdate::without_changes(Freshness::Unchanged);
         }
@@ -221,8 +223,8 @@
                     self.backoff.on_refused(now);
                     return ReplicaUpdate::without_changes(Freshness::Failed);
                 };
-                // Not a success for the back-off yet: a watch that is rejected after every
-                // scan would have the whole copy read again and again without a pause.
+                // A page does not reset the backoff: if the watch after each scan were rejected,
+                // the whole replica would be scanned repeatedly without a pause.
                 self.on_page(page, reply.sent_at)
             }
             Outcome::Ok(body) => {
@@ -238,9 +240,9 @@
 
     fn on_events(&mut self, response: WatchResponse, sent_at: Time) -> ReplicaUpdate {
         self.backoff.on_success();
-        // Two watches may be in flight, and the older answer may arrive last. What is not newer
-        // than the copy is part of it; applied again, it would restore a key that was deleted
-        // since.
+        // Two watches may be in flight, and the older response may arrive last. Events up to the
+        // replica's revision are already included; applying one again could restore a key that
+        // was deleted since.
         let known = self.revision;
         let changes = response
             .events
@@ -258,8 +260,8 @@
     }
 
     fn on_failure(&mut self, now: Time, call: ReplicaCall, outcome: &Outcome) -> ReplicaUpdate {
-        // The store does not keep the changes since this revision, or never issued it: only a
-        // new scan helps.
+        // The store no longer retains the changes after this revision, or never issued it: the
+        // replica must be scanned again.
         if matches!(outcome, Outcome::Gone | Outcome::Malformed) {
             if matches!(outcome, Outcome::Malformed) {
                 self.backoff.on_refused(now);
@@ -272,7 +274,7 @@
         if call == ReplicaCall::Scan {
             self.scan = None;
         }
-        // No request waits for a watch.
+        // No request waits for the reply to a long-running watch.
         ReplicaUpdate::without_changes(if call == ReplicaCall::Watch {
             Freshness::Unchanged
         } else {
@@ -306,10 +308,10 @@
         match last_key {
             Some(key) if page.more => scan.after = Some(key),
             _ => {
-                // The watch starts from the revision of the first page, so it shows what
-                // changed during the scan. That revision is used also if it is lower than the
-                // known one: with a revision that the store never issued, all later changes
-                // would be taken for old.
+                // The watch starts from the revision of the first page, so it includes the
+                // changes during the scan. That revision replaces the known one even if it is
+                // lower: if the known one was never issued by the store, all later changes
+                // would be ignored as old.
                 let revision = scan.revision.unwrap_or(page.revision);
                 self.revision = revision;
                 self.fresh_as_of = Some(scan.started);
@@ -323,7 +325,7 @@
     }
 }
 
-/// The change that an event describes; none for an event without a key, or a write without a
+/// The change that an event describes; `None` if the event has no key, or is a write without a
 /// value.
 fn change_of(event: WatchEvent) -> Option<ReplicaChange> {
     let value = match &event.write {
--- a/crates/controller/src/replica/tests.rs
+++ b/crates/controller/src/replica/tests.rs
@@ -11,7 +11,7 @@
     })
 }
 
-/// What a reply changes: keys, and whether they exist.
+/// Applies a reply; returns the changed keys, and whether each exists after the change.
 fn apply(
     replica: &mut ReplicaCache,
     call: ReplicaCall,
@@ -35,7 +35,8 @@
         .collect()
 }
 
-/// A directive that had been lifted was in force again in one controller's copy.
+/// Guards against a lifted directive that takes effect again in one controller's replica because
+/// an older watch response arrives last.
 #[test]
 fn late_watch_response_does_not_restore_deleted_key() {
     let mut replica = new_replica();
@@ -47,7 +48,8 @@
     });
     let page = json!({"pairs": [], "more": false, "ledgerRev": 3});
     assert!(apply(&mut replica, ReplicaCall::Scan, &page).is_empty() && replica.loaded());
-    // Written at 4, deleted at 5: the watch that saw both is answered first.
+    // The key is written at revision 4 and deleted at 5. The response that includes both changes
+    // arrives first.
     let deleted = json!({"ledgerRev": 5, "news": [{"delete": "o/zone/a", "stamp": 5}]});
     assert_eq!(
         apply(&mut replica, ReplicaCall::Refresh, &deleted),
@@ -62,8 +64,9 @@
     );
 }
 
-/// Guards against a copy that counts as fresh and ignores all changes: a watch from a revision
-/// that the store never issued is rejected, and the revision of the next scan is used.
+/// Guards against a replica that counts as fresh but ignores all changes because its revision was
+/// never issued by the store: the store rejects a watch from that revision, and the revision of
+/// the next scan replaces it.
 #[test]
 fn revision_that_was_never_issued_is_replaced_by_the_scan() {
     let mut replica = new_replica();
@@ -94,8 +97,8 @@
     );
 }
 
-/// A copy that could not be read was requested five times a second for as long as the store was
-/// unavailable.
+/// Guards against polling at a fixed rate: a replica that could not be read was once requested
+/// five times a second for as long as the store was unavailable.
 #[test]
 fn unavailable_store_is_polled_with_growing_pauses() {
     let mut replica = new_replica();
@@ -113,7 +116,7 @@
         let gap = (1..30)
             .map(|i| f64::from(i) * 0.1)
             .find(|pause_s| replica.backoff.is_due(now.plus(*pause_s)));
-        gaps.push(gap.expect("a retry in the end"));
+        gaps.push(gap.expect("a retry within 3 s"));
         now = now.plus(3.0);
     }
     assert_eq!(gaps, [0.2, 0.4, 0.8, 1.0, 1.0]);
@@ -132,6 +135,6 @@
     assert!(apply(&mut replica, ReplicaCall::Watch, &old).is_empty());
     assert_eq!(
         replica.revision, 7,
-        "its events are read again after the scan"
+        "the scan must return these changes again"
     );
 }
--- a/crates/controller/src/replica_scan.rs
+++ b/crates/controller/src/replica_scan.rs
@@ -1,12 +1,12 @@
-//! What a running scan of a replicated prefix has shown, so that keys that are gone from the
-//! key-value store are dropped from the replica when the scan ends.
+//! Keys that a scan of a replicated prefix has returned, so that keys that no longer exist in the
+//! key-value store are removed from the replica when the scan is complete.
 
 use crate::calls::ReplicaCall;
 use crate::replica::Freshness;
 use beamhinge_core::types::Revision;
 use std::collections::BTreeSet;
 
-/// Keys that the running scan has shown so far.
+/// Keys that the scan in progress has returned so far.
 pub(crate) struct ScanCoverage<K> {
     seen: BTreeSet<K>,
 }
@@ -20,15 +20,16 @@
 }
 
 impl<K: Ord> ScanCoverage<K> {
-    /// Notes a key of a reply, if the reply is a page of a scan.
+    /// Records a key of a reply if the reply is a page of a scan.
     pub(crate) fn record(&mut self, call: ReplicaCall, key: impl FnOnce() -> K) {
         if call == ReplicaCall::Scan {
             self.seen.insert(key());
         }
     }
 
-    /// Called after the changes of each reply. Returns the coverage of a scan that has just
-    /// ended; a scan that failed is forgotten, since the next one begins from the first key.
+    /// Must be called after the changes of each reply. Returns the scan if the reply completed
+    /// it, as `scanned` then says, else `None`. The keys of a failed scan are discarded, since
+    /// the next scan begins with the first key.
     pub(crate) fn finish(
         &mut self,
         call: ReplicaCall,
@@ -48,14 +49,14 @@
     }
 }
 
-/// A scan that has shown every key as of one revision.
+/// A complete scan, which returned every key as of one revision.
 pub(crate) struct CompletedScan<K> {
     seen: BTreeSet<K>,
     revision: Revision,
 }
 
 impl<K: Ord> CompletedScan<K> {
-    /// Whether a key of the replica still exists: the scan showed it, or it was written later.
+    /// Whether a key of the replica still exists: the scan returned it, or it was written later.
     pub(crate) fn confirms(&self, key: &K, revision: Revision) -> bool {
         revision > self.revision || self.seen.contains(key)
     }
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -1,11 +1,12 @@
-//! Client of the consensus-backed key-value store: pacing, transactions, leases and watches.
+//! Client of the consensus-backed key-value store: rate limits, transactions, leases and watches.
 //!
-//! Sans-IO: requests are queued by priority, [`StoreClient::flush`] turns what the rate limits
-//! allow into [`Effect::Call`]s, and [`StoreClient::on_reply`] classifies their replies.
+//! The client is sans-IO: requests are queued by priority, [`StoreClient::flush`] turns as many
+//! as the rate limits allow into [`Effect::Call`]s, and [`StoreClient::on_reply`] classifies
+//! their replies.
 //!
 //! Every write is conditional on revisions, so a transaction that is committed late either
-//! changes nothing or does what was intended. A reply that never arrived is reported as
-//! [`Outcome::Indeterminate`]; its caller reads again and assumes nothing.
+//! changes nothing or has the intended effect. If no reply arrives, the outcome is
+//! [`Outcome::Indeterminate`]; the caller reads the keys again and makes no assumption.
 
 mod messages;
 mod token_bucket;
@@ -24,18 +25,19 @@
 use std::collections::{BTreeMap, VecDeque};
 use token_bucket::TokenBucket;
 
-/// Importance of a request when the rate limits allow some only; the first is served first.
+/// Priority of a request, from the highest to the lowest. When the rate limits do not allow all
+/// requests, those of higher priority are sent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Leases, leader election and the confirmation of the block key.
+    /// Leases, leader election and checks of the block key.
     Lease,
     /// Jobs that users submit or cancel.
     Admission,
-    /// Placements, progress and the ends of jobs.
+    /// Placements, progress and the termination of jobs.
     Scheduler,
-    /// Reads that somebody waits for.
+    /// Reads that a request waits for.
     Read,
-    /// Whatever may wait.
+    /// Requests that may be delayed.
     Background,
 }
 
@@ -49,57 +51,60 @@
     ];
 }
 
-/// How long a request may wait in its queue before it is reported as refused, seconds.
+/// Maximum time in its queue before a request is reported as refused, in seconds.
 const MAX_QUEUE_WAIT_S: f64 = 1.5;
-/// Requests that wait in one queue; further ones are refused at once.
+/// Maximum number of requests in one queue; further ones are refused at once.
 const MAX_QUEUED: usize = 256;
-/// Part of a bucket that each priority leaves to the one before it.
+/// Fraction of a bucket that each priority leaves unused for the next higher one.
 const RESERVE_PER_PRIORITY: f64 = 0.05;
-/// Part of the write bucket that is always enough, so that a transaction as large as the
-/// bucket is sent in the end.
+/// Fraction of the write bucket that suffices for any transaction, so that one as large as the
+/// bucket is eventually sent.
 const FULL_BUCKET_FRACTION: f64 = 0.99;
-/// Least request and write rate of a controller, per second.
+/// Minimum request rate and minimum write rate of a controller, per second.
 const MIN_RATE: f64 = 2.0;
-/// Least admission rate of a controller, writes per second.
+/// Minimum admission rate of a controller, in writes per second.
 const MIN_ADMISSION_RATE: f64 = 1.0;
-/// Time-outs of the requests, seconds.
+/// Timeout of a commit, in seconds.
 const COMMIT_TIMEOUT_S: f64 = 2.0;
+/// Timeout of a scan, in seconds.
 const SCAN_TIMEOUT_S: f64 = 2.5;
+/// Timeout of a lease request, in seconds.
 const LEASE_TIMEOUT_S: f64 = 1.5;
-/// Added to the time that the store holds a watch open, seconds.
+/// Added to the wait time of a watch to give its timeout, in seconds.
 const WATCH_TIMEOUT_MARGIN_S: f64 = 1.5;
 /// The store's error text for a transaction that names an unknown lease.
 const LEASE_NOT_FOUND_ERROR: &str = "no such lease";
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug)]
 pub enum Outcome {
-    /// 200: executed; the body of the response.
+    /// 200: the request was executed; contains the response body.
     Ok(Vec<u8>),
-    /// 404: no such key, or no such lease.
+    /// 404: the key or the lease does not exist.
     NotFound,
-    /// 409: the keys whose conditions failed; nothing was written.
+    /// 409: conditions of the transaction failed and nothing was written; contains their keys.
     Conflict(Vec<String>),
-    /// 410: the watch's revision is older than the changes that the store keeps.
+    /// 410: the start revision of the watch is older than the changes that the store retains.
     Gone,
-    /// 400 with the error "no such lease".
+    /// 400 with the error "no such lease": the transaction names an unknown lease.
     LeaseNotFound,
-    /// Certainly not executed: the rate is exhausted, or the store is unavailable.
+    /// The request was not executed, because a rate limit was exceeded or the store is
+    /// unavailable.
     Refused,
-    /// 400: not executed, and a repetition would not be either.
+    /// 400: the request was not executed, and a retry would fail as well.
     Malformed,
-    /// May have been executed, or may be executed later.
+    /// The request may have been executed, or may be executed later.
     Indeterminate,
 }
 
 /// The reply to a request, handed to the module that sent it.
 #[derive(Debug)]
 pub struct Reply<T> {
-    /// What the request was sent with.
+    /// The tag that the caller passed with the request.
     pub tag: T,
-    /// What became of the request.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// When the request was sent: what the reply shows is no older than this.
+    /// When the request was sent: the state that the reply shows is no older than this.
     pub sent_at: Time,
 }
 
@@ -118,7 +123,7 @@
     method: Method,
     path: String,
     body: Vec<u8>,
-    /// Puts and deletes, which count against the write rate.
+    /// Number of puts and deletes, which count against the write rate.
     writes: usize,
     timeout_s: f64,
 }
@@ -147,37 +152,38 @@
     sent_at: Time,
 }
 
-/// The writes that a controller may still send.
+/// The writes that a controller may send.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteBudget {
-    /// Writes that could be sent now; negative while the bucket is in debt.
+    /// Number of writes that may be sent now; negative while the bucket is in debt.
     pub available: f64,
-    /// The rate at which writes accrue.
+    /// Rate at which the budget is refilled, in writes per second.
     pub per_second: f64,
 }
 
-/// The client; `T` names who waits for a reply, and for what.
+/// Client of the key-value store; the tag `T` identifies the module that waits for a reply and
+/// the kind of call.
 pub struct StoreClient<T> {
     requests: TokenBucket,
     writes: TokenBucket,
-    /// Writes of admissions, while the scheduler has requests waiting.
+    /// Limits the writes of admissions while requests of the scheduler are queued.
     admissions: TokenBucket,
-    /// Requests per second of all controllers together.
+    /// Limit for all controllers together, in requests per second.
     total_request_rate: f64,
-    /// Writes per second of all controllers together.
+    /// Limit for all controllers together, in writes per second.
     total_write_rate: f64,
     limits: TransactionLimits,
     /// One queue for each of [`Priority::ALL`].
     queues: [VecDeque<QueuedRequest<T>>; Priority::ALL.len()],
     in_flight: BTreeMap<CallId, InFlightRequest<T>>,
-    /// Requests that were given up in the queues.
+    /// Replies to requests that were refused without being sent.
     refused: Vec<Reply<T>>,
     last_success: Option<Time>,
     last_response: Option<Time>,
 }
 
 impl<T> StoreClient<T> {
-    /// A client with the whole rate of these settings and empty buckets.
+    /// Creates a client with the whole rate limits of the settings and empty buckets.
     pub fn new(settings: &Settings) -> StoreClient<T> {
         let state = &settings.params.state;
         StoreClient {
@@ -195,34 +201,35 @@
         }
     }
 
-    /// Sets this controller's share of the rate limits, which hold for all controllers
-    /// together, and the fraction of its writes that admissions may use while the scheduler
-    /// has requests waiting. Without that fraction a leader that admitted whatever arrived
-    /// wrote nothing else, and finished tasks were acknowledged minutes later.
+    /// Sets this controller's share of the rate limits, which apply to all controllers
+    /// together, and the fraction of its writes that admissions may use while requests of the
+    /// scheduler are queued. Without that fraction, a leader that admitted every submitted job
+    /// wrote nothing else, and finished tasks were acknowledged only minutes later.
     pub fn set_rate_share(&mut self, share: f64, admission_fraction: f64) {
         self.requests.rate = (self.total_request_rate * share).max(MIN_RATE);
         self.writes.rate = (self.total_write_rate * share).max(MIN_RATE);
         self.admissions.rate = (self.writes.rate * admission_fraction).max(MIN_ADMISSION_RATE);
     }
 
-    /// What one transaction may hold so that the pacing ever sends it.
+    /// Limits that a transaction must meet to be sent under the current rate limits.
     pub fn limits(&self) -> TransactionLimits {
         self.limits
             .with_max_writes((self.writes.rate as usize).max(2))
     }
 
-    /// An empty transaction within these limits.
+    /// Creates an empty transaction with these limits.
     pub fn transaction(&self) -> Transaction {
         Transaction::new(self.limits())
     }
 
-    /// An empty transaction within the store's limits only, for a rare one that cannot be
-    /// split: it is sent from a full bucket, which goes into debt.
+    /// Creates an empty transaction that has only the limits of the store, for a rare
+    /// transaction that cannot be split. It is sent when the bucket is nearly full, which puts
+    /// the bucket into debt.
     pub fn unpaced_transaction(&self) -> Transaction {
         Transaction::new(self.limits)
     }
 
-    /// The writes that this controller may still send.
+    /// Returns the writes that this controller may send.
     pub fn write_budget(&mut self, now: Time) -> WriteBudget {
         self.writes.refill(now);
         WriteBudget {
@@ -231,6 +238,7 @@
         }
     }
 
+    /// Adds a request to the queue of its priority, or refuses it if that queue is full.
     fn enqueue(&mut self, now: Time, priority: Priority, tag: T, request: Request) {
         let queue = &mut self.queues[priority as usize];
         if queue.len() >= MAX_QUEUED {
@@ -244,7 +252,7 @@
         });
     }
 
-    /// Commits a transaction; answered with a [`CommitResponse`].
+    /// Commits a transaction; the store answers with a [`CommitResponse`].
     pub fn commit(&mut self, now: Time, priority: Priority, tag: T, transaction: Transaction) {
         let request = Request {
             writes: transaction.write_count(),
@@ -254,7 +262,7 @@
         self.enqueue(now, priority, tag, request);
     }
 
-    /// Asks for the changes under `prefix` after revision `since`; the store answers with a
+    /// Requests the changes under `prefix` after revision `since`; the store answers with a
     /// [`WatchResponse`] at the first change, or after `wait_s` seconds.
     pub fn watch(
         &mut self,
@@ -271,7 +279,8 @@
         self.enqueue(now, priority, tag, request);
     }
 
-    /// Reads the keys under `prefix` behind the key `after`; answered with a [`ScanResponse`].
+    /// Reads a page of the keys under `prefix`, starting after the key `after` (with the first
+    /// key if `None`); the store answers with a [`ScanResponse`].
     pub fn scan(
         &mut self,
         now: Time,
@@ -293,7 +302,8 @@
         );
     }
 
-    /// Asks for a session lease of `duration_s` seconds; answered with a [`LeaseResponse`].
+    /// Requests a session lease of `duration_s` seconds; the store answers with a
+    /// [`LeaseResponse`].
     pub fn grant_lease(&mut self, now: Time, tag: T, duration_s: f64) {
         let request = Request {
             body: wire::encode(&LeaseRequest {
@@ -304,22 +314,23 @@
         self.enqueue(now, Priority::Lease, tag, request);
     }
 
-    /// Renews a lease for its whole duration.
+    /// Renews a lease for its full duration.
     pub fn renew_lease(&mut self, now: Time, tag: T, lease_id: u64) {
         let path = format!("/holds/{lease_id}/renew");
         let request = Request::new(Method::Post, path, LEASE_TIMEOUT_S);
         self.enqueue(now, Priority::Lease, tag, request);
     }
 
-    /// Ends a lease at once, with the keys that are bound to it.
+    /// Revokes a lease, which also deletes the keys that are bound to it.
     pub fn revoke_lease(&mut self, now: Time, tag: T, lease_id: u64) {
         let path = format!("/holds/{lease_id}");
         let request = Request::new(Method::Delete, path, LEASE_TIMEOUT_S);
         self.enqueue(now, Priority::Lease, tag, request);
     }
 
-    /// Sends what the limits allow, by priority. Each priority leaves a little in the buckets,
-    /// so that a renewal never waits behind polls. Requests that waited too long are refused.
+    /// Sends as many requests as the rate limits allow, in order of priority. Each priority
+    /// reserves some tokens of the buckets for higher ones, so that a lease renewal never waits
+    /// behind polls. Requests that have waited longer than [`MAX_QUEUE_WAIT_S`] are refused.
     pub fn flush(&mut self, now: Time, next_call: &mut u64, out: &mut Vec<Effect>) {
         self.requests.refill(now);
         self.writes.refill(now);
@@ -345,7 +356,7 @@
         }
     }
 
-    /// Whether a request with so many writes may be sent now.
+    /// Whether the rate limits allow a request with this number of writes to be sent now.
     fn fits(&self, priority: Priority, writes: usize, scheduler_waits: bool) -> bool {
         let reserve = f64::from(priority as u8) * RESERVE_PER_PRIORITY;
         let writes = writes as f64;
@@ -354,7 +365,7 @@
             || self.writes.level
                 >= (writes + reserve * self.writes.rate)
                     .min(self.writes.rate * FULL_BUCKET_FRACTION);
-        // An admission is sent from any positive level, which may fall below zero by it.
+        // An admission is sent at any positive level, which it may reduce below zero.
         let throttled = priority == Priority::Admission && writes > 0.0 && scheduler_waits;
         request_fits && writes_fit && (!throttled || self.admissions.level > 0.0)
     }
@@ -385,28 +396,29 @@
         }
     }
 
-    /// Takes the replies to requests that were given up in the queues.
+    /// Removes and returns the replies to requests that were refused without being sent.
     pub fn take_refused(&mut self) -> Vec<Reply<T>> {
         std::mem::take(&mut self.refused)
     }
 
-    /// When the newest request was sent that the store really handled.
+    /// Send time of the latest request that the store processed; `None` if there was none.
     pub fn last_success(&self) -> Option<Time> {
         self.last_success
     }
 
-    /// When the newest request was sent that the store answered at all, if only to refuse it.
+    /// Send time of the latest request that the store answered, even with a refusal; `None` if
+    /// there was none.
     pub fn last_response(&self) -> Option<Time> {
         self.last_response
     }
 
-    /// Whether this client waits for the reply to this call.
+    /// Whether this client sent this call and waits for its reply.
     pub fn owns_call(&self, id: CallId) -> bool {
         self.in_flight.contains_key(&id)
     }
 
-    /// Classifies the result of a call: status and body, or none if no response arrived.
-    /// Returns none for a call that is not in flight.
+    /// Classifies the result of a call, which is the status and the body, or `None` if no
+    /// response arrived. Returns `None` if the call is not in flight.
     pub fn on_reply(&mut self, id: CallId, result: Option<(u16, Vec<u8>)>) -> Option<Reply<T>> {
         let InFlightRequest { tag, sent_at } = self.in_flight.remove(&id)?;
         if matches!(&result, Some((200 | 404 | 409 | 410 | 429, _))) {
@@ -416,7 +428,7 @@
             self.last_response = self.last_response.max(Some(sent_at));
         }
         if matches!(&result, Some((429, _))) {
-            // Other controllers used more than their share: let the buckets run dry.
+            // Other controllers used more than their share: wait until the buckets refill.
             self.requests.empty();
             self.writes.empty();
         }
@@ -443,7 +455,7 @@
         410 => Outcome::Gone,
         429 | 503 => Outcome::Refused,
         400 => classify_bad_request(&body),
-        // An unknown status says nothing about whether the request was executed.
+        // An unknown status does not show whether the request was executed.
         _ => Outcome::Indeterminate,
     }
 }
--- a/crates/controller/src/store/messages.rs
+++ b/crates/controller/src/store/messages.rs
@@ -1,12 +1,12 @@
-//! Responses of the key-value store, as they are on the wire.
+//! Wire format of the key-value store's responses and of the lease request.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// One key of a scan.
+/// One key in a scan response.
 #[derive(Deserialize)]
 pub struct KeyValue {
-    /// The whole key, with its prefix.
+    /// The full key, including its prefix.
     #[serde(rename = "path")]
     pub key: String,
     /// The stored value.
@@ -16,21 +16,21 @@
     pub revision: u64,
 }
 
-/// One page of a scan, in the order of keys.
+/// One page of a scan, ordered by key.
 #[derive(Deserialize)]
 pub struct ScanResponse {
     /// The keys of this page.
     #[serde(rename = "pairs")]
     pub entries: Vec<KeyValue>,
-    /// Further keys follow behind the last one.
+    /// Whether more keys follow the last one of this page.
     #[serde(default)]
     pub more: bool,
-    /// The store's revision that the page shows.
+    /// The revision of the store as of which the page was read.
     #[serde(rename = "ledgerRev")]
     pub revision: u64,
 }
 
-/// One change under a watched prefix: either `write` or `delete` names the key.
+/// One change under a watched prefix; either `write` or `delete` contains the key.
 #[derive(Deserialize)]
 pub struct WatchEvent {
     /// The key that was written.
@@ -47,10 +47,10 @@
     pub revision: u64,
 }
 
-/// The changes since the revision of the request.
+/// The changes after the start revision of a watch.
 #[derive(Deserialize)]
 pub struct WatchResponse {
-    /// The store's revision up to which the events are complete.
+    /// The revision of the store up to which the events are complete.
     #[serde(rename = "ledgerRev")]
     pub revision: u64,
     /// The changes, oldest first.
@@ -58,7 +58,7 @@
     pub events: Vec<WatchEvent>,
 }
 
-/// A session lease that was granted.
+/// The response to a granted session lease.
 #[derive(Deserialize)]
 pub struct LeaseResponse {
     /// The id by which the lease is renewed, revoked and bound to keys.
@@ -66,15 +66,15 @@
     pub lease_id: u64,
 }
 
-/// A transaction that was committed.
+/// The response to a committed transaction.
 #[derive(Deserialize)]
 pub struct CommitResponse {
-    /// The revision of the transaction, which all keys it wrote have now.
+    /// The revision of the transaction, which is also the revision of each key that it wrote.
     #[serde(rename = "ledgerRev")]
     pub revision: u64,
 }
 
-/// The body of a response other than 200.
+/// The body of a response with a status other than 200.
 #[derive(Deserialize)]
 pub(super) struct ErrorResponse {
     /// The keys whose conditions failed.
@@ -84,7 +84,7 @@
     pub(super) error: Option<String>,
 }
 
-/// The body of the request for a session lease.
+/// The body of a request for a session lease.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct LeaseRequest {
--- a/crates/controller/src/store/tests.rs
+++ b/crates/controller/src/store/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn lease_renewal_is_sent_before_polls_within_the_rate() {
     let settings = beamhinge_core::settings::SAMPLE;
-    let settings = Settings::parse("t", settings).expect("sound");
+    let settings = Settings::parse("t", settings).expect("valid settings");
     let mut store: StoreClient<u32> = StoreClient::new(&settings);
     store.set_rate_share(0.1, 1.0);
     let (mut calls, mut out) = (0, Vec::new());
@@ -16,7 +16,7 @@
     store.flush(start, &mut calls, &mut out);
     assert!(
         out.len() <= 10,
-        "at most one second's worth, not {}",
+        "sent {} requests, more than the rate allows in one second",
         out.len()
     );
     assert!(matches!(&out[0], Effect::Call { path, .. } if path == "/holds/7/renew"));
@@ -30,7 +30,7 @@
 
 #[test]
 fn lost_reply_is_indeterminate_and_not_refused() {
-    let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
+    let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("valid settings");
     let mut store: StoreClient<u32> = StoreClient::new(&settings);
     let (mut calls, mut out) = (0, Vec::new());
     let now = Time::from_micros(5_000_000);
@@ -57,11 +57,11 @@
     ));
 }
 
-/// A reply to a call that is not in flight, of an earlier process or a duplicate, is handed to
-/// no module and does not count as an exchange with the store.
+/// A reply to a call that is not in flight, such as a duplicate or the reply to a call of an
+/// earlier process, is dropped and does not count as a response of the store.
 #[test]
 fn reply_to_unknown_call_is_dropped() {
-    let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
+    let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("valid settings");
     let mut store: StoreClient<u32> = StoreClient::new(&settings);
     let (mut calls, mut out) = (0, Vec::new());
     store.renew_lease(Time::from_micros(5_000_000), 1, 1);
@@ -74,17 +74,17 @@
     assert!(store.on_reply(CallId(1), Some((200, vec![]))).is_none());
 }
 
-/// Every call to the key-value store: method, path and body.
+/// Pins method, path and body of every call to the key-value store.
 #[test]
 fn calls_to_the_store_keep_their_wire_form() {
     let mut golden = crate::golden::Golden::new("tests/golden/calls-to-state.hex");
-    let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("sound");
+    let settings = Settings::parse("t", beamhinge_core::settings::SAMPLE).expect("valid settings");
     let mut store: StoreClient<u32> = StoreClient::new(&settings);
     let now = Time::from_micros(5_000_000);
     let mut transaction = store.transaction();
     transaction
         .require("block/0", beamhinge_core::types::Revision(41))
-        .expect("room");
+        .expect("within the limits");
     let value = wire::to_value(&serde_json::json!({"a": 1.5}));
     transaction
         .put(
@@ -93,7 +93,7 @@
             value,
             Some(7),
         )
-        .expect("room");
+        .expect("within the limits");
     transaction
         .put(
             "p/41-1",
@@ -101,14 +101,14 @@
             Value::Null,
             None,
         )
-        .expect("room");
+        .expect("within the limits");
     transaction
         .delete("p/41-2", beamhinge_core::types::Revision(10))
-        .expect("room");
+        .expect("within the limits");
     let mut check = store.transaction();
     check
         .require("block/0", beamhinge_core::types::Revision(41))
-        .expect("room");
+        .expect("within the limits");
     store.commit(now, Priority::Lease, 1, transaction);
     store.commit(now, Priority::Lease, 2, check);
     store.grant_lease(now, 3, 5.25);
@@ -139,7 +139,7 @@
 #[test]
 fn responses_of_the_store_are_decoded_field_by_field() {
     fn read<T: serde::de::DeserializeOwned>(body: &serde_json::Value) -> T {
-        wire::decode(&wire::encode(body)).expect("an answer")
+        wire::decode(&wire::encode(body)).expect("a valid response")
     }
     let scan: ScanResponse = read(
         &serde_json::json!({"pairs": [{"path": "a/b", "value": "kept",
--- a/crates/controller/src/store/token_bucket.rs
+++ b/crates/controller/src/store/token_bucket.rs
@@ -1,19 +1,20 @@
-//! A token bucket that holds one second's worth of its rate.
+//! A token bucket whose capacity is one second at its rate.
 
 use beamhinge_core::types::Time;
 
-/// Limits a rate. The level may fall below zero: a caller may borrow, and pays back later.
+/// Limits a rate. The level may be negative: a caller may spend tokens in advance, and later
+/// refills make up for them.
 pub(super) struct TokenBucket {
-    /// Tokens per second, and the capacity.
+    /// Refill rate in tokens per second; also the capacity in tokens.
     pub(super) rate: f64,
-    /// Tokens that are available.
+    /// Tokens available; negative while the bucket is in debt.
     pub(super) level: f64,
-    /// When the level was last brought up to date.
+    /// When the level was last updated.
     refilled_at: Time,
 }
 
 impl TokenBucket {
-    /// An empty bucket.
+    /// Creates an empty bucket.
     pub(super) fn new(rate: f64) -> TokenBucket {
         TokenBucket {
             rate,
@@ -22,13 +23,13 @@
         }
     }
 
-    /// Adds what has accrued since the last refill.
+    /// Adds the tokens that have accrued since the last refill.
     pub(super) fn refill(&mut self, now: Time) {
         self.level = (self.level + now.since(self.refilled_at) * self.rate).min(self.rate);
         self.refilled_at = now;
     }
 
-    /// Removes what is available, so that nothing is sent until the bucket refills.
+    /// Removes all available tokens, so that nothing is sent until the bucket refills.
     pub(super) fn empty(&mut self) {
         self.level = self.level.min(0.0);
     }
