--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -46,7 +46,7 @@
 /// controllers may acquire leadership during the pause.
 const MALFORMED_RETRY_S: f64 = 5.0;
 /// Pause after a leadership record that exceeds the limits of a transaction, in seconds.
-const UNWRITABLE_RETRY_S: f64 = 10.0;
+const OVERSIZED_RECORD_RETRY_S: f64 = 10.0;
 /// Fraction of the lease duration after which the lease is renewed.
 const RENEWAL_FRACTION: f64 = 0.25;
 /// Maximum time for which the store keeps a watch of the leadership key open, in seconds.
@@ -56,7 +56,7 @@
 /// Exclusive upper bound of fencing tokens. Attempt numbers start at the token shifted left,
 /// so a higher token would overflow. At a hundred changes a second, a store does not reach
 /// this revision within a thousand years.
-const MAX_TOKEN: u64 = 1 << 43;
+const FENCING_TOKEN_LIMIT: u64 = 1 << 43;
 
 /// The value of the leadership key and of the block key; identifies one controller process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -134,14 +134,14 @@
     check_sent_at: Time,
     /// The revision of the leadership key, owned by this process, for which the block key
     /// was last read.
-    read_for: Revision,
+    read_for_leadership_revision: Revision,
 }
 
 /// Fencing tokens that workers and peers claim to have seen.
 #[derive(Debug)]
 struct TokenClaims {
     /// The claimed token that ended the last term; 0 if no claim ended it.
-    highest: u64,
+    term_ending_token: u64,
     /// Claims of this token or a higher one are ignored, because no such token was issued.
     never_issued_from: u64,
 }
@@ -149,7 +149,7 @@
 impl Default for TokenClaims {
     fn default() -> TokenClaims {
         TokenClaims {
-            highest: 0,
+            term_ending_token: 0,
             never_issued_from: u64::MAX,
         }
     }
@@ -260,10 +260,12 @@
     /// it began. Ignoring them is safe: a worker that has in fact seen a higher token rejects the
     /// requests of this controller.
     pub fn on_token_claim(&mut self, now: Time, token: u64) -> LeadershipChange {
-        if self.token.is_none_or(|own| token <= own.0) || token >= self.claims.never_issued_from {
+        if self.token.is_none_or(|current| token <= current.0)
+            || token >= self.claims.never_issued_from
+        {
             return LeadershipChange::Unchanged;
         }
-        self.claims.highest = token;
+        self.claims.term_ending_token = token;
         self.step_down_deposed(now)
     }
 
@@ -328,14 +330,14 @@
         if now < self.retry_at {
             return;
         }
-        self.keep_lease(now, store);
-        self.follow_leadership(now, store);
+        self.maintain_lease(now, store);
+        self.watch_leadership(now, store);
         self.check_block(now, store);
         self.try_acquire(now, store);
     }
 
     /// Requests a lease if this controller has none, and renews it when that is due.
-    fn keep_lease(&mut self, now: Time, store: &mut StoreClient<Tag>) {
+    fn maintain_lease(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         let lease = &mut self.lease;
         match lease.id {
             None if !lease.grant_in_flight => {
@@ -355,7 +357,7 @@
     }
 
     /// Sends a scan or watch of the leadership key, unless one is in flight.
-    fn follow_leadership(&mut self, now: Time, store: &mut StoreClient<Tag>) {
+    fn watch_leadership(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if self.leadership.read_in_flight {
             return;
         }
@@ -406,15 +408,15 @@
         reply: Reply<Tag>,
         store: &mut StoreClient<Tag>,
     ) -> LeadershipChange {
-        let change = self.apply(now, call, reply);
+        let change = self.apply_reply(now, call, reply);
         self.tick(now, store);
         change
     }
 
     /// Begins a term with the fencing token `revision`, unless that is too high for a token.
-    fn acquired(&mut self, revision: Revision, sent_at: Time) -> LeadershipChange {
+    fn begin_term(&mut self, revision: Revision, sent_at: Time) -> LeadershipChange {
         let token = FencingToken(revision.0);
-        if token.0 >= MAX_TOKEN {
+        if token.0 >= FENCING_TOKEN_LIMIT {
             tracing::error!(
                 revision = token.0,
                 "rejected leadership: store revision exceeds the highest fencing token"
@@ -422,18 +424,21 @@
             self.retry_at = sent_at.plus(MALFORMED_RETRY_S);
             return LeadershipChange::Unchanged;
         }
-        if self.claims.highest > token.0 {
+        if self.claims.term_ending_token > token.0 {
             tracing::error!(
-                fencing_token = self.claims.highest,
+                fencing_token = self.claims.term_ending_token,
                 "ignoring claims of a fencing token that was never issued"
             );
-            self.claims.never_issued_from = self.claims.never_issued_from.min(self.claims.highest);
+            self.claims.never_issued_from = self
+                .claims
+                .never_issued_from
+                .min(self.claims.term_ending_token);
         }
         if token.0 >= self.claims.never_issued_from {
             // The store's revision has reached the ignored tokens, so they may have been issued.
             self.claims.never_issued_from = u64::MAX;
         }
-        self.claims.highest = 0;
+        self.claims.term_ending_token = 0;
         self.token = Some(token);
         self.block.confirmed_at = sent_at;
         self.block.revision = None;
--- a/crates/controller/src/leader_election/acquisition.rs
+++ b/crates/controller/src/leader_election/acquisition.rs
@@ -1,6 +1,6 @@
 //! The transactions that acquire and reclaim leadership.
 
-use super::{LeaderElection, BLOCK_KEY, BLOCK_PREFIX, LEADERSHIP_KEY, UNWRITABLE_RETRY_S};
+use super::{LeaderElection, BLOCK_KEY, BLOCK_PREFIX, LEADERSHIP_KEY, OVERSIZED_RECORD_RETRY_S};
 use crate::calls::{ElectionCall, Tag};
 use crate::faults::broken;
 use crate::store::{Priority, StoreClient, Transaction, TransactionError};
@@ -15,16 +15,16 @@
         if self.leadership.read_up_to.is_none() || self.acquiring || now < self.yield_until {
             return;
         }
-        let (replaceable, revision) = self.leadership_availability();
+        let (replaceable, leadership_revision) = self.leadership_availability();
         let Some(lease_id) = self.lease.id else {
             return;
         };
         if !replaceable {
-            self.read_block_of_own_leadership(now, revision, store);
+            self.read_block_for_owned_leadership(now, leadership_revision, store);
         } else if let Some(token) = self.token {
-            self.reclaim(now, token, revision, lease_id, store);
+            self.reclaim(now, token, leadership_revision, lease_id, store);
         } else if let Some(block_revision) = self.block.revision {
-            self.acquire(now, block_revision, revision, lease_id, store);
+            self.acquire(now, block_revision, leadership_revision, lease_id, store);
         } else if !self.block.read_in_flight {
             self.read_block(now, store);
         }
@@ -40,10 +40,10 @@
         let Some(record) = &self.leadership.record else {
             return (true, Revision(0));
         };
-        let own_earlier_process =
+        let written_by_earlier_process =
             record.owner.label == self.identity.label && record.owner.nonce != self.identity.nonce;
         let presumed_dead = self.leadership.presumed_dead == Some(record.revision);
-        (own_earlier_process || presumed_dead, record.revision)
+        (written_by_earlier_process || presumed_dead, record.revision)
     }
 
     /// Reads the block key if the leadership key names this process although it has no fencing
@@ -54,20 +54,21 @@
     /// would not replace it either, so the cluster would have no leader until this process
     /// ends. The block key as last read is from before that commit; it is read once for each
     /// revision of the leadership key.
-    fn read_block_of_own_leadership(
+    fn read_block_for_owned_leadership(
         &mut self,
         now: Time,
-        revision: Revision,
+        leadership_revision: Revision,
         store: &mut StoreClient<Tag>,
     ) {
-        let own = self
+        let owned_by_this_process = self
             .leadership
             .record
             .as_ref()
             .is_some_and(|record| record.owner == self.identity);
-        let unknown =
-            self.token.is_none() && self.block.read_for != revision && !self.block.read_in_flight;
-        if own && unknown && !broken!(self.faults, own_lead) {
+        let block_unread = self.token.is_none()
+            && self.block.read_for_leadership_revision != leadership_revision
+            && !self.block.read_in_flight;
+        if owned_by_this_process && block_unread && !broken!(self.faults, own_lead) {
             self.read_block(now, store);
         }
     }
@@ -78,7 +79,7 @@
         &mut self,
         now: Time,
         token: FencingToken,
-        revision: Revision,
+        leadership_revision: Revision,
         lease_id: u64,
         store: &mut StoreClient<Tag>,
     ) {
@@ -87,7 +88,12 @@
             .require(BLOCK_KEY, Revision(token.0))
             .and_then(|()| {
                 let identity = wire::to_value(&self.identity);
-                transaction.put(LEADERSHIP_KEY, revision, identity, Some(lease_id))
+                transaction.put(
+                    LEADERSHIP_KEY,
+                    leadership_revision,
+                    identity,
+                    Some(lease_id),
+                )
             });
         self.commit_leadership(
             now,
@@ -102,14 +108,19 @@
         &mut self,
         now: Time,
         block_revision: Revision,
-        revision: Revision,
+        leadership_revision: Revision,
         lease_id: u64,
         store: &mut StoreClient<Tag>,
     ) {
         let mut transaction = store.transaction();
         let identity = wire::to_value(&self.identity);
         let built = transaction
-            .put(LEADERSHIP_KEY, revision, identity.clone(), Some(lease_id))
+            .put(
+                LEADERSHIP_KEY,
+                leadership_revision,
+                identity.clone(),
+                Some(lease_id),
+            )
             .and_then(|()| transaction.put(BLOCK_KEY, block_revision, identity, None));
         self.commit_leadership(
             now,
@@ -134,7 +145,7 @@
             // The label is too long for a value of the store: this controller can never lead.
             Err(error) => {
                 tracing::error!(%error, "cannot write leadership record");
-                self.retry_at = now.plus(UNWRITABLE_RETRY_S);
+                self.retry_at = now.plus(OVERSIZED_RECORD_RETRY_S);
             }
         }
     }
--- a/crates/controller/src/leader_election/replies.rs
+++ b/crates/controller/src/leader_election/replies.rs
@@ -17,11 +17,11 @@
 /// Pause after a failed lease renewal, and before both keys are read again, in seconds.
 const SHORT_RETRY_S: f64 = 0.1;
 /// Pause after a reply that cannot be decoded, in seconds.
-const UNREADABLE_RETRY_S: f64 = 0.5;
+const DECODE_FAILURE_RETRY_S: f64 = 0.5;
 
 impl LeaderElection {
     /// Applies the reply to `call` without sending any request.
-    pub(super) fn apply(
+    pub(super) fn apply_reply(
         &mut self,
         now: Time,
         call: ElectionCall,
@@ -73,7 +73,7 @@
             return;
         };
         let Ok(scan) = wire::decode::<ScanResponse>(&body) else {
-            self.retry_at = now.plus(UNREADABLE_RETRY_S);
+            self.retry_at = now.plus(DECODE_FAILURE_RETRY_S);
             return;
         };
         self.leadership.record = scan
@@ -138,14 +138,14 @@
             return LeadershipChange::Unchanged;
         };
         let Ok(scan) = wire::decode::<ScanResponse>(&body) else {
-            self.retry_at = now.plus(UNREADABLE_RETRY_S);
+            self.retry_at = now.plus(DECODE_FAILURE_RETRY_S);
             return LeadershipChange::Unchanged;
         };
         if let Some(record) = &self.leadership.record {
             // A scan from before the leadership key was written does not show the block key
             // that was written with it.
             if record.owner == self.identity && scan.revision >= record.revision.0 {
-                self.block.read_for = record.revision;
+                self.block.read_for_leadership_revision = record.revision;
             }
         }
         let block = scan.entries.iter().find(|entry| entry.key == BLOCK_KEY);
@@ -158,7 +158,7 @@
             && self.token.is_none()
             && (revision.0 > self.last_token.0 || broken!(self.faults, old_term))
         {
-            return self.acquired(revision, sent_at);
+            return self.begin_term(revision, sent_at);
         }
         self.block.revision = Some(revision);
         LeadershipChange::Unchanged
@@ -170,17 +170,17 @@
             Outcome::Ok(body) => {
                 if let Ok(commit) = wire::decode::<CommitResponse>(&body) {
                     let revision = Revision(commit.revision);
-                    self.set_own_leadership(revision);
-                    return self.acquired(revision, sent_at);
+                    self.record_ownership(revision);
+                    return self.begin_term(revision, sent_at);
                 }
-                self.reload(now);
+                self.invalidate_keys(now);
             }
             Outcome::LeaseNotFound => self.lease.id = None,
             Outcome::Malformed => {
-                self.reload(now);
+                self.invalidate_keys(now);
                 self.retry_at = now.plus(MALFORMED_RETRY_S);
             }
-            _ => self.reload(now),
+            _ => self.invalidate_keys(now),
         }
         LeadershipChange::Unchanged
     }
@@ -190,7 +190,7 @@
         match outcome {
             Outcome::Ok(body) => {
                 if let Ok(commit) = wire::decode::<CommitResponse>(&body) {
-                    self.set_own_leadership(Revision(commit.revision));
+                    self.record_ownership(Revision(commit.revision));
                     self.confirm_block(sent_at);
                 }
             }
@@ -198,7 +198,7 @@
             Outcome::Conflict(failed) if failed.iter().any(|key| key == BLOCK_KEY) => {
                 return self.step_down_deposed(now);
             }
-            _ => self.reload(now),
+            _ => self.invalidate_keys(now),
         }
         LeadershipChange::Unchanged
     }
@@ -218,7 +218,7 @@
         LeadershipChange::Unchanged
     }
 
-    fn set_own_leadership(&mut self, revision: Revision) {
+    fn record_ownership(&mut self, revision: Revision) {
         self.leadership.record = Some(LeadershipRecord {
             owner: self.identity.clone(),
             revision,
@@ -227,7 +227,7 @@
 
     /// Discards what is known of the keys after a failed acquisition or reclaim, so that they
     /// are read again after a pause. The block key's revision is kept while leading.
-    fn reload(&mut self, now: Time) {
+    fn invalidate_keys(&mut self, now: Time) {
         self.leadership.read_up_to = None;
         if self.token.is_none() {
             self.block.revision = None;
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -6,7 +6,7 @@
 fn acquire(election: &mut LeaderElection, revision: u64, now: Time) {
     let token = FencingToken(revision);
     assert_eq!(
-        election.acquired(Revision(revision), now),
+        election.begin_term(Revision(revision), now),
         LeadershipChange::Acquired { token }
     );
 }
@@ -37,7 +37,7 @@
     // A claim of a token that may have been issued still ends the term.
     assert_eq!(election.on_token_claim(now, 15), LeadershipChange::Lost);
     assert_eq!(
-        election.acquired(Revision(u64::MAX - 3), now),
+        election.begin_term(Revision(u64::MAX - 3), now),
         LeadershipChange::Unchanged
     );
     assert_eq!(
@@ -68,29 +68,29 @@
 /// second.
 #[test]
 fn term_that_ended_is_not_resumed() {
-    for resumes in [false, true] {
+    for fault_injected in [false, true] {
         let text = beamhinge_core::settings::SAMPLE;
         let settings = Settings::parse("t", text).expect("the sample settings are valid");
         let mut election = LeaderElection::new(&settings, 7);
-        election.faults.old_term = resumes;
+        election.faults.old_term = fault_injected;
         let now = Time::from_micros(10_000_000);
         acquire(&mut election, 8, now);
         let mut store = StoreClient::new(&settings);
         assert_eq!(election.step_down(now, &mut store), LeadershipChange::Lost);
         let read = |election: &mut LeaderElection, revision: u64| {
             let value = wire::to_value(&election.identity);
-            let pair = [
+            let entry = [
                 ("path", "block/0".into()),
                 ("value", value),
                 ("stamp", revision.into()),
             ];
-            let pair = pair.map(|(k, v)| (ciborium::Value::from(k), v)).to_vec();
-            let pairs = ciborium::Value::Array(vec![ciborium::Value::Map(pair)]);
-            let scan = [("pairs", pairs), ("ledgerRev", 20u64.into())];
+            let entry = entry.map(|(k, v)| (ciborium::Value::from(k), v)).to_vec();
+            let entries = ciborium::Value::Array(vec![ciborium::Value::Map(entry)]);
+            let scan = [("pairs", entries), ("ledgerRev", 20u64.into())];
             let scan = scan.map(|(k, v)| (ciborium::Value::from(k), v)).to_vec();
             let outcome = Outcome::Ok(wire::encode(&ciborium::Value::Map(scan)));
             let tag = Tag::Election(ElectionCall::ReadBlock);
-            election.apply(
+            election.apply_reply(
                 now,
                 ElectionCall::ReadBlock,
                 Reply {
@@ -100,17 +100,17 @@
                 },
             )
         };
-        let again = read(&mut election, 8);
+        let change = read(&mut election, 8);
         assert_eq!(
-            again
+            change
                 == LeadershipChange::Acquired {
                     token: FencingToken(8)
                 },
-            resumes
+            fault_injected
         );
         // An acquisition by this process that was committed late, with a higher revision,
         // begins a new term.
-        if !resumes {
+        if !fault_injected {
             assert_eq!(
                 read(&mut election, 12),
                 LeadershipChange::Acquired {
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -204,7 +204,7 @@
         &mut self,
         rows: Vec<(String, u32, u32)>,
     ) -> Option<BTreeMap<JobId, TaskCounts>> {
-        let last = rows.len() < Frame::MAX_ROWS;
+        let is_last_frame = rows.len() < Frame::MAX_ROWS;
         let part: BTreeMap<JobId, TaskCounts> = rows
             .into_iter()
             .filter_map(|(job, done, running)| {
@@ -218,7 +218,7 @@
         }
         self.partial.extend(part);
         self.enforce_limit();
-        last.then(|| std::mem::take(&mut self.partial))
+        is_last_frame.then(|| std::mem::take(&mut self.partial))
     }
 
     fn enforce_limit(&mut self) {
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn invented_token_expires_and_former_leader_is_not_named() {
+fn never_issued_token_expires_and_former_leader_is_not_named() {
     let mut peers = PeerTable::default();
     let at = |s: f64| Time::from_micros(1_000_000_000).plus(s);
     peers.on_leader_announcement(at(0.0), "a", FencingToken(7));
@@ -61,17 +61,17 @@
 
 /// Adds the frames in order; returns the last list that was completed.
 fn assemble(
-    list: &mut ProgressAssembler,
+    assembler: &mut ProgressAssembler,
     frames: Vec<Frame>,
 ) -> Option<BTreeMap<JobId, TaskCounts>> {
-    let mut whole = None;
+    let mut completed = None;
     for frame in frames {
         let Frame::Progress(rows) = frame else {
             panic!("expected a progress frame")
         };
-        whole = list.add_frame(rows).or(whole);
+        completed = assembler.add_frame(rows).or(completed);
     }
-    whole
+    completed
 }
 
 /// The progress of jobs beyond 4,000 was once dropped without a warning.
@@ -89,24 +89,24 @@
 
 #[test]
 fn progress_list_replaces_the_previous_one_even_if_its_last_frame_was_lost() {
-    let mut list = ProgressAssembler::default();
-    let mut broken = progress_frames(counts(0..9_000, 1).into_iter());
-    broken.pop();
-    assert_eq!(assemble(&mut list, broken), None);
+    let mut assembler = ProgressAssembler::default();
+    let mut incomplete = progress_frames(counts(0..9_000, 1).into_iter());
+    incomplete.pop();
+    assert_eq!(assemble(&mut assembler, incomplete), None);
     let sent = counts(0..5_000, 2);
-    let assembled = assemble(&mut list, progress_frames(sent.iter().copied()));
+    let assembled = assemble(&mut assembler, progress_frames(sent.iter().copied()));
     assert_eq!(assembled, Some(sent.into_iter().collect()));
     let few = counts(7..9, 3);
     assert_eq!(
-        assemble(&mut list, progress_frames(few.iter().copied())),
+        assemble(&mut assembler, progress_frames(few.iter().copied())),
         Some(few.into_iter().collect())
     );
 }
 
 #[test]
 fn progress_list_is_limited_in_size() {
-    let mut list = ProgressAssembler::default();
+    let mut assembler = ProgressAssembler::default();
     let frames = progress_frames(counts(0..100_000, 1).into_iter());
-    let assembled = assemble(&mut list, frames).expect("a complete list");
+    let assembled = assemble(&mut assembler, frames).expect("a complete list");
     assert_eq!(assembled.len(), ProgressAssembler::MAX_JOBS);
 }
--- a/crates/controller/src/replica.rs
+++ b/crates/controller/src/replica.rs
@@ -18,10 +18,10 @@
 use ciborium::Value;
 
 /// Minimum pause after a failed read, in seconds.
-const MIN_PAUSE_S: f64 = 0.2;
+const MIN_BACKOFF_S: f64 = 0.2;
 /// Maximum pause after a failed read, in seconds. It bounds the delay until a replica is read
 /// again once the store is available.
-const MAX_PAUSE_S: f64 = 1.0;
+const MAX_BACKOFF_S: f64 = 1.0;
 
 /// Effect of a reply on requests that wait for a fresh replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -131,7 +131,7 @@
             refresh_in_flight: false,
             watch_in_flight: false,
             scan: None,
-            backoff: AdaptiveBackoff::new(MIN_PAUSE_S, MAX_PAUSE_S),
+            backoff: AdaptiveBackoff::new(MIN_BACKOFF_S, MAX_BACKOFF_S),
             refresh_requested: false,
         }
     }
@@ -154,8 +154,14 @@
     }
 
     /// Sends the calls that are due. `refresh` says that a request waits for a fresh replica,
-    /// `follow` that the replica must receive each change without delay.
-    pub fn tick(&mut self, now: Time, refresh: bool, follow: bool, store: &mut StoreClient<Tag>) {
+    /// `watch_changes` that it must receive each change without delay.
+    pub fn tick(
+        &mut self,
+        now: Time,
+        refresh: bool,
+        watch_changes: bool,
+        store: &mut StoreClient<Tag>,
+    ) {
         if !self.backoff.is_due(now) {
             return;
         }
@@ -173,7 +179,7 @@
             let tag = (config.tag)(ReplicaCall::Refresh);
             store.watch(now, Priority::Read, tag, config.prefix, self.revision, 0.0);
         }
-        if follow && !self.watch_in_flight {
+        if watch_changes && !self.watch_in_flight {
             self.watch_in_flight = true;
             store.watch(
                 now,
@@ -243,12 +249,12 @@
         // Two watches may be in flight, and the older response may arrive last. Events up to the
         // replica's revision are already included; applying one again could restore a key that
         // was deleted since.
-        let known = self.revision;
+        let known_revision = self.revision;
         let changes = response
             .events
             .into_iter()
-            .filter(|event| event.revision > known)
-            .filter_map(change_of)
+            .filter(|event| event.revision > known_revision)
+            .filter_map(change_from_event)
             .collect();
         self.revision = self.revision.max(response.revision);
         self.fresh_as_of = self.fresh_as_of.max(Some(sent_at));
@@ -327,7 +333,7 @@
 
 /// The change that an event describes; `None` if the event has no key, or is a write without a
 /// value.
-fn change_of(event: WatchEvent) -> Option<ReplicaChange> {
+fn change_from_event(event: WatchEvent) -> Option<ReplicaChange> {
     let value = match &event.write {
         Some(_) => Some(event.value?),
         None => None,
--- a/crates/controller/src/replica/tests.rs
+++ b/crates/controller/src/replica/tests.rs
@@ -12,7 +12,7 @@
 }
 
 /// Applies a reply; returns the changed keys, and whether each exists after the change.
-fn apply(
+fn apply_reply(
     replica: &mut ReplicaCache,
     call: ReplicaCall,
     body: &serde_json::Value,
@@ -47,19 +47,19 @@
         started: Time::default(),
     });
     let page = json!({"pairs": [], "more": false, "ledgerRev": 3});
-    assert!(apply(&mut replica, ReplicaCall::Scan, &page).is_empty() && replica.loaded());
+    assert!(apply_reply(&mut replica, ReplicaCall::Scan, &page).is_empty() && replica.loaded());
     // The key is written at revision 4 and deleted at 5. The response that includes both changes
     // arrives first.
     let deleted = json!({"ledgerRev": 5, "news": [{"delete": "o/zone/a", "stamp": 5}]});
     assert_eq!(
-        apply(&mut replica, ReplicaCall::Refresh, &deleted),
+        apply_reply(&mut replica, ReplicaCall::Refresh, &deleted),
         [("o/zone/a".to_string(), false)]
     );
     let written = json!({"ledgerRev": 4, "news": [{"write": "o/zone/a", "value": 1, "stamp": 4}]});
-    assert!(apply(&mut replica, ReplicaCall::Watch, &written).is_empty());
+    assert!(apply_reply(&mut replica, ReplicaCall::Watch, &written).is_empty());
     let newer = json!({"ledgerRev": 6, "news": [{"write": "o/zone/a", "value": 1, "stamp": 6}]});
     assert_eq!(
-        apply(&mut replica, ReplicaCall::Watch, &newer),
+        apply_reply(&mut replica, ReplicaCall::Watch, &newer),
         [("o/zone/a".to_string(), true)]
     );
 }
@@ -72,12 +72,12 @@
     let mut replica = new_replica();
     (replica.loaded, replica.revision) = (true, u64::MAX - 1);
     let at = Time::from_micros(1_000_000);
-    let refused = Reply {
+    let rejected = Reply {
         tag: Tag::Directives(ReplicaCall::Refresh),
         outcome: Outcome::Malformed,
         sent_at: at,
     };
-    let update = replica.on_reply(at, ReplicaCall::Refresh, refused);
+    let update = replica.on_reply(at, ReplicaCall::Refresh, rejected);
     assert!(update.freshness == Freshness::Failed && !replica.loaded());
     replica.scan = Some(ScanState {
         in_flight: true,
@@ -85,14 +85,14 @@
         revision: None,
         started: at,
     });
-    apply(
+    apply_reply(
         &mut replica,
         ReplicaCall::Scan,
         &json!({"pairs": [], "more": false, "ledgerRev": 3}),
     );
-    let news = json!({"ledgerRev": 5, "news": [{"write": "o/zone/a", "value": 1, "stamp": 5}]});
+    let body = json!({"ledgerRev": 5, "news": [{"write": "o/zone/a", "value": 1, "stamp": 5}]});
     assert_eq!(
-        apply(&mut replica, ReplicaCall::Refresh, &news),
+        apply_reply(&mut replica, ReplicaCall::Refresh, &body),
         [("o/zone/a".to_string(), true)]
     );
 }
@@ -104,7 +104,7 @@
     let mut replica = new_replica();
     replica.loaded = true;
     let mut now = Time::from_micros(1_000_000);
-    let mut gaps = Vec::new();
+    let mut pauses_s = Vec::new();
     for _ in 0..5 {
         let reply = Reply {
             tag: Tag::Directives(ReplicaCall::Refresh),
@@ -113,16 +113,16 @@
         };
         let update = replica.on_reply(now, ReplicaCall::Refresh, reply);
         assert_eq!(update.freshness, Freshness::Failed);
-        let gap = (1..30)
+        let pause_s = (1..30)
             .map(|i| f64::from(i) * 0.1)
             .find(|pause_s| replica.backoff.is_due(now.plus(*pause_s)));
-        gaps.push(gap.expect("a retry within 3 s"));
+        pauses_s.push(pause_s.expect("a retry within 3 s"));
         now = now.plus(3.0);
     }
-    assert_eq!(gaps, [0.2, 0.4, 0.8, 1.0, 1.0]);
-    let news = json!({"ledgerRev": 1, "news": []});
+    assert_eq!(pauses_s, [0.2, 0.4, 0.8, 1.0, 1.0]);
+    let body = json!({"ledgerRev": 1, "news": []});
     assert!(
-        apply(&mut replica, ReplicaCall::Refresh, &news).is_empty()
+        apply_reply(&mut replica, ReplicaCall::Refresh, &body).is_empty()
             && replica.backoff.refusals() == 0
     );
 }
@@ -132,7 +132,7 @@
     let mut replica = new_replica();
     replica.revision = 7;
     let old = json!({"ledgerRev": 9, "news": [{"delete": "o/zone/a", "stamp": 9}]});
-    assert!(apply(&mut replica, ReplicaCall::Watch, &old).is_empty());
+    assert!(apply_reply(&mut replica, ReplicaCall::Watch, &old).is_empty());
     assert_eq!(
         replica.revision, 7,
         "the scan must return these changes again"
--- a/crates/controller/src/replica_scan.rs
+++ b/crates/controller/src/replica_scan.rs
@@ -28,15 +28,15 @@
     }
 
     /// Must be called after the changes of each reply. Returns the scan if the reply completed
-    /// it, as `scanned` then says, else `None`. The keys of a failed scan are discarded, since
+    /// it at `scan_revision`, else `None`. The keys of a failed scan are discarded, since
     /// the next scan begins with the first key.
     pub(crate) fn finish(
         &mut self,
         call: ReplicaCall,
-        scanned: Option<u64>,
+        scan_revision: Option<u64>,
         freshness: Freshness,
     ) -> Option<CompletedScan<K>> {
-        if let Some(revision) = scanned {
+        if let Some(revision) = scan_revision {
             return Some(CompletedScan {
                 seen: std::mem::take(&mut self.seen),
                 revision: Revision(revision),
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -335,18 +335,22 @@
         self.requests.refill(now);
         self.writes.refill(now);
         self.admissions.refill(now);
-        let scheduler_waits = !self.queues[Priority::Scheduler as usize].is_empty();
+        let scheduler_request_queued = !self.queues[Priority::Scheduler as usize].is_empty();
         for priority in Priority::ALL {
             while let Some(front) = self.queues[priority as usize].front() {
                 let waited_s = now.since(front.queued_at);
-                let fits = self.fits(priority, front.request.writes, scheduler_waits);
-                if !fits && waited_s <= MAX_QUEUE_WAIT_S {
+                let allowed = self.within_rate_limits(
+                    priority,
+                    front.request.writes,
+                    scheduler_request_queued,
+                );
+                if !allowed && waited_s <= MAX_QUEUE_WAIT_S {
                     break;
                 }
                 let Some(queued) = self.queues[priority as usize].pop_front() else {
                     break;
                 };
-                if fits {
+                if allowed {
                     *next_call += 1;
                     out.push(self.send(now, priority, queued, CallId(*next_call)));
                 } else {
@@ -357,17 +361,23 @@
     }
 
     /// Whether the rate limits allow a request with this number of writes to be sent now.
-    fn fits(&self, priority: Priority, writes: usize, scheduler_waits: bool) -> bool {
-        let reserve = f64::from(priority as u8) * RESERVE_PER_PRIORITY;
+    fn within_rate_limits(
+        &self,
+        priority: Priority,
+        writes: usize,
+        scheduler_request_queued: bool,
+    ) -> bool {
+        let reserved_fraction = f64::from(priority as u8) * RESERVE_PER_PRIORITY;
         let writes = writes as f64;
-        let request_fits = self.requests.level >= 1.0 + reserve * self.requests.rate;
-        let writes_fit = writes == 0.0
+        let request_allowed = self.requests.level >= 1.0 + reserved_fraction * self.requests.rate;
+        let writes_allowed = writes == 0.0
             || self.writes.level
-                >= (writes + reserve * self.writes.rate)
+                >= (writes + reserved_fraction * self.writes.rate)
                     .min(self.writes.rate * FULL_BUCKET_FRACTION);
         // An admission is sent at any positive level, which it may reduce below zero.
-        let throttled = priority == Priority::Admission && writes > 0.0 && scheduler_waits;
-        request_fits && writes_fit && (!throttled || self.admissions.level > 0.0)
+        let admission_limited =
+            priority == Priority::Admission && writes > 0.0 && scheduler_request_queued;
+        request_allowed && writes_allowed && (!admission_limited || self.admissions.level > 0.0)
     }
 
     fn send(
