--- a/crates/controller/src/leader_election/replies.rs
+++ b/crates/controller/src/leader_election/replies.rs
@@ -225,7 +225,7 @@
         });
     }
 
-    /// Discards what is known of the keys after a failed acquisition or reclaim, so that they
+    /// Discards the last read state of the keys after a failed acquisition or reclaim, so that they
     /// are read again after a pause. The block key's revision is kept while leading.
     fn invalidate_keys(&mut self, now: Time) {
         self.leadership.read_up_to = None;
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -64,8 +64,7 @@
 
 /// A controller that stepped down and finds the block key unchanged must not begin a term with
 /// its former token: attempt numbers start at the token, and transactions of the former term may
-/// still be in flight. This occurs when controllers hand leadership over and back within a
-/// second.
+/// still be in flight. This occurs when leadership is transferred back and forth within a second.
 #[test]
 fn term_that_ended_is_not_resumed() {
     for fault_injected in [false, true] {
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -74,7 +74,8 @@
     completed
 }
 
-/// The progress of jobs beyond 4,000 was once dropped without a warning.
+/// Guards against truncated lists: the progress of jobs beyond 4,000 was once dropped without a
+/// warning.
 #[test]
 fn progress_of_more_jobs_than_a_frame_holds_is_assembled() {
     for count in [0, 1, 3_999, 4_000, 4_001, 8_000, 12_345] {
--- a/crates/controller/src/replica.rs
+++ b/crates/controller/src/replica.rs
@@ -1,9 +1,9 @@
 //! Replica of the keys under one prefix of the key-value store, with its freshness.
 //!
-//! A scan loads the replica, and watches keep it up to date. Before a request is answered from
-//! the replica, one watch that returns at once refreshes it for all waiting requests, so an
-//! answer is never older than its request. The job store, the operators' directives and the
-//! configuration are such replicas.
+//! A scan loads the replica, and watches keep it up to date. One watch that returns at once
+//! refreshes the whole replica for all requests that wait for it, so that an answer is never
+//! older than its request. The job store, the operators' directives and the configuration use
+//! such replicas.
 //!
 //! This module tracks revisions and sends the calls. The owner of a replica stores and interprets
 //! the keys: it applies the [`ReplicaChange`]s.
@@ -66,7 +66,7 @@
     }
 }
 
-/// Which keys a replica contains, and how it is kept up to date.
+/// Configuration of a replica: which keys it contains, and how it is kept up to date.
 #[derive(Clone, Copy)]
 pub struct ReplicaConfig {
     /// The prefix of the keys.
@@ -147,8 +147,8 @@
         self.fresh_as_of
     }
 
-    /// Makes the next [`tick`](Self::tick) refresh the replica, because the caller found that it
-    /// is out of date.
+    /// Makes the next [`tick`](Self::tick) refresh the replica, because the caller has found it
+    /// out of date.
     pub fn request_refresh(&mut self) {
         self.refresh_requested = true;
     }
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -70,7 +70,7 @@
 const SCAN_TIMEOUT_S: f64 = 2.5;
 /// Timeout of a lease request, in seconds.
 const LEASE_TIMEOUT_S: f64 = 1.5;
-/// Added to the wait time of a watch to give its timeout, in seconds.
+/// Time by which the timeout of a watch exceeds its wait time, in seconds.
 const WATCH_TIMEOUT_MARGIN_S: f64 = 1.5;
 /// The store's error text for a transaction that names an unknown lease.
 const LEASE_NOT_FOUND_ERROR: &str = "no such lease";
--- a/crates/controller/src/store/token_bucket.rs
+++ b/crates/controller/src/store/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket whose capacity is one second at its rate.
+//! A token bucket whose capacity is the number of tokens that accrue in one second.
 
 use beamhinge_core::types::Time;
 
