--- a/crates/controller/src/leader_election/acquisition.rs
+++ b/crates/controller/src/leader_election/acquisition.rs
@@ -2,7 +2,7 @@
 
 use super::{LeaderElection, BLOCK_KEY, BLOCK_PREFIX, LEADERSHIP_KEY, OVERSIZED_RECORD_RETRY_S};
 use crate::calls::{ElectionCall, Tag};
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::store::{Priority, StoreClient, Transaction, TransactionError};
 use beamhinge_core::types::{FencingToken, Revision, Time};
 use beamhinge_core::wire;
@@ -68,7 +68,10 @@
         let block_unread = self.token.is_none()
             && self.block.read_for_leadership_revision != leadership_revision
             && !self.block.read_in_flight;
-        if owned_by_this_process && block_unread && !broken!(self.faults, own_lead) {
+        if owned_by_this_process
+            && block_unread
+            && !fault_injected!(self.faults, lost_acquisition_ignored)
+        {
             self.read_block(now, store);
         }
     }
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -71,7 +71,7 @@
         let text = beamhinge_core::settings::SAMPLE;
         let settings = Settings::parse("t", text).expect("the sample settings are valid");
         let mut election = LeaderElection::new(&settings, 7);
-        election.faults.old_term = fault_injected;
+        election.faults.ended_term_resumed = fault_injected;
         let now = Time::from_micros(10_000_000);
         acquire(&mut election, 8, now);
         let mut store = StoreClient::new(&settings);
