--- a/crates/controller/src/leader_election/replies.rs
+++ b/crates/controller/src/leader_election/replies.rs
@@ -1,4 +1,4 @@
-//! What each reply of the key-value store means for the election.
+//! Handles the replies of the key-value store to the calls of leader election.
 
 use super::{
     LeaderElection, LeadershipChange, LeadershipRecord, ProcessIdentity, BLOCK_KEY, LEADERSHIP_KEY,
@@ -12,16 +12,16 @@
 use beamhinge_core::types::{Revision, Time};
 use beamhinge_core::wire;
 
-/// Pause after a failed request to the store, seconds.
+/// Pause after a failed request to the store, in seconds.
 const RETRY_S: f64 = 0.2;
-/// Pause after a failed renewal, and before leadership is read anew, seconds.
+/// Pause after a failed lease renewal, and before both keys are read again, in seconds.
 const SHORT_RETRY_S: f64 = 0.1;
-/// Pause after a reply that cannot be decoded, seconds.
-const UNREADABLE_RETRY_S: f64 = 0.5;
+/// Pause after a reply that cannot be decoded, in seconds.
+const DECODE_FAILURE_RETRY_S: f64 = 0.5;
 
 impl LeaderElection {
-    /// Applies the reply to `call`, without sending anything.
-    pub(super) fn apply(
+    /// Applies the reply to `call` without sending any request.
+    pub(super) fn apply_reply(
         &mut self,
         now: Time,
         call: ElectionCall,
@@ -73,7 +73,7 @@
             return;
         };
         let Ok(scan) = wire::decode::<ScanResponse>(&body) else {
-            self.retry_at = now.plus(UNREADABLE_RETRY_S);
+            self.retry_at = now.plus(DECODE_FAILURE_RETRY_S);
             return;
         };
         self.leadership.record = scan
@@ -114,7 +114,8 @@
     }
 
     fn on_leadership_event(&mut self, event: &WatchEvent) {
-        // An event from before this controller's own acquisition is out of date.
+        // Ignore an event that is older than the known record, for example from before this
+        // controller's acquisition.
         let known = self.leadership.record.as_ref();
         if known.is_some_and(|record| record.revision.0 > event.revision) {
             return;
@@ -137,26 +138,27 @@
             return LeadershipChange::Unchanged;
         };
         let Ok(scan) = wire::decode::<ScanResponse>(&body) else {
-            self.retry_at = now.plus(UNREADABLE_RETRY_S);
+            self.retry_at = now.plus(DECODE_FAILURE_RETRY_S);
             return LeadershipChange::Unchanged;
         };
         if let Some(record) = &self.leadership.record {
-            // A read from before that leadership was written says nothing about it.
+            // A scan from before the leadership key was written does not show the block key
+            // that was written with it.
             if record.owner == self.identity && scan.revision >= record.revision.0 {
-                self.block.read_for = record.revision;
+                self.block.read_for_leadership_revision = record.revision;
             }
         }
         let block = scan.entries.iter().find(|entry| entry.key == BLOCK_KEY);
         let owner = block.and_then(|entry| wire::from_value::<ProcessIdentity>(&entry.value).ok());
         let revision = Revision(block.map_or(0, |entry| entry.revision));
         // If the reply to an acquisition was lost, the nonce shows that its transaction was
-        // committed, and the revision is the token. The token of a term that ended here is
-        // never used again: transactions of that term may still be in flight.
+        // committed, and the revision is the fencing token. The token of an ended term is never
+        // used again, because transactions of that term may still be in flight.
         if owner.as_ref() == Some(&self.identity)
             && self.token.is_none()
             && (revision.0 > self.last_token.0 || fault_injected!(self.faults, ended_term_resumed))
         {
-            return self.acquired(revision, sent_at);
+            return self.begin_term(revision, sent_at);
         }
         self.block.revision = Some(revision);
         LeadershipChange::Unchanged
@@ -168,17 +170,17 @@
             Outcome::Ok(body) => {
                 if let Ok(commit) = wire::decode::<CommitResponse>(&body) {
                     let revision = Revision(commit.revision);
-                    self.set_own_leadership(revision);
-                    return self.acquired(revision, sent_at);
+                    self.record_ownership(revision);
+                    return self.begin_term(revision, sent_at);
                 }
-                self.reload(now);
+                self.invalidate_keys(now);
             }
             Outcome::LeaseNotFound => self.lease.id = None,
             Outcome::Malformed => {
-                self.reload(now);
+                self.invalidate_keys(now);
                 self.retry_at = now.plus(MALFORMED_RETRY_S);
             }
-            _ => self.reload(now),
+            _ => self.invalidate_keys(now),
         }
         LeadershipChange::Unchanged
     }
@@ -188,7 +190,7 @@
         match outcome {
             Outcome::Ok(body) => {
                 if let Ok(commit) = wire::decode::<CommitResponse>(&body) {
-                    self.set_own_leadership(Revision(commit.revision));
+                    self.record_ownership(Revision(commit.revision));
                     self.confirm_block(sent_at);
                 }
             }
@@ -196,7 +198,7 @@
             Outcome::Conflict(failed) if failed.iter().any(|key| key == BLOCK_KEY) => {
                 return self.step_down_deposed(now);
             }
-            _ => self.reload(now),
+            _ => self.invalidate_keys(now),
         }
         LeadershipChange::Unchanged
     }
@@ -216,15 +218,16 @@
         LeadershipChange::Unchanged
     }
 
-    fn set_own_leadership(&mut self, revision: Revision) {
+    fn record_ownership(&mut self, revision: Revision) {
         self.leadership.record = Some(LeadershipRecord {
             owner: self.identity.clone(),
             revision,
         });
     }
 
-    /// Reads both keys anew after an acquisition that did not succeed.
-    fn reload(&mut self, now: Time) {
+    /// Discards the last read state of the keys after a failed acquisition or reclaim, so that they
+    /// are read again after a pause. The block key's revision is kept while leading.
+    fn invalidate_keys(&mut self, now: Time) {
         self.leadership.read_up_to = None;
         if self.token.is_none() {
             self.block.revision = None;
--- a/crates/controller/src/replica/tests.rs
+++ b/crates/controller/src/replica/tests.rs
@@ -11,8 +11,8 @@
     })
 }
 
-/// What a reply changes: keys, and whether they exist.
-fn apply(
+/// Applies a reply; returns the changed keys, and whether each exists after the change.
+fn apply_reply(
     replica: &mut ReplicaCache,
     call: ReplicaCall,
     body: &serde_json::Value,
@@ -35,7 +35,8 @@
         .collect()
 }
 
-/// A directive that had been lifted was in force again in one controller's copy.
+/// Guards against a lifted directive that takes effect again in one controller's replica because
+/// an older watch response arrives last.
 #[test]
 fn late_watch_response_does_not_restore_deleted_key() {
     let mut replica = new_replica();
@@ -46,35 +47,37 @@
         started: Time::default(),
     });
     let page = json!({"pairs": [], "more": false, "ledgerRev": 3});
-    assert!(apply(&mut replica, ReplicaCall::Scan, &page).is_empty() && replica.loaded());
-    // Written at 4, deleted at 5: the watch that saw both is answered first.
+    assert!(apply_reply(&mut replica, ReplicaCall::Scan, &page).is_empty() && replica.loaded());
+    // The key is written at revision 4 and deleted at 5. The response that includes both changes
+    // arrives first.
     let deleted = json!({"ledgerRev": 5, "news": [{"delete": "o/zone/a", "stamp": 5}]});
     assert_eq!(
-        apply(&mut replica, ReplicaCall::Refresh, &deleted),
+        apply_reply(&mut replica, ReplicaCall::Refresh, &deleted),
         [("o/zone/a".to_string(), false)]
     );
     let written = json!({"ledgerRev": 4, "news": [{"write": "o/zone/a", "value": 1, "stamp": 4}]});
-    assert!(apply(&mut replica, ReplicaCall::Watch, &written).is_empty());
+    assert!(apply_reply(&mut replica, ReplicaCall::Watch, &written).is_empty());
     let newer = json!({"ledgerRev": 6, "news": [{"write": "o/zone/a", "value": 1, "stamp": 6}]});
     assert_eq!(
-        apply(&mut replica, ReplicaCall::Watch, &newer),
+        apply_reply(&mut replica, ReplicaCall::Watch, &newer),
         [("o/zone/a".to_string(), true)]
     );
 }
 
-/// Guards against a copy that counts as fresh and ignores all changes: a watch from a revision
-/// that the store never issued is rejected, and the revision of the next scan is used.
+/// Guards against a replica that counts as fresh but ignores all changes because its revision was
+/// never issued by the store: the store rejects a watch from that revision, and the revision of
+/// the next scan replaces it.
 #[test]
 fn revision_that_was_never_issued_is_replaced_by_the_scan() {
     let mut replica = new_replica();
     (replica.loaded, replica.revision) = (true, u64::MAX - 1);
     let at = Time::from_micros(1_000_000);
-    let refused = Reply {
+    let rejected = Reply {
         tag: Tag::Directives(ReplicaCall::Refresh),
         outcome: Outcome::Malformed,
         sent_at: at,
     };
-    let update = replica.on_reply(at, ReplicaCall::Refresh, refused);
+    let update = replica.on_reply(at, ReplicaCall::Refresh, rejected);
     assert!(update.freshness == Freshness::Failed && !replica.loaded());
     replica.scan = Some(ScanState {
         in_flight: true,
@@ -82,26 +85,26 @@
         revision: None,
         started: at,
     });
-    apply(
+    apply_reply(
         &mut replica,
         ReplicaCall::Scan,
         &json!({"pairs": [], "more": false, "ledgerRev": 3}),
     );
-    let news = json!({"ledgerRev": 5, "news": [{"write": "o/zone/a", "value": 1, "stamp": 5}]});
+    let body = json!({"ledgerRev": 5, "news": [{"write": "o/zone/a", "value": 1, "stamp": 5}]});
     assert_eq!(
-        apply(&mut replica, ReplicaCall::Refresh, &news),
+        apply_reply(&mut replica, ReplicaCall::Refresh, &body),
         [("o/zone/a".to_string(), true)]
     );
 }
 
-/// A copy that could not be read was requested five times a second for as long as the store was
-/// unavailable.
+/// Guards against polling at a fixed rate: a replica that could not be read was once requested
+/// five times a second for as long as the store was unavailable.
 #[test]
 fn unavailable_store_is_polled_with_growing_pauses() {
     let mut replica = new_replica();
     replica.loaded = true;
     let mut now = Time::from_micros(1_000_000);
-    let mut gaps = Vec::new();
+    let mut pauses_s = Vec::new();
     for _ in 0..5 {
         let reply = Reply {
             tag: Tag::Directives(ReplicaCall::Refresh),
@@ -110,16 +113,16 @@
         };
         let update = replica.on_reply(now, ReplicaCall::Refresh, reply);
         assert_eq!(update.freshness, Freshness::Failed);
-        let gap = (1..30)
+        let pause_s = (1..30)
             .map(|i| f64::from(i) * 0.1)
             .find(|pause_s| replica.backoff.is_due(now.plus(*pause_s)));
-        gaps.push(gap.expect("a retry in the end"));
+        pauses_s.push(pause_s.expect("a retry within 3 s"));
         now = now.plus(3.0);
     }
-    assert_eq!(gaps, [0.2, 0.4, 0.8, 1.0, 1.0]);
-    let news = json!({"ledgerRev": 1, "news": []});
+    assert_eq!(pauses_s, [0.2, 0.4, 0.8, 1.0, 1.0]);
+    let body = json!({"ledgerRev": 1, "news": []});
     assert!(
-        apply(&mut replica, ReplicaCall::Refresh, &news).is_empty()
+        apply_reply(&mut replica, ReplicaCall::Refresh, &body).is_empty()
             && replica.backoff.refusals() == 0
     );
 }
@@ -129,9 +132,9 @@
     let mut replica = new_replica();
     replica.revision = 7;
     let old = json!({"ledgerRev": 9, "news": [{"delete": "o/zone/a", "stamp": 9}]});
-    assert!(apply(&mut replica, ReplicaCall::Watch, &old).is_empty());
+    assert!(apply_reply(&mut replica, ReplicaCall::Watch, &old).is_empty());
     assert_eq!(
         replica.revision, 7,
-        "its events are read again after the scan"
+        "the scan must return these changes again"
     );
 }
