--- a/crates/controller/src/scheduler/nomination.rs
+++ b/crates/controller/src/scheduler/nomination.rs
@@ -1,5 +1,5 @@
-//! Nominations: tasks placed ahead on machines where others are about to end, so that they run
-//! with the answer to the report that says so.
+//! Nominations: tasks that are placed in advance on machines where other tasks are about to end,
+//! so that they start with the answer to the report that lists those tasks as exited.
 
 use super::allocation::{Allocation, TaskPhase, TaskState};
 use super::cycle::{ExpectedExit, SchedulingCycle, UpcomingExits};
@@ -18,19 +18,19 @@
     /// Index into the upcoming exits of the cycle.
     index: usize,
     has_image: bool,
-    /// Until the first exit that leaves enough room.
+    /// Time until the first expected exit that frees enough capacity, in seconds.
     remaining_s: f64,
 }
 
 impl Scheduler {
-    /// How far ahead the end of a task is looked for: a machine that must wait for its next
-    /// report to get work stands idle for so long.
+    /// The period within which task exits are predicted, in seconds. It is as long as a machine
+    /// stands idle if it gets work only after its next report.
     pub(super) fn horizon_s(&self) -> f64 {
         self.report_s * 2.0 + 1.0
     }
 
-    /// Nominated tasks that fit by now count like the rest; those that have waited too long go
-    /// back to the queue, for `run` never went out for them.
+    /// Turns nominations whose tasks fit by now into ordinary allocations, and returns tasks that
+    /// have waited too long to the queue, which is safe because `run` was never sent for them.
     pub(super) fn settle_nominations(&mut self, now: Time, machine_types: &[MachineType]) {
         let max_wait_s = self.horizon_s() * 2.0;
         let mut expired = Vec::new();
@@ -50,7 +50,7 @@
                 .iter_mut()
                 .filter(|(_, allocation)| allocation.nominated_at.is_some())
                 .collect();
-            // Those with a reservation first, in the order in which they were nominated.
+            // Reserved allocations first, then in the order in which they were nominated.
             nominated.sort_by_key(|(_, allocation)| (!allocation.reserved, allocation.attempt));
             for (task, allocation) in nominated {
                 let Some(since) = allocation.nominated_at else {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Nominates the job's tasks for machines where others are about to end.
+    /// Nominates the job's tasks for machines where other tasks are about to end.
     pub(super) fn nominate(
         &mut self,
         now: Time,
@@ -125,7 +125,7 @@
         cycle.upcoming_exits = Some(upcoming);
     }
 
-    /// The machine as a candidate for the job, if it may be one.
+    /// The machine as a candidate for the job; `None` if it is not eligible.
     fn nomination_candidate(
         &self,
         now: Time,
@@ -137,7 +137,7 @@
     ) -> Option<NominationCandidate> {
         let machine = self.machines.get(&upcoming.machine)?;
         let machine_type = machine.lookup_type(cycle.machine_types)?;
-        // A fetch that takes longer than the wait for a report saves nothing.
+        // An image fetch that takes longer than the wait for a report makes nomination useless.
         let has_image = machine.resident.cached_images.contains(&spec.image);
         let quick_fetch = spec.image_gb < self.report_s * machine_type.fetch_gb_per_s;
         let allowed = (has_image || quick_fetch || pending.pressing)
@@ -150,7 +150,7 @@
         {
             return None;
         }
-        // The exit alone must leave enough room, whatever else comes.
+        // One exit alone must free enough capacity, regardless of other changes.
         let resources = resources_of(spec);
         let remaining_s = upcoming
             .exits
@@ -165,8 +165,8 @@
         })
     }
 
-    /// Machines where tasks are about to end, by estimates that are often wrong: one that has run
-    /// over its time may end at any moment.
+    /// Machines where tasks are about to end. The estimates are often wrong: a task that has
+    /// exceeded its expected run time may end at any moment.
     fn upcoming_exits(&self, now: Time) -> Vec<UpcomingExits> {
         self.machines
             .iter()
@@ -182,7 +182,7 @@
             .collect()
     }
 
-    /// Tasks of one machine that are expected to end soon.
+    /// Tasks on one machine that are expected to end soon.
     fn expected_exits(&self, now: Time, machine: &Machine) -> Vec<ExpectedExit> {
         let horizon_s = self.horizon_s();
         let mut exits = Vec::new();
@@ -205,7 +205,7 @@
         exits
     }
 
-    /// The highest urgency among tasks that are nominated for the machine.
+    /// The highest urgency among the tasks nominated for the machine; `None` if there are none.
     fn highest_nominated_urgency(&self, machine: &Machine) -> Option<Urgency> {
         let nominated = machine
             .resident
@@ -219,7 +219,8 @@
     }
 }
 
-/// What nominated tasks may use of a machine: what is unpromised, and what is reserved for them.
+/// The resources of a machine that nominated tasks may use: unpromised capacity and the capacity
+/// reserved for them.
 fn free_for_nominated(machine: &Machine, machine_types: &[MachineType]) -> Resources {
     let mut free = machine.unpromised(machine_types);
     let reserved =
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -1,9 +1,9 @@
-//! Preemption: the one place where tasks are stopped for others.
+//! Preemption: the only module that stops tasks in favor of other tasks.
 //!
-//! The rules are those of `beamhinge_preemption`; here they meet the scheduler's state. A task
-//! that others are preempted for is nominated: it has an allocation like any other, planned for
-//! one machine, committed before `run`, and counted against its team's limit from the start.
-//! Nothing is sent before the room is there, so all guards of placing hold for it.
+//! The rules are in `beamhinge_preemption`; this module applies them to the scheduler's state. The
+//! task that victims are preempted for is nominated: it has an ordinary allocation that is planned
+//! for one machine, committed before `run` is sent, and counted against its team's limit from the
+//! start. `run` is not sent before the capacity is free, so all guards of placement apply to it.
 
 use super::cycle::SchedulingCycle;
 use super::feasibility::is_feasible;
@@ -20,31 +20,31 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Between two surveys of all that could be preempted: until the end of a stopped task is
-/// reported it takes longer.
+/// Minimum time between two surveys of the preemptible tasks. It takes longer than this until the
+/// end of a stopped task is reported.
 const SURVEY_INTERVAL_S: f64 = 0.25;
-/// Rate at which an image is fetched at least, where a machine type states none.
+/// Lower bound of a machine type's image fetch rate; it applies where a type states none.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
-/// A job that others may be preempted for, as one search needs it.
+/// A job that other tasks may be preempted for, with the inputs of the search for victims.
 struct Preemptor<'a> {
     claim: &'a PreemptionClaim,
     scope: ClaimScope,
     spec: Rc<JobSpec>,
     resources: Resources,
-    /// It goes ahead of boosted jobs too.
+    /// It has precedence over boosted jobs too.
     above_ceiling: bool,
 }
 
-/// Where tasks of a preemptor can go.
+/// Machines for the tasks of a preemptor.
 struct SearchResult {
     offers: Vec<PreemptionOffer>,
-    /// The search ended for lack of machines, not of budget.
+    /// The search ended because no machine was left, not because the budget was used up.
     exhausted: bool,
 }
 
 impl Scheduler {
-    /// What a pending job may claim, if anything.
+    /// The preemption claim that a pending job may make; `None` if it may not make one.
     pub(super) fn preemption_claim(
         &self,
         wall: WallMs,
@@ -65,9 +65,9 @@
                 within_s: (objective_s - age).max(1.0),
             });
         }
-        // Idle-time work keeps nobody out who is pressed: by a deadline, by its class's
-        // objective, or, without either, by having waited as long as it runs. What is late
-        // already waits for the exits within one task's time.
+        // Idle-time work must not block a job that is at risk of being late: by its deadline, by
+        // its class's objective or, without either, because it has waited as long as its run
+        // time. A job that is late already waits for exits within `horizon_s`.
         if spec.urgency == Urgency::BestEffort || !pending.pressing {
             return None;
         }
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Preempts others for a job's pending tasks, as far as its claim and the budget go.
+    /// Preempts victims for a job's pending tasks, as far as its claim and the budget permit.
     pub(super) fn preempt_for(
         &mut self,
         now: Time,
@@ -101,8 +101,8 @@
         else {
             return;
         };
-        // Out of touch with the key-value store no allocation can be committed: whoever is
-        // preempted now is preempted for nobody.
+        // While the key-value store is unreachable no allocation can be committed, so a
+        // preemption would stop victims without a task to run in their place.
         if !self.may_preempt_for(claim.job, job)
             || self.nominations.remaining_budget() == 0
             || cycle.remaining_placements == 0
@@ -131,13 +131,13 @@
         self.accept_offers(now, cycle, claim, offers);
     }
 
-    /// Jobs with a rule about zones, and those whose tasks fail everywhere, get no others
-    /// preempted.
+    /// Whether other tasks may be preempted for the job. They may not for a job with a zone
+    /// constraint or a job whose tasks fail on every machine.
     fn may_preempt_for(&self, id: JobId, job: &Job) -> bool {
         !job.spec.single_zone && !job.spec.spread && !self.fault_attribution.is_job_faulty(id)
     }
 
-    /// The job of a claim as the search for machines needs it.
+    /// Collects the inputs of the search for victims from a claim and its job.
     fn preemptor<'a>(&self, claim: &'a PreemptionClaim, job: &Job) -> Preemptor<'a> {
         let spec = job.spec.clone();
         Preemptor {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Finds machines for as many of `pending_tasks` as may have one now.
+    /// Finds machines for as many of the `pending_tasks` as the budget permits.
     fn search(
         &self,
         now: Time,
@@ -173,7 +173,8 @@
             self.may_nominate(now, cycle, preemptor, id)
                 && excluded.is_none_or(|machines| !machines.contains(id.number()))
         };
-        // Exits that come in time are waited for; a guarantee's time is too short.
+        // Tasks for which exits in time suffice wait for these. A guarantee claim does not, as it
+        // has no time to wait.
         if claim.reason != PreemptionReason::Guarantee {
             wanted -= plan
                 .candidates
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Whether the preemptor's tasks may go to the machine once there is room.
+    /// Whether the preemptor's tasks may run on the machine once its capacity is free.
     fn may_nominate(
         &self,
         now: Time,
@@ -223,7 +224,7 @@
         }) && !self.is_reserved_for_other(now, id, preemptor.claim.job)
     }
 
-    /// What the fetch of the preemptor's image costs on a machine, CPU seconds.
+    /// The cost of fetching the preemptor's image on a machine, in CPU seconds.
     fn fetch_cost(&self, cycle: &SchedulingCycle, preemptor: &Preemptor, id: MachineId) -> f64 {
         let Some(machine) = self.machines.get(&id) else {
             return 0.0;
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Asks for a task to be stopped, with the time that it needs to save its progress.
+    /// Marks a task to be stopped, with the grace period that its checkpoint needs.
     pub(super) fn stop_task(&mut self, machine: MachineId, task: TaskId, reason: &str) {
         self.event_log.record(|| DecisionKind::Stopped {
             task: task.to_string(),
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -1,10 +1,10 @@
 //! Reconciliation of workers' reports with the allocations.
 //!
-//! This module decides whether a report counts (guard 3 of `docs/safety.md`), keeps what it says
-//! of its machine, and hands its tasks on. The parts: [`observed`] compares the listed tasks
-//! with the allocations, [`exits`] handles tasks that ended, [`commands`] writes the answer,
-//! [`direct_calls`] the calls beside the answers, and [`silence`] proves by time that the
-//! tasks of a silent machine are gone.
+//! This module decides whether a report is accepted (guard 3 of `docs/safety.md`), records what it
+//! says about its machine, and passes its tasks on. The submodules: [`observed`] compares the
+//! listed tasks with the allocations, [`exits`] handles tasks that ended, [`commands`] builds the
+//! answer, [`direct_calls`] builds calls to workers outside the answers, and [`silence`] proves
+//! by the expiry of worker leases that the tasks of an unreachable machine have ended.
 
 use super::machine::Machine;
 use super::Scheduler;
@@ -23,42 +23,43 @@
 pub use direct_calls::DirectCall;
 pub(super) use observed::OrphanSummary;
 
-/// Commands of one answer: it may hold 64 KiB. What is left out is still wanted, and
-/// goes with the next.
+/// Maximum number of commands in one answer, which is limited to 64 KiB. Commands that are left
+/// out are sent with the next answer.
 const MAX_COMMANDS: usize = 400;
 
-/// A worker's reports are no closer together, seconds; a little less, for the way.
+/// Minimum interval between two reports of a worker, in seconds, less an allowance for variation
+/// of the network latency.
 const MIN_REPORT_GAP_S: f64 = 0.4;
 
-/// A worker that waits longer for an answer goes to the next controller, seconds.
+/// Time after which a worker without an answer switches to the next controller, in seconds.
 const WORKER_TIMEOUT_S: f64 = 4.0;
 
-/// A report to be reconciled, and when it came.
+/// A report to be reconciled, with its time of arrival.
 #[derive(Clone, Copy)]
 struct ReportContext<'a> {
     now: Time,
-    /// The machine that it is of.
+    /// The machine that sent the report.
     id: MachineId,
     report: &'a WorkerReport,
     job_store: &'a JobStore,
 }
 
-/// A report that is newer than the last, and what it is worth.
+/// The properties of a report that is newer than the last one.
 #[derive(Clone, Copy)]
 struct AcceptedReport {
     version: ReportVersion,
-    /// It begins a newer incarnation.
+    /// It is the first report of a newer incarnation.
     new_incarnation: bool,
     /// It carries the fencing token of this term.
     current_token: bool,
-    /// Its worker was without an answer for so long that it tried another controller.
+    /// Its worker had no answer for so long that it tried another controller.
     timed_out: bool,
     /// It is the body of a response to a direct command.
     direct: bool,
 }
 
 impl Scheduler {
-    /// Takes a report in, and returns the commands of its answer.
+    /// Processes a report and returns the commands of its answer.
     pub fn on_report(
         &mut self,
         now: Time,
@@ -69,9 +70,9 @@
         let Some(id) = MachineId::parse(&report.host) else {
             return Vec::new();
         };
-        // Guard 3: what the cloud confirmed to be gone is gone, and no name is given
-        // twice: this is a copy that comes late. Taken for a report it would show tasks
-        // that are on no machine, keep them from their next place, and ask for more.
+        // Guard 3: the cloud confirmed that this machine was removed, and machine names are never
+        // reused, so this is a delayed copy of a report. If it were accepted, it would list tasks
+        // that are on no machine, keep them from being placed again, and request more work.
         if self.removed_machines.contains(&id) {
             return Vec::new();
         }
@@ -90,15 +91,15 @@
         }
         self.reconcile(&context, &accepted);
         if !accepted.current_token {
-            // The answer raises the worker's token; other commands wait until a
-            // report shows that it has seen it.
+            // The answer updates the worker's fencing token. Other commands wait until a report
+            // shows that the worker has received it.
             return self.kills_of_ended_jobs(&context);
         }
         self.commands(&context, machine_types)
     }
 
-    /// Whether the report is newer than the last; if so, it is noted as the last, and as a
-    /// sign of life if it is one.
+    /// Records the report as the machine's last one, and as a heartbeat if it counts as one.
+    /// `None` if it is not newer than the last report.
     fn accept_report(&mut self, context: &ReportContext) -> Option<AcceptedReport> {
         let ReportContext {
             now, id, report, ..
@@ -106,8 +107,8 @@
         let version = report.version();
         let current_token = report.fencing_token == self.fencing_token.0;
         let silence_timeout_s = self.silence_timeout_s();
-        // Reports that waited while this controller was suspended say nothing of the worker's
-        // connection.
+        // Reports that were queued while this controller was suspended say nothing about the
+        // worker's connection.
         let resumed_lately = self
             .resumed_at
             .is_some_and(|at| now.since(at) < WORKER_TIMEOUT_S * 2.5);
@@ -116,11 +117,11 @@
             Machine::new(now)
         });
         let (liveness, acknowledgement) = (&mut machine.liveness, &mut machine.acknowledgement);
-        // Guard 3: a report that is not newer than the last proves nothing. It may be
-        // a copy that comes late: no worker waits for its answer, so it is none, and
-        // a dead machine's copies do not put off the proof by silence. (The answer to
-        // the report itself, if the copy overtook it, renews the lease from when that
-        // was sent, which was before the copy came.)
+        // Guard 3: a report that is not newer than the last proves nothing. It may be a delayed
+        // copy. No worker waits for the answer to a copy, so it does not count as answered, and
+        // copies from a dead machine do not delay the expiry of its lease. (If the copy overtook
+        // the report itself, the answer to the report renews the lease from the time when the
+        // report was sent, which was before the copy arrived.)
         let last_report = acknowledgement.last_report;
         if last_report.is_some_and(|last| last >= version) && !broken!(self.faults, old_reports) {
             return None;
@@ -137,10 +138,10 @@
         if liveness.last_heartbeat.is_some() && !new_incarnation {
             self.report_interval.record_gap(gap_s);
         }
-        // Guard 3: the first report of a machine in this term may be of any age as long as
-        // it does not carry this term's token. It is answered, and is no sign of life: reports
-        // that were held up made dead machines of an earlier term live ones. A worker's
-        // own next report, half a second later at the earliest, is one.
+        // Guard 3: the first report of a machine in this term may be of any age if it does not
+        // carry this term's fencing token. It is answered but does not count as a heartbeat:
+        // delayed reports made dead machines of an earlier term appear alive. The worker's next
+        // report, half a second later at the earliest, does count.
         let first_report = *liveness.first_report.get_or_insert(now);
         let is_alive = current_token
             || liveness.last_heartbeat.is_some()
@@ -158,7 +159,7 @@
         })
     }
 
-    /// Keeps what the report says of the machine itself.
+    /// Records what the report says about the machine itself.
     fn update_machine(
         &mut self,
         context: &ReportContext,
@@ -193,8 +194,8 @@
         acknowledgement.ever_had_current_token |= accepted.current_token;
     }
 
-    /// Whether the response to a direct command overtook the report: its list is the older one
-    /// then, though it is answered, and a sign of life.
+    /// Whether the response to a direct command overtook the report. The task list of the report
+    /// is then outdated, but the report is still answered and counts as a heartbeat.
     fn is_overtaken(&self, id: MachineId, version: ReportVersion) -> bool {
         let last_direct = self
             .machines
@@ -203,11 +204,12 @@
         last_direct.is_some_and(|last| last >= version)
     }
 
-    /// Takes in the body of a response to a direct command, of a machine that is silent: a newer
-    /// report, if it carries this term's token, by (incarnation, sequence). It renews no lease and
-    /// shows no way from the worker to this controller, so that silence goes on; but a machine
-    /// that reaches nobody says so what has ended. (Of one that reports, the next report says the
-    /// same in half a second, and is answered.)
+    /// Processes the body of a response to a direct command from an unreachable machine. It counts
+    /// as a newer report if it carries this term's fencing token and its (incarnation, sequence)
+    /// is higher. It renews no lease and does not show that the worker can reach this controller,
+    /// so the machine stays unreachable; but this is how a machine that reaches no controller
+    /// reports which tasks have ended. (A reachable machine sends the same half a second later in
+    /// its next report, which is answered.)
     pub fn on_direct_response(&mut self, now: Time, report: &WorkerReport, job_store: &JobStore) {
         let Some(id) = MachineId::parse(&report.host) else {
             return;
@@ -224,8 +226,8 @@
         self.reconcile(&context, &accepted);
     }
 
-    /// Whether the response is of a silent machine, of this term and newer than all before; if
-    /// so, it is noted as the last one.
+    /// Records the response as the machine's last one. `None` if the machine is not unreachable,
+    /// or the response is not of this term or not newer than all before.
     fn accept_direct_response(
         &mut self,
         now: Time,
@@ -248,15 +250,16 @@
         if newest.is_some_and(|newest| newest >= version) {
             return None;
         }
-        // Not heard since the takeover: that this term's token is in it shows that it was written
-        // in this term, and that its worker accepts no earlier leader any more.
+        // The machine may not have reported since the failover. This term's fencing token shows
+        // that the response was written in this term, and that its worker no longer accepts an
+        // earlier leader.
         let identity = &mut machine.identity;
         identity.endpoint = identity.endpoint.or(report.endpoint.parse().ok());
         if identity.zone.is_empty() {
             identity.zone.clone_from(&report.zone);
         }
-        // Apart from `last_report`: a report that was sent before is still one to be answered,
-        // from which its worker's lease, and so its silence, counts.
+        // Kept apart from `last_report`: a report that was sent earlier must still be answered,
+        // and its worker's lease, and with it the time until expiry, counts from that answer.
         acknowledgement.last_direct_response = Some(version);
         Some(AcceptedReport {
             version,
@@ -267,7 +270,8 @@
         })
     }
 
-    /// A machine is silent when nothing was heard for longer than two reports take, seconds.
+    /// Time without a report after which a machine counts as unreachable, in seconds: a little
+    /// more than two report intervals.
     pub(super) fn silence_timeout_s(&self) -> f64 {
         self.report_s * 2.0 + 1.0
     }
--- a/crates/controller/src/scheduler/reconciliation/commands.rs
+++ b/crates/controller/src/scheduler/reconciliation/commands.rs
@@ -1,6 +1,6 @@
 //! The commands of the answer to a report.
 //!
-//! `run` goes out here and nowhere else: only in an answer, which cannot act late (guard 2).
+//! `run` is sent only here, in an answer, because an answer cannot take effect late (guard 2).
 
 use super::{ReportContext, MAX_COMMANDS};
 use crate::faults::broken;
@@ -15,21 +15,21 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// One attempt at a task, as commands name it.
+/// Identifies one attempt at a task, as in commands.
 type AttemptKey = (TaskId, Attempt);
 
 impl Scheduler {
-    /// Guard 4: an answer that renews a lease stops each listed task whose job this
-    /// controller's copy knows to be over, whether or not the pages are loaded and the worker has
-    /// shown this term's token: it names one attempt, and frees nothing. Answers without it
-    /// renewed the leases of cancelled tasks anew for H and a lease, counted from a
-    /// takeover that came after the cancellation.
+    /// Guard 4: an answer that renews a worker's lease stops each listed task whose job has ended
+    /// according to this controller's replica, whether or not the placement pages are loaded and
+    /// the worker has reported this term's fencing token. This is safe because a kill names one
+    /// attempt and releases no allocation. Answers without these kills kept renewing the leases of
+    /// cancelled tasks for H plus one lease, counted from a failover after the cancellation.
     pub(super) fn kills_of_ended_jobs(&self, context: &ReportContext) -> Vec<WorkerCommand> {
         let ended = self.listed_of_ended_jobs(context);
         ended.iter().map(kill_at_once).collect()
     }
 
-    /// What a worker lists as live though its job is over.
+    /// The attempts that a worker lists as live although their jobs have ended.
     fn listed_of_ended_jobs(&self, context: &ReportContext) -> Vec<AttemptKey> {
         if broken!(self.faults, late_stops) {
             return Vec::new();
@@ -49,13 +49,13 @@
             .collect()
     }
 
-    /// The commands of the answer to a report that was reconciled, at most [`MAX_COMMANDS`].
+    /// The commands of the answer to a reconciled report, at most [`MAX_COMMANDS`].
     pub(super) fn commands(
         &mut self,
         context: &ReportContext,
         machine_types: &[MachineType],
     ) -> Vec<WorkerCommand> {
-        // Before all else: guard 4 rests on it.
+        // These come first, as guard 4 depends on them.
         let ended = self.listed_of_ended_jobs(context);
         let mut commands: Vec<WorkerCommand> = ended.iter().map(kill_at_once).collect();
         if let Some(notice_s) = context.report.reclaim_in_s {
@@ -69,8 +69,9 @@
         commands
     }
 
-    /// A task that can save its progress does so before the machine is reclaimed, unless
-    /// it will be done by then; one that cannot runs on, as it may end in time.
+    /// Stops tasks that support checkpoints with enough time to write one before the machine is
+    /// reclaimed, unless they will probably end by then. Other tasks continue, as they may end in
+    /// time.
     fn checkpoint_before_reclaim(&mut self, context: &ReportContext, notice_s: f64) {
         let Some(machine) = self.machines.get_mut(&context.id) else {
             return;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Stops what no allocation names.
+    /// Kills the machine's orphan tasks.
     fn kill_orphans(
         &self,
         context: &ReportContext,
@@ -110,7 +111,7 @@
         commands.extend(kills.map(|orphan| kill_at_once(&orphan)));
     }
 
-    /// Clears exited tasks that no allocation names any more, completed ones once their
+    /// Clears exited tasks that no longer have an allocation; completed tasks only once their
     /// result is durable.
     fn clear_exited(&mut self, context: &ReportContext, commands: &mut Vec<WorkerCommand>) {
         let reported_tasks = context.report.reported_tasks.iter();
@@ -131,8 +132,8 @@
         }
     }
 
-    /// A result counts even if its task's allocation is gone, and may be cleared
-    /// only once the state service knows it.
+    /// Whether the worker may clear a completed task. A result counts even if the task's
+    /// allocation was released, and may be cleared only once the key-value store has it.
     fn result_is_durable(&mut self, task: TaskId) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return true;
@@ -148,7 +149,7 @@
         live || durable || broken!(self.faults, early_clear)
     }
 
-    /// Stops what is to be stopped and is listed.
+    /// Kills the listed tasks that are to be stopped.
     fn kill_allocations(
         &self,
         context: &ReportContext,
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Starts what is committed, as far as the machine has room.
+    /// Starts committed allocations, as far as the machine has free capacity.
     fn run_committed(
         &mut self,
         context: &ReportContext,
@@ -181,7 +182,7 @@
             return;
         };
         let mut free = machine.free(machine_types);
-        // A reserved place that is not committed yet is nobody else's either.
+        // A reserved allocation that is not committed yet keeps its capacity too.
         let allocations = machine.resident.allocations.values();
         for allocation in allocations.filter(|a| a.reserved && a.state == TaskState::Planned) {
             free.sub(&allocation.resources);
@@ -191,19 +192,19 @@
             if commands.len() >= MAX_COMMANDS {
                 break;
             }
-            // Guard 2: `run` only after the commit, only while the job is
-            // open, and only in this answer, which cannot act late.
+            // Guard 2: `run` is sent only after the commit, only while the job is open, and only
+            // in this answer, which cannot take effect late.
             let open = context
                 .job_store
                 .get(task.job)
                 .is_some_and(|entry| entry.state == JobState::Open);
-            // What operators stopped does not start; `enforce_drains` withdraws it.
+            // A task of a frozen team or class does not start; `enforce_drains` withdraws it.
             let frozen = jobs.get(&task.job).is_some_and(|job| {
                 directives
                     .freeze_of(&job.spec.team, &job.spec.class)
                     .is_some()
             });
-            // What was placed by quotas of which it is not known that they are in force waits.
+            // A task waits while it is unknown whether the quotas it was placed under are in force.
             let held = drained || frozen || !may_run;
             let lacks_room = allocation.nominated_at.is_some() && !allocation.resources.fits(&free);
             if !open || held || lacks_room {
@@ -221,8 +222,9 @@
     }
 }
 
-/// What was placed into room that was there goes first, then what others were preempted for,
-/// then, the more urgent first, what was nominated and fits by now.
+/// The committed allocations in the order in which they start: first those placed into capacity
+/// that was free, then those that victims were preempted for, then other nominations, the most
+/// urgent first.
 fn committed_in_start_order<'a>(
     machine: &'a mut Machine,
     jobs: &BTreeMap<JobId, Job>,
@@ -244,7 +246,7 @@
     committed
 }
 
-/// Stops an attempt without a grace period.
+/// The command that kills an attempt without a grace period.
 fn kill_at_once((task, attempt): &AttemptKey) -> WorkerCommand {
     WorkerCommand::kill(*task, *attempt, 0.0)
 }
--- a/crates/controller/src/scheduler/reconciliation/direct_calls.rs
+++ b/crates/controller/src/scheduler/reconciliation/direct_calls.rs
@@ -1,7 +1,7 @@
-//! Calls to workers beside the answers to their reports.
+//! Direct calls to workers, outside the answers to their reports.
 //!
-//! `run` never goes this way, since a held packet could act late. A `kill` may: it names one
-//! attempt.
+//! `run` is never sent in a direct call, since a delayed packet could take effect late. `kill` may
+//! be, because it names one attempt.
 
 use super::MAX_COMMANDS;
 use crate::scheduler::allocation::Allocation;
@@ -11,25 +11,26 @@
 use beamhinge_core::types::{MachineId, Time};
 use std::net::SocketAddrV4;
 
-/// Direct calls to workers that go out together.
+/// Maximum number of direct calls that are started together.
 const MAX_CONCURRENT_CALLS: usize = 16;
 
-/// A call to a worker: what to stop there. Without commands it only asks for a report.
+/// A direct call to a worker with the tasks to stop. Without commands it only requests a report.
 #[derive(Debug)]
 pub struct DirectCall {
     /// The machine to call.
     pub machine: MachineId,
-    /// Where its worker takes direct commands.
+    /// The address at which its worker accepts direct commands.
     pub endpoint: SocketAddrV4,
-    /// The worker's incarnation; a worker of another one refuses the call.
+    /// The worker's incarnation; a worker with a different one refuses the call.
     pub incarnation: u64,
-    /// What to stop.
+    /// The commands that stop tasks.
     pub commands: Vec<WorkerCommand>,
 }
 
 impl Scheduler {
-    /// Takes the workers that have something to stop and whose next report may be long in
-    /// coming, a few at a time.
+    /// Removes some machines from the pending kills and returns the calls that stop their tasks
+    /// without waiting for the workers' next reports. At most `MAX_CONCURRENT_CALLS` are returned
+    /// at a time.
     pub fn take_pending_kills(&mut self) -> Vec<DirectCall> {
         let due: Vec<MachineId> = self
             .pending_kills
@@ -45,7 +46,8 @@
         calls
     }
 
-    /// The call that stops what is to be stopped on a machine, if there is anything.
+    /// The call that stops the tasks to be stopped on a machine; `None` if there are none or the
+    /// worker cannot be called.
     fn kill_call(&self, id: MachineId) -> Option<DirectCall> {
         let machine = self.machines.get(&id)?;
         if !machine.acknowledgement.has_current_token {
@@ -68,8 +70,9 @@
         })
     }
 
-    /// Machines with tasks that fell silent: perhaps they reach nobody, and can be
-    /// reached. They are probed in turn, and told once more what is to stop there.
+    /// Probe calls to unreachable machines with tasks. Such a machine may be unable to reach any
+    /// controller and yet be reachable itself. The calls repeat the kills of tasks that are to be
+    /// stopped there.
     pub fn silent_machines_with_tasks(&self, now: Time) -> impl Iterator<Item = DirectCall> + '_ {
         self.machines
             .iter()
@@ -87,13 +90,14 @@
             Some(at) => {
                 acknowledgement.has_current_token && now.since(at) > self.silence_timeout_s()
             }
-            // Since a takeover it has responded only when it was called.
+            // Since the failover the machine has only responded to direct calls.
             None => acknowledgement.last_direct_response.is_some(),
         }
     }
 }
 
-/// The call that probes a silent machine.
+/// The call that probes an unreachable machine; `None` if it has never reported or has no known
+/// endpoint.
 fn probe_call(id: MachineId, machine: &Machine) -> Option<DirectCall> {
     let acknowledgement = &machine.acknowledgement;
     let newest = acknowledgement
--- a/crates/controller/src/scheduler/reconciliation/exits.rs
+++ b/crates/controller/src/scheduler/reconciliation/exits.rs
@@ -1,4 +1,5 @@
-//! Tasks that ended, as their workers say: what follows for the task, its job and its machine.
+//! Handles tasks that workers report as exited: the consequences for the task, its job and its
+//! machine.
 
 use crate::job_store::JobKind;
 use crate::scheduler::run_times::{MIN_RUN_TIME_SAMPLES, RUN_TIME_RATIO_RANGE};
@@ -8,13 +9,13 @@
 use beamhinge_core::types::{JobId, MachineId, TaskId, Time};
 use beamhinge_failure_detection::AttributionChange;
 
-/// Characters of an exit's cause that the event log keeps.
+/// Maximum length of an exit cause in the event log, in characters.
 const MAX_CAUSE_CHARS: usize = 40;
 
-/// A machine whose tasks take so many times as long as elsewhere is slow.
+/// Ratio of a machine's run times to those on other machines above which it counts as slow.
 const SLOW_RATIO: f64 = 2.0;
 
-/// Tasks by which a machine is judged slow, at least.
+/// Minimum number of samples before a machine can count as slow.
 const MIN_SPEED_SAMPLES: u32 = 3;
 
 impl Scheduler {
@@ -49,31 +50,36 @@
                 let backoff_s = self.on_failure(now, id, task.job);
                 self.release_allocation(now, id, task, false, backoff_s);
             }
-            // Something is there that no allocation names: try elsewhere.
+            // A task without an allocation uses the capacity: place this task elsewhere.
             Some(ExitCause::Full) => {
                 self.on_refusal(now, id);
                 self.release_allocation(now, id, task, false, 0.5);
             }
             Some(ExitCause::Unknown) => {
-                tracing::info!(machine = %id, task = %task, "lost task that its worker does not know");
+                tracing::info!(
+                    machine = %id, task = %task, "task unknown to its worker; released allocation"
+                );
                 self.release_allocation(now, id, task, false, 2.0);
             }
-            // Another attempt is there: the next report shows it as an orphan.
+            // Another attempt is on the machine: the next report lists it, as an orphan task.
             Some(ExitCause::InUse) => {
                 self.on_refusal(now, id);
                 self.release_allocation(now, id, task, false, 1.0);
             }
             Some(ExitCause::Stopped) => self.release_allocation(now, id, task, false, 0.0),
-            // Guard 5: exited is exited, but only `done` counts as done.
+            // Guard 5: any exit ends the attempt, but only `done` completes the task.
             other @ (Some(ExitCause::Other(_)) | None) => {
                 let reason = other.map_or("none", ExitCause::as_str);
-                tracing::info!(machine = %id, task = %task, reason, "ended task with an unknown cause");
+                tracing::info!(
+                    machine = %id, task = %task, reason, "task exited with an unknown cause"
+                );
                 self.release_allocation(now, id, task, false, 1.0);
             }
         }
     }
 
-    /// The machine has less room than its allocations leave.
+    /// Keeps further tasks off a machine that has less free capacity than its allocations imply,
+    /// until it may have reported what uses the capacity.
     fn on_refusal(&mut self, now: Time, id: MachineId) {
         let until = now.plus(self.silence_timeout_s());
         if let Some(machine) = self.machines.get_mut(&id) {
@@ -81,10 +87,10 @@
         }
     }
 
-    /// Run times correct the estimates of a class and a job, and tell slow
-    /// machines: those that take long for a job whose tasks elsewhere do not.
-    /// By the class alone a job whose owner guessed too low would condemn every
-    /// machine it ran on.
+    /// Records a run time, which corrects the estimates of the task's class and job and detects
+    /// slow machines: those that take longer for a job than other machines do. If machines were
+    /// compared by class alone, a job whose owner's estimate was too low would make every machine
+    /// that it ran on appear slow.
     fn record_run_time(&mut self, now: Time, id: MachineId, task: TaskId) {
         let report_s = self.report_s;
         let Some(started_at) = self
@@ -94,7 +100,7 @@
         else {
             return;
         };
-        // It ended some time before this report.
+        // The task ended some time before this report.
         let ran_s = now.since(started_at) + report_s * 0.25;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -110,8 +116,8 @@
             .run_time_ratios
             .entry(job.spec.class.to_string())
             .or_insert(1.0);
-        // Geometric, since estimates are off by factors; slowly, since one job
-        // brings many tasks that share its error.
+        // A geometric mean, since estimates are wrong by a factor; with a small weight, since one
+        // job has many tasks that share its estimation error.
         let (min, max) = RUN_TIME_RATIO_RANGE;
         *factor = (*factor * (ratio / *factor).powf(0.03)).clamp(min, max);
         if before.samples >= MIN_RUN_TIME_SAMPLES {
@@ -119,7 +125,8 @@
         }
     }
 
-    /// A task on the machine took `relative` times as long as others of its job elsewhere.
+    /// Records that a task on the machine took `relative` times as long as other tasks of its job
+    /// took elsewhere.
     fn record_speed(&mut self, id: MachineId, relative: f64) {
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
@@ -132,7 +139,10 @@
             return;
         }
         tracing::info!(machine = %id, speed_ratio = speed.ratio, "cordoned slow machine");
-        let why = format!("takes {:.1} times as long as others", speed.ratio);
+        let why = format!(
+            "its tasks take {:.1} times as long as on other machines",
+            speed.ratio
+        );
         health.slow = true;
         self.event_log.record(|| DecisionKind::Quarantined {
             machine: id.to_string(),
@@ -145,8 +155,8 @@
         self.apply_attribution(&change);
     }
 
-    /// Weighs a failure: is it the machine's fault or the job's? Returns how
-    /// long the task waits before its next try, seconds.
+    /// Attributes a failure to the machine or to the job. Returns the backoff before the next
+    /// attempt at the task, in seconds.
     fn on_failure(&mut self, now: Time, id: MachineId, job: JobId) -> f64 {
         let has_succeeded = self
             .jobs
@@ -159,15 +169,18 @@
         change.job_backoff_s.unwrap_or(0.0)
     }
 
-    /// Machines at fault get nothing more; those that turn out not to be do again.
+    /// Quarantines machines that are newly found to be faulty, and releases those that were not
+    /// at fault.
     fn apply_attribution(&mut self, change: &AttributionChange) {
         for id in &change.newly_faulty {
             let Some(machine) = self.machines.get_mut(id) else {
                 continue;
             };
-            tracing::info!(machine = %id, "quarantined machine that fails tasks which succeed elsewhere");
+            tracing::info!(
+                machine = %id, "quarantined machine: its tasks fail but succeed on other machines"
+            );
             machine.health.quarantined = true;
-            let why = "fails tasks that end well elsewhere".to_string();
+            let why = "its tasks fail but succeed on other machines".to_string();
             self.event_log.record(|| DecisionKind::Quarantined {
                 machine: id.to_string(),
                 why,
@@ -177,7 +190,7 @@
             let Some(machine) = self.machines.get_mut(id) else {
                 continue;
             };
-            tracing::info!(machine = %id, "released machine from quarantine, as a job was at fault");
+            tracing::info!(machine = %id, "released machine from quarantine: a job was at fault");
             machine.health.quarantined = false;
         }
     }
--- a/crates/controller/src/scheduler/reconciliation/observed.rs
+++ b/crates/controller/src/scheduler/reconciliation/observed.rs
@@ -1,7 +1,8 @@
-//! The listed tasks of a report against the allocations of its machine.
+//! Compares the tasks listed in a report with the allocations of its machine.
 //!
-//! An allocation ends here only with proof that its task is off the machine (guard 3). Listed
-//! tasks without an allocation become orphans: they are counted, and stopped by the answer.
+//! An allocation is released here only with proof that its task is no longer on the machine
+//! (guard 3). Listed tasks without an allocation become orphan tasks: they count as used
+//! resources and are stopped by the answer.
 
 use super::{AcceptedReport, ReportContext};
 use crate::faults::broken;
@@ -13,10 +14,10 @@
 use beamhinge_core::types::{Attempt, MachineId, TaskId, Time};
 use std::collections::BTreeMap;
 
-/// For so long orphans are counted before they are logged, seconds.
+/// Period over which orphan tasks are counted before they are logged, in seconds.
 const ORPHAN_LOG_INTERVAL_S: f64 = 5.0;
 
-/// Orphans that were found and not logged yet.
+/// Orphan tasks that were found and not logged yet.
 #[derive(Debug)]
 pub(in crate::scheduler) struct OrphanSummary {
     /// When the first of them was found.
@@ -26,7 +27,7 @@
     example: String,
 }
 
-/// An allocation as it stood before the report.
+/// The state of an allocation before the report was processed.
 #[derive(Clone, Copy)]
 struct AllocationSnapshot {
     task: TaskId,
@@ -34,7 +35,7 @@
     state: TaskState,
 }
 
-/// The tasks of a report whose ids are of this cluster's form.
+/// The tasks of a report whose ids can be parsed.
 struct ListedTasks<'a>(Vec<(TaskId, &'a ReportedTask)>);
 
 impl<'a> ListedTasks<'a> {
@@ -56,7 +57,7 @@
             .map(|(_, reported)| *reported)
     }
 
-    /// The tasks that have not exited; of several attempts at one task the last that is listed.
+    /// The tasks that have not exited; of several attempts at one task, the last one listed.
     fn live(&self) -> BTreeMap<TaskId, Attempt> {
         self.0
             .iter()
@@ -67,7 +68,7 @@
 }
 
 impl Scheduler {
-    /// Brings the allocations and orphans of a machine in line with its report.
+    /// Updates the allocations and orphan tasks of a machine from its report.
     pub(super) fn reconcile(&mut self, context: &ReportContext, accepted: &AcceptedReport) {
         let Some(machine) = self.machines.get(&context.id) else {
             return;
@@ -93,8 +94,9 @@
         self.replace_orphans(context, &listed);
     }
 
-    /// Notes whether what went with the last answer left a trace. True when so many did not that
-    /// the machine's tasks go elsewhere for now.
+    /// Records whether the report shows the effect of the commands in the last answer. Returns
+    /// true when so many answers had no effect that the machine's tasks are placed elsewhere for
+    /// now.
     fn track_acknowledgement(
         &mut self,
         context: &ReportContext,
@@ -163,7 +165,7 @@
         }
     }
 
-    /// A task that runs has its image on the machine.
+    /// Records the image of a running task as cached on the machine.
     fn remember_image_of(&mut self, id: MachineId, task: TaskId) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -176,7 +178,8 @@
         }
     }
 
-    /// The worker does not list the allocation's task: whether that proves that it is gone.
+    /// The worker does not list the allocation's task. Releases the allocation if that proves that
+    /// the task is no longer on the machine.
     fn on_missing(
         &mut self,
         context: &ReportContext,
@@ -189,20 +192,20 @@
         let current_token = accepted.current_token;
         match allocation.state {
             TaskState::Planned | TaskState::Committed => {}
-            // Guard 3: a direct command may overtake the answer that carries a
-            // `run`; only the worker's next report shows that it was dropped.
+            // Guard 3: a direct command may overtake the answer that carries a `run`. Only the
+            // worker's next report shows that the answer was dropped.
             TaskState::RunSent(_) if accepted.direct && !broken!(self.faults, direct_absence) => {}
-            // A newer incarnation forgot all that came before it, and what
-            // an answer to the earlier one said is dropped.
+            // A newer incarnation has lost all tasks of the earlier one, and an answer to the
+            // earlier one is dropped.
             TaskState::RunSent(_) | TaskState::Observed(_)
                 if accepted.new_incarnation && current_token =>
             {
                 self.release_allocation(now, id, task, false, 0.0);
             }
-            // The report carries this term's token and is newer than the one
-            // answered with `run`: the answer was dropped. What was to be
-            // stopped meanwhile has nothing to start for: as a placement whose
-            // `run` never goes out it stayed on its machine for ever.
+            // The report carries this term's fencing token and is newer than the one answered
+            // with `run`, so that answer was dropped. A task that is to be stopped by now must not
+            // start: such an allocation, whose `run` is never sent again, used to stay on its
+            // machine forever.
             TaskState::RunSent(sent_with) if current_token && accepted.version > sent_with => {
                 let stopped = self.allocation_mut(id, task).is_some_and(|allocation| {
                     allocation.state = TaskState::Committed;
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Replaces the machine's orphans by the listed tasks that no allocation names.
+    /// Replaces the machine's orphan tasks with the listed tasks that have no allocation.
     fn replace_orphans(&mut self, context: &ReportContext, listed: &ListedTasks) {
         let id = context.id;
         let Some(machine) = self.machines.get(&id) else {
@@ -250,8 +253,8 @@
                 job.add_attempt(orphan.task.index);
             }
         }
-        // After a network partition hundreds come at once, in reports that were held: one line
-        // for all of them.
+        // After a network partition delayed reports list hundreds of orphan tasks at once; one log
+        // line covers them all.
         if let Some(orphan) = orphans.first().filter(|first| !previous.contains(first)) {
             let summary = self.orphan_summary.get_or_insert_with(|| OrphanSummary {
                 since: context.now,
@@ -263,8 +266,9 @@
         self.release_orphans(context.now, previous);
     }
 
-    /// Guard: its use counts for its team and its machine, also when its job is over:
-    /// left out, the room of a cancelled task was given away while it was there.
+    /// Guard: the orphan's resources count for its team and its machine even when its job has
+    /// ended. When they did not, the capacity of a cancelled task was allocated again while the
+    /// task was still on the machine.
     fn new_orphan(&self, task: TaskId, attempt: Attempt, job_store: &JobStore) -> OrphanTask {
         let spec = job_store
             .get(task.job)
@@ -277,16 +281,16 @@
         }
     }
 
-    /// Logs how many orphans were found lately.
+    /// Logs the number of orphan tasks found since the last log line.
     pub(in crate::scheduler) fn log_orphans(&mut self, now: Time) {
         let is_due =
             |summary: &mut OrphanSummary| now.since(summary.since) >= ORPHAN_LOG_INTERVAL_S;
         if let Some(OrphanSummary { count, example, .. }) = self.orphan_summary.take_if(is_due) {
-            tracing::warn!(count, example, "found orphan tasks, which are stopped");
+            tracing::warn!(count, example, "found orphan tasks; stopping them");
         }
     }
 
-    /// The machine's orphans are gone.
+    /// Releases the orphan tasks of a machine that no longer runs them.
     pub(super) fn drop_orphans(&mut self, now: Time, id: MachineId) {
         if let Some(machine) = self.machines.get_mut(&id) {
             let orphans = std::mem::take(&mut machine.resident.orphans);
--- a/crates/controller/src/scheduler/reconciliation/silence.rs
+++ b/crates/controller/src/scheduler/reconciliation/silence.rs
@@ -1,4 +1,5 @@
-//! Machines that are silent or gone: the proof, by time or by the cloud, that their tasks are.
+//! Unreachable and removed machines: proves, by the expiry of the worker's lease or by the cloud's
+//! confirmation, that their tasks have ended.
 
 use crate::faults::broken;
 use crate::scheduler::allocation::{Allocation, TaskState};
@@ -6,36 +7,36 @@
 use crate::scheduler::{Scheduler, MAX_CLOCK_DRIFT};
 use beamhinge_core::types::{MachineId, TaskId, Time};
 
-/// Machines that are gone and remembered, so that a late copy of a report in the name of one
-/// changes nothing; beyond it the lowest number is forgotten. A copy comes within minutes, and
-/// in that time a whole fleet of 8,192 machines may be replaced once and its successors be
-/// given back.
+/// Maximum number of removed machines that are remembered, so that a delayed copy of a report from
+/// one of them has no effect; beyond it the lowest machine number is forgotten. Copies arrive
+/// within minutes, in which a whole fleet of 8,192 machines may be replaced once and its
+/// successors be returned.
 pub(super) const MAX_GONE_MACHINES: usize = 16_384;
 
-/// An empty machine that was silent for so many leases is forgotten.
+/// Number of lease durations without a report after which an empty machine is forgotten.
 const FORGET_AFTER_LEASES: f64 = 6.0;
 
-/// What the silence of a machine proves.
+/// What follows from the fact that a machine has not reported.
 enum SilenceOutcome {
-    /// It is empty, and was not heard for long.
+    /// The machine is empty and has not reported for a long time.
     Forget,
-    /// Its worker's lease has expired: all its tasks are gone.
+    /// The lease of the machine's worker has expired, so all its tasks have ended.
     Expire,
 }
 
-/// Machines that are silent, in the order of their ids.
+/// Machines that have not reported, in the order of their ids.
 #[derive(Default)]
 struct SilenceSurvey {
-    /// Allocations on silent machines whose `run` never went out.
+    /// Allocations on unreachable machines whose `run` was never sent.
     unsent: Vec<(MachineId, TaskId)>,
     outcomes: Vec<(MachineId, SilenceOutcome)>,
 }
 
 impl Scheduler {
-    /// The cloud has confirmed that the machine and all on it are gone.
+    /// The cloud has confirmed that the machine, and with it all its tasks, was removed.
     pub fn machine_gone(&mut self, now: Time, id: MachineId) {
         if self.removed_machines.len() >= MAX_GONE_MACHINES {
-            // Names are given in order: the lowest has been gone longest, or nearly.
+            // Names are assigned in order, so the lowest was removed first, or nearly so.
             self.removed_machines.pop_first();
         }
         self.removed_machines.insert(id);
@@ -62,9 +63,9 @@
         self.machines.remove(&id);
     }
 
-    /// Guard 3, silence: a worker whose last answered report is more than
-    /// lease_s old has killed all its tasks. This controller's last answer bounds that; after
-    /// a takeover the earlier leader's answers do.
+    /// Guard 3, silence: a worker whose last answered report is more than `lease_s` old has
+    /// killed all its tasks. This controller's last answer gives the upper bound of that time;
+    /// after a failover the earlier leader's answers do.
     pub(in crate::scheduler) fn check_silence(&mut self, now: Time) {
         let SilenceSurvey { unsent, outcomes } = self.survey_silence(now);
         for (machine, task) in unsent {
@@ -92,7 +93,7 @@
                 }
                 continue;
             }
-            // `run` never went out for these: they can go elsewhere at once.
+            // `run` was never sent for these, so they can be placed elsewhere immediately.
             if silent_for(unsent_after_s) {
                 let allocations = machine.resident.allocations.iter();
                 let unsent = allocations.filter(|(_, a)| !a.in_flight && !a.may_be_on_machine());
@@ -105,7 +106,7 @@
         survey
     }
 
-    /// Until when a machine's worker may keep its tasks alive.
+    /// The time until which a machine's worker may keep its tasks running.
     fn leases_until(&self, machine: &Machine) -> Time {
         let lease_s = self.lease_s * MAX_CLOCK_DRIFT + self.margin_s * 0.25;
         let previous_until = if broken!(self.faults, own_silence) {
@@ -114,8 +115,8 @@
             self.previous_leases_until
         };
         let own_until = machine.liveness.last_answered.map(|at| at.plus(lease_s));
-        // Until it has shown this term's token, this controller's answers may have been lost and
-        // an earlier leader's may still keep its tasks alive.
+        // Until the worker has reported this term's fencing token, this controller's answers may
+        // have been lost, and an earlier leader's answers may still renew its lease.
         match own_until {
             Some(own) if !machine.acknowledgement.ever_had_current_token => own.max(previous_until),
             Some(own) => own,
@@ -123,14 +124,15 @@
         }
     }
 
-    /// The lease of the machine's worker has expired: its tasks are gone.
+    /// Releases the tasks of a machine whose worker's lease has expired.
     fn expire_machine(&mut self, now: Time, id: MachineId) {
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
         };
         let allocations = &machine.resident.allocations;
-        // What went out just before and was never seen: where the first report of the
-        // next incarnation comes, nothing arrived.
+        // A `run` that was sent shortly before the machine became unreachable, and whose task was
+        // never listed, counts as unacknowledged: if the worker's next incarnation reports, the
+        // answer with the `run` did not arrive.
         let is_sent = |a: &Allocation| matches!(a.state, TaskState::RunSent(_));
         if allocations.values().any(is_sent) {
             let tracker = &mut machine.acknowledgement.tracker;
@@ -142,7 +144,9 @@
             .map(|(task, _)| *task)
             .collect();
         if !tasks.is_empty() {
-            tracing::info!(machine = %id, count = tasks.len(), "expired lease of silent machine");
+            tracing::info!(
+                machine = %id, count = tasks.len(), "worker lease of unreachable machine expired"
+            );
         }
         for task in tasks {
             self.release_allocation(now, id, task, false, 0.0);
--- a/crates/controller/src/scheduler/scattered_preemption.rs
+++ b/crates/controller/src/scheduler/scattered_preemption.rs
@@ -1,5 +1,6 @@
-//! A withdrawn way of preemption, which tests put back as a planted fault: CPUs of stopped tasks
-//! are added up over the whole fleet, wherever they are, and nothing reserves their room.
+//! A former preemption algorithm that tests enable as an injected fault. It adds up the CPUs of
+//! stopped tasks over the whole fleet, regardless of the machine, and does not reserve the freed
+//! capacity.
 
 use super::cycle::SchedulingCycle;
 use super::feasibility::is_feasible;
--- a/crates/controller/src/scheduler/victims.rs
+++ b/crates/controller/src/scheduler/victims.rs
@@ -1,7 +1,7 @@
-//! Victims: which running tasks may be preempted at all, what that costs, and for whom.
+//! Victim selection: which running tasks may be preempted, for which jobs, and at what cost.
 //!
-//! A [`PreemptionPlan`] is made at most once in a cycle, from all machines; claims are then served
-//! from it one after the other, and it keeps track of what they took.
+//! A [`PreemptionPlan`] is built from all machines at most once per scheduling cycle. Claims are
+//! then served from it one after the other, and it tracks the resources that they used.
 
 use super::allocation::Allocation;
 use super::job::Job;
@@ -17,49 +17,49 @@
 };
 use std::collections::BTreeSet;
 
-/// Part of its run time up to which a task counts as only just started.
+/// Fraction of its expected run time up to which a task counts as only just started.
 pub(super) const EARLY_RUN_FRACTION: f64 = 0.15;
-/// Part of the capacity that is divided among the tenants as theirs.
+/// Fraction of the capacity that is divided among the tenants as their reserved capacity.
 const RESERVED_FRACTION: f64 = 0.25;
-/// What a preemption costs a task that saves its progress, beside the time to save: it is fetched
-/// and started anew.
+/// Run time that a preemption costs a task with checkpoints, in addition to the time to write the
+/// checkpoint: its image is fetched and the task is started again.
 const RESTART_S: f64 = 5.0;
-/// Expected part of its run time that a task has run, where that is unknown.
+/// Fraction of its expected run time that a task is assumed to have run when that is unknown.
 const UNKNOWN_RUN_FRACTION: f64 = 0.5;
-/// Exits at least so far ahead are looked for.
+/// Lower bound of the period within which task exits are predicted.
 const MIN_EXIT_HORIZON_S: f64 = 60.0;
 
-/// By what right a job has others preempted.
+/// Why a job may have other tasks preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PreemptionReason {
-    /// It is within its team's guarantee.
+    /// The job is within its team's guarantee.
     Guarantee,
-    /// Its class has an objective on the wait.
+    /// The job's class has an objective for the waiting time.
     Wait,
-    /// Its time is running out, and idle-time work is in its way.
+    /// The job is at risk of being late, and idle-time tasks use the capacity it needs.
     Deadline,
 }
 
 impl PreemptionReason {
-    /// The reason as operators and the event log read it.
+    /// The reason as it is shown to operators and in the event log.
     pub(super) fn describe(self) -> &'static str {
         match self {
-            PreemptionReason::Guarantee => "gives back borrowed room",
-            PreemptionReason::Wait => "makes room for more urgent work",
-            PreemptionReason::Deadline => "idle-time work makes room for what is pressed",
+            PreemptionReason::Guarantee => "preempted for a task within another team's guarantee",
+            PreemptionReason::Wait => "preempted for a more urgent task",
+            PreemptionReason::Deadline => "idle-time task preempted for a job that may be late",
         }
     }
 }
 
-/// A job that found no room and may have others preempted.
+/// A job that did not find enough free capacity and may have other tasks preempted.
 pub(super) struct PreemptionClaim {
     pub(super) job: JobId,
     pub(super) reason: PreemptionReason,
-    /// What comes free within so many seconds is in time.
+    /// Capacity that is freed within this period, in seconds, is early enough.
     pub(super) within_s: f64,
 }
 
-/// All that decides where a claim may have whom preempted.
+/// The properties of a claim that decide which tasks may be preempted and on which machines.
 #[derive(Clone, PartialEq)]
 pub(super) struct ClaimScope {
     pub(super) reason: PreemptionReason,
@@ -70,37 +70,38 @@
     pub(super) spot: bool,
 }
 
-/// What is known about a running task when others ask for its room.
+/// The properties of a running task that decide whether it may be preempted.
 pub(super) struct VictimProfile {
     urgency: Urgency,
     team: Option<usize>,
     tenant: TenantKey,
-    /// It has only just started, so little is lost with it.
+    /// It has only just started, so little work is lost with it.
     only_just_started: bool,
-    /// Best effort, and nobody waits for it by a time.
+    /// It is best-effort work without a deadline.
     idle_time: bool,
     checkpoints: bool,
     remaining_s: f64,
     guaranteed: bool,
-    /// How long it has run is known; after a failover it is not.
+    /// Its run time so far is known. It is not for tasks that started before a failover.
     run_time_known: bool,
-    /// It was preempted too often.
+    /// It was preempted too often and must not be preempted again now.
     protected: bool,
-    /// It was placed, or would be placed now, as a boosted job.
+    /// It was placed, or would be placed now, with a priority boost.
     boosted: bool,
 }
 
-/// Running tasks by the index that a [`PreemptibleTask`] carries, and what limits their preemption.
+/// Profiles of running tasks, by the index that a [`PreemptibleTask`] carries, and the limits on
+/// their preemption.
 pub(super) struct Victims {
     profiles: Vec<VictimProfile>,
-    /// CPUs that each team uses beyond its guarantee, without what is being stopped.
+    /// CPUs that each team uses beyond its guarantee, without tasks that are being stopped.
     over_guarantee: Vec<f64>,
     reserved: ReservedCapacity,
 }
 
 impl Victims {
-    /// Whether the task may be preempted for this claim. `above_ceiling`: the claim also goes
-    /// ahead of boosted jobs.
+    /// Whether the task may be preempted for this claim. `above_ceiling`: the claim also has
+    /// precedence over boosted jobs.
     pub(super) fn may_preempt(
         &self,
         task: &PreemptibleTask,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Counts what is on a machine, and is not being stopped, for its teams.
+    /// Adds the allocations on a machine that are not being stopped to the usage of their teams.
     fn count_usage(&mut self, machine: &Machine) {
         for allocation in machine
             .resident
@@ -157,7 +158,7 @@
         }
     }
 
-    /// These tasks are being stopped: their tenants and teams hold less from now on.
+    /// Deducts tasks that are being preempted from the usage of their tenants and teams.
     pub(super) fn record_preempted(&mut self, preempted: &VictimSet) {
         for task in &preempted.tasks {
             let Some(victim) = self.profiles.get(task.profile as usize) else {
@@ -175,29 +176,30 @@
     }
 }
 
-/// Where preemption can make room in this cycle.
+/// Where preemption can free capacity in this scheduling cycle.
 pub(super) struct PreemptionPlan {
     pub(super) candidates: CandidateMachines,
     pub(super) victims: Victims,
-    /// What was looked for and not found: the same or more in the same scope is not there either.
+    /// Requests for which nothing was found. A request in the same scope for as many or more
+    /// resources fails too.
     unsatisfied: Vec<(ClaimScope, Resources)>,
 }
 
 impl PreemptionPlan {
-    /// Whether no more than this was looked for in the same scope already, and not found.
+    /// Whether a request in the same scope for these resources or fewer has already failed.
     pub(super) fn is_known_unsatisfiable(&self, scope: &ClaimScope, resources: &Resources) -> bool {
         self.unsatisfied
             .iter()
             .any(|(known, less)| known == scope && less.fits(resources))
     }
 
-    /// Remembers that nothing was found for this.
+    /// Records that nothing was found for this request.
     pub(super) fn record_unsatisfied(&mut self, scope: ClaimScope, resources: Resources) {
         self.unsatisfied.push((scope, resources));
     }
 }
 
-/// What all machines of one survey are looked at with.
+/// Inputs that are the same for all machines of one survey.
 struct Survey<'a> {
     now: Time,
     wall: WallMs,
@@ -207,7 +209,7 @@
 }
 
 impl Scheduler {
-    /// Looks at all machines for what could be preempted there.
+    /// Surveys all machines for tasks that may be preempted.
     pub(super) fn survey_victims(
         &self,
         now: Time,
@@ -252,7 +254,8 @@
         }
     }
 
-    /// One machine: what is free, which tasks could be preempted, and which end soon.
+    /// Determines a machine's free capacity, the tasks that may be preempted and the tasks that
+    /// are expected to end soon.
     fn survey_machine(
         &self,
         survey: &Survey,
@@ -267,7 +270,8 @@
                 continue;
             };
             if allocation.kill_grace_s.is_some() {
-                // It is on its way out, and its room is spoken for or free.
+                // The task is being stopped. Its resources are either promised to a nominated
+                // task or free.
                 if allocation.may_be_on_machine() {
                     free.add(&allocation.resources);
                 }
@@ -312,7 +316,8 @@
         }
     }
 
-    /// What decides whether a running task may be preempted, and for whom.
+    /// Builds the profile that decides whether a running task may be preempted, and for which
+    /// claims.
     fn victim_profile(
         &self,
         survey: &Survey,
@@ -330,11 +335,12 @@
                 team: allocation.team,
                 class: spec.class.clone(),
             },
-            // After a failover nobody knows the age of what runs. What may not wait may still
-            // have it stopped for a while, at the price of half its time, after all that is known
-            // to be young: taken for the youngest of all, it was stopped first; taken for old, a
-            // burst after a failover got no room at all. Idle-time work is too much to be stopped
-            // by guess.
+            // After a failover the age of inherited tasks is unknown. A claim with a wait
+            // objective may still preempt them until `ran_s` exceeds the limit. They are charged
+            // half their run time, so tasks that are known to be young are preempted first. When
+            // inherited tasks counted as the youngest, they were preempted first; when they
+            // counted as old, a burst of jobs after a failover got no capacity. Idle-time tasks
+            // are excluded, since too many of them would be preempted on an assumption.
             only_just_started: ran_s < run_s * EARLY_RUN_FRACTION
                 && (!allocation.inherited || !idle_time),
             idle_time,
@@ -352,7 +358,7 @@
         }
     }
 
-    /// Seconds of its run that a task loses when it is preempted.
+    /// Seconds of run time that a task loses when it is preempted.
     fn lost_s(&self, now: Time, job: &Job, allocation: &Allocation) -> f64 {
         if job.spec.checkpoint_interval_s > 0.0 {
             job.spec.checkpoint_duration_s + RESTART_S
@@ -363,7 +369,7 @@
         }
     }
 
-    /// Gives each tenant its part of the machines that its jobs fit on.
+    /// Divides the capacity of the machines that each tenant's jobs fit on among the tenants.
     fn reserve_for_tenants(
         &self,
         machine_types: &[MachineType],
@@ -395,7 +401,8 @@
     }
 }
 
-/// Whether the job may use machines of this type by what it names.
+/// Whether the job's specification permits this machine type. A job that names no machine types
+/// may use all.
 fn allows_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.machine_types
         .as_ref()
