--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -121,11 +121,11 @@
         };
         let mut offers = Vec::new();
         if !plan.is_known_unsatisfiable(&preemptor.scope, &preemptor.resources) {
-            let found = self.search(now, cycle, &preemptor, &mut plan, pending_tasks);
-            if found.exhausted {
+            let result = self.search(now, cycle, &preemptor, &mut plan, pending_tasks);
+            if result.exhausted {
                 plan.record_unsatisfied(preemptor.scope, preemptor.resources);
             }
-            offers = found.offers;
+            offers = result.offers;
         }
         cycle.preemption_plan = Some(plan);
         self.accept_offers(now, cycle, claim, offers);
@@ -166,26 +166,26 @@
         plan: &mut PreemptionPlan,
         pending_tasks: u32,
     ) -> SearchResult {
-        let mut wanted = pending_tasks;
+        let mut remaining_tasks = pending_tasks;
         let (claim, resources) = (preemptor.claim, preemptor.resources);
-        let excluded = self.fault_attribution.avoided_machines(now, claim.job);
+        let excluded_machines = self.fault_attribution.avoided_machines(now, claim.job);
         let allowed = |id: MachineId| {
             self.may_nominate(now, cycle, preemptor, id)
-                && excluded.is_none_or(|machines| !machines.contains(id.number()))
+                && excluded_machines.is_none_or(|machines| !machines.contains(id.number()))
         };
         // Tasks for which exits in time suffice wait for these. A guarantee claim does not, as it
         // has no time to wait.
         if claim.reason != PreemptionReason::Guarantee {
-            wanted -= plan
-                .candidates
-                .claim_exits(resources, wanted, claim.within_s, allowed);
+            remaining_tasks -=
+                plan.candidates
+                    .claim_exits(resources, remaining_tasks, claim.within_s, allowed);
         }
         let mut preempting = 0;
         let mut offers = Vec::new();
         let within_budget = |preempting: usize, offers: usize| {
             preempting < self.nominations.remaining_budget() && offers < cycle.remaining_placements
         };
-        while wanted > 0 && within_budget(preempting, offers.len()) {
+        while remaining_tasks > 0 && within_budget(preempting, offers.len()) {
             let victims = &plan.victims;
             let Some(offer) = plan.candidates.take_best(
                 resources,
@@ -198,10 +198,10 @@
             plan.victims.record_preempted(&offer.victims);
             preempting += usize::from(!offer.victims.tasks.is_empty());
             offers.push(offer);
-            wanted -= 1;
+            remaining_tasks -= 1;
         }
         SearchResult {
-            exhausted: wanted > 0 && within_budget(preempting, offers.len()),
+            exhausted: remaining_tasks > 0 && within_budget(preempting, offers.len()),
             offers,
         }
     }
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -29,10 +29,10 @@
 
 /// Minimum interval between two reports of a worker, in seconds, less an allowance for variation
 /// of the network latency.
-const MIN_REPORT_GAP_S: f64 = 0.4;
+const MIN_REPORT_INTERVAL_S: f64 = 0.4;
 
 /// Time after which a worker without an answer switches to the next controller, in seconds.
-const WORKER_TIMEOUT_S: f64 = 4.0;
+const WORKER_ANSWER_TIMEOUT_S: f64 = 4.0;
 
 /// A report to be reconciled, with its time of arrival.
 #[derive(Clone, Copy)]
@@ -83,17 +83,17 @@
             job_store,
         };
         let Some(accepted) = self.accept_report(&context) else {
-            return self.kills_of_ended_jobs(&context);
+            return self.kills_for_ended_jobs(&context);
         };
         self.update_machine(&context, &accepted, machine_types);
-        if !self.loaded || self.is_overtaken(id, accepted.version) {
-            return self.kills_of_ended_jobs(&context);
+        if !self.loaded || self.is_overtaken_by_direct_response(id, accepted.version) {
+            return self.kills_for_ended_jobs(&context);
         }
         self.reconcile(&context, &accepted);
         if !accepted.current_token {
             // The answer updates the worker's fencing token. Other commands wait until a report
             // shows that the worker has received it.
-            return self.kills_of_ended_jobs(&context);
+            return self.kills_for_ended_jobs(&context);
         }
         self.commands(&context, machine_types)
     }
@@ -109,9 +109,9 @@
         let silence_timeout_s = self.silence_timeout_s();
         // Reports that were queued while this controller was suspended say nothing about the
         // worker's connection.
-        let resumed_lately = self
+        let resumed_recently = self
             .resumed_at
-            .is_some_and(|at| now.since(at) < WORKER_TIMEOUT_S * 2.5);
+            .is_some_and(|at| now.since(at) < WORKER_ANSWER_TIMEOUT_S * 2.5);
         let machine = self.machines.entry(id).or_insert_with(|| {
             self.replan = true;
             Machine::new(now)
@@ -129,7 +129,7 @@
         acknowledgement.stale_token = !current_token
             && liveness
                 .last_answered
-                .is_some_and(|at| now.since(at) > WORKER_TIMEOUT_S);
+                .is_some_and(|at| now.since(at) > WORKER_ANSWER_TIMEOUT_S);
         acknowledgement.last_report = Some(version);
         liveness.last_answered = Some(now);
         let new_incarnation =
@@ -143,18 +143,19 @@
         // delayed reports made dead machines of an earlier term appear alive. The worker's next
         // report, half a second later at the earliest, does count.
         let first_report = *liveness.first_report.get_or_insert(now);
-        let is_alive = current_token
+        let is_heartbeat = current_token
             || liveness.last_heartbeat.is_some()
-            || now.since(first_report) >= MIN_REPORT_GAP_S;
-        if is_alive || broken!(self.faults, first_word) {
+            || now.since(first_report) >= MIN_REPORT_INTERVAL_S;
+        if is_heartbeat || broken!(self.faults, first_word) {
             liveness.last_heartbeat = Some(now);
         }
-        liveness.regular = resumed_lately || gap_s <= silence_timeout_s;
+        liveness.regular = resumed_recently || gap_s <= silence_timeout_s;
         Some(AcceptedReport {
             version,
             new_incarnation,
             current_token,
-            timed_out: !resumed_lately && gap_s > WORKER_TIMEOUT_S.max(self.report_s * 1.4),
+            timed_out: !resumed_recently
+                && gap_s > WORKER_ANSWER_TIMEOUT_S.max(self.report_s * 1.4),
             direct: false,
         })
     }
@@ -196,7 +197,7 @@
 
     /// Whether the response to a direct command overtook the report. The task list of the report
     /// is then outdated, but the report is still answered and counts as a heartbeat.
-    fn is_overtaken(&self, id: MachineId, version: ReportVersion) -> bool {
+    fn is_overtaken_by_direct_response(&self, id: MachineId, version: ReportVersion) -> bool {
         let last_direct = self
             .machines
             .get(&id)
@@ -239,8 +240,8 @@
         let silence_timeout_s = self.silence_timeout_s();
         let machine = self.machines.get_mut(&id)?;
         let last_heartbeat = machine.liveness.last_heartbeat;
-        let is_silent = last_heartbeat.is_none_or(|last| now.since(last) > silence_timeout_s);
-        if !is_silent || !current_token || !self.loaded {
+        let is_unreachable = last_heartbeat.is_none_or(|last| now.since(last) > silence_timeout_s);
+        if !is_unreachable || !current_token || !self.loaded {
             return None;
         }
         let acknowledgement = &mut machine.acknowledgement;
--- a/crates/controller/src/scheduler/reconciliation/commands.rs
+++ b/crates/controller/src/scheduler/reconciliation/commands.rs
@@ -24,13 +24,13 @@
     /// the worker has reported this term's fencing token. This is safe because a kill names one
     /// attempt and releases no allocation. Answers without these kills kept renewing the leases of
     /// cancelled tasks for H plus one lease, counted from a failover after the cancellation.
-    pub(super) fn kills_of_ended_jobs(&self, context: &ReportContext) -> Vec<WorkerCommand> {
-        let ended = self.listed_of_ended_jobs(context);
-        ended.iter().map(kill_at_once).collect()
+    pub(super) fn kills_for_ended_jobs(&self, context: &ReportContext) -> Vec<WorkerCommand> {
+        let ended_attempts = self.listed_attempts_of_ended_jobs(context);
+        ended_attempts.iter().map(kill_immediately).collect()
     }
 
     /// The attempts that a worker lists as live although their jobs have ended.
-    fn listed_of_ended_jobs(&self, context: &ReportContext) -> Vec<AttemptKey> {
+    fn listed_attempts_of_ended_jobs(&self, context: &ReportContext) -> Vec<AttemptKey> {
         if broken!(self.faults, late_stops) {
             return Vec::new();
         }
@@ -56,15 +56,16 @@
         machine_types: &[MachineType],
     ) -> Vec<WorkerCommand> {
         // These come first, as guard 4 depends on them.
-        let ended = self.listed_of_ended_jobs(context);
-        let mut commands: Vec<WorkerCommand> = ended.iter().map(kill_at_once).collect();
+        let ended_attempts = self.listed_attempts_of_ended_jobs(context);
+        let mut commands: Vec<WorkerCommand> =
+            ended_attempts.iter().map(kill_immediately).collect();
         if let Some(notice_s) = context.report.reclaim_in_s {
             self.checkpoint_before_reclaim(context, notice_s);
         }
-        self.kill_orphans(context, &ended, &mut commands);
+        self.kill_orphans(context, &ended_attempts, &mut commands);
         self.clear_exited(context, &mut commands);
         self.pending_kills.remove(&context.id);
-        self.kill_allocations(context, &ended, &mut commands);
+        self.kill_allocations(context, &ended_attempts, &mut commands);
         self.run_committed(context, machine_types, &mut commands);
         commands
     }
@@ -96,7 +97,7 @@
     fn kill_orphans(
         &self,
         context: &ReportContext,
-        ended: &[AttemptKey],
+        ended_attempts: &[AttemptKey],
         commands: &mut Vec<WorkerCommand>,
     ) {
         let Some(machine) = self.machines.get(&context.id) else {
@@ -106,9 +107,9 @@
         let orphans = machine.resident.orphans.iter();
         let kills = orphans
             .map(|orphan| (orphan.task, orphan.attempt))
-            .filter(|orphan| !ended.contains(orphan))
+            .filter(|orphan| !ended_attempts.contains(orphan))
             .take(remaining);
-        commands.extend(kills.map(|orphan| kill_at_once(&orphan)));
+        commands.extend(kills.map(|orphan| kill_immediately(&orphan)));
     }
 
     /// Clears exited tasks that no longer have an allocation; completed tasks only once their
@@ -153,7 +154,7 @@
     fn kill_allocations(
         &self,
         context: &ReportContext,
-        ended: &[AttemptKey],
+        ended_attempts: &[AttemptKey],
         commands: &mut Vec<WorkerCommand>,
     ) {
         let Some(machine) = self.machines.get(&context.id) else {
@@ -161,7 +162,7 @@
         };
         for (task, allocation) in &machine.resident.allocations {
             if allocation.is_observed()
-                && !ended.contains(&(*task, allocation.attempt))
+                && !ended_attempts.contains(&(*task, allocation.attempt))
                 && commands.len() < MAX_COMMANDS
             {
                 commands.extend(allocation.kill_command(*task));
@@ -194,7 +195,7 @@
             }
             // Guard 2: `run` is sent only after the commit, only while the job is open, and only
             // in this answer, which cannot take effect late.
-            let open = context
+            let job_is_open = context
                 .job_store
                 .get(task.job)
                 .is_some_and(|entry| entry.state == JobState::Open);
@@ -205,9 +206,10 @@
                     .is_some()
             });
             // A task waits while it is unknown whether the quotas it was placed under are in force.
-            let held = drained || frozen || !may_run;
-            let lacks_room = allocation.nominated_at.is_some() && !allocation.resources.fits(&free);
-            if !open || held || lacks_room {
+            let blocked = drained || frozen || !may_run;
+            let lacks_capacity =
+                allocation.nominated_at.is_some() && !allocation.resources.fits(&free);
+            if !job_is_open || blocked || lacks_capacity {
                 if allocation.reserved {
                     free.sub(&allocation.resources);
                 }
@@ -247,6 +249,6 @@
 }
 
 /// The command that kills an attempt without a grace period.
-fn kill_at_once((task, attempt): &AttemptKey) -> WorkerCommand {
+fn kill_immediately((task, attempt): &AttemptKey) -> WorkerCommand {
     WorkerCommand::kill(*task, *attempt, 0.0)
 }
--- a/crates/controller/src/scheduler/reconciliation/direct_calls.rs
+++ b/crates/controller/src/scheduler/reconciliation/direct_calls.rs
@@ -76,7 +76,7 @@
     pub fn silent_machines_with_tasks(&self, now: Time) -> impl Iterator<Item = DirectCall> + '_ {
         self.machines
             .iter()
-            .filter(move |(_, machine)| self.is_silent(now, machine))
+            .filter(move |(_, machine)| self.is_unreachable(now, machine))
             .filter(|(_, machine)| {
                 let mut allocations = machine.resident.allocations.values();
                 allocations.any(Allocation::may_be_on_machine)
@@ -84,7 +84,7 @@
             .filter_map(|(id, machine)| probe_call(*id, machine))
     }
 
-    fn is_silent(&self, now: Time, machine: &Machine) -> bool {
+    fn is_unreachable(&self, now: Time, machine: &Machine) -> bool {
         let acknowledgement = &machine.acknowledgement;
         match machine.liveness.last_heartbeat {
             Some(at) => {
--- a/crates/controller/src/scheduler/reconciliation/exits.rs
+++ b/crates/controller/src/scheduler/reconciliation/exits.rs
@@ -110,7 +110,7 @@
             return;
         }
         let ratio = (ran_s / expected_run_s).clamp(0.1, 10.0);
-        let before = job.run_time_ratios;
+        let previous_ratios = job.run_time_ratios;
         job.run_time_ratios.record(ratio);
         let factor = self
             .run_time_ratios
@@ -120,20 +120,20 @@
         // job has many tasks that share its estimation error.
         let (min, max) = RUN_TIME_RATIO_RANGE;
         *factor = (*factor * (ratio / *factor).powf(0.03)).clamp(min, max);
-        if before.samples >= MIN_RUN_TIME_SAMPLES {
-            self.record_speed(id, ratio / before.mean());
+        if previous_ratios.samples >= MIN_RUN_TIME_SAMPLES {
+            self.record_speed(id, ratio / previous_ratios.mean());
         }
     }
 
-    /// Records that a task on the machine took `relative` times as long as other tasks of its job
-    /// took elsewhere.
-    fn record_speed(&mut self, id: MachineId, relative: f64) {
+    /// Records that a task on the machine took `relative_run_time` times as long as other tasks of
+    /// its job took elsewhere.
+    fn record_speed(&mut self, id: MachineId, relative_run_time: f64) {
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
         };
         let health = &mut machine.health;
         let speed = &mut health.speed;
-        speed.ratio *= (relative / speed.ratio).powf(0.4);
+        speed.ratio *= (relative_run_time / speed.ratio).powf(0.4);
         speed.samples += 1;
         if health.slow || speed.samples < MIN_SPEED_SAMPLES || speed.ratio <= SLOW_RATIO {
             return;
--- a/crates/controller/src/scheduler/reconciliation/observed.rs
+++ b/crates/controller/src/scheduler/reconciliation/observed.rs
@@ -88,7 +88,7 @@
         for allocation in allocations {
             match listed.find(&allocation) {
                 Some(reported) => self.on_listed(context, &allocation, reported),
-                None => self.on_missing(context, accepted, &allocation, reschedule),
+                None => self.on_unlisted(context, accepted, &allocation, reschedule),
             }
         }
         self.replace_orphans(context, &listed);
@@ -104,26 +104,27 @@
         allocations: &[AllocationSnapshot],
         listed: &ListedTasks,
     ) -> bool {
-        let (mut arrived, mut lost) = (false, false);
+        let (mut acknowledged, mut unacknowledged) = (false, false);
         for allocation in allocations {
-            if let TaskState::RunSent(sent_with) = allocation.state {
+            if let TaskState::RunSent(answered_version) = allocation.state {
                 let is_listed = listed.find(allocation).is_some();
-                arrived |= is_listed;
-                lost |= !is_listed
+                acknowledged |= is_listed;
+                unacknowledged |= !is_listed
                     && !accepted.direct
                     && accepted.current_token
-                    && (accepted.new_incarnation || accepted.version > sent_with);
+                    && (accepted.new_incarnation || accepted.version > answered_version);
             }
         }
         let Some(machine) = self.machines.get_mut(&context.id) else {
             return false;
         };
         let tracker = &mut machine.acknowledgement.tracker;
-        if arrived {
+        if acknowledged {
             tracker.record_acknowledged();
             return false;
         }
-        let reschedule = lost && tracker.record_unacknowledged(context.now, accepted.timed_out);
+        let reschedule =
+            unacknowledged && tracker.record_unacknowledged(context.now, accepted.timed_out);
         if reschedule {
             tracing::info!(
                 machine = %context.id,
@@ -161,12 +162,12 @@
             allocation.state = TaskState::Observed(phase);
         }
         if phase == TaskPhase::Running {
-            self.remember_image_of(id, task);
+            self.record_cached_image(id, task);
         }
     }
 
     /// Records the image of a running task as cached on the machine.
-    fn remember_image_of(&mut self, id: MachineId, task: TaskId) {
+    fn record_cached_image(&mut self, id: MachineId, task: TaskId) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -180,7 +181,7 @@
 
     /// The worker does not list the allocation's task. Releases the allocation if that proves that
     /// the task is no longer on the machine.
-    fn on_missing(
+    fn on_unlisted(
         &mut self,
         context: &ReportContext,
         accepted: &AcceptedReport,
@@ -206,13 +207,15 @@
             // with `run`, so that answer was dropped. A task that is to be stopped by now must not
             // start: such an allocation, whose `run` is never sent again, used to stay on its
             // machine forever.
-            TaskState::RunSent(sent_with) if current_token && accepted.version > sent_with => {
-                let stopped = self.allocation_mut(id, task).is_some_and(|allocation| {
+            TaskState::RunSent(answered_version)
+                if current_token && accepted.version > answered_version =>
+            {
+                let to_be_stopped = self.allocation_mut(id, task).is_some_and(|allocation| {
                     allocation.state = TaskState::Committed;
                     allocation.kill_grace_s.is_some()
                 });
-                let stopped = stopped && !broken!(self.faults, stuck_stop);
-                if reschedule || stopped {
+                let to_be_stopped = to_be_stopped && !broken!(self.faults, stuck_stop);
+                if reschedule || to_be_stopped {
                     self.release_allocation(now, id, task, false, 0.0);
                 }
             }
--- a/crates/controller/src/scheduler/reconciliation/silence.rs
+++ b/crates/controller/src/scheduler/reconciliation/silence.rs
@@ -11,13 +11,13 @@
 /// one of them has no effect; beyond it the lowest machine number is forgotten. Copies arrive
 /// within minutes, in which a whole fleet of 8,192 machines may be replaced once and its
 /// successors be returned.
-pub(super) const MAX_GONE_MACHINES: usize = 16_384;
+pub(super) const MAX_REMOVED_MACHINES: usize = 16_384;
 
 /// Number of lease durations without a report after which an empty machine is forgotten.
 const FORGET_AFTER_LEASES: f64 = 6.0;
 
 /// What follows from the fact that a machine has not reported.
-enum SilenceOutcome {
+enum UnreachableOutcome {
     /// The machine is empty and has not reported for a long time.
     Forget,
     /// The lease of the machine's worker has expired, so all its tasks have ended.
@@ -26,16 +26,16 @@
 
 /// Machines that have not reported, in the order of their ids.
 #[derive(Default)]
-struct SilenceSurvey {
+struct UnreachableSurvey {
     /// Allocations on unreachable machines whose `run` was never sent.
     unsent: Vec<(MachineId, TaskId)>,
-    outcomes: Vec<(MachineId, SilenceOutcome)>,
+    outcomes: Vec<(MachineId, UnreachableOutcome)>,
 }
 
 impl Scheduler {
     /// The cloud has confirmed that the machine, and with it all its tasks, was removed.
     pub fn machine_gone(&mut self, now: Time, id: MachineId) {
-        if self.removed_machines.len() >= MAX_GONE_MACHINES {
+        if self.removed_machines.len() >= MAX_REMOVED_MACHINES {
             // Names are assigned in order, so the lowest was removed first, or nearly so.
             self.removed_machines.pop_first();
         }
@@ -67,65 +67,67 @@
     /// killed all its tasks. This controller's last answer gives the upper bound of that time;
     /// after a failover the earlier leader's answers do.
     pub(in crate::scheduler) fn check_silence(&mut self, now: Time) {
-        let SilenceSurvey { unsent, outcomes } = self.survey_silence(now);
+        let UnreachableSurvey { unsent, outcomes } = self.survey_unreachable(now);
         for (machine, task) in unsent {
             self.release_allocation(now, machine, task, false, 0.0);
         }
         for (id, outcome) in outcomes {
             match outcome {
-                SilenceOutcome::Forget => self.forget_machine(id),
-                SilenceOutcome::Expire => self.expire_machine(now, id),
+                UnreachableOutcome::Forget => self.forget_machine(id),
+                UnreachableOutcome::Expire => self.expire_lease(now, id),
             }
         }
     }
 
-    fn survey_silence(&self, now: Time) -> SilenceSurvey {
-        let mut survey = SilenceSurvey::default();
+    fn survey_unreachable(&self, now: Time) -> UnreachableSurvey {
+        let mut survey = UnreachableSurvey::default();
         let forget_after_s = self.lease_s * FORGET_AFTER_LEASES;
         let unsent_after_s = self.report_s * 3.0 + 2.0;
         for (id, machine) in &self.machines {
             let last_heartbeat = machine.liveness.last_heartbeat;
-            let silent_for =
+            let unreported_for =
                 |limit_s: f64| last_heartbeat.is_none_or(|last| now.since(last) > limit_s);
             if machine.is_empty() {
-                if silent_for(forget_after_s) && now.since(self.acquired_at) > forget_after_s {
-                    survey.outcomes.push((*id, SilenceOutcome::Forget));
+                if unreported_for(forget_after_s) && now.since(self.acquired_at) > forget_after_s {
+                    survey.outcomes.push((*id, UnreachableOutcome::Forget));
                 }
                 continue;
             }
             // `run` was never sent for these, so they can be placed elsewhere immediately.
-            if silent_for(unsent_after_s) {
+            if unreported_for(unsent_after_s) {
                 let allocations = machine.resident.allocations.iter();
                 let unsent = allocations.filter(|(_, a)| !a.in_flight && !a.may_be_on_machine());
                 survey.unsent.extend(unsent.map(|(task, _)| (*id, *task)));
             }
-            if now > self.leases_until(machine) {
-                survey.outcomes.push((*id, SilenceOutcome::Expire));
+            if now > self.lease_expiry(machine) {
+                survey.outcomes.push((*id, UnreachableOutcome::Expire));
             }
         }
         survey
     }
 
     /// The time until which a machine's worker may keep its tasks running.
-    fn leases_until(&self, machine: &Machine) -> Time {
+    fn lease_expiry(&self, machine: &Machine) -> Time {
         let lease_s = self.lease_s * MAX_CLOCK_DRIFT + self.margin_s * 0.25;
         let previous_until = if broken!(self.faults, own_silence) {
             self.acquired_at.plus(lease_s)
         } else {
             self.previous_leases_until
         };
-        let own_until = machine.liveness.last_answered.map(|at| at.plus(lease_s));
+        let answered_until = machine.liveness.last_answered.map(|at| at.plus(lease_s));
         // Until the worker has reported this term's fencing token, this controller's answers may
         // have been lost, and an earlier leader's answers may still renew its lease.
-        match own_until {
-            Some(own) if !machine.acknowledgement.ever_had_current_token => own.max(previous_until),
-            Some(own) => own,
+        match answered_until {
+            Some(until) if !machine.acknowledgement.ever_had_current_token => {
+                until.max(previous_until)
+            }
+            Some(until) => until,
             None => previous_until,
         }
     }
 
     /// Releases the tasks of a machine whose worker's lease has expired.
-    fn expire_machine(&mut self, now: Time, id: MachineId) {
+    fn expire_lease(&mut self, now: Time, id: MachineId) {
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
         };
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -1,4 +1,4 @@
-use super::silence::MAX_GONE_MACHINES;
+use super::silence::MAX_REMOVED_MACHINES;
 use super::*;
 use crate::calls::SchedulerCall;
 use crate::event_log::EventLog;
@@ -20,18 +20,18 @@
     Time::default().plus(100.0 + s)
 }
 
-fn job(id: &str) -> JobId {
+fn job_id(id: &str) -> JobId {
     JobId::parse(id).expect("a job")
 }
 
 /// A job that was cancelled, and a placement that holds the block since a moment.
-fn cancelled(id: &str) -> (JobStore, Scheduler) {
+fn scheduler_with_cancelled_job(id: &str) -> (JobStore, Scheduler) {
     let body = serde_json::json!({"c": "class", "o": "one", "k": "batch", "u": "standard",
         "n": 4, "cpu": 1.0, "gpu": 0.0, "mem": 1.0, "img": "i", "igb": 1.0, "oz": false,
         "ap": false, "sp": true, "ex": 5.0, "ce": 0.0, "cs": 0.0, "at": 0});
     let spec: Rc<JobSpec> = Rc::new(serde_json::from_value(body).expect("a description"));
     let mut job_store = JobStore::default();
-    job_store.on_committed(job(id), Revision(5), JobState::Open, Some(spec.clone()));
+    job_store.on_committed(job_id(id), Revision(5), JobState::Open, Some(spec.clone()));
     let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("t", text).expect("the sample is sound");
     let policy = AgingPolicy::new(Default::default());
@@ -45,14 +45,14 @@
         policy,
         at(NOW - 1.0),
     );
-    scheduler.sync_job(at(NOW - 1.0), job(id), &job_store);
-    job_store.on_committed(job(id), Revision(7), JobState::Cancelled, Some(spec));
+    scheduler.sync_job(at(NOW - 1.0), job_id(id), &job_store);
+    job_store.on_committed(job_id(id), Revision(7), JobState::Cancelled, Some(spec));
     (job_store, scheduler)
 }
 
 fn report(sequence: u64, fencing_token: u64, reported_tasks: &[&str]) -> WorkerReport {
-    let task = |p: &&str| ReportedTask {
-        task: (*p).to_string(),
+    let task = |task_name: &&str| ReportedTask {
+        task: (*task_name).to_string(),
         attempt: 3,
         status: ReportedStatus::Running,
         cause: None,
@@ -71,11 +71,11 @@
     }
 }
 
-fn killed(commands: &[WorkerCommand]) -> Vec<&str> {
+fn immediately_killed(commands: &[WorkerCommand]) -> Vec<&str> {
     let kills = commands
         .iter()
-        .filter(|o| o.verb == CommandVerb::Kill && o.grace_period_s == Some(0.0));
-    kills.map(|o| o.task.as_str()).collect()
+        .filter(|command| command.verb == CommandVerb::Kill && command.grace_period_s == Some(0.0));
+    kills.map(|command| command.task.as_str()).collect()
 }
 
 /// A leader that had not loaded the pages, or whose token the worker had not shown
@@ -83,12 +83,12 @@
 #[test]
 fn answer_that_renews_a_lease_kills_tasks_of_cancelled_jobs() {
     for (loaded, fencing_token) in [(false, 4), (false, 9), (true, 4)] {
-        let (job_store, mut scheduler) = cancelled("job-1");
+        let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
         scheduler.loaded = loaded;
         let incoming = report(1, fencing_token, &["job-1/0", "job-1/2", "job-2/0"]);
         let commands = scheduler.on_report(at(NOW), &incoming, &[], &job_store);
         assert_eq!(
-            killed(&commands),
+            immediately_killed(&commands),
             ["job-1/0", "job-1/2"],
             "{loaded} {fencing_token}"
         );
@@ -105,14 +105,14 @@
 /// A command was lost and its job cancelled before the worker reported again: as a
 /// placement whose `run` never goes out it stayed, with its machine and its job.
 #[test]
-fn allocation_to_be_stopped_whose_run_was_lost_ends() {
-    for broken in [false, true] {
-        let (job_store, mut scheduler) = cancelled("job-1");
-        (scheduler.loaded, scheduler.faults.stuck_stop) = (true, broken);
+fn allocation_to_be_stopped_whose_run_was_lost_is_released() {
+    for fault_injected in [false, true] {
+        let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
+        (scheduler.loaded, scheduler.faults.stuck_stop) = (true, fault_injected);
         scheduler.on_report(at(NOW), &report(1, 9, &[]), &[], &job_store);
         let id = MachineId::parse("n-000001").expect("a machine");
         let task = TaskId {
-            job: job("job-1"),
+            job: job_id("job-1"),
             index: 0,
         };
         let resources = Resources {
@@ -120,8 +120,8 @@
             gpus: 0.0,
             memory_gb: 1.0,
         };
-        let mut entry = Allocation::planned(Attempt(3), resources, None, at(NOW), None);
-        entry.state = TaskState::RunSent(ReportVersion {
+        let mut allocation = Allocation::planned(Attempt(3), resources, None, at(NOW), None);
+        allocation.state = TaskState::RunSent(ReportVersion {
             incarnation: 1,
             sequence: 1,
         });
@@ -131,12 +131,16 @@
             .expect("known")
             .resident
             .allocations
-            .insert(task, entry);
+            .insert(task, allocation);
         scheduler.sync_job(at(NOW), task.job, &job_store);
-        let kept = |scheduler: &Scheduler| scheduler.machine(id).is_some_and(|m| !m.is_empty());
-        assert!(kept(&scheduler), "it may have arrived");
+        let still_allocated = |scheduler: &Scheduler| {
+            scheduler
+                .machine(id)
+                .is_some_and(|machine| !machine.is_empty())
+        };
+        assert!(still_allocated(&scheduler), "it may have arrived");
         scheduler.on_report(at(NOW + 1.0), &report(2, 9, &[]), &[], &job_store);
-        assert_eq!(kept(&scheduler), broken);
+        assert_eq!(still_allocated(&scheduler), fault_injected);
     }
 }
 
@@ -144,10 +148,10 @@
 /// what is in the pages, whatever the report does not list; and a report that is
 /// not newer than the last proves nothing, with this term's token neither.
 #[test]
-fn missing_task_ends_only_with_current_token_and_newer_report() {
+fn unlisted_task_is_released_only_with_current_token_and_newer_report() {
     let id = MachineId::parse("n-000001").expect("a machine");
     let task = TaskId {
-        job: job("job-1"),
+        job: job_id("job-1"),
         index: 0,
     };
     // What the report says of incarnation, sequence and token; whether the task is gone.
@@ -157,39 +161,41 @@
         ((1, 7, 9), false),
         ((1, 8, 9), true),
     ];
-    for (broken, hasty, old) in [
+    for (fault_injected, hasty_proof, old_reports) in [
         (false, false, false),
         (true, true, false),
         (true, false, true),
     ] {
-        for ((incarnation, sequence, fencing_token), gone) in cases {
-            let (job_store, mut scheduler) = cancelled("job-1");
+        for ((incarnation, sequence, fencing_token), expect_released) in cases {
+            let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
             scheduler.loaded = true;
-            (scheduler.faults.hasty_proof, scheduler.faults.old_reports) = (hasty, old);
+            (scheduler.faults.hasty_proof, scheduler.faults.old_reports) =
+                (hasty_proof, old_reports);
             scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
             let resources = Resources {
                 cpus: 1.0,
                 gpus: 0.0,
                 memory_gb: 1.0,
             };
-            let mut entry = Allocation::planned(Attempt(3), resources, None, at(NOW), None);
-            entry.state = TaskState::Inherited;
+            let mut allocation = Allocation::planned(Attempt(3), resources, None, at(NOW), None);
+            allocation.state = TaskState::Inherited;
             scheduler
                 .machines
                 .get_mut(&id)
                 .expect("known")
                 .resident
                 .allocations
-                .insert(task, entry);
+                .insert(task, allocation);
             let mut incoming = report(sequence, fencing_token, &[]);
             incoming.incarnation = incarnation;
             scheduler.on_report(at(NOW + 1.0), &incoming, &[], &job_store);
-            let was = scheduler.machine(id).is_some_and(Machine::is_empty);
-            let excused = (hasty && fencing_token == 4) || (old && sequence == 7);
+            let is_empty = scheduler.machine(id).is_some_and(Machine::is_empty);
+            let accepted_by_fault =
+                (hasty_proof && fencing_token == 4) || (old_reports && sequence == 7);
             assert_eq!(
-                was,
-                gone || (broken && excused),
-                "{incarnation} {sequence} {fencing_token} {hasty} {old}"
+                is_empty,
+                expect_released || (fault_injected && accepted_by_fault),
+                "{incarnation} {sequence} {fencing_token} {hasty_proof} {old_reports}"
             );
         }
     }
@@ -198,8 +204,8 @@
 /// Reports with counts near their end, from elsewhere, or of no sense free nothing
 /// and start nothing.
 #[test]
-fn report_with_extreme_counts_or_unknown_words_is_handled() {
-    let (job_store, mut scheduler) = cancelled("job-1");
+fn report_with_extreme_numbers_or_unknown_names_releases_nothing() {
+    let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
     scheduler.loaded = true;
     let mut last_report = report(
         u64::MAX,
@@ -208,14 +214,14 @@
     );
     last_report.incarnation = u64::MAX;
     assert_eq!(
-        killed(&scheduler.on_report(at(NOW), &last_report, &[], &job_store)).len(),
+        immediately_killed(&scheduler.on_report(at(NOW), &last_report, &[], &job_store)).len(),
         2
     );
     for (incarnation, sequence) in [(u64::MAX, u64::MAX), (u64::MAX, 0), (0, u64::MAX), (0, 0)] {
-        let mut old = report(sequence, 9, &[]);
-        old.incarnation = incarnation;
+        let mut old_report = report(sequence, 9, &[]);
+        old_report.incarnation = incarnation;
         assert!(scheduler
-            .on_report(at(NOW + 1.0), &old, &[], &job_store)
+            .on_report(at(NOW + 1.0), &old_report, &[], &job_store)
             .is_empty());
     }
     let id = MachineId::parse("n-000001").expect("a machine");
@@ -224,10 +230,10 @@
         2,
         "nothing was freed"
     );
-    let mut odd = report(1, 9, &[]);
-    odd.host = "nobody".into();
+    let mut unknown_machine_report = report(1, 9, &[]);
+    unknown_machine_report.host = "nobody".into();
     assert!(scheduler
-        .on_report(at(NOW), &odd, &[], &job_store)
+        .on_report(at(NOW), &unknown_machine_report, &[], &job_store)
         .is_empty());
     assert_eq!(scheduler.machines.len(), 1);
 }
@@ -249,46 +255,46 @@
     );
 }
 
-fn machine() -> MachineId {
+fn machine_id() -> MachineId {
     MachineId::parse("n-000001").expect("a machine")
 }
 
-fn entry(state: TaskState) -> Allocation {
+fn allocation_in_state(state: TaskState) -> Allocation {
     let resources = Resources {
         cpus: 1.0,
         gpus: 0.0,
         memory_gb: 1.0,
     };
-    let mut entry = Allocation::planned(Attempt(3), resources, None, at(NOW), None);
-    entry.state = state;
-    entry
+    let mut allocation = Allocation::planned(Attempt(3), resources, None, at(NOW), None);
+    allocation.state = state;
+    allocation
 }
 
 /// Guard 3: an old report may be the first that a new leader gets of a machine. It
 /// is answered, and no sign of life; the worker's own next one is, or one with this term's token.
 #[test]
-fn first_report_without_current_token_is_no_heartbeat() {
+fn first_report_without_current_token_is_not_a_heartbeat() {
     let last_heartbeat = |scheduler: &Scheduler| {
         scheduler
-            .machine(machine())
-            .is_some_and(|m| m.liveness.last_heartbeat.is_some())
+            .machine(machine_id())
+            .is_some_and(|machine| machine.liveness.last_heartbeat.is_some())
     };
-    for (loaded, broken) in [(false, false), (true, false), (true, true)] {
-        let (job_store, mut scheduler) = cancelled("job-1");
-        (scheduler.loaded, scheduler.faults.first_word) = (loaded, broken);
+    for (loaded, fault_injected) in [(false, false), (true, false), (true, true)] {
+        let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
+        (scheduler.loaded, scheduler.faults.first_word) = (loaded, fault_injected);
         scheduler.on_report(at(NOW), &report(5, 4, &[]), &[], &job_store);
-        assert_eq!(last_heartbeat(&scheduler), broken);
+        assert_eq!(last_heartbeat(&scheduler), fault_injected);
         // Several that were kept come at once.
         scheduler.on_report(at(NOW + 0.01), &report(6, 4, &[]), &[], &job_store);
-        assert_eq!(last_heartbeat(&scheduler), broken);
-        let m = scheduler.machine(machine()).expect("known");
+        assert_eq!(last_heartbeat(&scheduler), fault_injected);
+        let known_machine = scheduler.machine(machine_id()).expect("known");
         assert!(
-            m.liveness.last_answered.is_some(),
+            known_machine.liveness.last_answered.is_some(),
             "an answer may have renewed its lease"
         );
         scheduler.on_report(at(NOW + 0.5), &report(7, 4, &[]), &[], &job_store);
         assert!(last_heartbeat(&scheduler), "its own next report");
-        let (job_store, mut scheduler) = cancelled("job-1");
+        let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
         scheduler.on_report(at(NOW), &report(5, 9, &[]), &[], &job_store);
         assert!(
             last_heartbeat(&scheduler),
@@ -301,7 +307,7 @@
 /// same: an older report after them, with this term's token too, ends nothing.
 #[test]
 fn report_before_load_makes_older_reports_stale() {
-    let (job_store, mut scheduler) = cancelled("job-1");
+    let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
     scheduler.on_report(at(NOW), &report(8, 9, &[]), &[], &job_store);
     let load = RecoveryLoad {
         pages: Vec::new(),
@@ -313,83 +319,103 @@
     scheduler.restore(at(NOW), &load, &job_store);
     assert!(scheduler.loaded);
     let task = TaskId {
-        job: job("job-1"),
+        job: job_id("job-1"),
         index: 0,
     };
-    let m = scheduler.machines.get_mut(&machine()).expect("known");
-    m.resident
+    let known_machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+    known_machine
+        .resident
         .allocations
-        .insert(task, entry(TaskState::Inherited));
+        .insert(task, allocation_in_state(TaskState::Inherited));
     scheduler.on_report(at(NOW + 0.1), &report(7, 9, &[]), &[], &job_store);
-    assert!(!scheduler.machine(machine()).expect("known").is_empty());
+    assert!(!scheduler.machine(machine_id()).expect("known").is_empty());
     scheduler.on_report(at(NOW + 1.0), &report(9, 9, &[]), &[], &job_store);
-    assert!(scheduler.machine(machine()).expect("known").is_empty());
+    assert!(scheduler.machine(machine_id()).expect("known").is_empty());
 }
 
 /// Guard 3: a machine that reaches nobody answers direct commands. Their bodies are newer
 /// reports by token, incarnation and sequence, they renew nothing, and they do not show that the
 /// answer to its last report was dropped.
 #[test]
-fn direct_response_of_silent_machine_proves_only_what_it_lists() {
+fn direct_response_of_unreachable_machine_proves_only_what_it_lists() {
     // What was allocated, what the body says of itself; whether the task is gone.
-    let seen = TaskState::Observed(TaskPhase::Running);
-    let sent = TaskState::RunSent(ReportVersion {
+    let observed = TaskState::Observed(TaskPhase::Running);
+    let run_sent = TaskState::RunSent(ReportVersion {
         incarnation: 1,
         sequence: 7,
     });
     let cases = [
-        (seen, (1, 9, 9), true),
+        (observed, (1, 9, 9), true),
         (TaskState::Inherited, (1, 9, 9), true),
-        (seen, (2, 1, 9), true),
-        (seen, (1, 7, 9), false),
-        (seen, (0, u64::MAX, 9), false),
-        (seen, (1, 9, 4), false),
-        (sent, (1, 9, 9), false),
-        (sent, (2, 1, 9), false),
+        (observed, (2, 1, 9), true),
+        (observed, (1, 7, 9), false),
+        (observed, (0, u64::MAX, 9), false),
+        (observed, (1, 9, 4), false),
+        (run_sent, (1, 9, 9), false),
+        (run_sent, (2, 1, 9), false),
     ];
-    for broken in [false, true] {
-        for (state, (incarnation, sequence, fencing_token), gone) in cases {
-            let (job_store, mut scheduler) = cancelled("job-1");
-            (scheduler.loaded, scheduler.faults.direct_absence) = (true, broken);
+    for fault_injected in [false, true] {
+        for (state, (incarnation, sequence, fencing_token), expect_released) in cases {
+            let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
+            (scheduler.loaded, scheduler.faults.direct_absence) = (true, fault_injected);
             scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
             let task = TaskId {
-                job: job("job-1"),
+                job: job_id("job-1"),
                 index: 0,
             };
-            let m = scheduler.machines.get_mut(&machine()).expect("known");
-            m.resident.allocations.insert(task, entry(state));
+            let known_machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+            known_machine
+                .resident
+                .allocations
+                .insert(task, allocation_in_state(state));
             let mut incoming = report(sequence, fencing_token, &[]);
             incoming.incarnation = incarnation;
             // One that reports says so itself, and is answered.
             scheduler.on_direct_response(at(NOW + 0.5), &incoming, &job_store);
-            assert!(!scheduler.machine(machine()).expect("known").is_empty());
-            let silent = at(NOW + scheduler.silence_timeout_s() + 1.0);
-            scheduler.on_direct_response(silent, &incoming, &job_store);
-            let m = scheduler.machine(machine()).expect("known");
-            let left = m.resident.allocations.get(&task).map(|e| e.state);
+            assert!(!scheduler.machine(machine_id()).expect("known").is_empty());
+            let after_timeout = at(NOW + scheduler.silence_timeout_s() + 1.0);
+            scheduler.on_direct_response(after_timeout, &incoming, &job_store);
+            let known_machine = scheduler.machine(machine_id()).expect("known");
+            let remaining = known_machine
+                .resident
+                .allocations
+                .get(&task)
+                .map(|allocation| allocation.state);
             // Left out, it is given up, or taken for one whose `run` was lost, and goes
             // elsewhere while that may be on its way.
-            let kept = !(gone || broken && state == sent);
+            let still_allocated = !(expect_released || fault_injected && state == run_sent);
+            assert_eq!(
+                remaining == Some(state),
+                still_allocated,
+                "{state:?} {incarnation} {sequence} {fault_injected}"
+            );
             assert_eq!(
-                left == Some(state),
-                kept,
-                "{state:?} {incarnation} {sequence} {broken}"
+                remaining.is_none(),
+                expect_released || (fault_injected && state == run_sent && incarnation == 2)
             );
             assert_eq!(
-                left.is_none(),
-                gone || (broken && state == sent && incarnation == 2)
+                known_machine.liveness.last_answered,
+                Some(at(NOW)),
+                "silence goes on"
             );
-            assert_eq!(m.liveness.last_answered, Some(at(NOW)), "silence goes on");
-            assert_eq!(m.liveness.last_heartbeat, Some(at(NOW)));
+            assert_eq!(known_machine.liveness.last_heartbeat, Some(at(NOW)));
             // A report that was sent before is answered still; its list is the older one.
-            if gone && incarnation == 1 {
-                let late = report(8, 9, &["job-1/0"]);
+            if expect_released && incarnation == 1 {
+                let earlier_report = report(8, 9, &["job-1/0"]);
                 assert_eq!(
-                    killed(&scheduler.on_report(silent, &late, &[], &job_store)),
+                    immediately_killed(&scheduler.on_report(
+                        after_timeout,
+                        &earlier_report,
+                        &[],
+                        &job_store
+                    )),
                     ["job-1/0"]
                 );
-                let m = scheduler.machine(machine()).expect("known");
-                assert!(m.is_empty() && m.liveness.last_answered == Some(silent));
+                let known_machine = scheduler.machine(machine_id()).expect("known");
+                assert!(
+                    known_machine.is_empty()
+                        && known_machine.liveness.last_answered == Some(after_timeout)
+                );
             }
         }
     }
@@ -397,26 +423,26 @@
 
 /// Silent machines with tasks are probed, and commanded again what is to stop there.
 #[test]
-fn silent_machine_with_tasks_is_probed() {
-    let (job_store, mut scheduler) = cancelled("job-1");
+fn unreachable_machine_with_tasks_is_probed() {
+    let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
     scheduler.loaded = true;
     scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
-    let silent = at(NOW + scheduler.silence_timeout_s() + 0.1);
+    let after_timeout = at(NOW + scheduler.silence_timeout_s() + 0.1);
     assert!(
         scheduler
-            .silent_machines_with_tasks(silent)
+            .silent_machines_with_tasks(after_timeout)
             .next()
             .is_none(),
         "nothing is there"
     );
     let task = TaskId {
-        job: job("job-1"),
+        job: job_id("job-1"),
         index: 0,
     };
-    let mut there = entry(TaskState::Observed(TaskPhase::Checkpointing));
-    there.kill_grace_s = Some(0.0);
-    let m = scheduler.machines.get_mut(&machine()).expect("known");
-    m.resident.allocations.insert(task, there);
+    let mut allocation = allocation_in_state(TaskState::Observed(TaskPhase::Checkpointing));
+    allocation.kill_grace_s = Some(0.0);
+    let known_machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+    known_machine.resident.allocations.insert(task, allocation);
     assert!(
         scheduler
             .silent_machines_with_tasks(at(NOW + 1.0))
@@ -424,27 +450,33 @@
             .is_none(),
         "it reports"
     );
-    let asked: Vec<_> = scheduler.silent_machines_with_tasks(silent).collect();
-    let [call] = asked.as_slice() else {
-        panic!("{asked:?}")
+    let calls: Vec<_> = scheduler
+        .silent_machines_with_tasks(after_timeout)
+        .collect();
+    let [call] = calls.as_slice() else {
+        panic!("{calls:?}")
     };
     assert_eq!(
-        (call.machine, call.incarnation, killed(&call.commands)),
-        (machine(), 1, vec!["job-1/0"])
+        (
+            call.machine,
+            call.incarnation,
+            immediately_killed(&call.commands)
+        ),
+        (machine_id(), 1, vec!["job-1/0"])
     );
 }
 
 /// A task without an allocation counts for its team and on its machine until it is
 /// gone, also when its job is over and its record has lost its description.
 #[test]
-fn orphan_of_ended_job_counts_until_it_is_gone() {
+fn orphan_of_ended_job_counts_until_it_is_no_longer_listed() {
     let text = beamhinge_core::settings::SAMPLE;
     let mut settings = Settings::parse("t", text).expect("the sample is sound");
     settings.params.teams[0].name = "one".into();
-    let (mut job_store, mut scheduler) = cancelled("job-1");
+    let (mut job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
     (scheduler.loaded, scheduler.team_names[0]) = (true, "one".into());
     let machine_types = [c8()];
-    let used = |scheduler: &Scheduler, now| {
+    let used_cpus = |scheduler: &Scheduler, now| {
         scheduler
             .begin_cycle(now, &settings, &machine_types)
             .team_usage[0]
@@ -456,38 +488,44 @@
         &machine_types,
         &job_store,
     );
-    assert_eq!(used(&scheduler, at(NOW)), 2.0);
-    let free = |scheduler: &Scheduler| {
+    assert_eq!(used_cpus(&scheduler, at(NOW)), 2.0);
+    let free_cpus = |scheduler: &Scheduler| {
         scheduler
-            .machine(machine())
+            .machine(machine_id())
             .expect("known")
             .free(&machine_types)
             .cpus
     };
-    assert_eq!(free(&scheduler), 6.0);
+    assert_eq!(free_cpus(&scheduler), 6.0);
     scheduler.on_report(
         at(NOW + 1.0),
         &report(8, 9, &["job-1/2"]),
         &machine_types,
         &job_store,
     );
-    assert_eq!((used(&scheduler, at(NOW)), free(&scheduler)), (1.0, 7.0));
+    assert_eq!(
+        (used_cpus(&scheduler, at(NOW)), free_cpus(&scheduler)),
+        (1.0, 7.0)
+    );
     // Of a job that is done only its end is kept: the machine counts as full.
-    job_store.on_committed(job("job-3"), Revision(8), JobState::Done, None);
+    job_store.on_committed(job_id("job-3"), Revision(8), JobState::Done, None);
     scheduler.on_report(
         at(NOW + 2.0),
         &report(9, 9, &["job-3/0"]),
         &machine_types,
         &job_store,
     );
-    assert!(free(&scheduler) < 0.0);
+    assert!(free_cpus(&scheduler) < 0.0);
     scheduler.on_report(
         at(NOW + 3.0),
         &report(10, 9, &[]),
         &machine_types,
         &job_store,
     );
-    assert_eq!((used(&scheduler, at(NOW)), free(&scheduler)), (0.0, 8.0));
+    assert_eq!(
+        (used_cpus(&scheduler, at(NOW)), free_cpus(&scheduler)),
+        (0.0, 8.0)
+    );
 }
 
 /// Whatever a cancelled task does at the time, it is killed at once, without time
@@ -495,26 +533,27 @@
 #[test]
 fn cancelled_task_that_fetches_or_checkpoints_is_killed_at_once() {
     for status in ["pulling", "running", "saving", "a state of a later version"] {
-        let (job_store, mut scheduler) = cancelled("job-1");
+        let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
         scheduler.loaded = true;
         let mut incoming = report(7, 9, &["job-1/0"]);
         incoming.reported_tasks[0].status = ReportedStatus::from(status.to_string());
         let task = TaskId {
-            job: job("job-1"),
+            job: job_id("job-1"),
             index: 0,
         };
         for (sequence, known) in [(7, false), (8, true)] {
             if known {
                 // As it was stopped with time to save, to make room, before it was cancelled.
-                let mut there = entry(TaskState::Observed(TaskPhase::Checkpointing));
-                there.kill_grace_s = Some(4.0);
-                let m = scheduler.machines.get_mut(&machine()).expect("known");
-                m.resident.allocations.insert(task, there);
+                let mut allocation =
+                    allocation_in_state(TaskState::Observed(TaskPhase::Checkpointing));
+                allocation.kill_grace_s = Some(4.0);
+                let known_machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+                known_machine.resident.allocations.insert(task, allocation);
             }
             incoming.sequence = sequence;
             let commands =
                 scheduler.on_report(at(NOW + sequence as f64), &incoming, &[], &job_store);
-            assert_eq!(killed(&commands), ["job-1/0"], "{status}");
+            assert_eq!(immediately_killed(&commands), ["job-1/0"], "{status}");
             assert_eq!(commands.len(), 1);
         }
     }
@@ -530,16 +569,16 @@
         (4, false, true),
         (9, false, false),
     ] {
-        let (job_store, mut scheduler) = cancelled("job-1");
+        let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
         let task = TaskId {
-            job: job("job-1"),
+            job: job_id("job-1"),
             index: 0,
         };
-        let mut there = entry(TaskState::Inherited);
-        there.kill_grace_s = Some(0.0);
-        let mut m = Machine::new(at(NOW));
-        m.resident.allocations.insert(task, there);
-        scheduler.machines.insert(machine(), m);
+        let mut allocation = allocation_in_state(TaskState::Inherited);
+        allocation.kill_grace_s = Some(0.0);
+        let mut known_machine = Machine::new(at(NOW));
+        known_machine.resident.allocations.insert(task, allocation);
+        scheduler.machines.insert(machine_id(), known_machine);
         scheduler.loaded = loaded;
         assert!(
             scheduler
@@ -550,22 +589,25 @@
         );
         let incoming = report(5, fencing_token, if listed { &["job-1/0"] } else { &[] });
         scheduler.on_direct_response(at(NOW), &incoming, &job_store);
-        let m = scheduler.machine(machine()).expect("known");
-        assert_eq!(m.is_empty(), loaded && fencing_token == 9 && !listed);
+        let known_machine = scheduler.machine(machine_id()).expect("known");
+        assert_eq!(
+            known_machine.is_empty(),
+            loaded && fencing_token == 9 && !listed
+        );
         assert!(
-            m.liveness.last_heartbeat.is_none()
-                && m.liveness.last_answered.is_none()
-                && !m.acknowledgement.ever_had_current_token,
+            known_machine.liveness.last_heartbeat.is_none()
+                && known_machine.liveness.last_answered.is_none()
+                && !known_machine.acknowledgement.ever_had_current_token,
             "silence goes on"
         );
-        let asked: Vec<_> = scheduler.silent_machines_with_tasks(at(NOW)).collect();
-        assert_eq!(asked.len(), usize::from(listed));
-        assert!(asked
+        let calls: Vec<_> = scheduler.silent_machines_with_tasks(at(NOW)).collect();
+        assert_eq!(calls.len(), usize::from(listed));
+        assert!(calls
             .iter()
-            .all(|call| killed(&call.commands) == ["job-1/0"]));
+            .all(|call| immediately_killed(&call.commands) == ["job-1/0"]));
         // What an earlier session or an older message says changes nothing.
-        let left = scheduler
-            .machine(machine())
+        let remaining = scheduler
+            .machine(machine_id())
             .expect("known")
             .resident
             .allocations
@@ -573,14 +615,14 @@
         scheduler.on_direct_response(at(NOW), &report(5, 9, &[]), &job_store);
         assert_eq!(
             scheduler
-                .machine(machine())
+                .machine(machine_id())
                 .expect("known")
                 .resident
                 .allocations
                 .len(),
             match loaded {
                 true if fencing_token == 4 => 0,
-                _ => left,
+                _ => remaining,
             }
         );
     }
@@ -590,7 +632,7 @@
 /// beyond a limit that was lowered meanwhile.
 #[test]
 fn run_on_outdated_configuration_is_not_sent() {
-    let (_, mut scheduler) = cancelled("job-1");
+    let (_, mut scheduler) = scheduler_with_cancelled_job("job-1");
     let now = at(NOW);
     assert!(scheduler.may_run(now), "nothing was ever changed");
     scheduler.set_configuration_condition(None, Some(now.plus(7.0)));
@@ -601,35 +643,37 @@
 /// them are known as such. Beyond 4,096 those of the lowest numbers were not.
 #[test]
 fn removed_machines_of_a_large_fleet_are_remembered_within_a_bound() {
-    let (_, mut scheduler) = cancelled("job-1");
+    let (_, mut scheduler) = scheduler_with_cancelled_job("job-1");
     let id = |n: usize| MachineId::parse(&format!("n-{n:06}")).expect("a name");
     (0..8_192).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
     assert!((0..8_192).all(|n| scheduler.removed_machines.contains(&id(n))));
-    (0..MAX_GONE_MACHINES + 100).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
-    assert_eq!(scheduler.removed_machines.len(), MAX_GONE_MACHINES);
+    (0..MAX_REMOVED_MACHINES + 100).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
+    assert_eq!(scheduler.removed_machines.len(), MAX_REMOVED_MACHINES);
     assert!(scheduler
         .removed_machines
-        .contains(&id(MAX_GONE_MACHINES + 99)));
+        .contains(&id(MAX_REMOVED_MACHINES + 99)));
 }
 
 /// Each verb that a worker knows, as its orders are encoded.
 #[test]
 fn commands_keep_their_wire_form() {
-    let (mut job_store, mut scheduler) = cancelled("job-1");
-    let spec = job_store.get(job("job-1")).and_then(|e| e.spec.clone());
-    job_store.on_committed(job("job-2"), Revision(6), JobState::Open, spec);
-    scheduler.sync_job(at(NOW), job("job-2"), &job_store);
+    let (mut job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
+    let spec = job_store
+        .get(job_id("job-1"))
+        .and_then(|entry| entry.spec.clone());
+    job_store.on_committed(job_id("job-2"), Revision(6), JobState::Open, spec);
+    scheduler.sync_job(at(NOW), job_id("job-2"), &job_store);
     scheduler.loaded = true;
     scheduler.on_report(at(NOW), &report(1, 9, &[]), &[], &job_store);
     let task = TaskId {
-        job: job("job-2"),
+        job: job_id("job-2"),
         index: 0,
     };
-    let known = scheduler.machines.get_mut(&machine()).expect("known");
-    known
+    let known_machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+    known_machine
         .resident
         .allocations
-        .insert(task, entry(TaskState::Committed));
+        .insert(task, allocation_in_state(TaskState::Committed));
     let mut incoming = report(2, 9, &["job-1/0", "job-3/0"]);
     incoming.reported_tasks[1].status = ReportedStatus::Exited;
     incoming.reported_tasks[1].cause = Some(ExitCause::Stopped);
@@ -638,14 +682,14 @@
     assert_eq!(
         commands
             .iter()
-            .map(|o| o.verb.to_string())
+            .map(|command| command.verb.to_string())
             .collect::<Vec<_>>(),
         ["kill", "clear", "run"]
     );
-    for order in commands {
+    for command in commands {
         golden.bytes(
-            &order.verb.to_string(),
-            &beamhinge_core::wire::encode(&order),
+            &command.verb.to_string(),
+            &beamhinge_core::wire::encode(&command),
         );
     }
     golden.check();
@@ -655,9 +699,9 @@
 /// the others could be stopped again at once.
 #[test]
 fn preemptions_of_a_large_fleet_are_remembered() {
-    let (_, mut scheduler) = cancelled("job-1");
+    let (_, mut scheduler) = scheduler_with_cancelled_job("job-1");
     let task = |index: usize| TaskId {
-        job: job("job-1"),
+        job: job_id("job-1"),
         index: index as u32,
     };
     (0..2 * 8_192).for_each(|n| scheduler.preemption_history.record(task(n)));
--- a/crates/controller/src/scheduler/scattered_preemption.rs
+++ b/crates/controller/src/scheduler/scattered_preemption.rs
@@ -31,7 +31,7 @@
             return;
         };
         let spec = job.spec.clone();
-        let mut lacking_cpus = f64::from(job.pending_tasks()) * spec.cpus;
+        let mut missing_cpus = f64::from(job.pending_tasks()) * spec.cpus;
         let mut victims: Vec<ScatteredVictim> = Vec::new();
         for (id, machine) in self
             .machines
@@ -47,7 +47,7 @@
                 };
                 let (ran_s, run_s) = (allocation.ran_s(now), self.expected_run_s(job));
                 if allocation.kill_grace_s.is_some() {
-                    lacking_cpus -= allocation.resources.cpus;
+                    missing_cpus -= allocation.resources.cpus;
                 } else if allocation.is_observed()
                     && job.spec.urgency < spec.urgency
                     && is_feasible(&spec, machine_type, machine)
@@ -64,10 +64,10 @@
         }
         victims.sort_by(|a, b| a.ran_s.total_cmp(&b.ran_s));
         for victim in victims {
-            if lacking_cpus <= 0.0 {
+            if missing_cpus <= 0.0 {
                 break;
             }
-            lacking_cpus -= victim.cpus;
+            missing_cpus -= victim.cpus;
             self.stop_task(victim.machine, victim.task, claim.reason.describe());
         }
     }
--- a/crates/controller/src/scheduler/victims.rs
+++ b/crates/controller/src/scheduler/victims.rs
@@ -95,7 +95,7 @@
 pub(super) struct Victims {
     profiles: Vec<VictimProfile>,
     /// CPUs that each team uses beyond its guarantee, without tasks that are being stopped.
-    over_guarantee: Vec<f64>,
+    cpus_over_guarantee: Vec<f64>,
     reserved: ReservedCapacity,
 }
 
@@ -122,7 +122,7 @@
             PreemptionReason::Guarantee => {
                 let borrowed = victim
                     .team
-                    .is_some_and(|team| self.over_guarantee[team] >= cpus);
+                    .is_some_and(|team| self.cpus_over_guarantee[team] >= cpus);
                 victim.team != scope.team
                     && borrowed
                     && victim.only_just_started
@@ -149,11 +149,11 @@
             .values()
             .filter(|allocation| allocation.kill_grace_s.is_none())
         {
-            if let Some(over) = allocation
+            if let Some(excess_cpus) = allocation
                 .team
-                .and_then(|team| self.over_guarantee.get_mut(team))
+                .and_then(|team| self.cpus_over_guarantee.get_mut(team))
             {
-                *over += allocation.resources.cpus;
+                *excess_cpus += allocation.resources.cpus;
             }
         }
     }
@@ -166,11 +166,11 @@
             };
             let cpus = task.resources.cpus;
             self.reserved.record_preempted(&victim.tenant, cpus);
-            if let Some(over) = victim
+            if let Some(excess_cpus) = victim
                 .team
-                .and_then(|team| self.over_guarantee.get_mut(team))
+                .and_then(|team| self.cpus_over_guarantee.get_mut(team))
             {
-                *over -= cpus;
+                *excess_cpus -= cpus;
             }
         }
     }
@@ -190,7 +190,9 @@
     pub(super) fn is_known_unsatisfiable(&self, scope: &ClaimScope, resources: &Resources) -> bool {
         self.unsatisfied
             .iter()
-            .any(|(known, less)| known == scope && less.fits(resources))
+            .any(|(failed_scope, failed_resources)| {
+                failed_scope == scope && failed_resources.fits(resources)
+            })
     }
 
     /// Records that nothing was found for this request.
@@ -200,7 +202,7 @@
 }
 
 /// Inputs that are the same for all machines of one survey.
-struct Survey<'a> {
+struct SurveyInputs<'a> {
     now: Time,
     wall: WallMs,
     machine_types: &'a [MachineType],
@@ -217,7 +219,7 @@
         machine_types: &[MachineType],
         guaranteed: &BTreeSet<JobId>,
     ) -> PreemptionPlan {
-        let survey = Survey {
+        let survey = SurveyInputs {
             now,
             wall,
             machine_types,
@@ -226,7 +228,7 @@
         };
         let mut victims = Victims {
             profiles: Vec::new(),
-            over_guarantee: self.teams.iter().map(|quota| -quota.cpus).collect(),
+            cpus_over_guarantee: self.teams.iter().map(|quota| -quota.cpus).collect(),
             reserved: ReservedCapacity::new(RESERVED_FRACTION),
         };
         let mut candidates = Vec::new();
@@ -258,7 +260,7 @@
     /// are expected to end soon.
     fn survey_machine(
         &self,
-        survey: &Survey,
+        survey: &SurveyInputs,
         id: MachineId,
         machine: &Machine,
         victims: &mut Victims,
@@ -291,7 +293,8 @@
             preemptible.push(PreemptibleTask {
                 task: *task,
                 resources: allocation.resources,
-                lost_cpu_s: self.lost_s(survey.now, job, allocation) * allocation.resources.cpus,
+                lost_cpu_s: self.lost_run_s(survey.now, job, allocation)
+                    * allocation.resources.cpus,
                 profile: victims.profiles.len() as u32,
             });
             let ends_by_itself = job.spec.kind == JobKind::Batch && allocation.started_at.is_some();
@@ -320,7 +323,7 @@
     /// claims.
     fn victim_profile(
         &self,
-        survey: &Survey,
+        survey: &SurveyInputs,
         task: TaskId,
         job: &Job,
         allocation: &Allocation,
@@ -359,7 +362,7 @@
     }
 
     /// Seconds of run time that a task loses when it is preempted.
-    fn lost_s(&self, now: Time, job: &Job, allocation: &Allocation) -> f64 {
+    fn lost_run_s(&self, now: Time, job: &Job, allocation: &Allocation) -> f64 {
         if job.spec.checkpoint_interval_s > 0.0 {
             job.spec.checkpoint_duration_s + RESTART_S
         } else if allocation.inherited {
@@ -383,7 +386,8 @@
         {
             let resources = job.resources();
             let allowed = |machine_type: &MachineType| {
-                resources.fits(&machine_type.capacity()) && allows_type(&job.spec, machine_type)
+                resources.fits(&machine_type.capacity())
+                    && allows_machine_type(&job.spec, machine_type)
             };
             let cpus: f64 = machine_types
                 .iter()
@@ -403,7 +407,7 @@
 
 /// Whether the job's specification permits this machine type. A job that names no machine types
 /// may use all.
-fn allows_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
+fn allows_machine_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.machine_types
         .as_ref()
         .is_none_or(|labels| labels.contains(&machine_type.label))
