--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -21,19 +21,19 @@
 }
 
 fn job_id(id: &str) -> JobId {
-    JobId::parse(id).expect("a job")
+    JobId::parse(id).expect("valid job id")
 }
 
-/// A job that was cancelled, and a placement that holds the block since a moment.
+/// A cancelled job, and the scheduler of a controller that acquired leadership a second ago.
 fn scheduler_with_cancelled_job(id: &str) -> (JobStore, Scheduler) {
     let body = serde_json::json!({"c": "class", "o": "one", "k": "batch", "u": "standard",
         "n": 4, "cpu": 1.0, "gpu": 0.0, "mem": 1.0, "img": "i", "igb": 1.0, "oz": false,
         "ap": false, "sp": true, "ex": 5.0, "ce": 0.0, "cs": 0.0, "at": 0});
-    let spec: Rc<JobSpec> = Rc::new(serde_json::from_value(body).expect("a description"));
+    let spec: Rc<JobSpec> = Rc::new(serde_json::from_value(body).expect("valid job specification"));
     let mut job_store = JobStore::default();
     job_store.on_committed(job_id(id), Revision(5), JobState::Open, Some(spec.clone()));
     let text = beamhinge_core::settings::SAMPLE;
-    let settings = Settings::parse("t", text).expect("the sample is sound");
+    let settings = Settings::parse("t", text).expect("valid sample settings");
     let policy = AgingPolicy::new(Default::default());
     let event_log = EventLog::new(false);
     let active_directives = Rc::default();
@@ -78,8 +78,9 @@
     kills.map(|command| command.task.as_str()).collect()
 }
 
-/// A leader that had not loaded the pages, or whose token the worker had not shown
-/// yet, renewed leases of cancelled tasks without a kill, for H from its own takeover.
+/// A leader that had not loaded the placement pages, or whose fencing token the worker had not
+/// reported yet, renewed the leases of cancelled tasks without killing them, for H from its own
+/// leadership acquisition.
 #[test]
 fn answer_that_renews_a_lease_kills_tasks_of_cancelled_jobs() {
     for (loaded, fencing_token) in [(false, 4), (false, 9), (true, 4)] {
@@ -92,7 +93,7 @@
             ["job-1/0", "job-1/2"],
             "{loaded} {fencing_token}"
         );
-        // What is not known, or runs still, is left alone.
+        // Unknown jobs and jobs that are still open are not affected.
         assert_eq!(commands.len(), 2);
         scheduler.faults.late_stops = true;
         let incoming = report(2, fencing_token, &["job-1/0"]);
@@ -102,15 +103,15 @@
     }
 }
 
-/// A command was lost and its job cancelled before the worker reported again: as a
-/// placement whose `run` never goes out it stayed, with its machine and its job.
+/// A `run` command was lost and its job was cancelled before the worker reported again. The
+/// allocation, whose `run` was never sent again, stayed, and its machine and its job with it.
 #[test]
 fn allocation_to_be_stopped_whose_run_was_lost_is_released() {
     for fault_injected in [false, true] {
         let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
         (scheduler.loaded, scheduler.faults.stuck_stop) = (true, fault_injected);
         scheduler.on_report(at(NOW), &report(1, 9, &[]), &[], &job_store);
-        let id = MachineId::parse("n-000001").expect("a machine");
+        let id = MachineId::parse("n-000001").expect("valid machine id");
         let task = TaskId {
             job: job_id("job-1"),
             index: 0,
@@ -128,7 +129,7 @@
         scheduler
             .machines
             .get_mut(&id)
-            .expect("known")
+            .expect("machine is known")
             .resident
             .allocations
             .insert(task, allocation);
@@ -138,23 +139,26 @@
                 .machine(id)
                 .is_some_and(|machine| !machine.is_empty())
         };
-        assert!(still_allocated(&scheduler), "it may have arrived");
+        assert!(
+            still_allocated(&scheduler),
+            "the run command may have arrived"
+        );
         scheduler.on_report(at(NOW + 1.0), &report(2, 9, &[]), &[], &job_store);
         assert_eq!(still_allocated(&scheduler), fault_injected);
     }
 }
 
-/// Guard 3: until its worker has shown this term's token an earlier leader may still send
-/// what is in the pages, whatever the report does not list; and a report that is
-/// not newer than the last proves nothing, with this term's token neither.
+/// Guard 3: until the worker has reported this term's fencing token, an earlier leader may still
+/// send the commands for its placement pages, so a task that a report does not list may still
+/// start. A report that is not newer than the last one proves nothing, even with this term's token.
 #[test]
 fn unlisted_task_is_released_only_with_current_token_and_newer_report() {
-    let id = MachineId::parse("n-000001").expect("a machine");
+    let id = MachineId::parse("n-000001").expect("valid machine id");
     let task = TaskId {
         job: job_id("job-1"),
         index: 0,
     };
-    // What the report says of incarnation, sequence and token; whether the task is gone.
+    // Incarnation, sequence and fencing token of the report; whether the task is released.
     let cases = [
         ((1, 8, 4), false),
         ((2, 1, 4), false),
@@ -182,7 +186,7 @@
             scheduler
                 .machines
                 .get_mut(&id)
-                .expect("known")
+                .expect("machine is known")
                 .resident
                 .allocations
                 .insert(task, allocation);
@@ -201,8 +205,8 @@
     }
 }
 
-/// Reports with counts near their end, from elsewhere, or of no sense free nothing
-/// and start nothing.
+/// Reports with numbers near their limits, from an unknown machine or with malformed task ids
+/// release nothing and start nothing.
 #[test]
 fn report_with_extreme_numbers_or_unknown_names_releases_nothing() {
     let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
@@ -224,11 +228,16 @@
             .on_report(at(NOW + 1.0), &old_report, &[], &job_store)
             .is_empty());
     }
-    let id = MachineId::parse("n-000001").expect("a machine");
+    let id = MachineId::parse("n-000001").expect("valid machine id");
     assert_eq!(
-        scheduler.machine(id).expect("known").resident.orphans.len(),
+        scheduler
+            .machine(id)
+            .expect("machine is known")
+            .resident
+            .orphans
+            .len(),
         2,
-        "nothing was freed"
+        "no orphan task was released"
     );
     let mut unknown_machine_report = report(1, 9, &[]);
     unknown_machine_report.host = "nobody".into();
@@ -238,16 +247,16 @@
     assert_eq!(scheduler.machines.len(), 1);
 }
 
-/// Guards against an answer that a worker cannot take: it would report the
-/// same again, and get the same again.
+/// Guards against an answer that is too long for a worker to accept: the worker would repeat its
+/// report and get the same answer again.
 #[test]
 fn longest_answer_fits_body_limit() {
-    let task = TaskId::parse("job-123456789012345678/99999").expect("a task");
+    let task = TaskId::parse("job-123456789012345678/99999").expect("valid task id");
     let commands: Vec<WorkerCommand> = (0..MAX_COMMANDS)
         .map(|_| WorkerCommand::kill(task, Attempt(u64::MAX), 12.5))
         .collect();
     let body = wire::encode(&commands);
-    let value: ciborium::Value = wire::decode(&body).expect("sound");
+    let value: ciborium::Value = wire::decode(&body).expect("valid encoding");
     assert!(
         wire::json_len(&value) + 100 < wire::MAX_BODY_BYTES,
         "{}",
@@ -256,7 +265,7 @@
 }
 
 fn machine_id() -> MachineId {
-    MachineId::parse("n-000001").expect("a machine")
+    MachineId::parse("n-000001").expect("valid machine id")
 }
 
 fn allocation_in_state(state: TaskState) -> Allocation {
@@ -270,8 +279,9 @@
     allocation
 }
 
-/// Guard 3: an old report may be the first that a new leader gets of a machine. It
-/// is answered, and no sign of life; the worker's own next one is, or one with this term's token.
+/// Guard 3: the first report that a new leader gets from a machine may be an old one. It is
+/// answered but is not a heartbeat. The worker's next report is, and so is a report with this
+/// term's fencing token.
 #[test]
 fn first_report_without_current_token_is_not_a_heartbeat() {
     let last_heartbeat = |scheduler: &Scheduler| {
@@ -284,27 +294,27 @@
         (scheduler.loaded, scheduler.faults.first_word) = (loaded, fault_injected);
         scheduler.on_report(at(NOW), &report(5, 4, &[]), &[], &job_store);
         assert_eq!(last_heartbeat(&scheduler), fault_injected);
-        // Several that were kept come at once.
+        // Several delayed reports arrive at once.
         scheduler.on_report(at(NOW + 0.01), &report(6, 4, &[]), &[], &job_store);
         assert_eq!(last_heartbeat(&scheduler), fault_injected);
-        let known_machine = scheduler.machine(machine_id()).expect("known");
+        let known_machine = scheduler.machine(machine_id()).expect("machine is known");
         assert!(
             known_machine.liveness.last_answered.is_some(),
             "an answer may have renewed its lease"
         );
         scheduler.on_report(at(NOW + 0.5), &report(7, 4, &[]), &[], &job_store);
-        assert!(last_heartbeat(&scheduler), "its own next report");
+        assert!(last_heartbeat(&scheduler), "the worker's next report");
         let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
         scheduler.on_report(at(NOW), &report(5, 9, &[]), &[], &job_store);
         assert!(
             last_heartbeat(&scheduler),
-            "one that carries this term's token"
+            "a report that carries this term's token"
         );
     }
 }
 
-/// Guard 3: what was reported before the pages were read counts as the newest all the
-/// same: an older report after them, with this term's token too, ends nothing.
+/// Guard 3: a report from before the placement pages were loaded still counts as the newest. An
+/// older report after the load releases nothing, even with this term's fencing token.
 #[test]
 fn report_before_load_makes_older_reports_stale() {
     let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
@@ -322,23 +332,33 @@
         job: job_id("job-1"),
         index: 0,
     };
-    let known_machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+    let known_machine = scheduler
+        .machines
+        .get_mut(&machine_id())
+        .expect("machine is known");
     known_machine
         .resident
         .allocations
         .insert(task, allocation_in_state(TaskState::Inherited));
     scheduler.on_report(at(NOW + 0.1), &report(7, 9, &[]), &[], &job_store);
-    assert!(!scheduler.machine(machine_id()).expect("known").is_empty());
+    assert!(!scheduler
+        .machine(machine_id())
+        .expect("machine is known")
+        .is_empty());
     scheduler.on_report(at(NOW + 1.0), &report(9, 9, &[]), &[], &job_store);
-    assert!(scheduler.machine(machine_id()).expect("known").is_empty());
+    assert!(scheduler
+        .machine(machine_id())
+        .expect("machine is known")
+        .is_empty());
 }
 
-/// Guard 3: a machine that reaches nobody answers direct commands. Their bodies are newer
-/// reports by token, incarnation and sequence, they renew nothing, and they do not show that the
-/// answer to its last report was dropped.
+/// Guard 3: a machine that reaches no controller responds to direct commands. The body of such a
+/// response counts as a newer report according to its fencing token, incarnation and sequence. It
+/// renews no lease and does not show that the answer to the machine's last report was dropped.
 #[test]
 fn direct_response_of_unreachable_machine_proves_only_what_it_lists() {
-    // What was allocated, what the body says of itself; whether the task is gone.
+    // State of the allocation; incarnation, sequence and fencing token of the response; whether the
+    // task is released.
     let observed = TaskState::Observed(TaskPhase::Running);
     let run_sent = TaskState::RunSent(ReportVersion {
         incarnation: 1,
@@ -363,26 +383,32 @@
                 job: job_id("job-1"),
                 index: 0,
             };
-            let known_machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+            let known_machine = scheduler
+                .machines
+                .get_mut(&machine_id())
+                .expect("machine is known");
             known_machine
                 .resident
                 .allocations
                 .insert(task, allocation_in_state(state));
             let mut incoming = report(sequence, fencing_token, &[]);
             incoming.incarnation = incarnation;
-            // One that reports says so itself, and is answered.
+            // A reachable machine sends the same in its reports, which are answered.
             scheduler.on_direct_response(at(NOW + 0.5), &incoming, &job_store);
-            assert!(!scheduler.machine(machine_id()).expect("known").is_empty());
+            assert!(!scheduler
+                .machine(machine_id())
+                .expect("machine is known")
+                .is_empty());
             let after_timeout = at(NOW + scheduler.silence_timeout_s() + 1.0);
             scheduler.on_direct_response(after_timeout, &incoming, &job_store);
-            let known_machine = scheduler.machine(machine_id()).expect("known");
+            let known_machine = scheduler.machine(machine_id()).expect("machine is known");
             let remaining = known_machine
                 .resident
                 .allocations
                 .get(&task)
                 .map(|allocation| allocation.state);
-            // Left out, it is given up, or taken for one whose `run` was lost, and goes
-            // elsewhere while that may be on its way.
+            // With the injected fault the task is released, or its `run` counts as lost, and it is
+            // placed elsewhere while the `run` may still arrive.
             let still_allocated = !(expect_released || fault_injected && state == run_sent);
             assert_eq!(
                 remaining == Some(state),
@@ -396,10 +422,10 @@
             assert_eq!(
                 known_machine.liveness.last_answered,
                 Some(at(NOW)),
-                "silence goes on"
+                "the machine stays unreachable"
             );
             assert_eq!(known_machine.liveness.last_heartbeat, Some(at(NOW)));
-            // A report that was sent before is answered still; its list is the older one.
+            // A report that was sent earlier is still answered, but its task list is outdated.
             if expect_released && incarnation == 1 {
                 let earlier_report = report(8, 9, &["job-1/0"]);
                 assert_eq!(
@@ -411,7 +437,7 @@
                     )),
                     ["job-1/0"]
                 );
-                let known_machine = scheduler.machine(machine_id()).expect("known");
+                let known_machine = scheduler.machine(machine_id()).expect("machine is known");
                 assert!(
                     known_machine.is_empty()
                         && known_machine.liveness.last_answered == Some(after_timeout)
@@ -421,7 +447,7 @@
     }
 }
 
-/// Silent machines with tasks are probed, and commanded again what is to stop there.
+/// Unreachable machines with tasks are probed, and the kills of their tasks are repeated.
 #[test]
 fn unreachable_machine_with_tasks_is_probed() {
     let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
@@ -433,7 +459,7 @@
             .silent_machines_with_tasks(after_timeout)
             .next()
             .is_none(),
-        "nothing is there"
+        "the machine has no tasks"
     );
     let task = TaskId {
         job: job_id("job-1"),
@@ -441,14 +467,17 @@
     };
     let mut allocation = allocation_in_state(TaskState::Observed(TaskPhase::Checkpointing));
     allocation.kill_grace_s = Some(0.0);
-    let known_machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+    let known_machine = scheduler
+        .machines
+        .get_mut(&machine_id())
+        .expect("machine is known");
     known_machine.resident.allocations.insert(task, allocation);
     assert!(
         scheduler
             .silent_machines_with_tasks(at(NOW + 1.0))
             .next()
             .is_none(),
-        "it reports"
+        "the machine is reachable"
     );
     let calls: Vec<_> = scheduler
         .silent_machines_with_tasks(after_timeout)
@@ -466,12 +495,12 @@
     );
 }
 
-/// A task without an allocation counts for its team and on its machine until it is
-/// gone, also when its job is over and its record has lost its description.
+/// An orphan task counts for its team and on its machine until it is no longer listed, even when
+/// its job has ended and the record of the job has no specification any more.
 #[test]
 fn orphan_of_ended_job_counts_until_it_is_no_longer_listed() {
     let text = beamhinge_core::settings::SAMPLE;
-    let mut settings = Settings::parse("t", text).expect("the sample is sound");
+    let mut settings = Settings::parse("t", text).expect("valid sample settings");
     settings.params.teams[0].name = "one".into();
     let (mut job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
     (scheduler.loaded, scheduler.team_names[0]) = (true, "one".into());
@@ -492,7 +521,7 @@
     let free_cpus = |scheduler: &Scheduler| {
         scheduler
             .machine(machine_id())
-            .expect("known")
+            .expect("machine is known")
             .free(&machine_types)
             .cpus
     };
@@ -507,7 +536,7 @@
         (used_cpus(&scheduler, at(NOW)), free_cpus(&scheduler)),
         (1.0, 7.0)
     );
-    // Of a job that is done only its end is kept: the machine counts as full.
+    // For a completed job only its final state is stored, so the machine counts as full.
     job_store.on_committed(job_id("job-3"), Revision(8), JobState::Done, None);
     scheduler.on_report(
         at(NOW + 2.0),
@@ -528,8 +557,8 @@
     );
 }
 
-/// Whatever a cancelled task does at the time, it is killed at once, without time
-/// to save: nobody has any use for what it does.
+/// A cancelled task is killed immediately in any state, without a grace period, since its results
+/// are not needed.
 #[test]
 fn cancelled_task_that_fetches_or_checkpoints_is_killed_at_once() {
     for status in ["pulling", "running", "saving", "a state of a later version"] {
@@ -543,11 +572,14 @@
         };
         for (sequence, known) in [(7, false), (8, true)] {
             if known {
-                // As it was stopped with time to save, to make room, before it was cancelled.
+                // The task was preempted with a grace period before its job was cancelled.
                 let mut allocation =
                     allocation_in_state(TaskState::Observed(TaskPhase::Checkpointing));
                 allocation.kill_grace_s = Some(4.0);
-                let known_machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+                let known_machine = scheduler
+                    .machines
+                    .get_mut(&machine_id())
+                    .expect("machine is known");
                 known_machine.resident.allocations.insert(task, allocation);
             }
             incoming.sequence = sequence;
@@ -559,8 +591,9 @@
     }
 }
 
-/// A machine that reaches nobody at a takeover gets this term's token directly: what it answers
-/// carries it, and proves what a report would; what is cancelled there is stopped.
+/// A machine that reaches no controller after a failover gets this term's fencing token in a
+/// direct command. Its response carries the token and proves the same as a report; cancelled tasks
+/// on the machine are stopped.
 #[test]
 fn direct_response_ends_inherited_allocations_it_does_not_list() {
     for (fencing_token, listed, loaded) in [
@@ -585,11 +618,11 @@
                 .silent_machines_with_tasks(at(NOW + 60.0))
                 .next()
                 .is_none(),
-            "where it is is not known"
+            "the endpoint of the machine is unknown"
         );
         let incoming = report(5, fencing_token, if listed { &["job-1/0"] } else { &[] });
         scheduler.on_direct_response(at(NOW), &incoming, &job_store);
-        let known_machine = scheduler.machine(machine_id()).expect("known");
+        let known_machine = scheduler.machine(machine_id()).expect("machine is known");
         assert_eq!(
             known_machine.is_empty(),
             loaded && fencing_token == 9 && !listed
@@ -598,17 +631,17 @@
             known_machine.liveness.last_heartbeat.is_none()
                 && known_machine.liveness.last_answered.is_none()
                 && !known_machine.acknowledgement.ever_had_current_token,
-            "silence goes on"
+            "the machine stays unreachable"
         );
         let calls: Vec<_> = scheduler.silent_machines_with_tasks(at(NOW)).collect();
         assert_eq!(calls.len(), usize::from(listed));
         assert!(calls
             .iter()
             .all(|call| immediately_killed(&call.commands) == ["job-1/0"]));
-        // What an earlier session or an older message says changes nothing.
+        // A response of an earlier term changes nothing, and neither does one that is not newer.
         let remaining = scheduler
             .machine(machine_id())
-            .expect("known")
+            .expect("machine is known")
             .resident
             .allocations
             .len();
@@ -616,7 +649,7 @@
         assert_eq!(
             scheduler
                 .machine(machine_id())
-                .expect("known")
+                .expect("machine is known")
                 .resident
                 .allocations
                 .len(),
@@ -628,23 +661,26 @@
     }
 }
 
-/// A leader that does not know which quotas are in force sends no `run`: what it placed may be
-/// beyond a limit that was lowered meanwhile.
+/// A leader that does not know which quotas are in force sends no `run`, because its allocations
+/// may exceed a limit that was lowered in the meantime.
 #[test]
 fn run_on_outdated_configuration_is_not_sent() {
     let (_, mut scheduler) = scheduler_with_cancelled_job("job-1");
     let now = at(NOW);
-    assert!(scheduler.may_run(now), "nothing was ever changed");
+    assert!(
+        scheduler.may_run(now),
+        "the configuration was never changed"
+    );
     scheduler.set_configuration_condition(None, Some(now.plus(7.0)));
     assert!(scheduler.may_run(now.plus(6.9)) && !scheduler.may_run(now.plus(7.0)));
 }
 
-/// A fleet of 8,192 machines that is replaced as a whole: late copies in the name of any of
-/// them are known as such. Beyond 4,096 those of the lowest numbers were not.
+/// After a fleet of 8,192 machines was replaced as a whole, delayed copies of reports from any of
+/// the machines are recognised. With a bound of 4,096 those of the lowest numbers were not.
 #[test]
 fn removed_machines_of_a_large_fleet_are_remembered_within_a_bound() {
     let (_, mut scheduler) = scheduler_with_cancelled_job("job-1");
-    let id = |n: usize| MachineId::parse(&format!("n-{n:06}")).expect("a name");
+    let id = |n: usize| MachineId::parse(&format!("n-{n:06}")).expect("valid machine name");
     (0..8_192).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
     assert!((0..8_192).all(|n| scheduler.removed_machines.contains(&id(n))));
     (0..MAX_REMOVED_MACHINES + 100).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
@@ -654,7 +690,7 @@
         .contains(&id(MAX_REMOVED_MACHINES + 99)));
 }
 
-/// Each verb that a worker knows, as its orders are encoded.
+/// The wire encoding of a command with each verb that workers know.
 #[test]
 fn commands_keep_their_wire_form() {
     let (mut job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
@@ -669,7 +705,10 @@
         job: job_id("job-2"),
         index: 0,
     };
-    let known_machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+    let known_machine = scheduler
+        .machines
+        .get_mut(&machine_id())
+        .expect("machine is known");
     known_machine
         .resident
         .allocations
@@ -695,8 +734,8 @@
     golden.check();
 }
 
-/// Two tasks on each of 8,192 machines, each stopped once: none is forgotten. Beyond 4,096
-/// the others could be stopped again at once.
+/// Two tasks on each of 8,192 machines are preempted once each, and none of these preemptions is
+/// forgotten. With a bound of 4,096 the other tasks could be preempted again immediately.
 #[test]
 fn preemptions_of_a_large_fleet_are_remembered() {
     let (_, mut scheduler) = scheduler_with_cancelled_job("job-1");
