--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -71,7 +71,7 @@
     }
 }
 
-fn immediately_killed(commands: &[WorkerCommand]) -> Vec<&str> {
+fn killed(commands: &[WorkerCommand]) -> Vec<&str> {
     let kills = commands
         .iter()
         .filter(|command| command.verb == CommandVerb::Kill && command.grace_period_s == Some(0.0));
@@ -89,7 +89,7 @@
         let incoming = report(1, fencing_token, &["job-1/0", "job-1/2", "job-2/0"]);
         let commands = scheduler.on_report(at(NOW), &incoming, &[], &job_store);
         assert_eq!(
-            immediately_killed(&commands),
+            killed(&commands),
             ["job-1/0", "job-1/2"],
             "{loaded} {fencing_token}"
         );
@@ -129,7 +129,7 @@
         scheduler
             .machines
             .get_mut(&id)
-            .expect("machine is known")
+            .expect("known")
             .resident
             .allocations
             .insert(task, allocation);
@@ -186,7 +186,7 @@
             scheduler
                 .machines
                 .get_mut(&id)
-                .expect("machine is known")
+                .expect("known")
                 .resident
                 .allocations
                 .insert(task, allocation);
@@ -218,7 +218,7 @@
     );
     last_report.incarnation = u64::MAX;
     assert_eq!(
-        immediately_killed(&scheduler.on_report(at(NOW), &last_report, &[], &job_store)).len(),
+        killed(&scheduler.on_report(at(NOW), &last_report, &[], &job_store)).len(),
         2
     );
     for (incarnation, sequence) in [(u64::MAX, u64::MAX), (u64::MAX, 0), (0, u64::MAX), (0, 0)] {
@@ -230,12 +230,7 @@
     }
     let id = MachineId::parse("n-000001").expect("valid machine id");
     assert_eq!(
-        scheduler
-            .machine(id)
-            .expect("machine is known")
-            .resident
-            .orphans
-            .len(),
+        scheduler.machine(id).expect("known").resident.orphans.len(),
         2,
         "no orphan task was released"
     );
@@ -268,7 +263,7 @@
     MachineId::parse("n-000001").expect("valid machine id")
 }
 
-fn allocation_in_state(state: TaskState) -> Allocation {
+fn allocation(state: TaskState) -> Allocation {
     let resources = Resources {
         cpus: 1.0,
         gpus: 0.0,
@@ -297,9 +292,9 @@
         // Several delayed reports arrive at once.
         scheduler.on_report(at(NOW + 0.01), &report(6, 4, &[]), &[], &job_store);
         assert_eq!(last_heartbeat(&scheduler), fault_injected);
-        let known_machine = scheduler.machine(machine_id()).expect("machine is known");
+        let machine = scheduler.machine(machine_id()).expect("known");
         assert!(
-            known_machine.liveness.last_answered.is_some(),
+            machine.liveness.last_answered.is_some(),
             "an answer may have renewed its lease"
         );
         scheduler.on_report(at(NOW + 0.5), &report(7, 4, &[]), &[], &job_store);
@@ -332,24 +327,15 @@
         job: job_id("job-1"),
         index: 0,
     };
-    let known_machine = scheduler
-        .machines
-        .get_mut(&machine_id())
-        .expect("machine is known");
-    known_machine
+    let machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+    machine
         .resident
         .allocations
-        .insert(task, allocation_in_state(TaskState::Inherited));
+        .insert(task, allocation(TaskState::Inherited));
     scheduler.on_report(at(NOW + 0.1), &report(7, 9, &[]), &[], &job_store);
-    assert!(!scheduler
-        .machine(machine_id())
-        .expect("machine is known")
-        .is_empty());
+    assert!(!scheduler.machine(machine_id()).expect("known").is_empty());
     scheduler.on_report(at(NOW + 1.0), &report(9, 9, &[]), &[], &job_store);
-    assert!(scheduler
-        .machine(machine_id())
-        .expect("machine is known")
-        .is_empty());
+    assert!(scheduler.machine(machine_id()).expect("known").is_empty());
 }
 
 /// Guard 3: a machine that reaches no controller responds to direct commands. The body of such a
@@ -383,30 +369,17 @@
                 job: job_id("job-1"),
                 index: 0,
             };
-            let known_machine = scheduler
-                .machines
-                .get_mut(&machine_id())
-                .expect("machine is known");
-            known_machine
-                .resident
-                .allocations
-                .insert(task, allocation_in_state(state));
+            let machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+            machine.resident.allocations.insert(task, allocation(state));
             let mut incoming = report(sequence, fencing_token, &[]);
             incoming.incarnation = incarnation;
             // A reachable machine sends the same in its reports, which are answered.
             scheduler.on_direct_response(at(NOW + 0.5), &incoming, &job_store);
-            assert!(!scheduler
-                .machine(machine_id())
-                .expect("machine is known")
-                .is_empty());
+            assert!(!scheduler.machine(machine_id()).expect("known").is_empty());
             let after_timeout = at(NOW + scheduler.silence_timeout_s() + 1.0);
             scheduler.on_direct_response(after_timeout, &incoming, &job_store);
-            let known_machine = scheduler.machine(machine_id()).expect("machine is known");
-            let remaining = known_machine
-                .resident
-                .allocations
-                .get(&task)
-                .map(|allocation| allocation.state);
+            let machine = scheduler.machine(machine_id()).expect("known");
+            let remaining = machine.resident.allocations.get(&task).map(|a| a.state);
             // With the injected fault the task is released, or its `run` counts as lost, and it is
             // placed elsewhere while the `run` may still arrive.
             let still_allocated = !(expect_released || fault_injected && state == run_sent);
@@ -419,28 +392,18 @@
                 remaining.is_none(),
                 expect_released || (fault_injected && state == run_sent && incarnation == 2)
             );
-            assert_eq!(
-                known_machine.liveness.last_answered,
-                Some(at(NOW)),
-                "the machine stays unreachable"
-            );
-            assert_eq!(known_machine.liveness.last_heartbeat, Some(at(NOW)));
+            assert_eq!(machine.liveness.last_answered, Some(at(NOW)), "unreachable");
+            assert_eq!(machine.liveness.last_heartbeat, Some(at(NOW)));
             // A report that was sent earlier is still answered, but its task list is outdated.
             if expect_released && incarnation == 1 {
                 let earlier_report = report(8, 9, &["job-1/0"]);
                 assert_eq!(
-                    immediately_killed(&scheduler.on_report(
-                        after_timeout,
-                        &earlier_report,
-                        &[],
-                        &job_store
-                    )),
+                    killed(&scheduler.on_report(after_timeout, &earlier_report, &[], &job_store)),
                     ["job-1/0"]
                 );
-                let known_machine = scheduler.machine(machine_id()).expect("machine is known");
+                let machine = scheduler.machine(machine_id()).expect("known");
                 assert!(
-                    known_machine.is_empty()
-                        && known_machine.liveness.last_answered == Some(after_timeout)
+                    machine.is_empty() && machine.liveness.last_answered == Some(after_timeout)
                 );
             }
         }
@@ -465,13 +428,10 @@
         job: job_id("job-1"),
         index: 0,
     };
-    let mut allocation = allocation_in_state(TaskState::Observed(TaskPhase::Checkpointing));
+    let mut allocation = allocation(TaskState::Observed(TaskPhase::Checkpointing));
     allocation.kill_grace_s = Some(0.0);
-    let known_machine = scheduler
-        .machines
-        .get_mut(&machine_id())
-        .expect("machine is known");
-    known_machine.resident.allocations.insert(task, allocation);
+    let machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+    machine.resident.allocations.insert(task, allocation);
     assert!(
         scheduler
             .silent_machines_with_tasks(at(NOW + 1.0))
@@ -486,11 +446,7 @@
         panic!("{calls:?}")
     };
     assert_eq!(
-        (
-            call.machine,
-            call.incarnation,
-            immediately_killed(&call.commands)
-        ),
+        (call.machine, call.incarnation, killed(&call.commands)),
         (machine_id(), 1, vec!["job-1/0"])
     );
 }
@@ -521,7 +477,7 @@
     let free_cpus = |scheduler: &Scheduler| {
         scheduler
             .machine(machine_id())
-            .expect("machine is known")
+            .expect("known")
             .free(&machine_types)
             .cpus
     };
@@ -573,19 +529,15 @@
         for (sequence, known) in [(7, false), (8, true)] {
             if known {
                 // The task was preempted with a grace period before its job was cancelled.
-                let mut allocation =
-                    allocation_in_state(TaskState::Observed(TaskPhase::Checkpointing));
+                let mut allocation = allocation(TaskState::Observed(TaskPhase::Checkpointing));
                 allocation.kill_grace_s = Some(4.0);
-                let known_machine = scheduler
-                    .machines
-                    .get_mut(&machine_id())
-                    .expect("machine is known");
-                known_machine.resident.allocations.insert(task, allocation);
+                let machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+                machine.resident.allocations.insert(task, allocation);
             }
             incoming.sequence = sequence;
             let commands =
                 scheduler.on_report(at(NOW + sequence as f64), &incoming, &[], &job_store);
-            assert_eq!(immediately_killed(&commands), ["job-1/0"], "{status}");
+            assert_eq!(killed(&commands), ["job-1/0"], "{status}");
             assert_eq!(commands.len(), 1);
         }
     }
@@ -607,11 +559,11 @@
             job: job_id("job-1"),
             index: 0,
         };
-        let mut allocation = allocation_in_state(TaskState::Inherited);
+        let mut allocation = allocation(TaskState::Inherited);
         allocation.kill_grace_s = Some(0.0);
-        let mut known_machine = Machine::new(at(NOW));
-        known_machine.resident.allocations.insert(task, allocation);
-        scheduler.machines.insert(machine_id(), known_machine);
+        let mut machine = Machine::new(at(NOW));
+        machine.resident.allocations.insert(task, allocation);
+        scheduler.machines.insert(machine_id(), machine);
         scheduler.loaded = loaded;
         assert!(
             scheduler
@@ -622,26 +574,23 @@
         );
         let incoming = report(5, fencing_token, if listed { &["job-1/0"] } else { &[] });
         scheduler.on_direct_response(at(NOW), &incoming, &job_store);
-        let known_machine = scheduler.machine(machine_id()).expect("machine is known");
-        assert_eq!(
-            known_machine.is_empty(),
-            loaded && fencing_token == 9 && !listed
-        );
+        let machine = scheduler.machine(machine_id()).expect("known");
+        assert_eq!(machine.is_empty(), loaded && fencing_token == 9 && !listed);
         assert!(
-            known_machine.liveness.last_heartbeat.is_none()
-                && known_machine.liveness.last_answered.is_none()
-                && !known_machine.acknowledgement.ever_had_current_token,
+            machine.liveness.last_heartbeat.is_none()
+                && machine.liveness.last_answered.is_none()
+                && !machine.acknowledgement.ever_had_current_token,
             "the machine stays unreachable"
         );
         let calls: Vec<_> = scheduler.silent_machines_with_tasks(at(NOW)).collect();
         assert_eq!(calls.len(), usize::from(listed));
         assert!(calls
             .iter()
-            .all(|call| immediately_killed(&call.commands) == ["job-1/0"]));
+            .all(|call| killed(&call.commands) == ["job-1/0"]));
         // A response of an earlier term changes nothing, and neither does one that is not newer.
         let remaining = scheduler
             .machine(machine_id())
-            .expect("machine is known")
+            .expect("known")
             .resident
             .allocations
             .len();
@@ -649,7 +598,7 @@
         assert_eq!(
             scheduler
                 .machine(machine_id())
-                .expect("machine is known")
+                .expect("known")
                 .resident
                 .allocations
                 .len(),
@@ -705,14 +654,11 @@
         job: job_id("job-2"),
         index: 0,
     };
-    let known_machine = scheduler
-        .machines
-        .get_mut(&machine_id())
-        .expect("machine is known");
-    known_machine
+    let machine = scheduler.machines.get_mut(&machine_id()).expect("known");
+    machine
         .resident
         .allocations
-        .insert(task, allocation_in_state(TaskState::Committed));
+        .insert(task, allocation(TaskState::Committed));
     let mut incoming = report(2, 9, &["job-1/0", "job-3/0"]);
     incoming.reported_tasks[1].status = ReportedStatus::Exited;
     incoming.reported_tasks[1].cause = Some(ExitCause::Stopped);
