--- a/crates/controller/src/scheduler/nomination.rs
+++ b/crates/controller/src/scheduler/nomination.rs
@@ -137,7 +137,7 @@
     ) -> Option<NominationCandidate> {
         let machine = self.machines.get(&upcoming.machine)?;
         let machine_type = machine.lookup_type(cycle.machine_types)?;
-        // An image fetch that takes longer than the wait for a report makes nomination useless.
+        // Nomination saves no time if the image fetch takes longer than the wait for a report.
         let has_image = machine.resident.cached_images.contains(&spec.image);
         let quick_fetch = spec.image_gb < self.report_s * machine_type.fetch_gb_per_s;
         let allowed = (has_image || quick_fetch || pending.pressing)
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -260,7 +260,7 @@
             identity.zone.clone_from(&report.zone);
         }
         // Kept apart from `last_report`: a report that was sent earlier must still be answered,
-        // and its worker's lease, and with it the time until expiry, counts from that answer.
+        // and its worker's lease, and with it the time until expiry, counts from that report.
         acknowledgement.last_direct_response = Some(version);
         Some(AcceptedReport {
             version,
--- a/crates/controller/src/scheduler/reconciliation/exits.rs
+++ b/crates/controller/src/scheduler/reconciliation/exits.rs
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Keeps further tasks off a machine that has less free capacity than its allocations imply,
-    /// until it may have reported what uses the capacity.
+    /// Marks the machine as refusing tasks for `silence_timeout_s`, because it has less free
+    /// capacity than its allocations imply.
     fn on_refusal(&mut self, now: Time, id: MachineId) {
         let until = now.plus(self.silence_timeout_s());
         if let Some(machine) = self.machines.get_mut(&id) {
