--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -8,7 +8,7 @@
 
 use super::machine::Machine;
 use super::Scheduler;
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::job_store::JobStore;
 use crate::split::MachineType;
 use crate::worker_protocol::{ReportVersion, WorkerCommand, WorkerReport};
@@ -123,7 +123,9 @@
         // the report itself, the answer to the report renews the lease from the time when the
         // report was sent, which was before the copy arrived.)
         let last_report = acknowledgement.last_report;
-        if last_report.is_some_and(|last| last >= version) && !broken!(self.faults, old_reports) {
+        if last_report.is_some_and(|last| last >= version)
+            && !fault_injected!(self.faults, stale_reports_accepted)
+        {
             return None;
         }
         acknowledgement.stale_token = !current_token
@@ -146,7 +148,7 @@
         let is_heartbeat = current_token
             || liveness.last_heartbeat.is_some()
             || now.since(first_report) >= MIN_REPORT_INTERVAL_S;
-        if is_heartbeat || broken!(self.faults, first_word) {
+        if is_heartbeat || fault_injected!(self.faults, first_report_proves_life) {
             liveness.last_heartbeat = Some(now);
         }
         liveness.regular = resumed_recently || gap_s <= silence_timeout_s;
--- a/crates/controller/src/scheduler/reconciliation/commands.rs
+++ b/crates/controller/src/scheduler/reconciliation/commands.rs
@@ -3,7 +3,7 @@
 //! `run` is sent only here, in an answer, because an answer cannot take effect late (guard 2).
 
 use super::{ReportContext, MAX_COMMANDS};
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::job_store::{JobKind, JobState};
 use crate::scheduler::allocation::{Allocation, TaskPhase, TaskState};
 use crate::scheduler::job::Job;
@@ -31,7 +31,7 @@
 
     /// The attempts that a worker lists as live although their jobs have ended.
     fn listed_attempts_of_ended_jobs(&self, context: &ReportContext) -> Vec<AttemptKey> {
-        if broken!(self.faults, late_stops) {
+        if fault_injected!(self.faults, late_cancellation_stops) {
             return Vec::new();
         }
         let is_over = |task: &TaskId| {
@@ -147,7 +147,7 @@
         if !live && !job.progress.is_done(task.index) {
             self.mark_done(task);
         }
-        live || durable || broken!(self.faults, early_clear)
+        live || durable || fault_injected!(self.faults, result_cleared_before_durable)
     }
 
     /// Kills the listed tasks that are to be stopped.
--- a/crates/controller/src/scheduler/reconciliation/observed.rs
+++ b/crates/controller/src/scheduler/reconciliation/observed.rs
@@ -5,7 +5,7 @@
 //! resources and are stopped by the answer.
 
 use super::{AcceptedReport, ReportContext};
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::job_store::JobStore;
 use crate::scheduler::allocation::{OrphanTask, TaskPhase, TaskState};
 use crate::scheduler::job::{resources_of, UNKNOWN_NEED};
@@ -195,7 +195,9 @@
             TaskState::Planned | TaskState::Committed => {}
             // Guard 3: a direct command may overtake the answer that carries a `run`. Only the
             // worker's next report shows that the answer was dropped.
-            TaskState::RunSent(_) if accepted.direct && !broken!(self.faults, direct_absence) => {}
+            TaskState::RunSent(_)
+                if accepted.direct
+                    && !fault_injected!(self.faults, direct_reply_absence_ends_task) => {}
             // A newer incarnation has lost all tasks of the earlier one, and an answer to the
             // earlier one is dropped.
             TaskState::RunSent(_) | TaskState::Observed(_)
@@ -214,13 +216,14 @@
                     allocation.state = TaskState::Committed;
                     allocation.kill_grace_s.is_some()
                 });
-                let to_be_stopped = to_be_stopped && !broken!(self.faults, stuck_stop);
+                let to_be_stopped =
+                    to_be_stopped && !fault_injected!(self.faults, stop_of_lost_run_kept);
                 if reschedule || to_be_stopped {
                     self.release_allocation(now, id, task, false, 0.0);
                 }
             }
             TaskState::Observed(_) | TaskState::Inherited
-                if current_token || broken!(self.faults, hasty_proof) =>
+                if current_token || fault_injected!(self.faults, absence_proof_without_token) =>
             {
                 self.release_allocation(now, id, task, false, 0.0);
             }
--- a/crates/controller/src/scheduler/reconciliation/silence.rs
+++ b/crates/controller/src/scheduler/reconciliation/silence.rs
@@ -1,7 +1,7 @@
 //! Unreachable and removed machines: proves, by the expiry of the worker's lease or by the cloud's
 //! confirmation, that their tasks have ended.
 
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::scheduler::allocation::{Allocation, TaskState};
 use crate::scheduler::machine::Machine;
 use crate::scheduler::{Scheduler, MAX_CLOCK_DRIFT};
@@ -34,7 +34,7 @@
 
 impl Scheduler {
     /// The cloud has confirmed that the machine, and with it all its tasks, was removed.
-    pub fn machine_gone(&mut self, now: Time, id: MachineId) {
+    pub fn on_machine_removed(&mut self, now: Time, id: MachineId) {
         if self.removed_machines.len() >= MAX_REMOVED_MACHINES {
             // Names are assigned in order, so the lowest was removed first, or nearly so.
             self.removed_machines.pop_first();
@@ -109,7 +109,7 @@
     /// The time until which a machine's worker may keep its tasks running.
     fn lease_expiry(&self, machine: &Machine) -> Time {
         let lease_s = self.lease_s * MAX_CLOCK_DRIFT + self.margin_s * 0.25;
-        let previous_until = if broken!(self.faults, own_silence) {
+        let previous_until = if fault_injected!(self.faults, silence_from_local_replies) {
             self.acquired_at.plus(lease_s)
         } else {
             self.previous_leases_until
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -95,7 +95,7 @@
         );
         // Unknown jobs and jobs that are still open are not affected.
         assert_eq!(commands.len(), 2);
-        scheduler.faults.late_stops = true;
+        scheduler.faults.late_cancellation_stops = true;
         let incoming = report(2, fencing_token, &["job-1/0"]);
         assert!(scheduler
             .on_report(at(NOW + 1.0), &incoming, &[], &job_store)
@@ -109,7 +109,7 @@
 fn allocation_to_be_stopped_whose_run_was_lost_is_released() {
     for fault_injected in [false, true] {
         let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
-        (scheduler.loaded, scheduler.faults.stuck_stop) = (true, fault_injected);
+        (scheduler.loaded, scheduler.faults.stop_of_lost_run_kept) = (true, fault_injected);
         scheduler.on_report(at(NOW), &report(1, 9, &[]), &[], &job_store);
         let id = MachineId::parse("n-000001").expect("valid machine id");
         let task = TaskId {
@@ -165,7 +165,7 @@
         ((1, 7, 9), false),
         ((1, 8, 9), true),
     ];
-    for (fault_injected, hasty_proof, old_reports) in [
+    for (fault_injected, absence_proof_without_token, old_reports) in [
         (false, false, false),
         (true, true, false),
         (true, false, true),
@@ -173,8 +173,10 @@
         for ((incarnation, sequence, fencing_token), expect_released) in cases {
             let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
             scheduler.loaded = true;
-            (scheduler.faults.hasty_proof, scheduler.faults.old_reports) =
-                (hasty_proof, old_reports);
+            (
+                scheduler.faults.absence_proof_without_token,
+                scheduler.faults.stale_reports_accepted,
+            ) = (absence_proof_without_token, old_reports);
             scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
             let resources = Resources {
                 cpus: 1.0,
@@ -194,12 +196,12 @@
             incoming.incarnation = incarnation;
             scheduler.on_report(at(NOW + 1.0), &incoming, &[], &job_store);
             let is_empty = scheduler.machine(id).is_some_and(Machine::is_empty);
-            let accepted_by_fault =
-                (hasty_proof && fencing_token == 4) || (old_reports && sequence == 7);
+            let accepted_by_fault = (absence_proof_without_token && fencing_token == 4)
+                || (old_reports && sequence == 7);
             assert_eq!(
                 is_empty,
                 expect_released || (fault_injected && accepted_by_fault),
-                "{incarnation} {sequence} {fencing_token} {hasty_proof} {old_reports}"
+                "{incarnation} {sequence} {fencing_token} {absence_proof_without_token} {old_reports}"
             );
         }
     }
@@ -286,7 +288,7 @@
     };
     for (loaded, fault_injected) in [(false, false), (true, false), (true, true)] {
         let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
-        (scheduler.loaded, scheduler.faults.first_word) = (loaded, fault_injected);
+        (scheduler.loaded, scheduler.faults.first_report_proves_life) = (loaded, fault_injected);
         scheduler.on_report(at(NOW), &report(5, 4, &[]), &[], &job_store);
         assert_eq!(last_heartbeat(&scheduler), fault_injected);
         // Several delayed reports arrive at once.
@@ -363,7 +365,10 @@
     for fault_injected in [false, true] {
         for (state, (incarnation, sequence, fencing_token), expect_released) in cases {
             let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
-            (scheduler.loaded, scheduler.faults.direct_absence) = (true, fault_injected);
+            (
+                scheduler.loaded,
+                scheduler.faults.direct_reply_absence_ends_task,
+            ) = (true, fault_injected);
             scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
             let task = TaskId {
                 job: job_id("job-1"),
@@ -630,9 +635,9 @@
 fn removed_machines_of_a_large_fleet_are_remembered_within_a_bound() {
     let (_, mut scheduler) = scheduler_with_cancelled_job("job-1");
     let id = |n: usize| MachineId::parse(&format!("n-{n:06}")).expect("valid machine name");
-    (0..8_192).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
+    (0..8_192).for_each(|n| scheduler.on_machine_removed(at(NOW), id(n)));
     assert!((0..8_192).all(|n| scheduler.removed_machines.contains(&id(n))));
-    (0..MAX_REMOVED_MACHINES + 100).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
+    (0..MAX_REMOVED_MACHINES + 100).for_each(|n| scheduler.on_machine_removed(at(NOW), id(n)));
     assert_eq!(scheduler.removed_machines.len(), MAX_REMOVED_MACHINES);
     assert!(scheduler
         .removed_machines
