--- a/crates/controller/src/scheduler/scattered_preemption.rs
+++ b/crates/controller/src/scheduler/scattered_preemption.rs
@@ -1,5 +1,6 @@
-//! A withdrawn way of preemption, which tests put back as a planted fault: CPUs of stopped tasks
-//! are added up over the whole fleet, wherever they are, and nothing reserves their room.
+//! A former preemption algorithm that tests enable as an injected fault. It adds up the CPUs of
+//! stopped tasks over the whole fleet, regardless of the machine, and does not reserve the freed
+//! capacity.
 
 use super::cycle::SchedulingCycle;
 use super::feasibility::is_feasible;
@@ -30,7 +31,7 @@
             return;
         };
         let spec = job.spec.clone();
-        let mut lacking_cpus = f64::from(job.pending_tasks()) * spec.cpus;
+        let mut missing_cpus = f64::from(job.pending_tasks()) * spec.cpus;
         let mut victims: Vec<ScatteredVictim> = Vec::new();
         for (id, machine) in self
             .machines
@@ -46,7 +47,7 @@
                 };
                 let (ran_s, run_s) = (allocation.ran_s(now), self.expected_run_s(job));
                 if allocation.kill_grace_s.is_some() {
-                    lacking_cpus -= allocation.resources.cpus;
+                    missing_cpus -= allocation.resources.cpus;
                 } else if allocation.is_observed()
                     && job.spec.urgency < spec.urgency
                     && is_feasible(&spec, machine_type, machine)
@@ -63,10 +64,10 @@
         }
         victims.sort_by(|a, b| a.ran_s.total_cmp(&b.ran_s));
         for victim in victims {
-            if lacking_cpus <= 0.0 {
+            if missing_cpus <= 0.0 {
                 break;
             }
-            lacking_cpus -= victim.cpus;
+            missing_cpus -= victim.cpus;
             self.stop_task(victim.machine, victim.task, claim.reason.describe());
         }
     }
