--- a/crates/controller/src/fleet/cloud_calls.rs
+++ b/crates/controller/src/fleet/cloud_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud: their queue, their rate, and where each reply goes.
+//! Calls to the cloud: call queue, rate limit and dispatch of replies.
 
 use super::cloud_protocol::{Catalog, CloudRequest, HostList, ScaleOutReply, ScaleOutRequest};
 use super::term::LeaderTerm;
@@ -9,31 +9,31 @@
 use beamhinge_core::types::{CallId, MachineId, Time};
 use beamhinge_core::wire;
 
-/// How long the cloud may take for a reply, seconds.
+/// Timeout of a call to the cloud, seconds.
 const CALL_TIMEOUT_S: f64 = 4.0;
-/// Part of the rate that the cloud allows which is used.
+/// Fraction of the cloud's rate limit that the controller uses.
 const RATE_FRACTION: f64 = 0.9;
-/// Pause after the catalog could not be read, seconds.
+/// Pause after a failed read of the catalog, seconds.
 const CATALOG_RETRY_S: f64 = 1.0;
-/// Age from which a leader asks for the catalog again, seconds.
+/// Age of the catalog at which a leader reads it again, seconds.
 const CATALOG_MAX_AGE_S: f64 = 30.0;
-/// The same of a controller that does not lead.
+/// Age of the catalog at which a controller that is not the leader reads it again, seconds.
 const FOLLOWER_CATALOG_MAX_AGE_S: f64 = 120.0;
 
 /// A call to the cloud.
 #[derive(Debug)]
 pub(super) enum CloudCall {
-    /// Reads the machine types on offer.
+    /// Reads the catalog of machine types.
     Catalog,
     /// Reads the next page of the machine list.
     ListHosts,
-    /// Rents machines, by the rental's name.
+    /// Rents machines; holds the rental's name.
     ScaleOut(String),
     /// Releases machines.
     ScaleIn(Vec<MachineId>),
 }
 
-/// Token bucket that keeps calls below the rate that the cloud allows.
+/// Token bucket that keeps calls below the cloud's rate limit.
 pub(super) struct CallRate {
     per_s: f64,
     level: f64,
@@ -41,7 +41,7 @@
 }
 
 impl CallRate {
-    /// `allowed_per_s`: the cloud's limit, calls a second.
+    /// `allowed_per_s`: the cloud's rate limit, calls per second.
     pub(super) fn new(allowed_per_s: f64) -> CallRate {
         CallRate {
             per_s: allowed_per_s * RATE_FRACTION,
@@ -63,13 +63,13 @@
         self.level -= 1.0;
     }
 
-    /// The cloud refused a call for its rate.
+    /// Empties the bucket after the cloud rejected a call because of its rate limit.
     fn drain(&mut self) {
         self.level = self.level.min(0.0);
     }
 }
 
-/// When the catalog of machine types was read, and when it is read next.
+/// Schedules the reads of the catalog of machine types.
 #[derive(Default)]
 pub(super) struct CatalogRefresh {
     in_flight: bool,
@@ -78,7 +78,7 @@
 }
 
 impl CatalogRefresh {
-    /// Whether the catalog is to be read now; if so, the call counts as in flight.
+    /// Returns whether the catalog is due to be read, and if so marks the call as in flight.
     pub(super) fn begin(&mut self, now: Time, leading: bool) -> bool {
         let max_age_s = if leading {
             CATALOG_MAX_AGE_S
@@ -93,7 +93,7 @@
 }
 
 impl LeaderTerm {
-    /// The request for a call; none if its rental was dropped meanwhile.
+    /// The request of a scale-out call; `None` if its rental was dropped in the meantime.
     fn scale_out_request(&self, name: &str) -> Option<CloudRequest> {
         let rental = self.rentals.open.iter().find(|r| r.entry.name == name)?;
         Some(CloudRequest::scale_out(&ScaleOutRequest {
@@ -107,12 +107,12 @@
 }
 
 impl Fleet {
-    /// Whether a reply belongs to the fleet.
+    /// Whether the call was sent by the fleet controller.
     pub fn owns_call(&self, id: CallId) -> bool {
         self.calls.contains_key(&id)
     }
 
-    /// Sends queued calls as far as their rate allows.
+    /// Sends queued calls as far as the rate limit permits.
     pub fn flush(&mut self, now: Time, next_call: &mut u64, out: &mut Vec<Effect>) {
         self.call_rate.refill(now);
         while self.call_rate.has_token() {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Takes in the cloud's reply to a call: status and body, or none if it was lost.
+    /// Handles the cloud's reply to a call: status and body, or `None` if there was no reply.
     pub fn on_cloud_reply(
         &mut self,
         now: Time,
@@ -198,7 +198,8 @@
         }
     }
 
-    /// Machines refer to types by index: the order is kept, and prices are replaced.
+    /// Updates the machine types in place. Machines refer to types by index, so known types keep
+    /// their position and new ones are appended.
     fn update_machine_types(&mut self, catalog: Catalog) {
         let offered = catalog.machine_types.into_iter().map(MachineType::from);
         if self.machine_types.is_empty() {
@@ -226,7 +227,7 @@
     }
 }
 
-/// The body of a reply with status 200.
+/// The body of a reply with status 200; `None` for any other reply.
 fn ok_body(result: &Option<(u16, Vec<u8>)>) -> Option<&[u8]> {
     match result {
         Some((200, body)) => Some(body),
--- a/crates/controller/src/fleet/cloud_protocol.rs
+++ b/crates/controller/src/fleet/cloud_protocol.rs
@@ -1,7 +1,7 @@
-//! The cloud's wire format: bodies of requests and replies, in the names of its protocol.
+//! The cloud's wire format: bodies of requests and replies under the names of its protocol.
 //!
-//! This is the only module that knows the wire's words (`yard`, `loaners`, `cards`, `vcpus`,
-//! `shape`); everything behind it uses the scheduler's terms.
+//! Only this module uses the names on the wire (`yard`, `loaners`, `cards`, `vcpus`, `shape`); all
+//! other modules use the scheduler's terms.
 
 use super::instance::InstanceStatus;
 use crate::split::MachineType;
@@ -11,19 +11,19 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// Machines in one page of the list.
+/// Maximum number of machines on one page of the machine list.
 const LIST_PAGE_SIZE: u32 = 500;
-/// The error text of a 503 reply that says that nothing was rented.
+/// Error text of a 503 reply by which the cloud states that nothing was rented.
 const NO_CAPACITY_ERROR: &str = "no capacity";
 
-/// Reply to `GET /flavors`: the machine types on offer.
+/// Reply to `GET /flavors`: the machine types that the cloud offers.
 #[derive(Deserialize)]
 pub(super) struct Catalog {
     #[serde(rename = "shapes")]
     pub(super) machine_types: Vec<CatalogEntry>,
 }
 
-/// One machine type on offer.
+/// One machine type of the catalog.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct CatalogEntry {
@@ -65,7 +65,7 @@
     }
 }
 
-/// One machine of the list.
+/// One machine of the machine list.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct HostRow {
@@ -79,13 +79,13 @@
     #[serde(rename = "loaners")]
     pub(super) spot: bool,
     pub(super) status: String,
-    /// Seconds since it was rented.
+    /// Time since the machine was rented, seconds.
     #[serde(deserialize_with = "wire::amount")]
     pub(super) held_s: f64,
 }
 
 impl HostRow {
-    /// A status that this version does not know counts as booting.
+    /// The machine's status. A status that this version does not know counts as booting.
     pub(super) fn instance_status(&self) -> InstanceStatus {
         match self.status.as_str() {
             "running" => InstanceStatus::Running,
@@ -94,13 +94,13 @@
         }
     }
 
-    /// The worker's address; none if the row has none, or one that cannot be read.
+    /// The worker's address; `None` if it is absent or cannot be parsed.
     pub(super) fn socket_address(&self) -> Option<SocketAddrV4> {
         self.endpoint.as_ref().and_then(|e| e.parse().ok())
     }
 }
 
-/// Reply to `GET /hosts`: one page of the list of machines.
+/// Reply to `GET /hosts`: one page of the machine list.
 #[derive(Deserialize)]
 pub(super) struct HostList {
     pub(super) hosts: Vec<HostRow>,
@@ -108,7 +108,7 @@
     pub(super) more: bool,
 }
 
-/// Reply to `POST /hosts`: names of the machines that were rented.
+/// Reply to `POST /hosts`: names of the rented machines.
 #[derive(Deserialize)]
 pub(super) struct ScaleOutResponse {
     pub(super) hosts: Vec<String>,
@@ -118,7 +118,7 @@
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct ScaleOutRequest<'a> {
-    /// Idempotency key: the same name never rents twice.
+    /// Idempotency key: repeated requests under the same name rent only once.
     pub(super) rental: &'a str,
     #[serde(rename = "shape")]
     pub(super) machine_type: &'a str,
@@ -143,7 +143,7 @@
     error: String,
 }
 
-/// A call to the cloud as it goes out.
+/// An HTTP request to the cloud.
 pub(super) struct CloudRequest {
     pub(super) method: Method,
     pub(super) path: String,
@@ -167,12 +167,13 @@
         }
     }
 
-    /// Asks for the machine types on offer.
+    /// Reads the catalog of machine types.
     pub(super) fn catalog() -> CloudRequest {
         Self::get("/flavors".to_string())
     }
 
-    /// Asks for the page of the machine list that follows the machine `after`.
+    /// Reads the page of the machine list that follows the machine `after`, or the first page if
+    /// `None`.
     pub(super) fn list_hosts(after: Option<&str>) -> CloudRequest {
         Self::get(match after {
             Some(after) => format!("/hosts?since={after}&most={LIST_PAGE_SIZE}"),
@@ -192,17 +193,17 @@
     }
 }
 
-/// What the cloud replied to a request for machines.
+/// The cloud's reply to a request for machines.
 pub(super) enum ScaleOutReply {
-    /// Rented; possibly fewer machines than were asked for.
+    /// Names of the rented machines, possibly fewer than requested.
     Granted(Vec<String>),
-    /// Nothing was rented under this name by this call.
+    /// This call rented nothing.
     NoCapacity,
-    /// The cloud does not serve requests at the moment.
+    /// The cloud currently does not serve requests.
     Unavailable,
-    /// Too many calls.
+    /// The call exceeded the cloud's rate limit.
     RateLimited,
-    /// The cloud does not accept the request in this form.
+    /// The cloud rejected the request as malformed.
     Malformed,
     /// No usable reply: machines may or may not have been rented.
     Unknown,
@@ -211,7 +212,7 @@
 impl From<Option<(u16, Vec<u8>)>> for ScaleOutReply {
     fn from(result: Option<(u16, Vec<u8>)>) -> ScaleOutReply {
         match result {
-            // A body that cannot be read names no machines; the list will show them.
+            // A body that cannot be decoded names no machines; the machine list will show them.
             Some((200, body)) => ScaleOutReply::Granted(
                 wire::decode::<ScaleOutResponse>(&body).map_or_else(|_| Vec::new(), |r| r.hosts),
             ),
--- a/crates/controller/src/fleet/forecast.rs
+++ b/crates/controller/src/fleet/forecast.rs
@@ -1,5 +1,5 @@
-//! What the admin API shows of the fleet: the machines there are, those on their way, and what
-//! stands between a pending job and machines that it could use.
+//! Views of the fleet in the admin API: existing and booting machines, the capacity planner's
+//! parameters, and the reasons why a pending job has no machines that it could use.
 
 use super::instance::{Instance, InstanceStatus};
 use super::scale_plan::BOOT_SPREAD;
@@ -15,14 +15,14 @@
 use beamhinge_core::types::{MachineId, Time, WallMs};
 use std::collections::BTreeMap;
 
-/// What a job requires of machines.
+/// A job's requirements on machines.
 struct Requirements<'a> {
     spec: &'a JobSpec,
     resources: &'a split::Resources,
 }
 
 impl Requirements<'_> {
-    /// Whether machines of this market could ever serve the job.
+    /// Whether machines of this type, zone and class could ever run tasks of the job.
     fn are_met_by(&self, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
         let spec = self.spec;
         let zone_allowed = spec.zone.as_ref().is_none_or(|z| z == zone);
@@ -37,26 +37,27 @@
     }
 }
 
-/// Which machines are asked for.
+/// Selects machines of the inventory.
 #[derive(Clone, Copy)]
 pub struct MachineQuery<'a> {
     /// Only machines of the type with this label.
     pub machine_type: Option<&'a str>,
     /// Only machines of this zone.
     pub zone: Option<&'a str>,
-    /// Only machines whose names come after this one.
+    /// Only machines whose names sort after this one.
     pub after: Option<MachineId>,
-    /// Most rows of the page.
+    /// Maximum number of rows on the page.
     pub limit: usize,
 }
 
-/// The type at an index; none if it is unknown or has no label.
+/// The machine type at an index; `None` if it is unknown or has no label.
 fn labelled(machine_types: &[MachineType], index: usize) -> Option<&MachineType> {
     machine_types.get(index).filter(|t| !t.label.is_empty())
 }
 
 impl Fleet {
-    /// What is under way for a pending job, what keeps it from machines, and how it is split.
+    /// Explains a pending job: machines that boot or are requested for it, refusals and drains that
+    /// keep machines from it, and its split between machine classes.
     pub fn explain_pending_job(
         &self,
         now: Time,
@@ -91,7 +92,7 @@
         reasons
     }
 
-    /// One page of the machines, in the order of their names.
+    /// One page of the machines, ordered by name.
     pub fn render_machines(
         &self,
         now: Time,
@@ -103,7 +104,7 @@
             next: None,
         };
         let Some(term) = &self.term else { return page };
-        // Those that report count as well, listed or not.
+        // Includes machines that report, whether or not a list names them.
         let reporting = scheduler
             .machines()
             .filter(|(_, m)| m.machine_type().is_some())
@@ -130,7 +131,7 @@
         page
     }
 
-    /// A machine's row; none if its type is unknown.
+    /// The row of a machine; `None` if its machine type is unknown.
     fn render_machine(
         &self,
         now: Time,
@@ -177,7 +178,7 @@
             .count() as u32
     }
 
-    /// The learner's pairs, for the admin API.
+    /// The learner's parameter pairs, for the admin API.
     pub fn render_splits(&self) -> SplitPage {
         let Some(term) = &self.term else {
             return SplitPage {
@@ -201,7 +202,7 @@
     }
 }
 
-/// Whether a machine is to be expected that has not reported yet.
+/// Whether the machine is expected to come up and has not reported yet.
 fn is_starting(id: MachineId, instance: &Instance, scheduler: &Scheduler) -> bool {
     let reported = scheduler
         .machine(id)
@@ -209,15 +210,15 @@
     instance.is_retained() && instance.status != InstanceStatus::Failed && !reported
 }
 
-/// Machines of one market that boot.
+/// Booting machines of one market.
 struct Booting {
     count: u32,
-    /// Until the first of them is expected, seconds.
+    /// Time until the first of them is expected to be up, seconds.
     first_in_s: f64,
 }
 
 impl LeaderTerm {
-    /// Machines that boot and could serve the job.
+    /// Adds the booting machines that could run tasks of the job.
     fn explain_booting(
         &self,
         now: Time,
@@ -259,7 +260,8 @@
         }
     }
 
-    /// Open rentals that could serve the job, and markets that refused lately.
+    /// Adds the open rentals that could serve the job, and the markets for it that recently refused
+    /// a request.
     fn explain_rentals(
         &self,
         now: Time,
@@ -295,8 +297,8 @@
         }
     }
 
-    /// Whether a drain stands between the job and machines that it could use: types and zones
-    /// where nothing is rented, or a machine that is there.
+    /// Whether a drain keeps the job from machines that it could use: it stops rentals of a
+    /// suitable machine type in a zone, or it drains a suitable existing machine.
     fn drain_blocks(
         &self,
         drain: &Directive,
--- a/crates/controller/src/fleet/instance.rs
+++ b/crates/controller/src/fleet/instance.rs
@@ -1,4 +1,4 @@
-//! One machine as the cloud and the leader know it, and the states it passes through.
+//! One machine of the inventory: its state in the cloud's list and the state of its return.
 
 use super::cloud_protocol::HostRow;
 use crate::directives::ActiveDirectives;
@@ -10,10 +10,10 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// Boot time assumed of a machine whose type is unknown, seconds.
+/// Boot time assumed for a machine whose type is unknown, seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// State of a machine by the cloud's list.
+/// State of a machine according to the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InstanceStatus {
     Booting,
@@ -21,26 +21,26 @@
     Failed,
 }
 
-/// How far the return of a machine to the cloud has come.
+/// Progress of the return of a machine to the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ScaleInState {
-    /// The machine stays.
+    /// The machine is kept.
     Retained,
-    /// To be released; the call was not sent yet.
+    /// The machine is to be released; the call has not been sent yet.
     Pending,
-    /// Like `Pending`, because the machine is silent: called off if it reports again.
+    /// Like `Pending`, because the machine is unreachable; cancelled if it reports again.
     PendingSilent,
-    /// The call is under way.
+    /// The release call is queued or in flight.
     InFlight,
 }
 
-/// Why a machine is returned. The texts are part of the admin API.
+/// Reason why a machine is returned. The texts are part of the admin API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ScaleInReason {
     Silent,
-    /// It reported before, and complete lists no longer name it.
+    /// It reported before, but complete lists no longer name it.
     Unlisted,
-    /// It reports, and acknowledges nothing that it is sent.
+    /// It reports but acknowledges nothing that is sent to it.
     Unacknowledging,
     Failed,
     Quarantined,
@@ -93,18 +93,19 @@
     pub(super) status: InstanceStatus,
     /// When it was rented, or first seen.
     pub(super) rented_at: Time,
-    /// When the list last named it.
+    /// When a list last named it; `None` if none has.
     pub(super) listed_at: Option<Time>,
     pub(super) endpoint: Option<SocketAddrV4>,
-    /// Provided by the operators, not rented by the service: it is kept while idle.
+    /// Provided by the operators, not rented by the service: it is kept while idle for as long as
+    /// the operators' idle time allows.
     pub(super) owned: bool,
-    /// Complete lists in a row that do not name it, though they must.
+    /// Number of consecutive complete lists that omit it although they must show it.
     pub(super) missed_listings: u32,
     pub(super) scale_in: ScaleInState,
 }
 
 impl Instance {
-    /// A machine of a class in a zone that was not seen in any list yet.
+    /// Creates a machine that no list has named yet.
     pub(super) fn unlisted(class: MachineClass, zone: String, rented_at: Time) -> Instance {
         Instance {
             machine_type: class.machine_type,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A machine that was first seen in the list.
+    /// Creates a machine from its first row in a list.
     pub(super) fn from_listing(row: &HostRow, machine_type: usize, now: Time) -> Instance {
         let class = MachineClass {
             machine_type,
@@ -140,25 +141,25 @@
         }
     }
 
-    /// Whether no return of it is pending or under way.
+    /// Whether no return of the machine is pending or in flight.
     pub(super) fn is_retained(&self) -> bool {
         self.scale_in == ScaleInState::Retained
     }
 
-    /// Whether it has been up: the list calls it running, or the job store has tasks on it. If
-    /// such a machine never reported to this leader it is silent, and may yet recover.
+    /// Whether the machine has been up: the list shows it as running, or the job store has tasks
+    /// on it. Such a machine that never reported to this leader is unreachable and may recover.
     pub(super) fn was_up(&self, machine: Option<&Machine>) -> bool {
         self.status == InstanceStatus::Running || machine.is_some_and(|m| !m.is_empty())
     }
 
-    /// Its type's boot time, seconds.
+    /// Boot time of its machine type, seconds.
     pub(super) fn boot_s(&self, machine_types: &[MachineType]) -> f64 {
         machine_types
             .get(self.machine_type)
             .map_or(DEFAULT_BOOT_S, |t| t.boot_s)
     }
 
-    /// The drain that it is under, if any.
+    /// The drain directive that applies to the machine; `None` if it is not drained.
     pub(super) fn active_drain<'a>(
         &self,
         id: MachineId,
--- a/crates/controller/src/fleet/inventory.rs
+++ b/crates/controller/src/fleet/inventory.rs
@@ -1,4 +1,4 @@
-//! The inventory: what the cloud's list says of the machines.
+//! The machine inventory, read from the cloud's list.
 
 use super::cloud_protocol::{HostList, HostRow};
 use super::instance::{Instance, InstanceStatus};
@@ -6,26 +6,26 @@
 use crate::split::MachineType;
 use beamhinge_core::types::{MachineId, Time};
 
-/// Seconds between two passes over the list.
+/// Interval between two passes over the list, seconds.
 const LIST_INTERVAL_S: f64 = 1.5;
-/// How long a released machine is remembered, which a lagging list may still name, seconds.
+/// How long a released machine is remembered, because a lagging list may still name it, seconds.
 const RELEASED_MEMORY_S: f64 = 120.0;
 
-/// Where the reading of the list stands. A pass is one reading of all its pages.
+/// Progress of reading the list. A pass reads all pages of the list once.
 #[derive(Default)]
 pub(super) struct Listing {
     in_flight: bool,
-    /// When the last pass was completed, or given up.
+    /// When the last pass was completed or aborted.
     ended_at: Time,
-    /// Last machine of the page before; none at the beginning of a pass.
+    /// Last machine of the previous page; `None` at the beginning of a pass.
     after: Option<String>,
-    /// When the pass that is under way began.
+    /// When the current pass began.
     pass_began: Time,
     completed_passes: u32,
 }
 
 impl Listing {
-    /// Whether a page is to be read now; if so, the call counts as in flight.
+    /// Returns whether a page is due to be read, and if so marks the call as in flight.
     pub(super) fn begin_page(&mut self, now: Time) -> bool {
         if self.in_flight || now.since(self.ended_at) <= LIST_INTERVAL_S {
             return false;
@@ -37,26 +37,26 @@
         true
     }
 
-    /// The machine behind which the next page begins.
+    /// The machine after which the next page begins; `None` for the first page.
     pub(super) fn next_page_after(&self) -> Option<&str> {
         self.after.as_deref()
     }
 
-    /// A page could not be read: the next pass begins anew.
+    /// Aborts the pass because a page could not be read; the next pass starts from the first page.
     pub(super) fn restart(&mut self, now: Time) {
         self.in_flight = false;
         self.after = None;
         self.ended_at = now;
     }
 
-    /// Whether the whole list was read at least once.
+    /// Whether the whole list has been read at least once.
     pub(super) fn is_complete(&self) -> bool {
         self.completed_passes > 0
     }
 }
 
 impl LeaderTerm {
-    /// Takes in one page of the list.
+    /// Applies one page of the list.
     pub(super) fn apply_host_list(
         &mut self,
         now: Time,
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Rows with an unknown name or type, and machines that were released, are skipped.
+    /// Applies one row. Rows with an unparsable name or an unknown type, and rows of released
+    /// machines, are skipped.
     fn apply_host_row(&mut self, now: Time, row: &HostRow, machine_types: &[MachineType]) {
         let Some(id) = MachineId::parse(&row.name_id) else {
             return;
@@ -97,7 +98,7 @@
             .instances
             .entry(id)
             .or_insert_with(|| Instance::from_listing(row, machine_type, now));
-        // The list may step back: a machine that ran does not boot again.
+        // A list may be older than one read before: a running machine does not return to booting.
         if !(instance.status == InstanceStatus::Running && status == InstanceStatus::Booting) {
             instance.status = status;
         }
@@ -108,7 +109,7 @@
     fn complete_listing_pass(&mut self, now: Time, list_lag_s: f64) {
         self.listing.completed_passes += 1;
         self.listing.ended_at = now;
-        // Before the first rental ever, all that is listed is the operators' own.
+        // Before the first rental ever, all listed machines were provided by the operators.
         if self.rentals.owned.is_none() && self.rentals.is_record_absent() {
             self.rentals.owned = Some(self.instances.keys().copied().collect());
         }
--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -1,4 +1,5 @@
-//! Finds machines that failed, never booted, vanished or fell silent, and marks them for return.
+//! Detects machines that failed, never booted, left the cloud's list or became unreachable, and
+//! marks them for return.
 
 use super::instance::{Instance, InstanceStatus, ScaleInReason, ScaleInState};
 use super::term::LeaderTerm;
@@ -14,24 +15,27 @@
 };
 use std::collections::BTreeMap;
 
-/// Complete lists in a row without a machine after which it counts as gone.
+/// Number of consecutive complete lists that must omit a machine before it counts as removed.
 const UNLISTED_AFTER_PASSES: u32 = 2;
-/// Time that machines have after a failover to find the new leader, seconds.
+/// Grace period after a failover in which machines find the new leader, seconds.
 const FAILOVER_GRACE_S: f64 = 2.0;
-/// Leases without an acknowledgement, or of silence, after which a machine is surely dead.
+/// Time without a report or an acknowledgement after which a machine is presumed dead in any case,
+/// in worker leases.
 const SURELY_DEAD_LEASES: f64 = 4.0;
-/// Reports that may be missed by a machine which is adopted without having been listed.
+/// Greatest age of the last report of a machine that is adopted without having been listed, in
+/// report intervals.
 const ADOPTION_REPORTS: f64 = 3.0;
 
-/// What is concluded from machines' silence.
+/// Conclusions drawn from machines that do not report.
 pub(super) struct MachineHealth {
     detector: SilenceDetector,
     /// Reachability of the machines, as of the last assessment.
     pub(super) connectivity: Connectivity,
-    /// Silent machines that are not given up, and how long their failure domain is suspected,
-    /// seconds.
+    /// Machines that are unreachable or acknowledge nothing but are not treated as lost, with the
+    /// time for which their failure domain has been suspected or acknowledgements have been
+    /// missing, seconds.
     pub(super) shielded: BTreeMap<MachineId, f64>,
-    /// Failure domains that are silent as a whole, and for how long, seconds.
+    /// Failure domains suspected to be behind a broken link, and for how long, seconds.
     suspected: Vec<(FailureDomain, f64)>,
 }
 
@@ -45,14 +49,14 @@
         }
     }
 
-    /// Whether this controller's own link to the machines is taken for broken.
+    /// Whether this controller's local link to the machines is suspected to be broken.
     pub(super) fn is_own_link_suspected(&self) -> bool {
         self.suspected
             .iter()
             .any(|(domain, _)| *domain == FailureDomain::OwnLink)
     }
 
-    /// Logs a domain once when it falls silent and once when it is heard again.
+    /// Logs a failure domain once when it becomes suspected and once when it recovers.
     fn update_suspected(
         &mut self,
         settings: &Settings,
@@ -65,27 +69,27 @@
         for (domain, _) in &suspected {
             if !contains(&self.suspected, domain) {
                 let domain = domain_name(*domain, settings, machine_types);
-                tracing::warn!(%domain, "suspecting broken link: machines are silent together");
+                tracing::warn!(%domain, "suspecting broken link: failure domain is unreachable");
             }
         }
         for (domain, elapsed_s) in &self.suspected {
             if !contains(&suspected, domain) {
                 let domain = domain_name(*domain, settings, machine_types);
-                tracing::info!(%domain, elapsed_s, "recovered link: machines are heard again");
+                tracing::info!(%domain, elapsed_s, "link recovered: failure domain reports again");
             }
         }
         self.suspected = suspected;
     }
 }
 
-/// A failure domain for log lines.
+/// Name of a failure domain in log lines.
 fn domain_name(
     domain: FailureDomain,
     settings: &Settings,
     machine_types: &[MachineType],
 ) -> String {
     match domain {
-        FailureDomain::OwnLink => "own link".to_string(),
+        FailureDomain::OwnLink => "local link".to_string(),
         FailureDomain::Zone(index) => {
             let zones = &settings.params.zones;
             format!("zone {}", zones.get(index).map_or("?", String::as_str))
@@ -97,7 +101,8 @@
     }
 }
 
-/// The fault of old: silent is dead, as long as more machines are heard than silent.
+/// Injected fault, a former defect: every unreachable machine counts as dead while fewer than half
+/// of the machines are unreachable.
 #[cfg(feature = "faults")]
 fn assess_without_shields(
     observations: &[MachineObservation],
@@ -119,8 +124,8 @@
 }
 
 impl LeaderTerm {
-    /// Assesses all machines, marks those that are lost for return, and adopts those that report
-    /// though no list names them yet.
+    /// Assesses all machines, marks lost machines for return, and adopts machines that report
+    /// although no list names them yet.
     pub(super) fn check_machines(
         &mut self,
         context: &TickContext,
@@ -158,7 +163,7 @@
         self.adopt_unlisted(now, settings.params.workers.report_s, scheduler);
     }
 
-    /// What this controller observes of each machine that was up and is not being returned.
+    /// Collects the observations of all machines that have been up and are not being returned.
     fn observe_machines(
         &mut self,
         context: &TickContext,
@@ -170,11 +175,12 @@
         let mut observations = Vec::new();
         for (id, instance) in &mut self.instances {
             let last_heartbeat = scheduler.machine(*id).and_then(Machine::last_heartbeat);
-            // It reports again: the return is called off while it can be.
+            // The machine reports again: cancel its return, which is possible until the call
+            // is sent.
             if instance.scale_in == ScaleInState::PendingSilent
                 && last_heartbeat.is_some_and(|at| now.since(at) < dead_after_s / 2.0)
             {
-                tracing::info!(machine = %id, "called off scale-in: machine reports again");
+                tracing::info!(machine = %id, "scale-in cancelled: machine reports again");
                 instance.scale_in = ScaleInState::Retained;
                 scheduler.cancel_return(*id);
             }
@@ -184,8 +190,9 @@
             let machine = scheduler.machine(*id);
             let silent_since = match last_heartbeat {
                 Some(at) => at,
-                // After a failover, what was up and does not report to this leader has been
-                // silent since then; it is given time to find the leader.
+                // After a failover, a machine that was up and has not reported to this leader
+                // counts as unreachable since leadership acquisition, plus a grace period in
+                // which it finds the leader.
                 None if instance.was_up(machine) => scheduler
                     .acquired_at()
                     .plus(FAILOVER_GRACE_S)
@@ -197,7 +204,7 @@
         observations
     }
 
-    /// Shields the machine, or returns why it is lost.
+    /// Records the machine as shielded, or returns the reason why it is lost.
     fn apply_liveness(
         &mut self,
         now: Time,
@@ -222,8 +229,9 @@
         }
     }
 
-    /// A machine that reports and acknowledges nothing is treated like one behind a broken link:
-    /// shielded, thus replaced little by little, and lost when that lasts.
+    /// Handles a machine that reports but acknowledges nothing like one behind a broken link: it is
+    /// shielded, so that replacements are rented gradually, and it is lost once the condition has
+    /// lasted [`SURELY_DEAD_LEASES`]. An owned machine stays shielded.
     fn check_acknowledgements(
         &mut self,
         now: Time,
@@ -243,7 +251,7 @@
         None
     }
 
-    /// Marks for return what failed, never booted or is lost.
+    /// Marks machines for return that failed, are quarantined, never booted or are lost.
     fn scale_in_lost(
         &mut self,
         now: Time,
@@ -269,8 +277,9 @@
                 ScaleInReason::Quarantined
             } else if never_reported && !instance.was_up(machine) && boot_overdue {
                 ScaleInReason::NeverBooted
-            // By lists that were read and do not name it, not by time alone: a leader that did
-            // not reach the cloud for a while returned whatever it had not heard.
+            // Requires lists that were read and omit the machine, not only elapsed time: a leader
+            // that could not reach the cloud for a while returned every machine that had not
+            // reported to it.
             } else if never_reported && instance.missed_listings >= UNLISTED_AFTER_PASSES {
                 ScaleInReason::NeverListed
             } else if let Some(reason) = lost.get(id) {
@@ -287,7 +296,7 @@
         }
     }
 
-    /// Adopts machines that report, though no list and no rental named them yet.
+    /// Adopts machines that report although no list and no rental has named them yet.
     fn adopt_unlisted(&mut self, now: Time, report_s: f64, scheduler: &Scheduler) {
         for (id, machine) in scheduler.machines() {
             let known = self.instances.contains_key(id) || self.released.contains_key(id);
@@ -311,7 +320,7 @@
     }
 }
 
-/// What is observed of a machine that is silent since `silent_since`.
+/// The observation of a machine that has not reported since `silent_since`.
 fn observe(
     context: &TickContext,
     id: MachineId,
@@ -326,7 +335,8 @@
         ..
     } = context.liveness;
     let mut silent_s = now.since(pause_detector.silence_counts_from(silent_since));
-    // Not rented by the service: returned only when it is surely dead.
+    // An owned machine is not rented by the service: it is returned
+    // only when it is presumed dead in any case.
     if instance.owned && silent_s < settings.params.workers.lease_s * SURELY_DEAD_LEASES {
         silent_s = silent_s.min(silence_thresholds(settings).dead_after_s);
     }
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -1,21 +1,22 @@
-//! The fleet controller of the leader: what machines there are, which are wanted, and the calls
-//! to the cloud that close the gap.
+//! Fleet controller: the leader tracks the machines that exist, computes the target capacity, and
+//! calls the cloud to scale the fleet out or in.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `cloud_protocol` | the cloud's wire format |
-//! | `cloud_calls` | queue, rate and replies of calls to the cloud |
-//! | `inventory` | the list of machines |
-//! | `machine_health` | machines that failed, never booted, vanished or fell silent |
-//! | `rentals`, `rental_record` | open requests for machines, and their stored record |
-//! | `scale_plan` | compares what there is with what is wanted |
-//! | `scale_out`, `scale_in` | requests and releases machines |
-//! | `forecast` | what the admin API shows of the fleet |
+//! | `cloud_calls` | call queue, rate limit and reply dispatch for the cloud API |
+//! | `inventory` | machine inventory, read from the cloud's list |
+//! | `machine_health` | detects failed, unbooted, unlisted and unreachable machines |
+//! | `rentals`, `rental_record` | open and recent rentals, and their stored record |
+//! | `scale_plan` | compares existing capacity with target capacity |
+//! | `scale_out`, `scale_in` | request and release machines |
+//! | `forecast` | machine, pending-job and capacity-planning views of the admin API |
 //!
-//! The cloud's machine list lags and may step back. A machine that the cloud named in a reply
-//! therefore counts from then on, and one that the list omits counts as gone only once the list
-//! has had time to show it. A release that was answered with 200 is the one quick proof that
-//! everything on a machine has ended.
+//! The cloud's machine list is eventually consistent: it lags, and a later read may return an older
+//! state. A machine that the cloud named in a reply to a rental therefore counts from that reply
+//! on, and a machine that the list omits counts as removed only after the list has had time to
+//! show it. A release that the cloud answered with status 200 is the only fast proof that
+//! everything on the machine has ended.
 
 use crate::calls::{FleetCall, Tag};
 use crate::scheduler::Scheduler;
@@ -47,14 +48,14 @@
 
 pub use forecast::MachineQuery;
 
-/// Seconds between two comparisons of the fleet with what is wanted.
+/// Interval between two comparisons of the fleet with the target capacity, seconds.
 const PLAN_INTERVAL_S: f64 = 0.5;
 
-/// How long a peer's observation of a machine counts, seconds: a worker that nobody answers
-/// tries each controller in turn.
+/// How long a peer's observation of a machine is valid, seconds. A worker that gets no reply
+/// tries each controller in turn, so a peer may receive its report only once per round.
 pub const MAX_PEER_OBSERVATION_AGE_S: f64 = 8.0;
 
-/// How long silence is tolerated, by the settings.
+/// Thresholds for machines that stop reporting, derived from the settings.
 fn silence_thresholds(settings: &Settings) -> SilenceThresholds {
     let workers = &settings.params.workers;
     SilenceThresholds {
@@ -64,49 +65,49 @@
     }
 }
 
-/// What the controller knows of itself when it judges whether machines are alive.
+/// State of this controller that the assessment of machine liveness depends on.
 pub struct LivenessView<'a> {
-    /// Pauses of this process.
+    /// Detects pauses of this process.
     pub pause_detector: &'a PauseDetector,
-    /// Machines that peers hear.
+    /// Machines that report to peers.
     pub peer_observations: &'a PeerObservations,
-    /// Whether the key-value store confirmed recently that this controller leads.
+    /// Whether the key-value store recently confirmed that this controller is the leader.
     pub leadership_confirmed: bool,
 }
 
-/// What a tick of the fleet rests on.
+/// Inputs of one tick of the fleet controller.
 pub struct TickContext<'a> {
     /// Monotonic time.
     pub now: Time,
-    /// Time of day.
+    /// Wall-clock time.
     pub wall: WallMs,
     /// The operators' parameters.
     pub operator: &'a OperatorSettings,
     /// The platform's settings.
     pub settings: &'a Settings,
-    /// What is known of this controller itself.
+    /// State of this controller that the liveness assessment depends on.
     pub liveness: &'a LivenessView<'a>,
 }
 
-/// The fleet controller. Machine types are kept by every controller, all else by the leader.
+/// The fleet controller. Every controller keeps the machine types; only the leader keeps the rest.
 pub struct Fleet {
     call_rate: CallRate,
-    /// How far the cloud's list may lag, seconds.
+    /// Longest lag of the cloud's machine list, seconds.
     list_lag_s: f64,
     machine_types: Vec<MachineType>,
     catalog_refresh: CatalogRefresh,
     /// Calls in flight.
     calls: BTreeMap<CallId, CloudCall>,
-    /// Calls that wait to be sent.
+    /// Calls that wait to be sent, in order.
     queue: VecDeque<CloudCall>,
-    /// None while another controller leads.
+    /// `None` while this controller is not the leader.
     term: Option<LeaderTerm>,
     #[cfg(feature = "faults")]
     faults: crate::faults::Faults,
 }
 
 impl Fleet {
-    /// A fleet controller that does not lead.
+    /// Creates the fleet controller of a controller that is not the leader.
     pub fn new(settings: &Settings) -> Fleet {
         Fleet {
             call_rate: CallRate::new(settings.params.cloud.rps),
@@ -121,23 +122,24 @@
         }
     }
 
-    /// Sets the faults that terms which begin from now on are tested with.
+    /// Sets the faults to inject into terms that begin from now on.
     #[cfg(feature = "faults")]
     pub fn set_faults(&mut self, faults: crate::faults::Faults) {
         self.faults = faults;
     }
 
-    /// The machine types on offer; empty until the catalog was read.
+    /// The machine types that the cloud offers; empty until the catalog has been read.
     pub fn machine_types(&self) -> &[MachineType] {
         &self.machine_types
     }
 
-    /// Number of silent machines that are not given up, since a link is taken for broken.
+    /// Number of machines that are unreachable or acknowledge nothing but are not treated as lost,
+    /// for example because a broken link is suspected.
     pub fn shielded_machines(&self) -> usize {
         self.term.as_ref().map_or(0, |t| t.health.shielded.len())
     }
 
-    /// Machines that this controller and its peers hear, as of the last assessment.
+    /// Which machines report to this controller and to its peers, as of the last assessment.
     pub fn connectivity(&self) -> Connectivity {
         self.term
             .as_ref()
@@ -145,7 +147,7 @@
             .unwrap_or_default()
     }
 
-    /// This controller leads from now on.
+    /// Begins a term: this controller is the leader from now on.
     pub fn begin_term(
         &mut self,
         now: Time,
@@ -163,13 +165,13 @@
         self.term = Some(term);
     }
 
-    /// Another controller leads, or may lead.
+    /// Ends the term: another controller is the leader, or may be.
     pub fn end_term(&mut self) {
         self.term = None;
         self.queue.clear();
     }
 
-    /// Addresses of the running machines that are not being returned.
+    /// Addresses of the running machines for which no return is pending or in flight.
     pub fn endpoints(&self) -> impl Iterator<Item = (MachineId, SocketAddrV4)> + '_ {
         self.term
             .iter()
@@ -178,8 +180,8 @@
             .filter_map(|(id, i)| Some((*id, i.endpoint?)))
     }
 
-    /// Runs what is due: reads lists, plans, and queues calls. `scheduler` is none unless this
-    /// controller leads.
+    /// Runs the work that is due: reads the catalog and the machine list, plans, and queues
+    /// calls. `scheduler` is `None` unless this controller is the leader.
     pub fn tick(
         &mut self,
         context: &TickContext,
@@ -197,8 +199,9 @@
             self.queue.push_back(CloudCall::ListHosts);
         }
         term.rentals.persist(now, term.token, store);
-        // A controller that is not sure to lead neither rents nor returns: after a pause of its
-        // process, or while it is cut off, it would act on what another leader decided anew.
+        // A controller whose leadership is unconfirmed neither rents nor returns machines: after a
+        // process pause or during a network partition, another leader may already have made new
+        // decisions about the same machines.
         let may_scale = term.rentals.is_record_known()
             && scheduler.loaded()
             && context.liveness.leadership_confirmed;
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Takes in a reply of the key-value store.
+    /// Handles a reply of the key-value store.
     pub fn on_store_reply(&mut self, now: Time, call: FleetCall, reply: Reply<Tag>) {
         let Some(term) = &mut self.term else { return };
         match call {
@@ -236,7 +239,7 @@
 }
 
 impl LeaderTerm {
-    /// Updates what is known of the machines, and requests or releases what the plan asks for.
+    /// Updates the state of the machines, then requests or releases machines according to the plan.
     fn reconcile_fleet(
         &mut self,
         context: &TickContext,
--- a/crates/controller/src/fleet/rental_record/tests.rs
+++ b/crates/controller/src/fleet/rental_record/tests.rs
@@ -31,7 +31,7 @@
     golden.check();
 }
 
-/// Earlier versions stored neither owned machines nor spans of them.
+/// Records of earlier versions contain neither owned machines nor ranges of them.
 #[test]
 fn stored_rentals_are_read_field_by_field() {
     let mut stored = serde_json::json!({"v": 1, "rentals": [{"name": "r-41-7", "shape": "g8",
--- a/crates/controller/src/fleet/rentals.rs
+++ b/crates/controller/src/fleet/rentals.rs
@@ -1,7 +1,7 @@
-//! Requests for machines that are not settled yet, and their record in the key-value store.
+//! Open and recent requests for machines (rentals), and their record in the key-value store.
 //!
-//! Invariant: a name is sent to the cloud only after it was recorded, and a name that is in use
-//! stays in the record until every list must show its machines.
+//! Invariant: a rental's name is sent to the cloud only after it was recorded, and a name in use
+//! stays in the record until every machine list must show the machines rented under it.
 
 use super::cloud_calls::CloudCall;
 use super::rental_record::{
@@ -16,16 +16,16 @@
 use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction, Transaction, TransactionError};
 use std::collections::BTreeMap;
 
-/// How long nothing is recorded after a rental that could not be, seconds.
+/// Pause of reads and writes of the record after a rental that could not be recorded, seconds.
 const RECORD_PAUSE_S: f64 = 5.0;
-/// Pause after a write that was refused, failed or lost, seconds.
+/// Pause after a write of the record that was refused, failed or had no reply, seconds.
 const WRITE_RETRY_S: f64 = 0.2;
-/// Pause after a read that failed, seconds.
+/// Pause after a failed read of the record, seconds.
 const READ_RETRY_S: f64 = 0.3;
-/// Pause after a record that this version cannot read, seconds.
+/// Pause after reading a record that this version cannot decode, seconds.
 const UNREADABLE_RECORD_PAUSE_S: f64 = 3_600.0;
 
-/// Where one type's spot or on-demand machines are rented.
+/// A market: the spot or on-demand machines of one machine type in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Market {
     /// Index into the machine types.
@@ -34,25 +34,25 @@
     pub(super) spot: bool,
 }
 
-/// How far a rental has come.
+/// Progress of a rental.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RentalState {
-    /// Its name is not in the record, so that it must not be sent.
+    /// The name is not in the record, so the call must not be sent.
     Unrecorded,
-    /// It may be sent.
+    /// The name is recorded: the call may be sent.
     Recorded,
-    /// The call is under way.
+    /// The call is queued or in flight.
     InFlight,
 }
 
-/// A request for machines whose outcome is open.
+/// A request for machines that is not settled yet.
 #[derive(Debug)]
 pub(super) struct Rental {
     pub(super) entry: RentalEntry,
     /// Index into the machine types.
     pub(super) machine_type: usize,
     pub(super) state: RentalState,
-    /// A call under this name had no reply: it may yet take effect.
+    /// A call under this name had no reply and may still take effect.
     pub(super) outcome_unknown: bool,
     pub(super) retry_at: Time,
 }
@@ -73,36 +73,37 @@
         }
     }
 
-    /// The call is over; it is sent again after a pause.
+    /// Returns the rental to `Recorded` after its call has ended; it is sent again from `at` on.
     pub(super) fn retry(&mut self, at: Time) {
         self.state = RentalState::Recorded;
         self.retry_at = at;
     }
 }
 
-/// Reads and writes of the record.
+/// State of the reads and writes of the record.
 struct RecordSync {
-    /// Revision of the stored record; none while it is unknown.
+    /// Revision of the stored record; `None` while it is unknown.
     revision: Option<Revision>,
     in_flight: bool,
-    /// Names in the record as last read or written.
+    /// Rental names in the record as last read or written.
     written: Vec<String>,
     retry_at: Time,
     backoff: AdaptiveBackoff,
 }
 
-/// All rentals that are open or recent.
+/// All open and recent rentals.
 pub(super) struct Rentals {
-    /// Those whose outcome is open.
+    /// Rentals that are not settled yet.
     pub(super) open: Vec<Rental>,
     last_number: u64,
-    /// Markets that refused lately, and until when they are not asked again.
+    /// Markets that recently refused a request, and the time until which no new one is sent.
     pub(super) refused: BTreeMap<Market, Time>,
-    /// Granted lately to this leader: kept in the record until every list shows them.
+    /// Rentals recently granted to this leader, with the time of the grant: kept in the record
+    /// until every machine list shows them.
     pub(super) recent: Vec<(Time, RentalEntry)>,
-    /// Recorded by an earlier leader: the list may not show them yet.
+    /// Rentals recorded by an earlier leader: the machine list may not show them yet.
     pub(super) inherited: Vec<RentalEntry>,
-    /// The operators' own machines; none until known.
+    /// Machines that the operators provide; `None` until known.
     pub(super) owned: Option<Vec<MachineId>>,
     record: RecordSync,
 }
@@ -126,18 +127,18 @@
         }
     }
 
-    /// Whether the stored record is known, so that machines may be rented and returned.
+    /// Whether the stored record has been read, which renting and returning machines requires.
     pub(super) fn is_record_known(&self) -> bool {
         self.record.revision.is_some()
     }
 
-    /// Whether nothing was ever recorded.
+    /// Whether no record was ever stored.
     pub(super) fn is_record_absent(&self) -> bool {
         self.record.revision == Some(Revision(0))
     }
 
-    /// Adds a request, which is sent once it is recorded. Its name begins with the leader's
-    /// fencing token, so that no other leader can ever use the same.
+    /// Adds a rental, which is sent once it is recorded. The prefix of its name contains the
+    /// leader's fencing token, so that no other leader can use the same name.
     pub(super) fn request(&mut self, now: Time, token: FencingToken, market: &Market, ask: Ask) {
         self.last_number += 1;
         self.open.push(Rental {
@@ -155,7 +156,7 @@
         });
     }
 
-    /// Marks the rentals that may be sent now as in flight, and returns their calls.
+    /// Marks the rentals that may be sent now as in flight and returns their calls.
     pub(super) fn take_ready(&mut self, now: Time) -> Vec<CloudCall> {
         let ready = self
             .open
@@ -169,7 +170,7 @@
             .collect()
     }
 
-    /// Reads the record if it is unknown, and writes it if a rental is not in it.
+    /// Reads the record if its revision is unknown, and writes it if a rental is missing from it.
     pub(super) fn persist(&mut self, now: Time, token: FencingToken, store: &mut StoreClient<Tag>) {
         let record = &mut self.record;
         if record.in_flight || now < record.retry_at || !record.backoff.is_due(now) {
@@ -192,14 +193,15 @@
                 store.commit(now, Priority::Scheduler, tag, transaction);
             }
             Err(error) => {
-                tracing::error!(key = RENTALS_KEY, %error, "rental does not fit into the record");
+                tracing::error!(key = RENTALS_KEY, %error, "rental does not fit into its record");
                 self.abandon_unrecorded(now);
             }
         }
     }
 
-    /// The write of the record, and the names in it. Every name that is in use must stay in the
-    /// record; of the new ones as many are added as fit, and the others wait.
+    /// Builds the write of the record and returns it with the rental names that it contains. Every
+    /// name in use must stay in the record; as many new names are added as fit, and the others
+    /// wait.
     ///
     /// Fails if not even one new name fits.
     fn build_write(
@@ -254,18 +256,18 @@
         record
     }
 
-    /// Drops rentals that cannot be recorded: they are not made, and the next plan asks for what
-    /// is wanted then.
+    /// Drops rentals that cannot be recorded: they are never sent, and the next plan requests the
+    /// machines that are wanted then.
     fn abandon_unrecorded(&mut self, now: Time) {
         let before = self.open.len();
         self.open.retain(|r| r.state != RentalState::Unrecorded);
         let count = before - self.open.len();
-        tracing::error!(count, "abandoned rentals that could not be recorded");
+        tracing::error!(count, "dropped rentals that could not be recorded");
         self.record.backoff.on_success();
         self.record.retry_at = now.plus(RECORD_PAUSE_S);
     }
 
-    /// Takes over the stored record.
+    /// Handles the reply to a read of the record.
     pub(super) fn on_read(&mut self, now: Time, token: FencingToken, outcome: Outcome) {
         self.record.in_flight = false;
         let Outcome::Ok(body) = outcome else {
@@ -284,14 +286,15 @@
                 _ => {
                     tracing::error!(
                         key = RENTALS_KEY,
-                        "stopped scaling: the record of rentals has an unknown form or version"
+                        "scaling stopped: record of rentals has an unknown format or version"
                     );
                     self.record.revision = None;
                     self.record.retry_at = now.plus(UNREADABLE_RECORD_PAUSE_S);
                 }
             }
         }
-        // A write whose reply was lost may have landed: what it named is recorded.
+        // A write whose reply was lost may have been applied: the names that it contained are then
+        // recorded.
         self.mark_written();
     }
 
@@ -314,7 +317,7 @@
         }
     }
 
-    /// Takes in how a write of the record ended.
+    /// Handles the outcome of a write of the record.
     pub(super) fn on_written(&mut self, now: Time, outcome: Outcome) {
         self.record.in_flight = false;
         match outcome {
@@ -330,7 +333,8 @@
                 self.record.backoff.on_refused(now);
                 self.record.retry_at = now.plus(WRITE_RETRY_S);
             }
-            // Half of the new names go into the next write; in the end none.
+            // The next write contains half as many new names; if one name alone is still rejected,
+            // the unrecorded rentals are dropped.
             Outcome::Malformed => {
                 if self.record.backoff.on_malformed(now) == RetryAction::SetAside {
                     self.abandon_unrecorded(now);
@@ -344,14 +348,14 @@
     }
 }
 
-/// What a rental asks for.
+/// The machines requested by a rental.
 pub(super) struct Ask {
     /// Label of the machine type.
     pub(super) label: String,
     pub(super) count: u32,
 }
 
-/// How the names of a leader's rentals begin.
+/// Prefix of the names of all rentals of the leader with this fencing token.
 fn name_prefix(token: FencingToken) -> String {
     format!("r-{}-", token.0)
 }
--- a/crates/controller/src/fleet/scale_in.rs
+++ b/crates/controller/src/fleet/scale_in.rs
@@ -1,4 +1,5 @@
-//! Marks machines that are not needed for return, and releases marked machines in batches.
+//! Scale in: marks machines for return that are not needed, and releases marked machines in
+//! batches.
 
 use super::instance::{Instance, ScaleInReason, ScaleInState};
 use super::term::LeaderTerm;
@@ -10,22 +11,22 @@
 use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction};
 use std::collections::BTreeMap;
 
-/// Most machines of one release.
+/// Maximum number of machines in one release call.
 const MAX_PER_RELEASE: usize = 100;
-/// Seconds between two searches for machines to release: one after every report would walk the
-/// whole fleet each time.
+/// Interval between two searches for machines to release, seconds. A search after every report
+/// would iterate over the whole fleet each time.
 const SCALE_IN_INTERVAL_S: f64 = 0.1;
-/// The cloud charges a machine for at least this long, seconds.
+/// Minimum time for which the cloud charges a machine, seconds.
 const MIN_CHARGE_S: f64 = 60.0;
-/// How much before the end of that time a machine may be returned, seconds.
+/// Time before the end of the minimum charge from which a machine may be returned, seconds.
 const MIN_CHARGE_MARGIN_S: f64 = 3.0;
-/// How long an on-demand machine that is not needed may stand idle, seconds.
+/// How long an on-demand machine in surplus may be idle before it is returned, seconds.
 const ON_DEMAND_IDLE_S: f64 = 8.0;
 
-/// When machines are released, and how that is tried again.
+/// Timing and retries of release calls.
 pub(super) struct ScaleInCalls {
     backoff: AdaptiveBackoff,
-    /// When marked machines were last looked for.
+    /// Time of the last search for marked machines.
     searched_at: Time,
 }
 
@@ -39,7 +40,8 @@
 }
 
 impl LeaderTerm {
-    /// The next marked machines to release, which count as in flight; empty if no release is due.
+    /// Returns the next marked machines to release and marks them as in flight; empty if no release
+    /// is due.
     pub(super) fn take_scale_in_batch(&mut self, now: Time) -> Vec<MachineId> {
         let calls = &mut self.scale_in;
         if now.since(calls.searched_at) < SCALE_IN_INTERVAL_S || !calls.backoff.is_due(now) {
@@ -63,7 +65,7 @@
             .collect()
     }
 
-    /// Takes in the status of the cloud's reply to a release; none if the reply was lost.
+    /// Handles the status of the cloud's reply to a release; `None` if there was no reply.
     pub(super) fn on_scale_in_reply(
         &mut self,
         now: Time,
@@ -75,10 +77,10 @@
             Some(200) => return self.on_released(now, machines, scheduler),
             Some(400) => {
                 if self.scale_in.backoff.on_malformed(now) == RetryAction::SetAside {
-                    // They stay in flight, so that they block no other release.
+                    // The machines stay in flight, so that they do not block other releases.
                     tracing::error!(
                         ?machines,
-                        "gave up on releasing machines: the cloud refuses it"
+                        "machine release abandoned: rejected by the cloud as malformed"
                     );
                     self.scale_in.backoff.on_success();
                     return;
@@ -111,7 +113,7 @@
         self.scale_in.backoff.on_success();
     }
 
-    /// Marks for return the machines that are drained, slow, or idle and over what is wanted.
+    /// Marks machines for return that are drained, slow, or both idle and in surplus.
     pub(super) fn scale_in_surplus(
         &mut self,
         context: &TickContext,
@@ -120,9 +122,9 @@
         scheduler: &mut Scheduler,
     ) {
         let active_directives = scheduler.active_directives().clone();
-        // Guard: while it is this controller's own link that is silent, nothing is known of what
-        // is behind it. A leader that was refused for a minute found all its machines idle as it
-        // came back, and returned the fleet while its jobs waited.
+        // Guard: while this controller's local link is suspected to be broken, the state of the
+        // machines behind it is unknown. A leader whose requests were refused for a minute saw
+        // all its machines idle when it came back, and returned the fleet while its jobs waited.
         let own_link_suspected = self.health.is_own_link_suspected();
         #[cfg(feature = "faults")]
         let own_link_suspected = own_link_suspected && !self.faults.blind_return;
@@ -136,7 +138,8 @@
             let machine = scheduler.machine(*id);
             let drain = instance.active_drain(*id, machine_types, &active_directives);
             let reason = if let Some(drain) = drain {
-                // As asked for: returned once it is empty, or kept until it is undrained.
+                // As the drain directive requests, the machine is returned once it is empty or
+                // kept until the drain ends.
                 let empty = machine.is_none_or(Machine::is_empty);
                 (empty && drain.afterwards == Afterwards::Return).then_some(ScaleInReason::Drained)
             } else {
@@ -154,8 +157,8 @@
     }
 }
 
-/// Why an empty machine is not needed, if so. An idle one is taken off `surplus`, the number of
-/// machines of its class over what is wanted.
+/// The reason why an empty machine is not needed; `None` if it is needed. An idle machine is
+/// deducted from `surplus`, the number of machines of its class in excess of the target.
 fn unneeded(
     context: &TickContext,
     leading_s: f64,
@@ -168,8 +171,8 @@
         return Some(ScaleInReason::Slow);
     }
     let surplus = surplus.filter(|n| **n > 0)?;
-    // A rented machine stays at least as long as it is charged for anyway. Spot and owned machines
-    // may stand idle longer than on-demand ones, which cost more.
+    // A rented machine is kept at least until the minimum charge is used up. Spot and owned
+    // machines may be idle longer than on-demand machines, which cost more.
     let max_idle_s = match (instance.owned, instance.spot) {
         (true, _) => context.operator.idle_s,
         (false, true) => context.operator.idle_s.max(ON_DEMAND_IDLE_S),
--- a/crates/controller/src/fleet/scale_out.rs
+++ b/crates/controller/src/fleet/scale_out.rs
@@ -1,4 +1,4 @@
-//! Requests machines, and takes in what the cloud granted.
+//! Scale out: requests machines and handles the cloud's replies.
 
 use super::cloud_protocol::ScaleOutReply;
 use super::instance::Instance;
@@ -11,30 +11,30 @@
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{MachineId, Time};
 
-/// Most machines of one request.
+/// Maximum number of machines requested at once for one class.
 const MAX_PER_RENTAL: u32 = 50;
-/// How long a market is not asked again that granted less than was asked for, seconds.
+/// Pause of a market after it granted fewer machines than requested, seconds.
 const REFUSED_MARKET_PAUSE_S: f64 = 10.0;
-/// How long a market is not asked again that calls a request malformed, seconds.
+/// Pause of a market after the cloud rejected a request to it as malformed, seconds.
 const MALFORMED_MARKET_PAUSE_S: f64 = 60.0;
-/// Pause after the cloud had no capacity or did not serve, seconds.
+/// Pause of a rental after the cloud had no capacity or was unavailable, seconds.
 const UNAVAILABLE_RETRY_S: f64 = 2.0;
-/// Pause after the cloud refused a call for its rate, seconds.
+/// Pause of a rental after the cloud rejected a call because of its rate limit, seconds.
 const RATE_LIMITED_RETRY_S: f64 = 0.5;
-/// Pause after a call that had no reply, seconds.
+/// Pause of a rental after a call that had no usable reply, seconds.
 const UNKNOWN_OUTCOME_RETRY_S: f64 = 1.0;
 
-/// How a request is spread over the zones.
+/// One zone's share of a request.
 struct ZoneShare<'a> {
     zone: &'a String,
-    /// Machines that there are, and that are requested here.
+    /// Existing machines of the type in the zone, and those requested by this share.
     machines: u32,
     requested: u32,
 }
 
 impl LeaderTerm {
-    /// Requests `count` machines of a class, at most [`MAX_PER_RENTAL`] at once, spread over the
-    /// zones. Does nothing while an earlier request for the class is open.
+    /// Requests `count` machines of a class, at most [`MAX_PER_RENTAL`] in total, spread over the
+    /// zones. Does nothing while an earlier rental of the class is open.
     pub(super) fn scale_out(
         &mut self,
         now: Time,
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Spreads a request over the zones that do not refuse the class, the emptier first.
+    /// Spreads a request over the zones that do not refuse the class. Each machine goes to the zone
+    /// with the fewest machines of the type.
     fn spread_over_zones<'a>(
         &self,
         class: MachineClass,
@@ -100,7 +101,7 @@
             .count() as u32
     }
 
-    /// Takes in the cloud's reply to a request.
+    /// Handles the cloud's reply to a rental.
     pub(super) fn on_scale_out_reply(
         &mut self,
         now: Time,
@@ -121,16 +122,16 @@
             ScaleOutReply::Unavailable => open[at].retry(now.plus(UNAVAILABLE_RETRY_S)),
             ScaleOutReply::RateLimited => open[at].retry(now.plus(RATE_LIMITED_RETRY_S)),
             ScaleOutReply::Malformed => {
-                // The same request under another name would be refused again, twice a second and
-                // with a write of the record each time.
+                // Without the pause, the plan would repeat the request under another name and have
+                // it refused again, twice a second and with a write of the record each time.
                 tracing::error!(
                     rental = name,
-                    "dropped rental: the cloud calls it malformed"
+                    "dropped rental: rejected by the cloud as malformed"
                 );
                 let market = open.remove(at).market();
                 self.pause_market(market, now.plus(MALFORMED_MARKET_PAUSE_S));
             }
-            // The same name is asked again, which rents nothing twice.
+            // The retry uses the same name and is idempotent: nothing is rented twice.
             ScaleOutReply::Unknown => {
                 let rental = &mut open[at];
                 rental.outcome_unknown = true;
@@ -191,9 +192,9 @@
         }
     }
 
-    /// Nothing was rented by this call: the rental is dropped and its market asked again later.
-    /// If an earlier call under the name had no reply it may yet take effect, so that the name
-    /// stays in use.
+    /// Handles a call that rented nothing: the rental is dropped and its market is paused. If an
+    /// earlier call under the same name had no reply, that call may still take effect, so the
+    /// name stays in use.
     fn on_no_capacity(&mut self, now: Time, at: usize, scheduler: Option<&mut Scheduler>) {
         let rental = &mut self.rentals.open[at];
         let entry = &rental.entry;
@@ -201,7 +202,7 @@
             machine_type = %entry.machine_type,
             zone = %entry.zone,
             spot = entry.spot,
-            "refused scale-out: no capacity"
+            "scale-out refused: no capacity"
         );
         if let Some(scheduler) = scheduler {
             scheduler.event_log.record(|| DecisionKind::Refused {
--- a/crates/controller/src/fleet/scale_plan.rs
+++ b/crates/controller/src/fleet/scale_plan.rs
@@ -1,4 +1,4 @@
-//! Compares the machines that there are with those that are wanted, by class.
+//! Compares the existing machines of each class with the target capacity.
 
 use super::instance::{Instance, InstanceStatus};
 use super::rentals::Market;
@@ -11,23 +11,24 @@
 use beamhinge_core::types::{MachineId, Time};
 use std::collections::BTreeMap;
 
-/// Boots vary: by this factor over the stated time a machine is expected to be up.
+/// Factor over the stated boot time by which a machine is expected to be up: boot times vary.
 pub(super) const BOOT_SPREAD: f64 = 1.2;
-/// Part of the boot time that a machine which boots is expected to take at least.
+/// Least remaining boot time expected of a booting machine, as a fraction of its boot time.
 const MIN_BOOT_FRACTION: f64 = 0.2;
 
-/// The machines that there are or that are on their way.
+/// Machines that exist, boot or are requested.
 #[derive(Default)]
 struct Capacity {
-    /// All that count, by class.
+    /// Number of machines that count as capacity, by class.
     machines: BTreeMap<MachineClass, u32>,
-    /// Those of them that report.
+    /// Number of those that have reported, by class.
     up: BTreeMap<MachineClass, u32>,
-    /// CPUs by when they are or become free, by machine type.
+    /// CPUs and the time until they become free, by machine type.
     free_capacity: BTreeMap<usize, FreeCapacity>,
     owned_cpus: f64,
     idle_owned_cpus: f64,
-    /// Expected value of the shielded machines not counted yet, by class.
+    /// Expected number of shielded machines that is not yet included in `machines`, by class;
+    /// less than 1.
     shielded_credit: BTreeMap<MachineClass, f64>,
 }
 
@@ -44,8 +45,8 @@
         *self.machines.entry(class).or_default() += count;
     }
 
-    /// A machine behind a broken link counts in part, so that such machines are replaced little
-    /// by little as the silence grows.
+    /// Counts a machine behind a link suspected to be broken as a fraction, which decreases as it
+    /// stays unreachable, so that such machines are replaced gradually.
     fn add_shielded(&mut self, class: MachineClass, silent_s: f64, machine_type: &MachineType) {
         let credit = self.shielded_credit.entry(class).or_default();
         *credit += expected_back(silent_s, machine_type.boot_s);
@@ -59,7 +60,7 @@
         }
     }
 
-    /// A machine that is up or booting.
+    /// Adds a machine that is up or booting.
     fn add_instance(
         &mut self,
         now: Time,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Machines that are asked for and not granted yet.
+    /// Adds machines that are requested and not yet granted.
     fn add_requested(&mut self, class: MachineClass, count: u32, machine_types: &[MachineType]) {
         self.add_machines(class, count);
         if let Some(machine_type) = machine_types.get(class.machine_type) {
@@ -101,17 +102,17 @@
     }
 }
 
-/// The machines to have.
+/// Target number of machines.
 #[derive(Default)]
 struct Targets {
     machines: BTreeMap<MachineClass, u32>,
-    /// What the spot market shows; none while no spot machines are wanted.
+    /// Observation of the spot market; `None` while no spot machines are wanted.
     observation: Option<MarketObservation>,
 }
 
 impl LeaderTerm {
-    /// Compares what there is with what is wanted; requests what is missing and marks for return
-    /// what is over.
+    /// Compares existing capacity with target capacity, requests missing machines and marks
+    /// surplus machines for return.
     pub(super) fn plan_and_scale(
         &mut self,
         context: &TickContext,
@@ -121,8 +122,8 @@
     ) {
         let now = context.now;
         let demands = scheduler.demands(context.wall);
-        // Nothing is wanted of what operators have drained; without drains the types are taken as
-        // they are.
+        // No capacity is planned for drained machine types and zones. Without directives the
+        // machine types are used unchanged.
         let active_directives = scheduler.active_directives().clone();
         let undrained = (!active_directives.is_empty())
             .then(|| without_drained(machine_types, &active_directives));
@@ -153,8 +154,8 @@
         self.scale_in_surplus(context, surplus, machine_types, scheduler);
     }
 
-    /// Forgets refusals and recorded rentals whose time is over. After a failover the list may
-    /// not show yet what was rented before: what was recorded counts until it must show.
+    /// Removes expired market refusals and recorded rentals. After a failover the cloud's list may
+    /// not show earlier rentals yet, so recorded rentals count until the list must show them.
     fn expire_rentals(&mut self, now: Time, list_lag_s: f64) {
         let delay_s = listing_delay_s(list_lag_s);
         if now.since(self.began) > delay_s {
@@ -212,7 +213,7 @@
         capacity
     }
 
-    /// Machines to have of each class, and what they show of the spot market.
+    /// Target number of machines of each class, and the observation of the spot market.
     fn target_machines(
         &self,
         wants: &BTreeMap<usize, TargetCapacity>,
@@ -254,7 +255,7 @@
         targets
     }
 
-    /// Whether every zone refused spot machines of the type lately.
+    /// Whether every zone of the machine type has recently refused spot machines.
     fn is_spot_refused(&self, index: usize, machine_type: &MachineType) -> bool {
         machine_type.zones.iter().all(|zone| {
             self.rentals.refused.contains_key(&Market {
@@ -266,7 +267,7 @@
     }
 }
 
-/// Machines over what is wanted, by class.
+/// Number of machines in excess of the target, by class.
 fn surplus(capacity: &Capacity, targets: &Targets) -> BTreeMap<MachineClass, u32> {
     let mut surplus = BTreeMap::new();
     for (class, count) in &capacity.machines {
@@ -278,16 +279,18 @@
     surplus
 }
 
-/// The expected value of a machine behind a broken link, from 1 (it will be back before a
-/// replacement is up) to 0.
+/// The fraction as which a machine behind a broken link counts, from 1 (it is expected back before
+/// a replacement is up) to 0 (it needs a replacement).
 ///
-/// What has lasted `silent_s` seconds may be expected to last as long again. A replacement is up
-/// after a boot, so before that none is worth its money; after three boots' time all are.
+/// An outage that has lasted `silent_s` seconds is expected to last as long again. A replacement
+/// takes one boot time, so it is not worth its cost before the outage has lasted one boot time;
+/// after three boot times every such machine is replaced.
 fn expected_back(silent_s: f64, boot_s: f64) -> f64 {
     1.0 - ((silent_s - boot_s) / (boot_s * 2.0).max(1.0)).clamp(0.0, 1.0)
 }
 
-/// The types without what is drained: a drained type takes no task, a drained zone is not there.
+/// The machine types without drained capacity: drained zones are removed, and a type without
+/// remaining zones has no resources, so that no task fits it.
 fn without_drained(
     machine_types: &[MachineType],
     active_directives: &ActiveDirectives,
@@ -307,20 +310,20 @@
     undrained
 }
 
-/// Machines of one type that there are.
+/// Existing and requested machines of one type.
 #[derive(Clone, Copy)]
 struct MachineCounts {
     spot: f64,
     on_demand: f64,
 }
 
-/// Spot and on-demand machines to have of one type. `spot_refused`: the cloud rents no spot
-/// machines of it at the moment.
+/// Target number of spot and of on-demand machines of one type. `spot_refused`: the cloud currently
+/// refuses spot machines of this type.
 ///
-/// What must be had, and is not on its way, is bought on demand only where spot is refused.
-/// On-demand machines that are there take part of the work.
+/// Required capacity that is neither present nor on its way is rented on demand only where spot
+/// is refused. Existing on-demand machines take over part of the work.
 fn machines_wanted(want: &TargetCapacity, have: MachineCounts, spot_refused: bool) -> (u32, u32) {
-    // Sums of fractions may miss a whole number by a rounding error.
+    // A sum of fractions may exceed a whole number by a rounding error.
     let whole = |x: f64| (x - 1e-6).ceil().max(0.0);
     let bound = whole(want.on_demand);
     let spare = (have.on_demand - bound).max(0.0);
@@ -336,7 +339,7 @@
             (bound + whole(want.timely) - have.spot) as u32,
         );
     }
-    // On-demand machines stay as long as spot ones do not reach.
+    // On-demand machines are kept while there are not enough spot machines.
     let spot = whole(want.spot + want.standby);
     let kept = (whole(want.spot) - have.spot).clamp(0.0, spare);
     ((spot - kept) as u32, (bound + kept) as u32)
--- a/crates/controller/src/fleet/term.rs
+++ b/crates/controller/src/fleet/term.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of the fleet for as long as it leads.
+//! The leader's state of the fleet during one term.
 
 use super::instance::Instance;
 use super::inventory::Listing;
@@ -11,20 +11,20 @@
 use beamhinge_core::types::{FencingToken, MachineId, Time};
 use std::collections::BTreeMap;
 
-/// State of one term as leader; dropped when the term ends.
+/// State of one term; dropped when the term ends.
 pub(super) struct LeaderTerm {
     pub(super) token: FencingToken,
     pub(super) began: Time,
-    /// The inventory.
+    /// The machine inventory.
     pub(super) instances: BTreeMap<MachineId, Instance>,
-    /// Machines that the cloud confirmed as released, and when: a lagging list may still name
-    /// them.
+    /// Machines whose release the cloud confirmed, and when. They are remembered because a lagging
+    /// list may still name them.
     pub(super) released: BTreeMap<MachineId, Time>,
     pub(super) listing: Listing,
     pub(super) rentals: Rentals,
     pub(super) scale_in: ScaleInCalls,
     pub(super) health: MachineHealth,
-    /// When the fleet was last compared with what is wanted.
+    /// When the fleet was last compared with the target capacity.
     pub(super) planned_at: Time,
     pub(super) planner: CapacityPlanner,
     #[cfg(feature = "faults")]
@@ -55,8 +55,8 @@
     }
 }
 
-/// Time after which every list shows a machine that was rented, seconds: none is older than
-/// twice the lag that the cloud states.
+/// Time after which every list shows a rented machine, seconds: no list is older than twice the
+/// lag that the cloud states.
 pub(super) fn listing_delay_s(list_lag_s: f64) -> f64 {
     list_lag_s * 2.0 + 2.0
 }
