--- a/crates/controller/src/fleet/cloud_calls.rs
+++ b/crates/controller/src/fleet/cloud_calls.rs
@@ -26,7 +26,7 @@
     /// Reads the catalog of machine types.
     Catalog,
     /// Reads the next page of the machine list.
-    ListHosts,
+    ListMachines,
     /// Rents machines; holds the rental's name.
     ScaleOut(String),
     /// Releases machines.
@@ -35,37 +35,38 @@
 
 /// Token bucket that keeps calls below the cloud's rate limit.
 pub(super) struct CallRate {
-    per_s: f64,
-    level: f64,
-    filled_at: Time,
+    refill_per_s: f64,
+    tokens: f64,
+    refilled_at: Time,
 }
 
 impl CallRate {
     /// `allowed_per_s`: the cloud's rate limit, calls per second.
     pub(super) fn new(allowed_per_s: f64) -> CallRate {
         CallRate {
-            per_s: allowed_per_s * RATE_FRACTION,
-            level: 1.0,
-            filled_at: Time::default(),
+            refill_per_s: allowed_per_s * RATE_FRACTION,
+            tokens: 1.0,
+            refilled_at: Time::default(),
         }
     }
 
     fn refill(&mut self, now: Time) {
-        self.level = (self.level + now.since(self.filled_at) * self.per_s).min(self.per_s);
-        self.filled_at = now;
+        self.tokens =
+            (self.tokens + now.since(self.refilled_at) * self.refill_per_s).min(self.refill_per_s);
+        self.refilled_at = now;
     }
 
     fn has_token(&self) -> bool {
-        self.level >= 1.0
+        self.tokens >= 1.0
     }
 
-    fn take_token(&mut self) {
-        self.level -= 1.0;
+    fn consume_token(&mut self) {
+        self.tokens -= 1.0;
     }
 
     /// Empties the bucket after the cloud rejected a call because of its rate limit.
-    fn drain(&mut self) {
-        self.level = self.level.min(0.0);
+    fn exhaust(&mut self) {
+        self.tokens = self.tokens.min(0.0);
     }
 }
 
@@ -122,7 +123,7 @@
             let Some(request) = self.request_for(&call) else {
                 continue;
             };
-            self.call_rate.take_token();
+            self.call_rate.consume_token();
             *next_call += 1;
             let id = CallId(*next_call);
             self.calls.insert(id, call);
@@ -141,7 +142,7 @@
         let term = self.term.as_ref();
         match call {
             CloudCall::Catalog => Some(CloudRequest::catalog()),
-            CloudCall::ListHosts => Some(CloudRequest::list_hosts(
+            CloudCall::ListMachines => Some(CloudRequest::list_machines(
                 term.and_then(|t| t.listing.next_page_after()),
             )),
             CloudCall::ScaleOut(name) => term?.scale_out_request(name),
@@ -162,11 +163,11 @@
         };
         match call {
             CloudCall::Catalog => self.on_catalog(now, ok_body(&result)),
-            CloudCall::ListHosts => self.on_host_list(now, ok_body(&result)),
+            CloudCall::ListMachines => self.on_machine_list(now, ok_body(&result)),
             CloudCall::ScaleOut(name) => {
                 let reply = ScaleOutReply::from(result);
                 if matches!(reply, ScaleOutReply::RateLimited) && self.has_open_rental(&name) {
-                    self.call_rate.drain();
+                    self.call_rate.exhaust();
                 }
                 if let Some(term) = &mut self.term {
                     term.on_scale_out_reply(now, &name, reply, scheduler);
@@ -218,10 +219,10 @@
         }
     }
 
-    fn on_host_list(&mut self, now: Time, body: Option<&[u8]>) {
+    fn on_machine_list(&mut self, now: Time, body: Option<&[u8]>) {
         let Some(term) = &mut self.term else { return };
         match body.and_then(|b| wire::decode::<HostList>(b).ok()) {
-            Some(list) => term.apply_host_list(now, self.list_lag_s, &list, &self.machine_types),
+            Some(list) => term.apply_machine_list(now, self.list_lag_s, &list, &self.machine_types),
             None => term.listing.restart(now),
         }
     }
--- a/crates/controller/src/fleet/cloud_protocol.rs
+++ b/crates/controller/src/fleet/cloud_protocol.rs
@@ -174,7 +174,7 @@
 
     /// Reads the page of the machine list that follows the machine `after`, or the first page if
     /// `None`.
-    pub(super) fn list_hosts(after: Option<&str>) -> CloudRequest {
+    pub(super) fn list_machines(after: Option<&str>) -> CloudRequest {
         Self::get(match after {
             Some(after) => format!("/hosts?since={after}&most={LIST_PAGE_SIZE}"),
             None => format!("/hosts?most={LIST_PAGE_SIZE}"),
--- a/crates/controller/src/fleet/cloud_protocol/tests.rs
+++ b/crates/controller/src/fleet/cloud_protocol/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn calls_to_the_cloud_keep_their_form() {
+fn request_bodies_match_golden_file() {
     let mut golden = crate::golden::Golden::new("tests/golden/calls-to-cloud.hex");
     let rent = ScaleOutRequest {
         rental: "r-41-7",
@@ -19,34 +19,44 @@
 }
 
 #[test]
-fn answers_of_the_cloud_are_read_field_by_field() {
-    fn read<T: serde::de::DeserializeOwned>(body: &serde_json::Value) -> T {
-        wire::decode(&wire::encode(body)).expect("an answer")
+fn replies_are_decoded_field_by_field() {
+    fn decode_reply<T: serde::de::DeserializeOwned>(body: &serde_json::Value) -> T {
+        wire::decode(&wire::encode(body)).expect("decodable reply")
     }
-    let catalog: Catalog = read(&serde_json::json!({"shapes": [{"label": "g8", "vcpus": 96,
+    let catalog: Catalog =
+        decode_reply(&serde_json::json!({"shapes": [{"label": "g8", "vcpus": 96,
         "cards": 8, "memoryGb": 768, "cacheGb": 200, "fetchGbPerS": 1.5, "rate": 12.0,
         "lowPrice": 4.5, "bootS": 45, "yards": ["a", "b"]}]}));
-    let f = &catalog.machine_types[0];
-    let sizes = (f.cpus, f.gpus, f.memory_gb, f.cache_gb, f.fetch_gb_per_s);
+    let entry = &catalog.machine_types[0];
+    let sizes = (
+        entry.cpus,
+        entry.gpus,
+        entry.memory_gb,
+        entry.cache_gb,
+        entry.fetch_gb_per_s,
+    );
     assert_eq!(
-        (f.label.as_str(), sizes),
+        (entry.label.as_str(), sizes),
         ("g8", (96.0, 8.0, 768.0, 200.0, 1.5))
     );
-    assert_eq!((f.rate, f.low_price, f.boot_s), (12.0, 4.5, 45.0));
-    assert_eq!(f.zones, ["a", "b"]);
-    let list: HostList = read(&serde_json::json!({"hosts": [{"nameId": "n-000231",
+    assert_eq!(
+        (entry.rate, entry.low_price, entry.boot_s),
+        (12.0, 4.5, 45.0)
+    );
+    assert_eq!(entry.zones, ["a", "b"]);
+    let list: HostList = decode_reply(&serde_json::json!({"hosts": [{"nameId": "n-000231",
         "endpoint": "10.1.0.232:9000", "shape": "g8", "yard": "a", "loaners": true,
         "status": "running", "heldS": 61.5}], "more": true}));
-    let h = &list.hosts[0];
+    let host = &list.hosts[0];
     let names = (
-        h.name_id.as_str(),
-        h.machine_type.as_str(),
-        h.zone.as_str(),
-        h.status.as_str(),
+        host.name_id.as_str(),
+        host.machine_type.as_str(),
+        host.zone.as_str(),
+        host.status.as_str(),
     );
     assert_eq!(names, ("n-000231", "g8", "a", "running"));
-    assert_eq!(h.endpoint.as_deref(), Some("10.1.0.232:9000"));
-    assert_eq!((h.spot, h.held_s, list.more), (true, 61.5, true));
-    let rented: ScaleOutResponse = read(&serde_json::json!({"hosts": ["n-000231"]}));
+    assert_eq!(host.endpoint.as_deref(), Some("10.1.0.232:9000"));
+    assert_eq!((host.spot, host.held_s, list.more), (true, 61.5, true));
+    let rented: ScaleOutResponse = decode_reply(&serde_json::json!({"hosts": ["n-000231"]}));
     assert_eq!(rented.hosts, ["n-000231"]);
 }
--- a/crates/controller/src/fleet/forecast.rs
+++ b/crates/controller/src/fleet/forecast.rs
@@ -2,7 +2,7 @@
 //! parameters, and the reasons why a pending job has no machines that it could use.
 
 use super::instance::{Instance, InstanceStatus};
-use super::scale_plan::BOOT_SPREAD;
+use super::scale_plan::BOOT_TIME_FACTOR;
 use super::term::LeaderTerm;
 use super::Fleet;
 use crate::scheduler::{Machine, Scheduler};
@@ -51,7 +51,7 @@
 }
 
 /// The machine type at an index; `None` if it is unknown or has no label.
-fn labelled(machine_types: &[MachineType], index: usize) -> Option<&MachineType> {
+fn labelled_type(machine_types: &[MachineType], index: usize) -> Option<&MachineType> {
     machine_types.get(index).filter(|t| !t.label.is_empty())
 }
 
@@ -214,7 +214,7 @@
 struct Booting {
     count: u32,
     /// Time until the first of them is expected to be up, seconds.
-    first_in_s: f64,
+    first_ready_in_s: f64,
 }
 
 impl LeaderTerm {
@@ -229,33 +229,34 @@
     ) {
         let mut booting: BTreeMap<(usize, &str, bool), Booting> = BTreeMap::new();
         for (id, instance) in &self.instances {
-            let Some(machine_type) = labelled(machine_types, instance.machine_type) else {
+            let Some(machine_type) = labelled_type(machine_types, instance.machine_type) else {
                 continue;
             };
             let (zone, spot) = (instance.zone.as_str(), instance.spot);
             if is_starting(*id, instance, scheduler)
                 && requirements.are_met_by(machine_type, zone, spot)
             {
-                let left_s = machine_type.boot_s * BOOT_SPREAD - now.since(instance.rented_at);
-                let left_s = left_s.max(1.0);
+                let remaining_s =
+                    machine_type.boot_s * BOOT_TIME_FACTOR - now.since(instance.rented_at);
+                let remaining_s = remaining_s.max(1.0);
                 let market = booting
                     .entry((instance.machine_type, zone, spot))
                     .or_insert(Booting {
                         count: 0,
-                        first_in_s: left_s,
+                        first_ready_in_s: remaining_s,
                     });
                 market.count += 1;
-                market.first_in_s = market.first_in_s.min(left_s);
+                market.first_ready_in_s = market.first_ready_in_s.min(remaining_s);
             }
         }
         for ((machine_type, zone, spot), market) in booting {
             reasons.push(Reason::Booting {
-                machine_type: labelled(machine_types, machine_type)
+                machine_type: labelled_type(machine_types, machine_type)
                     .map_or(String::new(), |t| t.label.clone()),
                 zone: zone.to_string(),
                 spot,
                 machines: market.count,
-                expected_s: market.first_in_s,
+                expected_s: market.first_ready_in_s,
             });
         }
     }
@@ -271,7 +272,7 @@
     ) {
         for rental in &self.rentals.open {
             let entry = &rental.entry;
-            let serves = labelled(machine_types, rental.machine_type)
+            let serves = labelled_type(machine_types, rental.machine_type)
                 .is_some_and(|t| requirements.are_met_by(t, &entry.zone, entry.spot));
             if serves {
                 reasons.push(Reason::Renting {
@@ -282,8 +283,8 @@
                 });
             }
         }
-        for (market, until) in &self.rentals.refused {
-            let Some(machine_type) = labelled(machine_types, market.machine_type) else {
+        for (market, until) in &self.rentals.refused_markets {
+            let Some(machine_type) = labelled_type(machine_types, market.machine_type) else {
                 continue;
             };
             if *until > now && requirements.are_met_by(machine_type, &market.zone, market.spot) {
@@ -321,7 +322,7 @@
             || machine
                 .and_then(|id| self.instances.get(&id))
                 .is_some_and(|i| {
-                    labelled(machine_types, i.machine_type)
+                    labelled_type(machine_types, i.machine_type)
                         .is_some_and(|t| requirements.are_met_by(t, &i.zone, i.spot))
                 })
     }
--- a/crates/controller/src/fleet/instance.rs
+++ b/crates/controller/src/fleet/instance.rs
@@ -29,7 +29,7 @@
     /// The machine is to be released; the call has not been sent yet.
     Pending,
     /// Like `Pending`, because the machine is unreachable; cancelled if it reports again.
-    PendingSilent,
+    PendingUnreachable,
     /// The release call is queued or in flight.
     InFlight,
 }
@@ -37,7 +37,7 @@
 /// Reason why a machine is returned. The texts are part of the admin API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ScaleInReason {
-    Silent,
+    Unreachable,
     /// It reported before, but complete lists no longer name it.
     Unlisted,
     /// It reports but acknowledges nothing that is sent to it.
@@ -55,7 +55,7 @@
 impl ScaleInReason {
     pub(super) fn as_str(self) -> &'static str {
         match self {
-            ScaleInReason::Silent => "silent",
+            ScaleInReason::Unreachable => "silent",
             ScaleInReason::Unlisted => "gone from the list",
             ScaleInReason::Unacknowledging => "takes no answers",
             ScaleInReason::Failed => "failed",
@@ -71,7 +71,7 @@
     /// The state in which a machine waits for its release.
     pub(super) fn pending_state(self) -> ScaleInState {
         match self {
-            ScaleInReason::Silent => ScaleInState::PendingSilent,
+            ScaleInReason::Unreachable => ScaleInState::PendingUnreachable,
             _ => ScaleInState::Pending,
         }
     }
--- a/crates/controller/src/fleet/inventory.rs
+++ b/crates/controller/src/fleet/inventory.rs
@@ -9,7 +9,7 @@
 /// Interval between two passes over the list, seconds.
 const LIST_INTERVAL_S: f64 = 1.5;
 /// How long a released machine is remembered, because a lagging list may still name it, seconds.
-const RELEASED_MEMORY_S: f64 = 120.0;
+const RELEASED_RETENTION_S: f64 = 120.0;
 
 /// Progress of reading the list. A pass reads all pages of the list once.
 #[derive(Default)]
@@ -20,7 +20,7 @@
     /// Last machine of the previous page; `None` at the beginning of a pass.
     after: Option<String>,
     /// When the current pass began.
-    pass_began: Time,
+    pass_began_at: Time,
     completed_passes: u32,
 }
 
@@ -32,7 +32,7 @@
         }
         self.in_flight = true;
         if self.after.is_none() {
-            self.pass_began = now;
+            self.pass_began_at = now;
         }
         true
     }
@@ -57,7 +57,7 @@
 
 impl LeaderTerm {
     /// Applies one page of the list.
-    pub(super) fn apply_host_list(
+    pub(super) fn apply_machine_list(
         &mut self,
         now: Time,
         list_lag_s: f64,
@@ -66,7 +66,7 @@
     ) {
         self.listing.in_flight = false;
         for row in &list.hosts {
-            self.apply_host_row(now, row, machine_types);
+            self.apply_machine_row(now, row, machine_types);
         }
         self.listing.after = if list.more {
             list.hosts.last().map(|h| h.name_id.clone())
@@ -80,7 +80,7 @@
 
     /// Applies one row. Rows with an unparsable name or an unknown type, and rows of released
     /// machines, are skipped.
-    fn apply_host_row(&mut self, now: Time, row: &HostRow, machine_types: &[MachineType]) {
+    fn apply_machine_row(&mut self, now: Time, row: &HostRow, machine_types: &[MachineType]) {
         let Some(id) = MachineId::parse(&row.name_id) else {
             return;
         };
@@ -119,11 +119,12 @@
             }
         }
         self.released
-            .retain(|_, at| now.since(*at) < RELEASED_MEMORY_S);
-        let pass_began = self.listing.pass_began;
+            .retain(|_, at| now.since(*at) < RELEASED_RETENTION_S);
+        let pass_began_at = self.listing.pass_began_at;
         for instance in self.instances.values_mut() {
-            let listed = instance.listed_at.is_some_and(|at| at >= pass_began);
-            let must_be_listed = pass_began.since(instance.rented_at) > listing_delay_s(list_lag_s);
+            let listed = instance.listed_at.is_some_and(|at| at >= pass_began_at);
+            let must_be_listed =
+                pass_began_at.since(instance.rented_at) > listing_delay_s(list_lag_s);
             instance.missed_listings = if listed || !must_be_listed {
                 0
             } else {
--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -21,10 +21,10 @@
 const FAILOVER_GRACE_S: f64 = 2.0;
 /// Time without a report or an acknowledgement after which a machine is presumed dead in any case,
 /// in worker leases.
-const SURELY_DEAD_LEASES: f64 = 4.0;
+const PRESUMED_DEAD_LEASES: f64 = 4.0;
 /// Greatest age of the last report of a machine that is adopted without having been listed, in
 /// report intervals.
-const ADOPTION_REPORTS: f64 = 3.0;
+const MAX_ADOPTION_REPORT_AGE_INTERVALS: f64 = 3.0;
 
 /// Conclusions drawn from machines that do not report.
 pub(super) struct MachineHealth {
@@ -50,7 +50,7 @@
     }
 
     /// Whether this controller's local link to the machines is suspected to be broken.
-    pub(super) fn is_own_link_suspected(&self) -> bool {
+    pub(super) fn is_local_link_suspected(&self) -> bool {
         self.suspected
             .iter()
             .any(|(domain, _)| *domain == FailureDomain::OwnLink)
@@ -63,17 +63,17 @@
         machine_types: &[MachineType],
         suspected: Vec<(FailureDomain, f64)>,
     ) {
-        let contains = |list: &[(FailureDomain, f64)], domain: &FailureDomain| {
+        let contains_domain = |list: &[(FailureDomain, f64)], domain: &FailureDomain| {
             list.iter().any(|(other, _)| other == domain)
         };
         for (domain, _) in &suspected {
-            if !contains(&self.suspected, domain) {
+            if !contains_domain(&self.suspected, domain) {
                 let domain = domain_name(*domain, settings, machine_types);
                 tracing::warn!(%domain, "suspecting broken link: failure domain is unreachable");
             }
         }
         for (domain, elapsed_s) in &self.suspected {
-            if !contains(&suspected, domain) {
+            if !contains_domain(&suspected, domain) {
                 let domain = domain_name(*domain, settings, machine_types);
                 tracing::info!(%domain, elapsed_s, "link recovered: failure domain reports again");
             }
@@ -108,10 +108,11 @@
     observations: &[MachineObservation],
     dead_after_s: f64,
 ) -> FleetAssessment {
-    let silent = |o: &&MachineObservation| o.silent_s > dead_after_s;
-    let few = observations.iter().filter(silent).count() * 2 < observations.len();
+    let is_unreachable = |o: &&MachineObservation| o.silent_s > dead_after_s;
+    let unreachable_minority =
+        observations.iter().filter(is_unreachable).count() * 2 < observations.len();
     let classify = |o: &MachineObservation| {
-        if few && silent(&o) {
+        if unreachable_minority && is_unreachable(&o) {
             Liveness::Dead
         } else {
             Liveness::Alive
@@ -152,14 +153,14 @@
         let mut lost: BTreeMap<MachineId, ScaleInReason> = BTreeMap::new();
         self.health.shielded.clear();
         for (observation, (_, liveness)) in observations.iter().zip(&assessment.findings) {
-            let lost_by_silence = self.apply_liveness(now, observation, *liveness);
+            let lost_by_liveness = self.apply_liveness(now, observation, *liveness);
             let lost_by_acknowledgement =
                 self.check_acknowledgements(now, observation.id, lease_s, scheduler);
-            if let Some(reason) = lost_by_acknowledgement.or(lost_by_silence) {
+            if let Some(reason) = lost_by_acknowledgement.or(lost_by_liveness) {
                 lost.insert(observation.id, reason);
             }
         }
-        self.scale_in_lost(now, lease_s, machine_types, &lost, scheduler);
+        self.scale_in_unusable(now, lease_s, machine_types, &lost, scheduler);
         self.adopt_unlisted(now, settings.params.workers.report_s, scheduler);
     }
 
@@ -177,7 +178,7 @@
             let last_heartbeat = scheduler.machine(*id).and_then(Machine::last_heartbeat);
             // The machine reports again: cancel its return, which is possible until the call
             // is sent.
-            if instance.scale_in == ScaleInState::PendingSilent
+            if instance.scale_in == ScaleInState::PendingUnreachable
                 && last_heartbeat.is_some_and(|at| now.since(at) < dead_after_s / 2.0)
             {
                 tracing::info!(machine = %id, "scale-in cancelled: machine reports again");
@@ -212,7 +213,7 @@
         liveness: Liveness,
     ) -> Option<ScaleInReason> {
         match liveness {
-            Liveness::Dead => Some(ScaleInReason::Silent),
+            Liveness::Dead => Some(ScaleInReason::Unreachable),
             Liveness::Unlisted => Some(ScaleInReason::Unlisted),
             Liveness::Shielded(_) | Liveness::HeardByPeer | Liveness::RemovalDeferred => {
                 let suspected_s = self.health.detector.suspected_for_s(
@@ -231,7 +232,7 @@
 
     /// Handles a machine that reports but acknowledges nothing like one behind a broken link: it is
     /// shielded, so that replacements are rented gradually, and it is lost once the condition has
-    /// lasted [`SURELY_DEAD_LEASES`]. An owned machine stays shielded.
+    /// lasted [`PRESUMED_DEAD_LEASES`]. An owned machine stays shielded.
     fn check_acknowledgements(
         &mut self,
         now: Time,
@@ -242,7 +243,7 @@
         let unacknowledged_for_s = scheduler
             .machine(id)
             .and_then(|m| m.ack_tracker().unacknowledged_for_s(now))?;
-        if unacknowledged_for_s > lease_s * SURELY_DEAD_LEASES
+        if unacknowledged_for_s > lease_s * PRESUMED_DEAD_LEASES
             && !self.instances.get(&id).is_some_and(|i| i.owned)
         {
             return Some(ScaleInReason::Unacknowledging);
@@ -252,7 +253,7 @@
     }
 
     /// Marks machines for return that failed, are quarantined, never booted or are lost.
-    fn scale_in_lost(
+    fn scale_in_unusable(
         &mut self,
         now: Time,
         lease_s: f64,
@@ -260,7 +261,7 @@
         lost: &BTreeMap<MachineId, ScaleInReason>,
         scheduler: &mut Scheduler,
     ) {
-        let leading_s = now.since(self.began);
+        let leader_for_s = now.since(self.began_at);
         let mut marked = Vec::new();
         for (id, instance) in &mut self.instances {
             if !instance.is_retained() {
@@ -270,7 +271,7 @@
             let boot_s = instance.boot_s(machine_types);
             let never_reported = machine.and_then(Machine::last_heartbeat).is_none();
             let boot_overdue = now.since(instance.rented_at) > boot_s * 1.9 + 5.0
-                && leading_s > boot_s * 0.5 + lease_s;
+                && leader_for_s > boot_s * 0.5 + lease_s;
             let reason = if instance.status == InstanceStatus::Failed {
                 ScaleInReason::Failed
             } else if machine.is_some_and(Machine::is_quarantined) {
@@ -302,7 +303,7 @@
             let known = self.instances.contains_key(id) || self.released.contains_key(id);
             let reports = machine
                 .last_heartbeat()
-                .is_some_and(|at| now.since(at) < report_s * ADOPTION_REPORTS);
+                .is_some_and(|at| now.since(at) < report_s * MAX_ADOPTION_REPORT_AGE_INTERVALS);
             let Some(machine_type) = machine.machine_type().filter(|_| !known && reports) else {
                 continue;
             };
@@ -337,7 +338,7 @@
     let mut silent_s = now.since(pause_detector.silence_counts_from(silent_since));
     // An owned machine is not rented by the service: it is returned
     // only when it is presumed dead in any case.
-    if instance.owned && silent_s < settings.params.workers.lease_s * SURELY_DEAD_LEASES {
+    if instance.owned && silent_s < settings.params.workers.lease_s * PRESUMED_DEAD_LEASES {
         silent_s = silent_s.min(silence_thresholds(settings).dead_after_s);
     }
     let zones = &settings.params.zones;
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -196,7 +196,7 @@
             return;
         };
         if !self.machine_types.is_empty() && term.listing.begin_page(now) {
-            self.queue.push_back(CloudCall::ListHosts);
+            self.queue.push_back(CloudCall::ListMachines);
         }
         term.rentals.persist(now, term.token, store);
         // A controller whose leadership is unconfirmed neither rents nor returns machines: after a
@@ -219,8 +219,8 @@
             context.settings.value_limit(),
             store,
         );
-        self.queue.extend(term.rentals.take_ready(now));
-        let batch = term.take_scale_in_batch(now);
+        self.queue.extend(term.rentals.begin_ready_calls(now));
+        let batch = term.begin_scale_in_batch(now);
         if !batch.is_empty() {
             self.queue.push_front(CloudCall::ScaleIn(batch));
         }
@@ -232,8 +232,8 @@
         match call {
             FleetCall::ReadSplit => term.planner.on_read(now, reply),
             FleetCall::WriteSplit => term.planner.on_written(now, reply),
-            FleetCall::ReadRentals => term.rentals.on_read(now, term.token, reply.outcome),
-            FleetCall::WriteRentals => term.rentals.on_written(now, reply.outcome),
+            FleetCall::ReadRentals => term.rentals.on_read_reply(now, term.token, reply.outcome),
+            FleetCall::WriteRentals => term.rentals.on_write_reply(now, reply.outcome),
         }
     }
 }
--- a/crates/controller/src/fleet/rental_record/tests.rs
+++ b/crates/controller/src/fleet/rental_record/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use beamhinge_core::wire;
 
-fn rentals() -> RentalRecord {
+fn sample_record() -> RentalRecord {
     RentalRecord {
         version: 1,
         rentals: vec![RentalEntry {
@@ -17,15 +17,15 @@
 }
 
 #[test]
-fn stored_rentals_keep_their_form() {
+fn stored_record_matches_golden_file() {
     let mut golden = crate::golden::Golden::new("tests/golden/rentals.hex");
     golden.text("keys", &format!("{RENTALS_KEY} {RENTALS_PREFIX}"));
-    golden.stored("rentals", &rentals());
+    golden.stored("rentals", &sample_record());
     golden.stored(
         "without spans",
         &RentalRecord {
             owned_ranges: Vec::new(),
-            ..rentals()
+            ..sample_record()
         },
     );
     golden.check();
@@ -33,16 +33,19 @@
 
 /// Records of earlier versions contain neither owned machines nor ranges of them.
 #[test]
-fn stored_rentals_are_read_field_by_field() {
+fn stored_record_is_decoded_field_by_field() {
     let mut stored = serde_json::json!({"v": 1, "rentals": [{"name": "r-41-7", "shape": "g8",
         "zone": "a", "spot": true, "count": 12}], "owned": ["n-000003"],
         "spans": [["n-000005", "n-000007"]]});
-    let read: RentalRecord = wire::decode(&wire::encode(&stored)).expect("a record");
-    assert_eq!(wire::to_value(&read), wire::to_value(&rentals()));
-    assert_eq!(read.owned_machines().len(), 4);
-    for later in ["owned", "spans"] {
-        stored.as_object_mut().expect("a map").remove(later);
+    let decoded: RentalRecord = wire::decode(&wire::encode(&stored)).expect("decodable record");
+    assert_eq!(wire::to_value(&decoded), wire::to_value(&sample_record()));
+    assert_eq!(decoded.owned_machines().len(), 4);
+    for optional_field in ["owned", "spans"] {
+        stored
+            .as_object_mut()
+            .expect("JSON object")
+            .remove(optional_field);
     }
-    let read: RentalRecord = wire::decode(&wire::encode(&stored)).expect("a record");
-    assert!(read.owned_machines().is_empty() && read.rentals.len() == 1);
+    let decoded: RentalRecord = wire::decode(&wire::encode(&stored)).expect("decodable record");
+    assert!(decoded.owned_machines().is_empty() && decoded.rentals.len() == 1);
 }
--- a/crates/controller/src/fleet/rentals.rs
+++ b/crates/controller/src/fleet/rentals.rs
@@ -86,7 +86,7 @@
     revision: Option<Revision>,
     in_flight: bool,
     /// Rental names in the record as last read or written.
-    written: Vec<String>,
+    recorded_names: Vec<String>,
     retry_at: Time,
     backoff: AdaptiveBackoff,
 }
@@ -95,9 +95,9 @@
 pub(super) struct Rentals {
     /// Rentals that are not settled yet.
     pub(super) open: Vec<Rental>,
-    last_number: u64,
+    last_name_number: u64,
     /// Markets that recently refused a request, and the time until which no new one is sent.
-    pub(super) refused: BTreeMap<Market, Time>,
+    pub(super) refused_markets: BTreeMap<Market, Time>,
     /// Rentals recently granted to this leader, with the time of the grant: kept in the record
     /// until every machine list shows them.
     pub(super) recent: Vec<(Time, RentalEntry)>,
@@ -112,15 +112,15 @@
     pub(super) fn new() -> Rentals {
         Rentals {
             open: Vec::new(),
-            last_number: 0,
-            refused: BTreeMap::new(),
+            last_name_number: 0,
+            refused_markets: BTreeMap::new(),
             recent: Vec::new(),
             inherited: Vec::new(),
             owned: None,
             record: RecordSync {
                 revision: None,
                 in_flight: false,
-                written: Vec::new(),
+                recorded_names: Vec::new(),
                 retry_at: Time::default(),
                 backoff: AdaptiveBackoff::new(0.2, 5.0),
             },
@@ -139,15 +139,21 @@
 
     /// Adds a rental, which is sent once it is recorded. The prefix of its name contains the
     /// leader's fencing token, so that no other leader can use the same name.
-    pub(super) fn request(&mut self, now: Time, token: FencingToken, market: &Market, ask: Ask) {
-        self.last_number += 1;
+    pub(super) fn request(
+        &mut self,
+        now: Time,
+        token: FencingToken,
+        market: &Market,
+        request: MachineRequest,
+    ) {
+        self.last_name_number += 1;
         self.open.push(Rental {
             entry: RentalEntry {
-                name: format!("{}{}", name_prefix(token), self.last_number),
-                machine_type: ask.label,
+                name: format!("{}{}", name_prefix(token), self.last_name_number),
+                machine_type: request.label,
                 zone: market.zone.clone(),
                 spot: market.spot,
-                count: ask.count,
+                count: request.count,
             },
             machine_type: market.machine_type,
             state: RentalState::Unrecorded,
@@ -157,7 +163,7 @@
     }
 
     /// Marks the rentals that may be sent now as in flight and returns their calls.
-    pub(super) fn take_ready(&mut self, now: Time) -> Vec<CloudCall> {
+    pub(super) fn begin_ready_calls(&mut self, now: Time) -> Vec<CloudCall> {
         let ready = self
             .open
             .iter_mut()
@@ -186,15 +192,15 @@
             return;
         }
         match self.build_write(token, revision, store) {
-            Ok((transaction, written)) => {
-                self.record.written = written;
+            Ok((transaction, recorded_names)) => {
+                self.record.recorded_names = recorded_names;
                 self.record.in_flight = true;
                 let tag = Tag::Fleet(FleetCall::WriteRentals);
                 store.commit(now, Priority::Scheduler, tag, transaction);
             }
             Err(error) => {
                 tracing::error!(key = RENTALS_KEY, %error, "rental does not fit into its record");
-                self.abandon_unrecorded(now);
+                self.drop_unrecorded(now);
             }
         }
     }
@@ -223,8 +229,8 @@
                 .map(|r| r.entry.clone())
                 .chain(self.recent.iter().map(|(_, entry)| entry.clone()))
                 .collect();
-            let written = rentals.iter().map(|r| r.name.clone()).collect();
-            let record = self.record_of(rentals, as_ranges);
+            let recorded_names = rentals.iter().map(|r| r.name.clone()).collect();
+            let record = self.build_record(rentals, as_ranges);
             let mut transaction = store.transaction();
             let built = transaction
                 .require(BLOCK_KEY, Revision(token.0))
@@ -232,7 +238,7 @@
                     transaction.put(RENTALS_KEY, revision, wire::to_value(&record), None)
                 });
             match built {
-                Ok(()) => return Ok((transaction, written)),
+                Ok(()) => return Ok((transaction, recorded_names)),
                 Err(_) if !as_ranges => as_ranges = true,
                 Err(_) if added > 1 => added /= 2,
                 Err(error) => return Err(error),
@@ -240,7 +246,7 @@
         }
     }
 
-    fn record_of(&self, rentals: Vec<RentalEntry>, as_ranges: bool) -> RentalRecord {
+    fn build_record(&self, rentals: Vec<RentalEntry>, as_ranges: bool) -> RentalRecord {
         let mut record = RentalRecord {
             version: RECORD_VERSION,
             rentals,
@@ -258,7 +264,7 @@
 
     /// Drops rentals that cannot be recorded: they are never sent, and the next plan requests the
     /// machines that are wanted then.
-    fn abandon_unrecorded(&mut self, now: Time) {
+    fn drop_unrecorded(&mut self, now: Time) {
         let before = self.open.len();
         self.open.retain(|r| r.state != RentalState::Unrecorded);
         let count = before - self.open.len();
@@ -268,7 +274,7 @@
     }
 
     /// Handles the reply to a read of the record.
-    pub(super) fn on_read(&mut self, now: Time, token: FencingToken, outcome: Outcome) {
+    pub(super) fn on_read_reply(&mut self, now: Time, token: FencingToken, outcome: Outcome) {
         self.record.in_flight = false;
         let Outcome::Ok(body) = outcome else {
             self.record.retry_at = now.plus(READ_RETRY_S);
@@ -279,7 +285,7 @@
         };
         let found = scan.entries.iter().find(|p| p.key == RENTALS_KEY);
         self.record.revision = Some(Revision(found.map_or(0, |p| p.revision)));
-        self.record.written.clear();
+        self.record.recorded_names.clear();
         if let Some(found) = found {
             match wire::from_value::<RentalRecord>(&found.value) {
                 Ok(record) if record.version == RECORD_VERSION => self.inherit(token, record),
@@ -295,11 +301,11 @@
         }
         // A write whose reply was lost may have been applied: the names that it contained are then
         // recorded.
-        self.mark_written();
+        self.mark_recorded();
     }
 
     fn inherit(&mut self, token: FencingToken, record: RentalRecord) {
-        self.record.written = record.rentals.iter().map(|r| r.name.clone()).collect();
+        self.record.recorded_names = record.rentals.iter().map(|r| r.name.clone()).collect();
         let own_prefix = name_prefix(token);
         let owned = record.owned_machines();
         self.inherited = record.rentals;
@@ -307,10 +313,10 @@
         self.owned.get_or_insert(owned);
     }
 
-    fn mark_written(&mut self) {
+    fn mark_recorded(&mut self) {
         for rental in &mut self.open {
             if rental.state == RentalState::Unrecorded
-                && self.record.written.contains(&rental.entry.name)
+                && self.record.recorded_names.contains(&rental.entry.name)
             {
                 rental.state = RentalState::Recorded;
             }
@@ -318,14 +324,14 @@
     }
 
     /// Handles the outcome of a write of the record.
-    pub(super) fn on_written(&mut self, now: Time, outcome: Outcome) {
+    pub(super) fn on_write_reply(&mut self, now: Time, outcome: Outcome) {
         self.record.in_flight = false;
         match outcome {
             Outcome::Ok(body) => match wire::decode::<CommitResponse>(&body) {
                 Ok(committed) => {
                     self.record.backoff.on_success();
                     self.record.revision = Some(Revision(committed.revision));
-                    self.mark_written();
+                    self.mark_recorded();
                 }
                 Err(_) => self.record.revision = None,
             },
@@ -337,7 +343,7 @@
             // the unrecorded rentals are dropped.
             Outcome::Malformed => {
                 if self.record.backoff.on_malformed(now) == RetryAction::SetAside {
-                    self.abandon_unrecorded(now);
+                    self.drop_unrecorded(now);
                 }
             }
             _ => {
@@ -349,7 +355,7 @@
 }
 
 /// The machines requested by a rental.
-pub(super) struct Ask {
+pub(super) struct MachineRequest {
     /// Label of the machine type.
     pub(super) label: String,
     pub(super) count: u32,
--- a/crates/controller/src/fleet/scale_in.rs
+++ b/crates/controller/src/fleet/scale_in.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of machines in one release call.
-const MAX_PER_RELEASE: usize = 100;
+const MAX_MACHINES_PER_RELEASE: usize = 100;
 /// Interval between two searches for machines to release, seconds. A search after every report
 /// would iterate over the whole fleet each time.
 const SCALE_IN_INTERVAL_S: f64 = 0.1;
@@ -42,19 +42,19 @@
 impl LeaderTerm {
     /// Returns the next marked machines to release and marks them as in flight; empty if no release
     /// is due.
-    pub(super) fn take_scale_in_batch(&mut self, now: Time) -> Vec<MachineId> {
+    pub(super) fn begin_scale_in_batch(&mut self, now: Time) -> Vec<MachineId> {
         let calls = &mut self.scale_in;
         if now.since(calls.searched_at) < SCALE_IN_INTERVAL_S || !calls.backoff.is_due(now) {
             return Vec::new();
         }
         calls.searched_at = now;
-        let batch_size = (MAX_PER_RELEASE / calls.backoff.divisor()).max(1);
+        let batch_size = (MAX_MACHINES_PER_RELEASE / calls.backoff.divisor()).max(1);
         self.instances
             .iter_mut()
             .filter(|(_, i)| {
                 matches!(
                     i.scale_in,
-                    ScaleInState::Pending | ScaleInState::PendingSilent
+                    ScaleInState::Pending | ScaleInState::PendingUnreachable
                 )
             })
             .take(batch_size)
@@ -125,14 +125,14 @@
         // Guard: while this controller's local link is suspected to be broken, the state of the
         // machines behind it is unknown. A leader whose requests were refused for a minute saw
         // all its machines idle when it came back, and returned the fleet while its jobs waited.
-        let own_link_suspected = self.health.is_own_link_suspected();
+        let local_link_suspected = self.health.is_local_link_suspected();
         #[cfg(feature = "faults")]
-        let own_link_suspected = own_link_suspected && !self.faults.blind_return;
-        let leading_s = context.now.since(self.began);
+        let local_link_suspected = local_link_suspected && !self.faults.blind_return;
+        let leader_for_s = context.now.since(self.began_at);
         let mut marked = Vec::new();
         for (id, instance) in &mut self.instances {
-            let unknown = own_link_suspected && self.health.shielded.contains_key(id);
-            if !instance.is_retained() || unknown {
+            let state_unknown = local_link_suspected && self.health.shielded.contains_key(id);
+            if !instance.is_retained() || state_unknown {
                 continue;
             }
             let machine = scheduler.machine(*id);
@@ -144,7 +144,7 @@
                 (empty && drain.afterwards == Afterwards::Return).then_some(ScaleInReason::Drained)
             } else {
                 let surplus = surplus.get_mut(&instance.class());
-                unneeded(context, leading_s, instance, machine, surplus)
+                reason_not_needed(context, leader_for_s, instance, machine, surplus)
             };
             let Some(reason) = reason else { continue };
             tracing::info!(machine = %id, %reason, "scaling in machine");
@@ -159,9 +159,9 @@
 
 /// The reason why an empty machine is not needed; `None` if it is needed. An idle machine is
 /// deducted from `surplus`, the number of machines of its class in excess of the target.
-fn unneeded(
+fn reason_not_needed(
     context: &TickContext,
-    leading_s: f64,
+    leader_for_s: f64,
     instance: &Instance,
     machine: Option<&Machine>,
     surplus: Option<&mut u32>,
@@ -178,9 +178,12 @@
         (false, true) => context.operator.idle_s.max(ON_DEMAND_IDLE_S),
         (false, false) => ON_DEMAND_IDLE_S,
     };
-    let charged = !instance.owned
+    let within_min_charge = !instance.owned
         && context.now.since(instance.rented_at) < MIN_CHARGE_S - MIN_CHARGE_MARGIN_S;
-    if charged || context.now.since(machine.idle_since()) < max_idle_s || leading_s < max_idle_s {
+    if within_min_charge
+        || context.now.since(machine.idle_since()) < max_idle_s
+        || leader_for_s < max_idle_s
+    {
         return None;
     }
     *surplus -= 1;
--- a/crates/controller/src/fleet/scale_out.rs
+++ b/crates/controller/src/fleet/scale_out.rs
@@ -3,7 +3,7 @@
 use super::cloud_protocol::ScaleOutReply;
 use super::instance::Instance;
 use super::rental_record::RentalEntry;
-use super::rentals::{Ask, Market, Rental};
+use super::rentals::{MachineRequest, Market, Rental};
 use super::term::LeaderTerm;
 use crate::scheduler::Scheduler;
 use crate::split::{MachineClass, MachineType};
@@ -12,7 +12,7 @@
 use beamhinge_core::types::{MachineId, Time};
 
 /// Maximum number of machines requested at once for one class.
-const MAX_PER_RENTAL: u32 = 50;
+const MAX_MACHINES_PER_SCALE_OUT: u32 = 50;
 /// Pause of a market after it granted fewer machines than requested, seconds.
 const REFUSED_MARKET_PAUSE_S: f64 = 10.0;
 /// Pause of a market after the cloud rejected a request to it as malformed, seconds.
@@ -33,8 +33,8 @@
 }
 
 impl LeaderTerm {
-    /// Requests `count` machines of a class, at most [`MAX_PER_RENTAL`] in total, spread over the
-    /// zones. Does nothing while an earlier rental of the class is open.
+    /// Requests `count` machines of a class, at most [`MAX_MACHINES_PER_SCALE_OUT`] in
+    /// total, spread over the zones. Does nothing while an earlier rental of the class is open.
     pub(super) fn scale_out(
         &mut self,
         now: Time,
@@ -51,12 +51,12 @@
         }
         let shares = self.spread_over_zones(class, count, machine_type, settings);
         for share in shares.iter().filter(|s| s.requested > 0) {
-            let ask = Ask {
+            let request = MachineRequest {
                 label: machine_type.label.clone(),
                 count: share.requested,
             };
             let market = market(class, share.zone);
-            self.rentals.request(now, self.token, &market, ask);
+            self.rentals.request(now, self.token, &market, request);
         }
     }
 
@@ -74,7 +74,12 @@
             .zones
             .iter()
             .filter(|zone| zones.is_empty() || zones.contains(zone))
-            .filter(|zone| !self.rentals.refused.contains_key(&market(class, zone)))
+            .filter(|zone| {
+                !self
+                    .rentals
+                    .refused_markets
+                    .contains_key(&market(class, zone))
+            })
             .map(|zone| ZoneShare {
                 zone,
                 machines: self.machines_in_zone(class.machine_type, zone),
@@ -84,11 +89,11 @@
         if shares.is_empty() {
             return shares;
         }
-        for _ in 0..count.min(MAX_PER_RENTAL) {
+        for _ in 0..count.min(MAX_MACHINES_PER_SCALE_OUT) {
             shares.sort_by_key(|s| (s.machines, s.zone));
-            if let Some(emptiest) = shares.first_mut() {
-                emptiest.machines += 1;
-                emptiest.requested += 1;
+            if let Some(smallest) = shares.first_mut() {
+                smallest.machines += 1;
+                smallest.requested += 1;
             }
         }
         shares
@@ -110,17 +115,17 @@
         scheduler: Option<&mut Scheduler>,
     ) {
         let open = &mut self.rentals.open;
-        let Some(at) = open.iter().position(|r| r.entry.name == name) else {
+        let Some(index) = open.iter().position(|r| r.entry.name == name) else {
             return;
         };
         match reply {
             ScaleOutReply::Granted(machines) => {
-                let rental = open.remove(at);
+                let rental = open.remove(index);
                 self.on_granted(now, rental, &machines, scheduler);
             }
-            ScaleOutReply::NoCapacity => self.on_no_capacity(now, at, scheduler),
-            ScaleOutReply::Unavailable => open[at].retry(now.plus(UNAVAILABLE_RETRY_S)),
-            ScaleOutReply::RateLimited => open[at].retry(now.plus(RATE_LIMITED_RETRY_S)),
+            ScaleOutReply::NoCapacity => self.on_no_capacity(now, index, scheduler),
+            ScaleOutReply::Unavailable => open[index].retry(now.plus(UNAVAILABLE_RETRY_S)),
+            ScaleOutReply::RateLimited => open[index].retry(now.plus(RATE_LIMITED_RETRY_S)),
             ScaleOutReply::Malformed => {
                 // Without the pause, the plan would repeat the request under another name and have
                 // it refused again, twice a second and with a write of the record each time.
@@ -128,12 +133,12 @@
                     rental = name,
                     "dropped rental: rejected by the cloud as malformed"
                 );
-                let market = open.remove(at).market();
+                let market = open.remove(index).market();
                 self.pause_market(market, now.plus(MALFORMED_MARKET_PAUSE_S));
             }
             // The retry uses the same name and is idempotent: nothing is rented twice.
             ScaleOutReply::Unknown => {
-                let rental = &mut open[at];
+                let rental = &mut open[index];
                 rental.outcome_unknown = true;
                 rental.retry(now.plus(UNKNOWN_OUTCOME_RETRY_S));
                 #[cfg(feature = "faults")]
@@ -145,7 +150,7 @@
     }
 
     fn pause_market(&mut self, market: Market, until: Time) {
-        self.rentals.refused.insert(market, until);
+        self.rentals.refused_markets.insert(market, until);
     }
 
     fn on_granted(
@@ -195,8 +200,8 @@
     /// Handles a call that rented nothing: the rental is dropped and its market is paused. If an
     /// earlier call under the same name had no reply, that call may still take effect, so the
     /// name stays in use.
-    fn on_no_capacity(&mut self, now: Time, at: usize, scheduler: Option<&mut Scheduler>) {
-        let rental = &mut self.rentals.open[at];
+    fn on_no_capacity(&mut self, now: Time, index: usize, scheduler: Option<&mut Scheduler>) {
+        let rental = &mut self.rentals.open[index];
         let entry = &rental.entry;
         tracing::debug!(
             machine_type = %entry.machine_type,
@@ -215,7 +220,7 @@
         if rental.outcome_unknown {
             rental.retry(now.plus(UNAVAILABLE_RETRY_S));
         } else {
-            self.rentals.open.remove(at);
+            self.rentals.open.remove(index);
         }
         self.pause_market(market, now.plus(REFUSED_MARKET_PAUSE_S));
     }
--- a/crates/controller/src/fleet/scale_plan.rs
+++ b/crates/controller/src/fleet/scale_plan.rs
@@ -12,9 +12,9 @@
 use std::collections::BTreeMap;
 
 /// Factor over the stated boot time by which a machine is expected to be up: boot times vary.
-pub(super) const BOOT_SPREAD: f64 = 1.2;
+pub(super) const BOOT_TIME_FACTOR: f64 = 1.2;
 /// Least remaining boot time expected of a booting machine, as a fraction of its boot time.
-const MIN_BOOT_FRACTION: f64 = 0.2;
+const MIN_REMAINING_BOOT_FRACTION: f64 = 0.2;
 
 /// Machines that exist, boot or are requested.
 #[derive(Default)]
@@ -22,7 +22,7 @@
     /// Number of machines that count as capacity, by class.
     machines: BTreeMap<MachineClass, u32>,
     /// Number of those that have reported, by class.
-    up: BTreeMap<MachineClass, u32>,
+    reporting: BTreeMap<MachineClass, u32>,
     /// CPUs and the time until they become free, by machine type.
     free_capacity: BTreeMap<usize, FreeCapacity>,
     owned_cpus: f64,
@@ -37,8 +37,8 @@
         self.machines.get(&class).copied().unwrap_or(0)
     }
 
-    fn count_up(&self, class: MachineClass) -> u32 {
-        self.up.get(&class).copied().unwrap_or(0)
+    fn count_reporting(&self, class: MachineClass) -> u32 {
+        self.reporting.get(&class).copied().unwrap_or(0)
     }
 
     fn add_machines(&mut self, class: MachineClass, count: u32) {
@@ -47,9 +47,9 @@
 
     /// Counts a machine behind a link suspected to be broken as a fraction, which decreases as it
     /// stays unreachable, so that such machines are replaced gradually.
-    fn add_shielded(&mut self, class: MachineClass, silent_s: f64, machine_type: &MachineType) {
+    fn add_shielded(&mut self, class: MachineClass, outage_s: f64, machine_type: &MachineType) {
         let credit = self.shielded_credit.entry(class).or_default();
-        *credit += expected_back(silent_s, machine_type.boot_s);
+        *credit += recovery_credit(outage_s, machine_type.boot_s);
         if *credit >= 1.0 {
             *credit -= 1.0;
             self.add_machines(class, 1);
@@ -75,12 +75,15 @@
         self.add_machines(class, 1);
         let free = self.free_capacity.entry(class.machine_type).or_default();
         if machine.is_some_and(|m| m.last_heartbeat().is_some()) {
-            *self.up.entry(class).or_default() += 1;
+            *self.reporting.entry(class).or_default() += 1;
             scheduler.capacity_over_time(now, id, machine_types, free);
         } else if let Some(machine_type) = machine_type {
             let boot_s = machine_type.boot_s;
-            let left_s = boot_s * BOOT_SPREAD - now.since(instance.rented_at);
-            free.push((left_s.max(boot_s * MIN_BOOT_FRACTION), machine_type.cpus));
+            let remaining_s = boot_s * BOOT_TIME_FACTOR - now.since(instance.rented_at);
+            free.push((
+                remaining_s.max(boot_s * MIN_REMAINING_BOOT_FRACTION),
+                machine_type.cpus,
+            ));
         }
         if instance.owned {
             let cpus = machine_type.map_or(0.0, |t| t.cpus);
@@ -96,7 +99,7 @@
         self.add_machines(class, count);
         if let Some(machine_type) = machine_types.get(class.machine_type) {
             let free = self.free_capacity.entry(class.machine_type).or_default();
-            let ready_s = machine_type.boot_s * BOOT_SPREAD;
+            let ready_s = machine_type.boot_s * BOOT_TIME_FACTOR;
             free.extend((0..count).map(|_| (ready_s, machine_type.cpus)));
         }
     }
@@ -126,11 +129,11 @@
         // machine types are used unchanged.
         let active_directives = scheduler.active_directives().clone();
         let undrained = (!active_directives.is_empty())
-            .then(|| without_drained(machine_types, &active_directives));
+            .then(|| exclude_drained(machine_types, &active_directives));
         let offered = undrained.as_deref().unwrap_or(machine_types);
         self.expire_rentals(now, list_lag_s);
         let capacity = self.count_capacity(now, machine_types, &active_directives, scheduler);
-        let wants = self.planner.target_capacity(
+        let target_capacity_by_type = self.planner.target_capacity(
             now,
             &demands,
             offered,
@@ -138,7 +141,7 @@
             capacity.owned_cpus,
             &capacity.free_capacity,
         );
-        let targets = self.target_machines(&wants, &capacity, offered);
+        let targets = self.target_machines(&target_capacity_by_type, &capacity, offered);
         if let Some(observation) = targets.observation {
             self.planner.observe_market(now, observation);
         }
@@ -158,13 +161,13 @@
     /// not show earlier rentals yet, so recorded rentals count until the list must show them.
     fn expire_rentals(&mut self, now: Time, list_lag_s: f64) {
         let delay_s = listing_delay_s(list_lag_s);
-        if now.since(self.began) > delay_s {
+        if now.since(self.began_at) > delay_s {
             self.rentals.inherited.clear();
         }
         self.rentals
             .recent
             .retain(|(at, _)| now.since(*at) < delay_s);
-        self.rentals.refused.retain(|_, until| *until > now);
+        self.rentals.refused_markets.retain(|_, until| *until > now);
     }
 
     fn count_capacity(
@@ -189,8 +192,8 @@
             }
             let shielded_s = self.health.shielded.get(id);
             match (shielded_s, machine_types.get(instance.machine_type)) {
-                (Some(silent_s), Some(machine_type)) => {
-                    capacity.add_shielded(instance.class(), *silent_s, machine_type);
+                (Some(outage_s), Some(machine_type)) => {
+                    capacity.add_shielded(instance.class(), *outage_s, machine_type);
                 }
                 _ => capacity.add_instance(now, *id, instance, machine_types, scheduler),
             }
@@ -216,30 +219,33 @@
     /// Target number of machines of each class, and the observation of the spot market.
     fn target_machines(
         &self,
-        wants: &BTreeMap<usize, TargetCapacity>,
+        target_capacity_by_type: &BTreeMap<usize, TargetCapacity>,
         capacity: &Capacity,
         offered: &[MachineType],
     ) -> Targets {
         let mut targets = Targets::default();
-        let (mut spot_wanted, mut spot_up) = (0.0, 0.0);
+        let (mut spot_wanted, mut spot_reporting) = (0.0, 0.0);
         let (mut price, mut max_cost) = (1.0, 0.0);
         for (index, machine_type) in offered.iter().enumerate() {
-            let want = wants.get(&index).copied().unwrap_or_default();
+            let target = target_capacity_by_type
+                .get(&index)
+                .copied()
+                .unwrap_or_default();
             let class = |spot| MachineClass {
                 machine_type: index,
                 spot,
             };
-            let have = MachineCounts {
+            let existing = MachineCounts {
                 spot: f64::from(capacity.count(class(true))),
                 on_demand: f64::from(capacity.count(class(false))),
             };
             let refused = self.is_spot_refused(index, machine_type);
-            let (spot, on_demand) = machines_wanted(&want, have, refused);
+            let (spot, on_demand) = target_counts(&target, existing, refused);
             targets.machines.insert(class(true), spot);
             targets.machines.insert(class(false), on_demand);
-            let cost = want.spot * machine_type.low_price;
-            spot_wanted += want.spot;
-            spot_up += f64::from(capacity.count_up(class(true))).min(want.spot);
+            let cost = target.spot * machine_type.low_price;
+            spot_wanted += target.spot;
+            spot_reporting += f64::from(capacity.count_reporting(class(true))).min(target.spot);
             if cost > max_cost && machine_type.rate > 0.0 {
                 max_cost = cost;
                 price = machine_type.low_price / machine_type.rate;
@@ -248,7 +254,7 @@
         if spot_wanted > 0.0 {
             targets.observation = Some(MarketObservation {
                 price,
-                up: spot_up / spot_wanted,
+                up: spot_reporting / spot_wanted,
                 idle_owned: capacity.idle_owned_cpus,
             });
         }
@@ -258,7 +264,7 @@
     /// Whether every zone of the machine type has recently refused spot machines.
     fn is_spot_refused(&self, index: usize, machine_type: &MachineType) -> bool {
         machine_type.zones.iter().all(|zone| {
-            self.rentals.refused.contains_key(&Market {
+            self.rentals.refused_markets.contains_key(&Market {
                 machine_type: index,
                 zone: zone.clone(),
                 spot: true,
@@ -282,16 +288,16 @@
 /// The fraction as which a machine behind a broken link counts, from 1 (it is expected back before
 /// a replacement is up) to 0 (it needs a replacement).
 ///
-/// An outage that has lasted `silent_s` seconds is expected to last as long again. A replacement
+/// An outage that has lasted `outage_s` seconds is expected to last as long again. A replacement
 /// takes one boot time, so it is not worth its cost before the outage has lasted one boot time;
 /// after three boot times every such machine is replaced.
-fn expected_back(silent_s: f64, boot_s: f64) -> f64 {
-    1.0 - ((silent_s - boot_s) / (boot_s * 2.0).max(1.0)).clamp(0.0, 1.0)
+fn recovery_credit(outage_s: f64, boot_s: f64) -> f64 {
+    1.0 - ((outage_s - boot_s) / (boot_s * 2.0).max(1.0)).clamp(0.0, 1.0)
 }
 
 /// The machine types without drained capacity: drained zones are removed, and a type without
 /// remaining zones has no resources, so that no task fits it.
-fn without_drained(
+fn exclude_drained(
     machine_types: &[MachineType],
     active_directives: &ActiveDirectives,
 ) -> Vec<MachineType> {
@@ -322,27 +328,34 @@
 ///
 /// Required capacity that is neither present nor on its way is rented on demand only where spot
 /// is refused. Existing on-demand machines take over part of the work.
-fn machines_wanted(want: &TargetCapacity, have: MachineCounts, spot_refused: bool) -> (u32, u32) {
+fn target_counts(
+    target: &TargetCapacity,
+    existing: MachineCounts,
+    spot_refused: bool,
+) -> (u32, u32) {
     // A sum of fractions may exceed a whole number by a rounding error.
-    let whole = |x: f64| (x - 1e-6).ceil().max(0.0);
-    let bound = whole(want.on_demand);
-    let spare = (have.on_demand - bound).max(0.0);
-    if spot_refused && want.shortfall > 0.0 {
+    let round_up = |x: f64| (x - 1e-6).ceil().max(0.0);
+    let required_on_demand = round_up(target.on_demand);
+    let extra_on_demand = (existing.on_demand - required_on_demand).max(0.0);
+    if spot_refused && target.shortfall > 0.0 {
         return (
-            whole(want.spot + want.standby) as u32,
-            (bound + spare + whole(want.shortfall)) as u32,
+            round_up(target.spot + target.standby) as u32,
+            (required_on_demand + extra_on_demand + round_up(target.shortfall)) as u32,
         );
     }
-    if spot_refused && whole(want.timely) > have.spot + spare {
+    if spot_refused && round_up(target.timely) > existing.spot + extra_on_demand {
         return (
-            whole(want.spot + want.standby) as u32,
-            (bound + whole(want.timely) - have.spot) as u32,
+            round_up(target.spot + target.standby) as u32,
+            (required_on_demand + round_up(target.timely) - existing.spot) as u32,
         );
     }
     // On-demand machines are kept while there are not enough spot machines.
-    let spot = whole(want.spot + want.standby);
-    let kept = (whole(want.spot) - have.spot).clamp(0.0, spare);
-    ((spot - kept) as u32, (bound + kept) as u32)
+    let spot = round_up(target.spot + target.standby);
+    let kept_on_demand = (round_up(target.spot) - existing.spot).clamp(0.0, extra_on_demand);
+    (
+        (spot - kept_on_demand) as u32,
+        (required_on_demand + kept_on_demand) as u32,
+    )
 }
 
 #[cfg(test)]
--- a/crates/controller/src/fleet/term.rs
+++ b/crates/controller/src/fleet/term.rs
@@ -14,7 +14,7 @@
 /// State of one term; dropped when the term ends.
 pub(super) struct LeaderTerm {
     pub(super) token: FencingToken,
-    pub(super) began: Time,
+    pub(super) began_at: Time,
     /// The machine inventory.
     pub(super) instances: BTreeMap<MachineId, Instance>,
     /// Machines whose release the cloud confirmed, and when. They are remembered because a lagging
@@ -40,7 +40,7 @@
     ) -> LeaderTerm {
         LeaderTerm {
             token,
-            began: now,
+            began_at: now,
             instances: BTreeMap::new(),
             released: BTreeMap::new(),
             listing: Listing::default(),
