--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -336,8 +336,8 @@
         ..
     } = context.liveness;
     let mut silent_s = now.since(pause_detector.silence_counts_from(silent_since));
-    // An owned machine is not rented by the service: it is returned
-    // only when it is presumed dead in any case.
+    // An owned machine is not rented by the service: it is returned only after the longer time
+    // after which a machine is presumed dead in any case.
     if instance.owned && silent_s < settings.params.workers.lease_s * PRESUMED_DEAD_LEASES {
         silent_s = silent_s.min(silence_thresholds(settings).dead_after_s);
     }
--- a/crates/controller/src/fleet/scale_out.rs
+++ b/crates/controller/src/fleet/scale_out.rs
@@ -11,7 +11,7 @@
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{MachineId, Time};
 
-/// Maximum number of machines requested at once for one class.
+/// Maximum number of machines requested at once for one class, over all zones.
 const MAX_MACHINES_PER_SCALE_OUT: u32 = 50;
 /// Pause of a market after it granted fewer machines than requested, seconds.
 const REFUSED_MARKET_PAUSE_S: f64 = 10.0;
--- a/crates/controller/src/fleet/scale_plan.rs
+++ b/crates/controller/src/fleet/scale_plan.rs
@@ -285,8 +285,8 @@
     surplus
 }
 
-/// The fraction as which a machine behind a broken link counts, from 1 (it is expected back before
-/// a replacement is up) to 0 (it needs a replacement).
+/// The fraction of a machine behind a broken link that counts as capacity, from 1 (it is expected
+/// back before a replacement is up) to 0 (it needs a replacement).
 ///
 /// An outage that has lasted `outage_s` seconds is expected to last as long again. A replacement
 /// takes one boot time, so it is not worth its cost before the outage has lasted one boot time;
