--- a/crates/controller/src/fleet/scale_in.rs
+++ b/crates/controller/src/fleet/scale_in.rs
@@ -103,7 +103,7 @@
     ) {
         if let Some(scheduler) = scheduler {
             for id in &machines {
-                scheduler.machine_gone(now, *id);
+                scheduler.on_machine_removed(now, *id);
             }
         }
         for id in machines {
@@ -127,7 +127,8 @@
         // all its machines idle when it came back, and returned the fleet while its jobs waited.
         let local_link_suspected = self.health.is_local_link_suspected();
         #[cfg(feature = "faults")]
-        let local_link_suspected = local_link_suspected && !self.faults.blind_return;
+        let local_link_suspected =
+            local_link_suspected && !self.faults.machines_returned_while_link_down;
         let leader_for_s = context.now.since(self.began_at);
         let mut marked = Vec::new();
         for (id, instance) in &mut self.instances {
