--- a/crates/controller/src/fleet/cloud_calls.rs
+++ b/crates/controller/src/fleet/cloud_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud: their queue, their rate, and where each reply goes.
+//! Calls to the cloud: call queue, rate limit and dispatch of replies.
 
 use super::cloud_protocol::{Catalog, CloudRequest, HostList, ScaleOutReply, ScaleOutRequest};
 use super::term::LeaderTerm;
@@ -9,67 +9,68 @@
 use beamhinge_core::types::{CallId, MachineId, Time};
 use beamhinge_core::wire;
 
-/// How long the cloud may take for a reply, seconds.
+/// Timeout of a call to the cloud, seconds.
 const CALL_TIMEOUT_S: f64 = 4.0;
-/// Part of the rate that the cloud allows which is used.
+/// Fraction of the cloud's rate limit that the controller uses.
 const RATE_FRACTION: f64 = 0.9;
-/// Pause after the catalog could not be read, seconds.
+/// Pause after a failed read of the catalog, seconds.
 const CATALOG_RETRY_S: f64 = 1.0;
-/// Age from which a leader asks for the catalog again, seconds.
+/// Age of the catalog at which a leader reads it again, seconds.
 const CATALOG_MAX_AGE_S: f64 = 30.0;
-/// The same of a controller that does not lead.
+/// Age of the catalog at which a controller that is not the leader reads it again, seconds.
 const FOLLOWER_CATALOG_MAX_AGE_S: f64 = 120.0;
 
 /// A call to the cloud.
 #[derive(Debug)]
 pub(super) enum CloudCall {
-    /// Reads the machine types on offer.
+    /// Reads the catalog of machine types.
     Catalog,
     /// Reads the next page of the machine list.
-    ListHosts,
-    /// Rents machines, by the rental's name.
+    ListMachines,
+    /// Rents machines; holds the rental's name.
     ScaleOut(String),
     /// Releases machines.
     ScaleIn(Vec<MachineId>),
 }
 
-/// Token bucket that keeps calls below the rate that the cloud allows.
+/// Token bucket that keeps calls below the cloud's rate limit.
 pub(super) struct CallRate {
-    per_s: f64,
-    level: f64,
-    filled_at: Time,
+    refill_per_s: f64,
+    tokens: f64,
+    refilled_at: Time,
 }
 
 impl CallRate {
-    /// `allowed_per_s`: the cloud's limit, calls a second.
+    /// `allowed_per_s`: the cloud's rate limit, calls per second.
     pub(super) fn new(allowed_per_s: f64) -> CallRate {
         CallRate {
-            per_s: allowed_per_s * RATE_FRACTION,
-            level: 1.0,
-            filled_at: Time::default(),
+            refill_per_s: allowed_per_s * RATE_FRACTION,
+            tokens: 1.0,
+            refilled_at: Time::default(),
         }
     }
 
     fn refill(&mut self, now: Time) {
-        self.level = (self.level + now.since(self.filled_at) * self.per_s).min(self.per_s);
-        self.filled_at = now;
+        self.tokens =
+            (self.tokens + now.since(self.refilled_at) * self.refill_per_s).min(self.refill_per_s);
+        self.refilled_at = now;
     }
 
     fn has_token(&self) -> bool {
-        self.level >= 1.0
+        self.tokens >= 1.0
     }
 
-    fn take_token(&mut self) {
-        self.level -= 1.0;
+    fn consume_token(&mut self) {
+        self.tokens -= 1.0;
     }
 
-    /// The cloud refused a call for its rate.
-    fn drain(&mut self) {
-        self.level = self.level.min(0.0);
+    /// Empties the bucket after the cloud rejected a call because of its rate limit.
+    fn exhaust(&mut self) {
+        self.tokens = self.tokens.min(0.0);
     }
 }
 
-/// When the catalog of machine types was read, and when it is read next.
+/// Schedules the reads of the catalog of machine types.
 #[derive(Default)]
 pub(super) struct CatalogRefresh {
     in_flight: bool,
@@ -78,7 +79,7 @@
 }
 
 impl CatalogRefresh {
-    /// Whether the catalog is to be read now; if so, the call counts as in flight.
+    /// Returns whether the catalog is due to be read, and if so marks the call as in flight.
     pub(super) fn begin(&mut self, now: Time, leading: bool) -> bool {
         let max_age_s = if leading {
             CATALOG_MAX_AGE_S
@@ -93,7 +94,7 @@
 }
 
 impl LeaderTerm {
-    /// The request for a call; none if its rental was dropped meanwhile.
+    /// The request of a scale-out call; `None` if its rental was dropped in the meantime.
     fn scale_out_request(&self, name: &str) -> Option<CloudRequest> {
         let rental = self.rentals.open.iter().find(|r| r.entry.name == name)?;
         Some(CloudRequest::scale_out(&ScaleOutRequest {
@@ -107,12 +108,12 @@
 }
 
 impl Fleet {
-    /// Whether a reply belongs to the fleet.
+    /// Whether the call was sent by the fleet controller.
     pub fn owns_call(&self, id: CallId) -> bool {
         self.calls.contains_key(&id)
     }
 
-    /// Sends queued calls as far as their rate allows.
+    /// Sends queued calls as far as the rate limit permits.
     pub fn flush(&mut self, now: Time, next_call: &mut u64, out: &mut Vec<Effect>) {
         self.call_rate.refill(now);
         while self.call_rate.has_token() {
@@ -122,7 +123,7 @@
             let Some(request) = self.request_for(&call) else {
                 continue;
             };
-            self.call_rate.take_token();
+            self.call_rate.consume_token();
             *next_call += 1;
             let id = CallId(*next_call);
             self.calls.insert(id, call);
@@ -141,7 +142,7 @@
         let term = self.term.as_ref();
         match call {
             CloudCall::Catalog => Some(CloudRequest::catalog()),
-            CloudCall::ListHosts => Some(CloudRequest::list_hosts(
+            CloudCall::ListMachines => Some(CloudRequest::list_machines(
                 term.and_then(|t| t.listing.next_page_after()),
             )),
             CloudCall::ScaleOut(name) => term?.scale_out_request(name),
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Takes in the cloud's reply to a call: status and body, or none if it was lost.
+    /// Handles the cloud's reply to a call: status and body, or `None` if there was no reply.
     pub fn on_cloud_reply(
         &mut self,
         now: Time,
@@ -162,11 +163,11 @@
         };
         match call {
             CloudCall::Catalog => self.on_catalog(now, ok_body(&result)),
-            CloudCall::ListHosts => self.on_host_list(now, ok_body(&result)),
+            CloudCall::ListMachines => self.on_machine_list(now, ok_body(&result)),
             CloudCall::ScaleOut(name) => {
                 let reply = ScaleOutReply::from(result);
                 if matches!(reply, ScaleOutReply::RateLimited) && self.has_open_rental(&name) {
-                    self.call_rate.drain();
+                    self.call_rate.exhaust();
                 }
                 if let Some(term) = &mut self.term {
                     term.on_scale_out_reply(now, &name, reply, scheduler);
@@ -198,7 +199,8 @@
         }
     }
 
-    /// Machines refer to types by index: the order is kept, and prices are replaced.
+    /// Updates the machine types in place. Machines refer to types by index, so known types keep
+    /// their position and new ones are appended.
     fn update_machine_types(&mut self, catalog: Catalog) {
         let offered = catalog.machine_types.into_iter().map(MachineType::from);
         if self.machine_types.is_empty() {
@@ -217,16 +219,16 @@
         }
     }
 
-    fn on_host_list(&mut self, now: Time, body: Option<&[u8]>) {
+    fn on_machine_list(&mut self, now: Time, body: Option<&[u8]>) {
         let Some(term) = &mut self.term else { return };
         match body.and_then(|b| wire::decode::<HostList>(b).ok()) {
-            Some(list) => term.apply_host_list(now, self.list_lag_s, &list, &self.machine_types),
+            Some(list) => term.apply_machine_list(now, self.list_lag_s, &list, &self.machine_types),
             None => term.listing.restart(now),
         }
     }
 }
 
-/// The body of a reply with status 200.
+/// The body of a reply with status 200; `None` for any other reply.
 fn ok_body(result: &Option<(u16, Vec<u8>)>) -> Option<&[u8]> {
     match result {
         Some((200, body)) => Some(body),
--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -1,4 +1,5 @@
-//! Finds machines that failed, never booted, vanished or fell silent, and marks them for return.
+//! Detects machines that failed, never booted, left the cloud's list or became unreachable, and
+//! marks them for return.
 
 use super::instance::{Instance, InstanceStatus, ScaleInReason, ScaleInState};
 use super::term::LeaderTerm;
@@ -14,24 +15,27 @@
 };
 use std::collections::BTreeMap;
 
-/// Complete lists in a row without a machine after which it counts as gone.
+/// Number of consecutive complete lists that must omit a machine before it counts as removed.
 const UNLISTED_AFTER_PASSES: u32 = 2;
-/// Time that machines have after a failover to find the new leader, seconds.
+/// Grace period after a failover in which machines find the new leader, seconds.
 const FAILOVER_GRACE_S: f64 = 2.0;
-/// Leases without an acknowledgement, or of silence, after which a machine is surely dead.
-const SURELY_DEAD_LEASES: f64 = 4.0;
-/// Reports that may be missed by a machine which is adopted without having been listed.
-const ADOPTION_REPORTS: f64 = 3.0;
+/// Time without a report or an acknowledgement after which a machine is presumed dead in any case,
+/// in worker leases.
+const PRESUMED_DEAD_LEASES: f64 = 4.0;
+/// Greatest age of the last report of a machine that is adopted without having been listed, in
+/// report intervals.
+const MAX_ADOPTION_REPORT_AGE_INTERVALS: f64 = 3.0;
 
-/// What is concluded from machines' silence.
+/// Conclusions drawn from machines that do not report.
 pub(super) struct MachineHealth {
     detector: SilenceDetector,
     /// Reachability of the machines, as of the last assessment.
     pub(super) connectivity: Connectivity,
-    /// Silent machines that are not given up, and how long their failure domain is suspected,
-    /// seconds.
+    /// Machines that are unreachable or acknowledge nothing but are not treated as lost, with the
+    /// time for which their failure domain has been suspected or acknowledgements have been
+    /// missing, seconds.
     pub(super) shielded: BTreeMap<MachineId, f64>,
-    /// Failure domains that are silent as a whole, and for how long, seconds.
+    /// Failure domains suspected to be behind a broken link, and for how long, seconds.
     suspected: Vec<(FailureDomain, f64)>,
 }
 
@@ -45,47 +49,47 @@
         }
     }
 
-    /// Whether this controller's own link to the machines is taken for broken.
-    pub(super) fn is_own_link_suspected(&self) -> bool {
+    /// Whether this controller's local link to the machines is suspected to be broken.
+    pub(super) fn is_local_link_suspected(&self) -> bool {
         self.suspected
             .iter()
             .any(|(domain, _)| *domain == FailureDomain::LocalLink)
     }
 
-    /// Logs a domain once when it falls silent and once when it is heard again.
+    /// Logs a failure domain once when it becomes suspected and once when it recovers.
     fn update_suspected(
         &mut self,
         settings: &Settings,
         machine_types: &[MachineType],
         suspected: Vec<(FailureDomain, f64)>,
     ) {
-        let contains = |list: &[(FailureDomain, f64)], domain: &FailureDomain| {
+        let contains_domain = |list: &[(FailureDomain, f64)], domain: &FailureDomain| {
             list.iter().any(|(other, _)| other == domain)
         };
         for (domain, _) in &suspected {
-            if !contains(&self.suspected, domain) {
+            if !contains_domain(&self.suspected, domain) {
                 let domain = domain_name(*domain, settings, machine_types);
-                tracing::warn!(%domain, "suspecting broken link: machines are silent together");
+                tracing::warn!(%domain, "suspecting broken link: failure domain is unreachable");
             }
         }
         for (domain, elapsed_s) in &self.suspected {
-            if !contains(&suspected, domain) {
+            if !contains_domain(&suspected, domain) {
                 let domain = domain_name(*domain, settings, machine_types);
-                tracing::info!(%domain, elapsed_s, "recovered link: machines are heard again");
+                tracing::info!(%domain, elapsed_s, "link recovered: failure domain reports again");
             }
         }
         self.suspected = suspected;
     }
 }
 
-/// A failure domain for log lines.
+/// Name of a failure domain in log lines.
 fn domain_name(
     domain: FailureDomain,
     settings: &Settings,
     machine_types: &[MachineType],
 ) -> String {
     match domain {
-        FailureDomain::LocalLink => "own link".to_string(),
+        FailureDomain::LocalLink => "local link".to_string(),
         FailureDomain::Zone(index) => {
             let zones = &settings.params.zones;
             format!("zone {}", zones.get(index).map_or("?", String::as_str))
@@ -97,16 +101,18 @@
     }
 }
 
-/// The fault of old: silent is dead, as long as more machines are heard than silent.
+/// Injected fault, a former defect: every unreachable machine counts as dead while fewer than half
+/// of the machines are unreachable.
 #[cfg(feature = "faults")]
 fn assess_without_shields(
     observations: &[MachineObservation],
     dead_after_s: f64,
 ) -> FleetAssessment {
-    let silent = |o: &&MachineObservation| o.silent_s > dead_after_s;
-    let few = observations.iter().filter(silent).count() * 2 < observations.len();
+    let is_unreachable = |o: &&MachineObservation| o.silent_s > dead_after_s;
+    let unreachable_minority =
+        observations.iter().filter(is_unreachable).count() * 2 < observations.len();
     let classify = |o: &MachineObservation| {
-        if few && silent(&o) {
+        if unreachable_minority && is_unreachable(&o) {
             Liveness::Dead
         } else {
             Liveness::Alive
@@ -119,8 +125,8 @@
 }
 
 impl LeaderTerm {
-    /// Assesses all machines, marks those that are lost for return, and adopts those that report
-    /// though no list names them yet.
+    /// Assesses all machines, marks lost machines for return, and adopts machines that report
+    /// although no list names them yet.
     pub(super) fn check_machines(
         &mut self,
         context: &TickContext,
@@ -147,18 +153,18 @@
         let mut lost: BTreeMap<MachineId, ScaleInReason> = BTreeMap::new();
         self.health.shielded.clear();
         for (observation, (_, liveness)) in observations.iter().zip(&assessment.findings) {
-            let lost_by_silence = self.apply_liveness(now, observation, *liveness);
+            let lost_by_liveness = self.apply_liveness(now, observation, *liveness);
             let lost_by_acknowledgement =
                 self.check_acknowledgements(now, observation.id, lease_s, scheduler);
-            if let Some(reason) = lost_by_acknowledgement.or(lost_by_silence) {
+            if let Some(reason) = lost_by_acknowledgement.or(lost_by_liveness) {
                 lost.insert(observation.id, reason);
             }
         }
-        self.scale_in_lost(now, lease_s, machine_types, &lost, scheduler);
+        self.scale_in_unusable(now, lease_s, machine_types, &lost, scheduler);
         self.adopt_unlisted(now, settings.params.workers.report_s, scheduler);
     }
 
-    /// What this controller observes of each machine that was up and is not being returned.
+    /// Collects the observations of all machines that have been up and are not being returned.
     fn observe_machines(
         &mut self,
         context: &TickContext,
@@ -170,11 +176,12 @@
         let mut observations = Vec::new();
         for (id, instance) in &mut self.instances {
             let last_heartbeat = scheduler.machine(*id).and_then(Machine::last_heartbeat);
-            // It reports again: the return is called off while it can be.
-            if instance.scale_in == ScaleInState::PendingSilent
+            // The machine reports again: cancel its return, which is possible until the call
+            // is sent.
+            if instance.scale_in == ScaleInState::PendingUnreachable
                 && last_heartbeat.is_some_and(|at| now.since(at) < dead_after_s / 2.0)
             {
-                tracing::info!(machine = %id, "called off scale-in: machine reports again");
+                tracing::info!(machine = %id, "scale-in cancelled: machine reports again");
                 instance.scale_in = ScaleInState::Retained;
                 scheduler.cancel_return(*id);
             }
@@ -184,8 +191,9 @@
             let machine = scheduler.machine(*id);
             let silent_since = match last_heartbeat {
                 Some(at) => at,
-                // After a failover, what was up and does not report to this leader has been
-                // silent since then; it is given time to find the leader.
+                // After a failover, a machine that was up and has not reported to this leader
+                // counts as unreachable since leadership acquisition, plus a grace period in
+                // which it finds the leader.
                 None if instance.was_up(machine) => scheduler
                     .acquired_at()
                     .plus(FAILOVER_GRACE_S)
@@ -197,7 +205,7 @@
         observations
     }
 
-    /// Shields the machine, or returns why it is lost.
+    /// Records the machine as shielded, or returns the reason why it is lost.
     fn apply_liveness(
         &mut self,
         now: Time,
@@ -205,7 +213,7 @@
         liveness: Liveness,
     ) -> Option<ScaleInReason> {
         match liveness {
-            Liveness::Dead => Some(ScaleInReason::Silent),
+            Liveness::Dead => Some(ScaleInReason::Unreachable),
             Liveness::Unlisted => Some(ScaleInReason::Unlisted),
             Liveness::Shielded(_) | Liveness::ReachableFromPeer | Liveness::RemovalDeferred => {
                 let suspected_s = self.health.detector.suspected_for_s(
@@ -222,8 +230,9 @@
         }
     }
 
-    /// A machine that reports and acknowledges nothing is treated like one behind a broken link:
-    /// shielded, thus replaced little by little, and lost when that lasts.
+    /// Handles a machine that reports but acknowledges nothing like one behind a broken link: it is
+    /// shielded, so that replacements are rented gradually, and it is lost once the condition has
+    /// lasted [`PRESUMED_DEAD_LEASES`]. An owned machine stays shielded.
     fn check_acknowledgements(
         &mut self,
         now: Time,
@@ -234,7 +243,7 @@
         let unacknowledged_for_s = scheduler
             .machine(id)
             .and_then(|m| m.ack_tracker().unacknowledged_for_s(now))?;
-        if unacknowledged_for_s > lease_s * SURELY_DEAD_LEASES
+        if unacknowledged_for_s > lease_s * PRESUMED_DEAD_LEASES
             && !self.instances.get(&id).is_some_and(|i| i.owned)
         {
             return Some(ScaleInReason::Unacknowledging);
@@ -243,8 +252,8 @@
         None
     }
 
-    /// Marks for return what failed, never booted or is lost.
-    fn scale_in_lost(
+    /// Marks machines for return that failed, are quarantined, never booted or are lost.
+    fn scale_in_unusable(
         &mut self,
         now: Time,
         lease_s: f64,
@@ -252,7 +261,7 @@
         lost: &BTreeMap<MachineId, ScaleInReason>,
         scheduler: &mut Scheduler,
     ) {
-        let leading_s = now.since(self.began);
+        let leader_for_s = now.since(self.began_at);
         let mut marked = Vec::new();
         for (id, instance) in &mut self.instances {
             if !instance.is_retained() {
@@ -262,15 +271,16 @@
             let boot_s = instance.boot_s(machine_types);
             let never_reported = machine.and_then(Machine::last_heartbeat).is_none();
             let boot_overdue = now.since(instance.rented_at) > boot_s * 1.9 + 5.0
-                && leading_s > boot_s * 0.5 + lease_s;
+                && leader_for_s > boot_s * 0.5 + lease_s;
             let reason = if instance.status == InstanceStatus::Failed {
                 ScaleInReason::Failed
             } else if machine.is_some_and(Machine::is_quarantined) {
                 ScaleInReason::Quarantined
             } else if never_reported && !instance.was_up(machine) && boot_overdue {
                 ScaleInReason::NeverBooted
-            // By lists that were read and do not name it, not by time alone: a leader that did
-            // not reach the cloud for a while returned whatever it had not heard.
+            // Requires lists that were read and omit the machine, not only elapsed time: a leader
+            // that could not reach the cloud for a while returned every machine that had not
+            // reported to it.
             } else if never_reported && instance.missed_listings >= UNLISTED_AFTER_PASSES {
                 ScaleInReason::NeverListed
             } else if let Some(reason) = lost.get(id) {
@@ -287,13 +297,13 @@
         }
     }
 
-    /// Adopts machines that report, though no list and no rental named them yet.
+    /// Adopts machines that report although no list and no rental has named them yet.
     fn adopt_unlisted(&mut self, now: Time, report_s: f64, scheduler: &Scheduler) {
         for (id, machine) in scheduler.machines() {
             let known = self.instances.contains_key(id) || self.released.contains_key(id);
             let reports = machine
                 .last_heartbeat()
-                .is_some_and(|at| now.since(at) < report_s * ADOPTION_REPORTS);
+                .is_some_and(|at| now.since(at) < report_s * MAX_ADOPTION_REPORT_AGE_INTERVALS);
             let Some(machine_type) = machine.machine_type().filter(|_| !known && reports) else {
                 continue;
             };
@@ -311,7 +321,7 @@
     }
 }
 
-/// What is observed of a machine that is silent since `silent_since`.
+/// The observation of a machine that has not reported since `silent_since`.
 fn observe(
     context: &TickContext,
     id: MachineId,
@@ -326,8 +336,9 @@
         ..
     } = context.liveness;
     let mut silent_s = now.since(pause_detector.silence_counts_from(silent_since));
-    // Not rented by the service: returned only when it is surely dead.
-    if instance.owned && silent_s < settings.params.workers.lease_s * SURELY_DEAD_LEASES {
+    // An owned machine is not rented by the service: it is returned only after the longer time
+    // after which a machine is presumed dead in any case.
+    if instance.owned && silent_s < settings.params.workers.lease_s * PRESUMED_DEAD_LEASES {
         silent_s = silent_s.min(silence_thresholds(settings).dead_after_s);
     }
     let zones = &settings.params.zones;
--- a/crates/controller/src/fleet/scale_out.rs
+++ b/crates/controller/src/fleet/scale_out.rs
@@ -1,9 +1,9 @@
-//! Requests machines, and takes in what the cloud granted.
+//! Scale out: requests machines and handles the cloud's replies.
 
 use super::cloud_protocol::ScaleOutReply;
 use super::instance::Instance;
 use super::rental_record::RentalEntry;
-use super::rentals::{Ask, Market, Rental};
+use super::rentals::{MachineRequest, Market, Rental};
 use super::term::LeaderTerm;
 use crate::scheduler::Scheduler;
 use crate::split::{MachineClass, MachineType};
@@ -11,30 +11,30 @@
 use beamhinge_core::settings::Settings;
 use beamhinge_core::types::{MachineId, Time};
 
-/// Most machines of one request.
-const MAX_PER_RENTAL: u32 = 50;
-/// How long a market is not asked again that granted less than was asked for, seconds.
+/// Maximum number of machines requested at once for one class, over all zones.
+const MAX_MACHINES_PER_SCALE_OUT: u32 = 50;
+/// Pause of a market after it granted fewer machines than requested, seconds.
 const REFUSED_MARKET_PAUSE_S: f64 = 10.0;
-/// How long a market is not asked again that calls a request malformed, seconds.
+/// Pause of a market after the cloud rejected a request to it as malformed, seconds.
 const MALFORMED_MARKET_PAUSE_S: f64 = 60.0;
-/// Pause after the cloud had no capacity or did not serve, seconds.
+/// Pause of a rental after the cloud had no capacity or was unavailable, seconds.
 const UNAVAILABLE_RETRY_S: f64 = 2.0;
-/// Pause after the cloud refused a call for its rate, seconds.
+/// Pause of a rental after the cloud rejected a call because of its rate limit, seconds.
 const RATE_LIMITED_RETRY_S: f64 = 0.5;
-/// Pause after a call that had no reply, seconds.
+/// Pause of a rental after a call that had no usable reply, seconds.
 const UNKNOWN_OUTCOME_RETRY_S: f64 = 1.0;
 
-/// How a request is spread over the zones.
+/// One zone's share of a request.
 struct ZoneShare<'a> {
     zone: &'a String,
-    /// Machines that there are, and that are requested here.
+    /// Existing machines of the type in the zone, and those requested by this share.
     machines: u32,
     requested: u32,
 }
 
 impl LeaderTerm {
-    /// Requests `count` machines of a class, at most [`MAX_PER_RENTAL`] at once, spread over the
-    /// zones. Does nothing while an earlier request for the class is open.
+    /// Requests `count` machines of a class, at most [`MAX_MACHINES_PER_SCALE_OUT`] in
+    /// total, spread over the zones. Does nothing while an earlier rental of the class is open.
     pub(super) fn scale_out(
         &mut self,
         now: Time,
@@ -51,16 +51,17 @@
         }
         let shares = self.spread_over_zones(class, count, machine_type, settings);
         for share in shares.iter().filter(|s| s.requested > 0) {
-            let ask = Ask {
+            let request = MachineRequest {
                 label: machine_type.label.clone(),
                 count: share.requested,
             };
             let market = market(class, share.zone);
-            self.rentals.request(now, self.token, &market, ask);
+            self.rentals.request(now, self.token, &market, request);
         }
     }
 
-    /// Spreads a request over the zones that do not refuse the class, the emptier first.
+    /// Spreads a request over the zones that do not refuse the class. Each machine goes to the zone
+    /// with the fewest machines of the type.
     fn spread_over_zones<'a>(
         &self,
         class: MachineClass,
@@ -73,7 +74,12 @@
             .zones
             .iter()
             .filter(|zone| zones.is_empty() || zones.contains(zone))
-            .filter(|zone| !self.rentals.refused.contains_key(&market(class, zone)))
+            .filter(|zone| {
+                !self
+                    .rentals
+                    .refused_markets
+                    .contains_key(&market(class, zone))
+            })
             .map(|zone| ZoneShare {
                 zone,
                 machines: self.machines_in_zone(class.machine_type, zone),
@@ -83,11 +89,11 @@
         if shares.is_empty() {
             return shares;
         }
-        for _ in 0..count.min(MAX_PER_RENTAL) {
+        for _ in 0..count.min(MAX_MACHINES_PER_SCALE_OUT) {
             shares.sort_by_key(|s| (s.machines, s.zone));
-            if let Some(emptiest) = shares.first_mut() {
-                emptiest.machines += 1;
-                emptiest.requested += 1;
+            if let Some(smallest) = shares.first_mut() {
+                smallest.machines += 1;
+                smallest.requested += 1;
             }
         }
         shares
@@ -100,7 +106,7 @@
             .count() as u32
     }
 
-    /// Takes in the cloud's reply to a request.
+    /// Handles the cloud's reply to a rental.
     pub(super) fn on_scale_out_reply(
         &mut self,
         now: Time,
@@ -109,30 +115,30 @@
         scheduler: Option<&mut Scheduler>,
     ) {
         let open = &mut self.rentals.open;
-        let Some(at) = open.iter().position(|r| r.entry.name == name) else {
+        let Some(index) = open.iter().position(|r| r.entry.name == name) else {
             return;
         };
         match reply {
             ScaleOutReply::Granted(machines) => {
-                let rental = open.remove(at);
+                let rental = open.remove(index);
                 self.on_granted(now, rental, &machines, scheduler);
             }
-            ScaleOutReply::NoCapacity => self.on_no_capacity(now, at, scheduler),
-            ScaleOutReply::Unavailable => open[at].retry(now.plus(UNAVAILABLE_RETRY_S)),
-            ScaleOutReply::RateLimited => open[at].retry(now.plus(RATE_LIMITED_RETRY_S)),
+            ScaleOutReply::NoCapacity => self.on_no_capacity(now, index, scheduler),
+            ScaleOutReply::Unavailable => open[index].retry(now.plus(UNAVAILABLE_RETRY_S)),
+            ScaleOutReply::RateLimited => open[index].retry(now.plus(RATE_LIMITED_RETRY_S)),
             ScaleOutReply::Malformed => {
-                // The same request under another name would be refused again, twice a second and
-                // with a write of the record each time.
+                // Without the pause, the plan would repeat the request under another name and have
+                // it refused again, twice a second and with a write of the record each time.
                 tracing::error!(
                     rental = name,
-                    "dropped rental: the cloud calls it malformed"
+                    "dropped rental: rejected by the cloud as malformed"
                 );
-                let market = open.remove(at).market();
+                let market = open.remove(index).market();
                 self.pause_market(market, now.plus(MALFORMED_MARKET_PAUSE_S));
             }
-            // The same name is asked again, which rents nothing twice.
+            // The retry uses the same name and is idempotent: nothing is rented twice.
             ScaleOutReply::Unknown => {
-                let rental = &mut open[at];
+                let rental = &mut open[index];
                 rental.outcome_unknown = true;
                 rental.retry(now.plus(UNKNOWN_OUTCOME_RETRY_S));
                 #[cfg(feature = "faults")]
@@ -144,7 +150,7 @@
     }
 
     fn pause_market(&mut self, market: Market, until: Time) {
-        self.rentals.refused.insert(market, until);
+        self.rentals.refused_markets.insert(market, until);
     }
 
     fn on_granted(
@@ -191,17 +197,17 @@
         }
     }
 
-    /// Nothing was rented by this call: the rental is dropped and its market asked again later.
-    /// If an earlier call under the name had no reply it may yet take effect, so that the name
-    /// stays in use.
-    fn on_no_capacity(&mut self, now: Time, at: usize, scheduler: Option<&mut Scheduler>) {
-        let rental = &mut self.rentals.open[at];
+    /// Handles a call that rented nothing: the rental is dropped and its market is paused. If an
+    /// earlier call under the same name had no reply, that call may still take effect, so the
+    /// name stays in use.
+    fn on_no_capacity(&mut self, now: Time, index: usize, scheduler: Option<&mut Scheduler>) {
+        let rental = &mut self.rentals.open[index];
         let entry = &rental.entry;
         tracing::debug!(
             machine_type = %entry.machine_type,
             zone = %entry.zone,
             spot = entry.spot,
-            "refused scale-out: no capacity"
+            "scale-out refused: no capacity"
         );
         if let Some(scheduler) = scheduler {
             scheduler.event_log.record(|| DecisionKind::Refused {
@@ -214,7 +220,7 @@
         if rental.outcome_unknown {
             rental.retry(now.plus(UNAVAILABLE_RETRY_S));
         } else {
-            self.rentals.open.remove(at);
+            self.rentals.open.remove(index);
         }
         self.pause_market(market, now.plus(REFUSED_MARKET_PAUSE_S));
     }
