--- a/crates/controller/src/capacity_planner.rs
+++ b/crates/controller/src/capacity_planner.rs
@@ -1,20 +1,22 @@
-//! The capacity planner: from the open jobs, the market as it was observed and the learner's
-//! weights it works out how many machines of each type are wanted.
+//! The capacity planner computes the target number of machines of each type from the open jobs, the
+//! observed spot market and the learner's weights.
 //!
-//! It extends the paper's policy in its spirit, see `docs/design.md`: a class whose objective
-//! bounds its finish has that bound as its deadline; the on-demand share is capacity that must be
-//! had, bought on demand only where the spot market refuses; and tasks follow each other on one
-//! slot as far as their deadline allows, since a boot costs as much as a task.
+//! It extends the paper's policy (see `docs/design.md`) in three ways:
+//! - If the objective of a class bounds the finish time of its jobs, that bound is their deadline.
+//! - The policy's on-demand share is required capacity. It is rented on demand only where the spot
+//!   market refuses it.
+//! - Tasks run one after another on the same slot as far as their deadline allows, because booting
+//!   a machine costs as much as running a task.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `arrivals` | capacity kept ready for classes whose jobs may not wait |
-//! | `shortfall` | tasks that would start too late on the capacity there is |
-//! | `record` | the stored record |
+//! | `arrivals` | arrival statistics of classes whose jobs may not wait, for standby capacity |
+//! | `shortfall` | capacity missing for tasks that would otherwise start too late |
+//! | `record` | format of the stored record |
 //! | `persistence` | reads and writes of the record |
 //!
-//! Invariant: a job's parameters and owned machines are drawn once, when it is first seen, and kept
-//! until it is over.
+//! Invariant: the parameters of a job are drawn and its owned machines assigned once, when the job
+//! is first seen; both stay the same until the job ends.
 
 use crate::split::{
     self, Demand, Learner, MachineType, MarketObservation, PolicyParameters, ReplayedJob,
@@ -37,59 +39,59 @@
 mod record;
 mod shortfall;
 
-/// Slots of one update (Len of the paper).
+/// Length of one update, slots (Len in the paper).
 const UPDATE_LEN: f64 = 3.0;
-/// Updates of the market that are remembered for replays.
+/// Maximum number of market observations kept for replays.
 const MAX_MARKET_HISTORY: usize = 240;
-/// Capacity kept ready for a class that may not wait, over the highest load that was seen.
+/// Standby capacity of a class whose jobs may not wait, as a multiple of its highest recent load.
 const STANDBY_FACTOR: f64 = 1.4;
-/// Longest window of a job that counts for the learner, slots.
+/// Longest job window that the learner takes into account, slots.
 const MAX_WINDOW: f64 = 720.0;
-/// Factor on the boot time that a split allows for.
+/// Safety factor on the boot time that a split assumes.
 const BOOT_MARGIN: f64 = 1.2;
 
-/// What is kept of a job whose work is split.
+/// State of a job whose work is split over owned, spot and on-demand machines.
 #[derive(Clone, Debug)]
 struct SplitJob {
-    /// Index of its parameters in the learner's grid.
+    /// Index of the job's parameters in the learner's grid.
     parameters: usize,
-    /// Owned machines that it was given.
+    /// Owned machines assigned to the job.
     owned: f64,
-    /// The job as it arrived; its window is 0 once the learner has replayed it.
+    /// The job as it arrived. Its window is set to 0 once the learner has replayed it.
     replayed: ReplayedJob,
     arrived_at: Time,
-    /// Whether the job is open.
+    /// Whether the job was open in the latest planning run.
     open: bool,
 }
 
-/// Capacity wanted of one type, in machines.
+/// Target capacity of one machine type, in machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TargetCapacity {
-    /// Worth having at the spot price.
+    /// Capacity worth renting at the spot price.
     pub spot: f64,
-    /// The part of it for jobs that can still make their deadline.
+    /// The part of `spot` for jobs that can still meet their deadline.
     pub timely: f64,
-    /// Kept ready for classes whose jobs may not wait.
+    /// Standby capacity for classes whose jobs may not wait.
     pub standby: f64,
-    /// Must be had beyond what is there or on its way.
+    /// Capacity required beyond the machines that are up or being rented.
     pub shortfall: f64,
-    /// Cannot be given by spot machines.
+    /// Capacity for jobs that may not run on spot machines.
     pub on_demand: f64,
 }
 
-/// One pair of the learner's parameters.
+/// One pair of the learner's parameters, with its weight and use.
 #[derive(Clone, Copy, Debug)]
 pub struct ParameterUse {
-    /// The parameters.
+    /// The pair of parameters.
     pub parameters: PolicyParameters,
-    /// Their weight; the sum over all pairs is 1.
+    /// Weight of the pair; the weights of all pairs sum to 1.
     pub weight: f64,
-    /// Open jobs that drew them.
+    /// Number of open jobs that drew the pair.
     pub jobs: u32,
 }
 
-/// A deadline array's bound, by its user or by its class's objective, seconds from its submission;
-/// none for other jobs.
+/// The deadline of a deadline array, seconds from its submission: the earlier one of the user's
+/// deadline and the finish objective of its class. `None` if it has neither, and for other jobs.
 fn deadline_s(demand: &Demand, settings: &Settings) -> Option<f64> {
     let objective = settings.tightest_objective_s("finished", &demand.class);
     let deadline = demand
@@ -100,17 +102,17 @@
     deadline.filter(|_| demand.deadline_array)
 }
 
-/// The times that a split rests on.
+/// The times from which a split is computed.
 struct Timing {
-    /// Until the deadline, seconds.
+    /// Time until the deadline, seconds.
     window_s: f64,
-    /// For fetching the image, seconds.
+    /// Time to fetch the image, seconds.
     fetch_s: f64,
-    /// Until a machine that is rented now can start a task, seconds.
+    /// Time until a machine rented now can start a task, seconds.
     setup_s: f64,
-    /// Work that is left, task-slots.
+    /// Remaining work, task-slots.
     work: f64,
-    /// The window in which what is left can run, slots.
+    /// Window in which the remaining work can run, slots.
     usable_window: f64,
 }
 
@@ -122,7 +124,7 @@
         0.0
     };
     let setup_s = machine_type.boot_s * BOOT_MARGIN + fetch_s;
-    // What is not on a machine yet loses the time of a boot.
+    // Tasks that are not placed yet may first have to wait for a machine to boot.
     let usable_s = if demand.waiting() > 0 {
         window_s - setup_s
     } else {
@@ -137,18 +139,18 @@
     }
 }
 
-/// What one planning works out.
+/// Inputs and intermediate results of one planning run.
 struct Plan<'a> {
     now: Time,
     machine_types: &'a [MachineType],
     settings: &'a Settings,
-    /// Types that some job depends on.
+    /// For each type, whether some job fits no other type.
     exclusive: Vec<bool>,
-    /// CPUs of owned machines that no open job was given.
+    /// CPUs of owned machines that are not assigned to an open job.
     owned_cpus_left: f64,
     targets: BTreeMap<usize, TargetCapacity>,
     queues: BTreeMap<usize, Vec<QueuedTasks>>,
-    /// Open tasks of the classes that may not wait.
+    /// Number of open tasks of each class whose jobs may not wait.
     open_tasks: BTreeMap<Rc<str>, f64>,
 }
 
@@ -161,7 +163,7 @@
         self.queues.entry(machine_type).or_default().push(tasks);
     }
 
-    /// A job without deadline wants capacity for all its tasks, in the order of arrival.
+    /// Adds a job without a deadline: it needs capacity for all its tasks, in order of arrival.
     fn add_job_without_deadline(&mut self, demand: &Demand, choice: TypeChoice, boot_s: f64) {
         self.target(choice.machine_type).spot +=
             f64::from(demand.remaining_tasks) / tasks_per_machine(choice);
@@ -182,7 +184,7 @@
         );
     }
 
-    /// Adds what is lacking of each type.
+    /// Adds the shortfall of each machine type.
     fn add_shortfalls(&mut self, free: &BTreeMap<usize, FreeCapacity>) {
         let nothing = FreeCapacity::new();
         for (machine_type, mut queue) in std::mem::take(&mut self.queues) {
@@ -199,33 +201,34 @@
     f64::from(choice.fit.max(1))
 }
 
-/// Plans the capacity of one term as leader.
+/// Plans capacity during one term of leadership.
 pub struct CapacityPlanner {
     learner: Learner,
     rng: SmallRng,
     slot_s: f64,
     update_s: f64,
     jobs: BTreeMap<JobId, SplitJob>,
-    /// Jobs as an earlier leader stored them, until they are seen: index of the parameters, owned
-    /// machines.
+    /// Splits that an earlier leader stored, until their jobs are seen: index of the parameters,
+    /// and owned machines.
     restored: BTreeMap<JobId, (usize, f64)>,
     market: VecDeque<(Time, MarketObservation)>,
     observed_at: Time,
     began: Time,
-    /// Longest window of a job so far, slots.
+    /// Longest job window so far, slots, at most [`MAX_WINDOW`].
     max_window: f64,
-    /// Arrivals by class, of classes whose jobs may not wait.
+    /// Arrivals by class, for classes whose jobs may not wait.
     arrivals: BTreeMap<Rc<str>, Arrivals>,
-    /// The latest job of each such class.
+    /// The latest job of each of these classes.
     latest: BTreeMap<Rc<str>, Demand>,
     record: RecordSync,
-    /// Run times over estimates that an earlier leader had learned, by class, until taken.
+    /// Ratios of run time to estimate by class that an earlier leader learned; `None` until the
+    /// record is read, and after the caller has taken them.
     pub restored_run_ratios: Option<BTreeMap<String, f64>>,
 }
 
 impl CapacityPlanner {
-    /// A planner that knows nothing yet. It draws at random, or by the operators' seed if that is
-    /// not 0.
+    /// Creates a planner without history. Its random generator is seeded from the operators' seed
+    /// and the fencing token, or randomly if the operators' seed is 0.
     pub fn new(operator: &OperatorSettings, token: FencingToken, now: Time) -> CapacityPlanner {
         let seed = if operator.seed == 0 {
             rand::random()
@@ -250,8 +253,8 @@
         }
     }
 
-    /// Takes in what the market shows, once an update, and learns from the jobs whose time is
-    /// over.
+    /// Records a market observation, at most once per update, and updates the learner from the jobs
+    /// that are due for replay.
     pub fn observe_market(&mut self, now: Time, observation: MarketObservation) {
         if now.since(self.observed_at) < self.update_s {
             return;
@@ -261,7 +264,7 @@
         if self.market.len() > MAX_MARKET_HISTORY {
             self.market.pop_front();
         }
-        // A job is replayed once the longest window has passed since it arrived.
+        // A job is due for replay once the longest window has passed since it arrived.
         let (max_window, slot_s) = (self.max_window, self.slot_s);
         let due: Vec<JobId> = self
             .jobs
@@ -299,13 +302,13 @@
             );
         }
         if job.open {
-            // Learned from, but still to be split: it is not replayed again.
+            // The job is still split, but is not replayed again.
             job.replayed.window = 0.0;
         }
     }
 
-    /// The capacity wanted of each type. `owned_cpus`: CPUs of all owned machines; `free`:
-    /// capacity that is or becomes free, by type.
+    /// Computes the target capacity of each machine type. `owned_cpus`: CPUs of all owned machines;
+    /// `free`: capacity that is free now or becomes free later, by type.
     pub fn target_capacity(
         &mut self,
         now: Time,
@@ -370,8 +373,8 @@
         }
     }
 
-    /// A job with a deadline. What its split gives to on-demand machines must start in time; the
-    /// rest of the width follows on spot machines.
+    /// Adds a job with a deadline. The on-demand part of its split has a latest start, so that it
+    /// counts towards the shortfall; the rest of its width waits for spot machines.
     fn add_split_job(
         &mut self,
         plan: &mut Plan,
@@ -432,8 +435,9 @@
         }
     }
 
-    /// Adds capacity that is kept ready for classes whose jobs may not wait. Their next jobs arrive
-    /// before a boot is over, so the highest load that was seen stays ready, and more.
+    /// Adds standby capacity for classes whose jobs may not wait. Their next jobs arrive before a
+    /// machine rented for them would have booted, so capacity for the highest recent load and a
+    /// margin ([`STANDBY_FACTOR`]) is kept ready.
     fn add_standby(&mut self, plan: &mut Plan) {
         for (class, arrivals) in &mut self.arrivals {
             let Some(demand) = self.latest.get(class) else {
@@ -452,7 +456,7 @@
         }
     }
 
-    /// How a job is split now; none for jobs that are not split.
+    /// Explains how a job is split now; `None` for jobs that are not split.
     pub fn explain_split(
         &self,
         demand: &Demand,
@@ -503,12 +507,12 @@
         })
     }
 
-    /// Time between two updates, seconds.
+    /// Interval between updates, seconds.
     pub fn update_s(&self) -> f64 {
         self.update_s
     }
 
-    /// Every pair of parameters with its weight and the open jobs that drew it.
+    /// All pairs of parameters, each with its weight and the number of open jobs that drew it.
     pub fn parameter_uses(&self) -> impl Iterator<Item = ParameterUse> + '_ {
         self.learner
             .weights()
@@ -524,7 +528,8 @@
             })
     }
 
-    /// Index of the job's parameters, and its owned machines; drawn when it is first seen.
+    /// Index of the job's parameters, and its owned machines. Both are determined when the job is
+    /// first seen: from the stored record if it holds them, otherwise by a draw.
     fn draw_or_keep(
         &mut self,
         now: Time,
@@ -578,8 +583,8 @@
     }
 }
 
-/// Slots that a job wants at once: one slot serves several tasks in turn as far as time allows; a
-/// class that may not wait has all its slots at once.
+/// Number of slots that a job needs at once. One slot runs several tasks in sequence as far as the
+/// deadline allows; a job that may not wait gets one slot for each task.
 fn slots_wanted(
     plan: &Plan,
     demand: &Demand,
--- a/crates/controller/src/capacity_planner/arrivals.rs
+++ b/crates/controller/src/capacity_planner/arrivals.rs
@@ -1,43 +1,44 @@
-//! Arrivals of classes whose jobs may not wait, and the capacity that is kept ready for them.
+//! Arrival statistics of classes whose jobs may not wait, from which their standby capacity is
+//! computed.
 
 use super::record::StoredLoad;
 use crate::split::Demand;
 use beamhinge_core::types::Time;
 use std::collections::VecDeque;
 
-/// Arrivals of one class that are remembered at once; guards memory.
+/// Maximum number of arrivals kept for one class; bounds memory.
 const MAX_ARRIVALS: usize = 8_192;
-/// Seconds over which the load of a class is watched.
+/// Length of the window over which the highest load of a class is taken, seconds.
 const LOAD_WINDOW_S: f64 = 150.0;
-/// Seconds between two samples of the load.
+/// Minimum interval between load samples, seconds.
 const LOAD_SAMPLE_S: f64 = 1.0;
-/// Mean gaps between jobs after which a class counts as ended.
+/// A class counts as ended after this many mean gaps between jobs without an arrival.
 const ENDED_AFTER_GAPS: f64 = 6.0;
-/// Shortest silence after which a class counts as ended, seconds.
+/// Shortest time without an arrival after which a class counts as ended, seconds.
 const MIN_ENDED_AFTER_S: f64 = 15.0;
 
 /// A job that arrived.
 #[derive(Debug)]
 struct Arrival {
-    /// Tasks that it runs at once.
+    /// Number of tasks that the job runs at once.
     width: f64,
-    /// Until when its tasks would run had they all started at once.
+    /// Time at which its tasks would end if all had started on arrival.
     until: Time,
 }
 
-/// Arrivals of a class whose jobs may not wait, and the load they make.
+/// Arrivals of a class whose jobs may not wait, and the resulting load.
 #[derive(Debug, Default)]
 pub(super) struct Arrivals {
     jobs: VecDeque<Arrival>,
-    /// Load over time: the width of all jobs that would run.
+    /// Samples of the load: the total width of the jobs that would be running.
     loads: VecDeque<(Time, f64)>,
     last: Option<Time>,
-    /// Mean time between jobs, seconds; 0 until two have arrived.
+    /// Moving average of the time between arrivals, seconds; 0 until two jobs have arrived.
     gap_s: f64,
 }
 
 impl Arrivals {
-    /// A job of so many tasks at once arrived, which runs for `run_s` seconds.
+    /// Records the arrival of a job that runs `width` tasks at once for `run_s` seconds.
     pub(super) fn record(&mut self, now: Time, width: f64, run_s: f64) {
         if let Some(last) = self.last {
             let gap = now.since(last);
@@ -55,15 +56,15 @@
         }
     }
 
-    /// Takes over what an earlier leader saw; its last arrival counts as one just now.
+    /// Restores the load that an earlier leader stored. The last arrival is assumed to be now.
     pub(super) fn resume(&mut self, now: Time, load: &StoredLoad) {
         self.gap_s = load.gap_s;
         self.last = self.last.max(Some(now));
         self.loads.push_back((now, load.max_load));
     }
 
-    /// The highest load of the last [`LOAD_WINDOW_S`] seconds. It is counted by what arrived, not
-    /// by what is open: a queue that has built up says nothing of what comes next.
+    /// The highest load of the last [`LOAD_WINDOW_S`] seconds. The load is computed from arrivals,
+    /// not from open jobs, since a backlog does not predict future arrivals.
     pub(super) fn max_load(&mut self, now: Time) -> f64 {
         self.jobs.retain(|job| job.until > now);
         let last_sample = self.loads.back();
@@ -80,14 +81,16 @@
         self.loads.iter().map(|(_, load)| *load).fold(0.0, f64::max)
     }
 
-    /// Whether nothing has arrived for several times the usual gap.
+    /// Whether no job has arrived for [`ENDED_AFTER_GAPS`] mean gaps, and for at least
+    /// [`MIN_ENDED_AFTER_S`] seconds.
     pub(super) fn has_ended(&self, now: Time) -> bool {
         self.last
             .is_none_or(|at| now.since(at) > (self.gap_s * ENDED_AFTER_GAPS).max(MIN_ENDED_AFTER_S))
     }
 
-    /// What a new leader needs; none for a class that has ended, and for one that is bound to
-    /// types or a zone, which its next job tells. `latest` is the latest job of the class.
+    /// The load to store for the next leader. `latest` is the latest job of the class. `None` if
+    /// the class has ended, or if `latest` is restricted to machine types or a zone: the
+    /// restriction is not stored, and is known again with the next job.
     pub(super) fn stored_load(&mut self, latest: &Demand, now: Time) -> Option<StoredLoad> {
         let bound = latest.machine_types.is_some() || latest.zone.is_some();
         if bound || self.has_ended(now) {
--- a/crates/controller/src/capacity_planner/persistence.rs
+++ b/crates/controller/src/capacity_planner/persistence.rs
@@ -1,4 +1,5 @@
-//! Reads and writes of the planner's record. One value per update holds weights and splits.
+//! Reads and writes of the planner's record: a single value, written at most once per update, that
+//! holds the weights, splits, run time ratios and loads.
 
 use super::record::{PlannerRecord, StoredLoad, KEY, PREFIX, RECORD_VERSION};
 use super::CapacityPlanner;
@@ -10,26 +11,27 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Classes that are recorded at most.
+/// Maximum number of classes in the record.
 const MAX_CLASSES: usize = 16;
-/// Part of the value that is left to weights and classes, bytes.
+/// Part of the value reserved for weights and classes, bytes.
 const RESERVED_BYTES: usize = 1_024;
-/// Bytes reckoned for one job.
+/// Estimated size of the entry of one job, bytes.
 const BYTES_PER_JOB: usize = 40;
-/// Pause after a read that failed, seconds.
+/// Delay before a failed read is retried, seconds.
 const READ_RETRY_S: f64 = 0.5;
-/// Pause after a write that was refused, seconds.
+/// Delay before a refused write is retried, seconds.
 const REFUSED_RETRY_S: f64 = 1.0;
-/// Pause after a record that this version cannot read, seconds: for good.
+/// Delay after reading a record of an unsupported version, seconds; long enough that it is
+/// effectively never read again.
 const UNREADABLE_RECORD_PAUSE_S: f64 = 1e6;
 
 /// State of the record's reads and writes.
 #[derive(Default)]
 pub(super) struct RecordSync {
-    /// Revision of the stored record; none while it is unknown.
+    /// Revision of the stored record; `None` while it is unknown.
     revision: Option<Revision>,
     in_flight: bool,
-    /// Something is not recorded yet.
+    /// Whether there are changes that are not stored yet.
     pub(super) changed: bool,
     retry_at: Time,
 }
@@ -39,8 +41,9 @@
 }
 
 impl CapacityPlanner {
-    /// Reads the record if it is unknown, and writes it once an update if something has changed.
-    /// `run_ratios`: run times over estimates, by class; `max_value_bytes`: limit of one value.
+    /// Reads the record if its revision is unknown, and writes it at most once per update if it has
+    /// changed. `run_ratios`: ratios of run time to estimate, by class; `max_value_bytes`: size
+    /// limit of one value.
     pub fn persist(
         &mut self,
         now: Time,
@@ -63,11 +66,12 @@
         self.record.changed = false;
         self.record.in_flight = true;
         self.record.retry_at = now.plus(self.update_s);
-        // Beyond the limit the jobs that are left out draw anew after a failover.
+        // Jobs beyond the limit are not stored; they draw new parameters after a failover.
         let mut max_jobs = max_value_bytes.saturating_sub(RESERVED_BYTES) / BYTES_PER_JOB;
         let mut max_classes = MAX_CLASSES;
         let loads = self.stored_loads(now);
-        // Values may be small and names of classes long: then less is recorded, never nothing.
+        // The limit may be low and class names long. A record that is too large is built again with
+        // half as many jobs and classes, down to none.
         loop {
             let record = self.record_of(run_ratios, &loads, max_jobs, max_classes);
             let mut transaction = store.transaction();
@@ -79,7 +83,11 @@
                 return store.commit(now, Priority::Background, tag, transaction);
             };
             if max_jobs == 0 && max_classes == 0 {
-                tracing::error!(key = KEY, %error, "record of splits does not fit");
+                tracing::error!(
+                    key = KEY,
+                    %error,
+                    "planner record does not fit into a transaction"
+                );
                 self.record.in_flight = false;
                 return;
             }
@@ -127,7 +135,7 @@
         }
     }
 
-    /// Takes over the stored record.
+    /// Handles the reply to a read of the record, and restores the planner's state from it.
     pub fn on_read(&mut self, now: Time, reply: Reply<Tag>) {
         self.record.in_flight = false;
         let Outcome::Ok(body) = reply.outcome else {
@@ -145,7 +153,7 @@
             _ => {
                 tracing::error!(
                     key = KEY,
-                    "stopped recording splits: the record has an unknown form or version"
+                    "planner record no longer written: stored one has an unknown format or version"
                 );
                 self.record.retry_at = now.plus(UNREADABLE_RECORD_PAUSE_S);
                 self.record.revision = None;
@@ -155,7 +163,7 @@
 
     fn restore(&mut self, now: Time, record: PlannerRecord) {
         if !self.learner.restore(&record.weights) {
-            tracing::info!("discarded stored weights: they are for another grid");
+            tracing::info!("stored weights discarded: invalid or for another parameter grid");
         }
         for (id, split) in record.splits {
             if let Some(id) = JobId::parse(&id) {
@@ -168,7 +176,7 @@
         }
     }
 
-    /// Takes over what an earlier leader knew of a class whose jobs may not wait.
+    /// Restores the load that an earlier leader stored for a class whose jobs may not wait.
     pub(super) fn resume_class(&mut self, now: Time, class: Rc<str>, load: &StoredLoad) {
         self.arrivals
             .entry(class.clone())
@@ -179,7 +187,7 @@
         }
     }
 
-    /// Takes in how a write of the record ended.
+    /// Handles the reply to a write of the record.
     pub fn on_written(&mut self, now: Time, reply: Reply<Tag>) {
         self.record.in_flight = false;
         match reply.outcome {
@@ -192,12 +200,12 @@
                 self.record.changed = true;
                 self.record.retry_at = now.plus(REFUSED_RETRY_S);
             }
-            // The same would be refused again: with the next update the value is another.
+            // A retry with the same value would be rejected again; the next update has a new value.
             Outcome::Malformed => {
                 self.record.changed = true;
                 self.record.retry_at = now.plus(self.update_s);
             }
-            // The reply was lost, or another write came first: the revision is read again.
+            // The reply was lost, or another write came first: read the revision again.
             _ => {
                 self.record.changed = true;
                 self.record.revision = None;
--- a/crates/controller/src/capacity_planner/record.rs
+++ b/crates/controller/src/capacity_planner/record.rs
@@ -1,4 +1,4 @@
-//! The planner's stored record, under [`KEY`] in the key-value store.
+//! Format of the planner's record, stored under [`KEY`] in the key-value store.
 
 use crate::split::{Demand, Resources};
 use beamhinge_core::types::JobId;
@@ -8,47 +8,48 @@
 
 /// Key of the record.
 pub(super) const KEY: &str = "split/now";
-/// Prefix under which it is read.
+/// Key prefix of the scan that reads the record.
 pub(super) const PREFIX: &str = "split/";
-/// The form that this version reads and writes.
+/// Format version that this program reads and writes.
 pub(super) const RECORD_VERSION: u32 = 1;
-/// Largest stored value that can be meant.
+/// Stored numbers must be below this bound to be plausible.
 const MAX_STORED_VALUE: f64 = 1e7;
 
-/// The record.
+/// State of the planner that the next leader resumes from.
 #[derive(Serialize, Deserialize)]
 pub(super) struct PlannerRecord {
     #[serde(rename = "v")]
     pub(super) version: u32,
     /// The learner's weights.
     pub(super) weights: Vec<f64>,
-    /// By job: index of its parameters, and its owned machines.
+    /// Open jobs: index of the parameters, and owned machines, by job id.
     pub(super) splits: BTreeMap<String, (usize, f64)>,
-    /// By class: run time over estimate.
+    /// Ratio of run time to estimate, by class.
     #[serde(rename = "runs")]
     pub(super) run_ratios: BTreeMap<String, f64>,
-    /// By class: the load for which capacity is kept ready.
+    /// The load from which standby capacity is computed, by class.
     #[serde(default)]
     pub(super) loads: BTreeMap<String, StoredLoad>,
 }
 
-/// What a new leader needs to go on keeping capacity ready: without it the machines were returned
-/// after each failover, and rented again with the next jobs.
+/// The load of a class, from which a new leader keeps up its standby capacity. Without it, standby
+/// machines were returned after each failover and rented again when the next jobs arrived.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct StoredLoad {
-    /// The highest recent load, tasks.
+    /// Highest recent load, tasks running at once.
     #[serde(rename = "widest")]
     pub(super) max_load: f64,
-    /// Time between jobs, seconds.
+    /// Mean time between arrivals, seconds.
     pub(super) gap_s: f64,
-    /// Size of one task of the latest job: CPUs, GPUs, gigabytes of memory.
+    /// Resources of one task of the latest job: CPUs, GPUs, gigabytes of memory.
     #[serde(rename = "size")]
     pub(super) task_size: (f64, f64, f64),
+    /// Whether the latest job may run on spot machines.
     pub(super) spot: bool,
 }
 
 impl StoredLoad {
-    /// Whether the values can be meant; a load that cannot is left out.
+    /// Whether the values are plausible; an implausible load is ignored.
     pub(super) fn is_plausible(&self) -> bool {
         let (cpus, gpus, memory_gb) = self.task_size;
         let all = [self.max_load, self.gap_s, cpus, gpus, memory_gb];
@@ -57,7 +58,8 @@
             && cpus > 0.0
     }
 
-    /// A job of the class without work, which stands for the latest one until the next arrives.
+    /// A job of the class without remaining tasks, which serves as its latest job until the next
+    /// one arrives.
     pub(super) fn typical_demand(&self, class: Rc<str>) -> Option<Demand> {
         let (cpus, gpus, memory_gb) = self.task_size;
         Some(Demand {
--- a/crates/controller/src/capacity_planner/shortfall.rs
+++ b/crates/controller/src/capacity_planner/shortfall.rs
@@ -1,47 +1,52 @@
-//! Looks ahead which tasks would start too late on the capacity that is there or becomes free.
+//! Simulates when queued tasks would start on the capacity that is free now or becomes free later,
+//! and computes the capacity missing for those that would start too late.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Capacity of one type, by when it is or becomes free: seconds from now, CPUs.
+/// Free capacity of one machine type: (seconds from now until it is free, CPUs).
 pub type FreeCapacity = Vec<(f64, f64)>;
 
-/// Most tasks that one look ahead follows; guards processor time.
+/// Maximum number of tasks in one simulation; bounds CPU time.
 const MAX_TASKS_AHEAD: u32 = 1_500;
-/// Part of the setup time within which a rented machine would come too late anyway.
+/// A machine is not rented for a task whose latest start is within this fraction of the setup time:
+/// the machine would be up too late.
 const MIN_SETUP_FRACTION: f64 = 0.7;
 
-/// The order in which tasks get capacity: lower first.
+/// Order in which queued tasks get capacity; lower ranks come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueRank {
-    /// Complement of the job's priority.
+    /// `u8::MAX` minus the job's priority.
     pub(super) inverse_priority: u8,
-    /// Jobs that cannot make their deadline come last.
+    /// Whether the job cannot meet its deadline; late jobs come after others of their priority.
     pub(super) late: bool,
 }
 
-/// Tasks that wait for capacity of one type.
+/// Tasks of one job that wait for capacity of one machine type.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedTasks {
     pub(super) rank: QueueRank,
-    /// Time to the deadline, seconds; lower first within a rank.
+    /// Time until the deadline, seconds; minus the age for jobs without a deadline. Lower values
+    /// come first within a rank.
     pub(super) left_s: f64,
-    /// CPUs of one task.
+    /// CPUs required by one task.
     pub(super) cpus: f64,
     pub(super) count: u32,
     pub(super) run_s: f64,
-    /// Latest useful start, seconds from now; none when nothing depends on it.
+    /// Latest start in time, seconds from now; `None` if a late start has no consequence.
     pub(super) latest_start_s: Option<f64>,
-    /// Time until a machine that is rented now is up, seconds.
+    /// Time until a machine rented now is up, seconds.
     pub(super) setup_s: f64,
 }
 
-/// Milliseconds, and thousandths of a CPU: whole numbers can be ordered in a heap.
+/// Converts seconds to milliseconds, or CPUs to thousandths of a CPU. Integers, unlike floats, can
+/// be ordered in a heap.
 fn thousandths(x: f64) -> u64 {
     (x.max(0.0) * 1e3) as u64
 }
 
-/// Free capacity in the order in which it becomes free: (milliseconds, thousandths of a CPU).
+/// Min-heap of free capacity by the time at which it becomes free: (milliseconds, thousandths of a
+/// CPU).
 struct CapacityTimeline(BinaryHeap<Reverse<(u64, u64)>>);
 
 impl CapacityTimeline {
@@ -58,8 +63,9 @@
         self.0.push(Reverse((at, cpus)));
     }
 
-    /// Takes the capacity that is free first, and returns when all of it is free, milliseconds.
-    /// What is over goes back; if there is not enough, the rest is used up and none is returned.
+    /// Allocates the capacity that becomes free first, and returns the time at which all of it is
+    /// free, milliseconds. A surplus is returned to the timeline. If there is not enough capacity,
+    /// the timeline is emptied and `None` is returned.
     fn take(&mut self, cpus: u64) -> Option<u64> {
         let (mut taken, mut start) = (0, 0);
         while taken < cpus {
@@ -67,7 +73,7 @@
             start = at;
             taken += free;
         }
-        // Free at the end of time is never.
+        // `u64::MAX` marks capacity that never becomes free.
         if start == u64::MAX {
             return None;
         }
@@ -78,9 +84,8 @@
     }
 }
 
-/// CPUs that are lacking for tasks which must start by a certain time: those that would start too
-/// late on the capacity that is there or becomes free, though a machine rented now would be up in
-/// time.
+/// CPUs missing for tasks with a latest start. A task counts if it would start too late on the
+/// capacity that is free now or becomes free later, and a machine rented now would be up in time.
 pub(super) fn shortfall_cpus(capacity: &FreeCapacity, queue: &mut [QueuedTasks]) -> f64 {
     let mut timeline = CapacityTimeline::new(capacity);
     queue.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.left_s.total_cmp(&b.left_s)));
@@ -94,7 +99,7 @@
             }
             let start = timeline.take(cpus);
             if needs_new_machine(queued, start) {
-                // It will run on what is rented for it.
+                // The task will run on a newly rented machine, so this capacity stays free.
                 shortfall += queued.cpus;
                 if let Some(start) = start {
                     timeline.add(start, cpus);
@@ -107,8 +112,8 @@
     shortfall
 }
 
-/// Whether a task that would start at `start`, milliseconds, starts too late, and a machine rented
-/// now helps.
+/// Whether a task that would start at `start` (milliseconds; `None`: never) starts too late, and
+/// would start earlier on a machine rented now.
 fn needs_new_machine(queued: &QueuedTasks, start: Option<u64>) -> bool {
     let starts_after = |s: f64| start.is_none_or(|start| start > thousandths(s));
     queued.latest_start_s.is_some_and(|latest_s| {
--- a/crates/controller/src/capacity_planner/tests.rs
+++ b/crates/controller/src/capacity_planner/tests.rs
@@ -22,9 +22,9 @@
 #[test]
 fn capacity_that_becomes_free_in_time_is_no_shortfall() {
     let free = vec![(0.0, 4.0), (10.0, 4.0)];
-    // Starts at 0, 10, 20 and 30: all before 40.
+    // The tasks start at 0, 10, 20 and 30 s: all before the latest start at 40 s.
     assert_eq!(shortfall_cpus(&free, &mut [queued(4, Some(40.0))]), 0.0);
-    // Two more would start at 40 and 50: the last is too late.
+    // Two more tasks would start at 40 and 50 s: the last is after the latest start at 45 s.
     assert_eq!(shortfall_cpus(&free, &mut [queued(6, Some(45.0))]), 4.0);
     assert_eq!(
         shortfall_cpus(&FreeCapacity::new(), &mut [queued(2, Some(45.0))]),
@@ -71,7 +71,7 @@
     }
 }
 
-/// The arrivals of thirty jobs, one every two seconds: ten of them run at once.
+/// Arrivals of thirty jobs, one every two seconds, of which ten run at once.
 fn steady_arrivals(at: impl Fn(f64) -> Time) -> Arrivals {
     let mut arrivals = Arrivals::default();
     for i in 0..30 {
@@ -81,8 +81,8 @@
     arrivals
 }
 
-/// Ninety machines were returned after a failover and rented again ten seconds later: the new
-/// leader knew nothing of the load before it.
+/// Guards against returning standby machines after a failover: a new leader that did not know the
+/// load before its term returned 90 machines and rented them again ten seconds later.
 #[test]
 fn new_leader_keeps_standby_capacity_of_the_old_one() {
     let at = |s: f64| Time::from_micros(100_000_000).plus(s);
@@ -90,15 +90,16 @@
     let demand = demand();
     let load = arrivals
         .stored_load(&demand, at(60.0))
-        .expect("it is not dry");
-    let stored: StoredLoad = wire::from_value(&wire::to_value(&load)).expect("what was written");
+        .expect("the class has not ended");
+    let stored: StoredLoad =
+        wire::from_value(&wire::to_value(&load)).expect("the stored load decodes");
     assert!(stored == load && stored.is_plausible());
     let operator = OperatorSettings::default();
     let mut next = CapacityPlanner::new(&operator, FencingToken(9), at(60.0));
     next.resume_class(at(60.0), "prompt".into(), &stored);
     let machine_type = machine_type();
     let text = beamhinge_core::settings::SAMPLE;
-    let settings = Settings::parse("the sample", text).expect("it is sound");
+    let settings = Settings::parse("the sample", text).expect("the sample settings are valid");
     let mut ready = |s: f64| {
         let wants = next.target_capacity(
             at(s),
@@ -112,12 +113,12 @@
     };
     assert!(
         (ready(61.0) - 35.0).abs() < 1e-6,
-        "1.4 times 100 tasks, four a machine"
+        "1.4 times 100 tasks, four per machine"
     );
-    assert_eq!(ready(100.0), 0.0, "nothing came any more");
+    assert_eq!(ready(100.0), 0.0, "no job has arrived since the failover");
     assert!(
         arrivals.stored_load(&demand, at(200.0)).is_none(),
-        "a dry class is not stored"
+        "the load of a class that has ended is not stored"
     );
     assert!(!StoredLoad {
         max_load: f64::NAN,
@@ -126,8 +127,9 @@
     .is_plausible());
 }
 
-/// A queue that drained once had 135 machines rented a minute after the last job: a class that has
-/// ended stays so, and a queue is no load.
+/// Guards against renting machines for a backlog: 135 machines were once rented a minute after the
+/// last arrival, while the queue drained. A class that has ended stays ended, and its backlog does
+/// not count as load.
 #[test]
 fn standby_capacity_follows_arrivals() {
     let at = |s: f64| Time::from_micros(100_000_000).plus(s);
@@ -139,7 +141,10 @@
     );
     assert!(!arrivals.has_ended(at(65.0)));
     for s in 75..400 {
-        assert!(arrivals.has_ended(at(f64::from(s))), "dry at {s} s");
+        assert!(
+            arrivals.has_ended(at(f64::from(s))),
+            "the class has ended at {s} s"
+        );
     }
     assert_eq!(arrivals.max_load(at(400.0)), 0.0);
 }
@@ -180,7 +185,7 @@
     golden.check();
 }
 
-/// Versions before stored no loads.
+/// Earlier versions stored no loads: a record without them is read as well.
 #[test]
 fn stored_record_is_read_field_by_field() {
     let mut stored = serde_json::json!({"v": 1, "weights": [0.25, 0.75],
--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -1,15 +1,14 @@
 //! Teams and quotas that operators change while the service runs, stored under `c/`.
 //!
-//! Each controller holds a replica of the stored configuration and derives from it the teams
-//! that are in effect. It also keeps a key of its own, attached to its lease, that names the
-//! version it serves by.
+//! Each controller holds a replica of the stored configuration and derives from it the teams that
+//! are in effect. It also registers the version that it applies under its member key, which is
+//! attached to its session lease.
 //!
 //! Invariants:
-//! - The replica takes effect version by version, never a part of one
-//!   ([`stored_copy`]).
-//! - A change is conditional on the head and on the keys of all controllers, so it is made only
-//!   while each of them follows the configuration; it is in force everywhere once each of those
-//!   keys names its version ([`Rollout`]).
+//! - A version takes effect as a whole, never in part ([`stored_copy`]).
+//! - A configuration change is conditional on the head and on the member keys of all controllers,
+//!   so it commits only while every controller follows the configuration. It is in force everywhere
+//!   once every member key names its version ([`Rollout`]).
 
 mod stored_copy;
 
@@ -29,59 +28,61 @@
 
 /// Prefix of the stored configuration in the key-value store.
 pub const PREFIX: &str = "c/";
-/// The key that every change of the configuration writes.
+/// Key of the head, which every configuration change writes.
 pub const HEAD: &str = "c/head";
-/// Shortest time between two writes of this controller's own key, seconds.
+/// Minimum interval between writes of this controller's member key, seconds.
 const MIN_REGISTER_INTERVAL_S: f64 = 1.0;
-/// Age at which the replica is read again unasked, seconds.
+/// Age at which the replica is refreshed even if nothing waits for it, seconds.
 const STALE_S: f64 = 3.0;
-/// A leader whose replica is older than this starts no task, seconds: with the time that a
-/// start takes, a limit is in force within the eleven seconds that operators require.
+/// Maximum age of the replica with which a leader starts tasks, seconds. Together with the time
+/// that a start takes, a changed limit is in force within the eleven seconds that operators
+/// require.
 const MAX_START_STALENESS_S: f64 = 7.0;
 
-/// The answer to the author of a change.
+/// The response to the operator who requested a configuration change.
 #[derive(Debug, PartialEq)]
 pub enum ChangeResponse {
     /// The change is stored as this version.
     Applied {
-        /// The version that the change made.
+        /// The version created by the change.
         version: Version,
-        /// What the author should know of it.
+        /// A warning for the operator; `None` if there is none.
         warning: Option<String>,
     },
-    /// The change is not valid, or not by the version that is in force.
+    /// The change is invalid, by itself or against the version in force.
     Refused(ChangeError),
-    /// Not decided in time; the reason.
+    /// The change was not decided in time, for this reason.
     Busy(String),
 }
 
-/// Which controllers serve by the newest version.
+/// Progress of the newest version: which controllers apply it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rollout {
     /// The newest version.
     pub version: Version,
-    /// Who made it; `None` before the first change.
+    /// Author of the newest version; `None` before the first change.
     pub author: Option<Author>,
-    /// Since when all controllers serve by it, milliseconds of the time of day; `None`: not
-    /// all do.
+    /// Time since which all controllers apply the newest version, milliseconds of the wall clock;
+    /// `None` if some do not.
     pub everywhere_since_ms: Option<u64>,
-    /// Controllers that do not, and the version they serve by as far as known.
+    /// Controllers that do not apply the newest version, each with the version that it applies;
+    /// `None` if that is unknown.
     pub behind: Vec<(String, Option<Version>)>,
-    /// Fields that a newer program stored.
+    /// Names of stored fields that only a newer program version knows.
     pub unknown_fields: Vec<String>,
 }
 
-/// The teams in effect, and the version they are from.
+/// The teams in effect, and the version from which they are derived.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveTeams {
-    /// The version of the stored configuration; 0: the settings alone.
+    /// Version of the stored configuration; 0 if only the settings apply.
     pub version: Version,
-    /// All teams, removed ones included.
+    /// All teams, including removed ones.
     pub teams: Vec<EffectiveTeam>,
 }
 
 impl EffectiveTeams {
-    /// The team of this name.
+    /// The team with this name, or `None`.
     pub fn team(&self, name: &str) -> Option<&EffectiveTeam> {
         self.teams.iter().find(|team| team.name == name)
     }
@@ -92,19 +93,19 @@
     change: ConfigurationChange,
     /// Name of the operator's key.
     by: String,
-    /// CPUs of the fleet as the leader knows them; `None` on other controllers.
+    /// CPUs of all machines as known to the leader; `None` on other controllers.
     fleet_cpus: Option<f64>,
 }
 
-/// Replica of the stored configuration, and the changes to it that are under way.
+/// Replica of the stored configuration, and the pending changes to it.
 pub struct Configuration {
     enabled: bool,
     label: String,
-    /// Identifies this process.
+    /// Distinguishes this process from earlier ones with the same label.
     nonce: u64,
-    /// Teams of the settings, over which the stored overlay lies.
+    /// Teams of the settings file, to which the stored overlay is applied.
     base: Vec<Team>,
-    /// All controllers of the settings.
+    /// Labels of all controllers in the settings file.
     labels: Vec<String>,
     replica: ReplicaCache,
     stored: StoredCopy,
@@ -115,12 +116,13 @@
     pending: PendingChanges<RequestedChange>,
     registering: bool,
     registered_at: Time,
-    /// Fault injected by tests: chunks take effect without their head.
+    /// Injected fault: chunks take effect before their head is read.
     pub half_applied: bool,
 }
 
 impl Configuration {
-    /// `enabled`: whether operators may change it at all (`[configuration] on`).
+    /// Creates an empty replica. `enabled`: whether operators may change the configuration
+    /// (`[configuration] on`).
     pub fn new(settings: &Settings, enabled: bool, nonce: u64) -> Configuration {
         let base = settings.params.teams.clone();
         let others = settings.members.iter().map(|m| m.label.clone());
@@ -163,30 +165,33 @@
         &self.effective
     }
 
-    /// Whether decisions may depend on the teams: all that is stored was read and understood.
+    /// Whether the teams can be used for decisions: the whole stored configuration has been read,
+    /// and all of it has a known format.
     pub fn is_ready(&self) -> bool {
         !self.enabled || self.replica.loaded() && !self.stored.unreadable
     }
 
-    /// The replica holds all that was committed before this moment.
+    /// Time as of which the replica is up to date: it includes everything committed before. `None`
+    /// if the replica is not loaded or a stored value has an unknown format.
     pub fn fresh_as_of(&self) -> Option<Time> {
         self.replica
             .fresh_as_of()
             .filter(|_| !self.stored.unreadable)
     }
 
-    /// Has the replica read again soon.
+    /// Requests an early refresh of the replica.
     pub fn request_refresh(&mut self) {
         self.replica.request_refresh();
     }
 
-    /// The key and revision that placements are conditional on, so that none that was decided
-    /// by an older version commits. `None` where the configuration is not enabled.
+    /// The key and revision on which placements are conditional, so that a placement decided with
+    /// an older version does not commit. `None` if the configuration is not enabled.
     pub fn condition(&self) -> Option<(&'static str, Revision)> {
         self.enabled.then(|| (HEAD, self.stored.head_revision()))
     }
 
-    /// Until when a leader may start tasks; `None`: not limited by the configuration.
+    /// Time until which a leader may start tasks; `None` if the configuration sets no limit,
+    /// because it is not enabled or was never changed.
     pub fn starts_allowed_until(&self) -> Option<Time> {
         if !self.enabled || !self.stored.has_head() {
             return None;
@@ -195,12 +200,12 @@
         Some(fresh.map_or(Time::default(), |at| at.plus(MAX_START_STALENESS_S)))
     }
 
-    /// Whether the teams in effect differ from those at the last call.
+    /// Whether the teams in effect have changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Queues a change; `false` when too many are pending.
+    /// Queues a configuration change; returns `false` if too many are pending.
     #[must_use]
     pub fn change(
         &mut self,
@@ -218,9 +223,9 @@
         self.pending.push(now, request, change)
     }
 
-    /// Reconciles this controller's own key, decides on pending changes and keeps the replica
-    /// fresh. `query_waits`: a query of an operator needs a replica that is newer than itself.
-    /// `lease_id`: the lease that this controller's own key is attached to.
+    /// Updates this controller's member key, advances pending changes and refreshes the replica.
+    /// `query_waits`: whether an operator's query waits for a replica that is newer than the query.
+    /// `lease_id`: the session lease to which the member key is attached.
     pub fn tick(
         &mut self,
         now: Time,
@@ -239,8 +244,8 @@
             .tick(now, query_waits || change_waits, true, store);
     }
 
-    /// Writes this controller's own key if it does not name this process and the version that
-    /// it serves by.
+    /// Writes this controller's member key if it does not name this process and the version that
+    /// the process applies.
     fn register(
         &mut self,
         now: Time,
@@ -282,15 +287,15 @@
         }
     }
 
-    /// The key-value store replied to the write of this controller's own key. Whether it was
-    /// written is read from the replica.
+    /// Handles the reply to the write of this controller's member key. Whether the write succeeded
+    /// is read from the replica.
     pub fn on_registered(&mut self) {
         self.registering = false;
         self.replica.request_refresh();
     }
 
-    /// Decides on pending changes, one at a time: each depends on the version that the one
-    /// before it made.
+    /// Advances pending changes, one transaction at a time, since each change depends on the
+    /// version created by the previous one.
     fn advance_changes(
         &mut self,
         now: Time,
@@ -318,7 +323,7 @@
         self.pending = queue;
     }
 
-    /// Sends the transaction of a change, or answers it; `None`: the transaction is in flight.
+    /// Decides a pending change: returns its response, or sends its transaction and returns `None`.
     fn decide(
         &self,
         now: Time,
@@ -328,7 +333,8 @@
     ) -> Option<ChangeResponse> {
         let id = self.change_id(pending.serial);
         let requested = &pending.change;
-        // Where the reply to an earlier transaction was lost, the change is stored under its id.
+        // If the reply to an earlier transaction was lost, the change may already be stored, under
+        // its id.
         let mut records = self.snapshot.records.iter();
         if let Some((version, _)) = records.find(|(_, record)| record.author.id == id) {
             return Some(ChangeResponse::Applied {
@@ -386,7 +392,8 @@
         format!("{:x}-{serial}", self.nonce)
     }
 
-    /// Labels of the controllers whose keys are missing, for a message; `None`: all are there.
+    /// Labels of the controllers without a member key, joined for a message; `None` if all have
+    /// one.
     fn absent_controllers(&self) -> Option<String> {
         let absent: Vec<&str> = self
             .labels
@@ -397,7 +404,7 @@
         (!absent.is_empty()).then(|| absent.join(", "))
     }
 
-    /// Warns of guarantees above what the fleet has.
+    /// A warning if the guarantees of all teams exceed the CPUs of the fleet; `None` otherwise.
     fn warning(&self, requested: &RequestedChange) -> Option<String> {
         let fleet_cpus = requested.fleet_cpus?;
         let above = guarantees_above(&self.effective.teams, fleet_cpus)?;
@@ -406,7 +413,7 @@
         ))
     }
 
-    /// The key-value store replied to the transaction of a change.
+    /// Handles the key-value store's reply to the transaction of a change.
     pub fn on_changed(
         &mut self,
         now: Time,
@@ -428,8 +435,8 @@
             }
             Outcome::Refused => busy("the state service takes nothing just now"),
             Outcome::Malformed => busy("the state service calls it malformed"),
-            // Another change was first, a controller is gone, or the reply was lost: what is
-            // stored decides, once it is read again.
+            // Another change came first, a member key was removed, or the reply was lost. The
+            // outcome is decided by the stored state once it has been read again.
             _ => None,
         };
         match response {
@@ -441,7 +448,7 @@
         }
     }
 
-    /// Takes a reply for the replica in.
+    /// Applies the reply to a scan or watch to the replica.
     pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Freshness {
         let update = self.replica.on_reply(now, call, reply);
         for change in update.changes {
@@ -458,7 +465,7 @@
         update.freshness
     }
 
-    /// Derives the teams in effect from the stored keys, if these are of one version.
+    /// Derives the teams in effect from the stored keys, if all of these belong to one version.
     fn refresh_effective(&mut self) {
         if self.stored.is_torn() && !self.half_applied {
             return;
@@ -468,13 +475,13 @@
         let teams = self.snapshot.effective(&self.base);
         let effective = EffectiveTeams { version, teams };
         if *self.effective != effective {
-            tracing::info!(%version, "applied configuration");
+            tracing::info!(%version, "configuration version applied");
             self.effective = Rc::new(effective);
             self.changed = true;
         }
     }
 
-    /// Which controllers serve by the newest version.
+    /// Returns which controllers apply the newest version.
     pub fn rollout(&self) -> Rollout {
         let version = self.snapshot.version();
         let member = |label: &String| self.stored.members.get(label).map(|(_, member)| member);
--- a/crates/controller/src/configuration/stored_copy.rs
+++ b/crates/controller/src/configuration/stored_copy.rs
@@ -1,7 +1,8 @@
 //! The keys of the stored configuration as this controller has read them.
 //!
-//! Invariant: a [`Snapshot`] is built only from keys of one version. Every change writes the
-//! head, so a chunk that is newer than the head belongs to a change that is not read yet.
+//! Invariant: a [`Snapshot`] is built only from keys of one version. Every configuration change
+//! writes the head, so a chunk newer than the head belongs to a change of which the head has not
+//! been read yet.
 
 use super::{HEAD, PREFIX};
 use beamhinge_configuration::stored::{
@@ -18,14 +19,14 @@
 use crate::replica;
 use crate::replica_scan::CompletedScan;
 
-/// The key by which a controller tells which version it serves by.
+/// Value of a member key: the version that a controller applies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Member {
     pub(super) v: u32,
     pub(super) version: Version,
-    /// Distinguishes this process from earlier ones of the same label.
+    /// Distinguishes the process from earlier ones with the same label.
     pub(super) nonce: u64,
-    /// Time of day at which it began to serve by the version, milliseconds.
+    /// Wall-clock time at which the controller started to apply the version, milliseconds.
     pub(super) at_ms: u64,
 }
 
@@ -34,25 +35,26 @@
     format!("{PREFIX}t/{chunk}")
 }
 
-/// Key of a part of the record of a version.
+/// Key of one part of the record of a version.
 pub(super) fn record_key(version: u64, part: u32) -> String {
     format!("{PREFIX}h/{version}/{part}")
 }
 
-/// Key of a controller.
+/// Member key of a controller.
 pub(super) fn member_key(label: &str) -> String {
     format!("{PREFIX}m/{label}")
 }
 
-/// All keys under the prefix, each with its revision.
+/// All keys under [`PREFIX`], each with its revision.
 #[derive(Default)]
 pub(super) struct StoredCopy {
     head: Option<(Revision, Head)>,
     chunks: BTreeMap<usize, (Revision, Chunk)>,
-    /// Parts of records, by version and number of the part.
+    /// Parts of records, by version and part number.
     records: BTreeMap<(u64, u32), (Revision, RecordPart)>,
     pub(super) members: BTreeMap<String, (Revision, Member)>,
-    /// Some value has a form that this program does not know: nothing is decided by it.
+    /// Whether some value has a format unknown to this program; no decision is then based on the
+    /// configuration.
     pub(super) unreadable: bool,
 }
 
@@ -62,12 +64,12 @@
         revision_of(self.head.as_ref())
     }
 
-    /// Whether any change was ever made, as far as is known.
+    /// Whether a head has been read, which means that the configuration was changed at least once.
     pub(super) fn has_head(&self) -> bool {
         self.head.is_some()
     }
 
-    /// Takes one key in, as a reply showed it.
+    /// Applies a changed key that a reply reported.
     pub(super) fn apply(&mut self, change: &replica::ReplicaChange) {
         let Some(rest) = change.key.strip_prefix(PREFIX) else {
             return;
@@ -93,16 +95,19 @@
                 let label = (*label).to_string();
                 apply_entry(&mut self.members, label, revision, value, |m| m.v)
             }
-            // A key of a newer program beside those known here.
+            // A kind of key that only a newer program version knows is ignored.
             _ => true,
         };
         if !known {
-            tracing::error!(key = change.key, "unknown form of stored configuration");
+            tracing::error!(
+                key = change.key,
+                "stored configuration has an unknown format"
+            );
             self.unreadable = true;
         }
     }
 
-    /// Drops the keys that a scan has shown to be gone.
+    /// Removes the keys that a completed scan has shown to be deleted.
     pub(super) fn retain_scanned(&mut self, scan: &CompletedScan<String>) {
         self.chunks
             .retain(|chunk, (revision, _)| scan.confirms(&chunk_key(*chunk), *revision));
@@ -113,13 +118,14 @@
             .retain(|label, (revision, _)| scan.confirms(&member_key(label), *revision));
     }
 
-    /// Whether a chunk is newer than the head: part of a change that is not read whole yet.
+    /// Whether a chunk is newer than the head, which means that a change has been read only in
+    /// part.
     pub(super) fn is_torn(&self) -> bool {
         let newest_chunk = self.chunks.values().map(|(revision, _)| *revision).max();
         newest_chunk.unwrap_or(Revision(0)) > self.head_revision()
     }
 
-    /// The configuration that the keys make up.
+    /// The configuration that the keys represent.
     pub(super) fn snapshot(&self) -> Snapshot {
         let overlay = self
             .chunks
@@ -132,7 +138,7 @@
         }
     }
 
-    /// Records of which all parts were read.
+    /// The records of which all parts have been read.
     fn complete_records(&self) -> BTreeMap<Version, Record> {
         let mut records: BTreeMap<Version, Record> = BTreeMap::new();
         for ((version, _), (_, part)) in &self.records {
@@ -148,19 +154,20 @@
         records
     }
 
-    /// The parts of one version's record that were read: number and revision.
+    /// The parts of one version's record that have been read: part number and revision.
     fn parts_of(&self, version: u64) -> impl Iterator<Item = (u32, Revision)> + '_ {
         self.records
             .range((version, 0)..=(version, u32::MAX))
             .map(|((_, part), (revision, _))| (*part, *revision))
     }
 
-    /// Fills in the transaction that makes a change. Every write is conditional on what was
-    /// read, and the keys of all controllers (`labels`) must not have changed: each must still
-    /// know of configuration.
+    /// Fills in the transaction of a configuration change. Every write is conditional on the
+    /// revision that was read. The transaction also requires that the member keys of all
+    /// controllers (`labels`) are unchanged, since every controller must still follow the
+    /// configuration.
     ///
     /// # Errors
-    /// Where the change does not fit into one transaction.
+    /// Returns an error if the change does not fit into one transaction.
     pub(super) fn transaction(
         &self,
         plan: &ChangePlan,
@@ -191,19 +198,19 @@
     }
 }
 
-/// Revision of a key as it was read; 0: it does not exist.
+/// Revision of a key as it was read; 0 if the key does not exist.
 pub(super) fn revision_of<T>(stored: Option<&(Revision, T)>) -> Revision {
     stored.map_or(Revision(0), |(revision, _)| *revision)
 }
 
-/// Takes a value in if it is newer than the known one; `false` where its form is unknown.
+/// Stores a value if it is newer than the known one. Returns `false` if its format is unknown.
 fn apply_value<T: for<'a> Deserialize<'a>>(
     stored: &mut Option<(Revision, T)>,
     revision: Revision,
     value: Option<&Value>,
     form: impl Fn(&T) -> u32,
 ) -> bool {
-    // A reply that overtook another must not bring an older state back.
+    // Replies can arrive out of order: an older value must not replace a newer one.
     if stored.as_ref().is_some_and(|(known, _)| *known >= revision) {
         return true;
     }
@@ -220,7 +227,7 @@
     }
 }
 
-/// [`apply_value`] for an entry of a map.
+/// Like [`apply_value`], for an entry of a map.
 fn apply_entry<K: Ord, T: for<'a> Deserialize<'a>>(
     stored: &mut BTreeMap<K, (Revision, T)>,
     key: K,
--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 fn configuration() -> Configuration {
-    let settings = Settings::parse("t", settings::SAMPLE).expect("sound");
+    let settings = Settings::parse("t", settings::SAMPLE).expect("valid settings");
     let mut configuration = Configuration::new(&settings, true, 7);
     configuration.base[0].cpus_max = 8.0;
     configuration.refresh_effective();
@@ -39,7 +39,7 @@
     }
 }
 
-/// A chunk that limits the first team.
+/// Key and value of a chunk that sets the CPU limit of the first team.
 fn chunk(configuration: &Configuration, cpus_max: f64) -> (String, Chunk) {
     let team = configuration.base[0].name.clone();
     let quota = Quota {
@@ -67,7 +67,7 @@
     configuration.effective().teams[0].quota.cpus_max
 }
 
-/// A chunk that comes before its head is part of a change that is not read yet.
+/// A chunk that is read before its head belongs to a change that has been read only in part.
 #[test]
 fn chunk_newer_than_head_does_not_take_effect() {
     let mut c = configuration();
@@ -78,7 +78,7 @@
     c.stored.apply(&changed(HEAD, 10, &head(1)));
     c.refresh_effective();
     assert_eq!((c.effective().version, limit(&c)), (Version(1), 4.0));
-    // What overtook it and is older changes nothing.
+    // An older value that arrives later is ignored.
     let (path, value) = chunk(&c, 9.0);
     c.stored.apply(&changed(&path, 9, &value));
     c.refresh_effective();
@@ -98,7 +98,7 @@
     ));
     c.refresh_effective();
     assert!(c.stored.unreadable && c.fresh_as_of().is_none() && limit(&c) == 8.0);
-    // A key of an unknown kind belongs to a newer program and is left alone.
+    // A key of an unknown kind belongs to a newer program version and is ignored.
     let mut c = configuration();
     c.stored.apply(&changed("c/later/thing", 5, &1));
     assert!(!c.stored.unreadable);
@@ -128,7 +128,7 @@
     }
     let last = 200 + labels.len() as u64 - 1;
     assert_eq!(c.rollout().everywhere_since_ms, Some(last));
-    // One whose lease ended is named.
+    // A controller whose session lease expired is listed as behind.
     c.stored.apply(&Changed {
         key: member_key(&labels[0]),
         revision: 8,
@@ -143,7 +143,7 @@
     assert_eq!(
         c.condition(),
         Some((HEAD, Revision(0))),
-        "also before the first change"
+        "placements are conditional before the first change too"
     );
     c.stored.apply(&changed(HEAD, 5, &head(1)));
     c.refresh_effective();
@@ -151,9 +151,9 @@
     assert_eq!(
         c.starts_allowed_until(),
         Some(Time::default()),
-        "never read as a whole"
+        "no start is allowed before the replica is loaded"
     );
-    let settings = Settings::parse("t", settings::SAMPLE).expect("sound");
+    let settings = Settings::parse("t", settings::SAMPLE).expect("valid settings");
     let off = Configuration::new(&settings, false, 7);
     assert!(off.condition().is_none() && off.starts_allowed_until().is_none() && off.is_ready());
 }
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -1,11 +1,11 @@
 //! Directives: the drains and freezes that operators set, stored under `o/`.
 //!
-//! Each controller holds a replica of all directives: the leader acts on them, and any
-//! controller answers queries about them. A change is one conditional write. When its reply is
-//! lost, the replica is read again, and the change is tried anew only if it is not in force.
+//! Each controller holds a replica of all directives: the leader acts on them, and every controller
+//! answers queries about them. A change is one conditional write. If the reply is lost, the replica
+//! is refreshed, and the change is retried only if it is not in force.
 //!
-//! Invariant: a transaction that arrives late never sets a directive that was lifted
-//! meanwhile, since a lifted directive keeps its key and revision ([`DirectiveRecord`]).
+//! Invariant: a delayed transaction never sets a directive that has been lifted in the meantime,
+//! since the key of a lifted directive is kept, with its revision ([`DirectiveRecord`]).
 
 mod active;
 
@@ -27,30 +27,31 @@
 
 /// Prefix of all directives in the key-value store.
 pub const PREFIX: &str = "o/";
-/// Directives that may be in force at once; bounds memory and the length of a scan.
+/// Maximum number of directives in force at once; bounds memory and the length of a scan.
 const MAX_ACTIVE: usize = 512;
-/// Records that are kept, lifted ones included; beyond it the oldest lifted one goes.
+/// Maximum number of stored records, including those of lifted directives. Beyond it, the oldest
+/// record of a lifted directive is deleted.
 const MAX_RECORDS: usize = 4_096;
 
 /// A directive as it is stored.
 #[derive(Serialize, Deserialize)]
 struct DirectiveRecord {
     v: u32,
-    /// `None`: lifted. The key stays, since a key that is deleted and created again has the
-    /// revision that it had before it was first created: a transaction that arrives late would
-    /// set again what was lifted meanwhile.
+    /// The directive; `None` if it was lifted. A lifted directive keeps its key: a key that is
+    /// deleted has the same revision as one that was never created, so a delayed transaction could
+    /// set the directive again after it was lifted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     directive: Option<Directive>,
 }
 
-/// The answer to the operator who requested a change.
+/// The response to the operator who requested a directive change.
 #[derive(Debug, PartialEq)]
 pub enum DirectiveResponse {
     /// The directive is in force, or lifted, as requested.
     Applied(DirectiveChangeResult),
-    /// [`MAX_ACTIVE`] directives are in force.
+    /// The change was rejected because [`MAX_ACTIVE`] directives are in force.
     LimitReached,
-    /// Not decided in time; the reason.
+    /// The change was not decided in time, for this reason.
     Busy(&'static str),
 }
 
@@ -59,11 +60,11 @@
     change: DirectiveChange,
     /// Name of the operator's key.
     by: String,
-    /// Whether a transaction of this controller may have made the change.
+    /// Whether a transaction of this controller may have applied the change.
     sent: bool,
 }
 
-/// Replica of the stored directives, and the changes to them that are under way.
+/// Replica of the stored directives, and the pending changes to them.
 pub struct Directives {
     replica: ReplicaCache,
     entries: BTreeMap<Target, (Revision, Option<Rc<Directive>>)>,
@@ -79,8 +80,8 @@
             replica: ReplicaCache::new(ReplicaConfig {
                 prefix: PREFIX,
                 tag: Tag::Directives,
-                // A change ends the wait at once; a longer wait costs fewer requests of the
-                // limit that all controllers share.
+                // A change ends the watch request immediately. A longer wait needs fewer requests,
+                // which count towards a rate limit shared by all controllers.
                 watch_wait_s: 10.0,
                 watch_priority: Priority::Read,
                 max_age_s: 30.0,
@@ -99,7 +100,7 @@
     format!("{PREFIX}{}/{}", target.kind(), target.name())
 }
 
-/// The target that a key names; `None` for a kind or name this program does not know.
+/// Parses the target from a key; `None` if this program does not know its kind or name.
 fn target(path: &str) -> Option<Target> {
     let (kind, name) = path.strip_prefix(PREFIX)?.split_once('/')?;
     Target::parse(kind, name)
@@ -111,22 +112,23 @@
         &self.active_directives
     }
 
-    /// The replica holds all that was committed before this moment.
+    /// Time as of which the replica is up to date: it includes everything committed before. `None`
+    /// if the replica is not loaded.
     pub fn fresh_as_of(&self) -> Option<Time> {
         self.replica.fresh_as_of()
     }
 
-    /// Has the replica read again soon.
+    /// Requests an early refresh of the replica.
     pub fn request_refresh(&mut self) {
         self.replica.request_refresh();
     }
 
-    /// Whether the directives in force differ from those at the last call.
+    /// Whether the directives in force have changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Queues a change; `false` when too many are pending.
+    /// Queues a directive change; returns `false` if too many are pending.
     #[must_use]
     pub fn change(
         &mut self,
@@ -140,8 +142,8 @@
             .push(now, request, RequestedChange { change, by, sent })
     }
 
-    /// Decides on pending changes and keeps the replica fresh. `query_waits`: a query of an
-    /// operator needs a replica that is newer than itself.
+    /// Advances pending changes and refreshes the replica. `query_waits`: whether an operator's
+    /// query waits for a replica that is newer than the query.
     pub fn tick(
         &mut self,
         now: Time,
@@ -167,7 +169,7 @@
             .tick(now, query_waits || change_waits, true, store);
     }
 
-    /// Sends the transaction of a change, or answers it; `None`: the transaction is in flight.
+    /// Decides a pending change: returns its response, or sends its transaction and returns `None`.
     fn decide(
         &self,
         now: Time,
@@ -200,12 +202,16 @@
             directive: change.set.then(|| directive(change, by, wall)),
         });
         if let Err(error) = transaction.put(key(&change.target), revision, value, None) {
-            tracing::error!(target = %change.target, %error, "directive does not fit into a transaction");
+            tracing::error!(
+                target = %change.target,
+                %error,
+                "directive does not fit into a transaction"
+            );
             return Some(DirectiveResponse::Busy("it is longer than can be kept"));
         }
         if stored.is_none() && self.entries.len() >= MAX_RECORDS {
             if let Some((target, revision)) = self.oldest_lifted() {
-                // Where the transaction has no space for it, the next one deletes it.
+                // If the transaction has no space left for the deletion, a later one performs it.
                 let _ = transaction.delete(key(target), revision);
             }
         }
@@ -228,7 +234,7 @@
             .map(|(target, (revision, _))| (target, *revision))
     }
 
-    /// The key-value store replied to the transaction of a change.
+    /// Handles the key-value store's reply to the transaction of a change.
     pub fn on_written(
         &mut self,
         now: Time,
@@ -254,12 +260,12 @@
                 self.pending.remove(serial);
                 return;
             }
-            // Changed by another controller: what is stored decides.
+            // Another controller changed the record. The stored state decides the outcome.
             Outcome::Conflict(_) => {
                 pending.change.sent = false;
                 None
             }
-            // Of unknown fate: likewise.
+            // The outcome is unknown. Likewise, the stored state decides.
             _ => None,
         };
         self.replica.request_refresh();
@@ -272,13 +278,16 @@
         }
     }
 
-    /// Takes a reply for the replica in.
+    /// Applies the reply to a scan or watch to the replica.
     pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Freshness {
         let update = self.replica.on_reply(now, call, reply);
         for change in update.changes {
             match target(&change.key) {
                 Some(target) => self.apply(call, target, &change),
-                None => tracing::error!(key = change.key, "unknown kind of directive"),
+                None => tracing::error!(
+                    key = change.key,
+                    "directive key has an unknown kind or an invalid name"
+                ),
             }
         }
         if let Some(scan) = self
@@ -292,11 +301,11 @@
         update.freshness
     }
 
-    /// Puts one stored record into the replica.
+    /// Applies one stored record to the replica.
     fn apply(&mut self, call: ReplicaCall, target: Target, change: &replica::ReplicaChange) {
         self.scan.record(call, || target.clone());
         let revision = Revision(change.revision);
-        // A reply that overtook another must not bring an older state back.
+        // Replies can arrive out of order: an older record must not replace a newer one.
         let known = self.entries.get(&target);
         if known.is_some_and(|(known, _)| *known >= revision) {
             return;
@@ -316,10 +325,10 @@
                 let directive = record.directive.map(Rc::new);
                 self.entries.insert(target, (revision, directive));
             }
-            // A record of an unknown form lifts nothing: what was in force stays so.
+            // A record of unknown format does not lift a directive that is in force.
             Some(_) => tracing::error!(
                 key = change.key,
-                "ignored directive of unknown form or version"
+                "directive ignored: unknown format or version"
             ),
         }
     }
@@ -339,7 +348,7 @@
     }
 }
 
-/// Whether what is in force for the target of a change is what the change wants.
+/// Whether a change is already in force. `in_force` is the directive in force for its target.
 fn matches(in_force: Option<&Directive>, change: &DirectiveChange) -> bool {
     match (in_force, change.set) {
         (None, set) => !set,
@@ -350,7 +359,7 @@
     }
 }
 
-/// The directive that a change sets. The time limit of a drain that is changed begins anew.
+/// The directive that a change sets. Changing a drain restarts its time limit.
 fn directive(change: &DirectiveChange, by: &str, wall: WallMs) -> Directive {
     Directive {
         target: change.target.clone(),
--- a/crates/controller/src/directives/active.rs
+++ b/crates/controller/src/directives/active.rs
@@ -1,11 +1,11 @@
-//! The directives that are in force, as the scheduler and the fleet query them.
+//! The directives in force, as queried by the scheduler and by machine management.
 
 use beamhinge_admin_api::directives::{Directive, Target};
 use beamhinge_core::types::MachineId;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Drains and freezes that are in force, by target.
+/// Drains and freezes in force, by target.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ActiveDirectives {
     pub(super) directives: BTreeMap<Target, Rc<Directive>>,
@@ -17,12 +17,12 @@
         self.directives.is_empty()
     }
 
-    /// How many directives are in force.
+    /// Number of directives in force.
     pub fn len(&self) -> usize {
         self.directives.len()
     }
 
-    /// All directives in the order of their targets.
+    /// All directives in force, ordered by target.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<Directive>> {
         self.directives.values()
     }
@@ -31,9 +31,9 @@
         self.directives.get(target)
     }
 
-    /// The drain that a machine is under. A drain of the machine itself has precedence over
-    /// one of its type, and that over one of its zone: the most specific says best what to do
-    /// with the machine.
+    /// The drain that applies to a machine, or `None`. A drain of the machine itself takes
+    /// precedence over one of its type, and that over one of its zone, since the most specific
+    /// drain best states what to do with the machine.
     pub fn drain_of(
         &self,
         machine: MachineId,
@@ -47,7 +47,8 @@
             .or_else(|| self.market(machine_type, zone))
     }
 
-    /// The drain under which no machine of a type is added in a zone.
+    /// The drain that forbids adding machines of a type in a zone, or `None`. A drain of the type
+    /// takes precedence over one of the zone.
     pub fn market(&self, machine_type: &str, zone: &str) -> Option<&Rc<Directive>> {
         if self.is_empty() {
             return None;
@@ -56,7 +57,8 @@
             .or_else(|| self.get(&Target::Zone(zone.to_string())))
     }
 
-    /// The freeze that a job is under: of its team, else of its class.
+    /// The freeze that applies to a job, or `None`. A freeze of its team takes precedence over one
+    /// of its class.
     pub fn freeze_of(&self, team: &str, class: &str) -> Option<&Rc<Directive>> {
         if self.is_empty() {
             return None;
@@ -75,7 +77,7 @@
         !self.is_empty() && self.get(&Target::Node(label.to_string())).is_some()
     }
 
-    /// Directives in force for tests.
+    /// Creates a set of directives for tests.
     #[cfg(test)]
     pub fn of(directives: Vec<Directive>) -> ActiveDirectives {
         let directives = directives
--- a/crates/controller/src/directives/tests.rs
+++ b/crates/controller/src/directives/tests.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn drain_of_machine_and_zone_most_specific_decides() {
-    let id = MachineId::parse("n-000007").expect("a name");
+    let id = MachineId::parse("n-000007").expect("a valid machine id");
     let mut own = drain(Target::Machine("n-000007".into()));
     own.afterwards = Afterwards::Keep;
     let active_directives = ActiveDirectives::of(vec![drain(Target::Zone("north".into())), own]);
@@ -23,18 +23,19 @@
         .drain_of(id, "c8", "north")
         .map(|d| d.afterwards);
     assert_eq!(found, Some(Afterwards::Keep));
-    let other = MachineId::parse("n-000008").expect("a name");
+    let other = MachineId::parse("n-000008").expect("a valid machine id");
     assert!(active_directives.drain_of(other, "c8", "north").is_some());
     assert!(active_directives.drain_of(other, "c8", "south").is_none());
 }
 
-/// A transaction that sets a directive and comes minutes late, after it was
-/// set again and lifted, once would have set it a second time.
+/// Guards against a directive that is set again after it was lifted. When lifting deleted the key,
+/// a transaction that arrived minutes late, after the directive was set again and lifted, would
+/// have set it a second time.
 #[test]
 fn lifted_directive_keeps_its_key_and_revision() {
     use beamhinge_core::messages::Effect;
     use beamhinge_core::settings::{Settings, SAMPLE};
-    let settings = Settings::parse("t", SAMPLE).expect("sound");
+    let settings = Settings::parse("t", SAMPLE).expect("valid settings");
     let mut store: StoreClient<Tag> = StoreClient::new(&settings);
     let mut d = Directives::default();
     let target = Target::Team("one".into());
@@ -77,11 +78,12 @@
         Effect::Call { path, body, .. } if path == "/commit" => Some(body),
         _ => None,
     });
-    let commit: serde_json::Value = wire::decode(commit.expect("sent")).expect("CBOR");
+    let commit: serde_json::Value =
+        wire::decode(commit.expect("a commit request was sent")).expect("valid CBOR");
     assert_eq!(commit["when"][0]["stamp"], 7);
     assert_eq!(
         commit["then"][0]["write"], "o/team/one",
-        "written, not deleted: {commit}"
+        "lifting writes the key instead of deleting it: {commit}"
     );
     assert!(commit["then"][0]["value"]["directive"].is_null());
 }
@@ -133,7 +135,7 @@
     golden.check();
 }
 
-/// What may be left out is left out.
+/// Optional fields may be absent from a stored directive.
 #[test]
 fn stored_directive_without_optional_fields_is_read() {
     let stored = serde_json::json!({"v": 1, "directive": {"target": {"zone": "a"}, "since_ms": 9}});
--- a/crates/controller/src/split.rs
+++ b/crates/controller/src/split.rs
@@ -1,13 +1,14 @@
 //! The split of work over owned, spot and on-demand machines.
 //!
-//! Pure functions and values: demand, types and prices in, numbers of machines out.
+//! Consists of pure functions and values: it computes numbers of machines from demand, machine
+//! types and prices.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `machine_type` | machine types and classes, and which jobs fit them |
-//! | `demand` | what a job still needs, and the type on which it is cheapest |
+//! | `demand` | remaining demand of a job, and the machine type on which it is cheapest |
 //! | `policy` | the paper's formulas: the split of one job at one update |
-//! | `learner` | learns the policy's parameters from past jobs |
+//! | `learner` | learning of the policy's parameters from past jobs |
 
 mod demand;
 mod learner;
--- a/crates/controller/src/split/demand.rs
+++ b/crates/controller/src/split/demand.rs
@@ -1,52 +1,52 @@
-//! What a job still needs, and the machine type on which it is cheapest.
+//! The remaining demand of a job, and the machine type on which it is cheapest.
 
 use super::machine_type::{allowed_fit, MachineType};
 use beamhinge_core::resources::Resources;
 use beamhinge_core::types::JobId;
 use std::rc::Rc;
 
-/// Types whose costs differ by less than this part count as equally cheap.
+/// Machine types whose costs differ by at most this fraction count as equally cheap.
 const EQUAL_COST_FRACTION: f64 = 0.1;
-/// Factor on the cost of a type that other work depends on.
+/// Factor on the cost of a type that some job depends on because its tasks fit no other type.
 const EXCLUSIVE_COST_FACTOR: f64 = 2.0;
-/// Most tasks that are planned to follow each other on one slot.
+/// Maximum number of tasks planned to run in sequence on one slot.
 const MAX_SEQUENTIAL_TASKS: f64 = 16.0;
 
-/// Work of one job that is not done.
+/// The remaining demand of one job.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Its class.
+    /// Class of the job.
     pub class: Rc<str>,
-    /// What one task takes of its machine.
+    /// Resources of one task.
     pub resources: Resources,
-    /// Tasks that have not ended.
+    /// Number of tasks that have not ended.
     pub remaining_tasks: u32,
-    /// Those of them that are on a machine.
+    /// Number of the remaining tasks that are placed on a machine.
     pub placed_tasks: u32,
-    /// Run time of a task, corrected by what runs of its class showed, seconds.
+    /// Expected run time of a task, corrected by the observed run times of the class, seconds.
     pub run_s: f64,
-    /// Time since its submission, seconds.
+    /// Time since submission, seconds.
     pub age_s: f64,
-    /// Deadline, seconds from its submission; none for jobs without deadline.
+    /// Deadline, seconds from submission; `None` for jobs without a deadline.
     pub deadline_s: Option<f64>,
-    /// Size of its image, gigabytes.
+    /// Size of the image, gigabytes.
     pub image_gb: f64,
-    /// Priority.
+    /// Priority of the job; a higher number comes first.
     pub priority: u8,
-    /// Whether its tasks are independent, so that it can be split.
+    /// Whether the job's tasks are independent, so that it can be split.
     pub deadline_array: bool,
-    /// Whether it may run on spot machines.
+    /// Whether the job may run on spot machines.
     pub spot: bool,
-    /// Labels of the types that it may use; none for all.
+    /// Labels of the machine types that the job may use; `None` for all.
     pub machine_types: Option<Vec<String>>,
-    /// The zone that it asks for.
+    /// The zone that the job requires; `None` for any.
     pub zone: Option<String>,
 }
 
 impl Demand {
-    /// Number of its tasks that fit a machine of the type.
+    /// Number of the job's tasks that fit an empty machine of the type.
     fn fit(&self, machine_type: &MachineType) -> u32 {
         allowed_fit(
             machine_type,
@@ -56,25 +56,26 @@
         )
     }
 
-    /// Tasks that are on no machine.
+    /// Number of tasks that are not placed.
     pub fn waiting(&self) -> u32 {
         self.remaining_tasks.saturating_sub(self.placed_tasks)
     }
 }
 
-/// The type chosen for a job.
+/// The machine type chosen for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TypeChoice {
     /// Index into the machine types.
     pub machine_type: usize,
-    /// Tasks of the job that fit one machine.
+    /// Number of the job's tasks that fit one machine.
     pub fit: u32,
 }
 
-/// The type on which the job's tasks cost least; none if they fit no type.
+/// The machine type on which the job's tasks cost least; `None` if they fit no type.
 ///
-/// Types that some work depends on, because its tasks fit nowhere else, are left to it as long as
-/// another type costs less than twice as much. Of equally cheap types the smallest is chosen.
+/// A type that some job depends on, because its tasks fit no other type, is counted at twice its
+/// cost, so other jobs use it only if every alternative costs at least twice as much. Of equally
+/// cheap types the one with the fewest CPUs is chosen.
 pub fn cheapest_type(
     machine_types: &[MachineType],
     demand: &Demand,
@@ -109,7 +110,7 @@
         .map(|(machine_type, _, fit)| TypeChoice { machine_type, fit })
 }
 
-/// For each type, whether some job depends on it because its tasks fit no other.
+/// For each machine type, whether some job depends on it because its tasks fit no other type.
 pub fn exclusive_types(machine_types: &[MachineType], demands: &[Demand]) -> Vec<bool> {
     let mut exclusive = vec![false; machine_types.len()];
     for demand in demands {
@@ -122,8 +123,8 @@
     exclusive
 }
 
-/// How many tasks of `run_s` seconds can follow each other in `window_s` seconds. Not a whole
-/// number: what one job leaves over another takes up.
+/// How many tasks of `run_s` seconds can run in sequence within `window_s` seconds. The result is
+/// not rounded, because other jobs can use the remaining time.
 pub fn sequential_tasks(window_s: f64, run_s: f64) -> f64 {
     if run_s <= 0.0 {
         return 1.0;
--- a/crates/controller/src/split/learner.rs
+++ b/crates/controller/src/split/learner.rs
@@ -1,45 +1,45 @@
-//! Learns the policy's parameters: replays past jobs on the market as it was observed, and weighs
-//! each pair of parameters by what it would have cost (Algorithm 3).
+//! Learns the policy's parameters (Algorithm 3): past jobs are replayed on the observed market, and
+//! each pair of parameters is weighted by the cost that it would have had.
 
 use super::policy::{owned_machines, parameter_grid, split, PolicyParameters};
 
-/// Cost of work left undone at the deadline, in prices of on-demand work.
+/// Cost of work that is unfinished at the deadline, as a multiple of its on-demand price.
 const OVERDUE_COST: f64 = 2.0;
-/// Parameters for an index outside the grid.
+/// Parameters used for an index outside the grid.
 const DEFAULT_PARAMETERS: PolicyParameters = PolicyParameters {
     owned_availability: 0.5,
     spot_availability: 0.6,
 };
-/// Least weight that is restored, so that its logarithm is finite.
+/// Lower bound on restored weights, so that their logarithms are finite.
 const MIN_WEIGHT: f64 = 1e-30;
-/// Least logarithm of a weight, relative to the largest.
+/// Lower bound on the logarithm of a weight, relative to the largest.
 const MIN_LOG_WEIGHT: f64 = -60.0;
 
-/// What one update showed of the market.
+/// Observation of the spot market and the owned machines at one update.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MarketObservation {
-    /// Spot price over on-demand price.
+    /// Ratio of spot price to on-demand price.
     pub price: f64,
-    /// Part of the wanted spot width that was really up.
+    /// Fraction of the requested spot width that was up.
     pub up: f64,
-    /// Owned width that stood idle.
+    /// Idle width on owned machines.
     pub idle_owned: f64,
 }
 
-/// A past job as the learner replays it, in the units of the policy.
+/// A past job for replay by the learner, in the units of the policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplayedJob {
-    /// δ: tasks that it could run at once.
+    /// δ: number of tasks that the job could run at once.
     pub width: f64,
-    /// z: its work.
+    /// z: total work, task-slots.
     pub work: f64,
-    /// d: slots from its arrival to its deadline.
+    /// d: time from arrival to deadline, slots.
     pub window: f64,
 }
 
-/// What the parameters would have cost on a past job, as a part of twice the price of running it
-/// on on-demand machines alone. What they leave undone at the deadline is bought at twice its
-/// cost, as overdue work is.
+/// The cost that the parameters would have had on a past job, as a fraction of twice the price of
+/// running the job on on-demand machines alone. Work that is unfinished at the deadline is charged
+/// at twice its on-demand price ([`OVERDUE_COST`]).
 pub fn replay_cost(
     job: &ReplayedJob,
     update_len: f64,
@@ -86,11 +86,11 @@
     ((cost + OVERDUE_COST * work.max(0.0)) / job.work).clamp(0.0, 2.0) / 2.0
 }
 
-/// Weighted majority over the grid of parameters (Algorithm 3).
+/// Weighted majority algorithm over the parameter grid (Algorithm 3).
 #[derive(Clone, Debug)]
 pub struct Learner {
     grid: Vec<PolicyParameters>,
-    /// Logarithms, so that no weight is ever lost to underflow.
+    /// Weights are kept as logarithms so that they do not underflow.
     log_weights: Vec<f64>,
 }
 
@@ -103,12 +103,12 @@
 }
 
 impl Learner {
-    /// The parameters at an index of the grid.
+    /// The parameters at an index of the grid, or default parameters outside it.
     pub fn parameters(&self, index: usize) -> PolicyParameters {
         self.grid.get(index).copied().unwrap_or(DEFAULT_PARAMETERS)
     }
 
-    /// Weights of the grid's parameters; their sum is 1.
+    /// Weights of the parameter pairs in grid order; they sum to 1.
     pub fn weights(&self) -> Vec<f64> {
         let top = self.max_log_weight();
         let raw: Vec<f64> = self.log_weights.iter().map(|l| (l - top).exp()).collect();
@@ -123,8 +123,8 @@
             .fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// Takes weights that an earlier leader stored. Returns false, and changes nothing, if they
-    /// are of another grid or not weights.
+    /// Restores the weights that an earlier leader stored. Returns `false` and changes nothing if
+    /// they belong to another grid, or if one is negative or not finite.
     #[must_use]
     pub fn restore(&mut self, weights: &[f64]) -> bool {
         if weights.len() != self.grid.len() || weights.iter().any(|w| !w.is_finite() || *w < 0.0) {
@@ -134,7 +134,8 @@
         true
     }
 
-    /// Draws an index of the grid by weight; `uniform` is uniform in [0, 1).
+    /// Draws an index of the grid with probability equal to its weight. `uniform` is a uniform
+    /// random number in [0, 1).
     pub fn draw(&self, uniform: f64) -> usize {
         let mut left = uniform;
         for (index, weight) in self.weights().iter().enumerate() {
@@ -146,8 +147,9 @@
         self.grid.len() - 1
     }
 
-    /// Scales every weight by exp(−η·cost) of its parameters' replay, with
-    /// η = sqrt(2·ln n / (D·(t−D))), where t is `elapsed` and D is `max_window`, in slots.
+    /// Replays a job with every pair of parameters, and multiplies the weight of each pair by
+    /// exp(−η·cost), where η = sqrt(2·ln n / (D·(t−D))), n is the size of the grid, t is `elapsed`
+    /// and D is `max_window`, both in slots.
     pub fn learn(
         &mut self,
         job: &ReplayedJob,
--- a/crates/controller/src/split/machine_type.rs
+++ b/crates/controller/src/split/machine_type.rs
@@ -2,13 +2,13 @@
 
 use beamhinge_core::resources::{Resources, EPSILON};
 
-/// Most tasks that are planned for one machine.
+/// Maximum number of tasks planned for one machine.
 const MAX_TASKS_PER_MACHINE: f64 = 4_096.0;
 
 /// A machine type as the cloud offers it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     pub label: String,
     /// CPUs of a machine.
     pub cpus: f64,
@@ -16,17 +16,17 @@
     pub gpus: f64,
     /// Memory of a machine, gigabytes.
     pub memory_gb: f64,
-    /// Space for images, gigabytes.
+    /// Size of the image cache of a machine, gigabytes.
     pub cache_gb: f64,
-    /// Speed at which images are fetched, gigabytes a second.
+    /// Image download rate, gigabytes per second.
     pub fetch_gb_per_s: f64,
     /// Price of an on-demand machine.
     pub rate: f64,
     /// Price of a spot machine.
     pub low_price: f64,
-    /// Time from a rental until the machine reports, seconds.
+    /// Time from rental until the machine's worker reports, seconds.
     pub boot_s: f64,
-    /// Zones where it is offered.
+    /// Zones in which the type is offered.
     pub zones: Vec<String>,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Number of tasks of this size that one machine runs at once.
+    /// Number of tasks with these resources that one machine runs at once.
     pub fn max_tasks(&self, resources: &Resources) -> u32 {
         let quotient = |available: f64, requested: f64| {
             if requested > 0.0 {
@@ -57,7 +57,7 @@
 }
 
 /// Number of a job's tasks that fit a machine of the type; 0 if the job may not use the type, or
-/// asks for a zone where it is not offered.
+/// requires a zone in which it is not offered.
 pub fn allowed_fit(
     machine_type: &MachineType,
     resources: &Resources,
@@ -79,11 +79,11 @@
     machine_type.max_tasks(resources)
 }
 
-/// Machines of one type, either spot or on-demand ones.
+/// All spot machines, or all on-demand machines, of one type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineClass {
     /// Index into the machine types.
     pub machine_type: usize,
-    /// Spot machines; otherwise on-demand ones.
+    /// Whether these are spot machines; otherwise they are on-demand machines.
     pub spot: bool,
 }
--- a/crates/controller/src/split/policy.rs
+++ b/crates/controller/src/split/policy.rs
@@ -1,32 +1,33 @@
-//! The paper's formulas: how the work of one job is split at one update.
+//! The paper's formulas for splitting the work of one job at one update.
 //!
 //! Times are in slots, widths in tasks (one machine runs one task), work in task-slots. The paper's
 //! symbols and the names here:
 //!
 //! | paper | name | meaning |
 //! | --- | --- | --- |
-//! | δ | `width` | tasks that the job can run at once |
-//! | z, and z̃ while it runs | `work` | work that is left |
-//! | d, and d̃ while it runs | `window` | slots until the deadline |
-//! | Len | `update_len` | slots of one update |
-//! | β0 | `owned_availability` | availability of spot machines assumed when owned machines are given out |
-//! | β | `spot_availability` | availability of spot machines assumed when they are bid for |
-//! | r, r̄ | `owned` | owned machines of the job, and the fewest that suffice |
-//! | ν | `spot_bids` | spot machines that the slack still allows |
-//! | κ0, κ | `whole_updates` | whole updates within the window |
+//! | δ | `width` | number of tasks that the job can run at once |
+//! | z, and z̃ while the job runs | `work` | remaining work |
+//! | d, and d̃ while the job runs | `window` | slots until the deadline |
+//! | Len | `update_len` | length of one update |
+//! | β0 | `owned_availability` | spot availability assumed when owned machines are assigned |
+//! | β | `spot_availability` | spot availability assumed when spot machines are bid for |
+//! | r, r̄ | `owned` | owned machines of the job, and the minimum that suffices |
+//! | ν | `spot_bids` | number of spot machines that the slack allows |
+//! | κ0, κ | `whole_updates` | number of whole updates within the window |
 
 use beamhinge_core::resources::EPSILON;
 
-/// Parameters of the policy. They carry no bid, since this cloud takes none.
+/// Parameters of the policy. Unlike in the paper there is no bid price, since the cloud accepts no
+/// bids.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PolicyParameters {
-    /// β0.
+    /// β0: spot availability assumed when owned machines are assigned.
     pub owned_availability: f64,
-    /// β.
+    /// β: spot availability assumed when spot machines are bid for.
     pub spot_availability: f64,
 }
 
-/// The grid of parameters that the learner chooses from.
+/// The grid of parameter pairs from which the learner chooses.
 pub fn parameter_grid() -> Vec<PolicyParameters> {
     const OWNED_AVAILABILITIES: [f64; 3] = [0.25, 0.5, 0.8];
     const SPOT_AVAILABILITIES: [f64; 4] = [0.3, 0.6, 0.85, 0.95];
@@ -41,13 +42,15 @@
         .collect()
 }
 
-/// Fewest owned machines with which spot machines alone are expected to finish the rest in time:
-/// r̄ of equations (3) and (4), with κ0 = ⌈d/Len⌉ − 1.
+/// The minimum number of owned machines with which spot machines alone are expected to finish the
+/// remaining work in time: r̄ of equations (3) and (4), with κ0 = ⌈d/Len⌉ − 1.
 ///
-/// Degenerate cases: no time left or no width gives 0; work that fills the whole width (d·δ ≤ z)
-/// gives δ; a denominator of zero means that the branch expects spot machines to run all the time
-/// (β0 at its end, or κ0 = 0 in the second branch), so whatever fits the width needs no owned
-/// machine.
+/// Degenerate cases:
+/// - If the window, the width or the work is not positive, the result is 0.
+/// - If the work fills the whole width (d·δ ≤ z), the result is δ.
+/// - If the denominator is zero, the branch assumes that spot machines are always up (β0 at the end
+///   of its range, or κ0 = 0 in the second branch). Work that fits the width then needs no owned
+///   machine, and the result is 0.
 fn min_owned_machines(
     width: f64,
     work: f64,
@@ -74,7 +77,8 @@
     width - slack / denominator
 }
 
-/// Equation (5): whole owned machines for a job, at most the `idle` ones over its window.
+/// Equation (5): the whole number of owned machines assigned to a job, at most the number that is
+/// idle (`idle`) throughout its window.
 pub fn owned_machines(
     width: f64,
     work: f64,
@@ -90,8 +94,8 @@
         .clamp(0.0, width.max(0.0))
 }
 
-/// Equation (9), ν: how many spot machines the slack still allows for one update. Unbounded where
-/// spot machines are assumed to run all the time.
+/// Equation (9): ν, the number of spot machines that the slack allows for one update. It is
+/// infinite if spot machines are assumed to be always up.
 pub fn spot_bids(
     width: f64,
     work: f64,
@@ -110,7 +114,7 @@
     }
 }
 
-/// Slackness δ·d/z; without work left it is unbounded.
+/// Slackness δ·d/z; infinite if no work remains.
 pub fn slackness(width: f64, work: f64, window: f64) -> f64 {
     if work <= 0.0 {
         f64::INFINITY
@@ -119,18 +123,19 @@
     }
 }
 
-/// A job's width by the kind of its machines.
+/// The width of a job, split by kind of machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Split {
-    /// On owned machines.
+    /// Width on owned machines.
     pub owned: f64,
-    /// On spot machines.
+    /// Width on spot machines.
     pub spot: f64,
-    /// On on-demand machines.
+    /// Width on on-demand machines.
     pub on_demand: f64,
 }
 
-/// Algorithm 1 for the width that owned machines leave over: spot and on-demand width.
+/// Algorithm 1, applied to the width that is not on owned machines: returns the spot width and the
+/// on-demand width.
 pub fn split_remainder(
     width: f64,
     work: f64,
@@ -146,8 +151,8 @@
     }
 }
 
-/// Proposition 4: on-demand width now, once spot machines have no slack left. Full width for the
-/// last whole updates, before them just what else is needed.
+/// Proposition 4: the current on-demand width once no slack is left for spot machines. The last
+/// whole updates run at full width; the time before them runs only the work that exceeds them.
 pub fn final_on_demand(width: f64, work: f64, window: f64, update_len: f64) -> f64 {
     if work <= 0.0 || width <= 0.0 {
         return 0.0;
@@ -162,7 +167,7 @@
         .clamp(0.0, width)
 }
 
-/// The split of one job at one update, given its owned machines.
+/// Splits one job at one update, given the number of its owned machines.
 pub fn split(
     width: f64,
     work: f64,
--- a/crates/controller/src/split/tests.rs
+++ b/crates/controller/src/split/tests.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn job_of_figure_1_loses_its_slack_at_the_third_update() {
-    // δ = 4, d = 36, z = 132, two on-demand and two spot of 8 slots each.
+    // δ = 4, d = 36, z = 132; two on-demand machines, and two spot machines up for 8 slots each.
     let left = |i: f64| 132.0 - i * (2.0 * 12.0 + 2.0 * 8.0);
     assert!(slackness(4.0, left(1.0), 24.0) >= 1.0);
     assert!(slackness(4.0, left(2.0), 12.0) < 1.0);
@@ -31,7 +31,7 @@
     let first = owned_machines(4.0, 6.0 * len, 2.0 * len, len, 0.5, 1.0);
     let second = owned_machines(4.0, 4.0 * len, 2.0 * len, len, 0.5, 1.0 - first);
     assert_eq!((first, second), (1.0, 0.0));
-    // With four owned machines and β0 = 0 both get two or more.
+    // With four owned machines and β0 = 0 both jobs get two or more.
     assert!(owned_machines(4.0, 4.0 * len, 2.0 * len, len, 0.0, 4.0) >= 2.0);
 }
 
@@ -40,19 +40,19 @@
     // d = 42, z = 122, δ = 4, β = ½, Len = 12: ν = 7, κ2 = 1.
     assert_eq!(spot_bids(4.0, 122.0, 42.0, 12.0, 0.5), 7.0);
     assert_eq!(split_remainder(4.0, 122.0, 42.0, 12.0, 0.5), (4.0, 0.0));
-    // After the first update 122 − 24 = 98 remain for 30 slots: three bids.
+    // After the first update 122 − 24 = 98 task-slots remain for 30 slots: three bids.
     assert_eq!(split_remainder(4.0, 98.0, 30.0, 12.0, 0.5), (3.0, 1.0));
-    // Then 98 − 18 − 12 = 68 remain for 18 slots: ν is 0, all bid once more.
+    // Then 98 − 18 − 12 = 68 task-slots remain for 18 slots: ν is 0, so all four bid once more.
     assert_eq!(split_remainder(4.0, 68.0, 18.0, 12.0, 0.5), (4.0, 0.0));
-    // Spot gave 24: 44 remain for 6 slots, which is more than the width
-    // can do; the tail takes it whole.
+    // Spot machines did 24: 44 task-slots remain for 6 slots, more than the width can do, so the
+    // whole width is on demand.
     assert_eq!(final_on_demand(4.0, 44.0, 6.0, 12.0), 4.0);
 }
 
 #[test]
 fn final_on_demand_buys_just_enough_before_the_last_whole_updates() {
-    // 18 slots left, Len 12: the last 12 at full width do 48 of 60, the 6
-    // before them the other 12 with two machines.
+    // 18 slots remain and Len is 12: the last 12 slots at full width do 48 of 60 task-slots, and
+    // two machines do the other 12 in the 6 slots before them.
     assert_eq!(final_on_demand(4.0, 60.0, 18.0, 12.0), 2.0);
     assert_eq!(final_on_demand(4.0, 40.0, 18.0, 12.0), 0.0);
     assert_eq!(final_on_demand(4.0, 48.0, 12.0, 12.0), 4.0);
@@ -95,7 +95,7 @@
 
 #[test]
 fn learner_finds_the_parameters_that_fit_the_market() {
-    // Spot machines are hardly ever up: pairs that trust them pay for it.
+    // Spot machines are rarely up, so parameters that assume a high availability cost more.
     let market = vec![
         MarketObservation {
             price: 0.25,
@@ -124,7 +124,7 @@
     for (w, c) in weights.iter().zip(&costs) {
         assert!(
             *w < best - 1e-9 || *c <= least + 1e-9,
-            "the heaviest pair costs least"
+            "the pair with the highest weight costs least"
         );
         assert!(w.is_finite() && *w >= 0.0);
     }
