--- a/crates/controller/src/capacity_planner.rs
+++ b/crates/controller/src/capacity_planner.rs
@@ -147,7 +147,7 @@
     /// For each type, whether some job fits no other type.
     exclusive: Vec<bool>,
     /// CPUs of owned machines that are not assigned to an open job.
-    owned_cpus_left: f64,
+    unassigned_owned_cpus: f64,
     targets: BTreeMap<usize, TargetCapacity>,
     queues: BTreeMap<usize, Vec<QueuedTasks>>,
     /// Number of open tasks of each class whose jobs may not wait.
@@ -174,7 +174,7 @@
                     inverse_priority: u8::MAX - demand.priority,
                     late: false,
                 },
-                left_s: -demand.age_s,
+                time_to_deadline_s: -demand.age_s,
                 cpus: demand.resources.cpus,
                 count: demand.waiting(),
                 run_s: demand.run_s.max(1.0),
@@ -210,16 +210,16 @@
     jobs: BTreeMap<JobId, SplitJob>,
     /// Splits that an earlier leader stored, until their jobs are seen: index of the parameters,
     /// and owned machines.
-    restored: BTreeMap<JobId, (usize, f64)>,
+    restored_splits: BTreeMap<JobId, (usize, f64)>,
     market: VecDeque<(Time, MarketObservation)>,
     observed_at: Time,
-    began: Time,
+    term_started_at: Time,
     /// Longest job window so far, slots, at most [`MAX_WINDOW`].
     max_window: f64,
     /// Arrivals by class, for classes whose jobs may not wait.
     arrivals: BTreeMap<Rc<str>, Arrivals>,
     /// The latest job of each of these classes.
-    latest: BTreeMap<Rc<str>, Demand>,
+    latest_demands: BTreeMap<Rc<str>, Demand>,
     record: RecordSync,
     /// Ratios of run time to estimate by class that an earlier leader learned; `None` until the
     /// record is read, and after the caller has taken them.
@@ -241,13 +241,13 @@
             slot_s: operator.update_s / UPDATE_LEN,
             update_s: operator.update_s,
             jobs: BTreeMap::new(),
-            restored: BTreeMap::new(),
+            restored_splits: BTreeMap::new(),
             market: VecDeque::new(),
             observed_at: Time::default(),
-            began: now,
+            term_started_at: now,
             max_window: 0.0,
             arrivals: BTreeMap::new(),
-            latest: BTreeMap::new(),
+            latest_demands: BTreeMap::new(),
             record: RecordSync::default(),
             restored_run_ratios: None,
         }
@@ -292,7 +292,7 @@
             .map(|(_, observation)| *observation)
             .collect();
         if job.replayed.window > 0.0 && !observed.is_empty() {
-            let elapsed = now.since(self.began) / self.slot_s;
+            let elapsed = now.since(self.term_started_at) / self.slot_s;
             self.learner.learn(
                 &job.replayed,
                 UPDATE_LEN,
@@ -318,10 +318,10 @@
         owned_cpus: f64,
         free: &BTreeMap<usize, FreeCapacity>,
     ) -> BTreeMap<usize, TargetCapacity> {
-        let mut owned_cpus_left = owned_cpus;
+        let mut unassigned_owned_cpus = owned_cpus;
         for demand in demands {
             if let Some(job) = self.jobs.get(&demand.job) {
-                owned_cpus_left -= job.owned * demand.resources.cpus;
+                unassigned_owned_cpus -= job.owned * demand.resources.cpus;
             }
         }
         let mut plan = Plan {
@@ -329,7 +329,7 @@
             machine_types,
             settings,
             exclusive: split::exclusive_types(machine_types, demands),
-            owned_cpus_left,
+            unassigned_owned_cpus,
             targets: BTreeMap::new(),
             queues: BTreeMap::new(),
             open_tasks: BTreeMap::new(),
@@ -350,18 +350,20 @@
         let Some(machine_type) = plan.machine_types.get(choice.machine_type) else {
             return;
         };
-        let left = f64::from(demand.remaining_tasks);
+        let remaining_tasks = f64::from(demand.remaining_tasks);
         plan.target(choice.machine_type);
         let may_wait = plan
             .settings
             .tightest_objective_s("wait", &demand.class)
             .is_none();
         if !may_wait {
-            *plan.open_tasks.entry(demand.class.clone()).or_default() += left;
-            self.latest.insert(demand.class.clone(), demand.clone());
+            *plan.open_tasks.entry(demand.class.clone()).or_default() += remaining_tasks;
+            self.latest_demands
+                .insert(demand.class.clone(), demand.clone());
         }
         if !demand.spot {
-            plan.target(choice.machine_type).on_demand += left / tasks_per_machine(choice);
+            plan.target(choice.machine_type).on_demand +=
+                remaining_tasks / tasks_per_machine(choice);
             return;
         }
         match deadline_s(demand, plan.settings) {
@@ -383,17 +385,21 @@
         timing: &Timing,
         may_wait: bool,
     ) {
-        let left = f64::from(demand.remaining_tasks);
+        let remaining_tasks = f64::from(demand.remaining_tasks);
         let late = timing.window_s < demand.run_s * 0.5;
         if !may_wait && !self.jobs.contains_key(&demand.job) {
             let arrivals = self.arrivals.entry(demand.class.clone()).or_default();
-            arrivals.record(plan.now, left, demand.run_s + timing.fetch_s);
+            arrivals.record(plan.now, remaining_tasks, demand.run_s + timing.fetch_s);
         }
-        let (parameters, owned) =
-            self.draw_or_keep(plan.now, demand, timing.window_s, &mut plan.owned_cpus_left);
+        let (parameters, owned) = self.parameters_and_owned(
+            plan.now,
+            demand,
+            timing.window_s,
+            &mut plan.unassigned_owned_cpus,
+        );
         let spot_availability = self.learner.parameters(parameters).spot_availability;
         let parts = split::split(
-            left,
+            remaining_tasks,
             timing.work,
             timing.usable_window,
             UPDATE_LEN,
@@ -424,7 +430,7 @@
                         inverse_priority: u8::MAX - demand.priority,
                         late,
                     },
-                    left_s: timing.window_s,
+                    time_to_deadline_s: timing.window_s,
                     cpus: demand.resources.cpus,
                     count,
                     run_s: demand.run_s.max(1.0),
@@ -440,7 +446,7 @@
     /// margin ([`STANDBY_FACTOR`]) is kept ready.
     fn add_standby(&mut self, plan: &mut Plan) {
         for (class, arrivals) in &mut self.arrivals {
-            let Some(demand) = self.latest.get(class) else {
+            let Some(demand) = self.latest_demands.get(class) else {
                 continue;
             };
             let choice = split::cheapest_type(plan.machine_types, demand, &plan.exclusive);
@@ -477,16 +483,16 @@
             owned_availability,
             spot_availability,
         } = self.learner.parameters(job.parameters);
-        let left = f64::from(demand.remaining_tasks);
+        let remaining_tasks = f64::from(demand.remaining_tasks);
         let parts = split::split(
-            left,
+            remaining_tasks,
             work,
             usable_window,
             UPDATE_LEN,
             spot_availability,
             job.owned,
         );
-        let width = left - parts.owned;
+        let width = remaining_tasks - parts.owned;
         let work = (work - parts.owned * usable_window.max(0.0)).max(0.0);
         let finite = |x: f64| x.is_finite().then_some(x);
         Some(Reason::Split {
@@ -530,12 +536,12 @@
 
     /// Index of the job's parameters, and its owned machines. Both are determined when the job is
     /// first seen: from the stored record if it holds them, otherwise by a draw.
-    fn draw_or_keep(
+    fn parameters_and_owned(
         &mut self,
         now: Time,
         demand: &Demand,
         window_s: f64,
-        owned_cpus_left: &mut f64,
+        unassigned_owned_cpus: &mut f64,
     ) -> (usize, f64) {
         if let Some(job) = self.jobs.get_mut(&demand.job) {
             job.open = true;
@@ -546,11 +552,11 @@
             work: f64::from(demand.remaining_tasks) * demand.run_s / self.slot_s,
             window: (window_s / self.slot_s).max(0.0),
         };
-        let (parameters, owned) = match self.restored.remove(&demand.job) {
+        let (parameters, owned) = match self.restored_splits.remove(&demand.job) {
             Some(restored) => restored,
-            None => self.draw(demand, &replayed, *owned_cpus_left),
+            None => self.draw(demand, &replayed, *unassigned_owned_cpus),
         };
-        *owned_cpus_left -= owned * demand.resources.cpus;
+        *unassigned_owned_cpus -= owned * demand.resources.cpus;
         self.max_window = self.max_window.max(replayed.window.min(MAX_WINDOW));
         let job = SplitJob {
             parameters,
@@ -564,10 +570,15 @@
         (parameters, owned)
     }
 
-    fn draw(&mut self, demand: &Demand, job: &ReplayedJob, owned_cpus_left: f64) -> (usize, f64) {
+    fn draw(
+        &mut self,
+        demand: &Demand,
+        job: &ReplayedJob,
+        unassigned_owned_cpus: f64,
+    ) -> (usize, f64) {
         let parameters = self.learner.draw(self.rng.gen());
         let idle = if demand.resources.cpus > 0.0 {
-            owned_cpus_left.max(0.0) / demand.resources.cpus
+            unassigned_owned_cpus.max(0.0) / demand.resources.cpus
         } else {
             0.0
         };
@@ -592,7 +603,7 @@
     timing: &Timing,
     may_wait: bool,
 ) -> f64 {
-    let left = f64::from(demand.remaining_tasks);
+    let remaining_tasks = f64::from(demand.remaining_tasks);
     let boot_s = plan
         .machine_types
         .get(choice.machine_type)
@@ -605,9 +616,9 @@
     } else {
         1.0
     };
-    (left / sequential)
+    (remaining_tasks / sequential)
         .ceil()
-        .max(f64::from(demand.placed_tasks).min(left))
+        .max(f64::from(demand.placed_tasks).min(remaining_tasks))
 }
 
 #[cfg(test)]
--- a/crates/controller/src/capacity_planner/arrivals.rs
+++ b/crates/controller/src/capacity_planner/arrivals.rs
@@ -23,7 +23,7 @@
     /// Number of tasks that the job runs at once.
     width: f64,
     /// Time at which its tasks would end if all had started on arrival.
-    until: Time,
+    ends_at: Time,
 }
 
 /// Arrivals of a class whose jobs may not wait, and the resulting load.
@@ -32,7 +32,7 @@
     jobs: VecDeque<Arrival>,
     /// Samples of the load: the total width of the jobs that would be running.
     loads: VecDeque<(Time, f64)>,
-    last: Option<Time>,
+    last_arrival_at: Option<Time>,
     /// Moving average of the time between arrivals, seconds; 0 until two jobs have arrived.
     gap_s: f64,
 }
@@ -40,17 +40,17 @@
 impl Arrivals {
     /// Records the arrival of a job that runs `width` tasks at once for `run_s` seconds.
     pub(super) fn record(&mut self, now: Time, width: f64, run_s: f64) {
-        if let Some(last) = self.last {
-            let gap = now.since(last);
+        if let Some(last_arrival_at) = self.last_arrival_at {
+            let gap = now.since(last_arrival_at);
             self.gap_s = if self.gap_s > 0.0 {
                 self.gap_s * 0.9 + gap * 0.1
             } else {
                 gap
             };
         }
-        self.last = Some(now);
-        let until = now.plus(run_s);
-        self.jobs.push_back(Arrival { width, until });
+        self.last_arrival_at = Some(now);
+        let ends_at = now.plus(run_s);
+        self.jobs.push_back(Arrival { width, ends_at });
         if self.jobs.len() > MAX_ARRIVALS {
             self.jobs.pop_front();
         }
@@ -59,14 +59,14 @@
     /// Restores the load that an earlier leader stored. The last arrival is assumed to be now.
     pub(super) fn resume(&mut self, now: Time, load: &StoredLoad) {
         self.gap_s = load.gap_s;
-        self.last = self.last.max(Some(now));
+        self.last_arrival_at = self.last_arrival_at.max(Some(now));
         self.loads.push_back((now, load.max_load));
     }
 
     /// The highest load of the last [`LOAD_WINDOW_S`] seconds. The load is computed from arrivals,
     /// not from open jobs, since a backlog does not predict future arrivals.
     pub(super) fn max_load(&mut self, now: Time) -> f64 {
-        self.jobs.retain(|job| job.until > now);
+        self.jobs.retain(|job| job.ends_at > now);
         let last_sample = self.loads.back();
         if last_sample.is_none_or(|(at, _)| now.since(*at) >= LOAD_SAMPLE_S) {
             let load = self.jobs.iter().map(|job| job.width).sum();
@@ -84,7 +84,7 @@
     /// Whether no job has arrived for [`ENDED_AFTER_GAPS`] mean gaps, and for at least
     /// [`MIN_ENDED_AFTER_S`] seconds.
     pub(super) fn has_ended(&self, now: Time) -> bool {
-        self.last
+        self.last_arrival_at
             .is_none_or(|at| now.since(at) > (self.gap_s * ENDED_AFTER_GAPS).max(MIN_ENDED_AFTER_S))
     }
 
--- a/crates/controller/src/capacity_planner/persistence.rs
+++ b/crates/controller/src/capacity_planner/persistence.rs
@@ -73,7 +73,7 @@
         // The limit may be low and class names long. A record that is too large is built again with
         // half as many jobs and classes, down to none.
         loop {
-            let record = self.record_of(run_ratios, &loads, max_jobs, max_classes);
+            let record = self.build_record(run_ratios, &loads, max_jobs, max_classes);
             let mut transaction = store.transaction();
             let built = transaction
                 .require(BLOCK_KEY, Revision(token.0))
@@ -96,17 +96,17 @@
     }
 
     fn stored_loads(&mut self, now: Time) -> Vec<(String, StoredLoad)> {
-        let latest = &self.latest;
+        let latest_demands = &self.latest_demands;
         self.arrivals
             .iter_mut()
             .filter_map(|(class, arrivals)| {
-                let load = arrivals.stored_load(latest.get(class)?, now)?;
+                let load = arrivals.stored_load(latest_demands.get(class)?, now)?;
                 Some((class.to_string(), load))
             })
             .collect()
     }
 
-    fn record_of(
+    fn build_record(
         &self,
         run_ratios: &BTreeMap<String, f64>,
         loads: &[(String, StoredLoad)],
@@ -167,7 +167,7 @@
         }
         for (id, split) in record.splits {
             if let Some(id) = JobId::parse(&id) {
-                self.restored.insert(id, split);
+                self.restored_splits.insert(id, split);
             }
         }
         self.restored_run_ratios.get_or_insert(record.run_ratios);
@@ -183,7 +183,7 @@
             .or_default()
             .resume(now, load);
         if let Some(demand) = load.typical_demand(class.clone()) {
-            self.latest.entry(class).or_insert(demand);
+            self.latest_demands.entry(class).or_insert(demand);
         }
     }
 
--- a/crates/controller/src/capacity_planner/shortfall.rs
+++ b/crates/controller/src/capacity_planner/shortfall.rs
@@ -8,7 +8,7 @@
 pub type FreeCapacity = Vec<(f64, f64)>;
 
 /// Maximum number of tasks in one simulation; bounds CPU time.
-const MAX_TASKS_AHEAD: u32 = 1_500;
+const MAX_SIMULATED_TASKS: u32 = 1_500;
 /// A machine is not rented for a task whose latest start is within this fraction of the setup time:
 /// the machine would be up too late.
 const MIN_SETUP_FRACTION: f64 = 0.7;
@@ -28,7 +28,7 @@
     pub(super) rank: QueueRank,
     /// Time until the deadline, seconds; minus the age for jobs without a deadline. Lower values
     /// come first within a rank.
-    pub(super) left_s: f64,
+    pub(super) time_to_deadline_s: f64,
     /// CPUs required by one task.
     pub(super) cpus: f64,
     pub(super) count: u32,
@@ -66,19 +66,19 @@
     /// Allocates the capacity that becomes free first, and returns the time at which all of it is
     /// free, milliseconds. A surplus is returned to the timeline. If there is not enough capacity,
     /// the timeline is emptied and `None` is returned.
-    fn take(&mut self, cpus: u64) -> Option<u64> {
-        let (mut taken, mut start) = (0, 0);
-        while taken < cpus {
+    fn allocate(&mut self, cpus: u64) -> Option<u64> {
+        let (mut allocated, mut start) = (0, 0);
+        while allocated < cpus {
             let Reverse((at, free)) = self.0.pop()?;
             start = at;
-            taken += free;
+            allocated += free;
         }
         // `u64::MAX` marks capacity that never becomes free.
         if start == u64::MAX {
             return None;
         }
-        if taken > cpus {
-            self.add(start, taken - cpus);
+        if allocated > cpus {
+            self.add(start, allocated - cpus);
         }
         Some(start)
     }
@@ -88,16 +88,20 @@
 /// capacity that is free now or becomes free later, and a machine rented now would be up in time.
 pub(super) fn shortfall_cpus(capacity: &FreeCapacity, queue: &mut [QueuedTasks]) -> f64 {
     let mut timeline = CapacityTimeline::new(capacity);
-    queue.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.left_s.total_cmp(&b.left_s)));
+    queue.sort_by(|a, b| {
+        a.rank
+            .cmp(&b.rank)
+            .then(a.time_to_deadline_s.total_cmp(&b.time_to_deadline_s))
+    });
     let (mut shortfall, mut tasks) = (0.0, 0);
     for queued in queue.iter() {
         let cpus = thousandths(queued.cpus).max(1);
         for _ in 0..queued.count {
             tasks += 1;
-            if tasks > MAX_TASKS_AHEAD {
+            if tasks > MAX_SIMULATED_TASKS {
                 return shortfall;
             }
-            let start = timeline.take(cpus);
+            let start = timeline.allocate(cpus);
             if needs_new_machine(queued, start) {
                 // The task will run on a newly rented machine, so this capacity stays free.
                 shortfall += queued.cpus;
--- a/crates/controller/src/capacity_planner/tests.rs
+++ b/crates/controller/src/capacity_planner/tests.rs
@@ -10,7 +10,7 @@
             inverse_priority: 1,
             late: false,
         },
-        left_s: 0.0,
+        time_to_deadline_s: 0.0,
         cpus: 4.0,
         count,
         run_s: 20.0,
@@ -95,13 +95,13 @@
         wire::from_value(&wire::to_value(&load)).expect("the stored load decodes");
     assert!(stored == load && stored.is_plausible());
     let operator = OperatorSettings::default();
-    let mut next = CapacityPlanner::new(&operator, FencingToken(9), at(60.0));
-    next.resume_class(at(60.0), "prompt".into(), &stored);
+    let mut new_planner = CapacityPlanner::new(&operator, FencingToken(9), at(60.0));
+    new_planner.resume_class(at(60.0), "prompt".into(), &stored);
     let machine_type = machine_type();
     let text = beamhinge_core::settings::SAMPLE;
     let settings = Settings::parse("the sample", text).expect("the sample settings are valid");
-    let mut ready = |s: f64| {
-        let wants = next.target_capacity(
+    let mut standby_at = |s: f64| {
+        let targets = new_planner.target_capacity(
             at(s),
             &[],
             std::slice::from_ref(&machine_type),
@@ -109,13 +109,17 @@
             0.0,
             &BTreeMap::new(),
         );
-        wants.get(&0).map_or(0.0, |w| w.standby)
+        targets.get(&0).map_or(0.0, |target| target.standby)
     };
     assert!(
-        (ready(61.0) - 35.0).abs() < 1e-6,
+        (standby_at(61.0) - 35.0).abs() < 1e-6,
         "1.4 times 100 tasks, four per machine"
     );
-    assert_eq!(ready(100.0), 0.0, "no job has arrived since the failover");
+    assert_eq!(
+        standby_at(100.0),
+        0.0,
+        "no job has arrived since the failover"
+    );
     assert!(
         arrivals.stored_load(&demand, at(200.0)).is_none(),
         "the load of a class that has ended is not stored"
@@ -178,7 +182,7 @@
 }
 
 #[test]
-fn stored_record_keeps_its_form() {
+fn stored_record_matches_golden_file() {
     let mut golden = crate::golden::Golden::new("tests/golden/split.hex");
     golden.text("keys", &format!("{KEY} {PREFIX}"));
     golden.stored("split", &stored_record());
@@ -187,7 +191,7 @@
 
 /// Earlier versions stored no loads: a record without them is read as well.
 #[test]
-fn stored_record_is_read_field_by_field() {
+fn stored_record_is_read_with_and_without_loads() {
     let mut stored = serde_json::json!({"v": 1, "weights": [0.25, 0.75],
         "splits": {"job-000412": [3, 2.5]}, "runs": {"train": 1.125},
         "loads": {"prompt": {"widest": 12.0, "gap_s": 7.25, "size": [4.5, 1.5, 16.5],
--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -104,9 +104,9 @@
     /// Distinguishes this process from earlier ones with the same label.
     nonce: u64,
     /// Teams of the settings file, to which the stored overlay is applied.
-    base: Vec<Team>,
+    settings_teams: Vec<Team>,
     /// Labels of all controllers in the settings file.
-    labels: Vec<String>,
+    controller_labels: Vec<String>,
     replica: ReplicaCache,
     stored: StoredCopy,
     scan: ScanCoverage<String>,
@@ -114,7 +114,7 @@
     effective: Rc<EffectiveTeams>,
     changed: bool,
     pending: PendingChanges<RequestedChange>,
-    registering: bool,
+    registration_in_flight: bool,
     registered_at: Time,
     /// Injected fault: chunks take effect before their head is read.
     pub half_applied: bool,
@@ -124,15 +124,15 @@
     /// Creates an empty replica. `enabled`: whether operators may change the configuration
     /// (`[configuration] on`).
     pub fn new(settings: &Settings, enabled: bool, nonce: u64) -> Configuration {
-        let base = settings.params.teams.clone();
+        let settings_teams = settings.params.teams.clone();
         let others = settings.members.iter().map(|m| m.label.clone());
-        let teams = Snapshot::default().effective(&base);
+        let teams = Snapshot::default().effective(&settings_teams);
         Configuration {
             enabled,
             label: settings.label.clone(),
             nonce,
-            base,
-            labels: others.chain([settings.label.clone()]).collect(),
+            settings_teams,
+            controller_labels: others.chain([settings.label.clone()]).collect(),
             replica: ReplicaCache::new(ReplicaConfig {
                 prefix: PREFIX,
                 tag: Tag::Configuration,
@@ -149,7 +149,7 @@
             }),
             changed: false,
             pending: PendingChanges::default(),
-            registering: false,
+            registration_in_flight: false,
             registered_at: Time::default(),
             half_applied: false,
         }
@@ -257,7 +257,7 @@
         let Some(lease_id) = lease_id.filter(|_| readable) else {
             return;
         };
-        if self.registering || now.since(self.registered_at) < MIN_REGISTER_INTERVAL_S {
+        if self.registration_in_flight || now.since(self.registered_at) < MIN_REGISTER_INTERVAL_S {
             return;
         }
         let version = self.effective.version;
@@ -276,7 +276,7 @@
         let mut transaction = store.transaction();
         let written = transaction.put(key, revision_of(own), value, Some(lease_id));
         if written.is_ok() {
-            self.registering = true;
+            self.registration_in_flight = true;
             self.registered_at = now;
             store.commit(
                 now,
@@ -290,7 +290,7 @@
     /// Handles the reply to the write of this controller's member key. Whether the write succeeded
     /// is read from the replica.
     pub fn on_registered(&mut self) {
-        self.registering = false;
+        self.registration_in_flight = false;
         self.replica.request_refresh();
     }
 
@@ -346,7 +346,7 @@
             let reason = "others change it at the same time";
             return Some(ChangeResponse::Busy(reason.into()));
         }
-        if let Some(absent) = self.absent_controllers() {
+        if let Some(absent) = self.unregistered_controllers() {
             return Some(ChangeResponse::Busy(format!(
                 "{absent} is not there, or does not know of configuration: \
                  all controllers must, so that a change is in force everywhere"
@@ -359,12 +359,18 @@
             why: requested.change.why.clone(),
             restores: None,
         };
-        let plan = match requested.change.plan(&self.snapshot, &self.base, author) {
+        let plan = match requested
+            .change
+            .plan(&self.snapshot, &self.settings_teams, author)
+        {
             Ok(plan) => plan,
             Err(error) => return Some(ChangeResponse::Refused(error)),
         };
         let transaction = store.unpaced_transaction();
-        match self.stored.transaction(&plan, &self.labels, transaction) {
+        match self
+            .stored
+            .transaction(&plan, &self.controller_labels, transaction)
+        {
             Ok(transaction) => {
                 pending.in_flight = true;
                 store.commit(
@@ -394,9 +400,9 @@
 
     /// Labels of the controllers without a member key, joined for a message; `None` if all have
     /// one.
-    fn absent_controllers(&self) -> Option<String> {
+    fn unregistered_controllers(&self) -> Option<String> {
         let absent: Vec<&str> = self
-            .labels
+            .controller_labels
             .iter()
             .filter(|label| !self.stored.members.contains_key(*label))
             .map(String::as_str)
@@ -467,12 +473,12 @@
 
     /// Derives the teams in effect from the stored keys, if all of these belong to one version.
     fn refresh_effective(&mut self) {
-        if self.stored.is_torn() && !self.half_applied {
+        if self.stored.has_partial_change() && !self.half_applied {
             return;
         }
         self.snapshot = self.stored.snapshot();
         let version = self.snapshot.version();
-        let teams = self.snapshot.effective(&self.base);
+        let teams = self.snapshot.effective(&self.settings_teams);
         let effective = EffectiveTeams { version, teams };
         if *self.effective != effective {
             tracing::info!(%version, "configuration version applied");
@@ -486,13 +492,18 @@
         let version = self.snapshot.version();
         let member = |label: &String| self.stored.members.get(label).map(|(_, member)| member);
         let mut behind: Vec<(String, Option<Version>)> = self
-            .labels
+            .controller_labels
             .iter()
             .filter(|label| member(label).is_none_or(|m| m.version < version))
             .map(|label| (label.clone(), member(label).map(|m| m.version)))
             .collect();
         behind.sort();
-        let since = self.labels.iter().filter_map(member).map(|m| m.at_ms).max();
+        let since = self
+            .controller_labels
+            .iter()
+            .filter_map(member)
+            .map(|m| m.at_ms)
+            .max();
         let head = self.snapshot.head.as_ref();
         Rollout {
             version,
--- a/crates/controller/src/configuration/stored_copy.rs
+++ b/crates/controller/src/configuration/stored_copy.rs
@@ -120,7 +120,7 @@
 
     /// Whether a chunk is newer than the head, which means that a change has been read only in
     /// part.
-    pub(super) fn is_torn(&self) -> bool {
+    pub(super) fn has_partial_change(&self) -> bool {
         let newest_chunk = self.chunks.values().map(|(revision, _)| *revision).max();
         newest_chunk.unwrap_or(Revision(0)) > self.head_revision()
     }
@@ -142,7 +142,7 @@
     fn complete_records(&self) -> BTreeMap<Version, Record> {
         let mut records: BTreeMap<Version, Record> = BTreeMap::new();
         for ((version, _), (_, part)) in &self.records {
-            if self.parts_of(*version).count() != part.parts as usize {
+            if self.record_parts(*version).count() != part.parts as usize {
                 continue;
             }
             let record = records.entry(Version(*version)).or_insert_with(|| Record {
@@ -155,7 +155,7 @@
     }
 
     /// The parts of one version's record that have been read: part number and revision.
-    fn parts_of(&self, version: u64) -> impl Iterator<Item = (u32, Revision)> + '_ {
+    fn record_parts(&self, version: u64) -> impl Iterator<Item = (u32, Revision)> + '_ {
         self.records
             .range((version, 0)..=(version, u32::MAX))
             .map(|((_, part), (revision, _))| (*part, *revision))
@@ -190,7 +190,7 @@
             transaction.put(key, Revision(0), wire::to_value(record), None)?;
         }
         if let Some(expired) = plan.expired {
-            for (part, revision) in self.parts_of(expired.0) {
+            for (part, revision) in self.record_parts(expired.0) {
                 transaction.delete(record_key(expired.0, part), revision)?;
             }
         }
@@ -208,7 +208,7 @@
     stored: &mut Option<(Revision, T)>,
     revision: Revision,
     value: Option<&Value>,
-    form: impl Fn(&T) -> u32,
+    format_version: impl Fn(&T) -> u32,
 ) -> bool {
     // Replies can arrive out of order: an older value must not replace a newer one.
     if stored.as_ref().is_some_and(|(known, _)| *known >= revision) {
@@ -219,7 +219,7 @@
         return true;
     };
     match wire::from_value::<T>(value) {
-        Ok(read) if form(&read) == FORMAT_VERSION => {
+        Ok(read) if format_version(&read) == FORMAT_VERSION => {
             *stored = Some((revision, read));
             true
         }
@@ -233,10 +233,10 @@
     key: K,
     revision: Revision,
     value: Option<&Value>,
-    form: impl Fn(&T) -> u32,
+    format_version: impl Fn(&T) -> u32,
 ) -> bool {
     let mut entry = stored.remove(&key);
-    let known = apply_value(&mut entry, revision, value, form);
+    let known = apply_value(&mut entry, revision, value, format_version);
     if let Some(entry) = entry {
         stored.insert(key, entry);
     }
--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -10,7 +10,7 @@
 fn configuration() -> Configuration {
     let settings = Settings::parse("t", settings::SAMPLE).expect("valid settings");
     let mut configuration = Configuration::new(&settings, true, 7);
-    configuration.base[0].cpus_max = 8.0;
+    configuration.settings_teams[0].cpus_max = 8.0;
     configuration.refresh_effective();
     configuration
 }
@@ -41,7 +41,7 @@
 
 /// Key and value of a chunk that sets the CPU limit of the first team.
 fn chunk(configuration: &Configuration, cpus_max: f64) -> (String, Chunk) {
-    let team = configuration.base[0].name.clone();
+    let team = configuration.settings_teams[0].name.clone();
     let quota = Quota {
         cpus_max,
         ..Quota::default()
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn head_of_unknown_form_makes_configuration_unreadable() {
+fn head_of_unknown_format_makes_configuration_unreadable() {
     let mut c = configuration();
     c.stored.apply(&changed(
         HEAD,
@@ -108,33 +108,33 @@
 fn change_is_in_force_once_every_controller_registers_its_version() {
     let mut c = configuration();
     c.stored.apply(&changed(HEAD, 5, &head(2)));
-    let labels = c.labels.clone();
+    let controller_labels = c.controller_labels.clone();
     let member = |version, at_ms| Member {
         v: FORMAT_VERSION,
         version: Version(version),
         nonce: 1,
         at_ms,
     };
-    for label in &labels {
+    for label in &controller_labels {
         c.stored
             .apply(&changed(&member_key(label), 6, &member(1, 100)));
     }
     c.refresh_effective();
-    assert_eq!(c.rollout().behind.len(), labels.len());
-    for (n, label) in labels.iter().enumerate() {
+    assert_eq!(c.rollout().behind.len(), controller_labels.len());
+    for (n, label) in controller_labels.iter().enumerate() {
         assert_eq!(c.rollout().everywhere_since_ms, None);
         c.stored
             .apply(&changed(&member_key(label), 7, &member(2, 200 + n as u64)));
     }
-    let last = 200 + labels.len() as u64 - 1;
+    let last = 200 + controller_labels.len() as u64 - 1;
     assert_eq!(c.rollout().everywhere_since_ms, Some(last));
     // A controller whose session lease expired is listed as behind.
     c.stored.apply(&Changed {
-        key: member_key(&labels[0]),
+        key: member_key(&controller_labels[0]),
         revision: 8,
         value: None,
     });
-    assert_eq!(c.rollout().behind, [(labels[0].clone(), None)]);
+    assert_eq!(c.rollout().behind, [(controller_labels[0].clone(), None)]);
 }
 
 #[test]
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -161,8 +161,8 @@
             if pending.is_decidable(fresh) {
                 return self.decide(now, wall, pending, store);
             }
-            let given_up = !pending.in_flight && pending.is_late(now);
-            given_up.then_some(DirectiveResponse::Busy("the state service does not answer"))
+            let timed_out = !pending.in_flight && pending.is_late(now);
+            timed_out.then_some(DirectiveResponse::Busy("the state service does not answer"))
         }));
         self.pending = queue;
         self.replica
@@ -181,7 +181,7 @@
         let RequestedChange { change, by, sent } = &mut pending.change;
         let stored = self.entries.get(&change.target);
         let in_force = stored.and_then(|(_, directive)| directive.as_deref());
-        if matches(in_force, change) {
+        if is_in_force(in_force, change) {
             return Some(DirectiveResponse::Applied(DirectiveChangeResult {
                 target: change.target.clone(),
                 set: change.set,
@@ -349,7 +349,7 @@
 }
 
 /// Whether a change is already in force. `in_force` is the directive in force for its target.
-fn matches(in_force: Option<&Directive>, change: &DirectiveChange) -> bool {
+fn is_in_force(in_force: Option<&Directive>, change: &DirectiveChange) -> bool {
     match (in_force, change.set) {
         (None, set) => !set,
         (Some(_), false) => false,
--- a/crates/controller/src/directives/tests.rs
+++ b/crates/controller/src/directives/tests.rs
@@ -14,18 +14,23 @@
 }
 
 #[test]
-fn drain_of_machine_and_zone_most_specific_decides() {
+fn drain_of_machine_takes_precedence_over_drain_of_zone() {
     let id = MachineId::parse("n-000007").expect("a valid machine id");
-    let mut own = drain(Target::Machine("n-000007".into()));
-    own.afterwards = Afterwards::Keep;
-    let active_directives = ActiveDirectives::of(vec![drain(Target::Zone("north".into())), own]);
+    let mut machine_drain = drain(Target::Machine("n-000007".into()));
+    machine_drain.afterwards = Afterwards::Keep;
+    let active_directives =
+        ActiveDirectives::of(vec![drain(Target::Zone("north".into())), machine_drain]);
     let found = active_directives
         .drain_of(id, "c8", "north")
         .map(|d| d.afterwards);
     assert_eq!(found, Some(Afterwards::Keep));
-    let other = MachineId::parse("n-000008").expect("a valid machine id");
-    assert!(active_directives.drain_of(other, "c8", "north").is_some());
-    assert!(active_directives.drain_of(other, "c8", "south").is_none());
+    let other_machine = MachineId::parse("n-000008").expect("a valid machine id");
+    assert!(active_directives
+        .drain_of(other_machine, "c8", "north")
+        .is_some());
+    assert!(active_directives
+        .drain_of(other_machine, "c8", "south")
+        .is_none());
 }
 
 /// Guards against a directive that is set again after it was lifted. When lifting deleted the key,
@@ -39,21 +44,21 @@
     let mut store: StoreClient<Tag> = StoreClient::new(&settings);
     let mut d = Directives::default();
     let target = Target::Team("one".into());
-    let active_directives = Rc::new(drain(target.clone()));
+    let directive = Rc::new(drain(target.clone()));
     d.entries
-        .insert(target.clone(), (Revision(7), Some(active_directives)));
+        .insert(target.clone(), (Revision(7), Some(directive)));
     let at = Time::from_micros(100_000_000);
     let body = wire::encode(&serde_json::json!({"pairs": [], "ledgerRev": 7}));
     d.replica.tick(at, false, false, &mut store);
     let tag = Tag::Directives(ReplicaCall::Scan);
-    let kept = d.entries.clone();
+    let entries_before = d.entries.clone();
     let reply = Reply {
         tag,
         outcome: Outcome::Ok(body),
         sent_at: at.plus(1.0),
     };
     d.on_reply(at.plus(1.0), ReplicaCall::Scan, reply);
-    d.entries = kept;
+    d.entries = entries_before;
     let change = DirectiveChange {
         target,
         set: false,
--- a/crates/controller/src/split/policy.rs
+++ b/crates/controller/src/split/policy.rs
@@ -158,11 +158,11 @@
         return 0.0;
     }
     let whole_updates = (window.max(0.0) / update_len).floor();
-    let before_them = window - whole_updates * update_len;
-    if before_them <= EPSILON || window <= 0.0 {
+    let slots_before_them = window - whole_updates * update_len;
+    if slots_before_them <= EPSILON || window <= 0.0 {
         return width;
     }
-    ((work - whole_updates * width * update_len) / before_them)
+    ((work - whole_updates * width * update_len) / slots_before_them)
         .ceil()
         .clamp(0.0, width)
 }
@@ -180,14 +180,14 @@
     let remaining_width = width - owned;
     let remaining_work = (work - owned * window.max(0.0)).max(0.0);
     if remaining_work > 0.0 && slackness(remaining_width, remaining_work, window) < 1.0 {
-        let ordinary = final_on_demand(remaining_width, remaining_work, window, update_len);
+        let on_demand_width = final_on_demand(remaining_width, remaining_work, window, update_len);
         return Split {
             owned,
-            spot: remaining_width - ordinary,
-            on_demand: ordinary,
+            spot: remaining_width - on_demand_width,
+            on_demand: on_demand_width,
         };
     }
-    let (spot, ordinary) = split_remainder(
+    let (spot, on_demand_width) = split_remainder(
         remaining_width,
         remaining_work,
         window,
@@ -197,6 +197,6 @@
     Split {
         owned,
         spot,
-        on_demand: ordinary,
+        on_demand: on_demand_width,
     }
 }
--- a/crates/controller/src/split/tests.rs
+++ b/crates/controller/src/split/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn job_of_figure_3_bids_seven_times() {
+fn job_of_figure_3_splits_as_in_the_paper() {
     // d = 42, z = 122, δ = 4, β = ½, Len = 12: ν = 7, κ2 = 1.
     assert_eq!(spot_bids(4.0, 122.0, 42.0, 12.0, 0.5), 7.0);
     assert_eq!(split_remainder(4.0, 122.0, 42.0, 12.0, 0.5), (4.0, 0.0));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn split_adds_up_and_owned_never_grows_with_owned_availability() {
+fn split_sums_to_width_and_owned_never_grows_with_owned_availability() {
     let mut rng = StdRng::seed_from_u64(3);
     for _ in 0..20_000 {
         let delta = f64::from(rng.gen_range(0..50));
