--- a/crates/controller/src/capacity_planner.rs
+++ b/crates/controller/src/capacity_planner.rs
@@ -391,7 +391,7 @@
             let arrivals = self.arrivals.entry(demand.class.clone()).or_default();
             arrivals.record(plan.now, remaining_tasks, demand.run_s + timing.fetch_s);
         }
-        let (parameters, owned) = self.parameters_and_owned(
+        let (parameters, owned) = self.find_or_create_split(
             plan.now,
             demand,
             timing.window_s,
@@ -534,9 +534,9 @@
             })
     }
 
-    /// Index of the job's parameters, and its owned machines. Both are determined when the job is
+    /// Returns the index of the job's parameters, and its owned machines. Both are set when the job is
     /// first seen: from the stored record if it holds them, otherwise by a draw.
-    fn parameters_and_owned(
+    fn find_or_create_split(
         &mut self,
         now: Time,
         demand: &Demand,
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -101,7 +101,7 @@
 }
 
 /// Parses the target from a key; `None` if this program does not know its kind or name.
-fn target(path: &str) -> Option<Target> {
+fn parse_key(path: &str) -> Option<Target> {
     let (kind, name) = path.strip_prefix(PREFIX)?.split_once('/')?;
     Target::parse(kind, name)
 }
@@ -282,7 +282,7 @@
     pub fn on_reply(&mut self, now: Time, call: ReplicaCall, reply: Reply<Tag>) -> Freshness {
         let update = self.replica.on_reply(now, call, reply);
         for change in update.changes {
-            match target(&change.key) {
+            match parse_key(&change.key) {
                 Some(target) => self.apply(call, target, &change),
                 None => tracing::error!(
                     key = change.key,
--- a/crates/controller/src/directives/tests.rs
+++ b/crates/controller/src/directives/tests.rs
@@ -96,9 +96,9 @@
 #[test]
 fn key_of_target_parses_back() {
     for t in [Target::Machine("n-1".into()), Target::Team("two".into())] {
-        assert_eq!(target(&key(&t)), Some(t));
+        assert_eq!(parse_key(&key(&t)), Some(t));
     }
-    assert_eq!(target("o/planet/mars"), None);
+    assert_eq!(parse_key("o/planet/mars"), None);
     assert_eq!(Target::parse("zone", "a b"), None);
 }
 
@@ -109,7 +109,7 @@
     for (i, kind) in targets.into_iter().enumerate() {
         let target = Target::parse(kind, &format!("name-{i}")).expect(kind);
         golden.text(&format!("key of a {kind}"), &key(&target));
-        assert_eq!(super::target(&key(&target)), Some(target.clone()));
+        assert_eq!(super::parse_key(&key(&target)), Some(target.clone()));
         let directive = Directive {
             since_ms: 1_700_000_000_000 + i as u64,
             within_s: (i > 0).then_some(30.5),
--- a/crates/controller/src/split/policy.rs
+++ b/crates/controller/src/split/policy.rs
@@ -158,11 +158,11 @@
         return 0.0;
     }
     let whole_updates = (window.max(0.0) / update_len).floor();
-    let slots_before_them = window - whole_updates * update_len;
-    if slots_before_them <= EPSILON || window <= 0.0 {
+    let partial_update_len = window - whole_updates * update_len;
+    if partial_update_len <= EPSILON || window <= 0.0 {
         return width;
     }
-    ((work - whole_updates * width * update_len) / slots_before_them)
+    ((work - whole_updates * width * update_len) / partial_update_len)
         .ceil()
         .clamp(0.0, width)
 }
