--- a/crates/controller/src/capacity_planner.rs
+++ b/crates/controller/src/capacity_planner.rs
@@ -534,8 +534,8 @@
             })
     }
 
-    /// Returns the index of the job's parameters, and its owned machines. Both are set when the job is
-    /// first seen: from the stored record if it holds them, otherwise by a draw.
+    /// Returns the index of the job's parameters, and its owned machines. Both are set when the job
+    /// is first seen: from the stored record if it holds them, otherwise by a draw.
     fn find_or_create_split(
         &mut self,
         now: Time,
