--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -117,7 +117,7 @@
     registration_in_flight: bool,
     registered_at: Time,
     /// Injected fault: chunks take effect before their head is read.
-    pub half_applied: bool,
+    pub configuration_partly_applied: bool,
 }
 
 impl Configuration {
@@ -151,7 +151,7 @@
             pending: PendingChanges::default(),
             registration_in_flight: false,
             registered_at: Time::default(),
-            half_applied: false,
+            configuration_partly_applied: false,
         }
     }
 
@@ -473,7 +473,7 @@
 
     /// Derives the teams in effect from the stored keys, if all of these belong to one version.
     fn refresh_effective(&mut self) {
-        if self.stored.has_partial_change() && !self.half_applied {
+        if self.stored.has_partial_change() && !self.configuration_partly_applied {
             return;
         }
         self.snapshot = self.stored.snapshot();
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -26,7 +26,7 @@
 use crate::calls::Tag;
 use crate::configuration::Configuration;
 use crate::directives::Directives;
-use crate::faults::{broken, Faults};
+use crate::faults::{fault_injected, Faults};
 use crate::fleet::{Fleet, LivenessView, TickContext};
 use crate::job_store::JobStore;
 use crate::leader_election::LeaderElection;
@@ -171,7 +171,7 @@
         self.fleet.set_faults(faults);
         self.election.faults = faults;
         self.user_api.faults = faults;
-        self.configuration.half_applied = faults.half_applied;
+        self.configuration.configuration_partly_applied = faults.configuration_partly_applied;
     }
 
     /// Whether this controller is the leader.
@@ -198,7 +198,7 @@
     /// Called at the end of each event; `before`: where its effects begin in `out`.
     fn end_event(&mut self, now: Time, before: usize, out: &mut Vec<Effect>) {
         let ended = self.user_api.take_announcements();
-        if !ended.is_empty() && !broken!(self.faults, no_word) {
+        if !ended.is_empty() && !fault_injected!(self.faults, job_ends_not_announced) {
             // Ahead of the answers that tell the ends.
             let frames = Frame::jobs_ended(&ended).into_iter();
             let effects = frames.map(|frame| Effect::SendFrame {
