--- a/crates/controller/src/configuration/tests.rs
+++ b/crates/controller/src/configuration/tests.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 
 fn configuration() -> Configuration {
-    let settings = Settings::parse("t", settings::SAMPLE).expect("sound");
+    let settings = Settings::parse("t", settings::SAMPLE).expect("valid settings");
     let mut configuration = Configuration::new(&settings, true, 7);
-    configuration.base[0].cpus_max = 8.0;
+    configuration.settings_teams[0].cpus_max = 8.0;
     configuration.refresh_effective();
     configuration
 }
@@ -39,9 +39,9 @@
     }
 }
 
-/// A chunk that limits the first team.
+/// Key and value of a chunk that sets the CPU limit of the first team.
 fn chunk(configuration: &Configuration, cpus_max: f64) -> (String, Chunk) {
-    let team = configuration.base[0].name.clone();
+    let team = configuration.settings_teams[0].name.clone();
     let quota = Quota {
         cpus_max,
         ..Quota::default()
@@ -67,7 +67,7 @@
     configuration.effective().teams[0].quota.cpus_max
 }
 
-/// A chunk that comes before its head is part of a change that is not read yet.
+/// A chunk that is read before its head belongs to a change that has been read only in part.
 #[test]
 fn chunk_newer_than_head_does_not_take_effect() {
     let mut c = configuration();
@@ -78,7 +78,7 @@
     c.stored.apply(&changed(HEAD, 10, &head(1)));
     c.refresh_effective();
     assert_eq!((c.effective().version, limit(&c)), (Version(1), 4.0));
-    // What overtook it and is older changes nothing.
+    // An older value that arrives later is ignored.
     let (path, value) = chunk(&c, 9.0);
     c.stored.apply(&changed(&path, 9, &value));
     c.refresh_effective();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn head_of_unknown_form_makes_configuration_unreadable() {
+fn head_of_unknown_format_makes_configuration_unreadable() {
     let mut c = configuration();
     c.stored.apply(&changed(
         HEAD,
@@ -98,7 +98,7 @@
     ));
     c.refresh_effective();
     assert!(c.stored.unreadable && c.fresh_as_of().is_none() && limit(&c) == 8.0);
-    // A key of an unknown kind belongs to a newer program and is left alone.
+    // A key of an unknown kind belongs to a newer program version and is ignored.
     let mut c = configuration();
     c.stored.apply(&changed("c/later/thing", 5, &1));
     assert!(!c.stored.unreadable);
@@ -108,33 +108,33 @@
 fn change_is_in_force_once_every_controller_registers_its_version() {
     let mut c = configuration();
     c.stored.apply(&changed(HEAD, 5, &head(2)));
-    let labels = c.labels.clone();
+    let controller_labels = c.controller_labels.clone();
     let member = |version, at_ms| Member {
         v: FORMAT_VERSION,
         version: Version(version),
         nonce: 1,
         at_ms,
     };
-    for label in &labels {
+    for label in &controller_labels {
         c.stored
             .apply(&changed(&member_key(label), 6, &member(1, 100)));
     }
     c.refresh_effective();
-    assert_eq!(c.rollout().behind.len(), labels.len());
-    for (n, label) in labels.iter().enumerate() {
+    assert_eq!(c.rollout().behind.len(), controller_labels.len());
+    for (n, label) in controller_labels.iter().enumerate() {
         assert_eq!(c.rollout().everywhere_since_ms, None);
         c.stored
             .apply(&changed(&member_key(label), 7, &member(2, 200 + n as u64)));
     }
-    let last = 200 + labels.len() as u64 - 1;
+    let last = 200 + controller_labels.len() as u64 - 1;
     assert_eq!(c.rollout().everywhere_since_ms, Some(last));
-    // One whose lease ended is named.
+    // A controller whose session lease expired is listed as behind.
     c.stored.apply(&Changed {
-        key: member_key(&labels[0]),
+        key: member_key(&controller_labels[0]),
         revision: 8,
         value: None,
     });
-    assert_eq!(c.rollout().behind, [(labels[0].clone(), None)]);
+    assert_eq!(c.rollout().behind, [(controller_labels[0].clone(), None)]);
 }
 
 #[test]
@@ -143,7 +143,7 @@
     assert_eq!(
         c.condition(),
         Some((HEAD, Revision(0))),
-        "also before the first change"
+        "placements are conditional before the first change too"
     );
     c.stored.apply(&changed(HEAD, 5, &head(1)));
     c.refresh_effective();
@@ -151,9 +151,9 @@
     assert_eq!(
         c.starts_allowed_until(),
         Some(Time::default()),
-        "never read as a whole"
+        "no start is allowed before the replica is loaded"
     );
-    let settings = Settings::parse("t", settings::SAMPLE).expect("sound");
+    let settings = Settings::parse("t", settings::SAMPLE).expect("valid settings");
     let off = Configuration::new(&settings, false, 7);
     assert!(off.condition().is_none() && off.starts_allowed_until().is_none() && off.is_ready());
 }
--- a/crates/controller/src/directives/tests.rs
+++ b/crates/controller/src/directives/tests.rs
@@ -14,45 +14,51 @@
 }
 
 #[test]
-fn drain_of_machine_and_zone_most_specific_decides() {
-    let id = MachineId::parse("n-000007").expect("a name");
-    let mut own = drain(Target::Machine("n-000007".into()));
-    own.afterwards = Afterwards::Keep;
-    let active_directives = ActiveDirectives::of(vec![drain(Target::Zone("north".into())), own]);
+fn drain_of_machine_takes_precedence_over_drain_of_zone() {
+    let id = MachineId::parse("n-000007").expect("a valid machine id");
+    let mut machine_drain = drain(Target::Machine("n-000007".into()));
+    machine_drain.afterwards = Afterwards::Keep;
+    let active_directives =
+        ActiveDirectives::of(vec![drain(Target::Zone("north".into())), machine_drain]);
     let found = active_directives
         .drain_of(id, "c8", "north")
         .map(|d| d.afterwards);
     assert_eq!(found, Some(Afterwards::Keep));
-    let other = MachineId::parse("n-000008").expect("a name");
-    assert!(active_directives.drain_of(other, "c8", "north").is_some());
-    assert!(active_directives.drain_of(other, "c8", "south").is_none());
+    let other_machine = MachineId::parse("n-000008").expect("a valid machine id");
+    assert!(active_directives
+        .drain_of(other_machine, "c8", "north")
+        .is_some());
+    assert!(active_directives
+        .drain_of(other_machine, "c8", "south")
+        .is_none());
 }
 
-/// A transaction that sets a directive and comes minutes late, after it was
-/// set again and lifted, once would have set it a second time.
+/// Guards against a directive that is set again after it was lifted. When lifting deleted the key,
+/// a transaction that arrived minutes late, after the directive was set again and lifted, would
+/// have set it a second time.
 #[test]
 fn lifted_directive_keeps_its_key_and_revision() {
     use beamhinge_core::messages::Effect;
     use beamhinge_core::settings::{Settings, SAMPLE};
-    let settings = Settings::parse("t", SAMPLE).expect("sound");
+    let settings = Settings::parse("t", SAMPLE).expect("valid settings");
     let mut store: StoreClient<Tag> = StoreClient::new(&settings);
     let mut d = Directives::default();
     let target = Target::Team("one".into());
-    let active_directives = Rc::new(drain(target.clone()));
+    let directive = Rc::new(drain(target.clone()));
     d.entries
-        .insert(target.clone(), (Revision(7), Some(active_directives)));
+        .insert(target.clone(), (Revision(7), Some(directive)));
     let at = Time::from_micros(100_000_000);
     let body = wire::encode(&serde_json::json!({"pairs": [], "ledgerRev": 7}));
     d.replica.tick(at, false, false, &mut store);
     let tag = Tag::Directives(ReplicaCall::Scan);
-    let kept = d.entries.clone();
+    let entries_before = d.entries.clone();
     let reply = Reply {
         tag,
         outcome: Outcome::Ok(body),
         sent_at: at.plus(1.0),
     };
     d.on_reply(at.plus(1.0), ReplicaCall::Scan, reply);
-    d.entries = kept;
+    d.entries = entries_before;
     let change = DirectiveChange {
         target,
         set: false,
@@ -77,11 +83,12 @@
         Effect::Call { path, body, .. } if path == "/commit" => Some(body),
         _ => None,
     });
-    let commit: serde_json::Value = wire::decode(commit.expect("sent")).expect("CBOR");
+    let commit: serde_json::Value =
+        wire::decode(commit.expect("a commit request was sent")).expect("valid CBOR");
     assert_eq!(commit["when"][0]["stamp"], 7);
     assert_eq!(
         commit["then"][0]["write"], "o/team/one",
-        "written, not deleted: {commit}"
+        "lifting writes the key instead of deleting it: {commit}"
     );
     assert!(commit["then"][0]["value"]["directive"].is_null());
 }
@@ -89,9 +96,9 @@
 #[test]
 fn key_of_target_parses_back() {
     for t in [Target::Machine("n-1".into()), Target::Team("two".into())] {
-        assert_eq!(target(&key(&t)), Some(t));
+        assert_eq!(parse_key(&key(&t)), Some(t));
     }
-    assert_eq!(target("o/planet/mars"), None);
+    assert_eq!(parse_key("o/planet/mars"), None);
     assert_eq!(Target::parse("zone", "a b"), None);
 }
 
@@ -102,7 +109,7 @@
     for (i, kind) in targets.into_iter().enumerate() {
         let target = Target::parse(kind, &format!("name-{i}")).expect(kind);
         golden.text(&format!("key of a {kind}"), &key(&target));
-        assert_eq!(super::target(&key(&target)), Some(target.clone()));
+        assert_eq!(super::parse_key(&key(&target)), Some(target.clone()));
         let directive = Directive {
             since_ms: 1_700_000_000_000 + i as u64,
             within_s: (i > 0).then_some(30.5),
@@ -133,7 +140,7 @@
     golden.check();
 }
 
-/// What may be left out is left out.
+/// Optional fields may be absent from a stored directive.
 #[test]
 fn stored_directive_without_optional_fields_is_read() {
     let stored = serde_json::json!({"v": 1, "directive": {"target": {"zone": "a"}, "since_ms": 9}});
