--- a/crates/controller/src/event_log.rs
+++ b/crates/controller/src/event_log.rs
@@ -1,21 +1,21 @@
 //! The leader's recent decisions, for the admin API.
 //!
-//! Bounded, and kept only where an admin address is set: without one nothing is recorded.
+//! The log is bounded. Without a configured admin address nothing is recorded.
 
 use beamhinge_admin_api::messages::{Decision, DecisionKind};
 use beamhinge_core::types::WallMs;
 use std::collections::VecDeque;
 
-/// Decisions that are remembered; who asks for older ones is told how many are forgotten.
+/// Maximum number of retained decisions. A query for older ones is told how many were discarded.
 const MAX_DECISIONS: usize = 1_024;
-/// Ages of placed tasks that are kept until they are counted, once a second; further ones are
-/// not counted. A leader's first placement may start a task on each of 8,192 machines at once,
-/// and more than one on some; 16,384 ages are 128 KB.
+/// Maximum number of placement ages kept between two metric samples, which are taken once a
+/// second; further ones are not counted. A leader's first scheduling cycle may start a task on
+/// each of 8,192 machines at once, and more than one on some; 16,384 ages take 128 KB.
 const MAX_PLACEMENT_AGES: usize = 16_384;
-/// Kinds of decisions that are counted.
+/// Number of decision kinds that are counted.
 const KINDS: usize = 9;
 
-/// Names of the kinds of decisions on the metrics page, in the order of [`kind_index`].
+/// Names of the decision kinds on the metrics page, indexed by [`kind_index`].
 pub const KIND_NAMES: [&str; KINDS] = [
     "placed",
     "stopped",
@@ -42,12 +42,12 @@
     }
 }
 
-/// Decisions after a serial number.
+/// A page of decisions after a serial number.
 #[derive(Debug, PartialEq)]
 pub struct DecisionPage {
     /// Oldest first.
     pub decisions: Vec<Decision>,
-    /// Decisions between the serial number and the first of these that are forgotten.
+    /// Number of decisions after the requested serial number that were already discarded.
     pub missed: u64,
 }
 
@@ -55,17 +55,17 @@
 #[derive(Default)]
 pub struct EventLog {
     enabled: bool,
-    /// Time of day of what is recorded next.
+    /// Wall-clock time of the decisions that are recorded next.
     wall: WallMs,
     last_serial: u64,
     decisions: VecDeque<Decision>,
     counts: [u64; KINDS],
-    /// Ages of jobs whose tasks were placed since these were last taken, seconds.
+    /// Ages of the jobs whose tasks were placed since the last sample, one per task, seconds.
     placement_ages_s: Vec<f64>,
 }
 
 impl EventLog {
-    /// An empty log, which records only if it is enabled.
+    /// Creates an empty log, which records only if `enabled`.
     pub fn new(enabled: bool) -> EventLog {
         EventLog {
             enabled,
@@ -73,13 +73,13 @@
         }
     }
 
-    /// Sets the time of day of what is recorded next.
+    /// Sets the wall-clock time of the decisions that are recorded next.
     pub fn set_time(&mut self, wall: WallMs) {
         self.wall = wall;
     }
 
-    /// Records a decision. It is built only if the log is enabled, since formatting names costs
-    /// time.
+    /// Records a decision. `decision` is called only if the log is enabled, since formatting names
+    /// costs time.
     pub fn record(&mut self, decision: impl FnOnce() -> DecisionKind) {
         if !self.enabled {
             return;
@@ -97,7 +97,7 @@
         });
     }
 
-    /// A task was placed, of a job that was submitted at this time of day.
+    /// Records the placement of a task whose job was submitted at `submitted_ms`, wall-clock time.
     pub fn record_placement(&mut self, submitted_ms: u64) {
         if self.enabled && self.placement_ages_s.len() < MAX_PLACEMENT_AGES {
             let age_s = (self.wall.0 as f64 - submitted_ms as f64).max(0.0) / 1e3;
@@ -105,17 +105,17 @@
         }
     }
 
-    /// Ages of the jobs whose tasks were placed since the last call, seconds.
+    /// Takes the ages of the jobs whose tasks were placed since the last call, seconds.
     pub fn take_placement_ages(&mut self) -> Vec<f64> {
         std::mem::take(&mut self.placement_ages_s)
     }
 
-    /// Number of decisions of each kind.
+    /// Returns the number of decisions of each kind.
     pub fn counts(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         KIND_NAMES.iter().copied().zip(self.counts)
     }
 
-    /// At most `limit` decisions after a serial number.
+    /// Returns at most `limit` decisions after a serial number.
     pub fn decisions_after(&self, serial: u64, limit: usize) -> DecisionPage {
         let first = self
             .decisions
--- a/crates/controller/src/event_log/tests.rs
+++ b/crates/controller/src/event_log/tests.rs
@@ -18,7 +18,8 @@
     assert_eq!(c.decisions_after(MAX_DECISIONS as u64 + 10, 3), none);
 }
 
-/// Beyond 1,024 tasks placed in a second the others' ages were not counted.
+/// Guards against a bound that is too small: the ages of all tasks beyond the first 1,024 placed
+/// in a second were not counted.
 #[test]
 fn placement_ages_of_a_large_fleet_are_counted() {
     let mut c = EventLog::new(true);
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -1,11 +1,11 @@
 //! Metrics of this process, in the Prometheus text format.
 //!
-//! Kept only where an admin address is set; without one nothing is counted and nothing is held.
+//! Without a configured admin address nothing is counted and nothing is stored.
 //! Names, labels and help texts are an interface to operators' dashboards.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `page` | the page of all metrics |
+//! | `page` | renders the metrics page |
 //! | `summary` | quantiles of durations |
 
 use beamhinge_core::http::Method;
@@ -17,12 +17,13 @@
 mod page;
 mod summary;
 
-/// Requests, and calls to the outside, whose time is taken at once; further ones are answered
-/// without being timed. Twice the 8,192 machines that a controller is built for: all may be
-/// waiting for their answers at once, beside the users. Kept only where an admin address is set.
+/// Maximum number of requests, and of outgoing calls, that are timed at the same time; further
+/// ones are handled without being timed. This is twice the 8,192 machines that a controller is
+/// built for: all of them may wait for their answers at once, besides the users. Entries are kept
+/// only if an admin address is configured.
 const MAX_OPEN: usize = 16_384;
 
-/// A request or call that is timed.
+/// A request or call in progress that is timed.
 #[derive(Clone, Copy)]
 struct Timed {
     since: Time,
@@ -30,7 +31,7 @@
     kind: &'static str,
 }
 
-/// All metrics of this process that are not gauges.
+/// All metrics of this process except gauges.
 #[derive(Default)]
 pub struct Metrics {
     enabled: bool,
@@ -40,22 +41,22 @@
     answer_times: BTreeMap<&'static str, DurationSummary>,
     /// Answers by route and status.
     answers: BTreeMap<(&'static str, u16), u64>,
-    /// Times of calls that were answered, by kind.
+    /// Durations of answered calls, by kind.
     call_times: BTreeMap<&'static str, DurationSummary>,
     /// Calls that were never answered, by kind.
     lost_calls: BTreeMap<&'static str, u64>,
-    /// When leadership was acquired, until the state is loaded.
+    /// When the leadership was acquired; `None` once the state is loaded.
     acquired_at: Option<Time>,
     failover_times: DurationSummary,
     oldest_waits: DurationSummary,
     placement_ages: DurationSummary,
 }
 
-/// What a call is for, by where it goes; none for calls that are not timed.
+/// Returns the kind of a call, by destination and path; `None` for calls that are not timed.
 fn call_kind(destination: &Destination, method: Method, path: &str) -> Option<&'static str> {
     Some(match destination {
         Destination::State if path == "/commit" => "state_commit",
-        // How long a watch takes is the store's choice, not its speed.
+        // The store chooses how long a watch waits, so its duration does not measure store speed.
         Destination::State if path.starts_with("/watch") => {
             if path.ends_with("waitMs=0") {
                 "state_refresh"
@@ -74,7 +75,7 @@
 }
 
 impl Metrics {
-    /// Metrics that are zero, and stay so unless they are enabled.
+    /// Creates metrics that are all zero, and stay zero unless `enabled`.
     pub fn new(enabled: bool) -> Metrics {
         Metrics {
             enabled,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// A request arrived.
+    /// Starts timing a request.
     pub fn on_request(&mut self, now: Time, id: RequestId, route: &'static str) {
         if self.enabled && self.open_requests.len() < MAX_OPEN {
             let timed = Timed {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Answers and calls went out.
+    /// Records the answers among these effects and starts timing the calls.
     pub fn on_effects(&mut self, now: Time, effects: &[Effect]) {
         if !self.enabled {
             return;
@@ -131,7 +132,7 @@
         *self.answers.entry((route, status)).or_default() += 1;
     }
 
-    /// A call ended, with or without a reply.
+    /// Records the end of a call; `replied` is false if it got no reply.
     pub fn on_call_end(&mut self, now: Time, id: CallId, replied: bool) {
         let Some(Timed { since, kind }) = self.open_calls.remove(&id) else {
             return;
@@ -146,12 +147,12 @@
         }
     }
 
-    /// This controller leads from now on.
+    /// Starts timing the failover: this controller has acquired the leadership.
     pub fn on_leadership_acquired(&mut self, now: Time) {
         self.acquired_at = Some(now);
     }
 
-    /// The leader has loaded its state: from here on tasks are placed.
+    /// Records the failover time: the leader has loaded its state and can place tasks.
     pub fn on_state_loaded(&mut self, now: Time) {
         if let Some(acquired_at) = self.acquired_at.take() {
             if self.enabled {
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Tasks were placed, of jobs of these ages.
+    /// Records the ages of the jobs of placed tasks, one per task, seconds.
     pub fn record_placements(&mut self, ages_s: &[f64]) {
         for age_s in ages_s {
             self.placement_ages.record(*age_s);
--- a/crates/controller/src/metrics/page.rs
+++ b/crates/controller/src/metrics/page.rs
@@ -1,4 +1,4 @@
-//! The page of all metrics.
+//! Renders the page of all metrics.
 
 use super::summary::DurationSummary;
 use super::Metrics;
@@ -24,13 +24,13 @@
     }
 }
 
-/// Appends a summary without labels.
+/// Appends a family with one summary that has no labels.
 fn summary(out: &mut String, name: &str, help: &str, summary: &DurationSummary) {
     family(out, name, "summary", help);
     summary.render(out, name, "");
 }
 
-/// Appends a family of counters by kind.
+/// Appends a family of counters that are labelled by kind.
 fn counters_by_kind(
     out: &mut String,
     name: &str,
@@ -44,7 +44,7 @@
 }
 
 impl Metrics {
-    /// The page. `gauges` are values of this moment, `decisions` the number of decisions by kind.
+    /// Renders the page. `gauges` are current values, `decisions` the number of decisions by kind.
     pub fn render(
         &self,
         gauges: &[(&'static str, f64)],
--- a/crates/controller/src/metrics/summary.rs
+++ b/crates/controller/src/metrics/summary.rs
@@ -3,16 +3,16 @@
 use hdrhistogram::Histogram;
 use std::fmt::Write;
 
-/// Longest duration that is told apart from longer ones, microseconds.
+/// Upper bound of the histogram, microseconds; longer durations are recorded as this value.
 const MAX_US: u64 = 120_000_000;
-/// Significant digits that are kept: a summary takes some ten kilobytes.
+/// Significant decimal digits of the histogram. A summary takes about ten kilobytes.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Quantiles that are shown.
+/// Exported quantiles.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 
-/// Durations of one kind.
+/// A summary of durations of one kind.
 pub(super) struct DurationSummary {
-    /// None only if its bounds were refused: then all quantiles are 0.
+    /// `None` only if the histogram rejects its bounds; all quantiles are then 0.
     histogram: Option<Histogram<u32>>,
     sum_s: f64,
     count: u64,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Appends the summary's lines. `labels`: the summary's own labels, possibly none.
+    /// Appends the summary's lines. `labels` are the summary's own labels; may be empty.
     pub(super) fn render(&self, out: &mut String, name: &str, labels: &str) {
         let separator = if labels.is_empty() { "" } else { "," };
         for quantile in QUANTILES {
--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -34,7 +34,7 @@
     );
 }
 
-/// One call of each kind, and one that is not timed.
+/// Returns one call of each kind, and one that is not timed.
 fn calls() -> Vec<(Destination, Method, &'static str)> {
     let worker = "127.0.0.1:9000".parse().expect("an address");
     vec![
@@ -66,7 +66,7 @@
     ]
 }
 
-/// Every name, label and type on the page, with one value of each.
+/// Pins every name, label and type on the page, with one value of each.
 #[test]
 fn rendered_page_keeps_its_form() {
     let mut m = Metrics::new(true);
@@ -115,7 +115,8 @@
     golden.check();
 }
 
-/// Beyond 2,048 open requests the others were not timed.
+/// Guards against a bound that is too small: requests beyond the first 2,048 open ones were not
+/// timed.
 #[test]
 fn all_requests_of_a_large_fleet_are_timed_and_memory_is_bounded() {
     let mut m = Metrics::new(true);
--- a/crates/controller/src/node/admin.rs
+++ b/crates/controller/src/node/admin.rs
@@ -1,10 +1,10 @@
-//! The operators' interface: requests are routed to the replicas of this controller, to the
-//! user API or to the leader.
+//! The admin API for operators: routes requests to this controller's replicas, to the user API or
+//! to the leader.
 //!
-//! - [`leader_queries`]: what only the leader knows, asked and answered.
-//! - [`views`]: answers from the replicas of this controller.
-//! - [`metrics_page`]: the page of metrics.
-//! - [`delegated`]: answers of the user API, put into the operators' form.
+//! - [`leader_queries`]: queries that only the leader can answer.
+//! - [`views`]: answers from this controller's replicas.
+//! - [`metrics_page`]: the metrics page.
+//! - [`delegated`]: converts answers of the user API to the admin API's format.
 
 mod delegated;
 mod leader_queries;
@@ -26,14 +26,15 @@
 use beamhinge_core::types::{JobId, RequestId, Time, WallMs};
 
 impl Node {
-    /// Whether a pending query of an operator has this need.
+    /// Returns whether the predicate `need` holds for the pending queries; `false` without an
+    /// admin API.
     pub(super) fn admin_needs(&self, need: fn(&PendingQueries) -> bool) -> bool {
         self.admin_api
             .as_ref()
             .is_some_and(|api| need(&api.pending))
     }
 
-    /// A request came in on the operators' listener.
+    /// Handles a request on the operators' listener.
     pub(super) fn on_admin_request(
         &mut self,
         now: Time,
@@ -202,7 +203,7 @@
                           operators' file of every controller";
             return admin_api::refuse(out, request, 409, Code::Refused, reason);
         }
-        // Only the leader knows the fleet; on other controllers nobody is warned.
+        // Only the leader knows the fleet's capacity; followers answer without a warning.
         let machine_types = self.fleet.machine_types();
         let scheduler = self.scheduler.as_ref().filter(|s| s.loaded());
         let fleet_cpus = scheduler.map(|s| s.totals(now, self.wall, machine_types).cpus);
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Answers changes of the configuration that were decided.
+    /// Answers the requests whose configuration changes were decided.
     pub(super) fn answer_configuration_changes(
         &self,
         responses: Vec<(RequestId, ChangeResponse)>,
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Answers changes of directives that were decided.
+    /// Answers the requests whose directive changes were decided.
     pub(super) fn answer_directive_changes(
         &self,
         responses: Vec<(RequestId, DirectiveResponse)>,
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Answers the queries that can be answered by now, and gives up those that are overdue.
+    /// Answers the pending queries that can be answered now, and refuses those that are overdue.
     pub(super) fn run_admin_api(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
         let Some(admin_api) = &mut self.admin_api else {
             return;
@@ -292,7 +293,7 @@
         }
     }
 
-    /// Answers a query from the replicas.
+    /// Answers a query from this controller's replicas.
     fn answer_local(&mut self, now: Time, wall: WallMs, query: LocalQuery, out: &mut Vec<Effect>) {
         let to = query.request;
         match query.target {
--- a/crates/controller/src/node/admin/delegated.rs
+++ b/crates/controller/src/node/admin/delegated.rs
@@ -1,4 +1,4 @@
-//! Answers that the user API wrote for an operator's request, put into the operators' form.
+//! Converts the user API's answers to delegated operator requests to the admin API's format.
 
 use super::super::Node;
 use crate::admin_api;
@@ -8,7 +8,7 @@
 use beamhinge_core::wire;
 use serde::Deserialize;
 
-/// The body of an answer to a user.
+/// Body of an answer of the user API.
 #[derive(Deserialize)]
 struct UserAnswer {
     #[serde(rename = "nameId")]
@@ -18,7 +18,7 @@
 }
 
 impl Node {
-    /// Rewrites the answers of this step that an operator waits for.
+    /// Rewrites the answers among these effects that belong to delegated operator requests.
     pub(in crate::node) fn rewrite_delegated(&mut self, effects: &mut [Effect]) {
         let Some(admin_api) = &mut self.admin_api else {
             return;
@@ -50,7 +50,7 @@
     }
 }
 
-/// The operators' form of one answer to a user.
+/// Converts one answer of the user API to the admin API's format.
 fn rewrite(to: RequestId, status: u16, body: &[u8]) -> Option<Effect> {
     let mut out = Vec::new();
     let answer = wire::decode::<UserAnswer>(body).ok();
@@ -70,7 +70,7 @@
     out.pop()
 }
 
-/// The code of a refusal with this status.
+/// Returns the error code of a refusal with this HTTP status.
 fn code_of(status: u16) -> Code {
     match status {
         400 => Code::Malformed,
--- a/crates/controller/src/node/admin/leader_queries.rs
+++ b/crates/controller/src/node/admin/leader_queries.rs
@@ -1,5 +1,5 @@
-//! Queries that only the leader can answer: sent to it, answered as the leader, and the
-//! responses.
+//! Queries that only the leader can answer: a follower forwards them to the leader, the leader
+//! answers them, and the response is passed to the client.
 
 use super::super::Node;
 use crate::admin_api::{self, LeaderQuery, Requester, ResponseMerge, MAX_ANSWER_BYTES};
@@ -15,14 +15,14 @@
 use beamhinge_core::types::{JobId, MachineId, RequestId, Time, WallMs};
 use serde::Serialize;
 
-/// A response as it travels to the controller that asked: HTTP status and JSON.
+/// The leader's response as sent to the controller that forwarded the query: HTTP status and JSON.
 struct LeaderResponse {
     status: u16,
     body: Vec<u8>,
 }
 
 impl LeaderResponse {
-    /// The leader cannot answer just now.
+    /// The response of a controller that cannot answer at present.
     fn unavailable() -> LeaderResponse {
         LeaderResponse {
             status: 503,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A value, if it fits into a frame.
+    /// Encodes a value as JSON. If it does not fit into a frame, the response is `unavailable`.
     fn json<T: Serialize>(value: &T) -> LeaderResponse {
         match serde_json::to_vec(value) {
             Ok(body) if body.len() <= MAX_ANSWER_BYTES => LeaderResponse { status: 200, body },
@@ -51,13 +51,14 @@
     }
 }
 
-/// Tells a peer that its query is not answered here.
+/// Responds to a peer that its query is not answered here.
 pub(super) fn refuse_peer(label: String, serial: u64, out: &mut Vec<Effect>) {
     LeaderResponse::unavailable().send_to_peer(label, serial, out);
 }
 
 impl Node {
-    /// Sends a query to the leader. Without one, or where it is not known, nobody guesses.
+    /// Sends a query to the leader, or queues it here if this controller is the leader. If no
+    /// leader is known, the client is refused and must retry.
     pub(super) fn query_leader(
         &mut self,
         now: Time,
@@ -89,7 +90,7 @@
         });
     }
 
-    /// A peer takes this controller for the leader and sends it a query.
+    /// Handles a query from a peer that considers this controller the leader.
     pub(in crate::node) fn on_peer_query(
         &mut self,
         now: Time,
@@ -98,8 +99,8 @@
         query: &[u8],
         out: &mut Vec<Effect>,
     ) {
-        // Without an operators' listener of its own a controller answers no operators, not even
-        // through a peer: whoever runs it has not asked for that.
+        // A controller without an operators' listener answers no operators, not even through a
+        // peer: whoever runs it has not enabled that.
         let taken = match (postcard::from_bytes::<Query>(query), &mut self.admin_api) {
             (Ok(query), Some(admin_api)) if self.scheduler.is_some() => {
                 admin_api.receive_from_peer(now, from.clone(), serial, query)
@@ -111,7 +112,7 @@
         }
     }
 
-    /// The leader responded to a query that was sent to it.
+    /// Handles the leader's response to a forwarded query.
     pub(in crate::node) fn on_leader_response(
         &mut self,
         serial: u64,
@@ -127,8 +128,8 @@
         }
     }
 
-    /// Answers the queries for the leader, where this controller is it and its leadership was
-    /// confirmed after they came.
+    /// Answers the queries for the leader, if this controller is the leader and its leadership was
+    /// confirmed after the queries arrived.
     pub(super) fn answer_leader_queries(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
         let loaded = self.scheduler.as_ref().is_some_and(Scheduler::loaded);
         if !loaded || !self.entitled(now) {
@@ -188,7 +189,7 @@
                 limit,
             } => {
                 let own = scheduler.fencing_token().0;
-                // Serials of another leader say nothing here: the log is read from its start.
+                // Serial numbers of another leader mean nothing here: start at the oldest decision.
                 let after = if *token == own { *after } else { 0 };
                 let DecisionPage { decisions, missed } =
                     scheduler.event_log.decisions_after(after, *limit);
@@ -201,7 +202,7 @@
         }
     }
 
-    /// What the leader knows of an open job, and why its tasks wait; `None`: nothing.
+    /// Describes an open job's tasks and why they wait; `None` if the scheduler does not know it.
     fn placed_job(
         &self,
         now: Time,
@@ -251,7 +252,7 @@
     }
 }
 
-/// Answers a client by the leader's response.
+/// Answers a client with the leader's response.
 fn answer_client(
     request: RequestId,
     merge: ResponseMerge,
@@ -280,7 +281,7 @@
     }
 }
 
-/// Answers a query for an open job by its row in the replica and what the leader knows of it.
+/// Answers a query for an open job with its row from the replica and the leader's placement data.
 fn answer_open_job(
     request: RequestId,
     mut row: JobRow,
--- a/crates/controller/src/node/admin/metrics_page.rs
+++ b/crates/controller/src/node/admin/metrics_page.rs
@@ -1,11 +1,11 @@
-//! The page of metrics. Names of metrics are a public interface.
+//! The metrics page. Metric names are a public interface.
 
 use super::super::Node;
 use crate::scheduler::Scheduler;
 use beamhinge_core::types::{Time, WallMs};
 
 impl Node {
-    /// The page as of now.
+    /// Renders the metrics page as of `now`.
     pub(in crate::node) fn metrics_page(&self, now: Time, wall: WallMs) -> String {
         let mut gauges = self.controller_gauges(now);
         let mut counters = Vec::new();
@@ -16,7 +16,7 @@
         self.metrics.render(&gauges, counters.into_iter())
     }
 
-    /// Gauges of every controller.
+    /// Returns the gauges that every controller exports.
     fn controller_gauges(&self, now: Time) -> Vec<(&'static str, f64)> {
         let store_age_s = self.store.last_success().map_or(-1.0, |t| now.since(t));
         let stalled_s = self.stall_detector.stalled_for_s(now).unwrap_or(0.0);
@@ -29,7 +29,7 @@
         ]
     }
 
-    /// Gauges of the leader.
+    /// Returns the gauges that only the leader exports.
     fn leader_gauges(
         &self,
         now: Time,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Counters of the leader: its decisions, and what became of its preemptions.
+/// Returns the leader's counters: its decisions by kind, and the outcomes of its preemptions.
 fn leader_counters(scheduler: &Scheduler) -> Vec<(&'static str, u64)> {
     let preemption = scheduler.preemption_stats();
     let mut counters: Vec<(&'static str, u64)> = scheduler.event_log.counts().collect();
--- a/crates/controller/src/node/admin/tests.rs
+++ b/crates/controller/src/node/admin/tests.rs
@@ -7,13 +7,13 @@
 use beamhinge_core::types::FencingToken;
 use beamhinge_priority_aging::AgingPolicy;
 
-/// Names and types of all figures on the page of a controller that leads.
+/// Pins the names and types of all metrics on the leader's metrics page.
 #[test]
 fn metrics_page_of_leader_matches_golden_file() {
     let now = Time::from_micros(1_000_000);
-    let settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
-    let operator =
-        OperatorSettings::parse("t", "[operators]\nlisten = 127.0.0.1:1\n").expect("sound");
+    let settings = Settings::parse("t", SAMPLE).expect("valid sample settings");
+    let operator = OperatorSettings::parse("t", "[operators]\nlisten = 127.0.0.1:1\n")
+        .expect("valid operator settings");
     let policy = AgingPolicy::new(Default::default());
     let log = EventLog::new(true);
     let mut scheduler = Scheduler::new(
@@ -25,7 +25,7 @@
         now,
     );
     let mut node = Node::new(settings, operator, Vec::new(), 7, now);
-    // Nothing is stored: the copy of the jobs, the pages and the shelves are read as empty.
+    // The store is empty: the job replica, the placement pages and the progress pages load empty.
     let empty = |tag: Tag| {
         let body = serde_json::json!({"pairs": [], "ledgerRev": 9});
         Reply {
--- a/crates/controller/src/node/admin/views.rs
+++ b/crates/controller/src/node/admin/views.rs
@@ -1,4 +1,4 @@
-//! Answers to operators from the replicas of this controller.
+//! Answers to operators from this controller's replicas.
 
 use super::super::Node;
 use crate::admin_api::{self, ResponseMerge, MAX_JOBS_VISITED};
@@ -11,21 +11,21 @@
 use beamhinge_core::messages::{Effect, TaskCounts};
 use beamhinge_core::types::{JobId, RequestId, Time, WallMs};
 
-/// Age of a peer's last heartbeat, and of its last exchange with the key-value store, up to
-/// which it counts as ready, seconds.
+/// Maximum age of a peer's last heartbeat, and of its last exchange with the key-value store, for
+/// the peer to count as ready, seconds.
 const MAX_READY_AGE_S: f64 = 3.0;
-/// A peer that reports a greater age of its last exchange never had one, seconds.
+/// A peer that reports an older last exchange with the key-value store never had one, seconds.
 const MAX_REPORTED_STORE_AGE_S: f64 = 1e5;
 
 impl Node {
-    /// The directives in force.
+    /// Returns the directives in force.
     pub(super) fn directives_view(&self) -> Directives {
         let active_directives = self.directives.active_directives();
         let directives = active_directives.iter().map(|d| (**d).clone()).collect();
         Directives { directives }
     }
 
-    /// The teams in effect here, and how far the newest version is rolled out.
+    /// Returns the teams in effect here, and the rollout status of the newest version.
     pub(super) fn configuration_view(&self) -> ConfigurationView {
         let rollout = self.configuration.rollout();
         let effective = self.configuration.effective();
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Answers a query for one job: from the replica if it is over, else with the leader's
-    /// help.
+    /// Answers a query for one job: from the replica if the job has ended, otherwise with a query
+    /// to the leader.
     pub(super) fn answer_job(
         &mut self,
         now: Time,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// One job as the replica and the leader's reports of progress show it.
+    /// Builds a job's row from the replica and the leader's progress reports.
     fn job_row(&self, wall: WallMs, id: JobId, entry: &JobEntry) -> JobRow {
         let counts = match entry.state {
             JobState::Open => self
@@ -131,7 +131,7 @@
         }
     }
 
-    /// One page of jobs. It ends with `limit` rows or after [`MAX_JOBS_VISITED`] jobs,
+    /// Returns one page of jobs. It ends after `limit` rows or [`MAX_JOBS_VISITED`] visited jobs,
     /// whichever comes first; the cursor is the last job that was visited.
     pub(super) fn job_page(&self, wall: WallMs, filter: &JobFilter) -> JobPage {
         let after = filter.after.as_deref().and_then(JobId::parse);
@@ -146,7 +146,7 @@
                 break;
             }
             last = Some(*id);
-            // Most of a long list is passed over by its state alone, without reading names.
+            // Most jobs of a long list are skipped by their state alone, without reading names.
             if !may_match(filter, entry.state) {
                 continue;
             }
@@ -158,7 +158,7 @@
         page
     }
 
-    /// All controllers, this one first.
+    /// Returns a row for each controller, this one first.
     pub(super) fn node_rows(&self, now: Time) -> Vec<NodeRow> {
         let own = &self.settings.label;
         let own_row = NodeRow {
@@ -177,7 +177,7 @@
         std::iter::once(own_row).chain(peer_rows).collect()
     }
 
-    /// Another controller as this one hears of it.
+    /// Builds the row of a peer from its heartbeats and announcements.
     fn peer_row(&self, now: Time, label: &str) -> NodeRow {
         let leader = self.peers.leader(now).or(self.election.other_leader());
         let leads = leader == Some(label);
@@ -192,7 +192,7 @@
                 .filter(|age| *age < MAX_REPORTED_STORE_AGE_S),
             heard_s: status.map(|peer| peer.heartbeat_age_s),
             ready: status.is_some_and(|peer| {
-                // Reported explicitly only while some controller is drained.
+                // Peers report their readiness explicitly only while some controller is drained.
                 peer.heartbeat_age_s < MAX_READY_AGE_S
                     && (peer.ready || peer.store_age_s < MAX_READY_AGE_S)
             }),
@@ -209,7 +209,7 @@
     filter.states.is_empty() || filter.states.contains(&state)
 }
 
-/// Whether a job in this state can match the filter.
+/// Returns whether a job in this state can match the filter.
 fn may_match(filter: &JobFilter, state: JobState) -> bool {
     match state {
         JobState::Done => wants_state(filter, State::Done),
@@ -220,7 +220,7 @@
     }
 }
 
-/// Whether a job matches all conditions of the filter.
+/// Returns whether a job matches all conditions of the filter.
 fn matches(filter: &JobFilter, row: &JobRow) -> bool {
     let is = |want: &Option<String>, have: &Option<String>| want.is_none() || want == have;
     let aged = |bound: Option<f64>, ok: fn(f64, f64) -> bool| {
--- a/crates/controller/src/node/frames.rs
+++ b/crates/controller/src/node/frames.rs
@@ -1,4 +1,4 @@
-//! Frames of peers.
+//! Handles frames from peers.
 
 use super::Node;
 use beamhinge_core::messages::Effect;
@@ -6,7 +6,7 @@
 use beamhinge_core::types::{FencingToken, JobId, MachineId, Time};
 
 impl Node {
-    /// A peer sent a frame.
+    /// Handles a frame from a peer.
     pub(super) fn on_peer_frame(&mut self, now: Time, frame: Frame, out: &mut Vec<Effect>) {
         match frame {
             Frame::Heartbeat {
@@ -65,7 +65,7 @@
         let fencing_token = FencingToken(token);
         self.leader_detector.on_heartbeat(now, label, fencing_token);
         self.peers.on_leader_announcement(now, label, fencing_token);
-        // Guard 1: a higher token was issued, so this controller's own term is over.
+        // Guard 1: if a higher fencing token was issued, this controller's term has ended.
         let change = self.election.on_token_claim(now, token);
         self.on_leadership_change(now, change);
     }
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -1,4 +1,4 @@
-//! What begins and ends with a term of this controller as the leader.
+//! The start and end of this controller's terms as the leader.
 
 use super::{follower_share, leader_share, stalled_after_s, Node, LEADER_ADMISSION_SHARE};
 use crate::event_log::EventLog;
@@ -10,7 +10,7 @@
 use beamhinge_priority_aging::AgingPolicy;
 
 impl Node {
-    /// The leadership of this controller may have changed.
+    /// Handles a possible change of this controller's leadership.
     pub(super) fn on_leadership_change(&mut self, now: Time, change: LeadershipChange) {
         match change {
             LeadershipChange::Unchanged => {}
@@ -25,8 +25,8 @@
     }
 
     fn begin_term(&mut self, now: Time, token: FencingToken) {
-        // The directives in force as of now must be known before anything is placed: a drained
-        // machine gets nothing new.
+        // The directives in force must be read again before any task is placed: a drained machine
+        // gets no new tasks.
         self.directives.request_refresh();
         self.metrics.on_leadership_acquired(now);
         self.scheduler = Some(self.new_scheduler(now, token));
@@ -44,7 +44,7 @@
         self.job_store.request_refresh();
     }
 
-    /// The scheduler of a new term, with the directives and teams as they are known.
+    /// Creates the scheduler of a new term from the replicas of directives and teams.
     fn new_scheduler(&self, now: Time, token: FencingToken) -> Scheduler {
         let mut event_log = EventLog::new(self.admin_api.is_some());
         event_log.set_time(self.wall);
@@ -61,7 +61,7 @@
         if self.configuration.is_enabled() {
             scheduler.set_teams(now, self.configuration.effective());
         }
-        // Where a leader stalled not long ago, this one may stall at the same work.
+        // If a leader stalled recently, this one may stall on the same work.
         let memory_s = stalled_after_s(&self.settings) * 6.0;
         let mut stalled_at = self.stalled_leaders.values();
         if stalled_at.any(|at| now.since(*at) < memory_s) {
@@ -70,14 +70,14 @@
         scheduler
     }
 
-    /// Whether operators have drained this controller.
+    /// Returns whether operators have drained this controller.
     pub(super) fn drained(&self) -> bool {
         self.directives
             .active_directives()
             .controller_drained(&self.settings.label)
     }
 
-    /// Seconds since the last successful exchange with the key-value store; very many if there
+    /// Seconds since the last successful exchange with the key-value store; one million if there
     /// was none.
     pub(super) fn store_age_s(&self, now: Time) -> f64 {
         self.store.last_success().map_or(1e6, |t| now.since(t))
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -1,15 +1,15 @@
-//! One controller: the composition root of its parts.
+//! The controller: wires its components together.
 //!
-//! Events and the time go in, [`Effect`]s come out. Nothing here touches a socket or a clock, so
-//! tests run whole clusters in simulated time. Each part owns its state and sees that of others
-//! by references that are passed to it here:
+//! [`Node`] receives events with the current time and returns [`Effect`]s. It never accesses a
+//! socket or a clock, so tests run whole clusters in simulated time. Each component owns its
+//! state and reads the state of others through references that [`Node`] passes to it:
 //!
-//! - [`user_requests`], [`worker_reports`]: the listener of users and workers;
-//! - [`admin`]: the operators' listener;
+//! - [`user_requests`], [`worker_reports`]: requests on the listener for users and workers;
+//! - [`admin`]: requests on the operators' listener;
 //! - [`replies`]: replies to calls; [`worker_calls`]: calls to workers;
-//! - [`frames`]: frames of peers;
-//! - [`timers`]: what is done as time passes; [`supervision`]: when the leadership is given up
-//!   or taken early; [`leadership`]: what a term begins and ends with.
+//! - [`frames`]: frames from peers;
+//! - [`timers`]: periodic work; [`supervision`]: when to step down from the leadership and when
+//!   to acquire it early; [`leadership`]: the start and end of a term.
 
 mod admin;
 mod frames;
@@ -47,19 +47,20 @@
 use beamhinge_standby::FailureDetector;
 use std::collections::BTreeMap;
 
-/// Index of the operators' listener in the list of a controller's listeners; the first is that
-/// of users and workers.
+/// Index of the operators' listener in the list of a controller's listeners. Index 0 is the
+/// listener for users and workers.
 pub const ADMIN_LISTENER: usize = 1;
-/// Nonces that are remembered: each is kept for twice the allowed difference of clocks, so this
+/// Maximum number of remembered nonces. Each is kept for twice the allowed clock skew, so this
 /// bounds the rate of signed requests.
 const MAX_NONCES: usize = 8_192;
-/// Rounds of [`Node::run`] after one event: what remains is done with the next event.
+/// Maximum number of rounds of [`Node::run`] per event. Remaining work is done at the next event.
 const MAX_ROUNDS: usize = 4;
-/// Share of a leader's writes for accepting jobs, while placements and ends wait: each accepted
-/// job costs it one more write when it ends, and a row for its tasks.
+/// Share of the leader's write rate that job admission may use while placements or task ends
+/// wait to be written. Each admitted job costs the leader another write when it ends, and a row
+/// for its tasks.
 const LEADER_ADMISSION_SHARE: f64 = 0.3;
 
-/// One controller.
+/// A controller process.
 pub struct Node {
     settings: Settings,
     operator: OperatorSettings,
@@ -67,48 +68,49 @@
     job_store: JobStore,
     user_api: UserApi,
     election: LeaderElection,
-    /// Exists while this controller is the leader.
+    /// `Some` while this controller is the leader.
     scheduler: Option<Scheduler>,
     fleet: Fleet,
     peers: PeerTable,
-    /// Number of the last call.
+    /// Id of the last call that was issued.
     next_call: u64,
-    /// Silent machines that were probed, and when.
+    /// Unreachable machines that were probed, and when each was last probed.
     probed_at: BTreeMap<MachineId, Time>,
-    /// Machines to whose workers the fencing token of this term was announced, and when.
+    /// Machines to whose workers this term's fencing token was announced, and when.
     token_announced_at: BTreeMap<MachineId, Time>,
-    /// Calls to workers in flight.
+    /// Calls to workers that are in flight.
     worker_calls: BTreeMap<CallId, MachineId>,
     started: Time,
-    /// When this controller last gave the leadership up because it heard too few workers.
+    /// When this controller last stepped down because too few workers reported to it.
     stepped_down_at: Option<Time>,
     supervised_at: Time,
     pause_detector: PauseDetector,
-    /// Machines that report here though this controller does not lead.
+    /// Machines that report to this controller although it is not the leader.
     misrouted_workers: MisroutedWorkers,
     misrouted_announced_at: Time,
-    /// Machines that peers hear of, for the leader.
+    /// Machines that report to peers instead; used by the leader.
     peer_observations: PeerObservations,
-    /// Watches the leader while this controller does not lead.
+    /// Monitors the leader while this controller is a follower.
     leader_detector: FailureDetector,
     leader_heartbeat_sent_at: Time,
     stall_detector: StallDetector,
-    /// Controllers that stalled as the leader, and when they last did.
+    /// Controllers that stalled as the leader, and when each last stalled.
     stalled_leaders: BTreeMap<String, Time>,
     directives: Directives,
     configuration: Configuration,
-    /// `None` where no address of an operators' listener is set.
+    /// `None` if no address for the operators' listener is configured.
     admin_api: Option<AdminApi>,
     metrics: Metrics,
     metrics_sampled_at: Time,
-    /// Time of day at the last event.
+    /// Wall-clock time of the last event.
     wall: WallMs,
     faults: Faults,
 }
 
 impl Node {
-    /// A controller that starts at `now`. `keys`: who may use the operators' listener; without
-    /// any, everybody on loopback. `nonce` identifies the process.
+    /// Creates a controller that starts at `now`. `keys` authenticate the callers of the
+    /// operators' listener; without keys, every caller on loopback is accepted. `nonce`
+    /// identifies the process.
     pub fn new(
         settings: Settings,
         operator: OperatorSettings,
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Injects faults; for tests that must find them.
+    /// Injects faults, for tests that must detect them.
     #[cfg(feature = "faults")]
     pub fn inject_faults(&mut self, faults: Faults) {
         self.faults = faults;
@@ -174,17 +176,18 @@
         self.configuration.half_applied = faults.half_applied;
     }
 
-    /// Whether this controller is the leader.
+    /// Returns whether this controller is the leader.
     pub fn is_leader(&self) -> bool {
         self.scheduler.is_some()
     }
 
-    /// The scheduler, where this controller is the leader.
+    /// Returns the scheduler, or `None` if this controller is not the leader.
     pub fn scheduler(&self) -> Option<&Scheduler> {
         self.scheduler.as_ref()
     }
 
-    /// Called at the start of each event: notes the time, and a pause of the process before it.
+    /// Records the wall-clock time of an event, and detects whether the process was paused before
+    /// it. Called at the start of each event.
     fn begin_event(&mut self, now: Time, wall: WallMs) {
         self.wall = wall;
         if let Some(paused_s) = self.pause_detector.observe(now) {
@@ -195,11 +198,12 @@
         }
     }
 
-    /// Called at the end of each event; `before`: where its effects begin in `out`.
+    /// Announces ended jobs and post-processes the effects of an event. Called at the end of each
+    /// event; `before` is the index in `out` of the event's first effect.
     fn end_event(&mut self, now: Time, before: usize, out: &mut Vec<Effect>) {
         let ended = self.user_api.take_announcements();
         if !ended.is_empty() && !broken!(self.faults, no_word) {
-            // Ahead of the answers that tell the ends.
+            // Announce to peers before sending the answers that report these ends to users.
             let frames = Frame::jobs_ended(&ended).into_iter();
             let effects = frames.map(|frame| Effect::SendFrame {
                 to: None,
@@ -212,7 +216,8 @@
         self.metrics.on_effects(now, effects);
     }
 
-    /// Runs all parts until nothing more follows from what is known.
+    /// Runs all components. Repeats, for at most [`MAX_ROUNDS`] rounds, while the store client
+    /// refuses queued requests, whose callers must handle the refusals.
     fn run(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
         for _ in 0..MAX_ROUNDS {
             self.election.tick(now, &mut self.store);
@@ -235,7 +240,7 @@
         }
     }
 
-    /// Keeps the replicas as fresh as somebody needs them, and decides on pending changes.
+    /// Refreshes the replicas as far as pending requests require it, and decides pending changes.
     fn tick_replicas(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
         let needs_fresh_jobs =
             self.user_api.needs_fresh_jobs() || self.admin_needs(PendingQueries::needs_fresh_jobs);
@@ -267,7 +272,7 @@
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
-        // Directives and teams as of before the takeover may have changed since.
+        // Directives and teams that were read before the leadership acquisition may have changed.
         let acquired_at = scheduler.acquired_at();
         let is_current = |fresh: Option<Time>| fresh.is_some_and(|at| at >= acquired_at);
         let teams_known =
@@ -356,13 +361,13 @@
     }
 }
 
-/// How long a leader may commit nothing while there is work, before it counts as stalled.
+/// How long a leader with pending work may commit nothing before it counts as stalled, seconds.
 fn stalled_after_s(settings: &Settings) -> f64 {
     (settings.params.workers.lease_s * 0.5).clamp(5.0, 15.0)
 }
 
-/// The leader's share of the rate limit of the key-value store, which holds for all controllers
-/// together. The leader does most of the work; a tenth is left for the differences of clocks
+/// The leader's share of the key-value store's rate limit, which all controllers share. The
+/// leader does most of the work; a tenth of the limit stays unused to absorb clock differences
 /// and late arrivals.
 fn leader_share(settings: &Settings) -> f64 {
     if settings.members.is_empty() {
@@ -372,7 +377,7 @@
     }
 }
 
-/// The share of each other controller.
+/// Each follower's share of the key-value store's rate limit.
 fn follower_share(settings: &Settings) -> f64 {
     0.35 / settings.members.len().max(1) as f64
 }
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -1,4 +1,5 @@
-//! Replies to calls, by whoever waits for them: the key-value store, the cloud and workers.
+//! Routes replies from the key-value store, the cloud and workers to the components that wait for
+//! them.
 
 use super::Node;
 use crate::calls::Tag;
@@ -9,7 +10,7 @@
 use beamhinge_core::messages::{Effect, TaskCounts};
 use beamhinge_core::types::{CallId, JobId, Time, WallMs};
 
-/// Task counts from the scheduler, where this controller is the leader.
+/// Task counts from the scheduler; it is `None` if this controller is not the leader.
 struct SchedulerCounts<'a>(Option<&'a Scheduler>);
 
 impl TaskCountSource for SchedulerCounts<'_> {
@@ -19,7 +20,7 @@
 }
 
 impl Node {
-    /// A call was answered (HTTP status and body), or failed (`None`).
+    /// Handles the reply to a call (HTTP status and body), or its failure (`None`).
     pub(super) fn on_call_reply(
         &mut self,
         now: Time,
@@ -43,7 +44,7 @@
         self.run(now, wall, out);
     }
 
-    /// Routes a reply of the key-value store to the part that waits for it.
+    /// Routes a reply from the key-value store to the component that waits for it.
     pub(super) fn route_store_reply(
         &mut self,
         now: Time,
@@ -121,7 +122,7 @@
         self.propagate_jobs(now);
     }
 
-    /// Passes jobs that changed in the replica on to the scheduler.
+    /// Passes the jobs that changed in the replica to the scheduler.
     fn propagate_jobs(&mut self, now: Time) {
         let changed = self.job_store.take_changed();
         if let Some(scheduler) = self.scheduler.as_mut().filter(|s| s.loaded()) {
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Passes directives on to the scheduler if they changed.
+    /// Passes the directives to the scheduler if they changed.
     fn propagate_directives(&mut self, now: Time) {
         if !self.directives.take_changed() {
             return;
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Passes the teams in effect on to the scheduler if they changed: placements are decided
-    /// by them from here on.
+    /// Passes the teams in effect to the scheduler if they changed. Later placements are decided
+    /// by them.
     fn propagate_teams(&mut self, now: Time) {
         if !self.configuration.take_changed() {
             return;
--- a/crates/controller/src/node/supervision.rs
+++ b/crates/controller/src/node/supervision.rs
@@ -1,5 +1,5 @@
-//! When a controller gives the leadership up, and when it takes it before the lease of the
-//! leader has expired.
+//! Decides when a controller steps down from the leadership, and when it acquires the leadership
+//! before the leader's session lease has expired.
 
 use super::timers::broadcast;
 use super::Node;
@@ -9,13 +9,14 @@
 use beamhinge_failure_detection::ProgressSnapshot;
 use beamhinge_standby::{takeover_rank, Observer};
 
-/// A leader whose last exchange with the key-value store is older does not count as stalled:
-/// the store may be away, seconds.
+/// Maximum age of the last exchange with the key-value store for a leader to count as stalled,
+/// seconds. Beyond it, the store itself may be unreachable.
 const MAX_STALL_STORE_AGE_S: f64 = 2.5;
 
 impl Node {
-    /// A drained controller hands the leadership to one that is ready, and acquires none while
-    /// there is such a one. Without one it goes on: that some controller leads matters more.
+    /// If this controller is drained and a successor is ready, transfers the leadership to it, or
+    /// as a follower defers its own candidacy. Without a successor it continues: having a leader
+    /// matters more than the drain.
     pub(super) fn yield_if_drained(&mut self, now: Time) {
         if !self.drained() || !self.peers.has_successor(now) {
             return;
@@ -27,8 +28,9 @@
         }
     }
 
-    /// A leader that reaches the key-value store and yet commits nothing while there is work is
-    /// stalled, however healthy it looks: another controller takes over, with a slow start.
+    /// Steps down if this leader is stalled: it reaches the key-value store, work is pending, and
+    /// it commits nothing. Other health signs do not matter. The next leader begins with a slow
+    /// start.
     pub(super) fn step_down_if_stalled(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(scheduler) = &self.scheduler else {
             return;
@@ -44,7 +46,7 @@
         let stalled_s = self.stall_detector.stalled_for_s(now).unwrap_or_default();
         tracing::error!(
             stalled_s,
-            "stalled: the key-value store answers, there is work, and nothing was committed"
+            "leader stalled: the key-value store is reachable but pending work is not committed"
         );
         let label = self.settings.label.clone();
         self.stalled_leaders.insert(label.clone(), now);
@@ -60,8 +62,8 @@
         self.on_leadership_change(now, change);
     }
 
-    /// A leader that cannot hear most of its workers would watch their leases expire. If it is
-    /// the one cut off, another controller hears them.
+    /// Hands the leadership over if most workers cannot reach this leader: their leases would
+    /// expire. If this controller is the partitioned one, another controller can reach them.
     pub(super) fn step_down_if_disconnected(&mut self, now: Time) {
         let Some(scheduler) = self.scheduler.as_ref().filter(|s| s.loaded()) else {
             return;
@@ -71,13 +73,13 @@
         if self.settings.members.is_empty() || since_acquired_s < workers.report_s * 3.0 + 3.0 {
             return;
         }
-        // Nothing is concluded from this controller's own absence.
+        // Missing reports prove nothing right after this process itself was paused.
         let resumed_for_s = self.pause_detector.resumed_for_s(now);
         if resumed_for_s.is_some_and(|s| s < workers.report_s * 2.5 + 2.0) {
             return;
         }
         let since_stepped_down_s = self.stepped_down_at.map(|at| now.since(at));
-        // Peers hear more workers: the leadership is of more use there, at once.
+        // If peers receive reports from more workers, one of them should lead, without delay.
         let connectivity = self.fleet.connectivity();
         let recently = since_stepped_down_s.is_some_and(|s| s < workers.lease_s);
         let peers_hear_more = connectivity.reaches_fewer_than_peers();
@@ -86,14 +88,15 @@
             tracing::warn!(
                 reporting = connectivity.reporting,
                 heard_by_peers = connectivity.heard_by_peers,
-                "stepped down: peers hear more workers"
+                "stepped down: more workers report to peers"
             );
             let change = self.election.step_down(now, &mut self.store);
             return self.on_leadership_change(now, change);
         }
-        // Machines that are gone are silent to every controller. One that has stepped down
-        // already, and leads again, stays until silence is proof; otherwise the leadership
-        // would go round for ever and nothing would be proven.
+        // Lost machines are unreachable from every controller. A controller that has stepped down
+        // once and leads again keeps the leadership until the missing reports prove that the
+        // machines are lost; otherwise the leadership would rotate endlessly and no loss would
+        // ever be proven.
         let proof_s = self.settings.serving_deadline_s() + workers.lease_s;
         if since_stepped_down_s.is_some_and(|s| s < proof_s * 3.0 + 30.0) {
             return;
@@ -101,16 +104,21 @@
         let (heard, silent) = scheduler.liveness_counts(now);
         if silent >= 2 && silent > heard * 2 {
             self.stepped_down_at = Some(now);
-            // No controller is known to hear more. One that does takes the leadership at once;
-            // until then this one goes on: a leader that stepped down for nobody would leave a
-            // whole fleet to its leases.
-            tracing::info!(heard, silent, "offered leadership: most workers are silent");
+            // No peer is known to receive more reports. A peer that does acquires the leadership
+            // at once; until then this controller continues to lead. Stepping down without a
+            // successor would let the leases of the whole fleet expire.
+            tracing::info!(
+                heard,
+                silent,
+                "offered leadership: most workers are unreachable"
+            );
             self.election.transfer(now, &mut self.store);
         }
     }
 
-    /// The leader's heartbeats stay away and its workers report here: it is gone, and the next
-    /// controller in order acquires the leadership before the lease has expired.
+    /// Acquires the leadership before the leader's lease has expired, if the leader is presumed
+    /// dead (its heartbeats have stopped and its workers report here) and this controller is the
+    /// next in the takeover order.
     pub(super) fn fail_over_early(&mut self, now: Time) {
         if self.scheduler.is_some() || !self.leader_detector.is_silent(now) || self.drained() {
             return;
@@ -119,14 +127,14 @@
         let leader = self.election.other_leader().unwrap_or("").to_string();
         let own = Observer {
             store_age_s: self.store_age_s(now),
-            // What changed since is read after the takeover, before anything is placed.
+            // Later changes are read after the leadership acquisition, before tasks are placed.
             jobs_loaded: self.job_store.loaded(),
             resumed_for_s: self.pause_detector.resumed_for_s(now),
             rank: takeover_rank(&leader, &self.settings.label, members),
         };
         let suspect = self.leader_detector.suspect(now, own);
         if let Some(gone) = suspect.filter(|gone| *gone == leader) {
-            tracing::info!(leader = %gone, "acquiring leadership: the leader is gone");
+            tracing::info!(leader = %gone, "acquiring leadership early: leader presumed dead");
             self.election.presume_dead(gone);
             self.election.tick(now, &mut self.store);
         }
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -1,4 +1,4 @@
-//! What a controller does as time passes, and what it announces to its peers periodically.
+//! Periodic work of a controller, including its periodic announcements to peers.
 
 use super::Node;
 use crate::fleet::MAX_PEER_OBSERVATION_AGE_S;
@@ -12,12 +12,12 @@
 const PEER_HEARTBEAT_INTERVAL_S: f64 = 1.0;
 /// Time between two announcements of misrouted workers, seconds.
 const MISROUTED_INTERVAL_S: f64 = 0.5;
-/// Time between two checks by the supervision, seconds.
+/// Time between two supervision checks, seconds.
 const SUPERVISION_INTERVAL_S: f64 = 0.5;
-/// Time between two samples of metrics, seconds.
+/// Time between two metric samples, seconds.
 const METRICS_INTERVAL_S: f64 = 1.0;
-/// A controller whose last exchange with the key-value store is older could not take over at
-/// once, seconds.
+/// Maximum age of the last exchange with the key-value store for a controller to be ready to
+/// take over the leadership at once, seconds.
 const MAX_READY_STORE_AGE_S: f64 = 3.0;
 
 /// Sends a frame to all peers.
@@ -29,13 +29,13 @@
 }
 
 impl Node {
-    /// Time has passed.
+    /// Runs the periodic work that is due at `now`.
     pub(super) fn advance_timers(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
         if now.since(self.leader_heartbeat_sent_at) >= HEARTBEAT_S {
             self.leader_heartbeat_sent_at = now;
             self.broadcast_leader_heartbeat(out);
         }
-        // On every tick: half a second more would delay an urgent start noticeably.
+        // Checked on every tick: another half second would noticeably delay urgent task starts.
         self.fail_over_early(now);
         if now.since(self.peers.last_sent) >= PEER_HEARTBEAT_INTERVAL_S {
             self.peers.last_sent = now;
@@ -66,9 +66,9 @@
         }
     }
 
-    /// Announces the fencing token to the peers: they supervise the leader by it. And a former
-    /// leader that is cut off from the key-value store alone would answer its workers for
-    /// seconds more; this ends its term.
+    /// Announces the leader's fencing token to the peers, which monitor the leader by this
+    /// heartbeat. It also ends the term of a former leader that is cut off from the key-value
+    /// store but not from its peers, which would otherwise answer its workers for seconds more.
     fn broadcast_leader_heartbeat(&self, out: &mut Vec<Effect>) {
         let Some(scheduler) = &self.scheduler else {
             return;
@@ -80,7 +80,7 @@
         broadcast(&heartbeat, out);
     }
 
-    /// Announces to the peers how this controller is and, as the leader, how the jobs progress.
+    /// Announces this controller's status to the peers and, as the leader, the progress of jobs.
     fn broadcast_heartbeat(&self, now: Time, out: &mut Vec<Effect>) {
         let store_age_s = self.store_age_s(now);
         let heartbeat = Frame::Heartbeat {
@@ -89,8 +89,8 @@
             leader: self.scheduler.is_some(),
         };
         broadcast(&heartbeat, out);
-        // Only where it matters: the version before this one does not know the frame, and
-        // closes the link at it.
+        // Sent only while some controller is drained: the previous version does not know this
+        // frame and closes the connection when it receives one.
         if self.directives.active_directives().any_controller_drained() {
             let readiness = Frame::Readiness {
                 label: self.settings.label.clone(),
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Announces to the leader the workers that report here instead: they are alive, whatever
-    /// it concludes from their silence.
+    /// Announces to the leader the machines whose workers report here instead. They are alive,
+    /// although the leader does not receive their reports.
     fn announce_misrouted_workers(&mut self, now: Time, out: &mut Vec<Effect>) {
         let machines = self
             .misrouted_workers
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Takes the samples of metrics that are figures of one moment.
+    /// Samples the metrics that describe a point in time.
     fn sample_metrics(&mut self, now: Time, wall: WallMs) {
         if self.admin_api.is_none() {
             return;
--- a/crates/controller/src/node/user_requests.rs
+++ b/crates/controller/src/node/user_requests.rs
@@ -1,4 +1,4 @@
-//! Requests on the listener of users and workers: routing, the health check and submissions.
+//! Requests on the listener for users and workers: routing, health check and job submission.
 
 use super::worker_messages::LeaderRedirect;
 use super::Node;
@@ -10,14 +10,14 @@
 use beamhinge_core::types::{JobId, RequestId, Time, WallMs};
 use beamhinge_core::wire;
 
-/// A controller whose last exchange with the key-value store is older reports itself as not
-/// healthy where others still reach it, seconds.
+/// Maximum age of the last exchange with the key-value store for a controller to be healthy while
+/// its peers still reach the store, seconds.
 const MAX_HEALTHY_STORE_AGE_S: f64 = 2.5;
-/// Time after its start in which a controller without the jobs is not healthy, and in which it
-/// does not conclude that it is cut off, seconds.
+/// Time after the start of a controller during which it is unhealthy until it has loaded the
+/// jobs, and during which it does not conclude that it is partitioned, seconds.
 const STARTUP_S: f64 = 5.0;
 
-/// A route's name on the metrics page.
+/// Returns the name of a route on the metrics page.
 pub(super) fn route_name(method: Method, path: &str) -> &'static str {
     match (method, path) {
         (_, "/up") => "up",
@@ -29,7 +29,7 @@
     }
 }
 
-/// Answers that a request is not executed, and why.
+/// Answers a request with an error status and a reason. Status 503 asks the caller to retry.
 pub(super) fn refuse(out: &mut Vec<Effect>, to: RequestId, status: u16, reason: &str) {
     let retry_after = (status == 503).then_some(1);
     out.push(Effect::Answer {
@@ -41,7 +41,7 @@
 }
 
 impl Node {
-    /// A request came in on the listener of users and workers.
+    /// Handles a request on the listener for users and workers.
     pub(super) fn on_user_request(
         &mut self,
         now: Time,
@@ -68,7 +68,7 @@
         self.run(now, wall, out);
     }
 
-    /// Routes a request on one job, by what follows `/api/jobs/`.
+    /// Routes a request for one job; `job_path` is the path after `/api/jobs/`.
     fn route_job(
         &mut self,
         now: Time,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Answers the load balancer whether users are to be sent here.
+    /// Answers the load balancer's health check.
     fn answer_health_check(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
         match self.unhealthy_reason(now) {
             Some(reason) => refuse(out, id, 503, reason),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Why users are better sent to another controller; `None`: they are not.
+    /// Returns why users are better served by another controller, or `None` if this one is healthy.
     fn unhealthy_reason(&self, now: Time) -> Option<&'static str> {
         let peers_reach_store = self.peers.peers_reach_store(now);
         if self.drained() && self.peers.has_successor(now) {
@@ -113,9 +113,9 @@
         if self.stall_detector.stalled_for_s(now).is_some() && peers_reach_store {
             return Some("this controller is stuck");
         }
-        // In an outage of the key-value store all controllers are equally impaired, and leaving
-        // the load balancer would only prolong it for the users. But where others still reach
-        // the store, they serve better.
+        // In an outage of the key-value store all controllers are equally impaired, and removing
+        // them from the load balancer would only prolong the outage for users. But if peers still
+        // reach the store, they serve users better.
         let stale = self.store_age_s(now) > MAX_HEALTHY_STORE_AGE_S;
         let starting = !self.job_store.loaded() && now.since(self.started) < STARTUP_S;
         if stale && (peers_reach_store || self.cut_off(now)) || starting {
@@ -124,11 +124,12 @@
         None
     }
 
-    /// Whether neither the key-value store nor any peer is heard from here: it is more likely
-    /// that this controller is cut off than that all of them are gone. Users who stay at such a
-    /// controller get no answers for as long as that lasts. A store that refuses is heard: in an
-    /// outage in which connections between controllers were refused as well, all controllers
-    /// would call themselves unhealthy, and the load balancer would be left with none.
+    /// Returns whether this controller reaches neither the key-value store nor any peer. A network
+    /// partition of this controller is then more likely than the failure of all others, and users
+    /// that stay with it get no answers while it lasts. A store that refuses requests counts as
+    /// reachable: otherwise, in an outage in which connections between controllers are refused as
+    /// well, all controllers would report themselves unhealthy and the load balancer would have no
+    /// controller left.
     fn cut_off(&self, now: Time) -> bool {
         let last_response = self.store.last_response();
         let refused = last_response.is_some_and(|t| now.since(t) < MAX_HEALTHY_STORE_AGE_S);
@@ -167,8 +168,9 @@
         }
     }
 
-    /// Whether a job can ever run here, by the teams in effect. A controller that does not know
-    /// them yet does not decide: a team may have been added.
+    /// Assesses whether a job can ever run in this cluster, given the teams in effect. A controller
+    /// that has not loaded the teams yet returns [`Feasibility::Unknown`]: the job's team may have
+    /// been added.
     pub(super) fn feasibility(&self, spec: &JobSpec) -> Feasibility {
         if !self.configuration.is_ready() {
             return Feasibility::Unknown;
--- a/crates/controller/src/node/worker_calls.rs
+++ b/crates/controller/src/node/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Calls from the leader to workers, outside of their reports.
+//! Direct calls from the leader to workers, independent of their reports.
 
 use super::worker_messages::DirectCommands;
 use super::Node;
@@ -10,23 +10,23 @@
 use beamhinge_core::wire;
 use std::net::SocketAddrV4;
 
-/// Calls in flight up to which silent machines are probed: each that is cut off holds a socket
-/// until the call times out.
+/// Maximum number of worker calls in flight at which unreachable machines are still probed. Each
+/// call to a machine behind a network partition occupies a socket until it times out.
 const MAX_PROBES_IN_FLIGHT: usize = 16;
-/// Time until the same machine is probed again, seconds.
+/// Minimum time between two probes of the same machine, seconds.
 const PROBE_INTERVAL_S: f64 = 3.0;
 /// Time-out of a call, seconds.
 const CALL_TIMEOUT_S: f64 = 2.0;
-/// How long after a takeover the token is announced to workers directly, seconds.
+/// How long after a leadership acquisition the token is announced to workers directly, seconds.
 const MAX_ANNOUNCEMENT_S: f64 = 60.0;
-/// Time until the token is announced to the same worker again, seconds.
+/// Minimum time between two announcements of the token to the same worker, seconds.
 const ANNOUNCEMENT_INTERVAL_S: f64 = 3.0;
-/// Workers to which the token is announced in one tick.
+/// Maximum number of workers to which the token is announced per tick.
 const MAX_ANNOUNCEMENTS_PER_TICK: usize = 8;
 
 impl Node {
-    /// After a takeover, workers that still report elsewhere learn the new fencing token
-    /// directly: a report to this controller follows at once.
+    /// After a leadership acquisition, announces the new fencing token to workers that have not
+    /// reported to this controller yet. Such a worker then reports here at once.
     pub(super) fn announce_token_to_workers(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(scheduler) = &self.scheduler else {
             return;
@@ -53,9 +53,8 @@
             .collect();
         for (machine, endpoint) in targets {
             self.token_announced_at.insert(machine, now);
-            // The incarnation is unknown: any number will do, since even a refusal for the
-            // incarnation is answered after the token was compared, and there is nothing to
-            // execute.
+            // The incarnation is unknown. Any number works: the worker compares the token before
+            // it refuses a wrong incarnation, and there are no commands to execute.
             let call = DirectCall {
                 machine,
                 endpoint,
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Calls the workers on whose machines tasks are to be killed.
+    /// Calls the workers on whose machines tasks must be killed.
     pub(super) fn send_pending_kills(&mut self, now: Time, out: &mut Vec<Effect>) {
         // Guard 4: only while this controller is entitled to command.
         if !self.entitled(now) {
@@ -81,8 +80,8 @@
         }
     }
 
-    /// Probes machines that fell silent, a few at a time: those that reach no controller may
-    /// still be reached, and report what has ended there.
+    /// Probes unreachable machines, a few at a time. A worker that reaches no controller may still
+    /// be reachable from here, and its reply reports the tasks that have ended on it.
     pub(super) fn probe_silent_machines(&mut self, now: Time, out: &mut Vec<Effect>) {
         // Guard 4: only while this controller is entitled to command.
         if !self.entitled(now) || self.worker_calls.len() >= MAX_PROBES_IN_FLIGHT {
@@ -124,16 +123,16 @@
         });
     }
 
-    /// A worker answered a call, or the call failed.
+    /// Handles a worker's reply to a call, or the failure of the call (`None`).
     pub(super) fn on_worker_reply(&mut self, now: Time, result: Option<(u16, Vec<u8>)>) {
-        // Executed, or refused for its incarnation: either way the body is a report.
+        // 200: commands executed; 409: wrong incarnation. The body is a report in both cases.
         let body = result
             .filter(|(status, _)| matches!(status, 200 | 409))
             .map(|(_, body)| body);
         let Some(report) = body.and_then(|body| wire::decode::<WorkerReport>(&body).ok()) else {
             return;
         };
-        // Guard 1: as with its reports.
+        // Guard 1, as for worker reports.
         let change = self.election.on_token_claim(now, report.fencing_token);
         self.on_leadership_change(now, change);
         if let Some(scheduler) = &mut self.scheduler {
--- a/crates/controller/src/node/worker_messages/tests.rs
+++ b/crates/controller/src/node/worker_messages/tests.rs
@@ -3,7 +3,7 @@
 use crate::worker_protocol::CommandVerb;
 use beamhinge_core::wire;
 
-/// Answers to reports: commands, or whom to report to instead.
+/// Answers to reports carry commands, or the controller to report to instead.
 #[test]
 fn answers_to_workers_match_golden_file() {
     let mut golden = Golden::new("tests/golden/answers-to-workers.hex");
--- a/crates/controller/src/node/worker_reports.rs
+++ b/crates/controller/src/node/worker_reports.rs
@@ -1,4 +1,4 @@
-//! Reports of workers, and whether this controller may answer them.
+//! Handles worker reports and decides whether this controller may answer them.
 
 use super::user_requests::refuse;
 use super::worker_messages::{LeaderRedirect, ReportResponse};
@@ -9,12 +9,12 @@
 use beamhinge_core::types::{FencingToken, MachineId, RequestId, Time};
 use beamhinge_core::wire;
 
-/// A machine that was redirected to the leader and is back within this time was not answered
-/// there, seconds.
+/// A machine that was redirected to the leader and reports here again within this time got no
+/// answer from the leader, seconds.
 const MIN_REDIRECT_RETURN_S: f64 = 12.0;
 
 impl Node {
-    /// A worker reports: answered as the leader, or redirected to it.
+    /// Handles a worker's report: answers it as the leader, or redirects the worker to the leader.
     pub(super) fn on_worker_report(
         &mut self,
         now: Time,
@@ -25,8 +25,8 @@
         let Ok(report) = wire::decode::<WorkerReport>(body) else {
             return refuse(out, id, 400, "the report has an unknown form");
         };
-        // Guard 1: a worker that has seen a higher token answers to another leader; this
-        // controller is no longer entitled.
+        // Guard 1: a worker that has seen a higher fencing token has another leader, so this
+        // controller is no longer entitled to command it.
         let change = self.election.on_token_claim(now, report.fencing_token);
         self.on_leadership_change(now, change);
         let own_token = self.election.token();
@@ -53,13 +53,13 @@
                     body: wire::encode(&response),
                 });
             }
-            // A leader out of touch redirects to nobody: it may still be the leader.
+            // A leader without contact to the store names no other leader: it may still lead.
             (Some(_), false) => refuse(out, id, 503, "out of touch with the state service"),
             (None, _) => self.redirect_worker(now, id, &report, out),
         }
     }
 
-    /// Redirects a worker to the leader, if one is known and heard.
+    /// Redirects a worker to the leader, if one is known and sends heartbeats.
     fn redirect_worker(
         &mut self,
         now: Time,
@@ -77,8 +77,9 @@
             self.leader_detector.on_misrouted_report(now, machine, seen);
         }
         let leader = self.peers.leader(now).or(self.election.other_leader());
-        // A machine that was redirected a moment ago and is back is not answered by the leader,
-        // and would wait for its time-out once more. Nor is a leader named that is silent.
+        // A machine that was redirected a moment ago and reports here again got no answer from
+        // the leader; another redirect would cost it another time-out. A leader whose heartbeats
+        // have stopped is not named either.
         let leader = leader.filter(|_| !came_back && !self.leader_detector.is_silent(now));
         if let (Some(machine), Some(_)) = (machine, leader) {
             self.misrouted_workers.record_redirect(machine);
@@ -91,9 +92,9 @@
         });
     }
 
-    /// Guard 4: whether this controller may answer workers as the leader: its serving deadline
-    /// after the last exchange that showed both the jobs and its hold on the block has not
-    /// passed.
+    /// Guard 4: returns whether this controller may answer workers as the leader: its serving
+    /// deadline has not passed since the last exchanges with the store that refreshed the jobs and
+    /// that confirmed its ownership of the block key.
     pub(super) fn entitled(&self, now: Time) -> bool {
         let limit = self.settings.serving_deadline_s();
         if broken!(self.faults, no_h) {
@@ -108,8 +109,8 @@
         self.scheduler.is_some() && jobs_fresh && confirmed
     }
 
-    /// Whether the leadership was confirmed recently enough to scale the fleet: within the time
-    /// in which nobody else can have held the block unnoticed for long.
+    /// Returns whether the leadership was confirmed recently enough to scale the fleet: within a
+    /// time in which no other controller can have owned the block key unnoticed for long.
     pub(super) fn leadership_confirmed(&self, now: Time) -> bool {
         self.scheduler.is_some()
             && now.since(self.election.block_confirmed_at()) < self.settings.leader_lease_s() + 2.0
--- a/crates/controller/src/node/worker_reports/tests.rs
+++ b/crates/controller/src/node/worker_reports/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::worker_protocol::{ExitCause, ReportedStatus};
 
-/// Each field of the wire maps to the field that it belongs to.
+/// Each field of the wire format maps to the corresponding field of the report.
 #[test]
 fn worker_report_fields_map_to_report() {
     let body = serde_json::json!({"host": "n-000231", "endpoint": "10.1.0.232:9000", "shape": "g8",
