--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -21,7 +21,7 @@
 /// ones are handled without being timed. This is twice the 8,192 machines that a controller is
 /// built for: all of them may wait for their answers at once, besides the users. Entries are kept
 /// only if an admin address is configured.
-const MAX_OPEN: usize = 16_384;
+const MAX_TIMED: usize = 16_384;
 
 /// A request or call in progress that is timed.
 #[derive(Clone, Copy)]
@@ -85,7 +85,7 @@
 
     /// Starts timing a request.
     pub fn on_request(&mut self, now: Time, id: RequestId, route: &'static str) {
-        if self.enabled && self.open_requests.len() < MAX_OPEN {
+        if self.enabled && self.open_requests.len() < MAX_TIMED {
             let timed = Timed {
                 since: now,
                 kind: route,
@@ -112,7 +112,7 @@
                     ..
                 } => {
                     let kind = call_kind(destination, *method, path);
-                    if let Some(kind) = kind.filter(|_| self.open_calls.len() < MAX_OPEN) {
+                    if let Some(kind) = kind.filter(|_| self.open_calls.len() < MAX_TIMED) {
                         self.open_calls.insert(*id, Timed { since: now, kind });
                     }
                 }
--- a/crates/controller/src/metrics/page.rs
+++ b/crates/controller/src/metrics/page.rs
@@ -6,38 +6,38 @@
 use std::fmt::Write;
 
 /// Appends a metric family's help text and type.
-fn family(out: &mut String, name: &str, kind: &str, help: &str) {
+fn append_family_header(out: &mut String, name: &str, kind: &str, help: &str) {
     let _ = writeln!(out, "# HELP {name} {help}\n# TYPE {name} {kind}");
 }
 
 /// Appends a family of summaries with one label.
-fn labelled_summaries(
+fn append_labelled_summaries(
     out: &mut String,
     name: &str,
     help: &str,
     label: &str,
     summaries: &BTreeMap<&'static str, DurationSummary>,
 ) {
-    family(out, name, "summary", help);
+    append_family_header(out, name, "summary", help);
     for (value, summary) in summaries {
         summary.render(out, name, &format!("{label}=\"{value}\""));
     }
 }
 
 /// Appends a family with one summary that has no labels.
-fn summary(out: &mut String, name: &str, help: &str, summary: &DurationSummary) {
-    family(out, name, "summary", help);
+fn append_summary(out: &mut String, name: &str, help: &str, summary: &DurationSummary) {
+    append_family_header(out, name, "summary", help);
     summary.render(out, name, "");
 }
 
 /// Appends a family of counters that are labelled by kind.
-fn counters_by_kind(
+fn append_counters_by_kind(
     out: &mut String,
     name: &str,
     help: &str,
     counters: impl Iterator<Item = (&'static str, u64)>,
 ) {
-    family(out, name, "counter", help);
+    append_family_header(out, name, "counter", help);
     for (kind, count) in counters {
         let _ = writeln!(out, "{name}{{kind=\"{kind}\"}} {count}");
     }
@@ -54,7 +54,7 @@
         self.render_requests(&mut out);
         self.render_calls(&mut out);
         self.render_leadership(&mut out);
-        counters_by_kind(
+        append_counters_by_kind(
             &mut out,
             "beamhinge_decisions_total",
             "Decisions of this process as holder, by kind.",
@@ -70,7 +70,7 @@
     }
 
     fn render_requests(&self, out: &mut String) {
-        labelled_summaries(
+        append_labelled_summaries(
             out,
             "beamhinge_answer_seconds",
             "Time from a request to its answer, by route.",
@@ -78,7 +78,7 @@
             &self.answer_times,
         );
         let name = "beamhinge_answers_total";
-        family(out, name, "counter", "Answers by route and status.");
+        append_family_header(out, name, "counter", "Answers by route and status.");
         for ((route, status), count) in &self.answers {
             let _ = writeln!(
                 out,
@@ -88,14 +88,14 @@
     }
 
     fn render_calls(&self, out: &mut String) {
-        labelled_summaries(
+        append_labelled_summaries(
             out,
             "beamhinge_call_seconds",
             "Time of calls to the outside, by kind; answered ones.",
             "kind",
             &self.call_times,
         );
-        counters_by_kind(
+        append_counters_by_kind(
             out,
             "beamhinge_calls_lost_total",
             "Calls that were never answered, by kind.",
@@ -104,19 +104,19 @@
     }
 
     fn render_leadership(&self, out: &mut String) {
-        summary(
+        append_summary(
             out,
             "beamhinge_takeover_seconds",
             "From taking the lead to the books being read.",
             &self.failover_times,
         );
-        summary(
+        append_summary(
             out,
             "beamhinge_oldest_wait_seconds",
             "Age of the oldest job with a waiting task, each second.",
             &self.oldest_waits,
         );
-        summary(
+        append_summary(
             out,
             "beamhinge_placement_age_seconds",
             "Age of the job when a task of it is placed.",
--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -2,15 +2,15 @@
 
 #[test]
 fn times_and_counts_are_rendered() {
-    let mut m = Metrics::new(true);
+    let mut metrics = Metrics::new(true);
     let at = |s: f64| Time::from_micros(1_000_000).plus(s);
     let id = RequestId {
         slot: 1,
         generation: 2,
     };
-    m.on_request(at(0.0), id, "jobs");
+    metrics.on_request(at(0.0), id, "jobs");
     let body = Vec::new();
-    m.on_effects(
+    metrics.on_effects(
         at(0.25),
         &[Effect::Answer {
             to: id,
@@ -19,7 +19,7 @@
             body,
         }],
     );
-    let page = m.render(&[("holder", 1.0)], std::iter::once(("placed", 3)));
+    let page = metrics.render(&[("holder", 1.0)], std::iter::once(("placed", 3)));
     for line in [
         "beamhinge_answer_seconds_count{route=\"jobs\"} 1",
         "beamhinge_answers_total{route=\"jobs\",status=\"503\"} 1",
@@ -68,15 +68,15 @@
 
 /// Pins every name, label and type on the page, with one value of each.
 #[test]
-fn rendered_page_keeps_its_form() {
-    let mut m = Metrics::new(true);
+fn rendered_page_matches_golden_file() {
+    let mut metrics = Metrics::new(true);
     let at = |s: f64| Time::from_micros(1_000_000).plus(s);
     let id = RequestId {
         slot: 1,
         generation: 2,
     };
-    m.on_request(at(0.0), id, "jobs");
-    m.on_effects(
+    metrics.on_request(at(0.0), id, "jobs");
+    metrics.on_effects(
         at(0.5),
         &[Effect::Answer {
             to: id,
@@ -88,7 +88,7 @@
     for (i, (destination, method, path)) in calls().into_iter().enumerate() {
         for (id, answered) in [(CallId(i as u64), true), (CallId(100 + i as u64), false)] {
             let (path, body) = (path.to_string(), Vec::new());
-            m.on_effects(
+            metrics.on_effects(
                 at(0.0),
                 &[Effect::Call {
                     id,
@@ -99,15 +99,15 @@
                     timeout_s: 1.0,
                 }],
             );
-            m.on_call_end(at(0.25), id, answered);
+            metrics.on_call_end(at(0.25), id, answered);
         }
     }
-    m.on_leadership_acquired(at(0.0));
-    m.on_state_loaded(at(1.0));
-    m.record_oldest_wait(2.0);
-    m.record_placements(&[3.0]);
+    metrics.on_leadership_acquired(at(0.0));
+    metrics.on_state_loaded(at(1.0));
+    metrics.record_oldest_wait(2.0);
+    metrics.record_placements(&[3.0]);
     let kinds = crate::event_log::KIND_NAMES.into_iter().zip(1..);
-    let page = m.render(&[("holder", 1.0), ("cpus", 2.5)], kinds);
+    let page = metrics.render(&[("holder", 1.0), ("cpus", 2.5)], kinds);
     let mut golden = crate::golden::Golden::new("tests/golden/metrics.txt");
     for (i, line) in page.lines().enumerate() {
         golden.text(&format!("{:03}", i + 1), line);
@@ -119,13 +119,13 @@
 /// timed.
 #[test]
 fn all_requests_of_a_large_fleet_are_timed_and_memory_is_bounded() {
-    let mut m = Metrics::new(true);
+    let mut metrics = Metrics::new(true);
     let at = |s: f64| Time::from_micros(1_000_000).plus(s);
     let id = |slot: usize| RequestId {
         slot,
         generation: 1,
     };
-    (0..8_192).for_each(|slot| m.on_request(at(0.0), id(slot), "reports"));
+    (0..8_192).for_each(|slot| metrics.on_request(at(0.0), id(slot), "reports"));
     for slot in 0..8_192 {
         let answer = Effect::Answer {
             to: id(slot),
@@ -133,11 +133,11 @@
             retry_after: None,
             body: vec![],
         };
-        m.on_effects(at(0.1), &[answer]);
+        metrics.on_effects(at(0.1), &[answer]);
     }
-    let page = m.render(&[], std::iter::empty());
+    let page = metrics.render(&[], std::iter::empty());
     let line = "beamhinge_answer_seconds_count{route=\"reports\"} 8192";
     assert!(page.contains(line), "{line} is missing in\n{page}");
-    (0..MAX_OPEN + 100).for_each(|slot| m.on_request(at(1.0), id(slot), "reports"));
-    assert_eq!(m.open_requests.len(), MAX_OPEN);
+    (0..MAX_TIMED + 100).for_each(|slot| metrics.on_request(at(1.0), id(slot), "reports"));
+    assert_eq!(metrics.open_requests.len(), MAX_TIMED);
 }
--- a/crates/controller/src/node/admin.rs
+++ b/crates/controller/src/node/admin.rs
@@ -73,8 +73,8 @@
     ) {
         match route {
             Route::Hello => {
-                let hello = self.hello_view(wall);
-                admin_api::respond(out, id, 200, &hello);
+                let info = self.server_info(wall);
+                admin_api::respond(out, id, 200, &info);
             }
             Route::Metrics => out.push(Effect::OperatorAnswer {
                 to: id,
@@ -109,7 +109,7 @@
         }
     }
 
-    fn hello_view(&self, wall: WallMs) -> ServerInfo {
+    fn server_info(&self, wall: WallMs) -> ServerInfo {
         let instance = self
             .admin_api
             .as_ref()
@@ -224,8 +224,8 @@
         for (request, response) in responses {
             match response {
                 ChangeResponse::Applied { version, warning } => {
-                    let made = ConfigurationResponse { version, warning };
-                    admin_api::respond(out, request, 200, &made);
+                    let response = ConfigurationResponse { version, warning };
+                    admin_api::respond(out, request, 200, &response);
                 }
                 ChangeResponse::Refused(error) => {
                     admin_api::refuse(out, request, 409, Code::Refused, &error.to_string());
@@ -275,10 +275,10 @@
             self.answer_local(now, wall, query, out);
         }
         self.answer_leader_queries(now, wall, out);
-        self.give_up_overdue(now, out);
+        self.refuse_overdue_queries(now, out);
     }
 
-    fn give_up_overdue(&mut self, now: Time, out: &mut Vec<Effect>) {
+    fn refuse_overdue_queries(&mut self, now: Time, out: &mut Vec<Effect>) {
         let is_leader = self.scheduler.is_some();
         let Some(admin_api) = &mut self.admin_api else {
             return;
--- a/crates/controller/src/node/admin/leader_queries.rs
+++ b/crates/controller/src/node/admin/leader_queries.rs
@@ -101,13 +101,13 @@
     ) {
         // A controller without an operators' listener answers no operators, not even through a
         // peer: whoever runs it has not enabled that.
-        let taken = match (postcard::from_bytes::<Query>(query), &mut self.admin_api) {
+        let accepted = match (postcard::from_bytes::<Query>(query), &mut self.admin_api) {
             (Ok(query), Some(admin_api)) if self.scheduler.is_some() => {
                 admin_api.receive_from_peer(now, from.clone(), serial, query)
             }
             _ => false,
         };
-        if !taken {
+        if !accepted {
             refuse_peer(from, serial, out);
         }
     }
@@ -160,7 +160,7 @@
         };
         let machine_types = self.fleet.machine_types();
         match query {
-            Query::Job { job } => match self.placed_job(now, wall, job, scheduler) {
+            Query::Job { job } => match self.describe_open_job(now, wall, job, scheduler) {
                 Some(placed) => LeaderResponse::json(&placed),
                 None => LeaderResponse::unavailable(),
             },
@@ -188,13 +188,13 @@
                 after,
                 limit,
             } => {
-                let own = scheduler.fencing_token().0;
+                let term_token = scheduler.fencing_token().0;
                 // Serial numbers of another leader mean nothing here: start at the oldest decision.
-                let after = if *token == own { *after } else { 0 };
+                let after = if *token == term_token { *after } else { 0 };
                 let DecisionPage { decisions, missed } =
                     scheduler.event_log.decisions_after(after, *limit);
                 LeaderResponse::json(&Decisions {
-                    token: own,
+                    token: term_token,
                     decisions,
                     missed,
                 })
@@ -203,7 +203,7 @@
     }
 
     /// Describes an open job's tasks and why they wait; `None` if the scheduler does not know it.
-    fn placed_job(
+    fn describe_open_job(
         &self,
         now: Time,
         wall: WallMs,
@@ -213,8 +213,8 @@
         let id = JobId::parse(job)?;
         let machine_types = self.fleet.machine_types();
         let mut placed = scheduler.describe_job(now, wall, id, &self.settings, machine_types)?;
-        let held_back = |name: &str| matches!(name, "frozen" | "team_limit");
-        if placed.waiting == 0 || placed.reasons.iter().any(|r| held_back(r.name())) {
+        let blocks_placement = |name: &str| matches!(name, "frozen" | "team_limit");
+        if placed.waiting == 0 || placed.reasons.iter().any(|r| blocks_placement(r.name())) {
             return Some(placed);
         }
         if let Some((demand, spec)) = scheduler.demand_of(wall, id) {
--- a/crates/controller/src/node/admin/metrics_page.rs
+++ b/crates/controller/src/node/admin/metrics_page.rs
@@ -37,7 +37,7 @@
         scheduler: &Scheduler,
     ) -> Vec<(&'static str, f64)> {
         let totals = scheduler.totals(now, wall, self.fleet.machine_types());
-        let (kept, window) = scheduler.nomination_counts();
+        let (open_nominations, max_nominations) = scheduler.nomination_counts();
         let preemption = scheduler.preemption_stats();
         vec![
             ("jobs_open", f64::from(totals.jobs_open)),
@@ -47,8 +47,8 @@
             ("machines_silent", f64::from(totals.machines_silent)),
             ("cpus", totals.cpus),
             ("cpus_used", totals.cpus_used),
-            ("places_kept", kept as f64),
-            ("places_window", window as f64),
+            ("places_kept", open_nominations as f64),
+            ("places_window", max_nominations as f64),
             ("room_start_seconds_p50", preemption.start_latency_s(0.5)),
             ("room_start_seconds_p99", preemption.start_latency_s(0.99)),
             ("room_lost_cpu_seconds", preemption.lost_cpu_s),
--- a/crates/controller/src/node/admin/views.rs
+++ b/crates/controller/src/node/admin/views.rs
@@ -160,21 +160,27 @@
 
     /// Returns a row for each controller, this one first.
     pub(super) fn node_rows(&self, now: Time) -> Vec<NodeRow> {
-        let own = &self.settings.label;
-        let own_row = NodeRow {
-            label: own.clone(),
+        let local_label = &self.settings.label;
+        let local_row = NodeRow {
+            label: local_label.clone(),
             answering: true,
             leader: self.scheduler.is_some(),
             token: self.election.token().map(|t| t.0),
             store_age_s: self.store.last_success().map(|t| now.since(t)),
             heard_s: Some(0.0),
             ready: self.job_store.loaded(),
-            drained: self.directives.active_directives().controller_drained(own),
-            stuck_ago_s: self.stalled_leaders.get(own).map(|at| now.since(*at)),
+            drained: self
+                .directives
+                .active_directives()
+                .controller_drained(local_label),
+            stuck_ago_s: self
+                .stalled_leaders
+                .get(local_label)
+                .map(|at| now.since(*at)),
         };
         let peers = self.settings.members.iter();
         let peer_rows = peers.map(|member| self.peer_row(now, &member.label));
-        std::iter::once(own_row).chain(peer_rows).collect()
+        std::iter::once(local_row).chain(peer_rows).collect()
     }
 
     /// Builds the row of a peer from its heartbeats and announcements.
@@ -222,14 +228,15 @@
 
 /// Returns whether a job matches all conditions of the filter.
 fn matches(filter: &JobFilter, row: &JobRow) -> bool {
-    let is = |want: &Option<String>, have: &Option<String>| want.is_none() || want == have;
-    let aged = |bound: Option<f64>, ok: fn(f64, f64) -> bool| {
-        bound.is_none_or(|bound| row.age_s.is_some_and(|age| ok(age, bound)))
+    let is_wanted =
+        |wanted: &Option<String>, actual: &Option<String>| wanted.is_none() || wanted == actual;
+    let age_in_bound = |bound: Option<f64>, compare: fn(f64, f64) -> bool| {
+        bound.is_none_or(|bound| row.age_s.is_some_and(|age| compare(age, bound)))
     };
     wants_state(filter, row.state)
-        && is(&filter.team, &row.team)
-        && is(&filter.class, &row.class)
+        && is_wanted(&filter.team, &row.team)
+        && is_wanted(&filter.class, &row.class)
         && (filter.urgency.is_none() || filter.urgency == row.urgency)
-        && aged(filter.older_s, |age, bound| age >= bound)
-        && aged(filter.younger_s, |age, bound| age <= bound)
+        && age_in_bound(filter.older_s, |age, bound| age >= bound)
+        && age_in_bound(filter.younger_s, |age, bound| age <= bound)
 }
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -201,10 +201,10 @@
     /// Announces ended jobs and post-processes the effects of an event. Called at the end of each
     /// event; `before` is the index in `out` of the event's first effect.
     fn end_event(&mut self, now: Time, before: usize, out: &mut Vec<Effect>) {
-        let ended = self.user_api.take_announcements();
-        if !ended.is_empty() && !broken!(self.faults, no_word) {
+        let ended_jobs = self.user_api.take_announcements();
+        if !ended_jobs.is_empty() && !broken!(self.faults, no_word) {
             // Announce to peers before sending the answers that report these ends to users.
-            let frames = Frame::jobs_ended(&ended).into_iter();
+            let frames = Frame::jobs_ended(&ended_jobs).into_iter();
             let effects = frames.map(|frame| Effect::SendFrame {
                 to: None,
                 frame: encode(&frame),
@@ -248,19 +248,19 @@
         self.job_store
             .tick(now, needs_fresh_jobs, follow, &mut self.store);
 
-        let query_waits = self.admin_needs(PendingQueries::needs_fresh_directives);
+        let query_pending = self.admin_needs(PendingQueries::needs_fresh_directives);
         let mut responses = Vec::new();
         self.directives
-            .tick(now, wall, query_waits, &mut self.store, &mut responses);
+            .tick(now, wall, query_pending, &mut self.store, &mut responses);
         self.answer_directive_changes(responses, out);
 
-        let query_waits = self.admin_needs(PendingQueries::needs_fresh_configuration);
+        let query_pending = self.admin_needs(PendingQueries::needs_fresh_configuration);
         let lease_id = self.election.lease_id();
         let mut responses = Vec::new();
         self.configuration.tick(
             now,
             wall,
-            (query_waits, lease_id),
+            (query_pending, lease_id),
             &mut self.store,
             &mut responses,
         );
--- a/crates/controller/src/node/supervision.rs
+++ b/crates/controller/src/node/supervision.rs
@@ -81,9 +81,9 @@
         let since_stepped_down_s = self.stepped_down_at.map(|at| now.since(at));
         // If peers receive reports from more workers, one of them should lead, without delay.
         let connectivity = self.fleet.connectivity();
-        let recently = since_stepped_down_s.is_some_and(|s| s < workers.lease_s);
-        let peers_hear_more = connectivity.reaches_fewer_than_peers();
-        if peers_hear_more && !recently && self.peers.peers_reach_store(now) {
+        let stepped_down_recently = since_stepped_down_s.is_some_and(|s| s < workers.lease_s);
+        let peers_reach_more_workers = connectivity.reaches_fewer_than_peers();
+        if peers_reach_more_workers && !stepped_down_recently && self.peers.peers_reach_store(now) {
             self.stepped_down_at = Some(now);
             tracing::warn!(
                 reporting = connectivity.reporting,
@@ -97,19 +97,19 @@
         // once and leads again keeps the leadership until the missing reports prove that the
         // machines are lost; otherwise the leadership would rotate endlessly and no loss would
         // ever be proven.
-        let proof_s = self.settings.serving_deadline_s() + workers.lease_s;
-        if since_stepped_down_s.is_some_and(|s| s < proof_s * 3.0 + 30.0) {
+        let loss_proof_s = self.settings.serving_deadline_s() + workers.lease_s;
+        if since_stepped_down_s.is_some_and(|s| s < loss_proof_s * 3.0 + 30.0) {
             return;
         }
-        let (heard, silent) = scheduler.liveness_counts(now);
-        if silent >= 2 && silent > heard * 2 {
+        let (reachable, unreachable) = scheduler.liveness_counts(now);
+        if unreachable >= 2 && unreachable > reachable * 2 {
             self.stepped_down_at = Some(now);
             // No peer is known to receive more reports. A peer that does acquires the leadership
             // at once; until then this controller continues to lead. Stepping down without a
             // successor would let the leases of the whole fleet expire.
             tracing::info!(
-                heard,
-                silent,
+                heard = reachable,
+                silent = unreachable,
                 "offered leadership: most workers are unreachable"
             );
             self.election.transfer(now, &mut self.store);
@@ -125,17 +125,17 @@
         }
         let members = self.settings.members.iter().map(|m| m.label.as_str());
         let leader = self.election.other_leader().unwrap_or("").to_string();
-        let own = Observer {
+        let observer = Observer {
             store_age_s: self.store_age_s(now),
             // Later changes are read after the leadership acquisition, before tasks are placed.
             jobs_loaded: self.job_store.loaded(),
             resumed_for_s: self.pause_detector.resumed_for_s(now),
             rank: takeover_rank(&leader, &self.settings.label, members),
         };
-        let suspect = self.leader_detector.suspect(now, own);
-        if let Some(gone) = suspect.filter(|gone| *gone == leader) {
-            tracing::info!(leader = %gone, "acquiring leadership early: leader presumed dead");
-            self.election.presume_dead(gone);
+        let suspect = self.leader_detector.suspect(now, observer);
+        if let Some(suspect) = suspect.filter(|suspect| *suspect == leader) {
+            tracing::info!(leader = %suspect, "acquiring leadership early: leader presumed dead");
+            self.election.presume_dead(suspect);
             self.election.tick(now, &mut self.store);
         }
     }
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -58,7 +58,7 @@
             .expire(now, MAX_PEER_OBSERVATION_AGE_S);
         self.step_down_if_stalled(now, out);
         self.step_down_if_disconnected(now);
-        self.probe_silent_machines(now, out);
+        self.probe_unreachable_machines(now, out);
         self.yield_if_drained(now);
         if now.since(self.metrics_sampled_at) >= METRICS_INTERVAL_S {
             self.metrics_sampled_at = now;
--- a/crates/controller/src/node/user_requests.rs
+++ b/crates/controller/src/node/user_requests.rs
@@ -118,7 +118,7 @@
         // reach the store, they serve users better.
         let stale = self.store_age_s(now) > MAX_HEALTHY_STORE_AGE_S;
         let starting = !self.job_store.loaded() && now.since(self.started) < STARTUP_S;
-        if stale && (peers_reach_store || self.cut_off(now)) || starting {
+        if stale && (peers_reach_store || self.is_partitioned(now)) || starting {
             return Some("the state service cannot be reached from here");
         }
         None
@@ -130,7 +130,7 @@
     /// reachable: otherwise, in an outage in which connections between controllers are refused as
     /// well, all controllers would report themselves unhealthy and the load balancer would have no
     /// controller left.
-    fn cut_off(&self, now: Time) -> bool {
+    fn is_partitioned(&self, now: Time) -> bool {
         let last_response = self.store.last_response();
         let refused = last_response.is_some_and(|t| now.since(t) < MAX_HEALTHY_STORE_AGE_S);
         let refused = refused && !broken!(self.faults, refused_is_cut);
--- a/crates/controller/src/node/worker_calls.rs
+++ b/crates/controller/src/node/worker_calls.rs
@@ -82,7 +82,7 @@
 
     /// Probes unreachable machines, a few at a time. A worker that reaches no controller may still
     /// be reachable from here, and its reply reports the tasks that have ended on it.
-    pub(super) fn probe_silent_machines(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn probe_unreachable_machines(&mut self, now: Time, out: &mut Vec<Effect>) {
         // Guard 4: only while this controller is entitled to command.
         if !self.entitled(now) || self.worker_calls.len() >= MAX_PROBES_IN_FLIGHT {
             return;
@@ -93,13 +93,13 @@
         let token = scheduler.fencing_token();
         let max_probes = MAX_PROBES_IN_FLIGHT - self.worker_calls.len();
         let is_recent = |at: &Time| now.since(*at) < PROBE_INTERVAL_S;
-        let silent: Vec<_> = scheduler
+        let calls: Vec<_> = scheduler
             .silent_machines_with_tasks(now)
             .filter(|call| !self.probed_at.get(&call.machine).is_some_and(is_recent))
             .take(max_probes)
             .collect();
         self.probed_at.retain(|_, at| is_recent(at));
-        for call in silent {
+        for call in calls {
             self.probed_at.insert(call.machine, now);
             self.call_worker(call, token, out);
         }
--- a/crates/controller/src/node/worker_messages/tests.rs
+++ b/crates/controller/src/node/worker_messages/tests.rs
@@ -7,15 +7,15 @@
 #[test]
 fn answers_to_workers_match_golden_file() {
     let mut golden = Golden::new("tests/golden/answers-to-workers.hex");
-    let order = |verb, attempt, grace_period_s| WorkerCommand {
+    let command = |verb, attempt, grace_period_s| WorkerCommand {
         verb,
         task: "job-000412/4".into(),
         attempt,
         grace_period_s,
     };
     let commands = vec![
-        order(CommandVerb::Run, 70_000, None),
-        order(CommandVerb::Kill, 2, Some(10.5)),
+        command(CommandVerb::Run, 70_000, None),
+        command(CommandVerb::Kill, 2, Some(10.5)),
     ];
     golden.bytes(
         "orders",
@@ -47,7 +47,7 @@
 #[test]
 fn direct_commands_match_golden_file() {
     let mut golden = crate::golden::Golden::new("tests/golden/direct-commands.hex");
-    let order = WorkerCommand {
+    let command = WorkerCommand {
         verb: CommandVerb::Clear,
         task: "job-9/0".into(),
         attempt: 3,
@@ -56,7 +56,7 @@
     let direct = DirectCommands {
         fencing_token: 41,
         incarnation: 7,
-        commands: vec![order],
+        commands: vec![command],
     };
     golden.bytes("direct", &beamhinge_core::wire::encode(&direct));
     golden.check();
--- a/crates/controller/src/node/worker_reports.rs
+++ b/crates/controller/src/node/worker_reports.rs
@@ -11,7 +11,7 @@
 
 /// A machine that was redirected to the leader and reports here again within this time got no
 /// answer from the leader, seconds.
-const MIN_REDIRECT_RETURN_S: f64 = 12.0;
+const REDIRECT_FAILURE_WINDOW_S: f64 = 12.0;
 
 impl Node {
     /// Handles a worker's report: answers it as the leader, or redirects the worker to the leader.
@@ -29,8 +29,8 @@
         // controller is no longer entitled to command it.
         let change = self.election.on_token_claim(now, report.fencing_token);
         self.on_leadership_change(now, change);
-        let own_token = self.election.token();
-        if own_token.is_some_and(|own| report.fencing_token > own.0) {
+        let term_token = self.election.token();
+        if term_token.is_some_and(|token| report.fencing_token > token.0) {
             return refuse(out, id, 503, "a token that was never given");
         }
         let entitled = self.entitled(now);
@@ -67,20 +67,22 @@
         report: &WorkerReport,
         out: &mut Vec<Effect>,
     ) {
-        let mut came_back = false;
+        let mut returned_after_redirect = false;
         let machine = MachineId::parse(&report.host);
         if let Some(machine) = machine {
-            came_back = self
-                .misrouted_workers
-                .record_report(now, machine, MIN_REDIRECT_RETURN_S);
-            let seen = FencingToken(report.fencing_token);
-            self.leader_detector.on_misrouted_report(now, machine, seen);
+            returned_after_redirect =
+                self.misrouted_workers
+                    .record_report(now, machine, REDIRECT_FAILURE_WINDOW_S);
+            let token = FencingToken(report.fencing_token);
+            self.leader_detector
+                .on_misrouted_report(now, machine, token);
         }
         let leader = self.peers.leader(now).or(self.election.other_leader());
         // A machine that was redirected a moment ago and reports here again got no answer from
         // the leader; another redirect would cost it another time-out. A leader whose heartbeats
         // have stopped is not named either.
-        let leader = leader.filter(|_| !came_back && !self.leader_detector.is_silent(now));
+        let leader =
+            leader.filter(|_| !returned_after_redirect && !self.leader_detector.is_silent(now));
         if let (Some(machine), Some(_)) = (machine, leader) {
             self.misrouted_workers.record_redirect(machine);
         }
--- a/crates/controller/src/node/worker_reports/tests.rs
+++ b/crates/controller/src/node/worker_reports/tests.rs
@@ -8,29 +8,45 @@
         "yard": "a", "loaners": true, "tenure": 1, "tick": 88, "baton": 41, "reclaimInS": 12.5,
         "unknown": {}, "pieces": [{"piece": "job-000412/3", "try": 2, "status": "running"},
         {"piece": "job-000398/0", "try": 7, "status": "exited", "cause": "done", "saved": true}]});
-    let r: WorkerReport = wire::decode(&wire::encode(&body)).expect("a report");
+    let report: WorkerReport = wire::decode(&wire::encode(&body)).expect("a report");
     assert_eq!(
-        (r.host.as_str(), r.endpoint.as_str()),
+        (report.host.as_str(), report.endpoint.as_str()),
         ("n-000231", "10.1.0.232:9000")
     );
     assert_eq!(
-        (r.machine_type.as_str(), r.zone.as_str(), r.spot),
+        (
+            report.machine_type.as_str(),
+            report.zone.as_str(),
+            report.spot
+        ),
         ("g8", "a", true)
     );
     assert_eq!(
-        (r.incarnation, r.sequence, r.fencing_token, r.reclaim_in_s),
+        (
+            report.incarnation,
+            report.sequence,
+            report.fencing_token,
+            report.reclaim_in_s
+        ),
         (1, 88, 41, Some(12.5))
     );
-    let pieces: Vec<_> = r
+    let tasks: Vec<_> = report
         .reported_tasks
         .iter()
-        .map(|p| (p.task.as_str(), p.attempt, p.status, p.cause.as_ref()))
+        .map(|task| {
+            (
+                task.task.as_str(),
+                task.attempt,
+                task.status,
+                task.cause.as_ref(),
+            )
+        })
         .collect();
-    let first = ("job-000412/3", 2, ReportedStatus::Running, None);
+    let running = ("job-000412/3", 2, ReportedStatus::Running, None);
     assert_eq!(
-        pieces,
+        tasks,
         [
-            first,
+            running,
             (
                 "job-000398/0",
                 7,
