--- a/crates/controller/src/event_log.rs
+++ b/crates/controller/src/event_log.rs
@@ -13,10 +13,10 @@
 /// each of 8,192 machines at once, and more than one on some; 16,384 ages take 128 KB.
 const MAX_PLACEMENT_AGES: usize = 16_384;
 /// Number of decision kinds that are counted.
-const KINDS: usize = 9;
+const KIND_COUNT: usize = 9;
 
 /// Names of the decision kinds on the metrics page, indexed by [`kind_index`].
-pub const KIND_NAMES: [&str; KINDS] = [
+pub const KIND_NAMES: [&str; KIND_COUNT] = [
     "placed",
     "stopped",
     "ended",
@@ -59,7 +59,7 @@
     wall: WallMs,
     last_serial: u64,
     decisions: VecDeque<Decision>,
-    counts: [u64; KINDS],
+    counts: [u64; KIND_COUNT],
     /// Ages of the jobs whose tasks were placed since the last sample, one per task, seconds.
     placement_ages_s: Vec<f64>,
 }
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -44,8 +44,8 @@
     /// Durations of answered calls, by kind.
     call_times: BTreeMap<&'static str, DurationSummary>,
     /// Calls that were never answered, by kind.
-    lost_calls: BTreeMap<&'static str, u64>,
-    /// When the leadership was acquired; `None` once the state is loaded.
+    unanswered_calls: BTreeMap<&'static str, u64>,
+    /// When the leadership was acquired, while the state is being loaded; otherwise `None`.
     acquired_at: Option<Time>,
     failover_times: DurationSummary,
     oldest_waits: DurationSummary,
@@ -143,7 +143,7 @@
                 .or_default()
                 .record(now.since(since));
         } else {
-            *self.lost_calls.entry(kind).or_default() += 1;
+            *self.unanswered_calls.entry(kind).or_default() += 1;
         }
     }
 
--- a/crates/controller/src/metrics/page.rs
+++ b/crates/controller/src/metrics/page.rs
@@ -99,7 +99,9 @@
             out,
             "beamhinge_calls_lost_total",
             "Calls that were never answered, by kind.",
-            self.lost_calls.iter().map(|(kind, count)| (*kind, *count)),
+            self.unanswered_calls
+                .iter()
+                .map(|(kind, count)| (*kind, *count)),
         );
     }
 
--- a/crates/controller/src/node/supervision.rs
+++ b/crates/controller/src/node/supervision.rs
@@ -28,9 +28,9 @@
         }
     }
 
-    /// Steps down if this leader is stalled: it reaches the key-value store, work is pending, and
-    /// it commits nothing. Other health signs do not matter. The next leader begins with a slow
-    /// start.
+    /// Steps down if this leader is stalled: it reaches the key-value store and work is pending,
+    /// but it commits nothing, however healthy it looks otherwise. The next leader begins with a
+    /// slow start. If no peer reaches the store, this leader stays and slow-starts its scheduler.
     pub(super) fn step_down_if_stalled(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(scheduler) = &self.scheduler else {
             return;
--- a/crates/controller/src/node/worker_calls.rs
+++ b/crates/controller/src/node/worker_calls.rs
@@ -10,7 +10,7 @@
 use beamhinge_core::wire;
 use std::net::SocketAddrV4;
 
-/// Maximum number of worker calls in flight at which unreachable machines are still probed. Each
+/// Probes of unreachable machines are sent only up to this number of worker calls in flight. A
 /// call to a machine behind a network partition occupies a socket until it times out.
 const MAX_PROBES_IN_FLIGHT: usize = 16;
 /// Minimum time between two probes of the same machine, seconds.
@@ -26,7 +26,7 @@
 
 impl Node {
     /// After a leadership acquisition, announces the new fencing token to workers that have not
-    /// reported to this controller yet. Such a worker then reports here at once.
+    /// reported to this controller in this term. Such a worker then reports here at once.
     pub(super) fn announce_token_to_workers(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(scheduler) = &self.scheduler else {
             return;
--- a/crates/controller/src/node/worker_reports/tests.rs
+++ b/crates/controller/src/node/worker_reports/tests.rs
@@ -8,7 +8,7 @@
         "yard": "a", "loaners": true, "tenure": 1, "tick": 88, "baton": 41, "reclaimInS": 12.5,
         "unknown": {}, "pieces": [{"piece": "job-000412/3", "try": 2, "status": "running"},
         {"piece": "job-000398/0", "try": 7, "status": "exited", "cause": "done", "saved": true}]});
-    let report: WorkerReport = wire::decode(&wire::encode(&body)).expect("a report");
+    let report: WorkerReport = wire::decode(&wire::encode(&body)).expect("valid worker report");
     assert_eq!(
         (report.host.as_str(), report.endpoint.as_str()),
         ("n-000231", "10.1.0.232:9000")
