--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -278,7 +278,7 @@
 
 /// Starts controllers again that ended by themselves, a while after their end.
 fn restart_ended(cluster: &mut Cluster, ended: &mut Vec<(usize, Instant)>) -> Result<(), UpError> {
-    for node in cluster.fallen() {
+    for node in cluster.reap_exited() {
         let log = cluster.log_of(node).display().to_string();
         eprintln!("beamhinge: a controller ended by itself; its log: {log}. Started again.");
         ended.push((node, Instant::now()));
--- a/crates/cli/src/verbs/submission.rs
+++ b/crates/cli/src/verbs/submission.rs
@@ -111,7 +111,7 @@
         ));
     }
     let submitted = client.submit(&job).inspect_err(|e| {
-        if e.may_have_happened() {
+        if e.outcome_unknown() {
             // The id makes a repeated submission safe: it must not be lost.
             eprintln!("beamhinge: the same again is safe: --id {}", job.job);
         }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -77,7 +77,7 @@
 
 impl ClientError {
     /// Whether the requested change may have been made all the same.
-    pub fn may_have_happened(&self) -> bool {
+    pub fn outcome_unknown(&self) -> bool {
         matches!(
             self,
             ClientError::TimedOut { .. } | ClientError::InvalidResponse(_)
--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -116,7 +116,7 @@
     registering: bool,
     registered_at: Time,
     /// Fault injected by tests: chunks take effect without their head.
-    pub half_applied: bool,
+    pub configuration_partly_applied: bool,
 }
 
 impl Configuration {
@@ -149,7 +149,7 @@
             pending: PendingChanges::default(),
             registering: false,
             registered_at: Time::default(),
-            half_applied: false,
+            configuration_partly_applied: false,
         }
     }
 
@@ -460,7 +460,7 @@
 
     /// Derives the teams in effect from the stored keys, if these are of one version.
     fn refresh_effective(&mut self) {
-        if self.stored.is_torn() && !self.half_applied {
+        if self.stored.is_torn() && !self.configuration_partly_applied {
             return;
         }
         self.snapshot = self.stored.snapshot();
--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -49,7 +49,7 @@
     pub(super) fn is_own_link_suspected(&self) -> bool {
         self.suspected
             .iter()
-            .any(|(domain, _)| *domain == FailureDomain::OwnLink)
+            .any(|(domain, _)| *domain == FailureDomain::LocalLink)
     }
 
     /// Logs a domain once when it falls silent and once when it is heard again.
@@ -85,7 +85,7 @@
     machine_types: &[MachineType],
 ) -> String {
     match domain {
-        FailureDomain::OwnLink => "own link".to_string(),
+        FailureDomain::LocalLink => "own link".to_string(),
         FailureDomain::Zone(index) => {
             let zones = &settings.params.zones;
             format!("zone {}", zones.get(index).map_or("?", String::as_str))
@@ -135,7 +135,7 @@
             .detector
             .assess(now, scheduler.overdue_s(), &observations);
         #[cfg(feature = "faults")]
-        let assessment = if self.faults.hasty {
+        let assessment = if self.faults.silence_proves_death {
             assess_without_shields(&observations, silence_thresholds(settings).dead_after_s)
         } else {
             assessment
@@ -207,7 +207,7 @@
         match liveness {
             Liveness::Dead => Some(ScaleInReason::Silent),
             Liveness::Unlisted => Some(ScaleInReason::Unlisted),
-            Liveness::Shielded(_) | Liveness::HeardByPeer | Liveness::RemovalDeferred => {
+            Liveness::Shielded(_) | Liveness::ReachableFromPeer | Liveness::RemovalDeferred => {
                 let suspected_s = self.health.detector.suspected_for_s(
                     now,
                     observation.zone,
@@ -339,7 +339,7 @@
             .unwrap_or(zones.len()),
         machine_type: instance.machine_type,
         silent_s,
-        peer_heard_age_s: peer_observations.age_s(now, id),
+        peer_report_age_s: peer_observations.age_s(now, id),
         unlisted: instance.missed_listings >= UNLISTED_AFTER_PASSES,
         rotates_controllers: machine.is_some_and(|m| m.rotates_controllers(now)),
     }
--- a/crates/controller/src/fleet/scale_in.rs
+++ b/crates/controller/src/fleet/scale_in.rs
@@ -101,7 +101,7 @@
     ) {
         if let Some(scheduler) = scheduler {
             for id in &machines {
-                scheduler.machine_gone(now, *id);
+                scheduler.on_machine_removed(now, *id);
             }
         }
         for id in machines {
@@ -125,7 +125,8 @@
         // came back, and returned the fleet while its jobs waited.
         let own_link_suspected = self.health.is_own_link_suspected();
         #[cfg(feature = "faults")]
-        let own_link_suspected = own_link_suspected && !self.faults.blind_return;
+        let own_link_suspected =
+            own_link_suspected && !self.faults.machines_returned_while_link_down;
         let leading_s = context.now.since(self.began);
         let mut marked = Vec::new();
         for (id, instance) in &mut self.instances {
--- a/crates/controller/src/fleet/scale_out.rs
+++ b/crates/controller/src/fleet/scale_out.rs
@@ -136,7 +136,7 @@
                 rental.outcome_unknown = true;
                 rental.retry(now.plus(UNKNOWN_OUTCOME_RETRY_S));
                 #[cfg(feature = "faults")]
-                if self.faults.new_rental {
+                if self.faults.rental_retried_under_new_name {
                     rental.entry.name.push('x');
                 }
             }
--- a/crates/controller/src/leader_election/acquisition.rs
+++ b/crates/controller/src/leader_election/acquisition.rs
@@ -2,7 +2,7 @@
 
 use super::{LeaderElection, BLOCK_KEY, BLOCK_PREFIX, LEADERSHIP_KEY, UNWRITABLE_RETRY_S};
 use crate::calls::{ElectionCall, Tag};
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::store::{Priority, StoreClient, Transaction, TransactionError};
 use beamhinge_core::types::{FencingToken, Revision, Time};
 use beamhinge_core::wire;
@@ -63,7 +63,7 @@
             .is_some_and(|record| record.owner == self.identity);
         let unknown =
             self.token.is_none() && self.block.read_for != revision && !self.block.read_in_flight;
-        if own && unknown && !broken!(self.faults, own_lead) {
+        if own && unknown && !fault_injected!(self.faults, lost_acquisition_ignored) {
             self.read_block(now, store);
         }
     }
--- a/crates/controller/src/leader_election/replies.rs
+++ b/crates/controller/src/leader_election/replies.rs
@@ -5,7 +5,7 @@
     MALFORMED_RETRY_S,
 };
 use crate::calls::{ElectionCall, Tag};
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::store::{
     CommitResponse, LeaseResponse, Outcome, Reply, ScanResponse, WatchEvent, WatchResponse,
 };
@@ -154,7 +154,7 @@
         // never used again: transactions of that term may still be in flight.
         if owner.as_ref() == Some(&self.identity)
             && self.token.is_none()
-            && (revision.0 > self.last_token.0 || broken!(self.faults, old_term))
+            && (revision.0 > self.last_token.0 || fault_injected!(self.faults, ended_term_resumed))
         {
             return self.acquired(revision, sent_at);
         }
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -66,7 +66,7 @@
         let text = beamhinge_core::settings::SAMPLE;
         let settings = Settings::parse("t", text).expect("the sample is sound");
         let mut election = LeaderElection::new(&settings, 7);
-        election.faults.old_term = resumes;
+        election.faults.ended_term_resumed = resumes;
         let now = Time::from_micros(10_000_000);
         acquire(&mut election, 8, now);
         let mut store = StoreClient::new(&settings);
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -26,7 +26,7 @@
 use crate::calls::Tag;
 use crate::configuration::Configuration;
 use crate::directives::Directives;
-use crate::faults::{broken, Faults};
+use crate::faults::{fault_injected, Faults};
 use crate::fleet::{Fleet, LivenessView, TickContext};
 use crate::job_store::JobStore;
 use crate::leader_election::LeaderElection;
@@ -173,7 +173,7 @@
         self.fleet.set_faults(faults);
         self.election.faults = faults;
         self.user_api.faults = faults;
-        self.configuration.half_applied = faults.half_applied;
+        self.configuration.configuration_partly_applied = faults.configuration_partly_applied;
     }
 
     /// Returns whether this controller is the leader.
@@ -202,7 +202,7 @@
     /// event; `before` is the index in `out` of the event's first effect.
     fn end_event(&mut self, now: Time, before: usize, out: &mut Vec<Effect>) {
         let ended_jobs = self.user_api.take_announcements();
-        if !ended_jobs.is_empty() && !broken!(self.faults, no_word) {
+        if !ended_jobs.is_empty() && !fault_injected!(self.faults, job_ends_not_announced) {
             // Announce to peers before sending the answers that report these ends to users.
             let frames = Frame::jobs_ended(&ended_jobs).into_iter();
             let effects = frames.map(|frame| Effect::SendFrame {
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -99,7 +99,7 @@
         self.propagate_jobs(now);
         let counts = SchedulerCounts(self.scheduler.as_ref());
         self.user_api
-            .on_fresh(now, freshness, &self.job_store, &counts, out);
+            .on_replica_refresh(now, freshness, &self.job_store, &counts, out);
     }
 
     fn on_scheduler_reply(&mut self, now: Time, call: SchedulerCall, reply: Reply<Tag>) {
--- a/crates/controller/src/node/user_requests.rs
+++ b/crates/controller/src/node/user_requests.rs
@@ -2,7 +2,7 @@
 
 use super::worker_messages::LeaderRedirect;
 use super::Node;
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::job_store::JobSpec;
 use crate::user_api::{self, Feasibility, SubmittedJob};
 use beamhinge_core::http::{Method, Request};
@@ -133,7 +133,7 @@
     fn is_partitioned(&self, now: Time) -> bool {
         let last_response = self.store.last_response();
         let refused = last_response.is_some_and(|t| now.since(t) < MAX_HEALTHY_STORE_AGE_S);
-        let refused = refused && !broken!(self.faults, refused_is_cut);
+        let refused = refused && !fault_injected!(self.faults, refusal_counts_as_unreachable);
         !refused
             && !self.settings.members.is_empty()
             && now.since(self.started) > STARTUP_S
--- a/crates/controller/src/node/worker_reports.rs
+++ b/crates/controller/src/node/worker_reports.rs
@@ -3,7 +3,7 @@
 use super::user_requests::refuse;
 use super::worker_messages::{LeaderRedirect, ReportResponse};
 use super::Node;
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::worker_protocol::WorkerReport;
 use beamhinge_core::messages::Effect;
 use beamhinge_core::types::{FencingToken, MachineId, RequestId, Time};
@@ -99,11 +99,11 @@
     /// that confirmed its ownership of the block key.
     pub(super) fn entitled(&self, now: Time) -> bool {
         let limit = self.settings.serving_deadline_s();
-        if broken!(self.faults, no_h) {
+        if fault_injected!(self.faults, no_serving_deadline) {
             return self.scheduler.is_some();
         }
         let confirmed = now.since(self.election.block_confirmed_at()) < limit;
-        if broken!(self.faults, h_by_hold) {
+        if fault_injected!(self.faults, serving_deadline_from_lease) {
             return self.scheduler.is_some() && confirmed;
         }
         let jobs_fresh_as_of = self.job_store.fresh_as_of();
--- a/crates/controller/src/scheduler/cycle.rs
+++ b/crates/controller/src/scheduler/cycle.rs
@@ -6,7 +6,7 @@
 use super::quota::TeamUsage;
 use super::victims::PreemptionPlan;
 use super::Scheduler;
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::placement_pages;
 use crate::split::{MachineType, Resources, EPSILON};
 use beamhinge_core::job::Urgency;
@@ -128,8 +128,8 @@
     fn count_tasks(&self, machine: &Machine, cycle: &mut SchedulingCycle) {
         for (task, allocation) in &machine.resident.allocations {
             // Guard: what is to be stopped counts until the proof that it is gone.
-            let forgotten =
-                allocation.kill_grace_s.is_some() && broken!(self.faults, forget_stopped);
+            let forgotten = allocation.kill_grace_s.is_some()
+                && fault_injected!(self.faults, stopping_tasks_not_counted);
             if let Some(team) = allocation.team.filter(|_| !forgotten) {
                 cycle.team_usage[team].add(&allocation.resources);
             }
--- a/crates/controller/src/scheduler/drain.rs
+++ b/crates/controller/src/scheduler/drain.rs
@@ -5,7 +5,7 @@
 use super::Scheduler;
 use crate::configuration::EffectiveTeams;
 use crate::directives::ActiveDirectives;
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::split::{MachineType, Resources};
 use beamhinge_core::types::{JobId, MachineId, Revision, TaskId, Time, WallMs};
 use std::collections::BTreeMap;
@@ -75,7 +75,8 @@
     /// Whether a `run` may go out: the quotas that it was placed by are known to be in
     /// force, or were changed too short a while ago to matter.
     pub(super) fn may_run(&self, now: Time) -> bool {
-        broken!(self.faults, stale_runs) || self.runs_allowed_until.is_none_or(|until| now < until)
+        fault_injected!(self.faults, run_with_stale_configuration)
+            || self.runs_allowed_until.is_none_or(|until| now < until)
     }
 
     /// Tasks that were there before their team was known count for it from now on.
--- a/crates/controller/src/scheduler/persistence/outcome.rs
+++ b/crates/controller/src/scheduler/persistence/outcome.rs
@@ -3,7 +3,7 @@
 use super::{CommitOutcome, InFlightCommit, WorkUnit, DEFERRAL_S};
 use crate::calls::{SchedulerCall, Tag};
 use crate::configuration;
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::job_store::{self, JobState, JobStore};
 use crate::leader_election::BLOCK_KEY;
 use crate::scheduler::allocation::TaskState;
@@ -103,7 +103,7 @@
     /// The same again would be refused again: less of it is tried, and
     /// in the end what it holds is deferred.
     fn on_malformed(&mut self, now: Time, in_flight: InFlightCommit) {
-        if broken!(self.faults, unbounded) {
+        if fault_injected!(self.faults, unbounded_transactions) {
             return self.on_not_committed(now, in_flight);
         }
         let set_aside = self.commit_backoff.on_malformed(now) == RetryAction::SetAside;
--- a/crates/controller/src/scheduler/persistence/recovery.rs
+++ b/crates/controller/src/scheduler/persistence/recovery.rs
@@ -1,7 +1,7 @@
 //! Reads pages and progress: after a takeover, and after a transaction of unknown outcome.
 
 use crate::calls::{SchedulerCall, Tag};
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::job_store::{JobState, JobStore};
 use crate::placement_pages::{self, PageId, PlacementRow};
 use crate::scheduler::allocation::{Allocation, TaskState};
@@ -250,7 +250,7 @@
             let entry = job_store.get(row.task.job);
             let spec = entry.and_then(|entry| entry.spec.clone());
             let is_over = entry.is_none_or(|entry| entry.state != JobState::Open)
-                && !broken!(self.faults, inherited_runs);
+                && !fault_injected!(self.faults, cancelled_tasks_inherited);
             // Without a description its size is unknown: the machine is full.
             let resources = spec
                 .as_ref()
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -176,7 +176,7 @@
     };
     assert!(work_off(&b, 8, 8.0).is_ok());
     let without = Faults {
-        no_block: true,
+        placements_without_block: true,
         ..Faults::default()
     };
     let found = work_off_with(&b, 8, 8.0, without);
--- a/crates/controller/src/scheduler/persistence/transaction.rs
+++ b/crates/controller/src/scheduler/persistence/transaction.rs
@@ -2,7 +2,7 @@
 
 use super::{InFlightCommit, NewPage, WorkUnit, DEFERRAL_S};
 use crate::calls::{SchedulerCall, Tag};
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::job_store::{self, JobState};
 use crate::leader_election::BLOCK_KEY;
 use crate::placement_pages::{self, PlacementRow};
@@ -109,7 +109,7 @@
 
     fn commit_limits(&self, store: &StoreClient<Tag>) -> TransactionLimits {
         let limits = store.limits().divided_by(self.commit_backoff.divisor());
-        if broken!(self.faults, unbounded) {
+        if fault_injected!(self.faults, unbounded_transactions) {
             return TransactionLimits {
                 conditions: limits.conditions * 2,
                 ..limits
@@ -122,14 +122,14 @@
     fn begin_transaction(&self, limits: TransactionLimits) -> Option<Transaction> {
         let mut transaction = Transaction::new(limits);
         // Guard 1: whoever lost the leadership can commit nothing.
-        if !broken!(self.faults, no_block) {
+        if !fault_injected!(self.faults, placements_without_block) {
             transaction
                 .require(BLOCK_KEY, Revision(self.fencing_token.0))
                 .ok()?;
         }
         // No placement made by an older version of the teams' quotas commits.
         if let Some((key, revision)) = self.configuration_condition {
-            if !broken!(self.faults, no_configuration) {
+            if !fault_injected!(self.faults, placements_without_configuration) {
                 transaction.require(key, revision).ok()?;
             }
         }
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -91,7 +91,7 @@
         guaranteed: &BTreeSet<JobId>,
     ) {
         #[cfg(feature = "faults")]
-        if self.faults.scattered {
+        if self.faults.scattered_preemption {
             return self.preempt_scattered(now, cycle, claim);
         }
         let Some(job) = self
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -8,7 +8,7 @@
 
 use super::machine::Machine;
 use super::Scheduler;
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::job_store::JobStore;
 use crate::split::MachineType;
 use crate::worker_protocol::{ReportVersion, WorkerCommand, WorkerReport};
@@ -122,7 +122,9 @@
         // the report itself, if the copy overtook it, renews the lease from when that
         // was sent, which was before the copy came.)
         let last_report = acknowledgement.last_report;
-        if last_report.is_some_and(|last| last >= version) && !broken!(self.faults, old_reports) {
+        if last_report.is_some_and(|last| last >= version)
+            && !fault_injected!(self.faults, stale_reports_accepted)
+        {
             return None;
         }
         acknowledgement.stale_token = !current_token
@@ -145,7 +147,7 @@
         let is_alive = current_token
             || liveness.last_heartbeat.is_some()
             || now.since(first_report) >= MIN_REPORT_GAP_S;
-        if is_alive || broken!(self.faults, first_word) {
+        if is_alive || fault_injected!(self.faults, first_report_proves_life) {
             liveness.last_heartbeat = Some(now);
         }
         liveness.regular = resumed_lately || gap_s <= silence_timeout_s;
--- a/crates/controller/src/scheduler/reconciliation/commands.rs
+++ b/crates/controller/src/scheduler/reconciliation/commands.rs
@@ -3,7 +3,7 @@
 //! `run` goes out here and nowhere else: only in an answer, which cannot act late (guard 2).
 
 use super::{ReportContext, MAX_COMMANDS};
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::job_store::{JobKind, JobState};
 use crate::scheduler::allocation::{Allocation, TaskPhase, TaskState};
 use crate::scheduler::job::Job;
@@ -31,7 +31,7 @@
 
     /// What a worker lists as live though its job is over.
     fn listed_of_ended_jobs(&self, context: &ReportContext) -> Vec<AttemptKey> {
-        if broken!(self.faults, late_stops) {
+        if fault_injected!(self.faults, late_cancellation_stops) {
             return Vec::new();
         }
         let is_over = |task: &TaskId| {
@@ -145,7 +145,7 @@
         if !live && !job.progress.is_done(task.index) {
             self.mark_done(task);
         }
-        live || durable || broken!(self.faults, early_clear)
+        live || durable || fault_injected!(self.faults, result_cleared_before_durable)
     }
 
     /// Stops what is to be stopped and is listed.
--- a/crates/controller/src/scheduler/reconciliation/observed.rs
+++ b/crates/controller/src/scheduler/reconciliation/observed.rs
@@ -4,7 +4,7 @@
 //! tasks without an allocation become orphans: they are counted, and stopped by the answer.
 
 use super::{AcceptedReport, ReportContext};
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::job_store::JobStore;
 use crate::scheduler::allocation::{OrphanTask, TaskPhase, TaskState};
 use crate::scheduler::job::{resources_of, UNKNOWN_NEED};
@@ -191,7 +191,9 @@
             TaskState::Planned | TaskState::Committed => {}
             // Guard 3: a direct command may overtake the answer that carries a
             // `run`; only the worker's next report shows that it was dropped.
-            TaskState::RunSent(_) if accepted.direct && !broken!(self.faults, direct_absence) => {}
+            TaskState::RunSent(_)
+                if accepted.direct
+                    && !fault_injected!(self.faults, direct_reply_absence_ends_task) => {}
             // A newer incarnation forgot all that came before it, and what
             // an answer to the earlier one said is dropped.
             TaskState::RunSent(_) | TaskState::Observed(_)
@@ -208,13 +210,13 @@
                     allocation.state = TaskState::Committed;
                     allocation.kill_grace_s.is_some()
                 });
-                let stopped = stopped && !broken!(self.faults, stuck_stop);
+                let stopped = stopped && !fault_injected!(self.faults, stop_of_lost_run_kept);
                 if reschedule || stopped {
                     self.release_allocation(now, id, task, false, 0.0);
                 }
             }
             TaskState::Observed(_) | TaskState::Inherited
-                if current_token || broken!(self.faults, hasty_proof) =>
+                if current_token || fault_injected!(self.faults, absence_proof_without_token) =>
             {
                 self.release_allocation(now, id, task, false, 0.0);
             }
--- a/crates/controller/src/scheduler/reconciliation/silence.rs
+++ b/crates/controller/src/scheduler/reconciliation/silence.rs
@@ -1,6 +1,6 @@
 //! Machines that are silent or gone: the proof, by time or by the cloud, that their tasks are.
 
-use crate::faults::broken;
+use crate::faults::fault_injected;
 use crate::scheduler::allocation::{Allocation, TaskState};
 use crate::scheduler::machine::Machine;
 use crate::scheduler::{Scheduler, MAX_CLOCK_DRIFT};
@@ -33,7 +33,7 @@
 
 impl Scheduler {
     /// The cloud has confirmed that the machine and all on it are gone.
-    pub fn machine_gone(&mut self, now: Time, id: MachineId) {
+    pub fn on_machine_removed(&mut self, now: Time, id: MachineId) {
         if self.removed_machines.len() >= MAX_GONE_MACHINES {
             // Names are given in order: the lowest has been gone longest, or nearly.
             self.removed_machines.pop_first();
@@ -108,7 +108,7 @@
     /// Until when a machine's worker may keep its tasks alive.
     fn leases_until(&self, machine: &Machine) -> Time {
         let lease_s = self.lease_s * MAX_CLOCK_DRIFT + self.margin_s * 0.25;
-        let previous_until = if broken!(self.faults, own_silence) {
+        let previous_until = if fault_injected!(self.faults, silence_from_local_replies) {
             self.acquired_at.plus(lease_s)
         } else {
             self.previous_leases_until
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -94,7 +94,7 @@
         );
         // What is not known, or runs still, is left alone.
         assert_eq!(commands.len(), 2);
-        scheduler.faults.late_stops = true;
+        scheduler.faults.late_cancellation_stops = true;
         let incoming = report(2, fencing_token, &["job-1/0"]);
         assert!(scheduler
             .on_report(at(NOW + 1.0), &incoming, &[], &job_store)
@@ -108,7 +108,7 @@
 fn allocation_to_be_stopped_whose_run_was_lost_ends() {
     for broken in [false, true] {
         let (job_store, mut scheduler) = cancelled("job-1");
-        (scheduler.loaded, scheduler.faults.stuck_stop) = (true, broken);
+        (scheduler.loaded, scheduler.faults.stop_of_lost_run_kept) = (true, broken);
         scheduler.on_report(at(NOW), &report(1, 9, &[]), &[], &job_store);
         let id = MachineId::parse("n-000001").expect("a machine");
         let task = TaskId {
@@ -165,7 +165,10 @@
         for ((incarnation, sequence, fencing_token), gone) in cases {
             let (job_store, mut scheduler) = cancelled("job-1");
             scheduler.loaded = true;
-            (scheduler.faults.hasty_proof, scheduler.faults.old_reports) = (hasty, old);
+            (
+                scheduler.faults.absence_proof_without_token,
+                scheduler.faults.stale_reports_accepted,
+            ) = (hasty, old);
             scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
             let resources = Resources {
                 cpus: 1.0,
@@ -275,7 +278,7 @@
     };
     for (loaded, broken) in [(false, false), (true, false), (true, true)] {
         let (job_store, mut scheduler) = cancelled("job-1");
-        (scheduler.loaded, scheduler.faults.first_word) = (loaded, broken);
+        (scheduler.loaded, scheduler.faults.first_report_proves_life) = (loaded, broken);
         scheduler.on_report(at(NOW), &report(5, 4, &[]), &[], &job_store);
         assert_eq!(last_heartbeat(&scheduler), broken);
         // Several that were kept come at once.
@@ -350,7 +353,10 @@
     for broken in [false, true] {
         for (state, (incarnation, sequence, fencing_token), gone) in cases {
             let (job_store, mut scheduler) = cancelled("job-1");
-            (scheduler.loaded, scheduler.faults.direct_absence) = (true, broken);
+            (
+                scheduler.loaded,
+                scheduler.faults.direct_reply_absence_ends_task,
+            ) = (true, broken);
             scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
             let task = TaskId {
                 job: job("job-1"),
@@ -603,9 +609,9 @@
 fn removed_machines_of_a_large_fleet_are_remembered_within_a_bound() {
     let (_, mut scheduler) = cancelled("job-1");
     let id = |n: usize| MachineId::parse(&format!("n-{n:06}")).expect("a name");
-    (0..8_192).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
+    (0..8_192).for_each(|n| scheduler.on_machine_removed(at(NOW), id(n)));
     assert!((0..8_192).all(|n| scheduler.removed_machines.contains(&id(n))));
-    (0..MAX_GONE_MACHINES + 100).for_each(|n| scheduler.machine_gone(at(NOW), id(n)));
+    (0..MAX_GONE_MACHINES + 100).for_each(|n| scheduler.on_machine_removed(at(NOW), id(n)));
     assert_eq!(scheduler.removed_machines.len(), MAX_GONE_MACHINES);
     assert!(scheduler
         .removed_machines
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -19,7 +19,7 @@
 pub use submission::{read_submission, validate, SubmissionError};
 
 use crate::calls::{Tag, UserApiCall};
-use crate::faults::{broken, Faults};
+use crate::faults::{fault_injected, Faults};
 use crate::job_store::{self, JobSpec, JobState, JobStore};
 use crate::replica::Freshness;
 use crate::store::{Reply, StoreClient};
@@ -290,7 +290,7 @@
     }
 
     /// The replica of the jobs was refreshed, or could not be.
-    pub fn on_fresh(
+    pub fn on_replica_refresh(
         &mut self,
         now: Time,
         freshness: Freshness,
@@ -305,7 +305,7 @@
         let mut left = VecDeque::new();
         while let Some(waiting) = self.waiting.pop_front() {
             let stale = fresh.is_none_or(|fresh| fresh < waiting.needs_fresh_as_of);
-            if !stale || broken!(self.faults, stale_answers) {
+            if !stale || fault_injected!(self.faults, answers_from_stale_replica) {
                 let counts = counts.counts(waiting.job);
                 self.answer_waiting(now, &waiting, job_store, counts, out);
             } else if freshness == Freshness::Failed {
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -290,7 +290,7 @@
             ReplicaCall::Refresh,
             &json!({"ledgerRev": 4, "news": []}),
         );
-        user_api.on_fresh(at(1.4), fresh, &copy.job_store, &Nobody, &mut out);
+        user_api.on_replica_refresh(at(1.4), fresh, &copy.job_store, &Nobody, &mut out);
         let expected: &[(u16, String)] = &[(200, "pending".into())];
         assert_eq!(told(&mut out), if word { &[] } else { expected });
         assert!(user_api.take_announcements().is_empty());
@@ -303,7 +303,7 @@
         let cancelled = json!({"ledgerRev": 5, "news": [{"write": job_store::key(id), "stamp": 5,
             "value": job_store::cancelled_record(&spec)}]});
         let fresh = copy.take(at(1.6), sent, ReplicaCall::Refresh, &cancelled);
-        user_api.on_fresh(at(1.6), fresh, &copy.job_store, &Nobody, &mut out);
+        user_api.on_replica_refresh(at(1.6), fresh, &copy.job_store, &Nobody, &mut out);
         assert_eq!(told(&mut out), [(200, "cancelled".into())]);
         assert_eq!(
             user_api.take_announcements(),
--- a/crates/dev-cluster/src/controllers.rs
+++ b/crates/dev-cluster/src/controllers.rs
@@ -122,18 +122,18 @@
     }
 
     /// Controllers that ended by themselves, which they never should.
-    pub fn fallen(&mut self) -> Vec<usize> {
-        let mut fallen = Vec::new();
+    pub fn reap_exited(&mut self) -> Vec<usize> {
+        let mut exited = Vec::new();
         for (node, child) in self.children.iter_mut().enumerate() {
             let over = child
                 .as_mut()
                 .is_some_and(|c| !matches!(c.try_wait(), Ok(None)));
             if over {
                 *child = None;
-                fallen.push(node);
+                exited.push(node);
             }
         }
-        fallen
+        exited
     }
 
     /// Where a controller logs.
--- a/crates/dev-cluster/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -291,8 +291,8 @@
     }
 
     /// Controllers that ended by themselves, which they never should.
-    pub fn fallen(&mut self) -> Vec<usize> {
-        self.controllers.fallen()
+    pub fn reap_exited(&mut self) -> Vec<usize> {
+        self.controllers.reap_exited()
     }
 
     /// Where a controller logs.
--- a/crates/emulator/src/cloud.rs
+++ b/crates/emulator/src/cloud.rs
@@ -220,7 +220,7 @@
     }
 
     /// Instances released since the last call.
-    pub fn take_gone(&mut self) -> Vec<u64> {
+    pub fn take_released(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.gone)
     }
 
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -157,7 +157,7 @@
             &mut self.rng,
         );
         self.booting.extend(self.cloud.take_created());
-        for gone in self.cloud.take_gone() {
+        for gone in self.cloud.take_released() {
             self.remove(now, gone);
         }
         self.state.write_log(self.cloud.next_machine());
--- a/crates/emulator/src/user.rs
+++ b/crates/emulator/src/user.rs
@@ -66,7 +66,7 @@
     /// When the user was first told that it is done or cancelled.
     pub over: Option<Micros>,
     /// The user asked to cancel it.
-    pub asked_cancel: bool,
+    pub cancel_requested: bool,
     /// The state that was told last.
     pub last_state: String,
     /// HTTP status of the last answer to the submission.
@@ -131,7 +131,7 @@
         }
         let went_back = (after && self.done && state != "done")
             || (after && self.cancelled.is_some() && state != "cancelled")
-            || (state == "cancelled" && !self.asked_cancel);
+            || (state == "cancelled" && !self.cancel_requested);
         if went_back {
             violations.push("went_back");
         }
--- a/crates/emulator/src/user/tests.rs
+++ b/crates/emulator/src/user/tests.rs
@@ -54,7 +54,7 @@
     for (asked, broken) in [(4, false), (5, true), (9, true)] {
         let mut view = UserJobView {
             submitted: true,
-            asked_cancel: true,
+            cancel_requested: true,
             ..UserJobView::default()
         };
         let mut told = |times, request, reply, complete| {
--- a/crates/failure-detection/src/silence_detector.rs
+++ b/crates/failure-detection/src/silence_detector.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailureDomain {
     /// All machines: this controller's own link to them.
-    OwnLink,
+    LocalLink,
     /// Machines of one zone, by its number.
     Zone(usize),
     /// Machines of one type, by its number.
@@ -47,7 +47,7 @@
     /// Seconds without a report here; pauses of this process are not counted.
     pub silent_s: f64,
     /// Seconds since a peer heard it.
-    pub peer_heard_age_s: Option<f64>,
+    pub peer_report_age_s: Option<f64>,
     /// The cloud's list no longer names it, though it must if it were there.
     pub unlisted: bool,
     /// It acknowledges nothing and tries one controller after the other: that peers hear it says
@@ -64,7 +64,7 @@
 
 fn domains(zone: usize, machine_type: usize) -> [FailureDomain; 3] {
     [
-        FailureDomain::OwnLink,
+        FailureDomain::LocalLink,
         FailureDomain::Zone(zone),
         FailureDomain::MachineType(machine_type),
     ]
@@ -78,7 +78,7 @@
     /// Overdue, and not yet long enough for any conclusion.
     Overdue,
     /// A peer hears it: it is alive, and this controller's link to it is broken.
-    HeardByPeer,
+    ReachableFromPeer,
     /// Silent like most of its failure domain: taken for a broken link for now.
     Shielded(FailureDomain),
     /// Silent beyond the threshold, but too many others were given up just now.
@@ -264,7 +264,7 @@
 
     fn is_heard_by_peer(&self, observation: &MachineObservation) -> bool {
         observation
-            .peer_heard_age_s
+            .peer_report_age_s
             .is_some_and(|age| age <= self.thresholds.max_peer_age_s && age < observation.silent_s)
     }
 
@@ -290,15 +290,15 @@
         if any_silent
             && self
                 .suspected_since
-                .remove(&FailureDomain::OwnLink)
+                .remove(&FailureDomain::LocalLink)
                 .is_some()
         {
             // What was silent with all the others has time to be heard again.
-            self.begin_recovery(now, FailureDomain::OwnLink);
+            self.begin_recovery(now, FailureDomain::LocalLink);
         }
-        self.update_suspicion(now, FailureDomain::OwnLink, all, own_link_silent);
+        self.update_suspicion(now, FailureDomain::LocalLink, all, own_link_silent);
         self.suspected_since
-            .retain(|domain, _| *domain == FailureDomain::OwnLink || counts.contains_key(domain));
+            .retain(|domain, _| *domain == FailureDomain::LocalLink || counts.contains_key(domain));
     }
 
     /// Once suspected, a domain stays so until most of it is heard again: while it recovers, its
@@ -334,7 +334,7 @@
         let silent_s = observation.silent_s;
         if silent_s > overdue_s {
             if self.is_heard_by_peer(observation) {
-                return Liveness::HeardByPeer;
+                return Liveness::ReachableFromPeer;
             }
             if observation.unlisted {
                 return Liveness::Unlisted;
--- a/crates/failure-detection/src/silence_detector/tests.rs
+++ b/crates/failure-detection/src/silence_detector/tests.rs
@@ -22,7 +22,7 @@
             zone: (i % 2) as usize,
             machine_type: (i / 2 % 2) as usize,
             silent_s: silent_s(i),
-            peer_heard_age_s: None,
+            peer_report_age_s: None,
             unlisted: false,
             rotates_controllers: false,
         })
@@ -158,17 +158,17 @@
     let mut detector = SilenceDetector::new(silence_thresholds());
     let mut all = fleet(100, |_| 20.0);
     for m in all.iter_mut().take(60) {
-        m.peer_heard_age_s = Some(1.0);
+        m.peer_report_age_s = Some(1.0);
     }
     let assessment = detector.assess(at(0.0), OVERDUE_S, &all);
-    assert_eq!(count(&assessment, Liveness::HeardByPeer), 60);
+    assert_eq!(count(&assessment, Liveness::ReachableFromPeer), 60);
     assert_eq!(count(&assessment, Liveness::Dead), 0);
     assert!(assessment.connectivity.reaches_fewer_than_peers());
     // A few that are new and try everybody move nothing.
     let mut all = fleet(100, |i| if i < 3 { 20.0 } else { 1.0 });
     all.iter_mut()
         .take(3)
-        .for_each(|m| m.peer_heard_age_s = Some(1.0));
+        .for_each(|m| m.peer_report_age_s = Some(1.0));
     assert!(!detector
         .assess(at(9.0), OVERDUE_S, &all)
         .connectivity
@@ -176,14 +176,14 @@
     // Those that are answered by nobody go round all controllers.
     let mut all = fleet(100, |_| 20.0);
     all.iter_mut()
-        .for_each(|m| (m.peer_heard_age_s, m.rotates_controllers) = (Some(1.0), true));
+        .for_each(|m| (m.peer_report_age_s, m.rotates_controllers) = (Some(1.0), true));
     assert!(!detector
         .assess(at(9.5), OVERDUE_S, &all)
         .connectivity
         .reaches_fewer_than_peers());
     // An old word is none.
     let mut all = fleet(4, |_| 20.0);
-    all.iter_mut().for_each(|m| m.peer_heard_age_s = Some(9.0));
+    all.iter_mut().for_each(|m| m.peer_report_age_s = Some(9.0));
     assert_eq!(
         detector
             .assess(at(30.0), OVERDUE_S, &all)
@@ -213,7 +213,7 @@
     let mut detector = SilenceDetector::new(silence_thresholds());
     let assessment = detector.assess(at(0.0), OVERDUE_S, &fleet(300, |_| 30.0));
     assert_eq!(
-        count(&assessment, Liveness::Shielded(FailureDomain::OwnLink)),
+        count(&assessment, Liveness::Shielded(FailureDomain::LocalLink)),
         300
     );
     let assessment = detector.assess(at(90.0), OVERDUE_S, &fleet(300, |_| 120.0));
--- a/crates/sim/src/cluster/adverse_users.rs
+++ b/crates/sim/src/cluster/adverse_users.rs
@@ -91,7 +91,7 @@
         }
         let open = |job: &String| {
             let view = self.users.views.get(job);
-            view.is_some_and(|v| v.accepted && !v.asked_cancel && !v.done)
+            view.is_some_and(|v| v.accepted && !v.cancel_requested && !v.done)
         };
         let mut jobs: Vec<(String, Vec<u64>)> =
             running.into_iter().filter(|(job, _)| open(job)).collect();
--- a/crates/sim/src/cluster/checks.rs
+++ b/crates/sim/src/cluster/checks.rs
@@ -181,7 +181,7 @@
             self.checks
                 .preemptions
                 .on_events(self.now, state, &events, &self.jobs, |job| {
-                    views.get(job).is_some_and(|view| view.asked_cancel)
+                    views.get(job).is_some_and(|view| view.cancel_requested)
                 });
         }
         self.note_first_starts(machine);
--- a/crates/sim/src/cluster/delivery.rs
+++ b/crates/sim/src/cluster/delivery.rs
@@ -212,7 +212,7 @@
         for (machine, up) in self.cloud.take_created() {
             self.push(up, Event::ReportDue { machine });
         }
-        for machine in self.cloud.take_gone() {
+        for machine in self.cloud.take_released() {
             self.on_machine_returned(request.origin.process.controller, machine, request.late);
         }
         let part = self.faults.lost_cloud_answers;
--- a/crates/sim/src/cluster/figures.rs
+++ b/crates/sim/src/cluster/figures.rs
@@ -20,7 +20,7 @@
     /// Whether a job was accepted and should be done.
     pub(super) fn should_finish(&self, id: &str, plan: &JobPlan) -> bool {
         let view = self.users.views.get(id);
-        let wanted = view.is_some_and(|v| v.accepted && !v.asked_cancel);
+        let wanted = view.is_some_and(|v| v.accepted && !v.cancel_requested);
         wanted && !plan.fails && plan.is_batch()
     }
 
--- a/crates/sim/src/cluster/users.rs
+++ b/crates/sim/src/cluster/users.rs
@@ -27,9 +27,9 @@
     /// The controller that the next user who sends something asks.
     pub next_controller: Option<usize>,
     /// Jobs that cannot run or lack a field.
-    pub unsound: BTreeSet<String>,
+    pub invalid_jobs: BTreeSet<String>,
     /// Those of them that were accepted.
-    pub unsound_accepted: BTreeSet<String>,
+    pub invalid_jobs_accepted: BTreeSet<String>,
     /// Users who poll this job get no answer: for the check of that rule.
     pub ignored_job: Option<String>,
     /// Jobs about which a request is open since the last fault ended.
@@ -129,7 +129,7 @@
             }
             UserRequest::Poll => (Method::Get, format!("/api/jobs/{job}"), Vec::new()),
             UserRequest::Cancel => {
-                view.asked_cancel = true;
+                view.cancel_requested = true;
                 (Method::Post, format!("/api/jobs/{job}/cancel"), Vec::new())
             }
         };
@@ -205,8 +205,8 @@
         let assessment = view.on_answer(&answer);
         let cancelled = view.cancelled != before.2;
         let news = (view.accepted, view.over) != (before.0, before.1);
-        if view.accepted && self.users.unsound.contains(job) {
-            self.users.unsound_accepted.insert(job.clone());
+        if view.accepted && self.users.invalid_jobs.contains(job) {
+            self.users.invalid_jobs_accepted.insert(job.clone());
         }
         if news {
             self.probe_all_controllers(job);
--- a/crates/sim/src/days.rs
+++ b/crates/sim/src/days.rs
@@ -10,7 +10,7 @@
 mod verdict;
 
 pub use bench_file::from_toml;
-pub use verdict::{faulty, unsound};
+pub use verdict::{faulty, faulty_under_combined_faults};
 
 use crate::scenario::{self, ScenarioError};
 use beamhinge_controller::faults::Faults;
--- a/crates/sim/src/days/verdict.rs
+++ b/crates/sim/src/days/verdict.rs
@@ -15,13 +15,13 @@
 /// Whether a day failed.
 #[must_use]
 pub fn faulty(outcome: &Outcome) -> bool {
-    unsound(outcome) || preempts_in_vain(outcome) || starts_late(outcome)
+    faulty_under_combined_faults(outcome) || preempts_in_vain(outcome) || starts_late(outcome)
 }
 
 /// Whether a day of combined faults failed: its faults may last longer than a largest job has
 /// time to start.
 #[must_use]
-pub fn unsound(outcome: &Outcome) -> bool {
+pub fn faulty_under_combined_faults(outcome: &Outcome) -> bool {
     !outcome.violations.is_empty()
         || !outcome.unfinished.is_empty()
         || outcome.idle_machines > 0
--- a/crates/sim/src/scenario/actions/jobs.rs
+++ b/crates/sim/src/scenario/actions/jobs.rs
@@ -82,7 +82,7 @@
         map.remove(field);
     }
     if words.flag("odd") {
-        sim.users.unsound.insert(id.to_string());
+        sim.users.invalid_jobs.insert(id.to_string());
     }
     let plan = JobPlan {
         body,
--- a/crates/sim/src/scenario/outcome.rs
+++ b/crates/sim/src/scenario/outcome.rs
@@ -153,11 +153,11 @@
 }
 
 fn record_violations(sim: &Sim, outcome: &mut Outcome) {
-    let unsound = &sim.users.unsound_accepted;
-    if !unsound.is_empty() {
-        outcome
-            .failures
-            .push(format!("accepted though they are not sound: {unsound:?}"));
+    let invalid_jobs = &sim.users.invalid_jobs_accepted;
+    if !invalid_jobs.is_empty() {
+        outcome.failures.push(format!(
+            "accepted though they are not sound: {invalid_jobs:?}"
+        ));
     }
     outcome.violations = sim.checks.violated.iter().cloned().collect();
     if !outcome.violations.is_empty() {
--- a/crates/sim/src/scenario/tests.rs
+++ b/crates/sim/src/scenario/tests.rs
@@ -45,7 +45,7 @@
 
 /// A job that its user knows to be unsound, here only by name, is told as accepted.
 #[test]
-fn unsound_jobs_that_are_accepted_are_found() {
+fn invalid_jobs_that_are_accepted_are_found() {
     let day = "at 1 submit job-1 odd tasks=2 cpus=2 run=4\nend 20\n";
     let outcome = play(day, Faults::default()).expect("a scenario");
     assert!(
--- a/crates/sim/tests/fingerprint.rs
+++ b/crates/sim/tests/fingerprint.rs
@@ -27,7 +27,7 @@
         .collect();
     let recorded = days::play(&room, Faults::default(), 1).expect("a sound day");
     let faults = Faults {
-        scattered: true,
+        scattered_preemption: true,
         ..Faults::default()
     };
     let changed = days::play(&room, faults, 1).expect("a sound day");
--- a/crates/sim/tests/found.rs
+++ b/crates/sim/tests/found.rs
@@ -21,7 +21,7 @@
 #[test]
 fn a_healthy_zone_is_not_given_away() {
     let faults = Faults {
-        hasty: true,
+        silence_proves_death: true,
         ..Faults::default()
     };
     fails_only_with(faults, include_str!("found/hasty.txt"));
@@ -32,7 +32,7 @@
 #[test]
 fn a_refused_transaction_is_not_repeated() {
     let faults = Faults {
-        unbounded: true,
+        unbounded_transactions: true,
         ..Faults::default()
     };
     fails_only_with(faults, include_str!("found/unbounded.txt"));
@@ -57,7 +57,7 @@
 #[test]
 fn nobody_is_stopped_for_nobody() {
     let faults = Faults {
-        scattered: true,
+        scattered_preemption: true,
         ..Faults::default()
     };
     fails_only_with(faults, include_str!("found/scattered.txt"));
@@ -70,7 +70,7 @@
 #[test]
 fn a_take_of_ours_that_comes_late_is_found() {
     let faults = Faults {
-        own_lead: true,
+        lost_acquisition_ignored: true,
         ..Faults::default()
     };
     fails_only_with(faults, include_str!("found/own_take.txt"));
@@ -81,7 +81,7 @@
 #[test]
 fn nothing_idle_is_given_back_while_our_own_link_is_silent() {
     let faults = Faults {
-        blind_return: true,
+        machines_returned_while_link_down: true,
         ..Faults::default()
     };
     fails_only_with(faults, include_str!("found/blind_return.txt"));
@@ -106,7 +106,7 @@
     });
     // The draw can find what it looks for.
     let without = Faults {
-        no_h: true,
+        no_serving_deadline: true,
         ..Faults::default()
     };
     let found = days
--- a/crates/sim/tests/hold_model.rs
+++ b/crates/sim/tests/hold_model.rs
@@ -25,25 +25,25 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Defects {
     /// No H at all.
-    no_h: bool,
+    no_serving_deadline: bool,
     /// H counted from the coming of the reply.
     h_from_reply: bool,
     /// H renewed by what shows the hold, however old the jobs are.
-    h_by_hold: bool,
+    serving_deadline_from_lease: bool,
     /// Stops only with the pages read and our token shown.
-    late_stops: bool,
+    late_cancellation_stops: bool,
     /// Absence counts without our token.
     proof_before_token: bool,
     /// Silence after a take counts from our own answers alone.
-    own_silence: bool,
+    silence_from_local_replies: bool,
     /// A report that is not newer counts.
-    old_reports: bool,
+    stale_reports_accepted: bool,
     /// A lower tenure counts as another, and so as newer.
     lower_tenure: bool,
     /// A stop that was sent counts as an end.
     stop_is_end: bool,
     /// Placements do not rest on the block.
-    no_block: bool,
+    placements_without_block: bool,
 }
 
 fn older(age: u8, most: u8) -> u8 {
@@ -227,9 +227,10 @@
             if c.token > 0 {
                 add("it begins anew", &|w| w.controllers[i] = NOBODY);
             }
-            let fresh = (c.hold <= H && (c.jobs <= H || d.h_by_hold)) || d.no_h;
+            let fresh = (c.hold <= H && (c.jobs <= H || d.serving_deadline_from_lease))
+                || d.no_serving_deadline;
             if c.token > 0 && fresh && w.answer.is_none() {
-                let told = c.knows && (!d.late_stops || c.read && w.seen == c.token);
+                let told = c.knows && (!d.late_cancellation_stops || c.read && w.seen == c.token);
                 add("a report is answered", &|w| {
                     w.answer = Some((c.token, told, 0))
                 });
@@ -264,7 +265,13 @@
 fn the_gap_s_planted_defects_are_found() {
     let none = Defects::default();
     for (name, d) in [
-        ("no H", Defects { no_h: true, ..none }),
+        (
+            "no H",
+            Defects {
+                no_serving_deadline: true,
+                ..none
+            },
+        ),
         (
             "H from the reply",
             Defects {
@@ -275,14 +282,14 @@
         (
             "H by the hold alone",
             Defects {
-                h_by_hold: true,
+                serving_deadline_from_lease: true,
                 ..none
             },
         ),
         (
             "late stops",
             Defects {
-                late_stops: true,
+                late_cancellation_stops: true,
                 ..none
             },
         ),
@@ -393,8 +400,9 @@
 
     /// Takes a report in: whether `run` goes with the answer.
     fn take_in(c: &mut Controller, r: Report, d: Defects) -> bool {
-        let newer =
-            c.last < r.at || d.old_reports || d.lower_tenure && r.at.0 != c.last.0 && c.last.0 > 0;
+        let newer = c.last < r.at
+            || d.stale_reports_accepted
+            || d.lower_tenure && r.at.0 != c.last.0 && c.last.0 > 0;
         if !newer {
             return false;
         }
@@ -507,16 +515,17 @@
                     take_in(&mut w.controllers[i], r, d);
                 });
             }
-            let silent = c.answered > LEASE && (c.ever || d.own_silence || c.took > TOOK);
+            let silent =
+                c.answered > LEASE && (c.ever || d.silence_from_local_replies || c.took > TOOK);
             // Our own answers have to be long ago, not to be none.
-            let silent = silent && (!d.own_silence || c.ever || c.took > LEASE);
+            let silent = silent && (!d.silence_from_local_replies || c.ever || c.took > LEASE);
             if c.token > 0 && silent && matches!(c.entry, Entry::There | Entry::Sent(_)) {
                 add("silence is proof", &|w| {
                     w.controllers[i].entry = Entry::Free
                 });
             }
             let placed = c.token > 0 && c.entry == Entry::Free;
-            if placed && (c.token == w.block || d.no_block) {
+            if placed && (c.token == w.block || d.placements_without_block) {
                 add("it is placed elsewhere", &|w| {
                     w.elsewhere += 1;
                     w.controllers[i].entry = Entry::Elsewhere;
@@ -563,14 +572,14 @@
         (
             "own silence",
             Defects {
-                own_silence: true,
+                silence_from_local_replies: true,
                 ..none
             },
         ),
         (
             "old reports",
             Defects {
-                old_reports: true,
+                stale_reports_accepted: true,
                 ..none
             },
         ),
@@ -591,7 +600,7 @@
         (
             "no block",
             Defects {
-                no_block: true,
+                placements_without_block: true,
                 ..none
             },
         ),
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -195,7 +195,7 @@
             .outcome
             .map_err(|e| TestbedError::Other(format!("{}: {e}", day.name)))?;
         let failed = if options.meetings {
-            days::unsound(&outcome)
+            days::faulty_under_combined_faults(&outcome)
         } else {
             days::faulty(&outcome)
         };
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -170,14 +170,14 @@
     let joined = threads.into_iter().map(thread::JoinHandle::join);
     let failed_threads = joined.filter(Result::is_err).count();
     let unfinished = settle(&record, &addresses);
-    let fallen = cluster.fallen();
+    let exited = cluster.reap_exited();
     let memory_mb = cluster
         .processes()
         .into_iter()
         .map(|pid| context::memory_mb(pid).1)
         .fold(0.0f64, f64::max);
     drop(cluster);
-    let ended = fallen.len() + failed_threads;
+    let ended = exited.len() + failed_threads;
     report(&record, &kills, &unfinished, ended, memory_mb)
 }
 
@@ -463,7 +463,7 @@
     record: &Record,
     kills: &[(f64, bool)],
     unfinished: &[String],
-    fallen: usize,
+    exited: usize,
     memory_mb: f64,
 ) -> Result<Value, TestbedError> {
     let jobs = lock(&record.jobs);
@@ -488,14 +488,14 @@
     let ms = |q: f64| times.value_at_quantile(q) as f64 / 1e3;
     // Without load and without kills nothing would have been tested.
     let tested = accepted >= 100 && !kills.is_empty() && of(State::Cancelled) > 0;
-    let ok = wrong.is_empty() && unfinished.is_empty() && fallen == 0 && tested;
+    let ok = wrong.is_empty() && unfinished.is_empty() && exited == 0 && tested;
     let round = |x: f64| (x * 1e3).round() / 1e3;
     Ok(json!({
         "ok": ok, "experiment": "restart", "jobs": accepted, "done": of(State::Done),
         "cancelled": of(State::Cancelled), "kills": kills.len(),
         "kills_of_all": kills.iter().filter(|k| k.1).count(),
         "tasks_begun": machines.begins.len(), "answers": times.len(),
-        "wrong_answers": wrong.len(), "not_over": unfinished.len(), "ended_by_themselves": fallen,
+        "wrong_answers": wrong.len(), "not_over": unfinished.len(), "ended_by_themselves": exited,
         "gap_accepting_s": {"median": round(quantile(&answered, 0.5)), "p99": round(quantile(&answered, 0.99))},
         "gap_starting_s": {"median": round(quantile(&starts, 0.5)), "p99": round(quantile(&starts, 0.99))},
         "answer_ms": {"median": ms(0.5), "p99": ms(0.99), "most": times.max() as f64 / 1e3},
--- a/crates/testbed/src/scale/role/cloud.rs
+++ b/crates/testbed/src/scale/role/cloud.rs
@@ -89,7 +89,7 @@
     /// Tells which machines are up or gone.
     fn report_machines(&mut self, now: Micros) {
         self.booting.extend(self.cloud.take_created());
-        for machine in self.cloud.take_gone() {
+        for machine in self.cloud.take_released() {
             self.booting.remove(&machine);
             self.cloud.endpoints.remove(&machine);
             self.links.records.send(&Record::Gone { machine });
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -184,8 +184,8 @@
 
     fn note_cancel(&mut self, job: u64) {
         let told = self.told.entry(job).or_default();
-        if !told.asked_cancel {
-            told.asked_cancel = true;
+        if !told.cancel_requested {
+            told.cancel_requested = true;
             self.record(job, UserEvent::CancelSent);
         }
     }
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -93,7 +93,7 @@
     seed: u64,
     configuration: ConfigurationFigures,
     began: Instant,
-    fallen: u64,
+    exited: u64,
     lead_changes: u64,
     marks: Vec<(f64, String)>,
     stop: Arc<AtomicBool>,
@@ -182,7 +182,7 @@
             leader: None,
             schedule: Vec::new(),
             began: Instant::now(),
-            fallen: 0,
+            exited: 0,
             lead_changes: 0,
             marks: Vec::new(),
             stop,
@@ -269,9 +269,9 @@
             let (_, schedule) = self.schedule.swap_remove(i);
             self.run_scheduled(schedule)?;
         }
-        let fallen = self.controllers.fallen();
-        for node in fallen {
-            self.fallen += 1;
+        let exited = self.controllers.reap_exited();
+        for node in exited {
+            self.exited += 1;
             self.controllers.start(node)?;
         }
         self.checker.check_until(wall_us());
--- a/crates/testbed/src/scale/run/report.rs
+++ b/crates/testbed/src/scale/run/report.rs
@@ -66,7 +66,7 @@
             jobs: counts,
             late_starts: self.checker.late_starts,
             broken,
-            fallen: self.fallen,
+            fallen: self.exited,
             processes: self.plan.size.controllers + self.roles.len() + 1,
             machine_memory_mb: usage::machine_memory_mb(),
             faults: faults.map(|(at, kind)| format!("{kind}@{at:.1}")).collect(),
--- a/crates/testbed/tests/real.rs
+++ b/crates/testbed/tests/real.rs
@@ -55,7 +55,14 @@
 #[test]
 fn a_fault_of_old_is_found_by_a_drawn_day() {
     let (code, figures) = lab(&[
-        "days", "--quick", "--seed", "14", "--day", "20", "--break", "hasty",
+        "days",
+        "--quick",
+        "--seed",
+        "14",
+        "--day",
+        "20",
+        "--break",
+        "silence_proves_death",
     ]);
     assert_eq!(code, Some(1), "{figures}");
     assert!(figures["healthy_returned"].as_u64() > Some(10), "{figures}");
