--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -365,10 +365,8 @@
     for fault_injected in [false, true] {
         for (state, (incarnation, sequence, fencing_token), expect_released) in cases {
             let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
-            (
-                scheduler.loaded,
-                scheduler.faults.direct_reply_absence_ends_task,
-            ) = (true, fault_injected);
+            scheduler.loaded = true;
+            scheduler.faults.direct_reply_absence_ends_task = fault_injected;
             scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
             let task = TaskId {
                 job: job_id("job-1"),
