--- a/crates/controller/src/admin_api.rs
+++ b/crates/controller/src/admin_api.rs
@@ -1,9 +1,10 @@
-//! The operators' interface of one controller: who may ask what, and how much at once.
+//! The admin API of one controller: authentication, authorization and rate limiting of requests.
 //!
-//! A query is answered from a replica once that is fresher than the query; what only the leader
-//! knows is asked of it. The leader answers only after an exchange with the key-value store
-//! that is newer than the query, so that one that was replaced cannot tell an older state. All
-//! that waits is bounded in number and time ([`PendingQueries`]); the rest is told to retry.
+//! A query is answered from a replica that is fresher than the query, or is forwarded to the
+//! leader if only the leader has the data. The leader answers only after an exchange with the
+//! key-value store that is newer than the query, so that a leader that has been replaced cannot
+//! return an older state than its successor. The number of waiting queries and their waiting
+//! time are bounded ([`PendingQueries`]); all others are told to retry.
 
 mod pending;
 mod responses;
@@ -21,33 +22,33 @@
 use beamhinge_core::http::Request;
 use beamhinge_core::types::{Time, WallMs};
 
-/// Jobs that one page visits at most; beyond it the client goes on from the cursor.
+/// Maximum number of jobs visited for one page; the client continues from the cursor.
 pub const MAX_JOBS_VISITED: usize = 4_000;
-/// Largest answer to a peer, bytes; a frame holds a little more.
+/// Maximum size of an answer to a peer, bytes; slightly below the capacity of a frame.
 pub const MAX_ANSWER_BYTES: usize = 200 * 1024;
 
-/// How much the interface takes.
+/// Load limits of the admin API.
 #[derive(Clone, Copy, Debug)]
 pub struct AdminLimits {
-    /// Queries that may wait.
+    /// Maximum number of waiting queries.
     pub max_waiting: usize,
-    /// Requests that are taken each second.
+    /// Maximum rate of accepted requests, requests per second.
     pub max_rps: f64,
 }
 
-/// The operators' interface of one controller.
+/// The admin API of one controller.
 pub struct AdminApi {
     authenticator: Authenticator,
     limits: AdminLimits,
-    /// Requests that may be taken at once, as of `refilled_at`.
+    /// Tokens of the rate limit at `refilled_at`; each request takes one.
     tokens: f64,
     refilled_at: Time,
-    /// Queries that are not answered yet.
+    /// Queries that have not been answered yet.
     pub pending: PendingQueries,
 }
 
 impl AdminApi {
-    /// An interface without pending queries.
+    /// Creates an admin API without pending queries.
     pub fn new(authenticator: Authenticator, limits: AdminLimits) -> AdminApi {
         AdminApi {
             authenticator,
@@ -58,13 +59,13 @@
         }
     }
 
-    /// Identifies this process; requests are signed for it.
+    /// Identifier of this process, which the signature of each request covers.
     pub fn instance(&self) -> &str {
         self.authenticator.instance()
     }
 
-    /// Takes one request off the rate limit: the processor belongs to the workers. Whether
-    /// there was one left.
+    /// Takes one token of the rate limit, which keeps processor time free for the requests of
+    /// workers. Returns whether a token was available.
     fn take_token(&mut self, now: Time) -> bool {
         let rate = self.limits.max_rps;
         let refilled = self.tokens + now.since(self.refilled_at) * rate;
@@ -80,7 +81,7 @@
     /// Authenticates a request and parses it.
     ///
     /// # Errors
-    /// The answer to a request that is not taken.
+    /// The answer to a request that is rejected.
     pub fn receive(
         &mut self,
         now: Time,
@@ -130,8 +131,8 @@
             })
     }
 
-    /// Takes the query of a peer that this controller is to answer as the leader. Whether it
-    /// was taken: not where too many wait.
+    /// Queues the query of a peer, which this controller answers as the leader. Returns whether
+    /// it was queued: it is not if too many queries wait or the rate limit is exceeded.
     #[must_use]
     pub fn receive_from_peer(
         &mut self,
--- a/crates/controller/src/admin_api/pending.rs
+++ b/crates/controller/src/admin_api/pending.rs
@@ -1,5 +1,5 @@
-//! Queries of operators that wait: for a replica that is fresh enough, for this controller as
-//! the leader, or for the leader's response.
+//! Queries of the admin API that wait: for a replica that is fresh enough, for confirmation that
+//! this controller is still the leader, or for the response of another controller as the leader.
 
 use beamhinge_admin_api::messages::{JobFilter, JobRow, Query, SpecView};
 use beamhinge_core::types::{JobId, RequestId, Time};
@@ -7,57 +7,57 @@
 
 /// How long a query may wait for a replica or for the leader, seconds.
 pub(super) const QUERY_TIMEOUT_S: f64 = 2.0;
-/// How long a query of a peer may wait here, seconds: less, so that the peer hears of it before
-/// it gives up itself.
+/// How long a query of a peer may wait, seconds: less than [`QUERY_TIMEOUT_S`], so that the peer
+/// receives the answer before its own timeout.
 const PEER_QUERY_TIMEOUT_S: f64 = 1.5;
 
-/// What is done with the leader's response before the client gets it.
+/// How the leader's response is processed before it is sent to the client.
 #[derive(Debug)]
 pub enum ResponseMerge {
-    /// It is passed on as it is.
+    /// The response is sent unchanged.
     PassThrough,
-    /// It is put together with what the replica holds of the job.
+    /// The response is merged with the job's state in the replica.
     Job {
-        /// The job's row, but for what the leader knows better.
+        /// The job's row, without the values that only the leader knows.
         row: Box<JobRow>,
-        /// The job's specification.
+        /// The job's specification; `None` if the replica has none.
         spec: Box<Option<SpecView>>,
-        /// Whether only the explanation is wanted.
+        /// Whether only the explanation of the job's state is requested.
         explain: bool,
     },
 }
 
-/// Who waits for what only the leader knows.
+/// Who waits for the leader's response.
 #[derive(Debug)]
 pub enum Requester {
     /// A client of this controller.
     Client {
         /// The client's request.
         request: RequestId,
-        /// What is done with the response.
+        /// How the response is processed.
         merge: ResponseMerge,
     },
     /// Another controller.
     Peer {
-        /// Label of the controller.
+        /// Label of that controller.
         label: String,
-        /// The number under which it sent the query.
+        /// Serial number that the peer gave the query.
         serial: u64,
     },
 }
 
-/// A query that waits for a replica that is fresher than itself.
+/// A query that waits for a replica that is fresher than the query.
 #[derive(Debug)]
 pub struct LocalQuery {
     /// The client's request.
     pub request: RequestId,
-    /// When it came.
+    /// When the query was received.
     pub received: Time,
-    /// What is asked for.
+    /// The requested data.
     pub target: LocalTarget,
 }
 
-/// What a replica of this controller answers.
+/// Data that a replica of this controller provides.
 #[derive(Debug)]
 pub enum LocalTarget {
     /// A page of jobs.
@@ -66,38 +66,38 @@
     Job {
         /// The job.
         id: JobId,
-        /// Whether only the explanation of its state is wanted.
+        /// Whether only the explanation of its state is requested.
         explain: bool,
     },
     /// The directives in force.
     Directives,
-    /// The teams in effect and how far they are rolled out.
+    /// The teams in effect and the progress of their rollout.
     Configuration,
 }
 
 /// A query that this controller answers as the leader.
 #[derive(Debug)]
 pub struct LeaderQuery {
-    /// When it came.
+    /// When the query was received.
     pub received: Time,
     /// Who waits for the response.
     pub requester: Requester,
-    /// What is asked for.
+    /// The query to answer.
     pub query: Query,
 }
 
-/// How fresh the replicas of this controller are; `None`: not read yet.
+/// Freshness of this controller's replicas; `None` if a replica has not been read yet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplicaFreshness {
-    /// Of the jobs.
+    /// Freshness of the jobs.
     pub jobs: Option<Time>,
-    /// Of the directives.
+    /// Freshness of the directives.
     pub directives: Option<Time>,
-    /// Of the configuration.
+    /// Freshness of the configuration.
     pub configuration: Option<Time>,
 }
 
-/// Queries that are given up.
+/// Queries that have timed out or can no longer be answered.
 #[derive(Debug, Default)]
 pub struct Overdue {
     /// Requests of clients.
@@ -113,30 +113,30 @@
     merge: ResponseMerge,
 }
 
-/// All queries that are not answered yet.
+/// All queries that have not been answered yet.
 #[derive(Default)]
 pub struct PendingQueries {
     local: VecDeque<LocalQuery>,
     leader: VecDeque<LeaderQuery>,
-    /// Sent to the leader, by serial.
+    /// Queries sent to the leader, by serial number.
     forwarded: BTreeMap<u64, ForwardedQuery>,
     last_serial: u64,
-    /// Requests that the user API answers.
+    /// Requests that the user API answers on behalf of the admin API.
     delegated: BTreeSet<RequestId>,
 }
 
 impl PendingQueries {
-    /// How many requests wait, delegated ones included.
+    /// Number of waiting requests, including delegated ones.
     pub fn count(&self) -> usize {
         self.local.len() + self.leader.len() + self.forwarded.len() + self.delegated.len()
     }
 
-    /// Whether no query waits here; what was delegated waits elsewhere.
+    /// Whether no query waits here; delegated requests wait in the user API and do not count.
     pub fn is_idle(&self) -> bool {
         self.local.is_empty() && self.leader.is_empty() && self.forwarded.is_empty()
     }
 
-    /// Has a query wait for a fresh replica.
+    /// Queues a query until the replica that it needs is fresh enough.
     pub fn push_local(&mut self, now: Time, request: RequestId, target: LocalTarget) {
         self.local.push_back(LocalQuery {
             request,
@@ -145,7 +145,7 @@
         });
     }
 
-    /// Has a query wait until this controller may answer it as the leader.
+    /// Queues a query until this controller may answer it as the leader.
     pub fn push_leader_query(&mut self, now: Time, requester: Requester, query: Query) {
         self.leader.push_back(LeaderQuery {
             received: now,
@@ -154,7 +154,7 @@
         });
     }
 
-    /// Notes a query that is sent to the leader; returns the serial to send it under.
+    /// Records a query that is sent to the leader, and returns the serial number for the message.
     pub fn push_forwarded(&mut self, now: Time, request: RequestId, merge: ResponseMerge) -> u64 {
         self.last_serial += 1;
         let query = ForwardedQuery {
@@ -166,18 +166,20 @@
         self.last_serial
     }
 
-    /// Takes the query that the leader has answered; `None`: it was given up.
+    /// Removes and returns the query that the leader has answered; `None` if it has timed out.
     pub fn take_forwarded(&mut self, serial: u64) -> Option<(RequestId, ResponseMerge)> {
         let query = self.forwarded.remove(&serial)?;
         Some((query.request, query.merge))
     }
 
-    /// Notes a request that the user API answers; its answer is rewritten on the way out.
+    /// Records a request that the user API answers; its answer is converted to the format of the
+    /// admin API before it is sent.
     pub fn delegate(&mut self, request: RequestId) {
         self.delegated.insert(request);
     }
 
-    /// Whether the answer to this request is to be rewritten; it is no longer pending then.
+    /// Removes a delegated request. Returns whether the request was delegated, so that its answer
+    /// must be converted.
     pub fn take_delegated(&mut self, request: RequestId) -> bool {
         !self.delegated.is_empty() && self.delegated.remove(&request)
     }
@@ -199,12 +201,12 @@
         local.any(|query| matches!(query.target, LocalTarget::Configuration))
     }
 
-    /// Whether some query needs the leadership to be confirmed anew.
+    /// Whether some query needs a new confirmation of the leadership.
     pub fn needs_leadership_check(&self) -> bool {
         !self.leader.is_empty()
     }
 
-    /// Takes the queries that replicas of this freshness can answer.
+    /// Removes and returns the queries that replicas of this freshness can answer.
     pub fn take_ready_local(&mut self, freshness: &ReplicaFreshness) -> Vec<LocalQuery> {
         let mut ready = Vec::new();
         for query in std::mem::take(&mut self.local) {
@@ -222,8 +224,8 @@
         ready
     }
 
-    /// Takes the queries that the leader can answer by an exchange with the key-value store at
-    /// `confirmed_at`.
+    /// Removes and returns the queries that this controller can answer as the leader, given that
+    /// its leadership was confirmed at `confirmed_at` by an exchange with the key-value store.
     pub fn take_ready_leader(&mut self, confirmed_at: Option<Time>) -> Vec<LeaderQuery> {
         let Some(confirmed_at) = confirmed_at else {
             return Vec::new();
@@ -233,8 +235,8 @@
         self.leader.drain(..ready).collect()
     }
 
-    /// Takes all queries that may wait no longer and, where this controller is not the leader,
-    /// those that it was to answer as the leader.
+    /// Removes and returns all queries that have timed out and, if this controller is not the
+    /// leader, all queries that it would have answered as the leader.
     pub fn take_overdue(&mut self, now: Time, is_leader: bool) -> Overdue {
         let mut overdue = Overdue::default();
         let late = |since: Time, timeout_s: f64| now.since(since) > timeout_s;
--- a/crates/controller/src/admin_api/route.rs
+++ b/crates/controller/src/admin_api/route.rs
@@ -1,4 +1,4 @@
-//! Requests of operators, parsed: the path, its parameters and the body.
+//! Parses requests of the admin API: the path, its parameters and the body.
 
 use beamhinge_admin_api::auth::Role;
 use beamhinge_admin_api::directives::{DirectiveChange, Target};
@@ -12,15 +12,15 @@
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 
-/// Longest note of a directive, bytes.
+/// Maximum length of a directive's note, bytes.
 const MAX_NOTE_BYTES: usize = 200;
-/// Longest time limit of a drain, seconds.
+/// Maximum time limit of a drain, seconds.
 const MAX_DRAIN_LIMIT_S: f64 = 1e7;
 
-/// What an operator asks for.
+/// A parsed request of the admin API.
 #[derive(Debug, PartialEq)]
 pub enum Route {
-    /// Who answers here; needs no key.
+    /// Identity of this controller; needs no key.
     Hello,
     /// The metrics page.
     Metrics,
@@ -30,28 +30,28 @@
     Job {
         /// The job.
         id: JobId,
-        /// Whether only the explanation of its state is wanted.
+        /// Whether only the explanation of the job's state is requested.
         explain: bool,
     },
-    /// A job is to be accepted.
+    /// Submission of a job.
     Submit(Box<JobRequest>),
-    /// A job is to be cancelled.
+    /// Cancellation of a job.
     Cancel(JobId),
     /// The controllers.
     Nodes,
     /// The directives in force.
     Directives,
-    /// A directive is to be set or lifted.
+    /// Setting or removal of a directive.
     ChangeDirective(DirectiveChange),
     /// The teams in effect.
     Configuration,
-    /// The configuration is to be changed.
+    /// A configuration change.
     ChangeConfiguration(Box<ConfigurationChange>),
-    /// What only the leader knows.
+    /// A query that only the leader can answer.
     LeaderQuery(Query),
 }
 
-/// The answer to a request that is refused before it is looked at.
+/// The answer to a request that is rejected before it is processed.
 #[derive(Debug, PartialEq)]
 pub struct Rejection {
     /// HTTP status.
@@ -61,7 +61,7 @@
 }
 
 impl Rejection {
-    /// A rejection with this text.
+    /// Creates a rejection with an error text.
     pub fn new(status: u16, code: Code, error: impl Into<String>) -> Rejection {
         Rejection {
             status,
@@ -90,7 +90,7 @@
     /// Parses a request.
     ///
     /// # Errors
-    /// The answer to a request of an unknown form.
+    /// The answer to a request that cannot be parsed.
     pub fn parse(request: &Request) -> Result<Route, Rejection> {
         if request.body.len() > MAX_BODY_BYTES {
             let error = format!("a body may hold {MAX_BODY_BYTES} bytes");
@@ -111,7 +111,7 @@
         Ok(route)
     }
 
-    /// The route of a `GET`; `None`: there is none.
+    /// The route of a `GET` request; `None` if the path has none.
     fn parse_get(
         segments: &[&str],
         parameters: &mut Parameters,
@@ -149,7 +149,7 @@
         }))
     }
 
-    /// The route of a `POST`; `None`: there is none.
+    /// The route of a `POST` request; `None` if the path has none.
     fn parse_post(segments: &[&str], body: &[u8]) -> Result<Option<Route>, Rejection> {
         Ok(Some(match segments {
             ["v1", "jobs"] => Route::Submit(Box::new(parse_json(body)?)),
@@ -166,7 +166,7 @@
         }))
     }
 
-    /// The role that a key must have; `None`: no key is needed.
+    /// The role that the caller's key must have; `None` if no key is needed.
     pub fn required_role(&self) -> Option<Role> {
         match self {
             Route::Hello => None,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Its name on the metrics page.
+    /// Name of the route on the metrics page.
     pub fn name(&self) -> &'static str {
         match self {
             Route::Hello => "op_hello",
@@ -198,7 +198,8 @@
     }
 }
 
-/// The answer to a request without a route: the path exists for another method, or not at all.
+/// The answer to a request without a route: 405 if the path exists with another method, or else
+/// 404.
 fn no_such_route(segments: &[&str]) -> Rejection {
     match segments {
         ["metrics"]
@@ -211,7 +212,7 @@
     }
 }
 
-/// The change of a directive, with its limits checked.
+/// Parses the change of a directive and checks its limits.
 fn parse_directive_change(body: &[u8]) -> Result<DirectiveChange, Rejection> {
     let change: DirectiveChange = parse_json(body)?;
     let target = &change.target;
@@ -241,7 +242,7 @@
     })
 }
 
-/// Parameters of a query that were not used yet.
+/// Parameters of a request that have not been read yet.
 struct Parameters(BTreeMap<String, String>);
 
 impl Parameters {
@@ -250,7 +251,7 @@
         Parameters(pairs.collect())
     }
 
-    /// Takes a parameter; an empty one counts as absent.
+    /// Removes a parameter and returns its value; `None` if it is absent or empty.
     fn take(&mut self, name: &str) -> Option<String> {
         self.0.remove(name).filter(|value| !value.is_empty())
     }
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Rows of the page that is asked for.
+    /// Number of rows of the requested page.
     fn limit(&mut self) -> Result<usize, Rejection> {
         let limit = self
             .number("limit")?
@@ -323,7 +324,8 @@
         Ok(Some(urgency))
     }
 
-    /// Refuses parameters that nothing used: a misspelt filter would silently show too much.
+    /// Rejects parameters that were not read: a misspelt filter would silently return too many
+    /// rows.
     fn expect_empty(self) -> Result<(), Rejection> {
         match self.0.keys().next() {
             Some(name) => Err(malformed(format!(
--- a/crates/controller/src/admin_api/tests.rs
+++ b/crates/controller/src/admin_api/tests.rs
@@ -89,7 +89,7 @@
     assert_eq!(refused, Err((503, Code::Busy)));
     assert!(
         d.receive(now, wall, &get("/v1/hello")).is_ok(),
-        "who is there is always told"
+        "hello is always answered"
     );
     assert!(
         d.pending
@@ -99,7 +99,7 @@
                 ..ReplicaFreshness::default()
             })
             .is_empty(),
-        "an older copy says nothing"
+        "an older replica answers no query"
     );
     let overdue = d
         .pending
@@ -107,7 +107,7 @@
     assert_eq!(overdue.clients.len(), 2);
 }
 
-/// A leader that was replaced would otherwise tell an older state than the new one.
+/// Otherwise a leader that was replaced could return an older state than its successor.
 #[test]
 fn leader_query_waits_for_exchange_newer_than_itself() {
     let mut d = admin_api(8);
@@ -134,7 +134,7 @@
     assert_eq!(
         peers,
         vec![("b".to_string(), 2)],
-        "no holder any more: told at once"
+        "not the leader any more: answered at once"
     );
 }
 
@@ -146,7 +146,7 @@
     }
 }
 
-/// Every path of the operators' interface: which route it is, and its name on the metrics page.
+/// Every path of the admin API has a route, whose name on the metrics page is fixed.
 #[test]
 fn routes_have_stable_paths_and_metric_names() {
     let change = r#"{"seen": 3, "teams": {"one": "remove"}}"#;
@@ -244,7 +244,7 @@
     assert_eq!(filter.after.as_deref(), Some("job-1"));
 }
 
-/// The text of decoding errors is shown to operators: it does not follow the names of types.
+/// The text of decoding errors is sent to operators: it does not change when types are renamed.
 #[test]
 fn body_of_wrong_type_is_refused_with_stable_text() {
     for (path, expected) in [
--- a/crates/controller/src/faults.rs
+++ b/crates/controller/src/faults.rs
@@ -1,69 +1,88 @@
-//! Faults of old and guards left out, to be put in by tests: a check that cannot
-//! find them is none.
+//! Fault injection: switches that bring back past faults or disable safety guards, so that
+//! tests can prove that their checks detect them.
 //!
-//! The daemon is built without the feature `faults`, and then [`Node::inject_faults`](crate::node::Node)
-//! does not exist and every question here is answered no; the simulator sets it.
+//! The daemon is built without the feature `faults`: then
+//! [`Node::inject_faults`](crate::node::Node) does not exist and `fault_injected!` is always
+//! false. The simulator is built with the feature.
 
-/// Which faults are there again, and which guards of `docs/safety.md` are left out.
+/// Past faults to inject, and guards of `docs/safety.md` to disable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// A transaction takes more conditions than may be, and when it is refused
-    /// the same is built again.
+    /// A transaction may contain twice the allowed number of conditions, and after the
+    /// key-value store rejects it as malformed the same transaction is built again.
     pub unbounded_transactions: bool,
-    /// A machine that is silent is dead as long as most are heard.
+    /// An unreachable machine is presumed dead after the timeout alone, as long as most
+    /// machines are reachable.
     pub silence_proves_death: bool,
-    /// Room is made all over the fleet, in CPUs, and kept for nobody.
+    /// Preemption frees capacity on scattered machines, counts only CPUs, and does not
+    /// nominate the freed capacity for the job that it preempted for.
     pub scattered_preemption: bool,
-    /// Guard 4 left out: a holder out of touch answers its workers for ever.
+    /// Guard 4 disabled: a leader that cannot reach the key-value store keeps answering its
+    /// workers without a time limit.
     pub no_serving_deadline: bool,
-    /// Guard 4 renewed by what shows the hold alone, not the jobs.
+    /// Guard 4 weakened: the serving deadline is renewed by exchanges that confirm only the
+    /// leadership, though the replica of the jobs is out of date.
     pub serving_deadline_from_lease: bool,
-    /// A cancelled task is stopped only once the books are read and its worker has
-    /// shown our token; until then answers renew its lease.
+    /// A cancelled task is stopped only after the leader has loaded the allocations and the
+    /// worker has reported this leader's fencing token; until then answers to the worker renew
+    /// the task's lease.
     pub late_cancellation_stops: bool,
-    /// Guard 3 left out: absence is proof before the worker has shown our token.
+    /// Guard 3 disabled: a task missing from a report counts as ended even if the worker has
+    /// not yet reported this leader's fencing token.
     pub absence_proof_without_token: bool,
-    /// Guard 3 left out: silence after a takeover counts from our own answers alone.
+    /// Guard 3 disabled: after a failover, worker leases are assumed to date only from this
+    /// leader's own answers; leases that the previous leader renewed are ignored.
     pub silence_from_local_replies: bool,
-    /// Guard 3 left out: reports that are not newer are taken like those that are.
+    /// Guard 3 disabled: reports that are not newer than the last one are processed like new
+    /// reports.
     pub stale_reports_accepted: bool,
-    /// Guard 1 left out of placements: they do not rest on the block.
+    /// Guard 1 disabled for placements: their transactions are not conditional on the block
+    /// key, which records the leadership.
     pub placements_without_block: bool,
-    /// Guard 1 left out: a token whose term ended here is taken up again.
+    /// Guard 1 disabled: this controller resumes the fencing token of a term that it has
+    /// already ended.
     pub ended_term_resumed: bool,
-    /// A take of ours whose answer was lost is never looked for.
+    /// After the reply to a leadership acquisition was lost, the block key is not read to find
+    /// out whether the acquisition was committed.
     pub lost_acquisition_ignored: bool,
-    /// A stop whose `run` was lost stays in the books.
+    /// An allocation that is to be stopped is never released if its `run` command was lost.
     pub stop_of_lost_run_kept: bool,
-    /// Questions are answered from a copy older than they are.
+    /// User requests are answered from a replica that is older than the request.
     pub answers_from_stale_replica: bool,
-    /// A state service that refuses counts as one that is not heard at all.
+    /// A key-value store that refuses requests counts as unreachable.
     pub refusal_counts_as_unreachable: bool,
-    /// The team limits' guard left out: what is to be stopped counts no more.
+    /// The guard of the team quotas disabled: tasks that are being stopped no longer count
+    /// towards their team's usage.
     pub stopping_tasks_not_counted: bool,
-    /// The first word of a machine in a term counts as life, however old it may be.
+    /// The first report of a machine in a term proves that the machine is alive, even if that
+    /// report was delayed.
     pub first_report_proves_life: bool,
-    /// Word of a job's end is not passed on between controllers.
+    /// The end of a job is not announced to the other controllers.
     pub job_ends_not_announced: bool,
-    /// A rental whose answer was lost is asked for under a new name.
+    /// A rental request with unknown outcome is retried under a new machine name, so it is not
+    /// idempotent.
     pub rental_retried_under_new_name: bool,
-    /// What is cancelled is inherited like what is not.
+    /// A new leader takes over the tasks of cancelled jobs from the placement pages like those
+    /// of open jobs.
     pub cancelled_tasks_inherited: bool,
-    /// Idle machines are given back though it is our own link that is silent.
+    /// Idle machines are returned to the cloud although this controller's own link is suspected
+    /// to be down.
     pub machines_returned_while_link_down: bool,
-    /// Absence from a direct answer ends what was only just sent.
+    /// A task whose `run` was sent only just now counts as ended if the reply to a direct
+    /// command does not list it.
     pub direct_reply_absence_ends_task: bool,
-    /// A result is cleared on its machine before the state service knows it.
+    /// A task's result is cleared on its machine before it is durable in the key-value store.
     pub result_cleared_before_durable: bool,
-    /// Placements do not rest on the version of the teams' limits.
+    /// Transactions of placements are not conditional on the version of the teams' quotas.
     pub placements_without_configuration: bool,
-    /// A holder that does not know which limits stand sends `run` all the same.
+    /// A leader sends `run` although it does not know which version of the teams' quotas is in
+    /// force.
     pub run_with_stale_configuration: bool,
-    /// A change of configuration is taken in parts.
+    /// A configuration change takes effect in parts: chunks are applied without their head.
     pub configuration_partly_applied: bool,
 }
 
-/// A switch's name in scenario files, and the switch.
+/// The name of a switch in scenario files, and access to its field.
 type Named = (&'static str, fn(&mut Faults) -> &mut bool);
 
 const NAMES: [Named; 26] = [
@@ -132,7 +151,7 @@
 ];
 
 impl Faults {
-    /// One of them by its name, or several: `one+another`.
+    /// Parses the names of one or several switches, joined by `+`; `None` if a name is unknown.
     pub fn named(names: &str) -> Option<Faults> {
         let mut faults = Faults::default();
         for name in names.split('+') {
@@ -143,8 +162,8 @@
     }
 }
 
-/// Whether a fault is put in. Without the feature it is none, and the question
-/// costs nothing.
+/// Whether a fault is injected. Without the feature `faults` this is the constant `false` and
+/// compiles to nothing.
 macro_rules! fault_injected {
     ($faults:expr, $which:ident) => {
         cfg!(feature = "faults") && $faults.$which
--- a/crates/controller/src/user_api/accepts.rs
+++ b/crates/controller/src/user_api/accepts.rs
@@ -1,5 +1,5 @@
-//! Submissions on their way into the key-value store: the queue, its transactions and their
-//! replies.
+//! Submissions that wait to be written to the key-value store: their queue, its transactions and
+//! the replies to them.
 
 use super::{Query, UserApi, SUBMIT_TIMEOUT_S};
 use crate::calls::{Tag, UserApiCall};
@@ -12,17 +12,17 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Best-effort submissions that may wait: more would not be written in the time that their
-/// clients wait, so these are told at once to retry.
+/// Queue length from which best-effort submissions are refused. They would not be written before
+/// their clients time out, so they are told at once to retry.
 const MAX_WAITING_BEST_EFFORT: usize = 48;
-/// `Retry-After` of a best-effort submission, seconds: sooner it would only add load.
+/// `Retry-After` header for a best-effort submission, seconds: an earlier retry only adds load.
 const BEST_EFFORT_RETRY_AFTER_S: u32 = 4;
-/// Accepting transactions in flight at the same time.
+/// Maximum number of submission transactions in flight.
 const MAX_IN_FLIGHT: usize = 3;
-/// Jobs that one transaction accepts.
+/// Maximum number of jobs in one transaction.
 const MAX_JOBS_PER_TRANSACTION: usize = 8;
 
-/// One job that is to be accepted.
+/// A submitted job and the requests that wait for its acceptance.
 struct Accept {
     spec: Rc<JobSpec>,
     requests: Vec<RequestId>,
@@ -36,11 +36,11 @@
     }
 }
 
-/// Jobs that are to be accepted.
+/// Submitted jobs that are not accepted yet, by urgency.
 #[derive(Default)]
 pub(super) struct AcceptQueue {
     accepts: BTreeMap<JobId, Accept>,
-    /// Jobs not in flight, the most urgent first; may hold ids that are gone from `accepts`.
+    /// Jobs not in flight, the most urgent first; may contain ids already removed from `accepts`.
     order: VecDeque<JobId>,
     transactions_in_flight: usize,
 }
@@ -50,8 +50,8 @@
         self.accepts.len()
     }
 
-    /// Appends a job behind those that are at least as urgent; one that waits already gets one
-    /// more request to answer.
+    /// Queues a job behind those that are at least as urgent. If the job is queued already, the
+    /// request is added to it.
     pub(super) fn enqueue(
         &mut self,
         now: Time,
@@ -74,7 +74,7 @@
             });
             return;
         }
-        // Thousands of best-effort jobs must not keep out more urgent ones.
+        // Thousands of best-effort jobs must not block more urgent ones.
         let less_urgent = |other: &JobId| {
             let other = self.accepts.get(other);
             other.is_some_and(|accept| accept.spec.urgency < spec.urgency)
@@ -90,8 +90,7 @@
         self.accepts.insert(id, accept);
     }
 
-    /// Answers the requests of jobs that are late, and drops what nobody waits for any more
-    /// unless it is in flight.
+    /// Answers late requests, and drops jobs that have no waiting request and are not in flight.
     pub(super) fn expire(&mut self, late: impl Fn(Time) -> bool, out: &mut Vec<Effect>) {
         self.accepts.retain(|_, accept| {
             if late(accept.since) {
@@ -101,18 +100,18 @@
             }
             accept.in_flight || !accept.requests.is_empty()
         });
-        // An id whose job was dropped and came again is in the order twice.
+        // If a job was dropped and submitted again, its id is in `order` twice.
         if self.order.len() > self.accepts.len() {
             self.order.retain(|id| self.accepts.contains_key(id));
         }
     }
 
-    /// Sends as many transactions as may be in flight.
+    /// Sends transactions until [`MAX_IN_FLIGHT`] are in flight or the queue is empty.
     pub(super) fn send(&mut self, now: Time, store: &mut StoreClient<Tag>, out: &mut Vec<Effect>) {
         while self.transactions_in_flight < MAX_IN_FLIGHT {
             let mut transaction = store.transaction();
-            // Best effort goes alone and in small steps, so that what is more urgent never
-            // waits behind more than one of its transactions.
+            // Best-effort jobs are written in small transactions, one at a time, so that more
+            // urgent jobs never wait behind more than one of these.
             let best_effort = self.next_is_best_effort();
             if best_effort && self.transactions_in_flight > 0 {
                 return;
@@ -138,15 +137,15 @@
             .is_some_and(Accept::is_best_effort)
     }
 
-    /// Writes the first jobs of the queue into a transaction, either best-effort ones or
-    /// others; the jobs that it holds.
+    /// Adds the first jobs of the queue to a transaction, either only best-effort ones or only
+    /// others. Returns the jobs that were added.
     fn fill(
         &mut self,
         transaction: &mut Transaction,
         best_effort: bool,
         out: &mut Vec<Effect>,
     ) -> Vec<JobId> {
-        // A job that is refused fails all others of its transaction: a few at a time.
+        // A conflict on one job fails the whole transaction, so each contains only a few jobs.
         let max_jobs = if best_effort {
             MAX_JOBS_PER_TRANSACTION / 2
         } else {
@@ -168,8 +167,8 @@
                     ids.push(id);
                 }
                 Err(TransactionError::Full) => break,
-                // `feasibility::assess` lets none of these through; the user is told at once,
-                // and the others go on.
+                // `feasibility::assess` refuses such jobs beforehand. If one gets here, its
+                // requests are answered at once, and the other jobs are not affected.
                 Err(error) => {
                     let reason = format!("cannot be kept: {error}");
                     let Some(accept) = self.accepts.remove(&id) else {
@@ -185,8 +184,8 @@
         ids
     }
 
-    /// Puts a job whose transaction failed for another job back to the front of the queue, if
-    /// its users still wait.
+    /// Returns a job to the front of the queue after its transaction failed because of another
+    /// job, unless its requests have timed out. Returns whether the job was queued.
     fn requeue(&mut self, now: Time, id: JobId) -> bool {
         let Some(accept) = self.accepts.get_mut(&id) else {
             return false;
@@ -201,7 +200,7 @@
 }
 
 impl UserApi {
-    /// The key-value store replied to a transaction that accepts these jobs.
+    /// Handles the reply of the key-value store to a transaction that accepts these jobs.
     pub(super) fn on_accept_reply(
         &mut self,
         now: Time,
@@ -218,8 +217,8 @@
                 self.on_accepted(ids, Revision(revision), job_store, out);
             }
             Outcome::Conflict(conflicting) => self.on_accept_conflict(now, ids, &conflicting),
-            // Refused, or of unknown fate: the user's own retry finds out, since creating the
-            // key is conditional.
+            // The transaction was refused, or its outcome is unknown: the client's retry finds
+            // out, since the creation of the key is conditional.
             _ => {
                 for id in ids {
                     for to in self.take_accept_requests(id) {
@@ -230,7 +229,8 @@
         }
     }
 
-    /// The jobs were accepted; `revision` 0: the reply did not tell at which one.
+    /// Answers the requests of accepted jobs. `revision`: the revision of the commit; 0 if the
+    /// reply did not contain it.
     fn on_accepted(
         &mut self,
         ids: Vec<JobId>,
@@ -245,7 +245,7 @@
             if revision > Revision(0) {
                 job_store.on_committed(id, revision, JobState::Open, Some(accept.spec));
             }
-            // The first request created the job, the others repeat it.
+            // The first request created the job, the others are repetitions.
             let mut status = 201;
             for to in accept.requests {
                 self.answer(out, to, status, id, "pending", None);
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Some of the jobs exist already: their submitters are told their state as it is now. The
-    /// others are tried again.
+    /// Handles a transaction that failed because some of its jobs exist already: the requests of
+    /// those are answered with the job's current state. The other jobs are retried.
     fn on_accept_conflict(&mut self, now: Time, ids: Vec<JobId>, conflicting: &[String]) {
         for id in ids {
             let exists = conflicting.contains(&job_store::key(id));
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Drops a job from the queue; the requests that it had.
+    /// Removes a job from the queue and returns its requests.
     fn take_accept_requests(&mut self, id: JobId) -> Vec<RequestId> {
         let accept = self.accepts.accepts.remove(&id);
         accept.map_or_else(Vec::new, |accept| accept.requests)
--- a/crates/controller/src/user_api/announcements.rs
+++ b/crates/controller/src/user_api/announcements.rs
@@ -1,26 +1,27 @@
-//! Announcements of ended jobs to the peers.
+//! Announces ended jobs to the peers.
 //!
-//! A user who was told by one controller that a job has ended must not be told by another one
-//! afterwards that it runs. So the end is announced to the peers, once for each job.
+//! After one controller has told a user that a job ended, no other controller may answer that
+//! the job still runs. Each controller therefore announces a job's end to its peers, once per
+//! job.
 
 use beamhinge_core::types::JobId;
 use std::collections::VecDeque;
 
-/// Announced jobs that are remembered: no more end within the seconds in which a request
-/// waits.
+/// Number of announced jobs that are remembered, to announce each only once: no more jobs end
+/// within the seconds for which a request may wait.
 pub(super) const MAX_RECENT: usize = 512;
 
-/// Ends that users were told.
+/// Ended jobs whose end was told to a user.
 #[derive(Default)]
 pub(super) struct EndAnnouncements {
-    /// Not yet sent to the peers.
+    /// Jobs not yet announced to the peers.
     unsent: Vec<JobId>,
-    /// Sent or about to be, the latest last; at most [`MAX_RECENT`].
+    /// Jobs announced or about to be announced, the latest last; at most [`MAX_RECENT`].
     pub(super) recent: VecDeque<JobId>,
 }
 
 impl EndAnnouncements {
-    /// A user is told that this job has ended.
+    /// Records that a user is told the end of this job.
     pub(super) fn announce(&mut self, id: JobId) {
         if self.recent.contains(&id) {
             return;
@@ -32,7 +33,7 @@
         self.unsent.push(id);
     }
 
-    /// What is to be sent to the peers now.
+    /// Takes the jobs to announce to the peers now.
     pub(super) fn take_unsent(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.unsent)
     }
--- a/crates/controller/src/user_api/cancellations.rs
+++ b/crates/controller/src/user_api/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations on their way into the key-value store.
+//! Cancellations that wait to be written to the key-value store.
 
 use super::{UserApi, CANCELLED, DONE, SUBMIT_TIMEOUT_S};
 use crate::calls::{Tag, UserApiCall};
@@ -8,10 +8,10 @@
 use beamhinge_core::types::{JobId, RequestId, Revision, Time};
 use beamhinge_core::wire;
 
-/// Pause before a cancellation that lost its condition is tried again, seconds.
+/// Delay before a cancellation is retried after a compare-and-swap conflict, seconds.
 const CONFLICT_RETRY_S: f64 = 0.05;
 
-/// One open job that is to be cancelled.
+/// An open job that is being cancelled, and the requests that wait for it.
 pub(super) struct Cancellation {
     pub(super) requests: Vec<RequestId>,
     pub(super) since: Time,
@@ -31,7 +31,8 @@
 }
 
 impl UserApi {
-    /// Sends cancellations that are due, and answers those that are settled or late.
+    /// Sends cancellations that are due, and answers those whose job is in a final state and
+    /// those that are late.
     pub(super) fn advance_cancellations(
         &mut self,
         now: Time,
@@ -39,7 +40,7 @@
         store: &mut StoreClient<Tag>,
         out: &mut Vec<Effect>,
     ) {
-        // Jobs with the final state to tell; `None`: it could not be reached.
+        // Jobs with the final state to answer; `None` if the job could not be cancelled in time.
         let mut settled = Vec::new();
         for (id, cancellation) in &mut self.cancellations {
             if cancellation.in_flight || now < cancellation.retry_at {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The key-value store replied to the transaction that cancels a job.
+    /// Handles the reply of the key-value store to the transaction that cancels a job.
     pub(super) fn on_cancel_reply(
         &mut self,
         now: Time,
@@ -98,7 +99,7 @@
                     self.answer(out, to, 200, id, CANCELLED, None);
                 }
             }
-            // The job changed meanwhile: the next refresh of the replica shows how.
+            // The job's record changed in the meantime; the next refresh of the replica reads it.
             Outcome::Conflict(_) => {
                 if let Some(cancellation) = self.cancellations.get_mut(&id) {
                     cancellation.in_flight = false;
@@ -113,14 +114,14 @@
         }
     }
 
-    /// Drops a cancellation; the requests that it had.
+    /// Removes a cancellation and returns its requests.
     fn take_cancel_requests(&mut self, id: JobId) -> Vec<RequestId> {
         let cancellation = self.cancellations.remove(&id);
         cancellation.map_or_else(Vec::new, |cancellation| cancellation.requests)
     }
 }
 
-/// Sends the transaction that cancels an open job, on condition that it is unchanged.
+/// Sends the transaction that cancels an open job, conditional on the revision of its record.
 fn commit_cancellation(
     now: Time,
     id: JobId,
--- a/crates/controller/src/user_api/feasibility.rs
+++ b/crates/controller/src/user_api/feasibility.rs
@@ -1,4 +1,4 @@
-//! Whether a job can ever run here.
+//! Feasibility of jobs: decides whether a job can ever run in this cluster.
 
 use crate::job_store::{self, JobKind, JobSpec};
 use crate::split::{self, MachineType, Resources};
@@ -6,19 +6,19 @@
 use beamhinge_core::settings::Settings;
 use beamhinge_core::wire;
 
-/// Whether a job can ever run here.
+/// Whether a job can ever run in this cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Feasibility {
-    /// It can run, though perhaps not now.
+    /// The job can run, though perhaps not now.
     Feasible,
-    /// It can never run; the reason, as its user is told.
+    /// The job can never run; the text is the reason that is sent to the user.
     Infeasible(&'static str),
-    /// Not yet known: machine types or teams have not been read.
+    /// Not yet known, since the machine types or the teams have not been read.
     Unknown,
 }
 
-/// Decides by the quota of the job's team (`None`: there is no such team) and by the machine
-/// types (empty: not yet known).
+/// Assesses a job by the quota of its team and by the machine types. `team` is `None` if the
+/// team does not exist; `machine_types` is empty if they are not known yet.
 #[must_use]
 pub fn assess(
     spec: &JobSpec,
@@ -35,8 +35,9 @@
     if exceeds_limit(spec, &team.quota) {
         return Feasibility::Infeasible("above the team's limit");
     }
-    // What no value of the key-value store can hold can never be accepted. A tenth of the
-    // largest value stays free for the records that follow: a job must always be able to end.
+    // A job whose record exceeds the largest value of the key-value store can never be accepted.
+    // A tenth of the largest value is reserved for the job's later records, so that the job can
+    // always end.
     if wire::json_len(&job_store::open_record(spec)) > settings.value_limit() {
         return Feasibility::Infeasible("the description is longer than the state service takes");
     }
@@ -58,7 +59,8 @@
     }
 }
 
-/// Whether what must run at the same time is more than the team may use at most.
+/// Whether the tasks that must run at the same time exceed the team's limit. All tasks of a
+/// service run at the same time; of other jobs, only a single task must fit.
 fn exceeds_limit(spec: &JobSpec, quota: &Quota) -> bool {
     let simultaneous = if spec.kind == JobKind::Service {
         f64::from(spec.tasks)
--- a/crates/controller/src/user_api/submission.rs
+++ b/crates/controller/src/user_api/submission.rs
@@ -1,7 +1,7 @@
-//! Submissions as users send them, mapped to job specifications.
+//! Decodes submissions of users and converts them to job specifications.
 //!
-//! This module is the only one that knows the field names of the users' protocol; everything
-//! behind it works on [`JobSpec`].
+//! Only this module knows the field names of the user protocol; all other code works on
+//! [`JobSpec`].
 
 use crate::job_store::{JobKind, JobSpec, Urgency};
 use beamhinge_core::types::{JobId, WallMs};
@@ -9,36 +9,36 @@
 use ciborium::Value;
 use serde::Deserialize;
 
-/// Most tasks of one job.
+/// Maximum number of tasks of one job.
 const MAX_TASKS: u32 = 100_000;
-/// Longest command line, bytes; it is kept in the job's record.
+/// Maximum length of a command line, bytes; the command is stored in the job's record.
 const MAX_COMMAND_BYTES: usize = 2_048;
 
-/// Why a submission is refused before anything is looked up. The texts are shown to users.
+/// Why a submission is refused before any lookup. The texts are sent to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
-    /// The body cannot be decoded.
+    /// The body cannot be decoded as CBOR.
     #[error("the body is not CBOR")]
     NotCbor,
-    /// The body is some other value than a map.
+    /// The body is not a map.
     #[error("the body is not a map")]
     NotMap,
-    /// A field is missing, or of the wrong type.
+    /// A field is missing or has the wrong type.
     #[error("a field is missing or invalid")]
     InvalidField,
-    /// The job's id cannot be parsed.
+    /// The job id cannot be parsed.
     #[error("nameId is not of the form job-000412")]
     InvalidJobId,
-    /// The number of tasks is not a whole number within the limits.
+    /// The number of tasks in the request is not a whole number within the limits.
     #[error("pieces is not between 1 and 100000")]
     InvalidPieces,
-    /// An amount is not usable.
+    /// An amount is negative, infinite or not a number.
     #[error("an amount is negative or not finite")]
     InvalidAmount,
-    /// The number of tasks is outside the limits.
+    /// The number of tasks in the specification is outside the limits.
     #[error("the number of tasks is not between 1 and 100000")]
     InvalidTaskCount,
-    /// The team or the class has no name.
+    /// The name of the team or of the job class is empty.
     #[error("owner or jobClass is empty")]
     EmptyName,
     /// The command line is longer than [`MAX_COMMAND_BYTES`].
@@ -91,7 +91,7 @@
 }
 
 impl Submission {
-    /// The specification of the submitted job, as of the time of day it was received.
+    /// Converts the submission to a job specification; `wall`: when the submission was received.
     fn into_spec(self, wall: WallMs) -> JobSpec {
         JobSpec {
             class: self.class.into(),
@@ -119,10 +119,10 @@
     }
 }
 
-/// Reads the body of a submission that was received at `wall`.
+/// Decodes and checks the body of a submission that was received at `wall`.
 ///
 /// # Errors
-/// What is wrong with it, as its user is told.
+/// The reason for which the submission is refused; its text is sent to the user.
 pub fn read_submission(body: &[u8], wall: WallMs) -> Result<(JobId, JobSpec), SubmissionError> {
     let value: Value = wire::decode(body).map_err(|_| SubmissionError::NotCbor)?;
     if !matches!(value, Value::Map(_)) {
@@ -140,10 +140,10 @@
     Ok((job, spec))
 }
 
-/// Checks a specification that came through either interface, independently of the fleet.
+/// Checks a job specification from the user API or the admin API, independently of the fleet.
 ///
 /// # Errors
-/// The first fault that is found.
+/// The first invalid property found.
 pub fn validate(spec: &JobSpec) -> Result<(), SubmissionError> {
     let amounts = [
         spec.cpus,
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -21,7 +21,8 @@
         "snapshotS": 4.0, "dueS": 900.0})
 }
 
-/// What a submission is told before any limit or machine is looked at.
+/// Whether a submission with one field replaced (`None`: removed) can be decoded and is valid,
+/// apart from quotas and machine types.
 fn sound_with(field: &str, value: Option<ciborium::Value>) -> bool {
     let mut map = match ciborium::Value::serialized(&submission()) {
         Ok(ciborium::Value::Map(map)) => map,
@@ -52,8 +53,8 @@
     ciborium::Value::Text(value.into())
 }
 
-/// Every field of a submission: absent, null, of a wrong type. Only what may be null may be
-/// absent; all else is malformed, never accepted.
+/// Tests each field of a submission absent, null, and of a wrong type. Only fields that may be
+/// null may be absent; otherwise the submission is malformed and must not be accepted.
 #[test]
 fn submission_with_missing_field_or_wrong_type_is_malformed() {
     use ciborium::Value as V;
@@ -110,7 +111,7 @@
     }
 }
 
-/// Amounts that are negative, not finite or no numbers, and counts out of range.
+/// Amounts that are negative, not finite or not numbers, and task counts out of range.
 #[test]
 fn submission_with_invalid_amount_or_count_is_malformed() {
     use ciborium::Value as V;
@@ -121,7 +122,10 @@
         assert!(!sound_with(field, Some(text("2"))), "{field} is text");
         assert!(!sound_with(field, Some(V::Bool(true))), "{field} is a flag");
         let whole = V::Integer(3.into());
-        assert!(sound_with(field, Some(whole)), "a whole amount is one");
+        assert!(
+            sound_with(field, Some(whole)),
+            "{field} may be a whole number"
+        );
     }
     for bad in [-1.0, 0.0, 1.5, 100_001.0, f64::NAN, f64::INFINITY, 1e300] {
         let count = V::Float(bad);
@@ -143,17 +147,19 @@
     }
 }
 
-/// What can never run, told apart from what cannot be decided yet.
+/// A job that can never run is infeasible; while machine types are unknown, a job that depends
+/// on them is neither feasible nor infeasible.
 #[test]
 fn job_that_can_never_run_is_infeasible_and_unknown_types_leave_it_open() {
-    let mut settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
+    let mut settings = Settings::parse("t", SAMPLE).expect("valid sample settings");
     settings.params.teams[0].name = "one".into();
     settings.params.teams[0].cpus_max = 16.0;
     let machine_types = [c8()];
     let judged = |field: &str, value: Json, known: bool| {
         let mut body = submission();
         body[field] = value;
-        let (_, spec) = read_submission(&wire::encode(&body), WallMs(1)).expect("sound");
+        let (_, spec) =
+            read_submission(&wire::encode(&body), WallMs(1)).expect("a valid submission");
         let teams = Snapshot::default().effective(&settings.params.teams);
         let team = teams.iter().find(|team| *team.name == *spec.team);
         assess(
@@ -200,7 +206,7 @@
     }
 }
 
-/// A copy of the jobs, kept by exchanges with the state service that are played here.
+/// A replica of the jobs with a simulated key-value store: tests supply the replies.
 struct Copy {
     job_store: JobStore,
     store: StoreClient<Tag>,
@@ -209,7 +215,7 @@
 
 impl Copy {
     fn new(now: Time) -> Copy {
-        let settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
+        let settings = Settings::parse("t", SAMPLE).expect("valid sample settings");
         let mut copy = Copy {
             job_store: JobStore::default(),
             store: StoreClient::new(&settings),
@@ -245,7 +251,7 @@
         let reply = self
             .store
             .on_reply(id, Some((200, wire::encode(body))))
-            .expect("ours");
+            .expect("a reply to a call of this client");
         self.job_store.on_reply(now, call, reply)
     }
 }
@@ -262,13 +268,15 @@
     answers.collect()
 }
 
-/// A poll's exchange with the state service was handled before the job was cancelled at
-/// another controller, and its reply is slow. The word of that end comes first: what the
-/// user has heard by then is newer than the reply, which answers nothing any more.
+/// The key-value store handled the replica refresh for a poll before the job was cancelled
+/// through another controller, and its reply is slow. The announcement of the job's end arrives
+/// before that reply: the user may already know a newer state than the reply contains, so the
+/// reply must not answer the poll.
 #[test]
 fn poll_older_than_announced_end_waits_for_fresher_replica() {
     let id = JobId::parse("job-000412").expect("a job");
-    let (_, spec) = read_submission(&wire::encode(&submission()), WallMs(1)).expect("sound");
+    let (_, spec) =
+        read_submission(&wire::encode(&submission()), WallMs(1)).expect("a valid submission");
     for word in [false, true] {
         let (mut copy, mut user_api, mut out) =
             (Copy::new(at(0.0)), UserApi::default(), Vec::new());
@@ -297,7 +305,7 @@
         if !word {
             continue;
         }
-        // The next copy is newer, and says what the user knows.
+        // The next refresh is newer than the announcement and contains the cancellation.
         assert!(user_api.needs_fresh_jobs());
         let sent = copy.ask(at(1.5));
         let cancelled = json!({"ledgerRev": 5, "news": [{"write": job_store::key(id), "stamp": 5,
@@ -308,15 +316,18 @@
         assert_eq!(
             user_api.take_announcements(),
             [id],
-            "and the peers are told"
+            "the end is announced to the peers"
         );
         user_api.poll(at(2.0), request(2), id, &copy.job_store, &mut out);
         assert_eq!(told(&mut out), [(200, "cancelled".into())]);
-        assert!(user_api.take_announcements().is_empty(), "once");
+        assert!(
+            user_api.take_announcements().is_empty(),
+            "each end is announced once"
+        );
     }
 }
 
-/// Word of ends that nobody asks about, or of many, is kept by nobody.
+/// Announcements of ends change no job, and the number of remembered announcements is bounded.
 #[test]
 fn announced_ends_are_bounded_and_change_no_job() {
     let (copy, mut user_api, mut out) = (Copy::new(at(0.0)), UserApi::default(), Vec::new());
@@ -328,7 +339,7 @@
     }
     assert_eq!(user_api.take_announcements().len(), MAX_RECENT * 3);
     assert_eq!(user_api.announcements.recent.len(), MAX_RECENT);
-    // A poll whose patience is over is told so, whatever word came.
+    // An announcement does not extend the timeout of a waiting poll.
     user_api.poll(
         at(1.0),
         RequestId {
@@ -339,7 +350,7 @@
         &copy.job_store,
         &mut out,
     );
-    let mut store = StoreClient::new(&Settings::parse("t", SAMPLE).expect("sound"));
+    let mut store = StoreClient::new(&Settings::parse("t", SAMPLE).expect("valid sample settings"));
     user_api.on_end_announced(at(1.0 + QUERY_TIMEOUT_S), std::iter::once(id(1)));
     user_api.tick(
         at(1.1 + QUERY_TIMEOUT_S),
@@ -350,13 +361,13 @@
     assert_eq!(told(&mut out), [(503, String::new())]);
 }
 
-/// Each field goes to the field that it belongs to, under its name of the platform.
+/// Each field of the wire format is stored in its field of the job specification.
 #[test]
 fn submission_fields_map_to_job_spec() {
     let mut body = submission();
     body["yard"] = json!("a");
     body["cards"] = json!(1.25);
-    let (id, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("sound");
+    let (id, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("a valid submission");
     let wanted = JobSpec {
         class: "train".into(),
         team: "one".into(),
@@ -395,7 +406,7 @@
     body["oneZone"] = json!(false);
     body["apart"] = json!(true);
     body["loaners"] = json!(false);
-    let (_, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("sound");
+    let (_, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("a valid submission");
     assert_eq!(
         (spec.single_zone, spec.spread, spec.spot),
         (false, true, false)
--- a/crates/controller/src/worker_protocol.rs
+++ b/crates/controller/src/worker_protocol.rs
@@ -1,22 +1,22 @@
-//! Reports of workers and commands to them, as they stand on the wire.
+//! Wire format of worker reports and of commands to workers.
 //!
-//! This module maps the wire's words for them to the terms that the rest of the controller
-//! uses; `node::worker_messages` does so for the bodies that commands are sent in. Nothing
-//! else knows these words. Status, cause and verb are decoded to enums here, and
-//! words that this version does not know keep a meaning (guard 5 of `docs/safety.md`).
+//! This module maps the wire names to the terms of the rest of the controller;
+//! `node::worker_messages` does the same for the bodies that contain the commands. No other
+//! module knows the wire names. Status, cause and verb are enums here, and a status or cause
+//! that this version does not know still has a defined meaning (guard 5 of `docs/safety.md`).
 
 use beamhinge_core::types::{Attempt, TaskId};
 use beamhinge_core::wire;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A worker's periodic report: who it is, and every task that it lists.
+/// A worker's periodic report: the identity of the worker, and all tasks on its machine.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WorkerReport {
-    /// Name of the machine, as the cloud gave it.
+    /// Name of the machine, assigned by the cloud.
     pub host: String,
-    /// Address on which the worker takes direct commands.
+    /// Address on which the worker receives direct commands.
     pub endpoint: String,
     /// Label of the machine's type.
     #[serde(rename = "shape")]
@@ -27,25 +27,25 @@
     /// Whether it is a spot machine, which the cloud may reclaim.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Number of the worker's process life on this machine; grows with each restart.
+    /// Incarnation of the worker process on this machine; increases with each restart.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Number of the report within the incarnation.
+    /// Sequence number of the report within the incarnation.
     #[serde(rename = "tick")]
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Seconds until the cloud reclaims the machine, once it has announced that.
+    /// Time until the cloud reclaims the machine, seconds; `None` if no reclaim is announced.
     #[serde(default, deserialize_with = "wire::amount_or_null")]
     pub reclaim_in_s: Option<f64>,
-    /// All tasks on the machine, and those that exited and were not cleared.
+    /// All tasks on the machine, including exited tasks that are not cleared yet.
     #[serde(rename = "pieces")]
     pub reported_tasks: Vec<ReportedTask>,
 }
 
 impl WorkerReport {
-    /// The report's place in the order of all reports of its machine.
+    /// Version that orders all reports of the machine.
     pub(crate) fn version(&self) -> ReportVersion {
         ReportVersion {
             incarnation: self.incarnation,
@@ -54,31 +54,33 @@
     }
 }
 
-/// Order of a machine's reports: a newer incarnation comes after all of an older one.
+/// Version of a report of a machine. Ordered by incarnation first: all reports of a newer
+/// incarnation come after those of an older one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReportVersion {
     pub(crate) incarnation: u64,
     pub(crate) sequence: u64,
 }
 
-/// One task as a worker lists it.
+/// A task in a worker's report.
 #[derive(Debug, Deserialize)]
 pub struct ReportedTask {
     /// Id of the task.
     #[serde(rename = "piece")]
     pub task: String,
-    /// Which attempt at the task it is.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// What the task does.
+    /// Status of the task.
     pub status: ReportedStatus,
-    /// Why it exited, if it did.
+    /// Why the task exited; `None` if it has not exited or the report gives no cause.
     #[serde(default)]
     pub cause: Option<ExitCause>,
 }
 
 impl ReportedTask {
-    /// Whether the task occupied its machine at any time: a refused one did not.
+    /// Whether the task ever occupied the machine. A refused task did not; an exited task with an
+    /// unknown cause, or none, may not have.
     pub(crate) fn occupied_machine(&self) -> bool {
         self.status != ReportedStatus::Exited
             || matches!(
@@ -87,24 +89,24 @@
             )
     }
 
-    /// The id of the task; `None` if it is not one of this cluster's form.
+    /// The id of the task; `None` if it does not have the form of a task id.
     pub(crate) fn task_id(&self) -> Option<TaskId> {
         TaskId::parse(&self.task)
     }
 }
 
-/// What a listed task does.
+/// Status of a reported task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum ReportedStatus {
-    /// Its image is being fetched. Guard 5: a status that this version does not know
-    /// counts as this one too, since the task is still on the machine.
+    /// The task's image is being fetched. Guard 5: a status that this version does not know is
+    /// decoded as this one, since the task is still on the machine.
     FetchingImage,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It saves its progress.
+    /// The task writes a checkpoint.
     Checkpointing,
-    /// It has ended.
+    /// The task has exited.
     Exited,
 }
 
@@ -123,24 +125,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum ExitCause {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// It was killed on command.
+    /// The task was stopped by a kill command.
     Stopped,
-    /// The worker refused it: it has too little capacity left.
+    /// The worker refused the task, since the machine has too little free capacity.
     Full,
-    /// The worker refused it: another attempt at the same task is there.
+    /// The worker refused the task, since another attempt at it is on the machine.
     InUse,
     /// The worker does not know the task.
     Unknown,
-    /// A cause of a later version. Guard 5: exited is exited, but only `Done` counts as done.
+    /// A cause that this version does not know. Guard 5: the task has exited, but only `Done`
+    /// means that it is done.
     Other(String),
 }
 
 impl ExitCause {
-    /// The wire's word.
+    /// The name of the cause on the wire.
     pub fn as_str(&self) -> &str {
         match self {
             ExitCause::Done => "done",
@@ -172,15 +175,16 @@
 #[derive(Debug, Serialize, PartialEq)]
 #[serde(rename_all = "camelCase")]
 pub struct WorkerCommand {
-    /// What to do.
+    /// Action to perform.
     pub verb: CommandVerb,
     /// Id of the task.
     #[serde(rename = "piece")]
     pub task: String,
-    /// The attempt that is meant; no other is touched.
+    /// Number of the attempt; the command affects no other attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// For a kill, seconds that the task gets to save its progress.
+    /// Grace period of a kill, in which the task may write a checkpoint, seconds; `None` for
+    /// other commands.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "windDownS")]
     pub grace_period_s: Option<f64>,
@@ -192,12 +196,12 @@
         WorkerCommand::new(CommandVerb::Run, task, attempt, None)
     }
 
-    /// Stops the attempt after a grace period in seconds.
+    /// Stops the attempt after a grace period, seconds.
     pub(crate) fn kill(task: TaskId, attempt: Attempt, grace_period_s: f64) -> WorkerCommand {
         WorkerCommand::new(CommandVerb::Kill, task, attempt, Some(grace_period_s))
     }
 
-    /// Drops an exited attempt from the worker's list.
+    /// Removes an exited attempt from the worker's reports.
     pub(crate) fn clear(task: TaskId, attempt: Attempt) -> WorkerCommand {
         WorkerCommand::new(CommandVerb::Clear, task, attempt, None)
     }
@@ -217,7 +221,7 @@
     }
 }
 
-/// What a worker is to do. Displayed as the wire's word.
+/// Action of a command. Displayed as its name on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandVerb {
@@ -225,7 +229,7 @@
     Run,
     /// Stop the task.
     Kill,
-    /// Forget the exited task.
+    /// Remove the exited task from the worker's reports.
     Clear,
 }
 
--- a/crates/controller/src/worker_protocol/tests.rs
+++ b/crates/controller/src/worker_protocol/tests.rs
@@ -10,7 +10,7 @@
     wire::decode(&wire::encode(&body)).expect("a task")
 }
 
-/// Guard 5: a status of a later version is one of a task that is still on its machine.
+/// Guard 5: a task with a status that this version does not know is still on its machine.
 #[test]
 fn status_that_is_unknown_is_not_exited() {
     for (word, status) in [
@@ -27,7 +27,7 @@
     }
 }
 
-/// Guard 5: only `done` counts as done, and each word is kept as it came.
+/// Guard 5: only `done` means done, and each cause keeps its name on the wire.
 #[test]
 fn cause_that_is_unknown_is_not_done() {
     for (word, cause) in [
@@ -49,7 +49,7 @@
     assert_eq!((null.cause, absent.cause), (None, None));
 }
 
-/// A refused task was never on its machine; one of an unknown cause proves nothing of that.
+/// A refused task never occupied its machine; an unknown cause does not prove that it did.
 #[test]
 fn task_occupied_its_machine_unless_it_was_refused() {
     for (cause, occupied) in [
