--- a/crates/controller/src/admin_api.rs
+++ b/crates/controller/src/admin_api.rs
@@ -88,8 +88,8 @@
         wall: WallMs,
         request: &Request,
     ) -> Result<(Caller, Route), Rejection> {
-        let hello = request.path == "/v1/hello";
-        let caller = if hello {
+        let is_hello = request.path == "/v1/hello";
+        let caller = if is_hello {
             Caller {
                 name: String::new(),
                 role: Role::Viewer,
@@ -102,8 +102,8 @@
             let error = format!("key {} may only look: use an operator's key", caller.name);
             return Err(Rejection::new(403, Code::Forbidden, error));
         }
-        let at_limit = self.pending.count() >= self.limits.max_waiting;
-        if !hello && (at_limit || !self.take_token(now)) {
+        let queue_full = self.pending.count() >= self.limits.max_waiting;
+        if !is_hello && (queue_full || !self.take_token(now)) {
             return Err(Rejection::new(503, Code::Busy, "too many requests at once"));
         }
         Ok((caller, route))
@@ -114,16 +114,16 @@
         let (method, path) = (request.method.name(), request.path.as_str());
         self.authenticator
             .check(wall.0, authorization, method, path, &request.body)
-            .map_err(|denied| Rejection {
-                status: if denied == AuthError::TooManyRequests {
+            .map_err(|error| Rejection {
+                status: if error == AuthError::TooManyRequests {
                     503
                 } else {
                     401
                 },
                 problem: Problem {
-                    code: denied.code(),
-                    error: denied.to_string(),
-                    ahead_ms: match denied {
+                    code: error.code(),
+                    error: error.to_string(),
+                    ahead_ms: match error {
                         AuthError::Clock { ahead_ms, .. } => Some(ahead_ms),
                         _ => None,
                     },
--- a/crates/controller/src/admin_api/pending.rs
+++ b/crates/controller/src/admin_api/pending.rs
@@ -230,29 +230,29 @@
         let Some(confirmed_at) = confirmed_at else {
             return Vec::new();
         };
-        let newer = self.leader.iter().position(|q| q.received > confirmed_at);
-        let ready = newer.unwrap_or(self.leader.len());
-        self.leader.drain(..ready).collect()
+        let first_newer = self.leader.iter().position(|q| q.received > confirmed_at);
+        let ready_count = first_newer.unwrap_or(self.leader.len());
+        self.leader.drain(..ready_count).collect()
     }
 
     /// Removes and returns all queries that have timed out and, if this controller is not the
     /// leader, all queries that it would have answered as the leader.
     pub fn take_overdue(&mut self, now: Time, is_leader: bool) -> Overdue {
         let mut overdue = Overdue::default();
-        let late = |since: Time, timeout_s: f64| now.since(since) > timeout_s;
+        let timed_out = |since: Time, timeout_s: f64| now.since(since) > timeout_s;
         self.local.retain(|query| {
-            let over = late(query.received, QUERY_TIMEOUT_S);
-            if over {
+            let is_late = timed_out(query.received, QUERY_TIMEOUT_S);
+            if is_late {
                 overdue.clients.push(query.request);
             }
-            !over
+            !is_late
         });
         for query in std::mem::take(&mut self.leader) {
             let timeout_s = match query.requester {
                 Requester::Peer { .. } => PEER_QUERY_TIMEOUT_S,
                 Requester::Client { .. } => QUERY_TIMEOUT_S,
             };
-            if is_leader && !late(query.received, timeout_s) {
+            if is_leader && !timed_out(query.received, timeout_s) {
                 self.leader.push_back(query);
                 continue;
             }
@@ -262,11 +262,11 @@
             }
         }
         self.forwarded.retain(|_, query| {
-            let over = late(query.sent, QUERY_TIMEOUT_S);
-            if over {
+            let is_late = timed_out(query.sent, QUERY_TIMEOUT_S);
+            if is_late {
                 overdue.clients.push(query.request);
             }
-            !over
+            !is_late
         });
         overdue
     }
--- a/crates/controller/src/admin_api/tests.rs
+++ b/crates/controller/src/admin_api/tests.rs
@@ -15,12 +15,12 @@
     }
 }
 
-fn admin_api(waiting: usize) -> AdminApi {
-    let guard = Authenticator::new(Vec::new(), "i".into(), 30.0, 16);
+fn admin_api(max_waiting: usize) -> AdminApi {
+    let authenticator = Authenticator::new(Vec::new(), "i".into(), 30.0, 16);
     AdminApi::new(
-        guard,
+        authenticator,
         AdminLimits {
-            max_waiting: waiting,
+            max_waiting,
             max_rps: 100.0,
         },
     )
@@ -29,11 +29,11 @@
 #[test]
 fn misspelt_path_or_filter_is_refused() {
     let route = Route::parse(&get("/v1/jobs?state=open,done&team=a%20b&limit=9999"));
-    let Ok(Route::Jobs(f)) = route else {
+    let Ok(Route::Jobs(filter)) = route else {
         panic!("{route:?}")
     };
     assert_eq!(
-        (f.states.len(), f.team.as_deref(), f.limit),
+        (filter.states.len(), filter.team.as_deref(), filter.limit),
         (3, Some("a b"), MAX_ROWS)
     );
     for bad in [
@@ -65,16 +65,16 @@
 
 #[test]
 fn pending_queries_are_bounded_and_given_up_in_time() {
-    let mut d = admin_api(2);
+    let mut admin_api = admin_api(2);
     let now = Time::from_micros(10_000_000);
     let wall = WallMs(1);
     for slot in 0..2 {
-        assert!(d.receive(now, wall, &get("/v1/teams")).is_ok());
+        assert!(admin_api.receive(now, wall, &get("/v1/teams")).is_ok());
         let request = RequestId {
             slot,
             generation: 1,
         };
-        d.pending.push_local(
+        admin_api.pending.push_local(
             now,
             request,
             LocalTarget::Job {
@@ -83,16 +83,17 @@
             },
         );
     }
-    let refused = d
+    let refused = admin_api
         .receive(now, wall, &get("/v1/teams"))
         .map_err(|r| (r.status, r.problem.code));
     assert_eq!(refused, Err((503, Code::Busy)));
     assert!(
-        d.receive(now, wall, &get("/v1/hello")).is_ok(),
+        admin_api.receive(now, wall, &get("/v1/hello")).is_ok(),
         "hello is always answered"
     );
     assert!(
-        d.pending
+        admin_api
+            .pending
             .take_ready_local(&ReplicaFreshness {
                 jobs: Some(now.minus(0.1)),
                 directives: None,
@@ -101,7 +102,7 @@
             .is_empty(),
         "an older replica answers no query"
     );
-    let overdue = d
+    let overdue = admin_api
         .pending
         .take_overdue(now.plus(QUERY_TIMEOUT_S + 0.1), false);
     assert_eq!(overdue.clients.len(), 2);
@@ -110,19 +111,21 @@
 /// Otherwise a leader that was replaced could return an older state than its successor.
 #[test]
 fn leader_query_waits_for_exchange_newer_than_itself() {
-    let mut d = admin_api(8);
+    let mut admin_api = admin_api(8);
     let now = Time::from_micros(10_000_000);
     let requester = Requester::Peer {
         label: "b".into(),
         serial: 1,
     };
-    d.pending.push_leader_query(now, requester, Query::Teams);
-    assert!(d
+    admin_api
+        .pending
+        .push_leader_query(now, requester, Query::Teams);
+    assert!(admin_api
         .pending
         .take_ready_leader(Some(now.minus(0.01)))
         .is_empty());
-    assert_eq!(d.pending.take_ready_leader(Some(now)).len(), 1);
-    d.pending.push_leader_query(
+    assert_eq!(admin_api.pending.take_ready_leader(Some(now)).len(), 1);
+    admin_api.pending.push_leader_query(
         now,
         Requester::Peer {
             label: "b".into(),
@@ -130,7 +133,7 @@
         },
         Query::Teams,
     );
-    let peers = d.pending.take_overdue(now, false).peers;
+    let peers = admin_api.pending.take_overdue(now, false).peers;
     assert_eq!(
         peers,
         vec![("b".to_string(), 2)],
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -23,7 +23,7 @@
 use crate::job_store::{self, JobSpec, JobState, JobStore};
 use crate::replica::Freshness;
 use crate::store::{Reply, StoreClient};
-use accepts::AcceptQueue;
+use accepts::SubmissionQueue;
 use announcements::EndAnnouncements;
 use beamhinge_core::messages::{Effect, TaskCounts};
 use beamhinge_core::types::{JobId, RequestId, Time};
@@ -83,7 +83,7 @@
     /// A submission whose job may exist already. If the job does not exist, the submission is
     /// refused for the given reason; without a reason the client is told to retry.
     Submission {
-        refuse: Option<&'static str>,
+        refusal: Option<&'static str>,
     },
     Cancel,
 }
@@ -104,7 +104,7 @@
 #[derive(Default)]
 pub struct UserApi {
     waiting: VecDeque<WaitingRequest>,
-    accepts: AcceptQueue,
+    submissions: SubmissionQueue,
     cancellations: BTreeMap<JobId, Cancellation>,
     announcements: EndAnnouncements,
     /// Task counts last reported by the leader; for display only.
@@ -120,7 +120,7 @@
     }
 
     fn waiting_count(&self) -> usize {
-        self.waiting.len() + self.accepts.len() + self.cancellations.len()
+        self.waiting.len() + self.submissions.len() + self.cancellations.len()
     }
 
     /// Answers 503, which tells the client to retry.
@@ -190,7 +190,7 @@
 
     /// Answers a request at once if its job is in a final state, which needs no fresh replica,
     /// or if too many requests wait already. Returns whether the request was answered.
-    fn answered_at_once(
+    fn answer_immediately(
         &mut self,
         to: RequestId,
         id: JobId,
@@ -217,7 +217,7 @@
         out: &mut Vec<Effect>,
     ) {
         let id = job.id;
-        if self.answered_at_once(to, id, job_store, out) {
+        if self.answer_immediately(to, id, job_store, out) {
             return;
         }
         match job.feasibility {
@@ -225,13 +225,13 @@
             // The job may have been accepted before the machine types or quotas changed, and then
             // a repeated submission must not be refused: first look up whether the job exists.
             Feasibility::Infeasible(reason) => {
-                let refuse = Some(reason);
-                self.wait(now, to, id, Query::Submission { refuse });
+                let refusal = Some(reason);
+                self.wait(now, to, id, Query::Submission { refusal });
             }
             Feasibility::Feasible if job_store.get(id).is_some() => {
-                self.wait(now, to, id, Query::Submission { refuse: None });
+                self.wait(now, to, id, Query::Submission { refusal: None });
             }
-            Feasibility::Feasible => self.accepts.enqueue(now, to, id, job.spec, out),
+            Feasibility::Feasible => self.submissions.enqueue(now, to, id, job.spec, out),
         }
     }
 
@@ -244,7 +244,7 @@
         job_store: &JobStore,
         out: &mut Vec<Effect>,
     ) {
-        if !self.answered_at_once(to, id, job_store, out) {
+        if !self.answer_immediately(to, id, job_store, out) {
             self.wait(now, to, id, Query::Poll);
         }
     }
@@ -258,7 +258,7 @@
         job_store: &JobStore,
         out: &mut Vec<Effect>,
     ) {
-        if !self.answered_at_once(to, id, job_store, out) {
+        if !self.answer_immediately(to, id, job_store, out) {
             self.wait(now, to, id, Query::Cancel);
         }
     }
@@ -304,20 +304,20 @@
         if freshness == Freshness::Unchanged {
             return;
         }
-        let fresh = job_store.fresh_as_of();
-        let mut left = VecDeque::new();
+        let fresh_as_of = job_store.fresh_as_of();
+        let mut still_waiting = VecDeque::new();
         while let Some(waiting) = self.waiting.pop_front() {
-            let stale = fresh.is_none_or(|fresh| fresh < waiting.needs_fresh_as_of);
+            let stale = fresh_as_of.is_none_or(|fresh| fresh < waiting.needs_fresh_as_of);
             if !stale || fault_injected!(self.faults, answers_from_stale_replica) {
                 let counts = counts.counts(waiting.job);
                 self.answer_waiting(now, &waiting, job_store, counts, out);
             } else if freshness == Freshness::Failed {
                 Self::busy(out, waiting.request, "the state service cannot be reached");
             } else {
-                left.push_back(waiting);
+                still_waiting.push_back(waiting);
             }
         }
-        self.waiting = left;
+        self.waiting = still_waiting;
     }
 
     /// Answers a waiting request from a replica that is fresh enough for it.
@@ -343,8 +343,8 @@
                 self.answer_entry(out, to, job, entry, counts);
             }
             (Query::Poll | Query::Cancel, None) => refuse(out, 404, "no such job"),
-            (Query::Submission { refuse: Some(why) }, None) => refuse(out, 422, why),
-            (Query::Submission { refuse: None }, None) => Self::busy(out, to, "try again"),
+            (Query::Submission { refusal: Some(why) }, None) => refuse(out, 422, why),
+            (Query::Submission { refusal: None }, None) => Self::busy(out, to, "try again"),
             (Query::Cancel, Some(entry)) => match entry.state {
                 JobState::Done => self.answer(out, to, 200, job, DONE, None),
                 JobState::Cancelled => self.answer(out, to, 200, job, CANCELLED, None),
@@ -374,7 +374,7 @@
             self.waiting.pop_front();
         }
         self.expire_late(now, out);
-        self.accepts.send(now, store, out);
+        self.submissions.send(now, store, out);
         self.advance_cancellations(now, job_store, store, out);
         if self.reported_counts.len() > MAX_REPORTED_COUNTS {
             let is_open = |id: &JobId| job_store.get(*id).map(|e| e.state) == Some(JobState::Open);
@@ -388,10 +388,10 @@
     /// for [`SUBMIT_TIMEOUT_S`] are told to retry; transactions in flight continue, and the
     /// client's retry finds their outcome.
     fn expire_late(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let late = |since: Time| now.since(since) > SUBMIT_TIMEOUT_S;
-        self.accepts.expire(late, out);
+        let is_late = |since: Time| now.since(since) > SUBMIT_TIMEOUT_S;
+        self.submissions.expire(is_late, out);
         let cancellations = self.cancellations.values_mut();
-        for cancellation in cancellations.filter(|c| c.in_flight && late(c.since)) {
+        for cancellation in cancellations.filter(|c| c.in_flight && is_late(c.since)) {
             for to in cancellation.requests.drain(..) {
                 Self::busy(out, to, "the state service does not answer");
             }
--- a/crates/controller/src/user_api/accepts.rs
+++ b/crates/controller/src/user_api/accepts.rs
@@ -23,14 +23,14 @@
 const MAX_JOBS_PER_TRANSACTION: usize = 8;
 
 /// A submitted job and the requests that wait for its acceptance.
-struct Accept {
+struct PendingSubmission {
     spec: Rc<JobSpec>,
     requests: Vec<RequestId>,
     since: Time,
     in_flight: bool,
 }
 
-impl Accept {
+impl PendingSubmission {
     fn is_best_effort(&self) -> bool {
         self.spec.urgency == Urgency::BestEffort
     }
@@ -38,16 +38,16 @@
 
 /// Submitted jobs that are not accepted yet, by urgency.
 #[derive(Default)]
-pub(super) struct AcceptQueue {
-    accepts: BTreeMap<JobId, Accept>,
-    /// Jobs not in flight, the most urgent first; may contain ids already removed from `accepts`.
+pub(super) struct SubmissionQueue {
+    by_job: BTreeMap<JobId, PendingSubmission>,
+    /// Jobs not in flight, the most urgent first; may contain ids already removed from `by_job`.
     order: VecDeque<JobId>,
     transactions_in_flight: usize,
 }
 
-impl AcceptQueue {
+impl SubmissionQueue {
     pub(super) fn len(&self) -> usize {
-        self.accepts.len()
+        self.by_job.len()
     }
 
     /// Queues a job behind those that are at least as urgent. If the job is queued already, the
@@ -60,8 +60,8 @@
         spec: JobSpec,
         out: &mut Vec<Effect>,
     ) {
-        if let Some(accept) = self.accepts.get_mut(&id) {
-            accept.requests.push(to);
+        if let Some(submission) = self.by_job.get_mut(&id) {
+            submission.requests.push(to);
             return;
         }
         let best_effort = spec.urgency == Urgency::BestEffort;
@@ -76,33 +76,33 @@
         }
         // Thousands of best-effort jobs must not block more urgent ones.
         let less_urgent = |other: &JobId| {
-            let other = self.accepts.get(other);
-            other.is_some_and(|accept| accept.spec.urgency < spec.urgency)
+            let other = self.by_job.get(other);
+            other.is_some_and(|submission| submission.spec.urgency < spec.urgency)
         };
-        let at = self.order.iter().position(less_urgent);
-        self.order.insert(at.unwrap_or(self.order.len()), id);
-        let accept = Accept {
+        let position = self.order.iter().position(less_urgent);
+        self.order.insert(position.unwrap_or(self.order.len()), id);
+        let submission = PendingSubmission {
             spec: Rc::new(spec),
             requests: vec![to],
             since: now,
             in_flight: false,
         };
-        self.accepts.insert(id, accept);
+        self.by_job.insert(id, submission);
     }
 
     /// Answers late requests, and drops jobs that have no waiting request and are not in flight.
-    pub(super) fn expire(&mut self, late: impl Fn(Time) -> bool, out: &mut Vec<Effect>) {
-        self.accepts.retain(|_, accept| {
-            if late(accept.since) {
-                for to in accept.requests.drain(..) {
+    pub(super) fn expire(&mut self, is_late: impl Fn(Time) -> bool, out: &mut Vec<Effect>) {
+        self.by_job.retain(|_, submission| {
+            if is_late(submission.since) {
+                for to in submission.requests.drain(..) {
                     UserApi::busy(out, to, "the state service does not answer");
                 }
             }
-            accept.in_flight || !accept.requests.is_empty()
+            submission.in_flight || !submission.requests.is_empty()
         });
         // If a job was dropped and submitted again, its id is in `order` twice.
-        if self.order.len() > self.accepts.len() {
-            self.order.retain(|id| self.accepts.contains_key(id));
+        if self.order.len() > self.by_job.len() {
+            self.order.retain(|id| self.by_job.contains_key(id));
         }
     }
 
@@ -133,8 +133,12 @@
     fn next_is_best_effort(&self) -> bool {
         self.order
             .iter()
-            .find_map(|id| self.accepts.get(id).filter(|accept| !accept.in_flight))
-            .is_some_and(Accept::is_best_effort)
+            .find_map(|id| {
+                self.by_job
+                    .get(id)
+                    .filter(|submission| !submission.in_flight)
+            })
+            .is_some_and(PendingSubmission::is_best_effort)
     }
 
     /// Adds the first jobs of the queue to a transaction, either only best-effort ones or only
@@ -153,17 +157,21 @@
         };
         let mut ids = Vec::new();
         while let Some(id) = self.order.front().copied() {
-            let Some(accept) = self.accepts.get_mut(&id).filter(|a| !a.in_flight) else {
+            let Some(submission) = self
+                .by_job
+                .get_mut(&id)
+                .filter(|submission| !submission.in_flight)
+            else {
                 self.order.pop_front();
                 continue;
             };
-            if transaction.write_count() >= max_jobs || best_effort != accept.is_best_effort() {
+            if transaction.write_count() >= max_jobs || best_effort != submission.is_best_effort() {
                 break;
             }
-            let value = job_store::open_record(&accept.spec);
+            let value = job_store::open_record(&submission.spec);
             match transaction.put(job_store::key(id), Revision(0), value, None) {
                 Ok(()) => {
-                    accept.in_flight = true;
+                    submission.in_flight = true;
                     ids.push(id);
                 }
                 Err(TransactionError::Full) => break,
@@ -171,10 +179,10 @@
                 // requests are answered at once, and the other jobs are not affected.
                 Err(error) => {
                     let reason = format!("cannot be kept: {error}");
-                    let Some(accept) = self.accepts.remove(&id) else {
+                    let Some(submission) = self.by_job.remove(&id) else {
                         continue;
                     };
-                    for to in accept.requests {
+                    for to in submission.requests {
                         UserApi::busy(out, to, &reason);
                     }
                 }
@@ -187,15 +195,15 @@
     /// Returns a job to the front of the queue after its transaction failed because of another
     /// job, unless its requests have timed out. Returns whether the job was queued.
     fn requeue(&mut self, now: Time, id: JobId) -> bool {
-        let Some(accept) = self.accepts.get_mut(&id) else {
+        let Some(submission) = self.by_job.get_mut(&id) else {
             return false;
         };
-        let waits = now.since(accept.since) < SUBMIT_TIMEOUT_S;
-        if waits {
-            accept.in_flight = false;
+        let in_time = now.since(submission.since) < SUBMIT_TIMEOUT_S;
+        if in_time {
+            submission.in_flight = false;
             self.order.push_front(id);
         }
-        waits
+        in_time
     }
 }
 
@@ -209,7 +217,7 @@
         job_store: &mut JobStore,
         out: &mut Vec<Effect>,
     ) {
-        let in_flight = &mut self.accepts.transactions_in_flight;
+        let in_flight = &mut self.submissions.transactions_in_flight;
         *in_flight = in_flight.saturating_sub(1);
         match reply.outcome {
             Outcome::Ok(body) => {
@@ -221,7 +229,7 @@
             // out, since the creation of the key is conditional.
             _ => {
                 for id in ids {
-                    for to in self.take_accept_requests(id) {
+                    for to in self.remove_submission(id) {
                         Self::busy(out, to, "the state service cannot be reached");
                     }
                 }
@@ -239,15 +247,15 @@
         out: &mut Vec<Effect>,
     ) {
         for id in ids {
-            let Some(accept) = self.accepts.accepts.remove(&id) else {
+            let Some(submission) = self.submissions.by_job.remove(&id) else {
                 continue;
             };
             if revision > Revision(0) {
-                job_store.on_committed(id, revision, JobState::Open, Some(accept.spec));
+                job_store.on_committed(id, revision, JobState::Open, Some(submission.spec));
             }
             // The first request created the job, the others are repetitions.
             let mut status = 201;
-            for to in accept.requests {
+            for to in submission.requests {
                 self.answer(out, to, status, id, "pending", None);
                 status = 200;
             }
@@ -259,18 +267,18 @@
     fn on_accept_conflict(&mut self, now: Time, ids: Vec<JobId>, conflicting: &[String]) {
         for id in ids {
             let exists = conflicting.contains(&job_store::key(id));
-            if !exists && !conflicting.is_empty() && self.accepts.requeue(now, id) {
+            if !exists && !conflicting.is_empty() && self.submissions.requeue(now, id) {
                 continue;
             }
-            for to in self.take_accept_requests(id) {
-                self.wait(now, to, id, Query::Submission { refuse: None });
+            for to in self.remove_submission(id) {
+                self.wait(now, to, id, Query::Submission { refusal: None });
             }
         }
     }
 
     /// Removes a job from the queue and returns its requests.
-    fn take_accept_requests(&mut self, id: JobId) -> Vec<RequestId> {
-        let accept = self.accepts.accepts.remove(&id);
-        accept.map_or_else(Vec::new, |accept| accept.requests)
+    fn remove_submission(&mut self, id: JobId) -> Vec<RequestId> {
+        let submission = self.submissions.by_job.remove(&id);
+        submission.map_or_else(Vec::new, |submission| submission.requests)
     }
 }
--- a/crates/controller/src/user_api/cancellations.rs
+++ b/crates/controller/src/user_api/cancellations.rs
@@ -66,7 +66,7 @@
             }
         }
         for (id, state) in settled {
-            for to in self.take_cancel_requests(id) {
+            for to in self.remove_cancellation(id) {
                 match state {
                     Some(state) => self.answer(out, to, 200, id, state, None),
                     None => Self::busy(out, to, "the state service does not answer"),
@@ -95,7 +95,7 @@
                         spec,
                     );
                 }
-                for to in self.take_cancel_requests(id) {
+                for to in self.remove_cancellation(id) {
                     self.answer(out, to, 200, id, CANCELLED, None);
                 }
             }
@@ -107,7 +107,7 @@
                 }
             }
             _ => {
-                for to in self.take_cancel_requests(id) {
+                for to in self.remove_cancellation(id) {
                     Self::busy(out, to, "the state service cannot be reached");
                 }
             }
@@ -115,7 +115,7 @@
     }
 
     /// Removes a cancellation and returns its requests.
-    fn take_cancel_requests(&mut self, id: JobId) -> Vec<RequestId> {
+    fn remove_cancellation(&mut self, id: JobId) -> Vec<RequestId> {
         let cancellation = self.cancellations.remove(&id);
         cancellation.map_or_else(Vec::new, |cancellation| cancellation.requests)
     }
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -23,7 +23,7 @@
 
 /// Whether a submission with one field replaced (`None`: removed) can be decoded and is valid,
 /// apart from quotas and machine types.
-fn sound_with(field: &str, value: Option<ciborium::Value>) -> bool {
+fn valid_with(field: &str, value: Option<ciborium::Value>) -> bool {
     let mut map = match ciborium::Value::serialized(&submission()) {
         Ok(ciborium::Value::Map(map)) => map,
         other => panic!("{other:?}"),
@@ -58,12 +58,12 @@
 #[test]
 fn submission_with_missing_field_or_wrong_type_is_malformed() {
     use ciborium::Value as V;
-    assert!(sound_with("unknown", Some(text("field"))));
+    assert!(valid_with("unknown", Some(text("field"))));
     for field in ["shapes", "yard", "dueS"] {
-        assert!(sound_with(field, None), "{field} may be absent");
-        assert!(sound_with(field, Some(V::Null)), "{field} may be null");
-        assert!(!sound_with(field, Some(V::Bool(true))), "{field}");
-        assert!(!sound_with(field, Some(V::Map(Vec::new()))), "{field}");
+        assert!(valid_with(field, None), "{field} may be absent");
+        assert!(valid_with(field, Some(V::Null)), "{field} may be null");
+        assert!(!valid_with(field, Some(V::Bool(true))), "{field}");
+        assert!(!valid_with(field, Some(V::Map(Vec::new()))), "{field}");
     }
     let all = TEXT_FIELDS
         .iter()
@@ -71,15 +71,15 @@
         .chain(&FLAG_FIELDS)
         .chain(&["pieces"]);
     for field in all {
-        assert!(!sound_with(field, None), "{field} is missing");
-        assert!(!sound_with(field, Some(V::Null)), "{field} is null");
+        assert!(!valid_with(field, None), "{field} is missing");
+        assert!(!valid_with(field, Some(V::Null)), "{field} is null");
         let list = V::Array(vec![V::Null]);
-        assert!(!sound_with(field, Some(list)), "{field} is a list");
+        assert!(!valid_with(field, Some(list)), "{field} is a list");
         let map = V::Map(Vec::new());
-        assert!(!sound_with(field, Some(map)), "{field} is a map");
+        assert!(!valid_with(field, Some(map)), "{field} is a map");
     }
     let numbers = V::Array(vec![V::Integer(1.into())]);
-    assert!(!sound_with("shapes", Some(numbers)));
+    assert!(!valid_with("shapes", Some(numbers)));
     for body in [&b""[..], b"\xff", b"\x01", b"\x80"] {
         assert!(read_submission(body, WallMs(1)).is_err());
     }
@@ -90,11 +90,11 @@
     use ciborium::Value as V;
     for field in TEXT_FIELDS {
         let number = V::Integer(7.into());
-        assert!(!sound_with(field, Some(number)), "{field} is a number");
-        assert!(!sound_with(field, Some(V::Bool(true))), "{field} is a flag");
+        assert!(!valid_with(field, Some(number)), "{field} is a number");
+        assert!(!valid_with(field, Some(V::Bool(true))), "{field} is a flag");
     }
     for field in ["jobKind", "urgency", "nameId"] {
-        assert!(!sound_with(field, Some(text("anything"))), "{field}");
+        assert!(!valid_with(field, Some(text("anything"))), "{field}");
     }
     for id in [
         "job-",
@@ -104,10 +104,10 @@
         "job-99999999999999999999999",
         "job-1/0",
     ] {
-        assert!(!sound_with("nameId", Some(text(id))), "{id}");
+        assert!(!valid_with("nameId", Some(text(id))), "{id}");
     }
     for field in ["owner", "jobClass"] {
-        assert!(!sound_with(field, Some(text(""))), "{field} is empty");
+        assert!(!valid_with(field, Some(text(""))), "{field} is empty");
     }
 }
 
@@ -117,23 +117,23 @@
     use ciborium::Value as V;
     for field in AMOUNT_FIELDS.iter().chain(&["dueS"]) {
         for bad in [-1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-            assert!(!sound_with(field, Some(V::Float(bad))), "{field} is {bad}");
+            assert!(!valid_with(field, Some(V::Float(bad))), "{field} is {bad}");
         }
-        assert!(!sound_with(field, Some(text("2"))), "{field} is text");
-        assert!(!sound_with(field, Some(V::Bool(true))), "{field} is a flag");
+        assert!(!valid_with(field, Some(text("2"))), "{field} is text");
+        assert!(!valid_with(field, Some(V::Bool(true))), "{field} is a flag");
         let whole = V::Integer(3.into());
         assert!(
-            sound_with(field, Some(whole)),
+            valid_with(field, Some(whole)),
             "{field} may be a whole number"
         );
     }
     for bad in [-1.0, 0.0, 1.5, 100_001.0, f64::NAN, f64::INFINITY, 1e300] {
         let count = V::Float(bad);
-        assert!(!sound_with("pieces", Some(count)), "pieces is {bad}");
+        assert!(!valid_with("pieces", Some(count)), "pieces is {bad}");
     }
     for bad in [-1, 0, 100_001, i64::MAX, i64::MIN] {
         let count = V::Integer(bad.into());
-        assert!(!sound_with("pieces", Some(count)), "pieces is {bad}");
+        assert!(!valid_with("pieces", Some(count)), "pieces is {bad}");
     }
 }
 
@@ -142,7 +142,7 @@
     use ciborium::Value as V;
     for flag in FLAG_FIELDS {
         for bad in [text("true"), V::Integer(1.into()), V::Float(1.0)] {
-            assert!(!sound_with(flag, Some(bad)), "{flag}");
+            assert!(!valid_with(flag, Some(bad)), "{flag}");
         }
     }
 }
@@ -150,12 +150,12 @@
 /// A job that can never run is infeasible; while machine types are unknown, a job that depends
 /// on them is neither feasible nor infeasible.
 #[test]
-fn job_that_can_never_run_is_infeasible_and_unknown_types_leave_it_open() {
+fn job_that_can_never_run_is_infeasible_and_unknown_machine_types_leave_it_undecided() {
     let mut settings = Settings::parse("t", SAMPLE).expect("valid sample settings");
     settings.params.teams[0].name = "one".into();
     settings.params.teams[0].cpus_max = 16.0;
     let machine_types = [c8()];
-    let judged = |field: &str, value: Json, known: bool| {
+    let assess_with = |field: &str, value: Json, types_known: bool| {
         let mut body = submission();
         body[field] = value;
         let (_, spec) =
@@ -166,24 +166,36 @@
             &spec,
             team,
             &settings,
-            if known { &machine_types } else { &[] },
+            if types_known { &machine_types } else { &[] },
         )
     };
-    let never = |v: Feasibility| matches!(v, Feasibility::Infeasible(_));
+    let is_infeasible = |v: Feasibility| matches!(v, Feasibility::Infeasible(_));
     assert_eq!(
-        judged("pieces", json!(100_000), true),
+        assess_with("pieces", json!(100_000), true),
         Feasibility::Feasible
     );
-    assert_eq!(judged("pieces", json!(1), false), Feasibility::Unknown);
-    for known in [false, true] {
-        assert!(never(judged("owner", json!("nobody"), known)));
-        assert!(never(judged("vcpus", json!(17.0), known)));
+    assert_eq!(assess_with("pieces", json!(1), false), Feasibility::Unknown);
+    for types_known in [false, true] {
+        assert!(is_infeasible(assess_with(
+            "owner",
+            json!("nobody"),
+            types_known
+        )));
+        assert!(is_infeasible(assess_with(
+            "vcpus",
+            json!(17.0),
+            types_known
+        )));
         assert!(
-            never(judged("jobKind", json!("standing"), known)),
+            is_infeasible(assess_with("jobKind", json!("standing"), types_known)),
             "16 of 2 CPUs at once"
         );
-        let long = json!("x".repeat(60_000));
-        assert!(never(judged("jobClass", long, known)));
+        let long_class = json!("x".repeat(60_000));
+        assert!(is_infeasible(assess_with(
+            "jobClass",
+            long_class,
+            types_known
+        )));
     }
     for (field, value) in [
         ("vcpus", json!(8.5)),
@@ -193,45 +205,48 @@
         ("shapes", json!([])),
         ("yard", json!("west")),
     ] {
-        assert!(never(judged(field, value.clone(), true)), "{field} {value}");
-        assert_eq!(judged(field, value, false), Feasibility::Unknown);
+        assert!(
+            is_infeasible(assess_with(field, value.clone(), true)),
+            "{field} {value}"
+        );
+        assert_eq!(assess_with(field, value, false), Feasibility::Unknown);
     }
 }
 
-struct Nobody;
+struct NoCounts;
 
-impl TaskCountSource for Nobody {
+impl TaskCountSource for NoCounts {
     fn counts(&self, _: JobId) -> Option<TaskCounts> {
         None
     }
 }
 
 /// A replica of the jobs with a simulated key-value store: tests supply the replies.
-struct Copy {
+struct TestReplica {
     job_store: JobStore,
     store: StoreClient<Tag>,
     calls: u64,
 }
 
-impl Copy {
-    fn new(now: Time) -> Copy {
+impl TestReplica {
+    fn new(now: Time) -> TestReplica {
         let settings = Settings::parse("t", SAMPLE).expect("valid sample settings");
-        let mut copy = Copy {
+        let mut replica = TestReplica {
             job_store: JobStore::default(),
             store: StoreClient::new(&settings),
             calls: 0,
         };
-        let sent = copy.ask(now);
-        copy.take(
+        let call = replica.send_request(now);
+        replica.deliver(
             now,
-            sent,
+            call,
             ReplicaCall::Scan,
             &json!({"pairs": [], "more": false, "ledgerRev": 3}),
         );
-        copy
+        replica
     }
 
-    fn ask(&mut self, now: Time) -> beamhinge_core::types::CallId {
+    fn send_request(&mut self, now: Time) -> beamhinge_core::types::CallId {
         self.job_store.tick(now, true, false, &mut self.store);
         let mut out = Vec::new();
         self.store.flush(now, &mut self.calls, &mut out);
@@ -241,7 +256,7 @@
         }
     }
 
-    fn take(
+    fn deliver(
         &mut self,
         now: Time,
         id: beamhinge_core::types::CallId,
@@ -256,7 +271,7 @@
     }
 }
 
-fn told(out: &mut Vec<Effect>) -> Vec<(u16, String)> {
+fn answers_in(out: &mut Vec<Effect>) -> Vec<(u16, String)> {
     let answers = out.drain(..).filter_map(|o| match o {
         Effect::Answer { status, body, .. } => {
             let body: ciborium::Value = wire::decode(&body).expect("CBOR");
@@ -277,49 +292,53 @@
     let id = JobId::parse("job-000412").expect("a job");
     let (_, spec) =
         read_submission(&wire::encode(&submission()), WallMs(1)).expect("a valid submission");
-    for word in [false, true] {
-        let (mut copy, mut user_api, mut out) =
-            (Copy::new(at(0.0)), UserApi::default(), Vec::new());
-        copy.job_store
-            .on_committed(id, Revision(4), JobState::Open, Some(Rc::new(spec.clone())));
+    for announced in [false, true] {
+        let (mut replica, mut user_api, mut out) =
+            (TestReplica::new(at(0.0)), UserApi::default(), Vec::new());
+        replica.job_store.on_committed(
+            id,
+            Revision(4),
+            JobState::Open,
+            Some(Rc::new(spec.clone())),
+        );
         let request = |generation| RequestId {
             slot: 0,
             generation,
         };
-        user_api.poll(at(1.0), request(1), id, &copy.job_store, &mut out);
-        let sent = copy.ask(at(1.0));
-        if word {
+        user_api.poll(at(1.0), request(1), id, &replica.job_store, &mut out);
+        let call = replica.send_request(at(1.0));
+        if announced {
             let other = JobId::parse("job-9").expect("a job");
             user_api.on_end_announced(at(1.2), [other, id].into_iter());
         }
-        let fresh = copy.take(
+        let fresh = replica.deliver(
             at(1.4),
-            sent,
+            call,
             ReplicaCall::Refresh,
             &json!({"ledgerRev": 4, "news": []}),
         );
-        user_api.on_replica_refresh(at(1.4), fresh, &copy.job_store, &Nobody, &mut out);
+        user_api.on_replica_refresh(at(1.4), fresh, &replica.job_store, &NoCounts, &mut out);
         let expected: &[(u16, String)] = &[(200, "pending".into())];
-        assert_eq!(told(&mut out), if word { &[] } else { expected });
+        assert_eq!(answers_in(&mut out), if announced { &[] } else { expected });
         assert!(user_api.take_announcements().is_empty());
-        if !word {
+        if !announced {
             continue;
         }
         // The next refresh is newer than the announcement and contains the cancellation.
         assert!(user_api.needs_fresh_jobs());
-        let sent = copy.ask(at(1.5));
+        let call = replica.send_request(at(1.5));
         let cancelled = json!({"ledgerRev": 5, "news": [{"write": job_store::key(id), "stamp": 5,
             "value": job_store::cancelled_record(&spec)}]});
-        let fresh = copy.take(at(1.6), sent, ReplicaCall::Refresh, &cancelled);
-        user_api.on_replica_refresh(at(1.6), fresh, &copy.job_store, &Nobody, &mut out);
-        assert_eq!(told(&mut out), [(200, "cancelled".into())]);
+        let fresh = replica.deliver(at(1.6), call, ReplicaCall::Refresh, &cancelled);
+        user_api.on_replica_refresh(at(1.6), fresh, &replica.job_store, &NoCounts, &mut out);
+        assert_eq!(answers_in(&mut out), [(200, "cancelled".into())]);
         assert_eq!(
             user_api.take_announcements(),
             [id],
             "the end is announced to the peers"
         );
-        user_api.poll(at(2.0), request(2), id, &copy.job_store, &mut out);
-        assert_eq!(told(&mut out), [(200, "cancelled".into())]);
+        user_api.poll(at(2.0), request(2), id, &replica.job_store, &mut out);
+        assert_eq!(answers_in(&mut out), [(200, "cancelled".into())]);
         assert!(
             user_api.take_announcements().is_empty(),
             "each end is announced once"
@@ -330,10 +349,11 @@
 /// Announcements of ends change no job, and the number of remembered announcements is bounded.
 #[test]
 fn announced_ends_are_bounded_and_change_no_job() {
-    let (copy, mut user_api, mut out) = (Copy::new(at(0.0)), UserApi::default(), Vec::new());
+    let (replica, mut user_api, mut out) =
+        (TestReplica::new(at(0.0)), UserApi::default(), Vec::new());
     let id = |n: usize| JobId::parse(&format!("job-{n}")).expect("a job");
     user_api.on_end_announced(at(0.1), (0..10_000).map(id));
-    assert!(!user_api.needs_fresh_jobs() && copy.job_store.get(id(1)).is_none());
+    assert!(!user_api.needs_fresh_jobs() && replica.job_store.get(id(1)).is_none());
     for n in 0..MAX_RECENT * 3 {
         user_api.announcements.announce(id(n));
     }
@@ -347,18 +367,18 @@
             generation: 1,
         },
         id(1),
-        &copy.job_store,
+        &replica.job_store,
         &mut out,
     );
     let mut store = StoreClient::new(&Settings::parse("t", SAMPLE).expect("valid sample settings"));
     user_api.on_end_announced(at(1.0 + QUERY_TIMEOUT_S), std::iter::once(id(1)));
     user_api.tick(
         at(1.1 + QUERY_TIMEOUT_S),
-        &copy.job_store,
+        &replica.job_store,
         &mut store,
         &mut out,
     );
-    assert_eq!(told(&mut out), [(503, String::new())]);
+    assert_eq!(answers_in(&mut out), [(503, String::new())]);
 }
 
 /// Each field of the wire format is stored in its field of the job specification.
@@ -368,7 +388,7 @@
     body["yard"] = json!("a");
     body["cards"] = json!(1.25);
     let (id, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("a valid submission");
-    let wanted = JobSpec {
+    let expected = JobSpec {
         class: "train".into(),
         team: "one".into(),
         kind: JobKind::Batch,
@@ -391,7 +411,7 @@
         submitted: 77,
         command: None,
     };
-    assert_eq!((id.to_string().as_str(), spec), ("job-000412", wanted));
+    assert_eq!((id.to_string().as_str(), spec), ("job-000412", expected));
     for (urgency, name) in [
         (Urgency::BestEffort, "best_effort"),
         (Urgency::Standard, "standard"),
--- a/crates/controller/src/worker_protocol.rs
+++ b/crates/controller/src/worker_protocol.rs
@@ -111,8 +111,8 @@
 }
 
 impl From<String> for ReportedStatus {
-    fn from(word: String) -> ReportedStatus {
-        match word.as_str() {
+    fn from(name: String) -> ReportedStatus {
+        match name.as_str() {
             "running" => ReportedStatus::Running,
             "saving" => ReportedStatus::Checkpointing,
             "exited" => ReportedStatus::Exited,
@@ -152,21 +152,21 @@
             ExitCause::Full => "full",
             ExitCause::InUse => "in_use",
             ExitCause::Unknown => "unknown",
-            ExitCause::Other(word) => word,
+            ExitCause::Other(name) => name,
         }
     }
 }
 
 impl From<String> for ExitCause {
-    fn from(word: String) -> ExitCause {
-        match word.as_str() {
+    fn from(name: String) -> ExitCause {
+        match name.as_str() {
             "done" => ExitCause::Done,
             "error" => ExitCause::Error,
             "stopped" => ExitCause::Stopped,
             "full" => ExitCause::Full,
             "in_use" => ExitCause::InUse,
             "unknown" => ExitCause::Unknown,
-            _ => ExitCause::Other(word),
+            _ => ExitCause::Other(name),
         }
     }
 }
--- a/crates/controller/src/worker_protocol/tests.rs
+++ b/crates/controller/src/worker_protocol/tests.rs
@@ -13,7 +13,7 @@
 /// Guard 5: a task with a status that this version does not know is still on its machine.
 #[test]
 fn status_that_is_unknown_is_not_exited() {
-    for (word, status) in [
+    for (name, status) in [
         ("pulling", ReportedStatus::FetchingImage),
         ("running", ReportedStatus::Running),
         ("saving", ReportedStatus::Checkpointing),
@@ -22,15 +22,15 @@
         ("", ReportedStatus::FetchingImage),
         ("a status of a later version", ReportedStatus::FetchingImage),
     ] {
-        let task = reported(&json!({"status": word}));
-        assert_eq!(task.status, status, "{word}");
+        let task = reported(&json!({"status": name}));
+        assert_eq!(task.status, status, "{name}");
     }
 }
 
 /// Guard 5: only `done` means done, and each cause keeps its name on the wire.
 #[test]
 fn cause_that_is_unknown_is_not_done() {
-    for (word, cause) in [
+    for (name, cause) in [
         ("done", ExitCause::Done),
         ("error", ExitCause::Error),
         ("stopped", ExitCause::Stopped),
@@ -40,8 +40,8 @@
         ("Done", ExitCause::Other("Done".into())),
         ("later", ExitCause::Other("later".into())),
     ] {
-        let task = reported(&json!({"status": "exited", "cause": word}));
-        assert_eq!(task.cause.as_ref().map(ExitCause::as_str), Some(word));
+        let task = reported(&json!({"status": "exited", "cause": name}));
+        assert_eq!(task.cause.as_ref().map(ExitCause::as_str), Some(name));
         assert_eq!(task.cause, Some(cause));
     }
     let null = reported(&json!({"status": "exited", "cause": null}));
