--- a/crates/controller/src/admin_api/tests.rs
+++ b/crates/controller/src/admin_api/tests.rs
@@ -15,12 +15,12 @@
     }
 }
 
-fn admin_api(max_waiting: usize) -> AdminApi {
+fn admin_api(waiting_limit: usize) -> AdminApi {
     let authenticator = Authenticator::new(Vec::new(), "i".into(), 30.0, 16);
     AdminApi::new(
         authenticator,
         AdminLimits {
-            max_waiting,
+            max_waiting: waiting_limit,
             max_rps: 100.0,
         },
     )
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn pending_queries_are_bounded_and_given_up_in_time() {
+fn pending_queries_are_bounded_and_time_out() {
     let mut admin_api = admin_api(2);
     let now = Time::from_micros(10_000_000);
     let wall = WallMs(1);
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -1,4 +1,4 @@
-//! The user API: any controller accepts submissions, queries and cancellations of jobs.
+//! The user API: any controller handles submissions, queries and cancellations of jobs.
 //!
 //! A job is accepted only when the creation of its key is committed. Final states never change,
 //! so they are answered from the replica of the jobs as it is; every other request waits for a
--- a/crates/controller/src/user_api/accepts.rs
+++ b/crates/controller/src/user_api/accepts.rs
@@ -192,7 +192,7 @@
         ids
     }
 
-    /// Returns a job to the front of the queue after its transaction failed because of another
+    /// Puts a job back at the front of the queue after its transaction failed because of another
     /// job, unless its requests have timed out. Returns whether the job was queued.
     fn requeue(&mut self, now: Time, id: JobId) -> bool {
         let Some(submission) = self.by_job.get_mut(&id) else {
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -188,7 +188,7 @@
         )));
         assert!(
             is_infeasible(assess_with("jobKind", json!("standing"), types_known)),
-            "16 of 2 CPUs at once"
+            "16 tasks of 2 CPUs run at the same time"
         );
         let long_class = json!("x".repeat(60_000));
         assert!(is_infeasible(assess_with(
@@ -346,7 +346,8 @@
     }
 }
 
-/// Announcements of ends change no job, and the number of remembered announcements is bounded.
+/// Announcements from peers change no job and are not stored, and the number of remembered
+/// announcements to peers is bounded.
 #[test]
 fn announced_ends_are_bounded_and_change_no_job() {
     let (replica, mut user_api, mut out) =
