--- a/crates/controller/src/user_api/accepts.rs
+++ b/crates/controller/src/user_api/accepts.rs
@@ -1,5 +1,5 @@
-//! Submissions on their way into the key-value store: the queue, its transactions and their
-//! replies.
+//! Submissions that wait to be written to the key-value store: their queue, its transactions and
+//! the replies to them.
 
 use super::{Query, UserApi, SUBMIT_TIMEOUT_S};
 use crate::calls::{Tag, UserApiCall};
@@ -12,46 +12,46 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Best-effort submissions that may wait: more would not be written in the time that their
-/// clients wait, so these are told at once to retry.
+/// Queue length from which best-effort submissions are refused. They would not be written before
+/// their clients time out, so they are told at once to retry.
 const MAX_WAITING_BEST_EFFORT: usize = 48;
-/// `Retry-After` of a best-effort submission, seconds: sooner it would only add load.
+/// `Retry-After` header for a best-effort submission, seconds: an earlier retry only adds load.
 const BEST_EFFORT_RETRY_AFTER_S: u32 = 4;
-/// Accepting transactions in flight at the same time.
+/// Maximum number of submission transactions in flight.
 const MAX_IN_FLIGHT: usize = 3;
-/// Jobs that one transaction accepts.
+/// Maximum number of jobs in one transaction.
 const MAX_JOBS_PER_TRANSACTION: usize = 8;
 
-/// One job that is to be accepted.
-struct Accept {
+/// A submitted job and the requests that wait for its acceptance.
+struct PendingSubmission {
     spec: Rc<JobSpec>,
     requests: Vec<RequestId>,
     since: Time,
     in_flight: bool,
 }
 
-impl Accept {
+impl PendingSubmission {
     fn is_best_effort(&self) -> bool {
         self.spec.urgency == Urgency::BestEffort
     }
 }
 
-/// Jobs that are to be accepted.
+/// Submitted jobs that are not accepted yet, by urgency.
 #[derive(Default)]
-pub(super) struct AcceptQueue {
-    accepts: BTreeMap<JobId, Accept>,
-    /// Jobs not in flight, the most urgent first; may hold ids that are gone from `accepts`.
+pub(super) struct SubmissionQueue {
+    by_job: BTreeMap<JobId, PendingSubmission>,
+    /// Jobs not in flight, the most urgent first; may contain ids already removed from `by_job`.
     order: VecDeque<JobId>,
     transactions_in_flight: usize,
 }
 
-impl AcceptQueue {
+impl SubmissionQueue {
     pub(super) fn len(&self) -> usize {
-        self.accepts.len()
+        self.by_job.len()
     }
 
-    /// Appends a job behind those that are at least as urgent; one that waits already gets one
-    /// more request to answer.
+    /// Queues a job behind those that are at least as urgent. If the job is queued already, the
+    /// request is added to it.
     pub(super) fn enqueue(
         &mut self,
         now: Time,
@@ -60,8 +60,8 @@
         spec: JobSpec,
         out: &mut Vec<Effect>,
     ) {
-        if let Some(accept) = self.accepts.get_mut(&id) {
-            accept.requests.push(to);
+        if let Some(submission) = self.by_job.get_mut(&id) {
+            submission.requests.push(to);
             return;
         }
         let best_effort = spec.urgency == Urgency::BestEffort;
@@ -74,45 +74,44 @@
             });
             return;
         }
-        // Thousands of best-effort jobs must not keep out more urgent ones.
+        // Thousands of best-effort jobs must not block more urgent ones.
         let less_urgent = |other: &JobId| {
-            let other = self.accepts.get(other);
-            other.is_some_and(|accept| accept.spec.urgency < spec.urgency)
+            let other = self.by_job.get(other);
+            other.is_some_and(|submission| submission.spec.urgency < spec.urgency)
         };
-        let at = self.order.iter().position(less_urgent);
-        self.order.insert(at.unwrap_or(self.order.len()), id);
-        let accept = Accept {
+        let position = self.order.iter().position(less_urgent);
+        self.order.insert(position.unwrap_or(self.order.len()), id);
+        let submission = PendingSubmission {
             spec: Rc::new(spec),
             requests: vec![to],
             since: now,
             in_flight: false,
         };
-        self.accepts.insert(id, accept);
+        self.by_job.insert(id, submission);
     }
 
-    /// Answers the requests of jobs that are late, and drops what nobody waits for any more
-    /// unless it is in flight.
-    pub(super) fn expire(&mut self, late: impl Fn(Time) -> bool, out: &mut Vec<Effect>) {
-        self.accepts.retain(|_, accept| {
-            if late(accept.since) {
-                for to in accept.requests.drain(..) {
+    /// Answers late requests, and drops jobs that have no waiting request and are not in flight.
+    pub(super) fn expire(&mut self, is_late: impl Fn(Time) -> bool, out: &mut Vec<Effect>) {
+        self.by_job.retain(|_, submission| {
+            if is_late(submission.since) {
+                for to in submission.requests.drain(..) {
                     UserApi::busy(out, to, "the state service does not answer");
                 }
             }
-            accept.in_flight || !accept.requests.is_empty()
+            submission.in_flight || !submission.requests.is_empty()
         });
-        // An id whose job was dropped and came again is in the order twice.
-        if self.order.len() > self.accepts.len() {
-            self.order.retain(|id| self.accepts.contains_key(id));
+        // If a job was dropped and submitted again, its id is in `order` twice.
+        if self.order.len() > self.by_job.len() {
+            self.order.retain(|id| self.by_job.contains_key(id));
         }
     }
 
-    /// Sends as many transactions as may be in flight.
+    /// Sends transactions until [`MAX_IN_FLIGHT`] are in flight or the queue is empty.
     pub(super) fn send(&mut self, now: Time, store: &mut StoreClient<Tag>, out: &mut Vec<Effect>) {
         while self.transactions_in_flight < MAX_IN_FLIGHT {
             let mut transaction = store.transaction();
-            // Best effort goes alone and in small steps, so that what is more urgent never
-            // waits behind more than one of its transactions.
+            // Best-effort jobs are written in small transactions, one at a time, so that more
+            // urgent jobs never wait behind more than one of these.
             let best_effort = self.next_is_best_effort();
             if best_effort && self.transactions_in_flight > 0 {
                 return;
@@ -134,19 +133,23 @@
     fn next_is_best_effort(&self) -> bool {
         self.order
             .iter()
-            .find_map(|id| self.accepts.get(id).filter(|accept| !accept.in_flight))
-            .is_some_and(Accept::is_best_effort)
+            .find_map(|id| {
+                self.by_job
+                    .get(id)
+                    .filter(|submission| !submission.in_flight)
+            })
+            .is_some_and(PendingSubmission::is_best_effort)
     }
 
-    /// Writes the first jobs of the queue into a transaction, either best-effort ones or
-    /// others; the jobs that it holds.
+    /// Adds the first jobs of the queue to a transaction, either only best-effort ones or only
+    /// others. Returns the jobs that were added.
     fn fill(
         &mut self,
         transaction: &mut Transaction,
         best_effort: bool,
         out: &mut Vec<Effect>,
     ) -> Vec<JobId> {
-        // A job that is refused fails all others of its transaction: a few at a time.
+        // A conflict on one job fails the whole transaction, so each contains only a few jobs.
         let max_jobs = if best_effort {
             MAX_JOBS_PER_TRANSACTION / 2
         } else {
@@ -154,28 +157,32 @@
         };
         let mut ids = Vec::new();
         while let Some(id) = self.order.front().copied() {
-            let Some(accept) = self.accepts.get_mut(&id).filter(|a| !a.in_flight) else {
+            let Some(submission) = self
+                .by_job
+                .get_mut(&id)
+                .filter(|submission| !submission.in_flight)
+            else {
                 self.order.pop_front();
                 continue;
             };
-            if transaction.write_count() >= max_jobs || best_effort != accept.is_best_effort() {
+            if transaction.write_count() >= max_jobs || best_effort != submission.is_best_effort() {
                 break;
             }
-            let value = job_store::open_record(&accept.spec);
+            let value = job_store::open_record(&submission.spec);
             match transaction.put(job_store::key(id), Revision(0), value, None) {
                 Ok(()) => {
-                    accept.in_flight = true;
+                    submission.in_flight = true;
                     ids.push(id);
                 }
                 Err(TransactionError::Full) => break,
-                // `feasibility::assess` lets none of these through; the user is told at once,
-                // and the others go on.
+                // `feasibility::assess` refuses such jobs beforehand. If one gets here, its
+                // requests are answered at once, and the other jobs are not affected.
                 Err(error) => {
                     let reason = format!("cannot be kept: {error}");
-                    let Some(accept) = self.accepts.remove(&id) else {
+                    let Some(submission) = self.by_job.remove(&id) else {
                         continue;
                     };
-                    for to in accept.requests {
+                    for to in submission.requests {
                         UserApi::busy(out, to, &reason);
                     }
                 }
@@ -185,23 +192,23 @@
         ids
     }
 
-    /// Puts a job whose transaction failed for another job back to the front of the queue, if
-    /// its users still wait.
+    /// Puts a job back at the front of the queue after its transaction failed because of another
+    /// job, unless its requests have timed out. Returns whether the job was queued.
     fn requeue(&mut self, now: Time, id: JobId) -> bool {
-        let Some(accept) = self.accepts.get_mut(&id) else {
+        let Some(submission) = self.by_job.get_mut(&id) else {
             return false;
         };
-        let waits = now.since(accept.since) < SUBMIT_TIMEOUT_S;
-        if waits {
-            accept.in_flight = false;
+        let in_time = now.since(submission.since) < SUBMIT_TIMEOUT_S;
+        if in_time {
+            submission.in_flight = false;
             self.order.push_front(id);
         }
-        waits
+        in_time
     }
 }
 
 impl UserApi {
-    /// The key-value store replied to a transaction that accepts these jobs.
+    /// Handles the reply of the key-value store to a transaction that accepts these jobs.
     pub(super) fn on_accept_reply(
         &mut self,
         now: Time,
@@ -210,7 +217,7 @@
         job_store: &mut JobStore,
         out: &mut Vec<Effect>,
     ) {
-        let in_flight = &mut self.accepts.transactions_in_flight;
+        let in_flight = &mut self.submissions.transactions_in_flight;
         *in_flight = in_flight.saturating_sub(1);
         match reply.outcome {
             Outcome::Ok(body) => {
@@ -218,11 +225,11 @@
                 self.on_accepted(ids, Revision(revision), job_store, out);
             }
             Outcome::Conflict(conflicting) => self.on_accept_conflict(now, ids, &conflicting),
-            // Refused, or of unknown fate: the user's own retry finds out, since creating the
-            // key is conditional.
+            // The transaction was refused, or its outcome is unknown: the client's retry finds
+            // out, since the creation of the key is conditional.
             _ => {
                 for id in ids {
-                    for to in self.take_accept_requests(id) {
+                    for to in self.remove_submission(id) {
                         Self::busy(out, to, "the state service cannot be reached");
                     }
                 }
@@ -230,7 +237,8 @@
         }
     }
 
-    /// The jobs were accepted; `revision` 0: the reply did not tell at which one.
+    /// Answers the requests of accepted jobs. `revision`: the revision of the commit; 0 if the
+    /// reply did not contain it.
     fn on_accepted(
         &mut self,
         ids: Vec<JobId>,
@@ -239,38 +247,38 @@
         out: &mut Vec<Effect>,
     ) {
         for id in ids {
-            let Some(accept) = self.accepts.accepts.remove(&id) else {
+            let Some(submission) = self.submissions.by_job.remove(&id) else {
                 continue;
             };
             if revision > Revision(0) {
-                job_store.on_committed(id, revision, JobState::Open, Some(accept.spec));
+                job_store.on_committed(id, revision, JobState::Open, Some(submission.spec));
             }
-            // The first request created the job, the others repeat it.
+            // The first request created the job, the others are repetitions.
             let mut status = 201;
-            for to in accept.requests {
+            for to in submission.requests {
                 self.answer(out, to, status, id, "pending", None);
                 status = 200;
             }
         }
     }
 
-    /// Some of the jobs exist already: their submitters are told their state as it is now. The
-    /// others are tried again.
+    /// Handles a transaction that failed because some of its jobs exist already: the requests of
+    /// those are answered with the job's current state. The other jobs are retried.
     fn on_accept_conflict(&mut self, now: Time, ids: Vec<JobId>, conflicting: &[String]) {
         for id in ids {
             let exists = conflicting.contains(&job_store::key(id));
-            if !exists && !conflicting.is_empty() && self.accepts.requeue(now, id) {
+            if !exists && !conflicting.is_empty() && self.submissions.requeue(now, id) {
                 continue;
             }
-            for to in self.take_accept_requests(id) {
-                self.wait(now, to, id, Query::Submission { refuse: None });
+            for to in self.remove_submission(id) {
+                self.wait(now, to, id, Query::Submission { refusal: None });
             }
         }
     }
 
-    /// Drops a job from the queue; the requests that it had.
-    fn take_accept_requests(&mut self, id: JobId) -> Vec<RequestId> {
-        let accept = self.accepts.accepts.remove(&id);
-        accept.map_or_else(Vec::new, |accept| accept.requests)
+    /// Removes a job from the queue and returns its requests.
+    fn remove_submission(&mut self, id: JobId) -> Vec<RequestId> {
+        let submission = self.submissions.by_job.remove(&id);
+        submission.map_or_else(Vec::new, |submission| submission.requests)
     }
 }
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -21,8 +21,9 @@
         "snapshotS": 4.0, "dueS": 900.0})
 }
 
-/// What a submission is told before any limit or machine is looked at.
-fn sound_with(field: &str, value: Option<ciborium::Value>) -> bool {
+/// Whether a submission with one field replaced (`None`: removed) can be decoded and is valid,
+/// apart from quotas and machine types.
+fn valid_with(field: &str, value: Option<ciborium::Value>) -> bool {
     let mut map = match ciborium::Value::serialized(&submission()) {
         Ok(ciborium::Value::Map(map)) => map,
         other => panic!("{other:?}"),
@@ -52,17 +53,17 @@
     ciborium::Value::Text(value.into())
 }
 
-/// Every field of a submission: absent, null, of a wrong type. Only what may be null may be
-/// absent; all else is malformed, never accepted.
+/// Tests each field of a submission absent, null, and of a wrong type. Only fields that may be
+/// null may be absent; otherwise the submission is malformed and must not be accepted.
 #[test]
 fn submission_with_missing_field_or_wrong_type_is_malformed() {
     use ciborium::Value as V;
-    assert!(sound_with("unknown", Some(text("field"))));
+    assert!(valid_with("unknown", Some(text("field"))));
     for field in ["shapes", "yard", "dueS"] {
-        assert!(sound_with(field, None), "{field} may be absent");
-        assert!(sound_with(field, Some(V::Null)), "{field} may be null");
-        assert!(!sound_with(field, Some(V::Bool(true))), "{field}");
-        assert!(!sound_with(field, Some(V::Map(Vec::new()))), "{field}");
+        assert!(valid_with(field, None), "{field} may be absent");
+        assert!(valid_with(field, Some(V::Null)), "{field} may be null");
+        assert!(!valid_with(field, Some(V::Bool(true))), "{field}");
+        assert!(!valid_with(field, Some(V::Map(Vec::new()))), "{field}");
     }
     let all = TEXT_FIELDS
         .iter()
@@ -70,15 +71,15 @@
         .chain(&FLAG_FIELDS)
         .chain(&["pieces"]);
     for field in all {
-        assert!(!sound_with(field, None), "{field} is missing");
-        assert!(!sound_with(field, Some(V::Null)), "{field} is null");
+        assert!(!valid_with(field, None), "{field} is missing");
+        assert!(!valid_with(field, Some(V::Null)), "{field} is null");
         let list = V::Array(vec![V::Null]);
-        assert!(!sound_with(field, Some(list)), "{field} is a list");
+        assert!(!valid_with(field, Some(list)), "{field} is a list");
         let map = V::Map(Vec::new());
-        assert!(!sound_with(field, Some(map)), "{field} is a map");
+        assert!(!valid_with(field, Some(map)), "{field} is a map");
     }
     let numbers = V::Array(vec![V::Integer(1.into())]);
-    assert!(!sound_with("shapes", Some(numbers)));
+    assert!(!valid_with("shapes", Some(numbers)));
     for body in [&b""[..], b"\xff", b"\x01", b"\x80"] {
         assert!(read_submission(body, WallMs(1)).is_err());
     }
@@ -89,11 +90,11 @@
     use ciborium::Value as V;
     for field in TEXT_FIELDS {
         let number = V::Integer(7.into());
-        assert!(!sound_with(field, Some(number)), "{field} is a number");
-        assert!(!sound_with(field, Some(V::Bool(true))), "{field} is a flag");
+        assert!(!valid_with(field, Some(number)), "{field} is a number");
+        assert!(!valid_with(field, Some(V::Bool(true))), "{field} is a flag");
     }
     for field in ["jobKind", "urgency", "nameId"] {
-        assert!(!sound_with(field, Some(text("anything"))), "{field}");
+        assert!(!valid_with(field, Some(text("anything"))), "{field}");
     }
     for id in [
         "job-",
@@ -103,33 +104,36 @@
         "job-99999999999999999999999",
         "job-1/0",
     ] {
-        assert!(!sound_with("nameId", Some(text(id))), "{id}");
+        assert!(!valid_with("nameId", Some(text(id))), "{id}");
     }
     for field in ["owner", "jobClass"] {
-        assert!(!sound_with(field, Some(text(""))), "{field} is empty");
+        assert!(!valid_with(field, Some(text(""))), "{field} is empty");
     }
 }
 
-/// Amounts that are negative, not finite or no numbers, and counts out of range.
+/// Amounts that are negative, not finite or not numbers, and task counts out of range.
 #[test]
 fn submission_with_invalid_amount_or_count_is_malformed() {
     use ciborium::Value as V;
     for field in AMOUNT_FIELDS.iter().chain(&["dueS"]) {
         for bad in [-1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-            assert!(!sound_with(field, Some(V::Float(bad))), "{field} is {bad}");
+            assert!(!valid_with(field, Some(V::Float(bad))), "{field} is {bad}");
         }
-        assert!(!sound_with(field, Some(text("2"))), "{field} is text");
-        assert!(!sound_with(field, Some(V::Bool(true))), "{field} is a flag");
+        assert!(!valid_with(field, Some(text("2"))), "{field} is text");
+        assert!(!valid_with(field, Some(V::Bool(true))), "{field} is a flag");
         let whole = V::Integer(3.into());
-        assert!(sound_with(field, Some(whole)), "a whole amount is one");
+        assert!(
+            valid_with(field, Some(whole)),
+            "{field} may be a whole number"
+        );
     }
     for bad in [-1.0, 0.0, 1.5, 100_001.0, f64::NAN, f64::INFINITY, 1e300] {
         let count = V::Float(bad);
-        assert!(!sound_with("pieces", Some(count)), "pieces is {bad}");
+        assert!(!valid_with("pieces", Some(count)), "pieces is {bad}");
     }
     for bad in [-1, 0, 100_001, i64::MAX, i64::MIN] {
         let count = V::Integer(bad.into());
-        assert!(!sound_with("pieces", Some(count)), "pieces is {bad}");
+        assert!(!valid_with("pieces", Some(count)), "pieces is {bad}");
     }
 }
 
@@ -138,46 +142,60 @@
     use ciborium::Value as V;
     for flag in FLAG_FIELDS {
         for bad in [text("true"), V::Integer(1.into()), V::Float(1.0)] {
-            assert!(!sound_with(flag, Some(bad)), "{flag}");
+            assert!(!valid_with(flag, Some(bad)), "{flag}");
         }
     }
 }
 
-/// What can never run, told apart from what cannot be decided yet.
+/// A job that can never run is infeasible; while machine types are unknown, a job that depends
+/// on them is neither feasible nor infeasible.
 #[test]
-fn job_that_can_never_run_is_infeasible_and_unknown_types_leave_it_open() {
-    let mut settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
+fn job_that_can_never_run_is_infeasible_and_unknown_machine_types_leave_it_undecided() {
+    let mut settings = Settings::parse("t", SAMPLE).expect("valid sample settings");
     settings.params.teams[0].name = "one".into();
     settings.params.teams[0].cpus_max = 16.0;
     let machine_types = [c8()];
-    let judged = |field: &str, value: Json, known: bool| {
+    let assess_with = |field: &str, value: Json, types_known: bool| {
         let mut body = submission();
         body[field] = value;
-        let (_, spec) = read_submission(&wire::encode(&body), WallMs(1)).expect("sound");
+        let (_, spec) =
+            read_submission(&wire::encode(&body), WallMs(1)).expect("a valid submission");
         let teams = Snapshot::default().effective(&settings.params.teams);
         let team = teams.iter().find(|team| *team.name == *spec.team);
         assess(
             &spec,
             team,
             &settings,
-            if known { &machine_types } else { &[] },
+            if types_known { &machine_types } else { &[] },
         )
     };
-    let never = |v: Feasibility| matches!(v, Feasibility::Infeasible(_));
+    let is_infeasible = |v: Feasibility| matches!(v, Feasibility::Infeasible(_));
     assert_eq!(
-        judged("pieces", json!(100_000), true),
+        assess_with("pieces", json!(100_000), true),
         Feasibility::Feasible
     );
-    assert_eq!(judged("pieces", json!(1), false), Feasibility::Unknown);
-    for known in [false, true] {
-        assert!(never(judged("owner", json!("nobody"), known)));
-        assert!(never(judged("vcpus", json!(17.0), known)));
+    assert_eq!(assess_with("pieces", json!(1), false), Feasibility::Unknown);
+    for types_known in [false, true] {
+        assert!(is_infeasible(assess_with(
+            "owner",
+            json!("nobody"),
+            types_known
+        )));
+        assert!(is_infeasible(assess_with(
+            "vcpus",
+            json!(17.0),
+            types_known
+        )));
         assert!(
-            never(judged("jobKind", json!("standing"), known)),
-            "16 of 2 CPUs at once"
+            is_infeasible(assess_with("jobKind", json!("standing"), types_known)),
+            "16 tasks of 2 CPUs run at the same time"
         );
-        let long = json!("x".repeat(60_000));
-        assert!(never(judged("jobClass", long, known)));
+        let long_class = json!("x".repeat(60_000));
+        assert!(is_infeasible(assess_with(
+            "jobClass",
+            long_class,
+            types_known
+        )));
     }
     for (field, value) in [
         ("vcpus", json!(8.5)),
@@ -187,45 +205,48 @@
         ("shapes", json!([])),
         ("yard", json!("west")),
     ] {
-        assert!(never(judged(field, value.clone(), true)), "{field} {value}");
-        assert_eq!(judged(field, value, false), Feasibility::Unknown);
+        assert!(
+            is_infeasible(assess_with(field, value.clone(), true)),
+            "{field} {value}"
+        );
+        assert_eq!(assess_with(field, value, false), Feasibility::Unknown);
     }
 }
 
-struct Nobody;
+struct NoCounts;
 
-impl TaskCountSource for Nobody {
+impl TaskCountSource for NoCounts {
     fn counts(&self, _: JobId) -> Option<TaskCounts> {
         None
     }
 }
 
-/// A copy of the jobs, kept by exchanges with the state service that are played here.
-struct Copy {
+/// A replica of the jobs with a simulated key-value store: tests supply the replies.
+struct TestReplica {
     job_store: JobStore,
     store: StoreClient<Tag>,
     calls: u64,
 }
 
-impl Copy {
-    fn new(now: Time) -> Copy {
-        let settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
-        let mut copy = Copy {
+impl TestReplica {
+    fn new(now: Time) -> TestReplica {
+        let settings = Settings::parse("t", SAMPLE).expect("valid sample settings");
+        let mut replica = TestReplica {
             job_store: JobStore::default(),
             store: StoreClient::new(&settings),
             calls: 0,
         };
-        let sent = copy.ask(now);
-        copy.take(
+        let call = replica.send_request(now);
+        replica.deliver(
             now,
-            sent,
+            call,
             ReplicaCall::Scan,
             &json!({"pairs": [], "more": false, "ledgerRev": 3}),
         );
-        copy
+        replica
     }
 
-    fn ask(&mut self, now: Time) -> beamhinge_core::types::CallId {
+    fn send_request(&mut self, now: Time) -> beamhinge_core::types::CallId {
         self.job_store.tick(now, true, false, &mut self.store);
         let mut out = Vec::new();
         self.store.flush(now, &mut self.calls, &mut out);
@@ -235,7 +256,7 @@
         }
     }
 
-    fn take(
+    fn deliver(
         &mut self,
         now: Time,
         id: beamhinge_core::types::CallId,
@@ -245,12 +266,12 @@
         let reply = self
             .store
             .on_reply(id, Some((200, wire::encode(body))))
-            .expect("ours");
+            .expect("a reply to a call of this client");
         self.job_store.on_reply(now, call, reply)
     }
 }
 
-fn told(out: &mut Vec<Effect>) -> Vec<(u16, String)> {
+fn answers_in(out: &mut Vec<Effect>) -> Vec<(u16, String)> {
     let answers = out.drain(..).filter_map(|o| match o {
         Effect::Answer { status, body, .. } => {
             let body: ciborium::Value = wire::decode(&body).expect("CBOR");
@@ -262,73 +283,84 @@
     answers.collect()
 }
 
-/// A poll's exchange with the state service was handled before the job was cancelled at
-/// another controller, and its reply is slow. The word of that end comes first: what the
-/// user has heard by then is newer than the reply, which answers nothing any more.
+/// The key-value store handled the replica refresh for a poll before the job was cancelled
+/// through another controller, and its reply is slow. The announcement of the job's end arrives
+/// before that reply: the user may already know a newer state than the reply contains, so the
+/// reply must not answer the poll.
 #[test]
 fn poll_older_than_announced_end_waits_for_fresher_replica() {
     let id = JobId::parse("job-000412").expect("a job");
-    let (_, spec) = read_submission(&wire::encode(&submission()), WallMs(1)).expect("sound");
-    for word in [false, true] {
-        let (mut copy, mut user_api, mut out) =
-            (Copy::new(at(0.0)), UserApi::default(), Vec::new());
-        copy.job_store
-            .on_committed(id, Revision(4), JobState::Open, Some(Rc::new(spec.clone())));
+    let (_, spec) =
+        read_submission(&wire::encode(&submission()), WallMs(1)).expect("a valid submission");
+    for announced in [false, true] {
+        let (mut replica, mut user_api, mut out) =
+            (TestReplica::new(at(0.0)), UserApi::default(), Vec::new());
+        replica.job_store.on_committed(
+            id,
+            Revision(4),
+            JobState::Open,
+            Some(Rc::new(spec.clone())),
+        );
         let request = |generation| RequestId {
             slot: 0,
             generation,
         };
-        user_api.poll(at(1.0), request(1), id, &copy.job_store, &mut out);
-        let sent = copy.ask(at(1.0));
-        if word {
+        user_api.poll(at(1.0), request(1), id, &replica.job_store, &mut out);
+        let call = replica.send_request(at(1.0));
+        if announced {
             let other = JobId::parse("job-9").expect("a job");
             user_api.on_end_announced(at(1.2), [other, id].into_iter());
         }
-        let fresh = copy.take(
+        let fresh = replica.deliver(
             at(1.4),
-            sent,
+            call,
             ReplicaCall::Refresh,
             &json!({"ledgerRev": 4, "news": []}),
         );
-        user_api.on_replica_refresh(at(1.4), fresh, &copy.job_store, &Nobody, &mut out);
+        user_api.on_replica_refresh(at(1.4), fresh, &replica.job_store, &NoCounts, &mut out);
         let expected: &[(u16, String)] = &[(200, "pending".into())];
-        assert_eq!(told(&mut out), if word { &[] } else { expected });
+        assert_eq!(answers_in(&mut out), if announced { &[] } else { expected });
         assert!(user_api.take_announcements().is_empty());
-        if !word {
+        if !announced {
             continue;
         }
-        // The next copy is newer, and says what the user knows.
+        // The next refresh is newer than the announcement and contains the cancellation.
         assert!(user_api.needs_fresh_jobs());
-        let sent = copy.ask(at(1.5));
+        let call = replica.send_request(at(1.5));
         let cancelled = json!({"ledgerRev": 5, "news": [{"write": job_store::key(id), "stamp": 5,
             "value": job_store::cancelled_record(&spec)}]});
-        let fresh = copy.take(at(1.6), sent, ReplicaCall::Refresh, &cancelled);
-        user_api.on_replica_refresh(at(1.6), fresh, &copy.job_store, &Nobody, &mut out);
-        assert_eq!(told(&mut out), [(200, "cancelled".into())]);
+        let fresh = replica.deliver(at(1.6), call, ReplicaCall::Refresh, &cancelled);
+        user_api.on_replica_refresh(at(1.6), fresh, &replica.job_store, &NoCounts, &mut out);
+        assert_eq!(answers_in(&mut out), [(200, "cancelled".into())]);
         assert_eq!(
             user_api.take_announcements(),
             [id],
-            "and the peers are told"
+            "the end is announced to the peers"
+        );
+        user_api.poll(at(2.0), request(2), id, &replica.job_store, &mut out);
+        assert_eq!(answers_in(&mut out), [(200, "cancelled".into())]);
+        assert!(
+            user_api.take_announcements().is_empty(),
+            "each end is announced once"
         );
-        user_api.poll(at(2.0), request(2), id, &copy.job_store, &mut out);
-        assert_eq!(told(&mut out), [(200, "cancelled".into())]);
-        assert!(user_api.take_announcements().is_empty(), "once");
     }
 }
 
-/// Word of ends that nobody asks about, or of many, is kept by nobody.
+/// Announcements from peers change no job and are not stored, and the number of remembered
+/// announcements to peers is bounded.
 #[test]
 fn announced_ends_are_bounded_and_change_no_job() {
-    let (copy, mut user_api, mut out) = (Copy::new(at(0.0)), UserApi::default(), Vec::new());
+    let (replica, mut user_api, mut out) =
+        (TestReplica::new(at(0.0)), UserApi::default(), Vec::new());
     let id = |n: usize| JobId::parse(&format!("job-{n}")).expect("a job");
     user_api.on_end_announced(at(0.1), (0..10_000).map(id));
-    assert!(!user_api.needs_fresh_jobs() && copy.job_store.get(id(1)).is_none());
+    assert!(!user_api.needs_fresh_jobs() && replica.job_store.get(id(1)).is_none());
     for n in 0..MAX_RECENT * 3 {
         user_api.announcements.announce(id(n));
     }
     assert_eq!(user_api.take_announcements().len(), MAX_RECENT * 3);
     assert_eq!(user_api.announcements.recent.len(), MAX_RECENT);
-    // A poll whose patience is over is told so, whatever word came.
+    // An announcement does not extend the timeout of a waiting poll.
     user_api.poll(
         at(1.0),
         RequestId {
@@ -336,28 +368,28 @@
             generation: 1,
         },
         id(1),
-        &copy.job_store,
+        &replica.job_store,
         &mut out,
     );
-    let mut store = StoreClient::new(&Settings::parse("t", SAMPLE).expect("sound"));
+    let mut store = StoreClient::new(&Settings::parse("t", SAMPLE).expect("valid sample settings"));
     user_api.on_end_announced(at(1.0 + QUERY_TIMEOUT_S), std::iter::once(id(1)));
     user_api.tick(
         at(1.1 + QUERY_TIMEOUT_S),
-        &copy.job_store,
+        &replica.job_store,
         &mut store,
         &mut out,
     );
-    assert_eq!(told(&mut out), [(503, String::new())]);
+    assert_eq!(answers_in(&mut out), [(503, String::new())]);
 }
 
-/// Each field goes to the field that it belongs to, under its name of the platform.
+/// Each field of the wire format is stored in its field of the job specification.
 #[test]
 fn submission_fields_map_to_job_spec() {
     let mut body = submission();
     body["yard"] = json!("a");
     body["cards"] = json!(1.25);
-    let (id, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("sound");
-    let wanted = JobSpec {
+    let (id, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("a valid submission");
+    let expected = JobSpec {
         class: "train".into(),
         team: "one".into(),
         kind: JobKind::Batch,
@@ -380,7 +412,7 @@
         submitted: 77,
         command: None,
     };
-    assert_eq!((id.to_string().as_str(), spec), ("job-000412", wanted));
+    assert_eq!((id.to_string().as_str(), spec), ("job-000412", expected));
     for (urgency, name) in [
         (Urgency::BestEffort, "best_effort"),
         (Urgency::Standard, "standard"),
@@ -395,7 +427,7 @@
     body["oneZone"] = json!(false);
     body["apart"] = json!(true);
     body["loaners"] = json!(false);
-    let (_, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("sound");
+    let (_, spec) = read_submission(&wire::encode(&body), WallMs(77)).expect("a valid submission");
     assert_eq!(
         (spec.single_zone, spec.spread, spec.spot),
         (false, true, false)
