--- a/crates/failure-detection/src/ack_tracker.rs
+++ b/crates/failure-detection/src/ack_tracker.rs
@@ -1,39 +1,39 @@
-//! Whether a machine acknowledges what it is sent.
+//! Tracks whether a machine acknowledges the commands sent to it.
 //!
-//! A link may be broken in one direction: reports arrive, replies and commands do not. Such a
-//! machine looks empty and healthy, and would be given one task after the other, none of which
-//! ever starts.
+//! A network link may be broken in one direction: the machine's reports arrive, but replies and
+//! commands do not reach it. Such a machine looks idle and healthy, so the scheduler would place
+//! one task after another on it, none of which would ever start.
 
 use beamhinge_core::types::Time;
 
-/// The first pause, seconds; each further one is twice as long.
+/// The first backoff, seconds; each further one is twice as long.
 const MIN_PAUSE_S: f64 = 8.0;
-/// The longest pause, seconds.
+/// The longest backoff, seconds.
 const MAX_PAUSE_S: f64 = 64.0;
-/// Unacknowledged replies in a row from which the machine counts as unreachable. One alone may be
-/// a reply that came too late.
+/// Consecutive unacknowledged replies from which the machine counts as unreachable. A single one
+/// may be a reply that arrived too late.
 const UNACKNOWLEDGED_THRESHOLD: u32 = 2;
 
-/// What became of the commands that went to one machine.
+/// Acknowledgement state of the commands sent to one machine.
 #[derive(Clone, Debug, Default)]
 pub struct AckTracker {
-    /// Replies in a row whose commands the next report did not show.
+    /// Consecutive replies whose commands the next report did not show.
     unacknowledged: u32,
     /// When the first of them was noticed.
     since: Time,
-    /// No command is sent before.
+    /// Time before which no command is sent.
     paused_until: Time,
 }
 
 impl AckTracker {
-    /// A report shows a command: replies arrive.
+    /// Records that a report shows a command, so replies reach the machine.
     pub fn record_acknowledged(&mut self) {
         self.unacknowledged = 0;
     }
 
-    /// A newer report does not show what the last reply commanded. `timed_out`: the worker was
-    /// without that reply for so long that it went to the next controller meanwhile. Returns
-    /// whether the machine's tasks should be tried elsewhere.
+    /// Records that a newer report does not show the commands of the last reply. `timed_out`: the
+    /// worker waited so long for that reply that it contacted the next controller in the meantime.
+    /// Returns whether the machine's tasks should be placed on other machines.
     pub fn record_unacknowledged(&mut self, now: Time, timed_out: bool) -> bool {
         if self.unacknowledged == 0 {
             self.since = now;
@@ -53,12 +53,12 @@
         unreachable
     }
 
-    /// Whether no command is sent to the machine at the moment.
+    /// Whether commands to the machine are withheld at time `now`.
     pub fn in_backoff(&self, now: Time) -> bool {
         self.is_unreachable() && now < self.paused_until
     }
 
-    /// For how long the machine has acknowledged nothing, seconds; none if it does.
+    /// How long the machine has acknowledged nothing, seconds; `None` if it is reachable.
     pub fn unacknowledged_for_s(&self, now: Time) -> Option<f64> {
         self.is_unreachable().then(|| now.since(self.since))
     }
--- a/crates/failure-detection/src/ack_tracker/tests.rs
+++ b/crates/failure-detection/src/ack_tracker/tests.rs
@@ -6,7 +6,7 @@
     let mut h = AckTracker::default();
     assert!(
         !h.record_unacknowledged(at(0.0), false) && !h.in_backoff(at(0.1)),
-        "one answer was late"
+        "a single late reply causes no backoff"
     );
     h.record_acknowledged();
     assert!(!h.record_unacknowledged(at(5.0), false) && h.record_unacknowledged(at(6.0), false));
@@ -22,6 +22,6 @@
     assert!(!h.in_backoff(at(now)) && h.unacknowledged_for_s(at(now)).is_none());
     assert!(
         h.record_unacknowledged(at(now), true),
-        "it went to another controller meanwhile"
+        "the worker has contacted another controller in the meantime"
     );
 }
--- a/crates/failure-detection/src/fault_attribution.rs
+++ b/crates/failure-detection/src/fault_attribution.rs
@@ -1,56 +1,56 @@
-//! Whose fault a failed task is: the machine's, or the job's.
+//! Attributes a task failure to the machine or to the job.
 //!
-//! A faulty machine fails every task; a job that was submitted with a mistake fails on every
-//! machine. One failure does not tell which. What tells is who else fails there: a job that has
-//! had a success is sound, so its failures count against the machine, and failures of one job on
-//! several machines count against the job. Failures that a job caused on machines no longer count
-//! against them once the job is found to be faulty.
+//! On a faulty machine every task fails; a faulty job fails on every machine. A single failure
+//! does not distinguish the two, but other failures do. A job with at least one success is proven,
+//! so its failures count against the machine. Failures of one job on several machines count
+//! against the job. Once a job is found to be faulty, its failures no longer count against the
+//! machines on which they occurred.
 
 use beamhinge_core::types::{JobId, MachineId, Time};
 use roaring::RoaringTreemap;
 use std::collections::BTreeMap;
 
-/// Failures of sound jobs after which a machine is faulty.
+/// Failures of proven jobs after which a machine is faulty.
 const MIN_SOUND_JOB_FAILURES: u32 = 2;
-/// Number of different jobs of which nothing is known whose failures have the same effect.
+/// Number of different jobs without any success whose failures make a machine faulty.
 const MIN_UNPROVEN_JOBS: usize = 3;
-/// Machines on which a job without any success fails before it is faulty.
+/// Machines on which a job without any success fails before it counts as faulty.
 const MIN_FAILED_MACHINES: u64 = 3;
-/// Failures of a job without any success after which it is faulty, on however few machines.
+/// Failures after which a job without any success is faulty, regardless of the number of machines.
 const MIN_JOB_FAILURES: u32 = 24;
 /// How long a job avoids machines on which it failed, seconds.
 const AVOID_FAILED_MACHINES_S: f64 = 20.0;
-/// Jobs whose failures one machine remembers, and machines that one job remembers; the
-/// judgement needs [`MIN_UNPROVEN_JOBS`] and [`MIN_FAILED_MACHINES`] of them.
+/// Maximum number of jobs in one machine's record and of machines in one job's record; the
+/// decision needs [`MIN_UNPROVEN_JOBS`] and [`MIN_FAILED_MACHINES`] of them.
 const MAX_FAILURES_PER_RECORD: usize = 16;
-/// Machines, and jobs, with failures since their last success that are remembered at once.
-/// A fleet of 8,192 machines may fail as a whole; further failures are not judged. Machines
-/// that are gone and jobs that are over are forgotten.
+/// Maximum number of machine records, and of job records, with failures since the last success.
+/// All machines of a fleet of 8,192 may fail; failures beyond that are not attributed. Records of
+/// removed machines and ended jobs are deleted.
 const MAX_REMEMBERED: usize = 8_192;
-/// Longest pause between two attempts of a faulty job, seconds.
+/// Longest backoff between two attempts of a faulty job, seconds.
 const MAX_BACKOFF_S: f64 = 60.0;
 
 /// Failures of one job.
 #[derive(Debug, Default)]
 struct JobRecord {
-    /// A task of it succeeded.
+    /// Whether a task of the job has succeeded.
     sound: bool,
     faulty: bool,
     failures: u32,
-    /// Numbers of all machines on which it failed.
+    /// Numbers of all machines on which the job failed.
     failed_on: RoaringTreemap,
     /// The first of these machines, up to [`MAX_FAILURES_PER_RECORD`].
     machines: Vec<MachineId>,
-    /// Pauses begun since it was found to be faulty.
+    /// Backoffs started since the job was found to be faulty.
     backoffs: i32,
     last_failure: Time,
-    /// While it is faulty, it is not tried before.
+    /// Earliest time of the next attempt while the job is faulty.
     retry_at: Time,
 }
 
 impl JobRecord {
-    /// Begins a pause, unless one is under way: tasks that were running together end in the same
-    /// pause. Returns its rest, seconds.
+    /// Starts a backoff unless one is in progress: failures of tasks that ran concurrently share
+    /// one backoff. Returns the remaining backoff, seconds.
     fn back_off(&mut self, now: Time, report_s: f64) -> f64 {
         if now >= self.retry_at {
             let pause_s = (report_s * 2f64.powi(self.backoffs)).min(MAX_BACKOFF_S);
@@ -68,18 +68,18 @@
     faulty: bool,
 }
 
-/// What a failure or a success changed.
+/// Changes of attribution caused by a failure or a success.
 #[derive(Debug, Default, PartialEq)]
 pub struct AttributionChange {
-    /// Machines that are faulty now and were not before.
+    /// Machines that have become faulty.
     pub newly_faulty: Vec<MachineId>,
-    /// Machines that are not faulty any more, since a job is.
+    /// Machines that are no longer faulty, because their failures are attributed to a job.
     pub newly_cleared: Vec<MachineId>,
-    /// The job is faulty, and its tasks wait for so long, seconds.
+    /// How long the tasks of the job wait, seconds; `None` if the job is not faulty.
     pub job_backoff_s: Option<f64>,
 }
 
-/// Failures since the last success, on machines and of jobs, and who is faulty.
+/// Failures of machines and jobs since their last success, and which of them are faulty.
 #[derive(Debug, Default)]
 pub struct FaultAttribution {
     jobs: BTreeMap<JobId, JobRecord>,
@@ -87,8 +87,8 @@
 }
 
 impl FaultAttribution {
-    /// A task of the job failed on the machine. `sound`: other tasks of the job succeeded;
-    /// `report_s`: the shortest pause of a faulty job, seconds.
+    /// Records that a task of the job failed on the machine. `proven`: other tasks of the job
+    /// succeeded; `min_backoff_s`: the shortest backoff of a faulty job, seconds.
     pub fn record_failure(
         &mut self,
         now: Time,
@@ -126,11 +126,11 @@
         change
     }
 
-    /// A task of the job succeeded on the machine: the job is sound, and where it failed before,
-    /// the machine was the cause.
+    /// Records that a task of the job succeeded on the machine. The job is then proven, and its
+    /// earlier failures are attributed to the machines on which they occurred.
     pub fn record_success(&mut self, machine: MachineId, job: JobId) -> AttributionChange {
         let mut change = AttributionChange::default();
-        // A machine that was found to be faulty stays so: some fail now and then.
+        // A faulty machine stays faulty after a success, because some faults are intermittent.
         if self.machines.get(&machine).is_some_and(|r| !r.faulty) {
             self.machines.remove(&machine);
         }
@@ -143,27 +143,28 @@
         change
     }
 
-    /// Whether a job is faulty: one task of it at a time is tried.
+    /// Whether a job is faulty. The scheduler attempts only one task of a faulty job at a time.
     pub fn is_job_faulty(&self, job: JobId) -> bool {
         self.jobs.get(&job).is_some_and(|r| r.faulty)
     }
 
-    /// Until when a faulty job is not tried; none if it is not faulty.
+    /// Earliest time of the next attempt of a faulty job; `None` if the job is not faulty.
     pub fn job_retry_at(&self, job: JobId) -> Option<Time> {
         let record = self.jobs.get(&job).filter(|r| r.faulty)?;
         Some(record.retry_at)
     }
 
-    /// Number of failures of a job, and of the machines on which it failed.
+    /// Number of failures of a job, and number of machines on which it failed.
     pub fn failures(&self, job: JobId) -> (u32, u32) {
         self.jobs
             .get(&job)
             .map_or((0, 0), |r| (r.failures, r.failed_on.len() as u32))
     }
 
-    /// Numbers of the machines on which a job without any success failed recently. A try elsewhere
-    /// tells more, and a machine that fails everything at once always has free capacity. They are
-    /// avoided for a while only, since there may be no other machine.
+    /// Numbers of the machines on which a job without any success failed recently; `None` if there
+    /// are none to avoid. An attempt on another machine gives more information, and a machine on
+    /// which every task fails immediately always has free capacity. The machines are avoided only
+    /// for a limited time, since there may be no other machine.
     pub fn avoided_machines(&self, now: Time, job: JobId) -> Option<&RoaringTreemap> {
         let record = self
             .jobs
@@ -172,7 +173,8 @@
         Some(&record.failed_on)
     }
 
-    /// The job is over. What it was found to be has been counted.
+    /// Deletes the record of an ended job. If the job was faulty, its failures are also deleted
+    /// from the machines' records; failures of other jobs still count.
     pub fn forget_job(&mut self, job: JobId) {
         if self.jobs.remove(&job).is_some_and(|r| r.faulty) {
             for machine in self.machines.values_mut() {
@@ -181,7 +183,7 @@
         }
     }
 
-    /// The machine is gone.
+    /// Deletes the record of a removed machine.
     pub fn forget_machine(&mut self, machine: MachineId) {
         self.machines.remove(&machine);
     }
@@ -211,9 +213,10 @@
             || sound_failures > 0 && unproven_jobs > 1
     }
 
-    /// Whether a failure on the machine counts against the job: nothing else failed there since
-    /// its last success. Machines that fail everything always have free capacity, so that a new
-    /// job meets several of them at once.
+    /// Whether a failure on the machine counts against the job: the machine is not faulty, and
+    /// since its last success no other job failed there, apart from faulty ones. Machines on which
+    /// every task fails always have free capacity, so a new job is often placed on several of them
+    /// at once.
     fn implicates_job(&self, machine: MachineId, job: JobId) -> bool {
         self.machines.get(&machine).is_none_or(|record| {
             let other = |j: &JobId| *j != job && !self.is_job_faulty(*j);
@@ -221,7 +224,7 @@
         })
     }
 
-    /// Decides anew whether a job is faulty.
+    /// Re-evaluates whether a job is faulty.
     fn reassess_job(&mut self, job: JobId) {
         let Some(record) = self.jobs.get(&job) else {
             return;
@@ -231,7 +234,7 @@
             .iter()
             .filter(|m| self.implicates_job(**m, job))
             .count() as u64;
-        // Where there are few machines, many failures tell as much.
+        // With few machines, many failures are equivalent evidence.
         let fails_everywhere = implicating >= MIN_FAILED_MACHINES
             || implicating > 0 && record.failures >= MIN_JOB_FAILURES;
         let faulty = !record.sound && fails_everywhere;
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Decides anew whether these machines are faulty.
+    /// Re-evaluates whether these machines are faulty.
     fn reassess_machines(&mut self, machines: &[MachineId], change: &mut AttributionChange) {
         for id in machines {
             let Some(record) = self.machines.get(id) else {
@@ -256,7 +259,7 @@
             }
             if faulty {
                 change.newly_faulty.push(*id);
-                // What failed there may have failed because of the machine.
+                // The machine may have caused the failures of these jobs.
                 for job in jobs {
                     self.reassess_job(job);
                 }
@@ -266,7 +269,7 @@
         }
     }
 
-    /// Machines that remember failures of this job.
+    /// Machines whose records contain failures of this job.
     fn machines_failing(&self, job: JobId) -> Vec<MachineId> {
         self.machines
             .iter()
--- a/crates/failure-detection/src/fault_attribution/tests.rs
+++ b/crates/failure-detection/src/fault_attribution/tests.rs
@@ -12,13 +12,13 @@
     Time::default().plus(100.0 + s)
 }
 
-/// What an operations day showed: nine healthy machines were given back for
-/// jobs that were submitted with a mistake.
+/// Guards against returning healthy machines because of faulty jobs; nine were returned on one
+/// day of operations.
 #[test]
 fn faulty_job_makes_no_machine_faulty() {
     let mut b = FaultAttribution::default();
     for m in 0..3 {
-        // Four tasks on each machine, all at once.
+        // Four concurrent tasks on each machine.
         for _ in 0..4 {
             let v = b.record_failure(at(0.0), machine(m), (job(1), false), 1.0);
             assert!(v.newly_faulty.is_empty(), "{v:?}");
@@ -31,7 +31,7 @@
             .is_some_and(|on| on.contains(0))
     };
     assert!(avoided_machines(1.0) && !avoided_machines(30.0));
-    // Two more of the kind on the same machines.
+    // Two more faulty jobs on the same machines.
     for j in 2..4 {
         for m in 0..3 {
             assert!(b
@@ -40,7 +40,7 @@
                 .is_empty());
         }
     }
-    // Cancelled, they leave no charge behind.
+    // After the jobs are cancelled, their failures no longer count against the machines.
     (1..4).for_each(|j| b.forget_job(job(j)));
     assert!(b
         .record_failure(at(2.0), machine(0), (job(9), false), 1.0)
@@ -82,7 +82,7 @@
             .newly_faulty
             == [machine(2)]
     );
-    // A charge is weighed again once more is known of its job.
+    // Failures are re-evaluated once the job has a success.
     assert!(b
         .record_failure(at(1.0), machine(3), (job(2), false), 1.0)
         .newly_faulty
@@ -95,7 +95,7 @@
         b.record_success(machine(1), job(2)).newly_faulty,
         [machine(3)]
     );
-    // Three jobs of which nothing is known.
+    // Three jobs without any success.
     for j in 10..13 {
         let v = b.record_failure(at(2.0), machine(4), (job(j), false), 1.0);
         assert_eq!(v.newly_faulty.is_empty(), j < 12);
@@ -115,7 +115,7 @@
         (v.newly_cleared, v.job_backoff_s.is_some()),
         (vec![machine(1)], true)
     );
-    // Something ends well there: nothing is left.
+    // A success on the machine deletes its failure record.
     b.record_success(machine(1), job(7));
     assert!(b
         .record_failure(at(1.0), machine(1), (job(8), false), 1.0)
@@ -123,12 +123,12 @@
         .is_empty());
 }
 
-/// A day on which 22 machines failed everything: new jobs met several of them
-/// at once, were taken for mistakes and waited for a minute.
+/// Guards against taking a new job for faulty because it was placed on several faulty machines at
+/// once. On a day on which all tasks failed on 22 machines, such jobs waited for a minute.
 #[test]
 fn job_that_meets_several_faulty_machines_is_not_faulty() {
     let mut b = FaultAttribution::default();
-    // What is known to be sound failed there before.
+    // A proven job failed on these machines before.
     for m in 0..4 {
         b.record_failure(at(0.0), machine(m), (job(1), true), 1.0);
     }
@@ -140,7 +140,7 @@
         );
     }
     assert!(!b.is_job_faulty(job(2)));
-    // Found at fault on three machines, cleared when they prove to be.
+    // A job is faulty after failures on three machines, and cleared once the machines are faulty.
     let mut b = FaultAttribution::default();
     for m in 0..3 {
         b.record_failure(at(0.0), machine(m), (job(2), false), 1.0);
--- a/crates/failure-detection/src/lib.rs
+++ b/crates/failure-detection/src/lib.rs
@@ -1,17 +1,17 @@
-//! Failure detection: what the silence of machines means, and whose fault failed tasks are.
+//! Failure detection for machines, and attribution of task failures to machines or jobs.
 //!
-//! A controller that does not hear a machine knows little: the machine may be dead, its link may
-//! be broken, or the controller's own link may be. This crate weighs that for all machines
-//! together, and says of each whether it may be given up ([`SilenceDetector`]). It also learns
-//! how reports are spaced ([`ReportInterval`]), notices pauses and stalls of the controller itself
-//! ([`PauseDetector`], [`StallDetector`]), tracks machines that do not acknowledge
-//! ([`AckTracker`]), and attributes failures to machines or jobs ([`FaultAttribution`]).
+//! A missing report has several possible causes: the machine may be dead, its network link may be
+//! broken, or the controller's link may be broken. [`SilenceDetector`] assesses all machines
+//! together and decides for each whether it is presumed dead. [`ReportInterval`] learns the usual
+//! interval between reports, [`PauseDetector`] and [`StallDetector`] detect pauses and stalls of
+//! the controller itself, [`AckTracker`] tracks machines that do not acknowledge commands, and
+//! [`FaultAttribution`] attributes failures to machines or jobs.
 //!
-//! Invariant: findings decide about money and waiting only. When a task counts as ended on a
-//! machine is decided by Guard 3 of `docs/safety.md`, and nothing here weakens it.
+//! Invariant: findings affect only cost and waiting time. Guard 3 of `docs/safety.md` decides when
+//! a task counts as ended on a machine, and nothing here weakens it.
 //!
-//! Sans-IO: times come in and findings go out; nothing here reads a clock or sends a message.
-//! Alternatives that were weighed stand in `docs/failure-detection.md`.
+//! Sans-IO: callers pass in times and receive findings; nothing here reads a clock or sends a
+//! message. `docs/failure-detection.md` describes the alternatives that were considered.
 
 mod ack_tracker;
 mod fault_attribution;
--- a/crates/failure-detection/src/pause_detector.rs
+++ b/crates/failure-detection/src/pause_detector.rs
@@ -1,11 +1,11 @@
-//! Pauses of the controller's own process.
+//! Detects pauses of the controller process.
 
 use beamhinge_core::types::Time;
 
-/// Notices when this process itself stood still, by the gaps between its events.
+/// Detects pauses of this process by the gaps between its events.
 ///
-/// A process that was frozen wakes with every machine long silent, by its clock, though none was:
-/// it was not there to hear them.
+/// When a suspended process resumes, no machine has reported for a long time by its clock, even
+/// though all machines may have sent reports: the process could not receive them.
 #[derive(Debug)]
 pub struct PauseDetector {
     last_event: Option<Time>,
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Records an event. Returns the length of the pause that it ends, seconds, if any.
+    /// Records an event. Returns the length, in seconds, of the pause that the event ends; `None`
+    /// if there was no pause.
     pub fn observe(&mut self, now: Time) -> Option<f64> {
         let gap_s = self.last_event.map_or(0.0, |last| now.since(last));
         self.last_event = Some(now);
@@ -35,13 +36,14 @@
         Some(gap_s)
     }
 
-    /// The time from which silence since `last_heartbeat` counts: not before the last pause ended.
+    /// The time from which missing reports since `last_heartbeat` are counted: not before the end
+    /// of the last pause.
     pub fn silence_counts_from(&self, last_heartbeat: Time) -> Time {
         self.resumed_at
             .map_or(last_heartbeat, |at| last_heartbeat.max(at))
     }
 
-    /// Seconds since the last pause ended; none if there was none.
+    /// Seconds since the last pause ended; `None` if there was no pause.
     pub fn resumed_for_s(&self, now: Time) -> Option<f64> {
         self.resumed_at.map(|at| now.since(at))
     }
--- a/crates/failure-detection/src/pause_detector/tests.rs
+++ b/crates/failure-detection/src/pause_detector/tests.rs
@@ -9,7 +9,7 @@
         assert_eq!(p.observe(observe(f64::from(i) * 0.1)), None);
     }
     assert_eq!(p.silence_counts_from(heard), heard);
-    let away = p.observe(observe(34.0)).expect("an absence");
+    let away = p.observe(observe(34.0)).expect("a pause");
     assert!((away - 32.1).abs() < 0.01);
     assert_eq!(p.silence_counts_from(heard), observe(34.0));
     assert_eq!(p.observe(observe(34.1)), None);
--- a/crates/failure-detection/src/peer_observations/tests.rs
+++ b/crates/failure-detection/src/peer_observations/tests.rs
@@ -9,7 +9,7 @@
     v.record_redirect(id(1));
     assert!(
         v.record_report(at(5.0), id(1), 12.0),
-        "it came back: where it was sent, nobody answers"
+        "the worker came back: the leader does not answer it"
     );
     v.record_redirect(id(1));
     assert!(!v.record_report(at(30.0), id(1), 12.0));
@@ -17,7 +17,7 @@
     v.on_leader_changed();
     assert!(
         !v.record_report(at(30.5), id(1), 12.0),
-        "the new holder may answer it"
+        "the new leader may answer it"
     );
     for n in 0..MAX_MACHINES as u32 + 5_000 {
         v.record_report(at(31.0), id(n), 12.0);
@@ -35,8 +35,8 @@
     assert!(e.is_empty());
 }
 
-/// With more machines than 4,096, those of the highest numbers were never named to the
-/// leader, which took them for dead.
+/// Guards against a limit below the fleet size: with more than 4,096 machines, those with the
+/// highest numbers were never announced to the leader, which presumed them dead.
 #[test]
 fn all_machines_of_a_large_fleet_are_remembered() {
     let id = |n: u32| MachineId::parse(&format!("n-{n:06}")).expect("a name");
--- a/crates/failure-detection/src/report_interval.rs
+++ b/crates/failure-detection/src/report_interval.rs
@@ -1,28 +1,28 @@
-//! The usual spacing of reports.
+//! Learns the usual interval between reports.
 
 use hdrhistogram::Histogram;
 
-/// Gaps are kept in milliseconds, up to ten minutes.
+/// Longest gap that the histogram can record, milliseconds: ten minutes.
 const MAX_GAP_MS: u64 = 600_000;
-/// Number of gaps at which all counts are halved, so that older gaps weigh less.
+/// Number of gaps at which all counts are halved, so that older gaps have less weight.
 const HALVE_COUNTS_AT: u64 = 20_000;
-/// A gap longer than this part of all gaps is overdue (phi of 3: one in a thousand).
+/// Quantile of the gaps above which a report is overdue (phi of 3: one in a thousand).
 const USUAL_QUANTILE: f64 = 0.999;
-/// Number of gaps below which nothing is concluded from them.
+/// Minimum number of gaps for an estimate.
 const MIN_SAMPLES: u64 = 100;
 
-/// Learns the gaps between reports, over all machines together.
+/// Learns the gaps between reports of all machines together.
 ///
-/// Machines share one period, so the gaps of all tell more, and sooner, than those of each; and a
-/// machine that is new is judged by what others showed.
+/// All machines report with the same period, so one distribution for the fleet is more accurate,
+/// and available sooner, than one for each machine. It also applies to new machines.
 pub struct ReportInterval {
-    /// None only if the bounds were refused: then the stated period serves.
+    /// `None` only if the histogram rejected its bounds; the configured period is used then.
     gaps: Option<Histogram<u32>>,
     report_s: f64,
 }
 
 impl ReportInterval {
-    /// `report_s`: the period that the platform states, seconds.
+    /// `report_s`: the report period stated by the platform, seconds.
     pub fn new(report_s: f64) -> ReportInterval {
         ReportInterval {
             gaps: Histogram::new_with_bounds(1, MAX_GAP_MS, 2).ok(),
@@ -30,10 +30,10 @@
         }
     }
 
-    /// A machine reported `gap_s` seconds after its report before.
+    /// Records that a machine reported `gap_s` seconds after its previous report.
     ///
-    /// What is longer than any usual gap is an interruption and is left out: else a long broken
-    /// link would hide the next one.
+    /// A gap longer than any usual gap is an interruption and is not recorded: otherwise one long
+    /// link failure would delay the detection of the next one.
     pub fn record_gap(&mut self, gap_s: f64) {
         if gap_s > self.max_usual_s() {
             return;
@@ -50,9 +50,9 @@
         self.report_s * 2.5 + 2.0
     }
 
-    /// Silence from which a machine is overdue, seconds.
+    /// Time without a report after which a machine is overdue, seconds.
     ///
-    /// Never below what the stated period and its spread of a quarter allow.
+    /// Never below the stated period plus its jitter of a quarter.
     pub fn overdue_s(&self) -> f64 {
         let floor = self.report_s * 1.25 + 0.5;
         match self.gaps.as_ref().filter(|g| g.len() >= MIN_SAMPLES) {
@@ -69,7 +69,7 @@
 fn halved(gaps: &Histogram<u32>) -> Histogram<u32> {
     let mut halved = Histogram::new_from(gaps);
     for value in gaps.iter_recorded() {
-        // The value was recorded before, so it is within the bounds.
+        // The value comes from a histogram with the same bounds, so recording it cannot fail.
         let _ = halved.record_n(value.value_iterated_to(), value.count_at_value() / 2);
     }
     halved
--- a/crates/failure-detection/src/report_interval/tests.rs
+++ b/crates/failure-detection/src/report_interval/tests.rs
@@ -16,7 +16,7 @@
         r.record_gap(46.0);
     }
     assert!((r.overdue_s() - learned).abs() < 1e-9);
-    // Slow links are a report_interval too, up to a bound.
+    // Longer gaps on slow links are learned too, up to a bound.
     for _ in 0..40_000 {
         r.record_gap(12.0);
     }
--- a/crates/failure-detection/src/silence_detector.rs
+++ b/crates/failure-detection/src/silence_detector.rs
@@ -1,62 +1,63 @@
-//! Silence of machines, judged for all of them together.
+//! Detects unreachable machines, assessing the whole fleet together.
 //!
-//! Machines that share a link fall silent together. A whole group that is overdue is therefore
-//! taken for a broken link, and its machines are shielded for a bounded time; a single one is given
-//! up soon.
+//! Machines that share a network link become unreachable together. If a large part of a failure
+//! domain is overdue, the cause is therefore presumed to be a broken link, and its machines are
+//! shielded from removal for a bounded time. A single unreachable machine is presumed dead soon.
 
 use beamhinge_core::types::{MachineId, Time};
 use std::collections::BTreeMap;
 
-/// A group is silent together when this part of it is overdue ...
+/// Minimum fraction of overdue machines in a suspected failure domain.
 const MIN_OVERDUE_FRACTION: f64 = 0.4;
-/// ... in at least so many machines ...
+/// Minimum number of overdue machines in a suspected failure domain.
 const MIN_OVERDUE_MACHINES: u32 = 4;
-/// ... and this many times as large a part as of all others.
+/// Minimum ratio of the overdue fraction in a suspected failure domain to that of all other
+/// machines.
 const MIN_RATIO_TO_OTHERS: f64 = 2.0;
-/// A group stays suspected until this part of it is heard again.
+/// Fraction of a failure domain that must report again before its suspicion ends.
 const RECOVERED_FRACTION: f64 = 0.8;
-/// Part of the fleet that may be given up as silent at once.
+/// Maximum removal budget, as a fraction of the fleet.
 const REMOVAL_BURST_FRACTION: f64 = 0.1;
-/// Part of the fleet by which that grows each second.
+/// Fraction of the fleet by which the removal budget grows each second.
 const REMOVAL_REFILL_PER_S: f64 = 0.02;
-/// Most that may be given up at once in a small fleet, machines.
+/// Lower bound of the maximum removal budget, for small fleets, machines.
 const MIN_REMOVAL_BURST: f64 = 2.0;
 /// Longest time between two assessments for which the removal budget grows, seconds.
 const MAX_REFILL_S: f64 = 1e3;
 
-/// Machines that one broken link would silence together.
+/// A group of machines that one broken network link would make unreachable together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailureDomain {
-    /// All machines: this controller's own link to them.
+    /// All machines: this controller's link to them is broken.
     LocalLink,
-    /// Machines of one zone, by its number.
+    /// Machines of the zone with this number.
     Zone(usize),
-    /// Machines of one type, by its number.
+    /// Machines of the type with this number.
     MachineType(usize),
 }
 
-/// One machine, as this controller sees it.
+/// What this controller knows about one machine.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineObservation {
-    /// The machine.
+    /// The machine's identifier.
     pub id: MachineId,
-    /// The zone's number among those of the settings.
+    /// Number of the machine's zone in the settings.
     pub zone: usize,
-    /// The type's number.
+    /// Number of the machine's type.
     pub machine_type: usize,
-    /// Seconds without a report here; pauses of this process are not counted.
+    /// Seconds without a report to this controller; pauses of this process are not counted.
     pub silent_s: f64,
-    /// Seconds since a peer heard it.
+    /// Seconds since a peer announced that the machine reports to it; `None` if no peer has.
     pub peer_report_age_s: Option<f64>,
-    /// The cloud's list no longer names it, though it must if it were there.
+    /// The cloud's list no longer contains the machine, although it contains all existing ones.
     pub unlisted: bool,
-    /// It acknowledges nothing and tries one controller after the other: that peers hear it says
-    /// nothing about this controller's own link.
+    /// The machine acknowledges nothing and its worker contacts one controller after another.
+    /// Its reports to peers are therefore no evidence about this controller's link.
     pub rotates_controllers: bool,
 }
 
 impl MachineObservation {
-    /// The failure domains that it belongs to, the widest first.
+    /// The failure domains that the machine belongs to, the widest first.
     fn domains(&self) -> [FailureDomain; 3] {
         domains(self.zone, self.machine_type)
     }
@@ -70,67 +71,69 @@
     ]
 }
 
-/// What is concluded of one machine.
+/// The finding for one machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// It reports, or is not yet overdue.
+    /// The machine reports, or is not yet overdue.
     Alive,
-    /// Overdue, and not yet long enough for any conclusion.
+    /// The machine is overdue, but not for long enough to be presumed dead.
     Overdue,
-    /// A peer hears it: it is alive, and this controller's link to it is broken.
+    /// The machine reports to a peer: it is alive, but this controller's link to it is broken.
     ReachableFromPeer,
-    /// Silent like most of its failure domain: taken for a broken link for now.
+    /// The machine is unreachable like a large part of its failure domain: the cause is presumed to
+    /// be a broken link, and the machine is not removed yet.
     Shielded(FailureDomain),
-    /// Silent beyond the threshold, but too many others were given up just now.
+    /// The machine is unreachable beyond the threshold, but the removal budget is used up.
     RemovalDeferred,
-    /// To be given up.
+    /// The machine is presumed dead and is to be removed.
     Dead,
-    /// Gone, by the cloud's own list.
+    /// The machine no longer exists according to the cloud's list.
     Unlisted,
 }
 
-/// This controller's links to the machines, compared with those of its peers.
+/// Number of machines reachable from this controller, compared with its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Connectivity {
-    /// Machines that report here.
+    /// Machines that report to this controller.
     pub reporting: u32,
-    /// Machines that are overdue here.
+    /// Machines that are overdue at this controller.
     pub overdue: u32,
-    /// Machines that are overdue here and heard by a peer.
+    /// Machines that are overdue at this controller and report to a peer.
     pub heard_by_peers: u32,
 }
 
 impl Connectivity {
-    /// Whether peers hear more machines that this controller misses than it hears itself, so that
-    /// another controller could do more as leader.
+    /// Whether more machines are overdue here but report to peers than report to this controller,
+    /// so that another controller could reach more machines as leader.
     pub fn reaches_fewer_than_peers(&self) -> bool {
         self.heard_by_peers >= 2 && self.heard_by_peers > self.reporting
     }
 }
 
-/// How long silence is tolerated, from the settings.
+/// Limits on the time without reports, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct SilenceThresholds {
-    /// Silence after which a single machine is given up, seconds.
+    /// Time without a report after which a single machine is presumed dead, seconds.
     pub dead_after_s: f64,
-    /// Longest silence of a group that is taken for a broken link, seconds.
+    /// Longest time without a report for which a machine of a suspected failure domain is shielded
+    /// from removal, seconds.
     pub max_shield_s: f64,
-    /// How long a peer's observation counts, seconds.
+    /// How long a peer's observation is valid, seconds.
     pub max_peer_age_s: f64,
 }
 
 /// The outcome of one assessment of the fleet.
 #[derive(Debug, Default)]
 pub struct FleetAssessment {
-    /// One finding for each observation, in the same order.
+    /// One finding for each observation, in the order of the observations.
     pub findings: Vec<(MachineId, Liveness)>,
-    /// Which machines are heard here and by peers.
+    /// Numbers of machines that report to this controller and to peers.
     pub connectivity: Connectivity,
-    /// Failure domains that are silent together, and for how long, seconds.
+    /// Failure domains whose link is presumed broken, and for how long, seconds.
     pub suspected: Vec<(FailureDomain, f64)>,
 }
 
-/// Machines of a group, and how many of them are overdue.
+/// Number of machines in a group, and number of overdue ones among them.
 #[derive(Clone, Copy, Default)]
 struct OverdueCount {
     known: u32,
@@ -159,7 +162,7 @@
     }
 }
 
-/// What one pass over the observations counts.
+/// Totals of one pass over the observations.
 #[derive(Default)]
 struct FleetCounts {
     all: OverdueCount,
@@ -167,19 +170,23 @@
     connectivity: Connectivity,
 }
 
-/// Judges silence. Keeps since when each failure domain is suspected, and a budget of removals.
+/// Decides which machines are presumed dead.
+///
+/// Keeps the time since which each failure domain has been suspected, and a budget that limits the
+/// rate of removals.
 pub struct SilenceDetector {
     thresholds: SilenceThresholds,
     suspected_since: BTreeMap<FailureDomain, Time>,
-    /// Domains that are heard again, and until when their last machines are shielded.
+    /// Domains whose machines report again, and the time until which those that do not report yet
+    /// stay shielded.
     recovering_until: BTreeMap<FailureDomain, Time>,
-    /// Machines that may be given up now.
+    /// Number of machines that may be removed now.
     removal_budget: f64,
     refilled_at: Option<Time>,
 }
 
 impl SilenceDetector {
-    /// A detector that suspects nothing yet.
+    /// Creates a detector that suspects no failure domain.
     pub fn new(thresholds: SilenceThresholds) -> SilenceDetector {
         SilenceDetector {
             thresholds,
@@ -190,8 +197,8 @@
         }
     }
 
-    /// How long a failure domain of such machines has been suspected, seconds; the longest of
-    /// them, and none if none is.
+    /// How long a failure domain of machines of this zone and type has been suspected, seconds: the
+    /// longest time if there are several such domains, `None` if there is none.
     pub fn suspected_for_s(&self, now: Time, zone: usize, machine_type: usize) -> Option<f64> {
         domains(zone, machine_type)
             .into_iter()
@@ -200,8 +207,8 @@
             .max_by(f64::total_cmp)
     }
 
-    /// Assesses the whole fleet. `overdue_s`: silence from which a machine is overdue, see
-    /// [`crate::ReportInterval::overdue_s`].
+    /// Assesses the whole fleet. `overdue_s`: time without a report after which a machine is
+    /// overdue, see [`crate::ReportInterval::overdue_s`].
     pub fn assess(
         &mut self,
         now: Time,
@@ -233,7 +240,7 @@
         for observation in observations {
             let overdue = observation.silent_s > overdue_s;
             let heard_by_peer = self.is_heard_by_peer(observation);
-            // What the cloud has taken says nothing about links.
+            // A machine that the cloud terminated is no evidence about network links.
             if observation.unlisted && !heard_by_peer {
                 continue;
             }
@@ -268,7 +275,7 @@
             .is_some_and(|age| age <= self.thresholds.max_peer_age_s && age < observation.silent_s)
     }
 
-    /// Decides which failure domains are silent together.
+    /// Decides which failure domains are suspected.
     fn update_suspicions(
         &mut self,
         now: Time,
@@ -278,14 +285,14 @@
         let mut any_silent = false;
         for (domain, count) in counts {
             let others = all.without(*count);
-            // A group that is all there is says nothing beyond the own link.
+            // A domain that contains the whole fleet cannot be told from the local link.
             let stands_out =
                 others.known > 0 && count.fraction() >= others.fraction() * MIN_RATIO_TO_OTHERS;
             let silent = count.is_mostly_overdue() && stands_out;
             any_silent |= silent;
             self.update_suspicion(now, *domain, *count, silent);
         }
-        // Where one group explains the silence, the others are judged as usual.
+        // If one domain explains the missing reports, the local link is not suspected.
         let own_link_silent = !any_silent && all.is_mostly_overdue();
         if any_silent
             && self
@@ -293,7 +300,7 @@
                 .remove(&FailureDomain::LocalLink)
                 .is_some()
         {
-            // What was silent with all the others has time to be heard again.
+            // Overdue machines outside the suspected domains get time to report again.
             self.begin_recovery(now, FailureDomain::LocalLink);
         }
         self.update_suspicion(now, FailureDomain::LocalLink, all, own_link_silent);
@@ -301,8 +308,9 @@
             .retain(|domain, _| *domain == FailureDomain::LocalLink || counts.contains_key(domain));
     }
 
-    /// Once suspected, a domain stays so until most of it is heard again: while it recovers, its
-    /// last machines are not dead yet.
+    /// Starts or ends the suspicion of a domain. A suspected domain stays suspected until most of
+    /// its machines report again; during the recovery that follows, the remaining machines are not
+    /// presumed dead.
     fn update_suspicion(
         &mut self,
         now: Time,
@@ -319,8 +327,8 @@
         }
     }
 
-    /// Workers find their way back one after the other: each tries every controller, and waits in
-    /// between.
+    /// Starts the recovery of a domain. Its workers reconnect one after another, because each
+    /// contacts all controllers in turn and waits between attempts.
     fn begin_recovery(&mut self, now: Time, domain: FailureDomain) {
         self.recovering_until
             .insert(domain, now.plus(self.thresholds.dead_after_s));
@@ -350,8 +358,9 @@
             .domains()
             .into_iter()
             .find(|domain| self.is_shielding(domain));
-        // Dead or cut off: nobody can tell. The wait is bounded by the silence of each machine, so
-        // that one which falls silent late has its time too.
+        // A dead machine cannot be told from one behind a network partition. The limit applies to
+        // each machine's time without reports, so one that becomes unreachable late is shielded
+        // for as long as the others.
         if let Some(domain) = shield.filter(|_| silent_s <= self.thresholds.max_shield_s) {
             return Liveness::Shielded(domain);
         }
--- a/crates/failure-detection/src/silence_detector/tests.rs
+++ b/crates/failure-detection/src/silence_detector/tests.rs
@@ -14,7 +14,7 @@
     Time::default().plus(100.0 + s)
 }
 
-/// `n` machines, alternating over two zones and kinds.
+/// Returns `n` machines, alternating between two zones and two machine types.
 fn fleet(n: u32, silent_s: impl Fn(u32) -> f64) -> Vec<MachineObservation> {
     (0..n)
         .map(|i| MachineObservation {
@@ -49,13 +49,14 @@
     assert!(assessment.suspected.is_empty());
 }
 
-/// Machines cross the limit one after another, as their reports are spread
-/// over a period: half of a fleet was returned before most were silent.
+/// Guards against returning machines of a zone with a broken link. Reports are spread over a
+/// period, so machines exceed the threshold one after another: half of a fleet was returned before
+/// most machines were overdue.
 #[test]
 fn silent_zone_is_shielded_as_broken_link() {
     let mut detector = SilenceDetector::new(silence_thresholds());
     let mut returned = 0;
-    // Zone 1 is cut from 0 s to 51 s; last reports are spread over 5 s.
+    // Zone 1 is partitioned from 0 s to 51 s; its last reports are spread over 5 s.
     for step in 0..300 {
         let now = f64::from(step) * 0.2;
         let silent_s = |i: u32| match i % 2 {
@@ -75,7 +76,7 @@
     assert_eq!(returned, 0);
     assert!(
         detector.suspected_for_s(at(60.0), 1, 0).is_none(),
-        "heard again, forgotten"
+        "the suspicion ends when the zone reports again"
     );
 }
 
@@ -105,7 +106,7 @@
     assert_eq!(back.len(), 300);
 }
 
-/// Guards against giving back the last of a zone that is coming back.
+/// Guards against returning the machines of a recovering zone that do not report again yet.
 #[test]
 fn last_machines_of_a_recovering_zone_are_shielded() {
     let mut detector = SilenceDetector::new(silence_thresholds());
@@ -115,11 +116,15 @@
     assert!(assessment.suspected.is_empty());
     assert_eq!(count(&assessment, Liveness::Dead), 0);
     let assessment = detector.assess(at(17.0), OVERDUE_S, &fleet(200, zone(180)));
-    assert_eq!(count(&assessment, Liveness::Dead), 10, "not for ever");
+    assert_eq!(
+        count(&assessment, Liveness::Dead),
+        10,
+        "the shield is bounded"
+    );
 }
 
-/// Guards against giving back the rest of a fleet at the moment when one zone
-/// begins to explain most of its silence (day-78-9: nine machines).
+/// Guards against returning the other overdue machines of a fleet when one zone starts to account
+/// for most of the missing reports (day-78-9: nine machines were returned).
 #[test]
 fn other_machines_are_shielded_when_a_zone_explains_the_silence() {
     let mut detector = SilenceDetector::new(silence_thresholds());
@@ -164,7 +169,7 @@
     assert_eq!(count(&assessment, Liveness::ReachableFromPeer), 60);
     assert_eq!(count(&assessment, Liveness::Dead), 0);
     assert!(assessment.connectivity.reaches_fewer_than_peers());
-    // A few that are new and try everybody move nothing.
+    // A few new machines that contact all controllers do not move leadership.
     let mut all = fleet(100, |i| if i < 3 { 20.0 } else { 1.0 });
     all.iter_mut()
         .take(3)
@@ -173,7 +178,7 @@
         .assess(at(9.0), OVERDUE_S, &all)
         .connectivity
         .reaches_fewer_than_peers());
-    // Those that are answered by nobody go round all controllers.
+    // Machines that receive no answers contact all controllers in turn.
     let mut all = fleet(100, |_| 20.0);
     all.iter_mut()
         .for_each(|m| (m.peer_report_age_s, m.rotates_controllers) = (Some(1.0), true));
@@ -181,7 +186,7 @@
         .assess(at(9.5), OVERDUE_S, &all)
         .connectivity
         .reaches_fewer_than_peers());
-    // An old word is none.
+    // An expired peer observation does not count.
     let mut all = fleet(4, |_| 20.0);
     all.iter_mut().for_each(|m| m.peer_report_age_s = Some(9.0));
     assert_eq!(
--- a/crates/failure-detection/src/stall_detector.rs
+++ b/crates/failure-detection/src/stall_detector.rs
@@ -1,25 +1,26 @@
-//! Stalls of the leader: work is pending, the key-value store answers, and nothing is committed.
+//! Detects stalls of the leader: work is pending and the key-value store answers, but nothing is
+//! committed.
 
 use beamhinge_core::types::Time;
 
-/// Longest time without progress that is tolerated, after handovers, seconds.
+/// Longest timeout after repeated handovers of leadership, seconds.
 const MAX_TIMEOUT_S: f64 = 300.0;
 
-/// What the leader finds at some moment.
+/// The state of the leader at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub struct ProgressSnapshot {
-    /// There is something to write.
+    /// Whether writes are pending.
     pub work_pending: bool,
     /// When the leader last made progress: a commit, or a reply to a load.
     pub last_progress: Time,
-    /// The key-value store answered recently.
+    /// Whether the key-value store answered recently.
     pub store_reachable: bool,
 }
 
-/// Tells a leader that is stuck from one that is idle, cut off or merely slow.
+/// Distinguishes a stalled leader from an idle, partitioned or slow one.
 ///
-/// A leader that answers its workers and renews its lease looks healthy to all; if it commits
-/// nothing, nothing starts and nothing ends until somebody looks.
+/// A leader that answers its workers and renews its lease appears healthy to all other processes.
+/// If it commits nothing, no task starts or ends until an operator intervenes.
 #[derive(Debug)]
 pub struct StallDetector {
     timeout_s: f64,
@@ -30,7 +31,7 @@
 }
 
 impl StallDetector {
-    /// The leader is stuck after `timeout_s` seconds without progress.
+    /// Creates a detector that reports a stall after `timeout_s` seconds without progress.
     pub fn new(timeout_s: f64) -> StallDetector {
         StallDetector {
             timeout_s,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Takes in the state of the leader. Returns true once for each stall, when it is detected.
+    /// Records the state of the leader. Returns `true` once for each stall, when it is detected.
     #[must_use]
     pub fn observe(&mut self, now: Time, snapshot: ProgressSnapshot) -> bool {
         if !snapshot.work_pending || !snapshot.store_reachable {
@@ -62,14 +63,14 @@
         detected
     }
 
-    /// Leadership was handed over. The timeout doubles, or a fault that all controllers share
-    /// would send leadership round for ever.
+    /// Handles a handover of leadership. The timeout doubles; otherwise a fault that affects all
+    /// controllers would move leadership between them endlessly.
     pub fn on_handover(&mut self) {
         self.timeout_s = (self.timeout_s * 2.0).min(MAX_TIMEOUT_S);
         self.clear();
     }
 
-    /// Seconds for which the leader has been stuck; none if it is not.
+    /// How long the leader has been stalled, seconds; `None` if it is not stalled.
     pub fn stalled_for_s(&self, now: Time) -> Option<f64> {
         let elapsed_s = now.since(self.stalled_since?);
         (elapsed_s > self.timeout_s).then_some(elapsed_s)
--- a/crates/failure-detection/src/stall_detector/tests.rs
+++ b/crates/failure-detection/src/stall_detector/tests.rs
@@ -19,9 +19,13 @@
         ..work(0.0)
     };
     assert_eq!(run(&mut s, idle, 0, 60), 0);
-    // Work that came after a long idle time has just begun to wait.
+    // Work that arrives after a long idle time has only started to wait.
     assert_eq!(run(&mut s, work(0.0), 60, 68), 0);
-    assert_eq!(run(&mut s, work(66.0), 68, 74), 0, "it moved meanwhile");
+    assert_eq!(
+        run(&mut s, work(66.0), 68, 74),
+        0,
+        "the leader made progress in between"
+    );
     let away = ProgressSnapshot {
         store_reachable: false,
         ..work(66.0)
@@ -32,11 +36,19 @@
         0,
         "the outage does not count"
     );
-    assert_eq!(run(&mut s, work(66.0), 108, 140), 1, "told once");
+    assert_eq!(
+        run(&mut s, work(66.0), 108, 140),
+        1,
+        "a stall is reported once"
+    );
     assert!(s.stalled_for_s(at(140.0)).is_some_and(|t| t > 30.0));
     assert_eq!(run(&mut s, work(140.0), 140, 142), 0);
     assert!(s.stalled_for_s(at(142.0)).is_none());
     s.on_handover();
-    assert_eq!(run(&mut s, work(140.0), 142, 158), 0, "twice the patience");
+    assert_eq!(
+        run(&mut s, work(140.0), 142, 158),
+        0,
+        "the timeout doubles after a handover"
+    );
     assert_eq!(run(&mut s, work(140.0), 158, 170), 1);
 }
