--- a/crates/rate-limit/src/backoff.rs
+++ b/crates/rate-limit/src/backoff.rs
@@ -1,46 +1,47 @@
-//! Retries after a refusal, with a growing pause and a shrinking size.
+//! Retries after a refusal, with increasing backoff and decreasing request size.
 
 use beamhinge_core::types::Time;
 
-/// Rejections as malformed after which the rejected part is set aside.
+/// Rejections as malformed after which the rejected content is set aside.
 const MAX_MALFORMED: u32 = 6;
-/// Halvings of the size; after these many it stays at its smallest.
+/// Maximum number of halvings of the request size, which then stays at its smallest.
 const MAX_HALVINGS: u32 = 6;
-/// Doublings of the pause, which guard the shift against overflow.
+/// Maximum number of doublings of the backoff; prevents overflow of the shift.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// What to do after a request was rejected as malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[must_use = "work that is not set aside is retried for ever"]
+#[must_use = "work that is not set aside is retried endlessly"]
 pub enum RetryAction {
-    /// Retry with a smaller size, divided by [`AdaptiveBackoff::divisor`].
+    /// Retry with the full size divided by [`AdaptiveBackoff::divisor`].
     Reduce,
-    /// The smallest size was rejected repeatedly: set its content aside and log it, so that
-    /// the rest goes on.
+    /// The store rejected a request of the smallest size: set its content aside and log it, so that
+    /// the remaining work continues.
     SetAside,
 }
 
 /// Retry state of one kind of work.
 ///
-/// A rejection as malformed halves the size of the next try and doubles the pause; at the
-/// smallest size the work itself is at fault and is set aside. Refusals for lack of rate or
-/// because the service is unavailable lengthen the pause only. A success resets both.
+/// A rejection as malformed halves the size of the next request and doubles the backoff. If a
+/// request of the smallest size is rejected, its content is the cause and is set aside. Refusals
+/// because of a rate limit or an unavailable service only lengthen the backoff. A success resets
+/// both.
 #[derive(Clone, Debug)]
 pub struct AdaptiveBackoff {
-    /// Shortest pause, seconds.
+    /// Shortest backoff, seconds.
     min_pause_s: f64,
-    /// Longest pause, seconds.
+    /// Longest backoff, seconds.
     max_pause_s: f64,
     /// Rejections as malformed since the last success.
     malformed: u32,
     /// Other refusals since the last success.
     refused: u32,
-    /// The end of the current pause.
+    /// End of the current backoff.
     until: Time,
 }
 
 impl AdaptiveBackoff {
-    /// Retries with pauses between `min_pause_s` and `max_pause_s` seconds.
+    /// Creates a retry state with backoffs between `min_backoff_s` and `max_backoff_s` seconds.
     pub fn new(min_pause_s: f64, max_pause_s: f64) -> AdaptiveBackoff {
         AdaptiveBackoff {
             min_pause_s,
@@ -51,39 +52,39 @@
         }
     }
 
-    /// Whether the pause after the last refusal is over.
+    /// Whether the backoff after the last refusal has ended.
     pub fn is_due(&self, now: Time) -> bool {
         now >= self.until
     }
 
-    /// The factor by which the next try has to be smaller than the full size.
+    /// Divisor of the full size for the next request.
     pub fn divisor(&self) -> usize {
         1 << self.malformed.min(MAX_HALVINGS)
     }
 
-    /// Refusals of either kind since the last success.
+    /// Number of refusals of both kinds since the last success.
     pub fn refusals(&self) -> u32 {
         self.malformed + self.refused
     }
 
-    /// Starts at the smallest size, because larger ones have failed before (for instance
+    /// Starts with the smallest size, because larger requests have failed before (for instance
     /// under the previous leader).
     pub fn slow_start(&mut self) {
         self.malformed = MAX_MALFORMED;
     }
 
-    /// The request was executed: resets size and pause.
+    /// Handles an executed request: resets size and backoff.
     pub fn on_success(&mut self) {
         (self.malformed, self.refused) = (0, 0);
     }
 
-    /// The request was not executed, for lack of rate or because the service is unavailable.
+    /// Handles a request that was not executed because of a rate limit or an unavailable service.
     pub fn on_refused(&mut self, now: Time) {
         self.refused = self.refused.saturating_add(1);
         self.pause(now, self.refused);
     }
 
-    /// The service rejected the request as malformed, and would do so again.
+    /// Handles a request that the service rejected as malformed and would reject again.
     pub fn on_malformed(&mut self, now: Time) -> RetryAction {
         self.malformed = self.malformed.saturating_add(1);
         self.pause(now, self.malformed);
--- a/crates/rate-limit/src/backoff/tests.rs
+++ b/crates/rate-limit/src/backoff/tests.rs
@@ -9,7 +9,7 @@
         assert_eq!(backoff.on_malformed(now), RetryAction::Reduce);
         assert!(
             !backoff.is_due(now) && backoff.is_due(now.plus(2.0)),
-            "neither at once nor never"
+            "the retry is delayed by at most the longest backoff"
         );
         now = now.plus(2.0);
         divisors.push(backoff.divisor());
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -1,12 +1,13 @@
 //! Transactions that respect the key-value store's limits, and adaptive retries.
 //!
-//! The store accepts transactions up to a certain size only (`POST /commit` of the platform's
-//! protocol). A [`Transaction`] knows these limits from the settings and rejects what does not
-//! fit, so no caller computes a bound of its own and none can build a request that will be
-//! refused. An [`AdaptiveBackoff`] decides how work is retried after a refusal: each time
-//! smaller, each time later, and in the end not at all by this controller.
+//! The store accepts transactions only up to a certain size (`POST /commit` of the platform's
+//! protocol). A [`Transaction`] takes these limits from the settings and rejects operations that do
+//! not fit. Callers therefore compute no limits themselves and cannot build a request that exceeds
+//! them. An [`AdaptiveBackoff`] decides how work is retried after a refusal: requests that the
+//! store rejects as malformed become smaller with each retry, and this controller finally stops
+//! retrying them; every refusal lengthens the backoff.
 //!
-//! The crate sends nothing; the pacing of requests is the business of the store's client.
+//! The crate sends nothing; the store's client limits the rate of requests.
 
 mod backoff;
 mod transaction;
--- a/crates/rate-limit/src/transaction.rs
+++ b/crates/rate-limit/src/transaction.rs
@@ -1,4 +1,4 @@
-//! A transaction that stays within the store's limits while it is built.
+//! A transaction that stays within the key-value store's limits while it is built.
 
 use beamhinge_core::settings;
 use beamhinge_core::types::Revision;
@@ -7,25 +7,25 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Bytes that a transaction may hold in all; the protocol allows 64 KiB.
+/// Maximum size of a transaction, bytes; the protocol allows 64 KiB.
 const MAX_BYTES: usize = 64 * 1024;
-/// Bytes of a key, by the protocol.
+/// Maximum size of a key in the protocol, bytes.
 const MAX_KEY_BYTES: usize = 200;
-/// Conditions per write, by the protocol.
+/// Maximum number of conditions per write in the protocol.
 const CONDITIONS_PER_WRITE: usize = 4;
-/// JSON length of `{"when":[],"then":[]}`, with some to spare.
+/// JSON length of `{"when":[],"then":[]}`, with a margin.
 const FRAME_BYTES: usize = 24;
 /// JSON length of `{"path":"","stamp":18446744073709551615},`.
 const CONDITION_BYTES: usize = 42;
 /// JSON length of `{"write":"","value":,"permit":18446744073709551615},`.
 const WRITE_BYTES: usize = 54;
 
-/// What one transaction may hold.
+/// Maximum contents of one transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransactionLimits {
-    /// Puts and deletes.
+    /// Number of puts and deletes.
     pub writes: usize,
-    /// Keys whose revision is compared.
+    /// Number of keys whose revision is compared.
     pub conditions: usize,
     /// Bytes of the whole body in its JSON form.
     pub bytes: usize,
@@ -46,7 +46,8 @@
 }
 
 impl TransactionLimits {
-    /// These limits with at most `writes` writes: what the pacing could ever send at once.
+    /// These limits with at most `writes` writes, the largest number that the request rate limit
+    /// could admit at once.
     #[must_use]
     pub fn with_max_writes(self, writes: usize) -> TransactionLimits {
         TransactionLimits {
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Limits of a transaction that is smaller by `divisor`, never below one write with the
-    /// conditions that belong to it.
+    /// These limits with the numbers of writes and conditions divided by `divisor`, but never below
+    /// one write and its conditions.
     #[must_use]
     pub fn divided_by(self, divisor: usize) -> TransactionLimits {
         let divisor = divisor.max(1);
@@ -69,10 +70,11 @@
     }
 }
 
-/// Why a transaction rejects an operation. The transaction is unchanged then.
+/// Why a transaction rejected an operation. The transaction is unchanged in that case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransactionError {
-    /// The operation does not fit any more; it may fit into the next transaction.
+    /// The operation does not fit into the remaining capacity; it may fit into the next
+    /// transaction.
     #[error("the transaction is full")]
     Full,
     /// The operation would not fit into an empty transaction either.
@@ -80,10 +82,11 @@
     TooLarge {
         /// Bytes of the key or of the value's JSON form.
         bytes: usize,
-        /// Bytes that are allowed.
+        /// Maximum number of bytes.
         limit: usize,
     },
-    /// The key is compared already, with another revision: both cannot hold.
+    /// The transaction already compares the key with another revision; both conditions cannot be
+    /// true.
     #[error("two versions of one key")]
     ConflictingConditions,
 }
@@ -119,7 +122,7 @@
     writes: Vec<WireWrite<'a>>,
 }
 
-/// A put or a delete that a transaction holds.
+/// A put or a delete in a transaction.
 #[derive(Debug)]
 enum Operation {
     Put {
@@ -165,8 +168,8 @@
 
 /// A compare-and-swap transaction under construction.
 ///
-/// Invariants: it is within its limits at every moment, and every write has a condition on
-/// the revision of its key (there is no unconditional write).
+/// Invariants: the transaction is always within its limits, and every write has a condition on the
+/// revision of its key (there are no unconditional writes).
 #[derive(Debug)]
 #[must_use = "a transaction has no effect until it is committed"]
 pub struct Transaction {
@@ -177,7 +180,7 @@
 }
 
 impl Transaction {
-    /// An empty transaction.
+    /// Creates an empty transaction.
     pub fn new(limits: TransactionLimits) -> Transaction {
         Transaction {
             limits,
@@ -187,7 +190,7 @@
         }
     }
 
-    /// What a condition on `key` would add.
+    /// Cost of adding a condition on `key`.
     fn condition_cost(&self, key: &str, revision: Revision) -> Result<Cost, TransactionError> {
         if key.len() > MAX_KEY_BYTES {
             return Err(TransactionError::TooLarge {
@@ -228,10 +231,10 @@
         Ok(())
     }
 
-    /// Adds the condition that `key` has this revision (0: is absent).
+    /// Adds the condition that `key` has this revision (0: the key is absent).
     ///
     /// # Errors
-    /// If it does not fit or contradicts another condition; nothing is changed then.
+    /// If it does not fit or contradicts another condition; the transaction is then unchanged.
     pub fn require(
         &mut self,
         key: impl Into<String>,
@@ -244,11 +247,11 @@
         Ok(())
     }
 
-    /// Writes `key` on condition that it still has this revision (0: is absent). With a
+    /// Writes `key` on condition that it still has this revision (0: the key is absent). With a
     /// lease, the key disappears when the lease expires.
     ///
     /// # Errors
-    /// If it does not fit or contradicts another condition; nothing is changed then.
+    /// If it does not fit or contradicts another condition; the transaction is then unchanged.
     pub fn put(
         &mut self,
         key: impl Into<String>,
@@ -276,7 +279,7 @@
     /// Deletes `key` on condition that it still has this revision.
     ///
     /// # Errors
-    /// If it does not fit or contradicts another condition; nothing is changed then.
+    /// If it does not fit or contradicts another condition; the transaction is then unchanged.
     pub fn delete(
         &mut self,
         key: impl Into<String>,
@@ -305,22 +308,22 @@
         Ok(())
     }
 
-    /// Puts and deletes so far.
+    /// Number of puts and deletes so far.
     pub fn write_count(&self) -> usize {
         self.operations.len()
     }
 
-    /// Puts and deletes that still fit.
+    /// Number of puts and deletes that still fit.
     pub fn remaining_writes(&self) -> usize {
         self.limits.writes.saturating_sub(self.operations.len())
     }
 
-    /// Conditions that still fit.
+    /// Number of conditions that still fit.
     pub fn remaining_conditions(&self) -> usize {
         self.limits.conditions.saturating_sub(self.conditions.len())
     }
 
-    /// Bytes of the largest value that still fits with a new key of `key_bytes` bytes.
+    /// Size of the largest value that still fits with a new key of `key_bytes` bytes, bytes.
     pub fn remaining_value_bytes(&self, key_bytes: usize) -> usize {
         let overhead = 2 * key_bytes + CONDITION_BYTES + WRITE_BYTES;
         self.limits
@@ -329,7 +332,7 @@
             .min(self.limits.value_bytes)
     }
 
-    /// The encoded body of the commit request.
+    /// Encodes the body of the commit request.
     pub fn into_body(self) -> Vec<u8> {
         wire::encode(&WireTransaction {
             conditions: self
--- a/crates/rate-limit/src/transaction/tests.rs
+++ b/crates/rate-limit/src/transaction/tests.rs
@@ -94,7 +94,7 @@
         transaction.delete("c", Revision(1)),
         Err(TransactionError::Full)
     );
-    // The key is compared already, so no second condition is counted.
+    // The key is already compared, so no second condition is counted.
     assert_eq!(transaction.require("b", Revision(1)), Ok(()));
     assert_eq!(transaction.remaining_conditions(), 6);
 }
--- a/crates/standby/src/failure_detector.rs
+++ b/crates/standby/src/failure_detector.rs
@@ -1,86 +1,87 @@
-//! The failure detector of a standby: missing heartbeats of the leader, and workers that
-//! report here instead of to the leader.
+//! The failure detector of a standby controller. Its evidence is missing heartbeats of the leader
+//! and workers that report to this controller instead of the leader.
 
 use beamhinge_core::types::{FencingToken, MachineId, Time};
 use std::collections::{BTreeSet, VecDeque};
 
 /// How often a leader sends heartbeats to its peers, seconds.
 pub const HEARTBEAT_S: f64 = 0.5;
-/// Shortest silence that makes a leader suspect, seconds: three heartbeats are missing, since
-/// one that is lost is sent again by TCP only after a few tenths of a second.
+/// Minimum time without a heartbeat after which a leader is suspected, seconds. Three heartbeats
+/// must be missing, because TCP retransmits a lost one only after a few tenths of a second.
 const MIN_SILENCE_S: f64 = 1.5;
-/// Silence that makes a leader suspect, in observed heartbeat intervals: a leader of an
-/// earlier version sends them each second, and a slow link spreads them.
+/// Time without a heartbeat after which a leader is suspected, in observed heartbeat intervals: a
+/// leader of an earlier version sends one each second, and a slow link lengthens the intervals.
 const SILENT_INTERVALS: f64 = 2.2;
 /// Weight of the newest interval in the moving average.
 const INTERVAL_WEIGHT: f64 = 0.25;
-/// A leader must have sent heartbeats for so long, seconds: one that began just now loads its
-/// state and ingests all reports at once.
+/// Minimum time for which a leader must have sent heartbeats before it can be suspected, seconds.
+/// At the start of its term a leader loads its state and processes the reports of all workers.
 const MIN_KNOWN_S: f64 = 3.0;
-/// Heartbeats that are further apart start the observation of the leader anew, seconds.
+/// Longest gap between heartbeats, seconds; a longer one restarts the observation of the leader.
 const MAX_GAP_S: f64 = 4.0;
-/// Misrouted workers that are needed. A single one may have a broken link of its own.
+/// Minimum number of misrouted workers for a suspicion. The link of a single worker may be broken.
 const MIN_WITNESSES: usize = 3;
 /// Longest time from the last heartbeat to the first misrouted worker, seconds. Connections to
-/// a process that ended are reset, and workers try the next controller a second later; those
-/// of a leader that is merely slow come after their time-out of four seconds. Taking over from
-/// a slow leader would hand its load, and its slowness, on and on.
+/// a terminated process are reset, and workers contact the next controller a second later; workers
+/// of a slow leader do so only after their timeout of four seconds. A takeover from a slow leader
+/// would only move its load to the next leader, which would become slow in turn.
 const MAX_FIRST_WITNESS_S: f64 = 3.2;
-/// Misrouted workers further apart than this do not point to the same failure, seconds.
+/// Longest time between misrouted reports that count as evidence of the same failure, seconds.
 const WITNESS_WINDOW_S: f64 = 3.0;
-/// Additional wait for each controller of a better rank, seconds: longer than a transaction
-/// and the watch event about it take. Two that try at once cost a refused transaction.
+/// Additional wait for each controller of a better rank, seconds: longer than a transaction and
+/// the watch event about it take. If two controllers try at once, one transaction is refused.
 const RANK_DELAY_S: f64 = 0.1;
-/// Least time between two suspicions of this process, seconds: a leader that is only slow, or
-/// whose heartbeats do not arrive, must not lose leadership again and again.
+/// Minimum time between two suspicions of this process, seconds: a leader that is only slow, or
+/// whose heartbeats do not arrive, must not lose leadership repeatedly.
 const MIN_SUSPICION_INTERVAL_S: f64 = 15.0;
-/// Changes of the leader that are remembered; guards memory.
+/// Maximum number of recorded changes of the leader; bounds memory.
 const MAX_CHANGES: usize = 4;
-/// How long a change of the leader counts, seconds.
+/// How long a change of the leader lengthens the heartbeat timeout, seconds.
 const CHANGE_WINDOW_S: f64 = 30.0;
-/// Added silence for each change of the leader beyond the first in that window, seconds: a
-/// back-off over all controllers, not only this one.
+/// Addition to the heartbeat timeout for each change of the leader beyond the first in that window,
+/// seconds: a backoff across all controllers, not only this one.
 const CHANGE_BACKOFF_S: f64 = 0.7;
-/// Longest since the key-value store answered this controller, seconds: a watch waits for
-/// three.
+/// Longest time since the key-value store answered this controller, seconds: a watch request takes
+/// up to three seconds.
 const MAX_STORE_AGE_S: f64 = 3.5;
-/// Misrouted workers that are remembered; guards memory.
+/// Maximum number of recorded misrouted workers; bounds memory.
 const MAX_WITNESSES: usize = 256;
 
-/// What the observing controller knows about itself.
+/// State of the observing controller.
 #[derive(Clone, Copy, Debug)]
 pub struct Observer {
     /// Seconds since the key-value store last answered this controller.
     pub store_age_s: f64,
-    /// This controller has read all jobs, so it could schedule at once.
+    /// Whether this controller has read all jobs, so that it could schedule immediately.
     pub jobs_loaded: bool,
-    /// Seconds since this process resumed from a pause, if it was paused.
+    /// Seconds since this process resumed from a pause; `None` if it was never paused.
     pub resumed_for_s: Option<f64>,
-    /// How many other controllers take over before this one ([`takeover_rank`]).
+    /// Number of other controllers that take over before this one ([`takeover_rank`]).
     pub rank: u32,
 }
 
-/// What is known about the leader without the key-value store.
+/// Detects the failure of the leader without the key-value store.
 ///
-/// A suspicion needs two kinds of evidence: the leader's heartbeats stay away, and workers
-/// report here that carry its fencing token, so it answered them until then. Heartbeats alone
-/// stop where the network between controllers is partitioned; workers alone come where their
-/// links to the leader are broken, and new machines start with any controller.
+/// A suspicion needs two kinds of evidence: the leader's heartbeats are missing, and workers report
+/// to this controller that carry the leader's fencing token, which shows that the leader answered
+/// them before. Neither is enough alone: heartbeats are also missing during a network partition
+/// between controllers, and workers also report here if their links to the leader are broken. New
+/// machines contact any controller first.
 #[derive(Debug)]
 pub struct FailureDetector {
     leader: Option<String>,
     token: FencingToken,
-    /// Since when the leader's heartbeats come without a gap.
+    /// Time since which the leader's heartbeats have arrived without a gap.
     known_since: Time,
     last_heartbeat: Time,
     /// Seconds between heartbeats, as a moving average.
     interval_s: f64,
-    /// Machines that reported here since the last heartbeat.
+    /// Machines that reported to this controller since the last heartbeat.
     witnesses: BTreeSet<MachineId>,
-    /// When the first of the witnesses reported.
+    /// Time of the first of these reports.
     first_witness: Time,
     last_suspicion: Option<Time>,
-    /// When the latest changes of the leader were noticed.
+    /// Times at which the latest changes of the leader were detected.
     changes: VecDeque<Time>,
 }
 
@@ -101,12 +102,12 @@
 }
 
 impl FailureDetector {
-    /// Handles a heartbeat: `leader` says that it owns the block key with this token.
+    /// Handles a heartbeat, in which `leader` states that it owns the block key with this token.
     pub fn on_heartbeat(&mut self, now: Time, leader: &str, token: FencingToken) {
         let first_leader = self.leader.is_none();
         let changed = self.leader.as_deref() != Some(leader);
         let gap_s = now.since(self.last_heartbeat);
-        // A deposed leader may send heartbeats for a while longer.
+        // A leader whose term has ended may continue to send heartbeats for a short time.
         if changed && token < self.token && gap_s <= MAX_GAP_S {
             return;
         }
@@ -134,10 +135,11 @@
         self.changes.push_back(now);
     }
 
-    /// Handles the report of a worker that came here instead of to the leader;
-    /// `highest_seen_token` is the highest fencing token the worker has seen. A worker that
-    /// the leader has not answered yet is no evidence: a new machine starts with any
-    /// controller.
+    /// Handles the report of a worker to this controller instead of the leader.
+    ///
+    /// `highest_seen_token` is the highest fencing token the worker has seen. A worker that the
+    /// leader has not answered yet is no evidence, since a new machine contacts any controller
+    /// first.
     pub fn on_misrouted_report(
         &mut self,
         now: Time,
@@ -156,12 +158,12 @@
         }
     }
 
-    /// Whether the leader's heartbeats stay away; workers are not redirected to it then.
+    /// Whether the leader's heartbeats are missing; workers are not redirected to it then.
     pub fn is_silent(&self, now: Time) -> bool {
         self.leader.is_some() && now.since(self.last_heartbeat) > self.silence_limit_s(now)
     }
 
-    /// Silence that makes the leader suspect, seconds.
+    /// Time without a heartbeat after which the leader is suspected, seconds.
     fn silence_limit_s(&self, now: Time) -> f64 {
         let recent_changes = self
             .changes
@@ -172,10 +174,11 @@
         MIN_SILENCE_S.max(SILENT_INTERVALS * self.interval_s) + backoff_s
     }
 
-    /// The leader that is presumed dead, if it is this controller's turn to take over.
+    /// Returns the leader if it is presumed dead and it is this controller's turn to take over;
+    /// otherwise `None`.
     ///
-    /// A returned suspicion counts as acted on: the next one follows fifteen seconds later at the
-    /// earliest.
+    /// The caller is expected to act on a returned suspicion: the next one follows fifteen seconds
+    /// later at the earliest.
     pub fn suspect(&mut self, now: Time, observer: Observer) -> Option<&str> {
         let leader = self.leader.as_deref()?;
         let known = self.last_heartbeat.since(self.known_since) >= MIN_KNOWN_S;
@@ -194,22 +197,23 @@
         Some(leader)
     }
 
-    /// Whether the leader is silent for so long that a controller of this rank may act.
+    /// Whether heartbeats have been missing for long enough that a controller of this rank may
+    /// act.
     fn is_overdue(&self, now: Time, rank: u32) -> bool {
         let silent_s = now.since(self.last_heartbeat);
         silent_s > self.silence_limit_s(now) + RANK_DELAY_S * f64::from(rank)
     }
 
-    /// Whether enough workers of the leader reported here, soon after its last heartbeat and
-    /// close together.
+    /// Whether enough workers of the leader reported to this controller, soon after its last
+    /// heartbeat and close together.
     fn has_witnesses(&self, now: Time) -> bool {
         self.witnesses.len() >= MIN_WITNESSES
             && now.since(self.first_witness) <= WITNESS_WINDOW_S
             && self.first_witness.since(self.last_heartbeat) <= MAX_FIRST_WITNESS_S
     }
 
-    /// Whether this controller could schedule at once and was not paused itself: what arrived,
-    /// or did not arrive, during its own pause is no evidence.
+    /// Whether this controller could schedule immediately and was not paused in that time: messages
+    /// that arrived or were missing during its pause are no evidence.
     fn can_take_over(&self, now: Time, observer: Observer) -> bool {
         let silent_s = now.since(self.last_heartbeat);
         let running = observer
@@ -219,8 +223,9 @@
     }
 }
 
-/// How many controllers take over before `own` when `leader` is dead: those that follow the
-/// leader in the ring of labels, to which its workers turn as well.
+/// Number of controllers that take over before `local_label` when `leader` is dead: those between
+/// the two in the ring of labels. The workers of a dead leader contact controllers in the same
+/// order.
 pub fn takeover_rank<'a>(leader: &str, own: &str, members: impl Iterator<Item = &'a str>) -> u32 {
     let position = |label: &str| (label <= leader, label.to_string());
     let own_position = position(own);
--- a/crates/standby/src/failure_detector/tests.rs
+++ b/crates/standby/src/failure_detector/tests.rs
@@ -16,7 +16,7 @@
 };
 const TOKEN: FencingToken = FencingToken(7);
 
-/// Heartbeats of one leader, `every` seconds.
+/// Delivers heartbeats of one leader, one each `every` seconds.
 fn beats(
     detector: &mut FailureDetector,
     leader: &str,
@@ -38,7 +38,8 @@
     machines.for_each(|n| detector.on_misrouted_report(at(s), machine(n), seen));
 }
 
-/// A leader that ends just after its heartbeat at 10 s; workers report here a second later.
+/// A detector whose leader fails just after its heartbeat at 10 s; workers report to this
+/// controller a second later.
 fn ended() -> FailureDetector {
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
@@ -52,7 +53,7 @@
     assert_eq!(
         detector.suspect(at(11.4), OBSERVER),
         None,
-        "three heartbeats have to be missing"
+        "three heartbeats must be missing"
     );
     assert_eq!(detector.suspect(at(11.6), OBSERVER), Some("a"));
     assert_eq!(detector.suspect(at(11.7), OBSERVER), None, "reported once");
@@ -95,30 +96,30 @@
 
 #[test]
 fn one_kind_of_evidence_is_not_enough() {
-    // A partition between controllers: no heartbeats, and no worker reports here.
+    // A network partition between controllers: no heartbeats, and no misrouted workers.
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
     assert_eq!(detector.suspect(at(20.0), OBSERVER), None);
-    // One worker with a broken link of its own, again and again.
+    // Repeated reports of one worker whose link to the leader is broken.
     (11..20).for_each(|s| detector.on_misrouted_report(at(f64::from(s)), machine(1), TOKEN));
     assert_eq!(detector.suspect(at(20.0), OBSERVER), None);
-    // Workers report here, but heartbeats arrive.
+    // Misrouted workers report, but heartbeats arrive.
     let mut detector = ended();
     detector.on_heartbeat(at(11.5), "a", TOKEN);
     assert_eq!(detector.suspect(at(11.6), OBSERVER), None);
     // A slow leader: its heartbeats are late, and workers report here after their
-    // time-out.
+    // timeout.
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
     report(&mut detector, 14.5, 0..200, TOKEN);
     assert_eq!(detector.suspect(at(15.0), OBSERVER), None);
-    // Reports from long ago point to another failure.
+    // Old reports are evidence of another failure.
     let mut detector = ended();
     assert_eq!(detector.suspect(at(18.0), OBSERVER), None);
 }
 
-/// Forty machines that boot while a packet is sent again are no evidence: they start with any
-/// controller, and carry no token or an older one.
+/// Forty machines that boot while a heartbeat is retransmitted are no evidence: they contact any
+/// controller first, and carry no token or an older one.
 #[test]
 fn workers_without_the_leaders_token_are_no_evidence() {
     let mut detector = FailureDetector::default();
@@ -148,14 +149,14 @@
     ] {
         assert_eq!(ended().suspect(at(11.8), own), None, "{own:?}");
     }
-    // A leader whose heartbeats came for a moment only.
+    // A leader that has sent heartbeats only for a short time.
     let mut detector = FailureDetector::default();
     beats(&mut detector, "b", TOKEN, 0.0, 2.0, HEARTBEAT_S);
     report(&mut detector, 3.1, 0..4, TOKEN);
     assert_eq!(detector.suspect(at(3.7), OBSERVER), None);
 }
 
-/// A leader of an earlier version sends one heartbeat a second: two have to be missing.
+/// A leader of an earlier version sends one heartbeat a second: two must be missing.
 #[test]
 fn silence_limit_follows_the_observed_interval() {
     let mut detector = FailureDetector::default();
@@ -174,15 +175,15 @@
     assert_eq!(
         detector.suspect(at(23.7), OBSERVER),
         None,
-        "twelve seconds after the last"
+        "twelve seconds after the previous suspicion"
     );
     beats(&mut detector, "b", FencingToken(8), 24.0, 28.0, HEARTBEAT_S);
     report(&mut detector, 29.1, 0..4, FencingToken(8));
     assert_eq!(detector.suspect(at(29.7), OBSERVER), Some("b"));
 }
 
-/// The end of a second leader is found as fast as that of the first; that of a third within
-/// half a minute takes longer, whichever controller finds it.
+/// The failure of a second leader is detected as fast as that of the first. The failure of a third
+/// within half a minute is detected later, on every controller.
 #[test]
 fn further_changes_of_leader_lengthen_the_silence_limit() {
     let mut detector = FailureDetector::default();
@@ -192,7 +193,7 @@
     assert_eq!(
         detector.suspect(at(17.6), OBSERVER),
         Some("b"),
-        "the first change costs nothing"
+        "the first change causes no delay"
     );
     let mut detector = FailureDetector::default();
     beats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
@@ -203,7 +204,7 @@
     assert_eq!(detector.suspect(at(24.3), OBSERVER), Some("c"));
 }
 
-/// A deposed leader that still sends heartbeats does not replace its successor.
+/// A leader whose term has ended but that still sends heartbeats does not replace its successor.
 #[test]
 fn heartbeat_with_lower_token_is_ignored() {
     let mut detector = ended();
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -1,12 +1,12 @@
-//! Early failover: how a standby controller finds that the leader is dead before the
-//! leader's lease expires, and which standby takes over first.
+//! Early failover: how a standby controller detects a dead leader before the leader's lease
+//! expires, and which standby takes over first.
 //!
-//! Nothing here is needed for safety. An early failover uses the same conditional transaction
-//! as any other acquisition and gets a higher fencing token; a leader that was only slow is
-//! deposed by it and loses its term, not its tasks.
+//! Safety does not depend on this crate. An early failover uses the same conditional transaction
+//! as any other leadership acquisition and gets a higher fencing token. A leader that was only slow
+//! then loses its term, but not its tasks.
 //!
-//! Sans-IO: heartbeats and workers' reports come in with their times, a suspicion comes out.
-//! `docs/standby.md` lists the alternatives that were considered.
+//! Sans-IO: callers pass in heartbeats and workers' reports with their times, and receive a
+//! suspicion. `docs/standby.md` lists the alternatives that were considered.
 
 mod failure_detector;
 
