--- a/crates/failure-detection/src/ack_tracker.rs
+++ b/crates/failure-detection/src/ack_tracker.rs
@@ -7,9 +7,9 @@
 use beamhinge_core::types::Time;
 
 /// The first backoff, seconds; each further one is twice as long.
-const MIN_PAUSE_S: f64 = 8.0;
+const MIN_BACKOFF_S: f64 = 8.0;
 /// The longest backoff, seconds.
-const MAX_PAUSE_S: f64 = 64.0;
+const MAX_BACKOFF_S: f64 = 64.0;
 /// Consecutive unacknowledged replies from which the machine counts as unreachable. A single one
 /// may be a reply that arrived too late.
 const UNACKNOWLEDGED_THRESHOLD: u32 = 2;
@@ -20,9 +20,9 @@
     /// Consecutive replies whose commands the next report did not show.
     unacknowledged: u32,
     /// When the first of them was noticed.
-    since: Time,
+    unacknowledged_since: Time,
     /// Time before which no command is sent.
-    paused_until: Time,
+    backoff_until: Time,
 }
 
 impl AckTracker {
@@ -36,31 +36,32 @@
     /// Returns whether the machine's tasks should be placed on other machines.
     pub fn record_unacknowledged(&mut self, now: Time, timed_out: bool) -> bool {
         if self.unacknowledged == 0 {
-            self.since = now;
+            self.unacknowledged_since = now;
         }
-        let least = if timed_out {
+        let minimum = if timed_out {
             UNACKNOWLEDGED_THRESHOLD
         } else {
             1
         };
-        self.unacknowledged = (self.unacknowledged + 1).max(least);
+        self.unacknowledged = (self.unacknowledged + 1).max(minimum);
         let unreachable = self.is_unreachable();
         if unreachable {
             let doublings = (self.unacknowledged - UNACKNOWLEDGED_THRESHOLD).min(10);
             let factor = 2f64.powi(doublings as i32);
-            self.paused_until = now.plus((MIN_PAUSE_S * factor).min(MAX_PAUSE_S));
+            self.backoff_until = now.plus((MIN_BACKOFF_S * factor).min(MAX_BACKOFF_S));
         }
         unreachable
     }
 
     /// Whether commands to the machine are withheld at time `now`.
     pub fn in_backoff(&self, now: Time) -> bool {
-        self.is_unreachable() && now < self.paused_until
+        self.is_unreachable() && now < self.backoff_until
     }
 
     /// How long the machine has acknowledged nothing, seconds; `None` if it is reachable.
     pub fn unacknowledged_for_s(&self, now: Time) -> Option<f64> {
-        self.is_unreachable().then(|| now.since(self.since))
+        self.is_unreachable()
+            .then(|| now.since(self.unacknowledged_since))
     }
 
     fn is_unreachable(&self) -> bool {
--- a/crates/failure-detection/src/fault_attribution.rs
+++ b/crates/failure-detection/src/fault_attribution.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// Failures of proven jobs after which a machine is faulty.
-const MIN_SOUND_JOB_FAILURES: u32 = 2;
+const MIN_PROVEN_JOB_FAILURES: u32 = 2;
 /// Number of different jobs without any success whose failures make a machine faulty.
 const MIN_UNPROVEN_JOBS: usize = 3;
 /// Machines on which a job without any success fails before it counts as faulty.
@@ -26,7 +26,7 @@
 /// Maximum number of machine records, and of job records, with failures since the last success.
 /// All machines of a fleet of 8,192 may fail; failures beyond that are not attributed. Records of
 /// removed machines and ended jobs are deleted.
-const MAX_REMEMBERED: usize = 8_192;
+const MAX_RECORDS: usize = 8_192;
 /// Longest backoff between two attempts of a faulty job, seconds.
 const MAX_BACKOFF_S: f64 = 60.0;
 
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 struct JobRecord {
     /// Whether a task of the job has succeeded.
-    sound: bool,
+    proven: bool,
     faulty: bool,
     failures: u32,
     /// Numbers of all machines on which the job failed.
@@ -51,11 +51,11 @@
 impl JobRecord {
     /// Starts a backoff unless one is in progress: failures of tasks that ran concurrently share
     /// one backoff. Returns the remaining backoff, seconds.
-    fn back_off(&mut self, now: Time, report_s: f64) -> f64 {
+    fn back_off(&mut self, now: Time, min_backoff_s: f64) -> f64 {
         if now >= self.retry_at {
-            let pause_s = (report_s * 2f64.powi(self.backoffs)).min(MAX_BACKOFF_S);
+            let backoff_s = (min_backoff_s * 2f64.powi(self.backoffs)).min(MAX_BACKOFF_S);
             self.backoffs = (self.backoffs + 1).min(16);
-            self.retry_at = now.plus(pause_s);
+            self.retry_at = now.plus(backoff_s);
         }
         self.retry_at.until(now)
     }
@@ -93,36 +93,36 @@
         &mut self,
         now: Time,
         machine: MachineId,
-        (job, sound): (JobId, bool),
-        report_s: f64,
+        (job, proven): (JobId, bool),
+        min_backoff_s: f64,
     ) -> AttributionChange {
         let mut change = AttributionChange::default();
-        if self.jobs.len() >= MAX_REMEMBERED && !self.jobs.contains_key(&job) {
+        if self.jobs.len() >= MAX_RECORDS && !self.jobs.contains_key(&job) {
             return change;
         }
         let record = self.jobs.entry(job).or_default();
         record.failures = record.failures.saturating_add(1);
         record.last_failure = now;
-        record.sound |= sound;
+        record.proven |= proven;
         if record.failed_on.insert(machine.number())
             && record.machines.len() < MAX_FAILURES_PER_RECORD
         {
             record.machines.push(machine);
         }
         let was_faulty = record.faulty;
-        self.count_on_machine(machine, job);
+        self.record_machine_failure(machine, job);
         self.reassess_job(job);
         let mut became_faulty = false;
         if let Some(record) = self.jobs.get_mut(&job).filter(|r| r.faulty) {
             became_faulty = !was_faulty;
-            change.job_backoff_s = Some(record.back_off(now, report_s));
+            change.job_backoff_s = Some(record.back_off(now, min_backoff_s));
         }
-        let concerned = if became_faulty {
+        let affected = if became_faulty {
             self.machines_failing(job)
         } else {
             vec![machine]
         };
-        self.reassess_machines(&concerned, &mut change);
+        self.reassess_machines(&affected, &mut change);
         change
     }
 
@@ -134,11 +134,11 @@
         if self.machines.get(&machine).is_some_and(|r| !r.faulty) {
             self.machines.remove(&machine);
         }
-        if let Some(record) = self.jobs.get_mut(&job).filter(|r| !r.sound) {
-            record.sound = true;
+        if let Some(record) = self.jobs.get_mut(&job).filter(|r| !r.proven) {
+            record.proven = true;
             record.faulty = false;
-            let concerned = self.machines_failing(job);
-            self.reassess_machines(&concerned, &mut change);
+            let affected = self.machines_failing(job);
+            self.reassess_machines(&affected, &mut change);
         }
         change
     }
@@ -169,7 +169,7 @@
         let record = self
             .jobs
             .get(&job)
-            .filter(|r| !r.sound && now.since(r.last_failure) < AVOID_FAILED_MACHINES_S)?;
+            .filter(|r| !r.proven && now.since(r.last_failure) < AVOID_FAILED_MACHINES_S)?;
         Some(&record.failed_on)
     }
 
@@ -188,8 +188,8 @@
         self.machines.remove(&machine);
     }
 
-    fn count_on_machine(&mut self, machine: MachineId, job: JobId) {
-        if self.machines.len() >= MAX_REMEMBERED && !self.machines.contains_key(&machine) {
+    fn record_machine_failure(&mut self, machine: MachineId, job: JobId) {
+        if self.machines.len() >= MAX_RECORDS && !self.machines.contains_key(&machine) {
             return;
         }
         let failures = &mut self.machines.entry(machine).or_default().failures_by_job;
@@ -200,17 +200,17 @@
     }
 
     fn is_machine_faulty(&self, failures_by_job: &BTreeMap<JobId, u32>) -> bool {
-        let (mut sound_failures, mut unproven_jobs) = (0, 0);
+        let (mut proven_job_failures, mut unproven_jobs) = (0, 0);
         for (job, failures) in failures_by_job {
             match self.jobs.get(job) {
                 Some(record) if record.faulty => {}
-                Some(record) if record.sound => sound_failures += failures,
+                Some(record) if record.proven => proven_job_failures += failures,
                 _ => unproven_jobs += 1,
             }
         }
-        sound_failures >= MIN_SOUND_JOB_FAILURES
+        proven_job_failures >= MIN_PROVEN_JOB_FAILURES
             || unproven_jobs >= MIN_UNPROVEN_JOBS
-            || sound_failures > 0 && unproven_jobs > 1
+            || proven_job_failures > 0 && unproven_jobs > 1
     }
 
     /// Whether a failure on the machine counts against the job: the machine is not faulty, and
@@ -219,8 +219,8 @@
     /// at once.
     fn implicates_job(&self, machine: MachineId, job: JobId) -> bool {
         self.machines.get(&machine).is_none_or(|record| {
-            let other = |j: &JobId| *j != job && !self.is_job_faulty(*j);
-            !record.faulty && !record.failures_by_job.keys().any(other)
+            let is_other_job = |j: &JobId| *j != job && !self.is_job_faulty(*j);
+            !record.faulty && !record.failures_by_job.keys().any(is_other_job)
         })
     }
 
@@ -229,15 +229,15 @@
         let Some(record) = self.jobs.get(&job) else {
             return;
         };
-        let implicating = record
+        let implicating_machines = record
             .machines
             .iter()
             .filter(|m| self.implicates_job(**m, job))
             .count() as u64;
         // With few machines, many failures are equivalent evidence.
-        let fails_everywhere = implicating >= MIN_FAILED_MACHINES
-            || implicating > 0 && record.failures >= MIN_JOB_FAILURES;
-        let faulty = !record.sound && fails_everywhere;
+        let fails_everywhere = implicating_machines >= MIN_FAILED_MACHINES
+            || implicating_machines > 0 && record.failures >= MIN_JOB_FAILURES;
+        let faulty = !record.proven && fails_everywhere;
         if let Some(record) = self.jobs.get_mut(&job) {
             record.faulty = faulty;
         }
--- a/crates/failure-detection/src/peer_observations.rs
+++ b/crates/failure-detection/src/peer_observations.rs
@@ -29,9 +29,9 @@
     /// the leader within the last `within_s` seconds and came back, because the leader does not
     /// answer it.
     pub fn record_report(&mut self, now: Time, id: MachineId, within_s: f64) -> bool {
-        let known = self.reports.get(&id).copied();
-        let returned = known.is_some_and(|r| r.redirected && now.since(r.at) <= within_s);
-        if self.reports.len() < MAX_MACHINES || known.is_some() {
+        let previous = self.reports.get(&id).copied();
+        let returned = previous.is_some_and(|r| r.redirected && now.since(r.at) <= within_s);
+        if self.reports.len() < MAX_MACHINES || previous.is_some() {
             let report = MisroutedReport {
                 at: now,
                 redirected: false,
@@ -66,7 +66,7 @@
 /// Machines that report to the leader's peers, and the time of the peers' last announcement.
 #[derive(Debug, Default)]
 pub struct PeerObservations {
-    heard_at: BTreeMap<MachineId, Time>,
+    announced_at: BTreeMap<MachineId, Time>,
 }
 
 impl PeerObservations {
@@ -74,31 +74,31 @@
     /// [`MAX_MACHINES`] are ignored.
     pub fn record(&mut self, now: Time, machines: impl Iterator<Item = MachineId>) {
         for id in machines.take(MAX_MACHINES) {
-            if self.heard_at.len() < MAX_MACHINES || self.heard_at.contains_key(&id) {
-                self.heard_at.insert(id, now);
+            if self.announced_at.len() < MAX_MACHINES || self.announced_at.contains_key(&id) {
+                self.announced_at.insert(id, now);
             }
         }
     }
 
     /// Deletes observations older than `within_s` seconds.
     pub fn expire(&mut self, now: Time, within_s: f64) {
-        self.heard_at.retain(|_, at| now.since(*at) <= within_s);
+        self.announced_at.retain(|_, at| now.since(*at) <= within_s);
     }
 
     /// Seconds since a peer last announced that this machine reports to it; `None` if no such
     /// announcement is recorded.
     pub fn age_s(&self, now: Time, id: MachineId) -> Option<f64> {
-        self.heard_at.get(&id).map(|at| now.since(*at))
+        self.announced_at.get(&id).map(|at| now.since(*at))
     }
 
     /// Number of machines recorded.
     pub fn len(&self) -> usize {
-        self.heard_at.len()
+        self.announced_at.len()
     }
 
     /// Whether no machine is recorded.
     pub fn is_empty(&self) -> bool {
-        self.heard_at.is_empty()
+        self.announced_at.is_empty()
     }
 }
 
--- a/crates/failure-detection/src/report_interval/tests.rs
+++ b/crates/failure-detection/src/report_interval/tests.rs
@@ -2,23 +2,23 @@
 
 #[test]
 fn usual_gaps_are_learned_and_interruptions_are_left_out() {
-    let mut r = ReportInterval::new(5.0);
-    let before = r.overdue_s();
+    let mut interval = ReportInterval::new(5.0);
+    let initial = interval.overdue_s();
     for i in 0..50_000u32 {
-        r.record_gap(3.75 + f64::from(i % 250) / 100.0);
+        interval.record_gap(3.75 + f64::from(i % 250) / 100.0);
     }
-    let learned = r.overdue_s();
+    let learned = interval.overdue_s();
     assert!(
-        learned > 6.2 && learned < 7.5 && learned <= before,
+        learned > 6.2 && learned < 7.5 && learned <= initial,
         "{learned}"
     );
     for _ in 0..5_000 {
-        r.record_gap(46.0);
+        interval.record_gap(46.0);
     }
-    assert!((r.overdue_s() - learned).abs() < 1e-9);
+    assert!((interval.overdue_s() - learned).abs() < 1e-9);
     // Longer gaps on slow links are learned too, up to a bound.
     for _ in 0..40_000 {
-        r.record_gap(12.0);
+        interval.record_gap(12.0);
     }
-    assert!(r.overdue_s() > 12.0 && r.overdue_s() <= 14.5);
+    assert!(interval.overdue_s() > 12.0 && interval.overdue_s() <= 14.5);
 }
--- a/crates/failure-detection/src/silence_detector.rs
+++ b/crates/failure-detection/src/silence_detector.rs
@@ -239,16 +239,16 @@
         let mut counts = FleetCounts::default();
         for observation in observations {
             let overdue = observation.silent_s > overdue_s;
-            let heard_by_peer = self.is_heard_by_peer(observation);
+            let reports_to_peer = self.reports_to_peer(observation);
             // A machine that the cloud terminated is no evidence about network links.
-            if observation.unlisted && !heard_by_peer {
+            if observation.unlisted && !reports_to_peer {
                 continue;
             }
             let connectivity = &mut counts.connectivity;
             if overdue {
                 connectivity.overdue += 1;
                 connectivity.heard_by_peers +=
-                    u32::from(heard_by_peer && !observation.rotates_controllers);
+                    u32::from(reports_to_peer && !observation.rotates_controllers);
             } else {
                 connectivity.reporting += 1;
             }
@@ -269,7 +269,7 @@
         self.refilled_at = Some(now);
     }
 
-    fn is_heard_by_peer(&self, observation: &MachineObservation) -> bool {
+    fn reports_to_peer(&self, observation: &MachineObservation) -> bool {
         observation
             .peer_report_age_s
             .is_some_and(|age| age <= self.thresholds.max_peer_age_s && age < observation.silent_s)
@@ -282,19 +282,19 @@
         all: OverdueCount,
         counts: &BTreeMap<FailureDomain, OverdueCount>,
     ) {
-        let mut any_silent = false;
+        let mut any_suspect = false;
         for (domain, count) in counts {
             let others = all.without(*count);
             // A domain that contains the whole fleet cannot be told from the local link.
             let stands_out =
                 others.known > 0 && count.fraction() >= others.fraction() * MIN_RATIO_TO_OTHERS;
-            let silent = count.is_mostly_overdue() && stands_out;
-            any_silent |= silent;
-            self.update_suspicion(now, *domain, *count, silent);
+            let suspect = count.is_mostly_overdue() && stands_out;
+            any_suspect |= suspect;
+            self.update_suspicion(now, *domain, *count, suspect);
         }
         // If one domain explains the missing reports, the local link is not suspected.
-        let own_link_silent = !any_silent && all.is_mostly_overdue();
-        if any_silent
+        let local_link_suspect = !any_suspect && all.is_mostly_overdue();
+        if any_suspect
             && self
                 .suspected_since
                 .remove(&FailureDomain::LocalLink)
@@ -303,7 +303,7 @@
             // Overdue machines outside the suspected domains get time to report again.
             self.begin_recovery(now, FailureDomain::LocalLink);
         }
-        self.update_suspicion(now, FailureDomain::LocalLink, all, own_link_silent);
+        self.update_suspicion(now, FailureDomain::LocalLink, all, local_link_suspect);
         self.suspected_since
             .retain(|domain, _| *domain == FailureDomain::LocalLink || counts.contains_key(domain));
     }
@@ -316,9 +316,9 @@
         now: Time,
         domain: FailureDomain,
         count: OverdueCount,
-        silent: bool,
+        suspect: bool,
     ) {
-        if silent {
+        if suspect {
             self.suspected_since.entry(domain).or_insert(now);
         } else if count.fraction() <= 1.0 - RECOVERED_FRACTION
             && self.suspected_since.remove(&domain).is_some()
@@ -341,7 +341,7 @@
     fn classify(&mut self, overdue_s: f64, observation: &MachineObservation) -> Liveness {
         let silent_s = observation.silent_s;
         if silent_s > overdue_s {
-            if self.is_heard_by_peer(observation) {
+            if self.reports_to_peer(observation) {
                 return Liveness::ReachableFromPeer;
             }
             if observation.unlisted {
--- a/crates/failure-detection/src/silence_detector/tests.rs
+++ b/crates/failure-detection/src/silence_detector/tests.rs
@@ -29,16 +29,16 @@
         .collect()
 }
 
-fn count(assessment: &FleetAssessment, want: Liveness) -> usize {
+fn count(assessment: &FleetAssessment, expected: Liveness) -> usize {
     assessment
         .findings
         .iter()
-        .filter(|(_, f)| *f == want)
+        .filter(|(_, f)| *f == expected)
         .count()
 }
 
 #[test]
-fn single_silent_machine_is_dead_at_once() {
+fn single_unreachable_machine_is_presumed_dead() {
     let mut detector = SilenceDetector::new(silence_thresholds());
     let assessment = detector.assess(
         at(0.0),
@@ -53,9 +53,9 @@
 /// period, so machines exceed the threshold one after another: half of a fleet was returned before
 /// most machines were overdue.
 #[test]
-fn silent_zone_is_shielded_as_broken_link() {
+fn unreachable_zone_is_shielded_as_broken_link() {
     let mut detector = SilenceDetector::new(silence_thresholds());
-    let mut returned = 0;
+    let mut dead_findings = 0;
     // Zone 1 is partitioned from 0 s to 51 s; its last reports are spread over 5 s.
     for step in 0..300 {
         let now = f64::from(step) * 0.2;
@@ -64,7 +64,7 @@
             _ => f64::from(i % 50) / 10.0,
         };
         let assessment = detector.assess(at(now), OVERDUE_S, &fleet(600, silent_s));
-        returned += count(&assessment, Liveness::Dead);
+        dead_findings += count(&assessment, Liveness::Dead);
         if now > 20.0 && now < 50.0 {
             assert_eq!(assessment.suspected.len(), 1, "{:?}", assessment.suspected);
             assert_eq!(
@@ -73,7 +73,7 @@
             );
         }
     }
-    assert_eq!(returned, 0);
+    assert_eq!(dead_findings, 0);
     assert!(
         detector.suspected_for_s(at(60.0), 1, 0).is_none(),
         "the suspicion ends when the zone reports again"
@@ -81,36 +81,49 @@
 }
 
 #[test]
-fn zone_that_stays_silent_is_dead_in_the_end_and_not_at_once() {
+fn zone_that_stays_unreachable_is_presumed_dead_gradually() {
     let mut detector = SilenceDetector::new(silence_thresholds());
-    let mut back = std::collections::BTreeSet::new();
-    let mut first = None;
+    let mut removed = std::collections::BTreeSet::new();
+    let mut first_removal_s = None;
     for step in 0..800 {
         let now = f64::from(step) * 0.2;
         let all = fleet(600, |i| if i % 2 == 1 { now } else { 1.0 });
-        let rest: Vec<MachineObservation> =
-            all.into_iter().filter(|m| !back.contains(&m.id)).collect();
+        let rest: Vec<MachineObservation> = all
+            .into_iter()
+            .filter(|m| !removed.contains(&m.id))
+            .collect();
         let assessment = detector.assess(at(now), OVERDUE_S, &rest);
-        let silent = assessment
+        let dead = assessment
             .findings
             .iter()
             .filter(|(_, f)| *f == Liveness::Dead);
-        let before = back.len();
-        back.extend(silent.map(|(id, _)| *id));
-        assert!(back.len() - before <= 61, "a tenth of the fleet at once");
-        if !back.is_empty() {
-            first.get_or_insert(now);
+        let before = removed.len();
+        removed.extend(dead.map(|(id, _)| *id));
+        assert!(removed.len() - before <= 61, "a tenth of the fleet at once");
+        if !removed.is_empty() {
+            first_removal_s.get_or_insert(now);
         }
     }
-    assert!(first.is_some_and(|t| t > 100.0 && t < 110.0), "{first:?}");
-    assert_eq!(back.len(), 300);
+    assert!(
+        first_removal_s.is_some_and(|t| t > 100.0 && t < 110.0),
+        "{first_removal_s:?}"
+    );
+    assert_eq!(removed.len(), 300);
 }
 
 /// Guards against returning the machines of a recovering zone that do not report again yet.
 #[test]
 fn last_machines_of_a_recovering_zone_are_shielded() {
     let mut detector = SilenceDetector::new(silence_thresholds());
-    let zone = |back: u32| move |i: u32| if i % 2 == 1 && i > back { 30.0 } else { 1.0 };
+    let zone = |recovered: u32| {
+        move |i: u32| {
+            if i % 2 == 1 && i > recovered {
+                30.0
+            } else {
+                1.0
+            }
+        }
+    };
     detector.assess(at(0.0), OVERDUE_S, &fleet(200, zone(0)));
     let assessment = detector.assess(at(1.0), OVERDUE_S, &fleet(200, zone(180)));
     assert!(assessment.suspected.is_empty());
@@ -126,7 +139,7 @@
 /// Guards against returning the other overdue machines of a fleet when one zone starts to account
 /// for most of the missing reports (day-78-9: nine machines were returned).
 #[test]
-fn other_machines_are_shielded_when_a_zone_explains_the_silence() {
+fn other_machines_are_shielded_when_one_zone_becomes_suspected() {
     let mut detector = SilenceDetector::new(silence_thresholds());
     detector.assess(at(0.0), OVERDUE_S, &fleet(100, |_| 20.0));
     let mostly = |i: u32| if i % 2 == 1 || i < 20 { 20.0 } else { 1.0 };
@@ -139,27 +152,29 @@
 }
 
 #[test]
-fn dead_tenth_of_the_fleet_is_detected_within_seconds() {
+fn dead_eighth_of_the_fleet_is_detected_within_seconds() {
     let mut detector = SilenceDetector::new(silence_thresholds());
-    let mut back = std::collections::BTreeSet::new();
-    let mut last = 0.0;
+    let mut removed = std::collections::BTreeSet::new();
+    let mut last_removal_s = 0.0;
     for step in 0..200 {
         let now = f64::from(step) * 0.2;
         let all = fleet(900, |i| if i % 8 == 0 { now } else { 1.0 });
-        let rest: Vec<MachineObservation> =
-            all.into_iter().filter(|m| !back.contains(&m.id)).collect();
+        let rest: Vec<MachineObservation> = all
+            .into_iter()
+            .filter(|m| !removed.contains(&m.id))
+            .collect();
         for (id, f) in detector.assess(at(now), OVERDUE_S, &rest).findings {
-            if f == Liveness::Dead && back.insert(id) {
-                last = now;
+            if f == Liveness::Dead && removed.insert(id) {
+                last_removal_s = now;
             }
         }
     }
-    assert_eq!(back.len(), 113);
-    assert!(last < 18.0, "{last}");
+    assert_eq!(removed.len(), 113);
+    assert!(last_removal_s < 18.0, "{last_removal_s}");
 }
 
 #[test]
-fn machines_heard_by_peers_are_alive_and_many_of_them_move_leadership() {
+fn machines_reporting_to_peers_are_alive_and_many_of_them_move_leadership() {
     let mut detector = SilenceDetector::new(silence_thresholds());
     let mut all = fleet(100, |_| 20.0);
     for m in all.iter_mut().take(60) {
@@ -199,7 +214,7 @@
 }
 
 #[test]
-fn unlisted_machines_are_told_from_those_behind_a_broken_link() {
+fn unlisted_machines_are_distinguished_from_those_behind_a_broken_link() {
     let mut detector = SilenceDetector::new(silence_thresholds());
     let mut all = fleet(400, |i| if i % 2 == 1 { 20.0 } else { 1.0 });
     for m in all.iter_mut().filter(|m| m.id.number() % 4 == 1) {
@@ -214,7 +229,7 @@
 }
 
 #[test]
-fn silence_of_the_whole_fleet_is_shielded_for_a_bounded_time() {
+fn unreachable_fleet_is_shielded_for_a_bounded_time() {
     let mut detector = SilenceDetector::new(silence_thresholds());
     let assessment = detector.assess(at(0.0), OVERDUE_S, &fleet(300, |_| 30.0));
     assert_eq!(
--- a/crates/failure-detection/src/stall_detector.rs
+++ b/crates/failure-detection/src/stall_detector.rs
@@ -57,9 +57,9 @@
             None => now,
         };
         self.stalled_since = Some(since);
-        let stuck = now.since(since) > self.timeout_s;
-        let detected = stuck && !self.reported;
-        self.reported = stuck;
+        let is_stalled = now.since(since) > self.timeout_s;
+        let detected = is_stalled && !self.reported;
+        self.reported = is_stalled;
         detected
     }
 
--- a/crates/rate-limit/src/backoff.rs
+++ b/crates/rate-limit/src/backoff.rs
@@ -29,32 +29,32 @@
 #[derive(Clone, Debug)]
 pub struct AdaptiveBackoff {
     /// Shortest backoff, seconds.
-    min_pause_s: f64,
+    min_backoff_s: f64,
     /// Longest backoff, seconds.
-    max_pause_s: f64,
+    max_backoff_s: f64,
     /// Rejections as malformed since the last success.
     malformed: u32,
     /// Other refusals since the last success.
     refused: u32,
     /// End of the current backoff.
-    until: Time,
+    backoff_until: Time,
 }
 
 impl AdaptiveBackoff {
     /// Creates a retry state with backoffs between `min_backoff_s` and `max_backoff_s` seconds.
-    pub fn new(min_pause_s: f64, max_pause_s: f64) -> AdaptiveBackoff {
+    pub fn new(min_backoff_s: f64, max_backoff_s: f64) -> AdaptiveBackoff {
         AdaptiveBackoff {
-            min_pause_s,
-            max_pause_s: max_pause_s.max(min_pause_s),
+            min_backoff_s,
+            max_backoff_s: max_backoff_s.max(min_backoff_s),
             malformed: 0,
             refused: 0,
-            until: Time::default(),
+            backoff_until: Time::default(),
         }
     }
 
     /// Whether the backoff after the last refusal has ended.
     pub fn is_due(&self, now: Time) -> bool {
-        now >= self.until
+        now >= self.backoff_until
     }
 
     /// Divisor of the full size for the next request.
@@ -81,13 +81,13 @@
     /// Handles a request that was not executed because of a rate limit or an unavailable service.
     pub fn on_refused(&mut self, now: Time) {
         self.refused = self.refused.saturating_add(1);
-        self.pause(now, self.refused);
+        self.start_backoff(now, self.refused);
     }
 
     /// Handles a request that the service rejected as malformed and would reject again.
     pub fn on_malformed(&mut self, now: Time) -> RetryAction {
         self.malformed = self.malformed.saturating_add(1);
-        self.pause(now, self.malformed);
+        self.start_backoff(now, self.malformed);
         if self.malformed > MAX_MALFORMED {
             RetryAction::SetAside
         } else {
@@ -95,10 +95,10 @@
         }
     }
 
-    fn pause(&mut self, now: Time, refusals: u32) {
+    fn start_backoff(&mut self, now: Time, refusals: u32) {
         let doublings = refusals.saturating_sub(1).min(MAX_DOUBLINGS);
-        let pause_s = self.min_pause_s * f64::from(1u32 << doublings);
-        self.until = now.plus(pause_s.min(self.max_pause_s));
+        let backoff_s = self.min_backoff_s * f64::from(1u32 << doublings);
+        self.backoff_until = now.plus(backoff_s.min(self.max_backoff_s));
     }
 }
 
--- a/crates/rate-limit/src/transaction.rs
+++ b/crates/rate-limit/src/transaction.rs
@@ -199,7 +199,7 @@
             });
         }
         let (conditions, bytes) = match self.conditions.get(key) {
-            Some(known) if *known != revision => {
+            Some(existing) if *existing != revision => {
                 return Err(TransactionError::ConflictingConditions)
             }
             Some(_) => (0, 0),
--- a/crates/standby/src/failure_detector.rs
+++ b/crates/standby/src/failure_detector.rs
@@ -8,26 +8,26 @@
 pub const HEARTBEAT_S: f64 = 0.5;
 /// Minimum time without a heartbeat after which a leader is suspected, seconds. Three heartbeats
 /// must be missing, because TCP retransmits a lost one only after a few tenths of a second.
-const MIN_SILENCE_S: f64 = 1.5;
+const MIN_HEARTBEAT_TIMEOUT_S: f64 = 1.5;
 /// Time without a heartbeat after which a leader is suspected, in observed heartbeat intervals: a
 /// leader of an earlier version sends one each second, and a slow link lengthens the intervals.
-const SILENT_INTERVALS: f64 = 2.2;
+const TIMEOUT_INTERVALS: f64 = 2.2;
 /// Weight of the newest interval in the moving average.
 const INTERVAL_WEIGHT: f64 = 0.25;
 /// Minimum time for which a leader must have sent heartbeats before it can be suspected, seconds.
 /// At the start of its term a leader loads its state and processes the reports of all workers.
-const MIN_KNOWN_S: f64 = 3.0;
+const MIN_HEARTBEAT_HISTORY_S: f64 = 3.0;
 /// Longest gap between heartbeats, seconds; a longer one restarts the observation of the leader.
 const MAX_GAP_S: f64 = 4.0;
 /// Minimum number of misrouted workers for a suspicion. The link of a single worker may be broken.
-const MIN_WITNESSES: usize = 3;
+const MIN_MISROUTED_WORKERS: usize = 3;
 /// Longest time from the last heartbeat to the first misrouted worker, seconds. Connections to
 /// a terminated process are reset, and workers contact the next controller a second later; workers
 /// of a slow leader do so only after their timeout of four seconds. A takeover from a slow leader
 /// would only move its load to the next leader, which would become slow in turn.
-const MAX_FIRST_WITNESS_S: f64 = 3.2;
+const MAX_FIRST_MISROUTED_DELAY_S: f64 = 3.2;
 /// Longest time between misrouted reports that count as evidence of the same failure, seconds.
-const WITNESS_WINDOW_S: f64 = 3.0;
+const MISROUTED_WINDOW_S: f64 = 3.0;
 /// Additional wait for each controller of a better rank, seconds: longer than a transaction and
 /// the watch event about it take. If two controllers try at once, one transaction is refused.
 const RANK_DELAY_S: f64 = 0.1;
@@ -35,7 +35,7 @@
 /// whose heartbeats do not arrive, must not lose leadership repeatedly.
 const MIN_SUSPICION_INTERVAL_S: f64 = 15.0;
 /// Maximum number of recorded changes of the leader; bounds memory.
-const MAX_CHANGES: usize = 4;
+const MAX_LEADER_CHANGES: usize = 4;
 /// How long a change of the leader lengthens the heartbeat timeout, seconds.
 const CHANGE_WINDOW_S: f64 = 30.0;
 /// Addition to the heartbeat timeout for each change of the leader beyond the first in that window,
@@ -45,7 +45,7 @@
 /// up to three seconds.
 const MAX_STORE_AGE_S: f64 = 3.5;
 /// Maximum number of recorded misrouted workers; bounds memory.
-const MAX_WITNESSES: usize = 256;
+const MAX_MISROUTED_WORKERS: usize = 256;
 
 /// State of the observing controller.
 #[derive(Clone, Copy, Debug)]
@@ -72,17 +72,17 @@
     leader: Option<String>,
     token: FencingToken,
     /// Time since which the leader's heartbeats have arrived without a gap.
-    known_since: Time,
+    heartbeats_since: Time,
     last_heartbeat: Time,
     /// Seconds between heartbeats, as a moving average.
     interval_s: f64,
     /// Machines that reported to this controller since the last heartbeat.
-    witnesses: BTreeSet<MachineId>,
+    misrouted_machines: BTreeSet<MachineId>,
     /// Time of the first of these reports.
-    first_witness: Time,
+    first_misrouted_at: Time,
     last_suspicion: Option<Time>,
     /// Times at which the latest changes of the leader were detected.
-    changes: VecDeque<Time>,
+    leader_changes: VecDeque<Time>,
 }
 
 impl Default for FailureDetector {
@@ -90,13 +90,13 @@
         FailureDetector {
             leader: None,
             token: FencingToken(0),
-            known_since: Time::default(),
+            heartbeats_since: Time::default(),
             last_heartbeat: Time::default(),
             interval_s: HEARTBEAT_S,
-            witnesses: BTreeSet::new(),
-            first_witness: Time::default(),
+            misrouted_machines: BTreeSet::new(),
+            first_misrouted_at: Time::default(),
             last_suspicion: None,
-            changes: VecDeque::new(),
+            leader_changes: VecDeque::new(),
         }
     }
 }
@@ -112,7 +112,7 @@
             return;
         }
         if changed || gap_s > MAX_GAP_S {
-            self.known_since = now;
+            self.heartbeats_since = now;
             self.interval_s = HEARTBEAT_S;
         } else {
             self.interval_s += INTERVAL_WEIGHT * (gap_s - self.interval_s);
@@ -120,19 +120,19 @@
         if changed {
             self.leader = Some(leader.to_string());
             if !first_leader {
-                self.note_change(now);
+                self.record_leader_change(now);
             }
         }
         self.token = token;
         self.last_heartbeat = now;
-        self.witnesses.clear();
+        self.misrouted_machines.clear();
     }
 
-    fn note_change(&mut self, now: Time) {
-        if self.changes.len() == MAX_CHANGES {
-            self.changes.pop_front();
+    fn record_leader_change(&mut self, now: Time) {
+        if self.leader_changes.len() == MAX_LEADER_CHANGES {
+            self.leader_changes.pop_front();
         }
-        self.changes.push_back(now);
+        self.leader_changes.push_back(now);
     }
 
     /// Handles the report of a worker to this controller instead of the leader.
@@ -149,29 +149,31 @@
         if highest_seen_token != self.token {
             return;
         }
-        if self.witnesses.is_empty() || now.since(self.first_witness) > WITNESS_WINDOW_S {
-            self.witnesses.clear();
-            self.first_witness = now;
+        if self.misrouted_machines.is_empty()
+            || now.since(self.first_misrouted_at) > MISROUTED_WINDOW_S
+        {
+            self.misrouted_machines.clear();
+            self.first_misrouted_at = now;
         }
-        if self.witnesses.len() < MAX_WITNESSES {
-            self.witnesses.insert(machine);
+        if self.misrouted_machines.len() < MAX_MISROUTED_WORKERS {
+            self.misrouted_machines.insert(machine);
         }
     }
 
     /// Whether the leader's heartbeats are missing; workers are not redirected to it then.
     pub fn is_silent(&self, now: Time) -> bool {
-        self.leader.is_some() && now.since(self.last_heartbeat) > self.silence_limit_s(now)
+        self.leader.is_some() && now.since(self.last_heartbeat) > self.heartbeat_timeout_s(now)
     }
 
     /// Time without a heartbeat after which the leader is suspected, seconds.
-    fn silence_limit_s(&self, now: Time) -> f64 {
+    fn heartbeat_timeout_s(&self, now: Time) -> f64 {
         let recent_changes = self
-            .changes
+            .leader_changes
             .iter()
             .filter(|at| now.since(**at) <= CHANGE_WINDOW_S)
             .count();
         let backoff_s = CHANGE_BACKOFF_S * recent_changes.saturating_sub(1) as f64;
-        MIN_SILENCE_S.max(SILENT_INTERVALS * self.interval_s) + backoff_s
+        MIN_HEARTBEAT_TIMEOUT_S.max(TIMEOUT_INTERVALS * self.interval_s) + backoff_s
     }
 
     /// Returns the leader if it is presumed dead and it is this controller's turn to take over;
@@ -181,14 +183,15 @@
     /// later at the earliest.
     pub fn suspect(&mut self, now: Time, observer: Observer) -> Option<&str> {
         let leader = self.leader.as_deref()?;
-        let known = self.last_heartbeat.since(self.known_since) >= MIN_KNOWN_S;
+        let has_history =
+            self.last_heartbeat.since(self.heartbeats_since) >= MIN_HEARTBEAT_HISTORY_S;
         let rate_limited = self
             .last_suspicion
             .is_some_and(|at| now.since(at) <= MIN_SUSPICION_INTERVAL_S);
-        if !known
+        if !has_history
             || rate_limited
             || !self.is_overdue(now, observer.rank)
-            || !self.has_witnesses(now)
+            || !self.has_misrouted_workers(now)
             || !self.can_take_over(now, observer)
         {
             return None;
@@ -200,37 +203,41 @@
     /// Whether heartbeats have been missing for long enough that a controller of this rank may
     /// act.
     fn is_overdue(&self, now: Time, rank: u32) -> bool {
-        let silent_s = now.since(self.last_heartbeat);
-        silent_s > self.silence_limit_s(now) + RANK_DELAY_S * f64::from(rank)
+        let since_heartbeat_s = now.since(self.last_heartbeat);
+        since_heartbeat_s > self.heartbeat_timeout_s(now) + RANK_DELAY_S * f64::from(rank)
     }
 
     /// Whether enough workers of the leader reported to this controller, soon after its last
     /// heartbeat and close together.
-    fn has_witnesses(&self, now: Time) -> bool {
-        self.witnesses.len() >= MIN_WITNESSES
-            && now.since(self.first_witness) <= WITNESS_WINDOW_S
-            && self.first_witness.since(self.last_heartbeat) <= MAX_FIRST_WITNESS_S
+    fn has_misrouted_workers(&self, now: Time) -> bool {
+        self.misrouted_machines.len() >= MIN_MISROUTED_WORKERS
+            && now.since(self.first_misrouted_at) <= MISROUTED_WINDOW_S
+            && self.first_misrouted_at.since(self.last_heartbeat) <= MAX_FIRST_MISROUTED_DELAY_S
     }
 
     /// Whether this controller could schedule immediately and was not paused in that time: messages
     /// that arrived or were missing during its pause are no evidence.
     fn can_take_over(&self, now: Time, observer: Observer) -> bool {
-        let silent_s = now.since(self.last_heartbeat);
-        let running = observer
+        let since_heartbeat_s = now.since(self.last_heartbeat);
+        let not_recently_paused = observer
             .resumed_for_s
-            .is_none_or(|since_s| since_s > silent_s + self.silence_limit_s(now));
-        observer.jobs_loaded && observer.store_age_s < MAX_STORE_AGE_S && running
+            .is_none_or(|resumed_s| resumed_s > since_heartbeat_s + self.heartbeat_timeout_s(now));
+        observer.jobs_loaded && observer.store_age_s < MAX_STORE_AGE_S && not_recently_paused
     }
 }
 
 /// Number of controllers that take over before `local_label` when `leader` is dead: those between
 /// the two in the ring of labels. The workers of a dead leader contact controllers in the same
 /// order.
-pub fn takeover_rank<'a>(leader: &str, own: &str, members: impl Iterator<Item = &'a str>) -> u32 {
+pub fn takeover_rank<'a>(
+    leader: &str,
+    local_label: &str,
+    members: impl Iterator<Item = &'a str>,
+) -> u32 {
     let position = |label: &str| (label <= leader, label.to_string());
-    let own_position = position(own);
+    let local_position = position(local_label);
     members
-        .filter(|label| *label != leader && position(label) < own_position)
+        .filter(|label| *label != leader && position(label) < local_position)
         .count() as u32
 }
 
