--- a/crates/failure-detection/src/silence_detector.rs
+++ b/crates/failure-detection/src/silence_detector.rs
@@ -28,7 +28,7 @@
 /// A group of machines that one broken network link would make unreachable together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailureDomain {
-    /// All machines: this controller's link to them is broken.
+    /// All machines, which share this controller's link.
     LocalLink,
     /// Machines of the zone with this number.
     Zone(usize),
@@ -49,7 +49,7 @@
     pub silent_s: f64,
     /// Seconds since a peer announced that the machine reports to it; `None` if no peer has.
     pub peer_report_age_s: Option<f64>,
-    /// The cloud's list no longer contains the machine, although it contains all existing ones.
+    /// The cloud's list no longer contains the machine, but would if the machine existed.
     pub unlisted: bool,
     /// The machine acknowledges nothing and its worker contacts one controller after another.
     /// Its reports to peers are therefore no evidence about this controller's link.
@@ -275,7 +275,9 @@
             .is_some_and(|age| age <= self.thresholds.max_peer_age_s && age < observation.silent_s)
     }
 
-    /// Decides which failure domains are suspected.
+    /// Decides which failure domains are suspected. A zone or machine type must meet all three of
+    /// [`MIN_OVERDUE_FRACTION`], [`MIN_OVERDUE_MACHINES`] and [`MIN_RATIO_TO_OTHERS`], the local
+    /// link only the first two.
     fn update_suspicions(
         &mut self,
         now: Time,
@@ -285,7 +287,8 @@
         let mut any_suspect = false;
         for (domain, count) in counts {
             let others = all.without(*count);
-            // A domain that contains the whole fleet cannot be told from the local link.
+            // Missing reports of a domain that contains the whole fleet give no more information
+            // than those of the local link.
             let stands_out =
                 others.known > 0 && count.fraction() >= others.fraction() * MIN_RATIO_TO_OTHERS;
             let suspect = count.is_mostly_overdue() && stands_out;
@@ -358,9 +361,9 @@
             .domains()
             .into_iter()
             .find(|domain| self.is_shielding(domain));
-        // A dead machine cannot be told from one behind a network partition. The limit applies to
-        // each machine's time without reports, so one that becomes unreachable late is shielded
-        // for as long as the others.
+        // A dead machine cannot be distinguished from one behind a network partition. The limit
+        // applies to each machine's time without reports, so one that becomes unreachable late is
+        // shielded for as long as the others.
         if let Some(domain) = shield.filter(|_| silent_s <= self.thresholds.max_shield_s) {
             return Liveness::Shielded(domain);
         }
--- a/crates/failure-detection/src/silence_detector/tests.rs
+++ b/crates/failure-detection/src/silence_detector/tests.rs
@@ -99,7 +99,10 @@
             .filter(|(_, f)| *f == Liveness::Dead);
         let before = removed.len();
         removed.extend(dead.map(|(id, _)| *id));
-        assert!(removed.len() - before <= 61, "a tenth of the fleet at once");
+        assert!(
+            removed.len() - before <= 61,
+            "at most a tenth of the fleet at once"
+        );
         if !removed.is_empty() {
             first_removal_s.get_or_insert(now);
         }
