--- a/crates/preemption/src/budget.rs
+++ b/crates/preemption/src/budget.rs
@@ -1,18 +1,21 @@
-//! How many nominations with victims may be open at once.
+//! Limits the number of open nominations with victims.
 
 use beamhinge_core::types::Time;
 
-/// Fewest: a nomination that brings no start still shows when starts come again.
+/// Lower bound of the window, in nominations. It is not 0, so that nominations still show when
+/// preemption leads to starts again.
 const MIN_WINDOW: f64 = 4.0;
-/// At first, before anything is known.
+/// Window before any nomination has ended, in nominations.
 const INITIAL_WINDOW: f64 = 32.0;
-/// Upper bound of the window: two nominations for each of some 4,000 machines; a new leader must
-/// be able to forget them all.
+/// Upper bound of the window: two nominations for each of about 4,000 machines. A new leader must
+/// be able to drop them all.
 const MAX_WINDOW: f64 = 8_192.0;
 
-/// A congestion window over nominations: each that ends in a start admits one more, and one that
-/// is abandoned halves the window, once for all that were opened before (V. Jacobson, "Congestion
-/// avoidance and control", 1988).
+/// A congestion window over nominations with victims (V. Jacobson, "Congestion avoidance and
+/// control", 1988).
+///
+/// Each nomination that ends in a start widens the window by one. An abandoned nomination halves
+/// it, once for all nominations that were opened before the halving.
 #[derive(Debug)]
 pub struct PreemptionBudget {
     window: f64,
@@ -29,20 +32,20 @@
 }
 
 impl PreemptionBudget {
-    /// Nominations with victims that may be open.
+    /// The maximum number of open nominations with victims.
     #[must_use]
     pub fn window(&self) -> usize {
         self.window as usize
     }
 
-    /// A nomination ended in a start.
+    /// Widens the window after a nomination ended in a start.
     pub fn on_started(&mut self) {
         self.window = (self.window + 1.0).min(MAX_WINDOW);
     }
 
-    /// A nomination that was opened at `opened` ended in none.
+    /// Halves the window after a nomination that was opened at `opened` ended without a start.
     pub fn on_abandoned(&mut self, now: Time, opened: Time) {
-        // Those that were opened before the last halving tell nothing new.
+        // The last halving already accounts for nominations that were opened before it.
         if opened < self.last_halved {
             return;
         }
--- a/crates/preemption/src/budget/tests.rs
+++ b/crates/preemption/src/budget/tests.rs
@@ -9,7 +9,7 @@
         budget.on_started();
     }
     assert_eq!(budget.window(), first * 2);
-    // A hundred that were opened together and abandoned count once.
+    // A hundred nominations that were opened together and abandoned halve the window once.
     for _ in 0..100 {
         budget.on_abandoned(at(5.0), at(0.0));
     }
@@ -18,7 +18,11 @@
         let now = 10.0 * f64::from(round);
         budget.on_abandoned(at(now), at(now - 1.0));
     }
-    assert_eq!(budget.window(), MIN_WINDOW as usize, "never none at all");
+    assert_eq!(
+        budget.window(),
+        MIN_WINDOW as usize,
+        "the window stays above 0"
+    );
     for _ in 0..10_000 {
         budget.on_started();
     }
--- a/crates/preemption/src/candidates.rs
+++ b/crates/preemption/src/candidates.rs
@@ -1,46 +1,47 @@
-//! Candidate machines for preemption, and which of them serves a task at the least cost.
+//! Candidate machines for preemption, and the choice of the cheapest one for a task.
 
 use crate::victim_selection::{cheapest_victims, PreemptibleTask, VictimSet};
 use beamhinge_core::resources::Resources;
 use beamhinge_core::types::{MachineId, TaskId};
 
-/// Machines with an offer that one search compares.
+/// Maximum number of machines with an offer that one search compares.
 const MAX_COMPARED: usize = 48;
 
-/// A task that is about to end by itself.
+/// A task that is expected to end soon without preemption.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExpectedExit {
     /// The task.
     pub task: TaskId,
-    /// Seconds until it ends, by estimate.
+    /// Estimated seconds until it ends.
     pub remaining_s: f64,
-    /// What its end frees.
+    /// Resources that its end frees.
     pub resources: Resources,
 }
 
-/// A machine as one cycle of preemption sees it.
+/// State of a machine during the preemption phase of one scheduling cycle.
 #[derive(Clone, Debug)]
 pub struct CandidateMachine {
     /// The machine.
     pub machine: MachineId,
-    /// What nobody is promised, now or once its victims have ended; negative where more is
-    /// nominated than there is.
+    /// Resources that are assigned to no task, now or once the machine's victims have ended;
+    /// negative if nominations exceed the capacity.
     pub free: Resources,
-    /// Tasks that may be preempted at all, by the rules that hold for all claims.
+    /// Tasks that may be preempted by the rules that apply to every preempting task.
     pub preemptible: Vec<PreemptibleTask>,
-    /// Tasks about to end by themselves, the first in front.
+    /// Tasks that are expected to end soon, in the order of their expected end.
     pub exits: Vec<ExpectedExit>,
 }
 
 impl CandidateMachine {
-    /// Loss of its cheapest task for each CPU; infinite if it has none.
+    /// The smallest loss per CPU among the preemptible tasks; infinite if there are none.
     fn least_lost_s_per_cpu(&self) -> f64 {
         let losses = self.preemptible.iter().map(PreemptibleTask::lost_s_per_cpu);
         losses.fold(f64::INFINITY, f64::min)
     }
 
-    /// Uses exits within `within_s` seconds for one task, without any preemption. False when they
-    /// do not leave room, or when there is room without them.
+    /// Assigns the capacity of exits that are expected within `within_s` seconds to one task,
+    /// without preemption. Returns `false` and changes nothing if they do not free enough
+    /// capacity, or if the task fits without them.
     fn use_exits(&mut self, wanted: Resources, within_s: f64) -> bool {
         let mut free = self.free;
         let mut needed = 0;
@@ -60,20 +61,21 @@
         }
         free.sub(&wanted);
         self.free = free;
-        // What ends by itself is not preempted as well.
+        // A task that is expected to end is not preempted as well.
         for exit in self.exits.drain(..needed) {
             self.preemptible.retain(|task| task.task != exit.task);
         }
         true
     }
 
-    /// The cheapest victims for one task among those that `may_preempt` admits.
+    /// The cheapest victims for one task among the tasks that `may_preempt` allows; `None` if they
+    /// are not enough.
     fn offer(
         &self,
         wanted: Resources,
         may_preempt: impl Fn(&PreemptibleTask) -> bool,
     ) -> Option<VictimSet> {
-        // Where it fits already nobody needs to be preempted.
+        // Nothing is preempted if the task fits already.
         if wanted.fits(&self.free) {
             return Some(VictimSet::default());
         }
@@ -86,7 +88,7 @@
         cheapest_victims(self.free, &preemptible, wanted)
     }
 
-    /// Promises the room that the victims leave to a task of this size.
+    /// Assigns the capacity that the victims free to a task of this size.
     fn accept(&mut self, victims: &VictimSet, wanted: Resources) {
         for victim in &victims.tasks {
             self.free.add(&victim.resources);
@@ -97,30 +99,30 @@
     }
 }
 
-/// A machine for one task, and the victims that leave it room there.
+/// A machine for one task, and the victims that have to end there so that it fits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PreemptionOffer {
     /// The machine.
     pub machine: MachineId,
-    /// Who has to end; nobody where earlier victims leave room enough.
+    /// Tasks that have to end; empty if earlier victims free enough capacity.
     pub victims: VictimSet,
 }
 
-/// The best offer of a search so far.
+/// The cheapest offer that a search has found so far.
 struct BestOffer {
     cost: f64,
     index: usize,
     victims: VictimSet,
 }
 
-/// All candidate machines, the one whose tasks lose least in front.
+/// All candidate machines, in ascending order of the smallest loss per CPU.
 #[derive(Debug, Default)]
 pub struct CandidateMachines {
     machines: Vec<CandidateMachine>,
 }
 
 impl CandidateMachines {
-    /// Orders the machines by what a CPU of their cheapest task costs, then by their ids.
+    /// Sorts the machines by the smallest loss per CPU among their tasks, then by their ids.
     #[must_use]
     pub fn new(machines: Vec<CandidateMachine>) -> CandidateMachines {
         let mut keyed: Vec<(f64, CandidateMachine)> = machines
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Something else was allocated on the machine.
+    /// Subtracts resources that were allocated on the machine to another task.
     pub fn allocate(&mut self, machine: MachineId, resources: &Resources) {
         if let Some(candidate) = self
             .machines
@@ -147,8 +149,9 @@
         }
     }
 
-    /// How many of `max_tasks` tasks get room within `within_s` seconds by exits alone. That room
-    /// is theirs: later claims do not count on it.
+    /// Assigns the capacity of exits that are expected within `within_s` seconds to up to
+    /// `max_tasks` tasks, and returns how many of them fit. Later calls do not use this capacity
+    /// again.
     pub fn claim_exits(
         &mut self,
         wanted: Resources,
@@ -171,9 +174,9 @@
         found
     }
 
-    /// The cheapest offer for one task among the first machines that have one. The room is
-    /// promised to the task from then on. `extra_cost` is what the start on a machine costs beside
-    /// its victims, CPU seconds.
+    /// Chooses the cheapest offer for one task among the first machines that have one, and assigns
+    /// that capacity to the task; `None` if no machine has an offer. `extra_cost` is the cost of a
+    /// start on a machine in addition to the loss of its victims, CPU seconds.
     pub fn take_best(
         &mut self,
         wanted: Resources,
--- a/crates/preemption/src/candidates/tests.rs
+++ b/crates/preemption/src/candidates/tests.rs
@@ -42,8 +42,8 @@
     candidates.take_best(resources(cpus), |_| true, |_| true, |_| 0.0)
 }
 
-/// Guards against a former fault: CPUs were added up over the whole fleet, and of a dozen
-/// preemptions spread over as many machines nobody got room.
+/// Guards against a former fault: freed CPUs were summed over the whole fleet, so a dozen
+/// preemptions on a dozen machines freed enough capacity for the task on none of them.
 #[test]
 fn victims_of_one_task_are_on_one_machine() {
     let six = |from: u32, lost_cpu_s: f64| -> Vec<PreemptibleTask> {
@@ -60,7 +60,7 @@
     assert_eq!(
         (offer.machine, offer.victims.tasks.len()),
         (machine(3), 4),
-        "four CPUs were free there"
+        "four CPUs were already free on this machine"
     );
     let offer = take(&mut candidates, 12.0).expect("an offer");
     assert_eq!((offer.machine, offer.victims.tasks.len()), (machine(2), 6));
--- a/crates/preemption/src/history.rs
+++ b/crates/preemption/src/history.rs
@@ -1,13 +1,13 @@
-//! How often each task was preempted, and when it is spared for that.
+//! Counts the preemptions of each task and protects tasks that were preempted often.
 
 use beamhinge_core::types::TaskId;
 use std::collections::BTreeMap;
 
-/// How often each unfinished task was preempted.
+/// Number of preemptions of each unfinished task.
 ///
-/// A task that has hardly begun is the cheapest victim, so the same one was preempted each time it
-/// began. Bounded: a task is forgotten when its job is over, and beyond `max_tasks` the one that
-/// was preempted least often is.
+/// A task that has only just started is the cheapest victim, so without this history the same task
+/// was preempted each time it started. The history is bounded: a task is removed when its job is
+/// over, and at `max_tasks` entries a new task replaces the one that was preempted least often.
 #[derive(Debug)]
 pub struct PreemptionHistory {
     preemptions: BTreeMap<TaskId, u32>,
@@ -15,7 +15,7 @@
 }
 
 impl PreemptionHistory {
-    /// An empty history of at most so many tasks, and of one at least.
+    /// Creates an empty history of at most `max_tasks` tasks; 0 counts as 1.
     #[must_use]
     pub fn new(max_tasks: usize) -> PreemptionHistory {
         PreemptionHistory {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A task was preempted.
+    /// Records one preemption of a task.
     pub fn record(&mut self, task: TaskId) {
         if self.preemptions.len() >= self.max_tasks && !self.preemptions.contains_key(&task) {
             let least_preempted = self
@@ -40,8 +40,8 @@
         *count = count.saturating_add(1);
     }
 
-    /// Whether a task that has run for `ran_s` seconds may be preempted: not when it was
-    /// `max_preemptions` times already, until it has run for `protected_s` seconds.
+    /// Whether a task that has run for `ran_s` seconds may be preempted. A task that was already
+    /// preempted `max_preemptions` times is protected until it has run for `protected_s` seconds.
     #[must_use]
     pub fn may_preempt(
         &self,
@@ -54,7 +54,7 @@
         count < max_preemptions || ran_s >= protected_s
     }
 
-    /// Forgets all tasks but these.
+    /// Removes all tasks that are no longer unfinished.
     pub fn retain(&mut self, is_unfinished: impl Fn(&TaskId) -> bool) {
         self.preemptions.retain(|task, _| is_unfinished(task));
     }
--- a/crates/preemption/src/history/tests.rs
+++ b/crates/preemption/src/history/tests.rs
@@ -17,7 +17,7 @@
     }
     assert!(
         history.may_preempt(task(0), 60.0, 2, 60.0),
-        "it has had its time"
+        "the protected time is over"
     );
     for index in 1..100 {
         history.record(task(index));
--- a/crates/preemption/src/lib.rs
+++ b/crates/preemption/src/lib.rs
@@ -1,14 +1,15 @@
-//! Preemption: running work is stopped for pending work, and only as a plan.
+//! Preemption: stops running tasks to free capacity for a pending task on a chosen machine.
 //!
-//! A task that may not wait is *nominated* for one machine, and with the nomination go the
-//! victims whose end leaves room enough for it. The nomination holds until the task runs there or
-//! no longer wants it; nobody else is preempted for that task meanwhile. How many nominations may
-//! be open follows the starts that earlier ones brought ([`PreemptionBudget`]), so preemption that
-//! helps nobody soon stops. Every tenant keeps a part of the capacity that its jobs fit on
-//! ([`ReservedCapacity`]), and a task that was preempted often is spared ([`PreemptionHistory`]).
+//! A task that may not wait is *nominated* for one machine, together with the victims that have to
+//! end there to free enough capacity for it. The nomination stays open until the task runs on that
+//! machine or no longer needs it; no other task is preempted for it in the meantime. The limit on
+//! open nominations adapts to how many earlier ones led to a start ([`PreemptionBudget`]), so
+//! preemption that starts no tasks soon stops. Every tenant keeps a part of the capacity that its
+//! jobs fit on ([`ReservedCapacity`]), and a task that was preempted often is protected
+//! ([`PreemptionHistory`]).
 //!
-//! Sans-IO: machines and resources come in, decisions go out. `docs/preemption.md` has the
-//! argument and the alternatives that were weighed.
+//! Sans-IO: the crate takes machines and resources as input and returns decisions.
+//! `docs/preemption.md` explains the design and the alternatives that were considered.
 
 mod budget;
 mod candidates;
--- a/crates/preemption/src/nominations.rs
+++ b/crates/preemption/src/nominations.rs
@@ -1,13 +1,13 @@
-//! Nominations: machines that are kept for pending tasks until victims have ended there.
+//! Nominations: each assigns a machine to a pending task until the victims there have ended.
 
 use crate::{PreemptionBudget, VictimSet};
 use beamhinge_core::types::{Attempt, MachineId, TaskId, Time};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Longest time from a preemption to the start that it was for that is told apart, milliseconds.
+/// Upper bound of the histogram of start latencies; longer ones are recorded as this value.
 const MAX_START_LATENCY_MS: u64 = 600_000;
-/// Significant digits of these times.
+/// Significant decimal digits that the histogram of start latencies keeps.
 const START_LATENCY_DIGITS: u8 = 2;
 
 /// One task's nomination for a machine.
@@ -16,28 +16,29 @@
     machine: MachineId,
     attempt: Attempt,
     opened: Time,
-    /// Victims that have not been seen to end.
+    /// Victims whose end has not been reported.
     running_victims: Vec<TaskId>,
-    /// All victims.
+    /// Number of all victims, including those that have ended.
     victim_count: u32,
 }
 
-/// What preemption came to since this leader took over.
+/// Preemption statistics since this controller became the leader.
 #[derive(Clone, Debug)]
 pub struct PreemptionStats {
     /// Tasks that were preempted.
     pub victims: u64,
-    /// CPU seconds lost with them, as far as known.
+    /// CPU seconds of work that these tasks lost, as far as known.
     pub lost_cpu_s: f64,
     /// Nominations that were opened.
     pub opened: u64,
-    /// Of these, nominations whose task started.
+    /// Opened nominations whose task started.
     pub started: u64,
-    /// Of these, nominations that were abandoned.
+    /// Opened nominations that were abandoned.
     pub abandoned: u64,
-    /// Victims of nominations that were abandoned.
+    /// Victims of abandoned nominations.
     pub wasted_victims: u64,
-    /// From the preemption to the start, milliseconds.
+    /// Time from the opening of a nomination to the start of its task, milliseconds; `None` if
+    /// the histogram could not be created.
     start_latency_ms: Option<Histogram<u32>>,
 }
 
@@ -61,7 +62,8 @@
 }
 
 impl PreemptionStats {
-    /// Seconds from the preemption to the start that it was for, at this quantile (0 to 1).
+    /// Seconds from the opening of a nomination to the start of its task, at this quantile
+    /// (0 to 1).
     #[must_use]
     pub fn start_latency_s(&self, quantile: f64) -> f64 {
         self.start_latency_ms.as_ref().map_or(0.0, |histogram| {
@@ -77,7 +79,7 @@
     }
 }
 
-/// Open nominations: one for each pending task at most.
+/// The open nominations: at most one for each pending task.
 #[derive(Debug, Default)]
 pub struct Nominations {
     open: BTreeMap<TaskId, Nomination>,
@@ -86,9 +88,11 @@
 }
 
 impl Nominations {
-    /// How many more nominations with victims may be opened. What a large victim frees serves
-    /// many small tasks, so nominations without victims are not counted: with them a burst got
-    /// two large tasks' room, and had to wait for more.
+    /// How many more nominations with victims may be opened.
+    ///
+    /// Nominations without victims are not counted, because one large victim frees capacity for
+    /// many small tasks. When they were counted, a burst of small tasks got only the capacity of
+    /// two large victims and had to wait for more.
     #[must_use]
     pub fn remaining_budget(&self) -> usize {
         let with_victims = self
@@ -99,26 +103,26 @@
         self.budget.window().saturating_sub(with_victims)
     }
 
-    /// How many nominations with victims may be open at once.
+    /// The maximum number of open nominations with victims.
     #[must_use]
     pub fn window(&self) -> usize {
         self.budget.window()
     }
 
-    /// How many nominations are open.
+    /// The number of open nominations, with or without victims.
     #[must_use]
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
 
-    /// What preemption came to so far.
+    /// Preemption statistics since this controller became the leader.
     #[must_use]
     pub fn stats(&self) -> &PreemptionStats {
         &self.stats
     }
 
-    /// Opens a nomination for this attempt. One without victims uses room that the victims of
-    /// others leave.
+    /// Opens a nomination for this attempt. A nomination without victims uses capacity that the
+    /// victims of other nominations free.
     pub fn open(
         &mut self,
         now: Time,
@@ -144,7 +148,7 @@
         );
     }
 
-    /// Whether a victim of this attempt's nomination has yet to end.
+    /// Whether a victim of this attempt's nomination is still running.
     #[must_use]
     pub fn awaits_victims(&self, task: TaskId, attempt: Attempt) -> bool {
         self.open.get(&task).is_some_and(|nomination| {
@@ -152,7 +156,7 @@
         })
     }
 
-    /// A task is off a machine: nominations that it was a victim of await one less.
+    /// Handles the end of a task on a machine: nominations on this machine no longer wait for it.
     pub fn on_task_ended(&mut self, machine: MachineId, task: TaskId) {
         for nomination in self
             .open
@@ -163,7 +167,7 @@
         }
     }
 
-    /// The task was seen on its machine.
+    /// Closes the nomination because the task runs on its machine.
     pub fn on_started(&mut self, now: Time, task: TaskId, attempt: Attempt) {
         if let Some(nomination) = self.close(task, attempt) {
             self.stats.record_start(now.since(nomination.opened));
@@ -171,8 +175,8 @@
         }
     }
 
-    /// The task does not want its nomination any more, or cannot have it. True when others were
-    /// preempted for it.
+    /// Closes the nomination because the task no longer needs it or cannot use it. Returns `true`
+    /// if other tasks were preempted for it.
     pub fn on_abandoned(&mut self, now: Time, task: TaskId, attempt: Attempt) -> bool {
         let Some(nomination) = self.close(task, attempt) else {
             return false;
@@ -185,7 +189,7 @@
         nomination.victim_count > 0
     }
 
-    /// Takes the task's nomination out if it is of this attempt.
+    /// Removes and returns the task's nomination if it belongs to this attempt.
     fn close(&mut self, task: TaskId, attempt: Attempt) -> Option<Nomination> {
         if self.open.get(&task)?.attempt != attempt {
             return None;
--- a/crates/preemption/src/nominations/tests.rs
+++ b/crates/preemption/src/nominations/tests.rs
@@ -46,10 +46,14 @@
     assert_eq!(
         (nominations.remaining_budget(), nominations.open_count()),
         (budget - 2, 3),
-        "it has no victims"
+        "a nomination without victims does not use the budget"
     );
     assert!(!nominations.on_abandoned(at(0.1), task(2), Attempt(7)));
-    assert_eq!(nominations.window(), budget, "nor does it tell anything");
+    assert_eq!(
+        nominations.window(),
+        budget,
+        "an abandoned nomination without victims leaves the window as it is"
+    );
     assert!(
         nominations.awaits_victims(task(0), Attempt(5))
             && !nominations.awaits_victims(task(0), Attempt(4))
@@ -57,11 +61,11 @@
     nominations.on_task_ended(machine, task(100));
     assert!(
         nominations.awaits_victims(task(0), Attempt(5)),
-        "another has yet to end"
+        "a second victim still runs"
     );
     nominations.on_task_ended(machine, task(101));
     assert!(!nominations.awaits_victims(task(0), Attempt(5)));
-    // What is told of another attempt changes nothing.
+    // Events of another attempt, and events after the nomination was closed, change nothing.
     nominations.on_started(at(1.0), task(0), Attempt(4));
     nominations.on_started(at(1.0), task(0), Attempt(5));
     nominations.on_started(at(2.0), task(0), Attempt(5));
--- a/crates/preemption/src/reserved_capacity.rs
+++ b/crates/preemption/src/reserved_capacity.rs
@@ -1,21 +1,22 @@
-//! What each tenant is sure to keep against preemption by others.
+//! Capacity of each tenant that other tenants cannot preempt.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A class of jobs of one team.
+/// A tenant: one class of jobs of one team.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantKey {
-    /// Index of the team; none if the team is unknown.
+    /// Index of the team; `None` if the team is unknown.
     pub team: Option<usize>,
     /// Name of the class.
     pub class: Rc<str>,
 }
 
-/// CPUs that each tenant uses, and how many of them it keeps.
+/// CPUs that each tenant uses, and CPUs that are reserved for it against preemption.
 ///
-/// What it keeps is a part of the capacity that its tasks fit on at all: idle-time work that needs
-/// large machines keeps a part of those, and not of small ones on which it could not run.
+/// A tenant's reserved capacity is a fraction of the eligible capacity, that is, of the machines
+/// that its tasks fit on: best-effort work that needs large machines reserves a part of those, and
+/// none of the small machines on which it could not run.
 #[derive(Debug, Default)]
 pub struct ReservedCapacity {
     used_cpus: BTreeMap<TenantKey, f64>,
@@ -24,7 +25,8 @@
 }
 
 impl ReservedCapacity {
-    /// Each tenant keeps this fraction (0 to 1) of its capacity, divided among all tenants.
+    /// Reserves this fraction (0 to 1) of its eligible capacity for each tenant, divided by the
+    /// number of tenants.
     #[must_use]
     pub fn new(fraction: f64) -> ReservedCapacity {
         ReservedCapacity {
@@ -33,7 +35,7 @@
         }
     }
 
-    /// A tenant uses so many CPUs more.
+    /// Adds CPUs to those that a tenant uses.
     pub fn add_usage(&mut self, tenant: &TenantKey, cpus: f64) {
         match self.used_cpus.get_mut(tenant) {
             Some(used) => *used += cpus,
@@ -43,8 +45,8 @@
         }
     }
 
-    /// CPUs of the machines that one of the tenant's jobs fits on; the least of what its jobs say
-    /// counts.
+    /// Sets the CPUs of the machines that one of the tenant's jobs fits on. The smallest value of
+    /// all its jobs applies.
     pub fn add_eligible_capacity(&mut self, tenant: &TenantKey, cpus: f64) {
         let reserved = cpus * self.fraction;
         let known = self
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Divides what is reserved by the number of tenants, so that all together keep no more than
-    /// one fraction. To be called once, after the last [`Self::add_eligible_capacity`].
+    /// Divides the reserved capacity by the number of tenants, so that all tenants together reserve
+    /// no more than one fraction. Call it once, after the last [`Self::add_eligible_capacity`].
     pub fn divide_among_tenants(&mut self) {
         let tenants = self.reserved_cpus.len().max(1) as f64;
         for reserved in self.reserved_cpus.values_mut() {
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Whether the tenant keeps what is reserved for it after so many CPUs are taken.
+    /// Whether the tenant still uses at least its reserved capacity after this many of its CPUs are
+    /// preempted.
     #[must_use]
     pub fn may_preempt(&self, tenant: &TenantKey, cpus: f64) -> bool {
         let used = self.used_cpus.get(tenant).copied().unwrap_or(0.0);
@@ -74,7 +77,7 @@
         used - cpus >= reserved
     }
 
-    /// So many CPUs of the tenant were preempted.
+    /// Subtracts preempted CPUs from those that the tenant uses.
     pub fn record_preempted(&mut self, tenant: &TenantKey, cpus: f64) {
         if let Some(used) = self.used_cpus.get_mut(tenant) {
             *used -= cpus;
--- a/crates/preemption/src/reserved_capacity/tests.rs
+++ b/crates/preemption/src/reserved_capacity/tests.rs
@@ -18,10 +18,13 @@
         capacity.record_preempted(&guests, 8.0);
         preempted += 1;
     }
-    assert_eq!(preempted, 5, "20 of 60 stay: half of 80, divided by two");
+    assert_eq!(
+        preempted, 5,
+        "20 of 60 CPUs remain: half of 80, divided by two tenants"
+    );
     assert!(
         !capacity.may_preempt(&probes, 1.0),
-        "a tenant that uses nothing loses nothing"
+        "a tenant that uses no CPUs has none to preempt"
     );
     assert!(ReservedCapacity::new(0.0).may_preempt(&guests, 0.0));
 }
--- a/crates/preemption/src/victim_selection.rs
+++ b/crates/preemption/src/victim_selection.rs
@@ -1,4 +1,4 @@
-//! Which tasks of one machine have to end so that another task fits there, at the least loss.
+//! Selects the tasks of one machine to preempt so that another task fits there, at the least loss.
 
 use beamhinge_core::resources::{Resources, EPSILON};
 use beamhinge_core::types::TaskId;
@@ -8,36 +8,36 @@
 pub struct PreemptibleTask {
     /// The task.
     pub task: TaskId,
-    /// What it takes of its machine.
+    /// Resources that it uses on its machine.
     pub resources: Resources,
-    /// What is lost when it is preempted, CPU seconds.
+    /// Work lost if it is preempted, CPU seconds.
     pub lost_cpu_s: f64,
-    /// The caller's index for what else there is to know about it.
+    /// The caller's index of further data about the task.
     pub profile: u32,
 }
 
 impl PreemptibleTask {
-    /// What is lost for each CPU that its end frees, seconds.
+    /// Work lost for each CPU that its end frees, seconds.
     pub(crate) fn lost_s_per_cpu(&self) -> f64 {
         self.lost_cpu_s / self.resources.cpus.max(EPSILON)
     }
 }
 
-/// Tasks that have to end so that another fits.
+/// Tasks of one machine that have to end so that another task fits there.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VictimSet {
-    /// What is lost with them all, CPU seconds.
+    /// Work lost if all of them are preempted, CPU seconds.
     pub lost_cpu_s: f64,
-    /// The tasks; empty where there is room already.
+    /// The victims; empty if the task fits without any.
     pub tasks: Vec<PreemptibleTask>,
 }
 
-/// The cheapest set found whose end leaves room for `wanted`; none when not even the end of all
-/// `preemptible` tasks does.
+/// The cheapest victim set found that frees enough capacity for `wanted`; `None` if preempting all
+/// of the `preemptible` tasks is not enough.
 ///
-/// One victim that suffices alone is weighed against the small ones in the order of what a CPU of
-/// theirs costs, without those that prove not to be needed. That is not always the very cheapest
-/// set, which is a knapsack problem; it never has one victim more than needed, since without any
+/// Compares two sets: the cheapest single victim that suffices alone, and the tasks in ascending
+/// order of loss per CPU, less those that prove redundant. The result is not always the optimum,
+/// since finding that is a knapsack problem. It never contains a redundant victim: without any one
 /// of them the task does not fit.
 pub(crate) fn cheapest_victims(
     free: Resources,
@@ -62,7 +62,7 @@
     }
 }
 
-/// The cheapest task whose end alone leaves room.
+/// The cheapest task whose end alone frees enough capacity.
 fn cheapest_single(
     free: Resources,
     preemptible: &[PreemptibleTask],
@@ -79,8 +79,8 @@
         .min_by(|a, b| a.lost_cpu_s.total_cmp(&b.lost_cpu_s))
 }
 
-/// Tasks in the order of what a CPU of theirs costs, until there is room; with what is free once
-/// they have ended.
+/// Tasks in ascending order of loss per CPU, as many as are needed until `wanted` fits, with the
+/// resources that are free once they have ended; `None` if all of them are not enough.
 fn cheapest_per_cpu(
     free: Resources,
     preemptible: &[PreemptibleTask],
@@ -99,8 +99,8 @@
     wanted.fits(&freed).then_some((freed, victims))
 }
 
-/// Drops the victims that others make superfluous, the dearest first. `freed`: what is free once
-/// all of them have ended.
+/// Drops victims without which `wanted` still fits, the most expensive first. `freed` is what is
+/// free once all victims have ended.
 fn drop_superfluous(freed: Resources, victims: &mut Vec<PreemptibleTask>, wanted: Resources) {
     let mut freed = freed;
     victims.sort_by(|a, b| b.lost_cpu_s.total_cmp(&a.lost_cpu_s));
--- a/crates/preemption/src/victim_selection/tests.rs
+++ b/crates/preemption/src/victim_selection/tests.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// What is free once all of these have ended.
+/// Resources that are free once all of these tasks have ended.
 fn freed(free: Resources, ended: &[PreemptibleTask]) -> Resources {
     ended.iter().fold(free, |mut freed, task| {
         freed.add(&task.resources);
@@ -37,8 +37,8 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// Whatever is offered fits, none of the victims is superfluous, and where nothing is offered
-    /// nothing could be.
+    /// The selected victims free enough capacity and none of them is redundant; if none are
+    /// selected, preempting all running tasks would not suffice.
     #[test]
     fn victims_suffice_and_none_is_superfluous(
         free in -8.0..8.0f64,
@@ -58,7 +58,7 @@
                 for index in 0..victims.tasks.len() {
                     let mut fewer = victims.tasks.clone();
                     fewer.remove(index);
-                    prop_assert!(!wanted.fits(&freed(free, &fewer)), "{} is superfluous", index);
+                    prop_assert!(!wanted.fits(&freed(free, &fewer)), "{} is redundant", index);
                 }
             }
         }
