--- a/crates/preemption/src/budget/tests.rs
+++ b/crates/preemption/src/budget/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 #[test]
-fn window_follows_the_starts_it_brings() {
+fn window_grows_with_starts_and_halves_when_nominations_are_abandoned() {
     let at = |seconds: f64| Time::default().plus(100.0 + seconds);
     let mut budget = PreemptionBudget::default();
-    let first = budget.window();
-    for _ in 0..first {
+    let initial_window = budget.window();
+    for _ in 0..initial_window {
         budget.on_started();
     }
-    assert_eq!(budget.window(), first * 2);
+    assert_eq!(budget.window(), initial_window * 2);
     // A hundred nominations that were opened together and abandoned halve the window once.
     for _ in 0..100 {
         budget.on_abandoned(at(5.0), at(0.0));
     }
-    assert_eq!(budget.window(), first);
+    assert_eq!(budget.window(), initial_window);
     for round in 1..20 {
         let now = 10.0 * f64::from(round);
         budget.on_abandoned(at(now), at(now - 1.0));
--- a/crates/preemption/src/candidates.rs
+++ b/crates/preemption/src/candidates.rs
@@ -5,7 +5,7 @@
 use beamhinge_core::types::{MachineId, TaskId};
 
 /// Maximum number of machines with an offer that one search compares.
-const MAX_COMPARED: usize = 48;
+const MAX_COMPARED_MACHINES: usize = 48;
 
 /// A task that is expected to end soon without preemption.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -34,7 +34,7 @@
 
 impl CandidateMachine {
     /// The smallest loss per CPU among the preemptible tasks; infinite if there are none.
-    fn least_lost_s_per_cpu(&self) -> f64 {
+    fn smallest_loss_s_per_cpu(&self) -> f64 {
         let losses = self.preemptible.iter().map(PreemptibleTask::lost_s_per_cpu);
         losses.fold(f64::INFINITY, f64::min)
     }
@@ -42,27 +42,27 @@
     /// Assigns the capacity of exits that are expected within `within_s` seconds to one task,
     /// without preemption. Returns `false` and changes nothing if they do not free enough
     /// capacity, or if the task fits without them.
-    fn use_exits(&mut self, wanted: Resources, within_s: f64) -> bool {
+    fn use_exits(&mut self, requested: Resources, within_s: f64) -> bool {
         let mut free = self.free;
-        let mut needed = 0;
-        while !wanted.fits(&free) {
+        let mut exits_used = 0;
+        while !requested.fits(&free) {
             match self
                 .exits
-                .get(needed)
+                .get(exits_used)
                 .filter(|exit| exit.remaining_s <= within_s)
             {
                 Some(exit) => free.add(&exit.resources),
                 None => break,
             }
-            needed += 1;
+            exits_used += 1;
         }
-        if needed == 0 || !wanted.fits(&free) {
+        if exits_used == 0 || !requested.fits(&free) {
             return false;
         }
-        free.sub(&wanted);
+        free.sub(&requested);
         self.free = free;
         // A task that is expected to end is not preempted as well.
-        for exit in self.exits.drain(..needed) {
+        for exit in self.exits.drain(..exits_used) {
             self.preemptible.retain(|task| task.task != exit.task);
         }
         true
@@ -72,11 +72,11 @@
     /// are not enough.
     fn offer(
         &self,
-        wanted: Resources,
+        requested: Resources,
         may_preempt: impl Fn(&PreemptibleTask) -> bool,
     ) -> Option<VictimSet> {
         // Nothing is preempted if the task fits already.
-        if wanted.fits(&self.free) {
+        if requested.fits(&self.free) {
             return Some(VictimSet::default());
         }
         let preemptible: Vec<PreemptibleTask> = self
@@ -85,15 +85,15 @@
             .filter(|task| may_preempt(task))
             .copied()
             .collect();
-        cheapest_victims(self.free, &preemptible, wanted)
+        cheapest_victims(self.free, &preemptible, requested)
     }
 
     /// Assigns the capacity that the victims free to a task of this size.
-    fn accept(&mut self, victims: &VictimSet, wanted: Resources) {
+    fn accept(&mut self, victims: &VictimSet, requested: Resources) {
         for victim in &victims.tasks {
             self.free.add(&victim.resources);
         }
-        self.free.sub(&wanted);
+        self.free.sub(&requested);
         self.preemptible
             .retain(|task| !victims.tasks.iter().any(|victim| victim.task == task.task));
     }
@@ -127,7 +127,7 @@
     pub fn new(machines: Vec<CandidateMachine>) -> CandidateMachines {
         let mut keyed: Vec<(f64, CandidateMachine)> = machines
             .into_iter()
-            .map(|candidate| (candidate.least_lost_s_per_cpu(), candidate))
+            .map(|candidate| (candidate.smallest_loss_s_per_cpu(), candidate))
             .collect();
         keyed.sort_by(|a, b| {
             let by_loss = a.0.total_cmp(&b.0);
@@ -154,24 +154,24 @@
     /// again.
     pub fn claim_exits(
         &mut self,
-        wanted: Resources,
+        requested: Resources,
         max_tasks: u32,
         within_s: f64,
         is_allowed: impl Fn(MachineId) -> bool,
     ) -> u32 {
-        let mut found = 0;
+        let mut satisfied_tasks = 0;
         for candidate in &mut self.machines {
-            if found >= max_tasks {
+            if satisfied_tasks >= max_tasks {
                 break;
             }
             if candidate.exits.is_empty() || !is_allowed(candidate.machine) {
                 continue;
             }
-            while found < max_tasks && candidate.use_exits(wanted, within_s) {
-                found += 1;
+            while satisfied_tasks < max_tasks && candidate.use_exits(requested, within_s) {
+                satisfied_tasks += 1;
             }
         }
-        found
+        satisfied_tasks
     }
 
     /// Chooses the cheapest offer for one task among the first machines that have one, and assigns
@@ -179,25 +179,25 @@
     /// start on a machine in addition to the loss of its victims, CPU seconds.
     pub fn take_best(
         &mut self,
-        wanted: Resources,
+        requested: Resources,
         may_preempt: impl Fn(&PreemptibleTask) -> bool,
         is_allowed: impl Fn(MachineId) -> bool,
         extra_cost: impl Fn(MachineId) -> f64,
     ) -> Option<PreemptionOffer> {
         let mut best: Option<BestOffer> = None;
-        let mut compared = 0;
+        let mut compared_machines = 0;
         for (index, candidate) in self.machines.iter().enumerate() {
-            if compared >= MAX_COMPARED {
+            if compared_machines >= MAX_COMPARED_MACHINES {
                 break;
             }
-            let has_room = wanted.fits(&candidate.free);
-            if !has_room && candidate.preemptible.is_empty() || !is_allowed(candidate.machine) {
+            let fits_now = requested.fits(&candidate.free);
+            if !fits_now && candidate.preemptible.is_empty() || !is_allowed(candidate.machine) {
                 continue;
             }
-            let Some(victims) = candidate.offer(wanted, &may_preempt) else {
+            let Some(victims) = candidate.offer(requested, &may_preempt) else {
                 continue;
             };
-            compared += 1;
+            compared_machines += 1;
             let cost = victims.lost_cpu_s + extra_cost(candidate.machine);
             if best.as_ref().is_none_or(|best| cost < best.cost) {
                 best = Some(BestOffer {
@@ -209,7 +209,7 @@
         }
         let BestOffer { index, victims, .. } = best?;
         let candidate = &mut self.machines[index];
-        candidate.accept(&victims, wanted);
+        candidate.accept(&victims, requested);
         Some(PreemptionOffer {
             machine: candidate.machine,
             victims,
--- a/crates/preemption/src/candidates/tests.rs
+++ b/crates/preemption/src/candidates/tests.rs
@@ -38,7 +38,7 @@
     }
 }
 
-fn take(candidates: &mut CandidateMachines, cpus: f64) -> Option<PreemptionOffer> {
+fn take_best_offer(candidates: &mut CandidateMachines, cpus: f64) -> Option<PreemptionOffer> {
     candidates.take_best(resources(cpus), |_| true, |_| true, |_| 0.0)
 }
 
@@ -46,32 +46,32 @@
 /// preemptions on a dozen machines freed enough capacity for the task on none of them.
 #[test]
 fn victims_of_one_task_are_on_one_machine() {
-    let six = |from: u32, lost_cpu_s: f64| -> Vec<PreemptibleTask> {
+    let six_tasks = |from: u32, lost_cpu_s: f64| -> Vec<PreemptibleTask> {
         (from..from + 6)
             .map(|i| preemptible(i, 2.0, lost_cpu_s))
             .collect()
     };
     let mut candidates = CandidateMachines::new(vec![
-        candidate(1, 0.0, six(0, 9.0)),
-        candidate(2, 0.0, six(10, 8.0)),
-        candidate(3, 4.0, six(20, 8.5)),
+        candidate(1, 0.0, six_tasks(0, 9.0)),
+        candidate(2, 0.0, six_tasks(10, 8.0)),
+        candidate(3, 4.0, six_tasks(20, 8.5)),
     ]);
-    let offer = take(&mut candidates, 12.0).expect("an offer");
+    let offer = take_best_offer(&mut candidates, 12.0).expect("an offer");
     assert_eq!(
         (offer.machine, offer.victims.tasks.len()),
         (machine(3), 4),
         "four CPUs were already free on this machine"
     );
-    let offer = take(&mut candidates, 12.0).expect("an offer");
+    let offer = take_best_offer(&mut candidates, 12.0).expect("an offer");
     assert_eq!((offer.machine, offer.victims.tasks.len()), (machine(2), 6));
-    assert!(take(&mut candidates, 13.0).is_none());
+    assert!(take_best_offer(&mut candidates, 13.0).is_none());
 }
 
 #[test]
-fn one_large_victim_serves_several_tasks() {
+fn one_large_victim_frees_capacity_for_several_tasks() {
     let mut candidates =
         CandidateMachines::new(vec![candidate(1, 0.0, vec![preemptible(0, 16.0, 50.0)])]);
-    let mut victims = || take(&mut candidates, 4.0).map(|offer| offer.victims.tasks);
+    let mut victims = || take_best_offer(&mut candidates, 4.0).map(|offer| offer.victims.tasks);
     assert_eq!(victims().expect("an offer").len(), 1);
     for _ in 0..3 {
         assert!(victims().expect("an offer").is_empty());
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn room_of_exits_is_claimed_once() {
+fn capacity_of_expected_exits_is_claimed_once() {
     let mut with_exits = candidate(1, 0.0, vec![preemptible(0, 4.0, 1.0)]);
     let exit = |index, remaining_s| ExpectedExit {
         task: task(index),
--- a/crates/preemption/src/history.rs
+++ b/crates/preemption/src/history.rs
@@ -32,8 +32,8 @@
                 .iter()
                 .min_by_key(|(_, count)| **count)
                 .map(|(task, _)| *task);
-            if let Some(forgotten) = least_preempted {
-                self.preemptions.remove(&forgotten);
+            if let Some(evicted) = least_preempted {
+                self.preemptions.remove(&evicted);
             }
         }
         let count = self.preemptions.entry(task).or_insert(0);
--- a/crates/preemption/src/history/tests.rs
+++ b/crates/preemption/src/history/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn often_preempted_task_is_spared_and_memory_is_bounded() {
+fn frequently_preempted_task_is_protected_and_history_is_bounded() {
     let mut history = PreemptionHistory::new(3);
     for count in 0..3 {
         assert_eq!(history.may_preempt(task(0), 1.0, 2, 60.0), count < 2);
--- a/crates/preemption/src/nominations/tests.rs
+++ b/crates/preemption/src/nominations/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn nomination_ends_once_in_a_start_or_abandoned() {
+fn nomination_is_closed_once_by_a_start_or_abandonment() {
     let machine = MachineId::parse("n-000001").expect("a name");
     let mut nominations = Nominations::default();
     let budget = nominations.remaining_budget();
--- a/crates/preemption/src/reserved_capacity.rs
+++ b/crates/preemption/src/reserved_capacity.rs
@@ -49,12 +49,12 @@
     /// all its jobs applies.
     pub fn add_eligible_capacity(&mut self, tenant: &TenantKey, cpus: f64) {
         let reserved = cpus * self.fraction;
-        let known = self
+        let smallest = self
             .reserved_cpus
             .get(tenant)
             .copied()
             .unwrap_or(f64::INFINITY);
-        if reserved < known {
+        if reserved < smallest {
             self.reserved_cpus.insert(tenant.clone(), reserved);
         }
     }
--- a/crates/preemption/src/reserved_capacity/tests.rs
+++ b/crates/preemption/src/reserved_capacity/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn tenant_is_not_preempted_below_its_reserved_part() {
+fn tenant_is_not_preempted_below_its_reserved_capacity() {
     let tenant = |class: &str| TenantKey {
         team: Some(1),
         class: class.into(),
--- a/crates/preemption/src/victim_selection.rs
+++ b/crates/preemption/src/victim_selection.rs
@@ -32,8 +32,8 @@
     pub tasks: Vec<PreemptibleTask>,
 }
 
-/// The cheapest victim set found that frees enough capacity for `wanted`; `None` if preempting all
-/// of the `preemptible` tasks is not enough.
+/// The cheapest victim set found that frees enough capacity for `requested`; `None` if preempting
+/// all of the `preemptible` tasks is not enough.
 ///
 /// Compares two sets: the cheapest single victim that suffices alone, and the tasks in ascending
 /// order of loss per CPU, less those that prove redundant. The result is not always the optimum,
@@ -42,15 +42,15 @@
 pub(crate) fn cheapest_victims(
     free: Resources,
     preemptible: &[PreemptibleTask],
-    wanted: Resources,
+    requested: Resources,
 ) -> Option<VictimSet> {
-    if wanted.fits(&free) {
+    if requested.fits(&free) {
         return Some(VictimSet::default());
     }
-    let (freed, mut victims) = cheapest_per_cpu(free, preemptible, wanted)?;
-    drop_superfluous(freed, &mut victims, wanted);
+    let (free_after, mut victims) = cheapest_victims_by_loss_per_cpu(free, preemptible, requested)?;
+    drop_redundant_victims(free_after, &mut victims, requested);
     let lost_cpu_s = victims.iter().map(|victim| victim.lost_cpu_s).sum();
-    match cheapest_single(free, preemptible, wanted) {
+    match cheapest_single_victim(free, preemptible, requested) {
         Some(single) if single.lost_cpu_s <= lost_cpu_s => Some(VictimSet {
             lost_cpu_s: single.lost_cpu_s,
             tasks: vec![*single],
@@ -63,55 +63,59 @@
 }
 
 /// The cheapest task whose end alone frees enough capacity.
-fn cheapest_single(
+fn cheapest_single_victim(
     free: Resources,
     preemptible: &[PreemptibleTask],
-    wanted: Resources,
+    requested: Resources,
 ) -> Option<&PreemptibleTask> {
-    let suffices = |candidate: &&PreemptibleTask| {
-        let mut freed = free;
-        freed.add(&candidate.resources);
-        wanted.fits(&freed)
+    let frees_enough = |candidate: &&PreemptibleTask| {
+        let mut free_after = free;
+        free_after.add(&candidate.resources);
+        requested.fits(&free_after)
     };
     preemptible
         .iter()
-        .filter(suffices)
+        .filter(frees_enough)
         .min_by(|a, b| a.lost_cpu_s.total_cmp(&b.lost_cpu_s))
 }
 
-/// Tasks in ascending order of loss per CPU, as many as are needed until `wanted` fits, with the
+/// Tasks in ascending order of loss per CPU, as many as are needed until `requested` fits, with the
 /// resources that are free once they have ended; `None` if all of them are not enough.
-fn cheapest_per_cpu(
+fn cheapest_victims_by_loss_per_cpu(
     free: Resources,
     preemptible: &[PreemptibleTask],
-    wanted: Resources,
+    requested: Resources,
 ) -> Option<(Resources, Vec<PreemptibleTask>)> {
-    let mut by_price: Vec<&PreemptibleTask> = preemptible.iter().collect();
-    by_price.sort_by(|a, b| a.lost_s_per_cpu().total_cmp(&b.lost_s_per_cpu()));
-    let (mut freed, mut victims) = (free, Vec::new());
-    for candidate in by_price {
-        if wanted.fits(&freed) {
+    let mut by_loss_per_cpu: Vec<&PreemptibleTask> = preemptible.iter().collect();
+    by_loss_per_cpu.sort_by(|a, b| a.lost_s_per_cpu().total_cmp(&b.lost_s_per_cpu()));
+    let (mut free_after, mut victims) = (free, Vec::new());
+    for candidate in by_loss_per_cpu {
+        if requested.fits(&free_after) {
             break;
         }
-        freed.add(&candidate.resources);
+        free_after.add(&candidate.resources);
         victims.push(*candidate);
     }
-    wanted.fits(&freed).then_some((freed, victims))
+    requested.fits(&free_after).then_some((free_after, victims))
 }
 
-/// Drops victims without which `wanted` still fits, the most expensive first. `freed` is what is
-/// free once all victims have ended.
-fn drop_superfluous(freed: Resources, victims: &mut Vec<PreemptibleTask>, wanted: Resources) {
-    let mut freed = freed;
+/// Drops victims without which `requested` still fits, the most expensive first. `free_after` are
+/// the resources that are free once all victims have ended.
+fn drop_redundant_victims(
+    free_after: Resources,
+    victims: &mut Vec<PreemptibleTask>,
+    requested: Resources,
+) {
+    let mut free_after = free_after;
     victims.sort_by(|a, b| b.lost_cpu_s.total_cmp(&a.lost_cpu_s));
     victims.retain(|victim| {
-        let mut without = freed;
-        without.sub(&victim.resources);
-        let superfluous = wanted.fits(&without);
-        if superfluous {
-            freed = without;
+        let mut free_without = free_after;
+        free_without.sub(&victim.resources);
+        let redundant = requested.fits(&free_without);
+        if redundant {
+            free_after = free_without;
         }
-        !superfluous
+        !redundant
     });
 }
 
--- a/crates/preemption/src/victim_selection/tests.rs
+++ b/crates/preemption/src/victim_selection/tests.rs
@@ -23,10 +23,10 @@
 }
 
 /// Resources that are free once all of these tasks have ended.
-fn freed(free: Resources, ended: &[PreemptibleTask]) -> Resources {
-    ended.iter().fold(free, |mut freed, task| {
-        freed.add(&task.resources);
-        freed
+fn free_after(free: Resources, ended: &[PreemptibleTask]) -> Resources {
+    ended.iter().fold(free, |mut free_after, task| {
+        free_after.add(&task.resources);
+        free_after
     })
 }
 
@@ -40,25 +40,29 @@
     /// The selected victims free enough capacity and none of them is redundant; if none are
     /// selected, preempting all running tasks would not suffice.
     #[test]
-    fn victims_suffice_and_none_is_superfluous(
+    fn victims_free_enough_capacity_and_none_is_redundant(
         free in -8.0..8.0f64,
         sizes in prop::collection::vec((0.25..16.0f64, 0.0..100.0f64), 0..9),
-        wanted in 0.25..24.0f64,
+        requested in 0.25..24.0f64,
     ) {
         let running: Vec<PreemptibleTask> = sizes
             .iter()
             .enumerate()
             .map(|(index, (cpus, lost_cpu_s))| preemptible(index, *cpus, *lost_cpu_s))
             .collect();
-        let (free, wanted) = (resources(free), resources(wanted));
-        match cheapest_victims(free, &running, wanted) {
-            None => prop_assert!(!wanted.fits(&freed(free, &running))),
+        let (free, requested) = (resources(free), resources(requested));
+        match cheapest_victims(free, &running, requested) {
+            None => prop_assert!(!requested.fits(&free_after(free, &running))),
             Some(victims) => {
-                prop_assert!(wanted.fits(&freed(free, &victims.tasks)));
+                prop_assert!(requested.fits(&free_after(free, &victims.tasks)));
                 for index in 0..victims.tasks.len() {
                     let mut fewer = victims.tasks.clone();
                     fewer.remove(index);
-                    prop_assert!(!wanted.fits(&freed(free, &fewer)), "{} is redundant", index);
+                    prop_assert!(
+                        !requested.fits(&free_after(free, &fewer)),
+                        "{} is redundant",
+                        index
+                    );
                 }
             }
         }
