--- a/crates/priority-aging/src/bound.rs
+++ b/crates/priority-aging/src/bound.rs
@@ -1,34 +1,39 @@
-//! The longest wait that follows from the settings.
+//! Upper bound on the wait of a job, computed from the settings.
 //!
-//! Let `k` tasks of the widest size fit into the lane side by side (one at least). While a boosted
-//! task waits to be admitted, `k` others are in the lane: if what is used leaves no room for it,
-//! more than the width less one widest task is used, and that takes `k` tasks. Each is out of the
-//! lane again after `h = 3 S`, `S` being the longest that any task occupies a machine or is
-//! expected to: `2 S` at most until its machine has room (what was let pass before the reserved
-//! time ends `S` after it, and that time is `S` away at most), `S` for itself. So at least `k`
-//! tasks get through in each `h`: a server of rate `k / h` and latency `h`. Where in any `t`
-//! seconds no more than `b + a t` tasks are boosted, with `a <= k / h`, its delay is at most
-//! `h + b h / k` (Cruz, "A calculus for network delay", 1991). Before that lies the wait for the
-//! boost, after it `2 S` until the room is there.
+//! Let `k` be the number of tasks of the largest size that fit into the priority lane side by side
+//! (at least one). While a boosted task waits for admission, `k` other tasks are in the lane: if
+//! the task does not fit, the lane uses more than its width less one largest task, which takes `k`
+//! tasks.
+//!
+//! Let `S` be the longest time that any task occupies a machine or is expected to occupy it. Each
+//! task leaves the lane after at most `h = 3 S`: at most `2 S` until its machine has enough free
+//! capacity, and `S` for its own run. The `2 S` arise because the reserved time is at most `S`
+//! away, and backfill tasks that were admitted before the reserved time end at most `S` after it.
+//!
+//! So at least `k` tasks pass through the lane in each interval `h`: the lane is a server of rate
+//! `k / h` and latency `h`. If no more than `b + a t` tasks are boosted in any `t` seconds, with
+//! `a <= k / h`, the delay for admission is at most `h + b h / k` (Cruz, "A calculus for network
+//! delay", 1991). The total wait also includes the wait for the boost before, and up to `2 S` for
+//! free capacity after the admission.
 
 use crate::policy::AgingPolicy;
 use beamhinge_core::job::Urgency;
 
-/// Rounding slack of the number of tasks side by side.
+/// Tolerance for rounding errors in the number of tasks that fit into the lane.
 const ROUNDING_SLACK: f64 = 1e-9;
 
-/// Arrivals in the lane: no more than `burst + rate_per_s * t` tasks in any `t` seconds.
+/// Bound on arrivals in the lane: at most `burst + rate_per_s * t` tasks in any `t` seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ArrivalCurve {
-    /// Tasks at once.
+    /// Tasks that may arrive at once.
     pub burst: f64,
-    /// Tasks a second, in the long run.
+    /// Long-term arrival rate, tasks per second.
     pub rate_per_s: f64,
 }
 
 impl ArrivalCurve {
-    /// The tightest curve of this rate that covers the arrivals: times in seconds, ascending, with
-    /// how many tasks were boosted then.
+    /// The tightest curve of this rate that covers the arrivals. Each arrival is a time in seconds
+    /// and the number of tasks boosted at that time, in ascending order of time.
     #[must_use]
     pub fn tightest(rate_per_s: f64, arrivals: &[(f64, f64)]) -> ArrivalCurve {
         let mut burst: f64 = 0.0;
@@ -43,56 +48,56 @@
     }
 }
 
-/// The tasks that are boosted, and those that run.
+/// The load on the priority lane, and the longest time that tasks occupy a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BoostedLoad {
-    /// How tasks are boosted.
+    /// Arrivals of boosted tasks.
     pub arrivals: ArrivalCurve,
-    /// CPUs of the widest task that is boosted.
+    /// CPUs of the largest boosted task.
     pub max_task_cpus: f64,
-    /// Longest that any task of any urgency occupies a machine, or is expected to, seconds: fetch,
-    /// run and checkpoint, and the report that tells its end.
+    /// Longest time that any task of any urgency occupies a machine, or is expected to occupy it,
+    /// seconds: fetch of the image, run, checkpoint, and the report of its end.
     pub max_task_s: f64,
 }
 
-/// What the cluster has for boosted tasks.
+/// The capacity of the cluster for boosted tasks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClusterCapacity {
-    /// CPUs that are there all the time, and that neither guaranteed work nor what is more urgent
-    /// than the ceiling takes.
+    /// CPUs that are available all the time, and that are used neither by guaranteed work nor by
+    /// jobs more urgent than the ceiling.
     pub cpus: f64,
-    /// Time in which nothing starts, in all, seconds: failovers and outages. A reservation ends
-    /// with its leader, and the next one makes it anew.
+    /// Total time in which no task starts, seconds: failovers and outages. A reservation is lost
+    /// when leadership changes, and the next leader makes a new one.
     pub downtime_s: f64,
 }
 
-/// Why there is no bound, and what is kept instead.
+/// The reason why no bound on the wait exists, and what is guaranteed instead.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum UnboundedWait {
     /// The policy never boosts such jobs.
-    #[error("jobs of this urgency never rise")]
+    #[error("jobs of this urgency are never boosted")]
     Exempt,
-    /// More is boosted than the lane is sure to serve.
+    /// Tasks are boosted at a higher rate than the guaranteed throughput of the lane.
     #[error(
-        "more rises than the lane is sure to carry: {rate_per_s:.4} tasks a second of \
-         {throughput_per_s:.4}; the lane keeps {share:.3} of the room for what has risen, the \
-         longest waiting first"
+        "boosted tasks exceed the guaranteed throughput of the priority lane: {rate_per_s:.4} of \
+         {throughput_per_s:.4} tasks per second; the lane still guarantees {share:.3} of the \
+         capacity to boosted tasks, in the order in which they were boosted"
     )]
     Overload {
-        /// Tasks a second that are boosted.
+        /// Arrival rate of boosted tasks, tasks per second.
         rate_per_s: f64,
-        /// Tasks a second that the lane is sure to serve.
+        /// Guaranteed throughput of the lane, tasks per second.
         throughput_per_s: f64,
-        /// Share of the cluster that boosted tasks are sure to get.
+        /// Share of the cluster that is guaranteed to boosted tasks (0 to 1).
         share: f64,
     },
 }
 
-/// What the lane is sure to serve.
+/// The guaranteed service of the priority lane.
 struct LaneService {
-    /// Tasks of the widest size that are in the lane side by side.
+    /// Number of tasks of the largest size that fit into the lane side by side, at least 1.
     parallel_tasks: f64,
-    /// Seconds in which each is out of the lane again.
+    /// Longest time that a task stays in the lane, seconds.
     occupancy_s: f64,
 }
 
@@ -112,7 +117,7 @@
     }
 }
 
-/// Tasks a second that the lane is sure to serve in a cluster of so many CPUs.
+/// The guaranteed throughput of the priority lane in a cluster of `cpus` CPUs, tasks per second.
 #[must_use]
 pub fn lane_throughput_per_s(
     policy: &AgingPolicy,
@@ -123,10 +128,11 @@
     LaneService::new(policy, max_task_cpus, max_task_s, cpus).throughput_per_s()
 }
 
-/// The longest wait from its submission to its first start of any job of this urgency, seconds.
+/// Upper bound on the time from submission to first start of any job of this urgency, seconds.
 ///
 /// # Errors
-/// When no bound exists: then the error says what share is kept.
+/// Returns an error if no bound exists. On overload it gives the share of the cluster that is
+/// guaranteed instead.
 pub fn max_wait_s(
     policy: &AgingPolicy,
     urgency: Urgency,
--- a/crates/priority-aging/src/bound/tests.rs
+++ b/crates/priority-aging/src/bound/tests.rs
@@ -30,23 +30,23 @@
     assert_eq!(wait, Ok(boost_after_s + 180.0 * 2.0 + 120.0 + 30.0));
     let overload = max_wait_s(&policy, Urgency::BestEffort, &load(1.0), &capacity);
     let message = overload.expect_err("overload").to_string();
-    assert!(message.contains("0.050 of the room"), "{message}");
+    assert!(message.contains("0.050 of the capacity"), "{message}");
     let exempt = max_wait_s(&policy, Urgency::Critical, &load(0.0), &capacity);
     assert_eq!(exempt, Err(UnboundedWait::Exempt));
 }
 
-/// One task that is boosted.
+/// A boosted task.
 #[derive(Clone, Copy)]
 struct BoostedTask {
     boosted_s: f64,
     cpus: f64,
-    /// How long it waits for room once admitted, as a part of the most.
+    /// Wait for free capacity after its admission, as a fraction of the longest wait.
     wait: f64,
-    /// How long it runs, as a part of the most.
+    /// Run time, as a fraction of the longest run time.
     run: f64,
 }
 
-/// Plays a lane, first in first out; the longest wait from the boost to the start.
+/// Simulates a first-in, first-out lane and returns the longest time from boost to start, seconds.
 fn longest_wait_in_lane(width_cpus: f64, max_task_s: f64, boosted: &[BoostedTask]) -> f64 {
     let (mut in_lane, mut now, mut longest): (Vec<(f64, f64)>, f64, f64) = (Vec::new(), 0.0, 0.0);
     for task in boosted {
@@ -77,8 +77,8 @@
         cases: 400,
         ..ProptestConfig::default()
     })]
-    /// Whatever sizes, waits and runs: no wait is beyond the bound of the tightest curve that
-    /// covers the arrivals.
+    /// For any task sizes, waits and run times, no wait exceeds the bound for the tightest curve
+    /// that covers the arrivals.
     #[test]
     fn no_wait_exceeds_the_bound(
         cpus in 20.0f64..400.0,
@@ -111,6 +111,6 @@
         let bound = max_wait_s(&policy, Urgency::Standard, &load, &capacity).expect("a bound");
         let waited = longest_wait_in_lane(width_cpus, max_task_s, &boosted)
             + PriorityAging::default().standard_s;
-        prop_assert!(waited <= bound + 1e-6, "{waited} beyond {bound}");
+        prop_assert!(waited <= bound + 1e-6, "wait of {waited} s exceeds {bound} s");
     }
 }
--- a/crates/priority-aging/src/lane.rs
+++ b/crates/priority-aging/src/lane.rs
@@ -1,11 +1,11 @@
-//! How much of the cluster boosted jobs use at once.
+//! Limits how much of the cluster boosted jobs use at once.
 
 use beamhinge_core::resources::EPSILON;
 
-/// The CPUs that boosted jobs may use while others wait for them.
+/// The CPUs that boosted jobs may use while other jobs wait for CPUs.
 ///
-/// One task is admitted when the lane is empty, however many CPUs it takes: else a task wider than
-/// the lane would wait for ever.
+/// An empty lane admits one task, however many CPUs it uses; otherwise a task larger than the lane
+/// would wait indefinitely.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PriorityLane {
     width_cpus: f64,
@@ -14,7 +14,7 @@
 }
 
 impl PriorityLane {
-    /// An empty lane of so many CPUs.
+    /// Creates an empty lane of `width_cpus` CPUs.
     #[must_use]
     pub fn new(width_cpus: f64) -> PriorityLane {
         PriorityLane {
@@ -24,27 +24,28 @@
         }
     }
 
-    /// Whether a task of so many CPUs may be admitted now.
+    /// Whether a task of this many CPUs may be admitted now.
     #[must_use]
     pub fn admits(&self, cpus: f64) -> bool {
         self.tasks == 0 || self.used_cpus + cpus <= self.width_cpus + EPSILON
     }
 
-    /// A task runs in the lane, or has been admitted: one for which a machine is reserved counts
-    /// like one that runs, or the lane would admit others beyond its width by the time that there
-    /// is room.
+    /// Adds a task that runs in the lane or has been admitted to it.
+    ///
+    /// A task for which a machine is reserved counts like a running one. Otherwise the lane would
+    /// have admitted tasks beyond its width by the time the reserved machine is available.
     pub fn add(&mut self, cpus: f64) {
         self.used_cpus += cpus;
         self.tasks += 1;
     }
 
-    /// CPUs of the tasks in the lane.
+    /// CPUs used by the tasks in the lane.
     #[must_use]
     pub fn used_cpus(&self) -> f64 {
         self.used_cpus
     }
 
-    /// CPUs that the lane is wide.
+    /// Maximum CPUs of the tasks in the lane.
     #[must_use]
     pub fn width_cpus(&self) -> f64 {
         self.width_cpus
--- a/crates/priority-aging/src/lane/tests.rs
+++ b/crates/priority-aging/src/lane/tests.rs
@@ -15,7 +15,7 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// What urgent work loses is the lane's width, or one task.
+    /// Urgent work loses at most the lane's width, or the CPUs of one task.
     #[test]
     fn admitted_tasks_never_exceed_the_width(
         width in 0.0f64..100.0,
--- a/crates/priority-aging/src/lib.rs
+++ b/crates/priority-aging/src/lib.rs
@@ -1,14 +1,15 @@
-//! Priority aging: what has waited long enough gets room, and costs urgent work a stated part of
-//! the cluster at most.
+//! Priority aging: jobs that have waited long enough get capacity, at the cost of at most a
+//! configured share of the cluster for urgent jobs.
 //!
-//! A job is *boosted* once it has waited as long as its urgency allows ([`AgingPolicy`]). Boosted
-//! jobs form a lane ([`PriorityLane`]): one behind the other by the moment at which they were
-//! boosted, ahead of all that is not more urgent than the ceiling, and never wider than a share of
-//! the cluster. A task that fits on no machine now reserves one ([`Reservations`]). From these
-//! three rules follows a bound on the longest wait, [`max_wait_s`].
+//! A job is *boosted* once it has waited for the time that is set for its urgency
+//! ([`AgingPolicy`]). Boosted jobs form a priority lane ([`PriorityLane`]): they are ordered by the
+//! time at which they were boosted, go ahead of all jobs that are not more urgent than the ceiling,
+//! and use at most a share of the cluster. A boosted task that fits on no machine now reserves one
+//! ([`Reservations`]). These three rules imply an upper bound on the wait, [`max_wait_s`].
 //!
-//! Sans-IO: ages and resources come in, decisions go out. `docs/priority-aging.md` has the
-//! argument, the alternatives that were weighed, and where no bound exists.
+//! Sans-IO: the crate takes ages and resources as input and returns decisions.
+//! `docs/priority-aging.md` explains the design, the alternatives that were considered, and the
+//! cases in which no bound exists.
 
 mod bound;
 mod lane;
--- a/crates/priority-aging/src/policy.rs
+++ b/crates/priority-aging/src/policy.rs
@@ -1,45 +1,46 @@
-//! When a waiting job is boosted.
+//! Determines when a waiting job is boosted.
 
 use beamhinge_core::job::Urgency;
 use beamhinge_core::settings::PriorityAging;
 use beamhinge_core::types::WallMs;
 
-/// How waiting jobs are boosted, from the operators' settings.
+/// The rules for boosting waiting jobs, from the operators' settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AgingPolicy {
     settings: PriorityAging,
 }
 
-/// How far a job's wait has raised its priority.
+/// The current priority of a waiting job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PriorityBoost {
-    /// Its urgency as a number, best effort being 0, plus what its wait has added.
+    /// Its urgency as a number, with best effort as 0, plus the increase from its wait.
     pub priority: f64,
-    /// Seconds until it is boosted; not positive: it is. None: it never will be.
+    /// Seconds until the job is boosted; 0 or negative if it is boosted already, `None` if it never
+    /// will be.
     pub boosted_in_s: Option<f64>,
 }
 
 impl AgingPolicy {
-    /// The policy of these settings.
+    /// Creates the policy from these settings.
     #[must_use]
     pub fn new(settings: PriorityAging) -> AgingPolicy {
         AgingPolicy { settings }
     }
 
-    /// Whether anything is boosted at all.
+    /// Whether priority aging is switched on.
     #[must_use]
     pub fn is_enabled(&self) -> bool {
         self.settings.on
     }
 
-    /// The highest urgency that boosted jobs go ahead of.
+    /// The highest urgency whose jobs boosted jobs go ahead of.
     #[must_use]
     pub fn ceiling(&self) -> Urgency {
         self.settings.ceiling
     }
 
-    /// How long a job of this urgency waits before it is boosted, seconds; none for those that
-    /// are exempt and those that are at the ceiling anyway.
+    /// How long a job of this urgency waits before it is boosted, seconds; `None` for urgencies
+    /// that are exempt or already at the ceiling.
     #[must_use]
     pub fn boost_after_s(&self, urgency: Urgency) -> Option<f64> {
         let after_s = match urgency {
@@ -50,20 +51,20 @@
         (self.settings.on && after_s > 0.0 && urgency < self.settings.ceiling).then_some(after_s)
     }
 
-    /// The moment at which a job is boosted, milliseconds of the time of day.
+    /// The wall-clock time at which a job is boosted, milliseconds; `None` if it never is.
     ///
-    /// It is made of what is stored with the job alone. So the order among boosted jobs is the
-    /// same at each controller, after restarts and failovers, and whatever the reader's clock
-    /// says; and a submission that was stamped by a clock which is off by the whole allowed skew
-    /// moves by that and no more.
+    /// It depends only on data stored with the job. The order of boosted jobs is therefore the same
+    /// on each controller and after restarts and failovers, whatever the clock of the controller
+    /// that computes it. A submission time from a clock that is off by the whole allowed skew
+    /// shifts the boost by that skew and no more.
     #[must_use]
     pub fn boosted_at_ms(&self, urgency: Urgency, submitted: WallMs) -> Option<u64> {
         let after_ms = (self.boost_after_s(urgency)? * 1e3) as u64;
         Some(submitted.0.saturating_add(after_ms))
     }
 
-    /// How far a job's wait has raised it, for operators: its priority grows evenly from its
-    /// urgency to the ceiling, and stays there.
+    /// The current priority of a job, as shown to operators: it grows linearly with the wait from
+    /// the job's urgency to the ceiling, and stays there.
     #[must_use]
     pub fn boost(&self, urgency: Urgency, submitted: WallMs, wall: WallMs) -> PriorityBoost {
         let own = f64::from(urgency as u8);
@@ -73,7 +74,7 @@
                 boosted_in_s: None,
             };
         };
-        // A submission of the future is one whose clock was ahead.
+        // A submission time in the future comes from a clock that was ahead.
         let age_s = wall.0.saturating_sub(submitted.0) as f64 / 1e3;
         let to_ceiling = f64::from(self.settings.ceiling as u8) - own;
         PriorityBoost {
@@ -82,19 +83,20 @@
         }
     }
 
-    /// CPUs that the lane is wide in a cluster of so many.
+    /// The width of the priority lane in a cluster of `cluster_cpus` CPUs, in CPUs.
     #[must_use]
     pub fn lane_width_cpus(&self, cluster_cpus: f64) -> f64 {
         cluster_cpus.max(0.0) * self.settings.share
     }
 
-    /// Preemptions after which a task is protected.
+    /// The number of preemptions after which a task is protected.
     #[must_use]
     pub fn max_preemptions(&self) -> u32 {
         self.settings.stops
     }
 
-    /// How long a task that was preempted so often runs undisturbed, seconds.
+    /// How long a task that was preempted [`Self::max_preemptions`] times runs before it may be
+    /// preempted again, seconds.
     #[must_use]
     pub fn protected_run_s(&self) -> f64 {
         self.settings.spared_s
--- a/crates/priority-aging/src/policy/tests.rs
+++ b/crates/priority-aging/src/policy/tests.rs
@@ -44,7 +44,7 @@
     );
 }
 
-/// Two controllers whose clocks are apart by the whole skew see one order.
+/// Two controllers whose clocks differ by the whole allowed skew compute the same order.
 #[test]
 fn order_of_boosted_jobs_ignores_the_readers_clock() {
     let policy = policy();
@@ -52,14 +52,14 @@
     let boosted_at = |submitted| policy.boosted_at_ms(Urgency::Standard, submitted);
     assert!(
         boosted_at(earlier) < boosted_at(later),
-        "stored stamps alone"
+        "the order depends on the stored submission times only"
     );
     assert_eq!(
         boosted_at(WallMs(u64::MAX)),
         Some(u64::MAX),
-        "a stamp out of all reason never rises"
+        "a job with the latest possible submission time is never boosted"
     );
-    // A stamp of the future gives no negative age.
+    // A submission time in the future does not give a negative age.
     assert_eq!(
         policy.boost(Urgency::Standard, later, earlier).priority,
         1.0
--- a/crates/priority-aging/src/reservations.rs
+++ b/crates/priority-aging/src/reservations.rs
@@ -1,26 +1,26 @@
-//! Machines reserved for tasks that fit nowhere now.
+//! Reserves machines for tasks that fit on no machine now.
 //!
-//! Small tasks take each piece of a machine as it comes free, so a wide one finds none, however
-//! far ahead it stands. It reserves the machine that will have room first. Until the time at which
-//! that was expected, tasks that would end in time go on filling it (backfill); after that nothing
-//! does.
+//! Small tasks use capacity as soon as it is freed, so a large task never finds enough, however far
+//! ahead it is in the order. It therefore reserves the machine that is expected to have enough free
+//! capacity first. Until that expected time, tasks that would end before it may still start on the
+//! machine (backfill); after that no other task may.
 
 use beamhinge_core::resources::Resources;
 use beamhinge_core::types::{JobId, MachineId, Time};
 use std::collections::BTreeMap;
 
-/// A machine that one job's next task waits for.
+/// The reservation of a machine for the next task of one job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
     /// The machine.
     pub machine: MachineId,
-    /// When there is room by the estimates. It is set once: an estimate that proves wrong does not
-    /// let others fill the machine for longer.
+    /// When the machine is estimated to have enough free capacity. It is set once, so that a wrong
+    /// estimate does not extend the time in which other tasks may start on the machine.
     pub available_at: Time,
 }
 
 impl Reservation {
-    /// Whether another job's task that runs for `run_s` seconds may still go there.
+    /// Whether a task of another job that runs for `run_s` seconds may still start on the machine.
     #[must_use]
     pub fn admits_backfill(&self, now: Time, run_s: f64) -> bool {
         now.plus(run_s) <= self.available_at
@@ -30,14 +30,14 @@
 /// A task that runs on a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunningTask {
-    /// Seconds until it ends, by estimate.
+    /// Estimated seconds until it ends.
     pub remaining_s: f64,
-    /// What its end frees.
+    /// Resources that its end frees.
     pub resources: Resources,
 }
 
-/// Seconds until a machine has room for a task, by estimates: what runs there ends one after the
-/// other. None: not even when all has ended. Sorts `running` by the time that is left.
+/// Estimated seconds until a task fits on a machine, as the tasks that run there end; `None` if it
+/// does not fit even once all of them have ended. Sorts `running` by remaining time.
 pub fn earliest_fit_s(
     free: Resources,
     running: &mut [RunningTask],
@@ -57,21 +57,23 @@
     None
 }
 
-/// Which job has reserved which machine: one machine for a job, one job for a machine. Meant for
-/// few at a time, since each costs what would not end in time.
+/// The reserved machines: at most one machine per job, and one job per machine.
+///
+/// Intended for few reservations at a time, since each one leaves capacity idle that backfill does
+/// not use.
 #[derive(Debug, Default)]
 pub struct Reservations {
     by_job: BTreeMap<JobId, Reservation>,
 }
 
 impl Reservations {
-    /// The reservation of a job.
+    /// The reservation of a job; `None` if it has none.
     #[must_use]
     pub fn get(&self, job: JobId) -> Option<Reservation> {
         self.by_job.get(&job).copied()
     }
 
-    /// The job that has reserved a machine.
+    /// The job that has reserved a machine, and its reservation; `None` if no job has.
     #[must_use]
     pub fn owner(&self, machine: MachineId) -> Option<(JobId, Reservation)> {
         self.by_job
@@ -80,9 +82,12 @@
             .map(|(job, reservation)| (*job, *reservation))
     }
 
-    /// Reserves, of machines with the seconds until each has room, the first that nobody has
-    /// reserved. A reservation that the job has is kept: moving on to whichever looks best now
-    /// would let each be filled again in turn.
+    /// Reserves, for a job, the unreserved machine that has enough free capacity first; `None` if
+    /// there is no unreserved machine. `machines` gives the estimated seconds until each machine
+    /// has enough.
+    ///
+    /// An existing reservation of the job is kept: if the job moved to the machine that looks best
+    /// now, other tasks could fill up each machine again in turn.
     pub fn reserve(
         &mut self,
         now: Time,
@@ -102,13 +107,14 @@
         Some(reservation)
     }
 
-    /// Ends the reservations that are no longer wanted, or whose machine can no longer be had.
+    /// Cancels the reservations for which `is_wanted` returns `false`: those that are no longer
+    /// needed, or whose machine is no longer available.
     pub fn retain(&mut self, is_wanted: impl Fn(JobId, &Reservation) -> bool) {
         self.by_job
             .retain(|job, reservation| is_wanted(*job, reservation));
     }
 
-    /// Whether nothing is reserved.
+    /// Whether no machine is reserved.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_job.is_empty()
--- a/crates/priority-aging/src/reservations/tests.rs
+++ b/crates/priority-aging/src/reservations/tests.rs
@@ -31,8 +31,8 @@
     assert_eq!(earliest_fit_s(cpus(2.0), &mut [], cpus(1.0)), Some(0.0));
 }
 
-/// An estimate that is wrong by four times: the machine is not filled on and on, and it is not
-/// left for another.
+/// If an estimate is wrong by a factor of four, backfill on the machine still stops at the expected
+/// time, and the job does not move to another machine.
 #[test]
 fn reserved_machine_and_time_stay_when_the_estimate_was_wrong() {
     let now = Time::from_micros(1_000_000);
@@ -47,7 +47,7 @@
     assert!(
         reservation.admits_backfill(now, 10.0) && !reservation.admits_backfill(now.plus(5.0), 10.0)
     );
-    // Ten seconds have passed and what ran there runs on.
+    // The expected ten seconds have passed, but the tasks on the machine still run.
     let later = now.plus(11.0);
     let again = reservations.reserve(
         later,
@@ -56,7 +56,7 @@
     );
     assert_eq!(again, Some(reservation));
     assert!(!reservation.admits_backfill(later, 0.1));
-    // Others get other machines.
+    // Another job cannot reserve the same machine.
     assert!(reservations
         .reserve(later, id(2), [(machine(2), 0.0)].into_iter())
         .is_none());
