--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration as operators request them, and the checks of their form.
+//! Configuration changes as operators request them, and the validation of their form.
 
 use crate::quota::Quota;
 use crate::stored::Version;
@@ -6,38 +6,38 @@
 use std::collections::BTreeMap;
 use validator::{Validate, ValidationErrors, ValidationErrorsKind};
 
-/// Teams that one change may name, and teams that there may be.
+/// Maximum number of teams in one change, and of teams in effect.
 pub const MAX_TEAMS: usize = 2_000;
-/// Longest reason, bytes.
+/// Maximum length of the reason for a change, bytes.
 const MAX_REASON_BYTES: usize = 200;
-/// Longest name of a team, bytes; the name is part of many stored values.
+/// Maximum length of a team name, bytes. It is limited because many stored values contain the name.
 const MAX_TEAM_NAME_BYTES: usize = 64;
 
-/// What a change does to one team.
+/// The change to one team.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TeamChange {
     /// Sets the quota of an existing team.
     Set(Quota),
-    /// Adds a team that is new, or was removed.
+    /// Adds a new team, or a removed team again.
     Add(Quota),
-    /// Removes the team: its new jobs are refused, accepted ones run on.
+    /// Removes the team: its new jobs are refused, accepted jobs continue.
     Remove,
-    /// Drops the overlay of the team: the settings apply again.
+    /// Deletes the team from the overlay, so that the settings apply again.
     Restore,
 }
 
-/// A change that an operator requests: of teams, or back to an earlier version.
+/// A change that an operator requests: to teams, or the restoration of an earlier version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 // Operators are shown the text of decoding errors, which names what is expected.
 #[serde(deny_unknown_fields, expecting = "struct Change")]
 pub struct ConfigurationChange {
-    /// The version that its author saw; the change is refused if another is in force.
+    /// The version that its author saw; the change is refused if another version is in force.
     pub seen: Version,
-    /// What changes, by name of the team.
+    /// The changes to teams, by team name.
     #[serde(default)]
     pub teams: BTreeMap<String, TeamChange>,
-    /// Restores what was in force at this version, in place of `teams`.
+    /// The version to restore, if any; then `teams` is empty.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub restore_version: Option<Version>,
     /// The author's reason, at most 200 bytes.
@@ -45,10 +45,11 @@
     pub why: String,
 }
 
-/// Why a change is not made; what is in force stays so. The texts are shown to operators.
+/// The reason why a change is refused; the configuration in force stays as it is. The texts are
+/// shown to operators.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ChangeError {
-    /// Another version is in force than the author saw.
+    /// The version in force is not the one that the author saw.
     #[error("version {current} is in force and {seen} was seen: look again and decide anew")]
     VersionConflict {
         /// The version that the author saw.
@@ -56,10 +57,10 @@
         /// The version in force.
         current: Version,
     },
-    /// The change names neither teams nor a version.
+    /// The change names neither teams nor a version to restore.
     #[error("it names no team and no version to go back to")]
     Empty,
-    /// The change names both teams and a version.
+    /// The change names both teams and a version to restore.
     #[error("it names teams and a version to go back to: make two changes of it")]
     TeamsAndVersion,
     /// More than [`MAX_TEAMS`] teams.
@@ -68,24 +69,24 @@
     /// The reason is too long.
     #[error("the reason is longer than {MAX_REASON_BYTES} bytes")]
     ReasonTooLong,
-    /// A name that no team may have.
+    /// The name of a team is not valid.
     #[error(
         "'{0}' is no name of a team: letters, digits, - _ . and at most {MAX_TEAM_NAME_BYTES} of \
          them"
     )]
     InvalidTeamName(String),
-    /// A team to be changed does not exist.
+    /// The team to be changed does not exist.
     #[error("there is no team {0}: `add` makes one")]
     UnknownTeam(String),
-    /// A team to be added exists.
+    /// The team to be added already exists.
     #[error("there is a team {0} already: `set` changes it")]
     TeamExists(String),
-    /// A quota that is not valid.
+    /// The quota of a team is not valid.
     #[error("team {team}: {problem}")]
     InvalidQuota {
         /// Name of the team.
         team: String,
-        /// What is wrong, for the author.
+        /// Description of the faults, for the author.
         problem: String,
     },
     /// The version to be restored is not retained.
@@ -97,10 +98,10 @@
 }
 
 impl ConfigurationChange {
-    /// Checks the form of the change, independently of what is in force.
+    /// Validates the form of the change, independently of the configuration in force.
     ///
     /// # Errors
-    /// The first fault that is found.
+    /// Returns the first fault found.
     pub fn check_form(&self) -> Result<(), ChangeError> {
         if self.why.len() > MAX_REASON_BYTES {
             return Err(ChangeError::ReasonTooLong);
@@ -140,7 +141,7 @@
         })
 }
 
-/// All faults of a quota in one line.
+/// Describes all faults of a quota in one line.
 fn describe(errors: &ValidationErrors) -> String {
     let mut problems = Vec::new();
     for (field, kind) in errors.errors() {
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -1,5 +1,4 @@
-//! Planning: a change is checked against what is in force and turned into the values to be
-//! written, or refused.
+//! Validates a change against the configuration in force, and computes the values to be written.
 
 use crate::change::{ChangeError, ConfigurationChange, TeamChange, MAX_TEAMS};
 use crate::quota::EffectiveTeam;
@@ -10,27 +9,28 @@
 use beamhinge_core::settings;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Teams whose former state one part of a record holds: about 4 KB.
+/// Maximum number of teams in one part of a record, which is then about 4 KB.
 const TEAMS_PER_RECORD_PART: usize = 40;
 
-/// What a change writes, in one transaction.
+/// The values that a change writes in one transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangePlan {
     /// The new head.
     pub head: Head,
-    /// The chunks that change, whole, by number.
+    /// The complete new values of the chunks that change, by number.
     pub chunks: BTreeMap<usize, Chunk>,
-    /// The record of what was before, in parts.
+    /// The record of the former state of the changed teams, in parts.
     pub record: Vec<RecordPart>,
-    /// A version whose record is no longer retained and is deleted.
+    /// The version whose record is no longer retained and is deleted; `None` if there is none.
     pub expired: Option<Version>,
 }
 
 impl ConfigurationChange {
-    /// Plans the change over `current`; `base` are the teams of the settings.
+    /// Computes the writes that apply the change to `current`; `base` are the teams of the
+    /// settings.
     ///
     /// # Errors
-    /// Why the change is not made.
+    /// Returns the reason why the change is refused.
     pub fn plan(
         &self,
         current: &Snapshot,
@@ -76,7 +76,7 @@
         })
     }
 
-    /// The overlay as it is to be after the change.
+    /// The overlay after the change.
     fn target_overlay(
         &self,
         current: &Snapshot,
@@ -91,7 +91,7 @@
         Ok(keep_added(before, current, base))
     }
 
-    /// The overlay of `current` with the teams of the change applied to it.
+    /// The overlay of `current` after the team changes are applied to it.
     fn apply_teams(
         &self,
         current: &Snapshot,
@@ -115,7 +115,8 @@
                     overlay.insert(name.clone(), TeamState::removed(quota));
                 }
                 TeamChange::Restore => {
-                    // A team that the settings do not have would be forgotten, its jobs with it.
+                    // A team that is not in the settings would be deleted, and the quota of its
+                    // accepted jobs with it.
                     if !is_in(base, name) {
                         return Err(ChangeError::UnknownTeam(name.clone()));
                     }
@@ -127,12 +128,12 @@
     }
 }
 
-/// Whether the settings have a team of this name.
+/// Whether the settings contain a team of this name.
 fn is_in(base: &[settings::Team], name: &str) -> bool {
     base.iter().any(|team| team.name == name)
 }
 
-/// Teams whose state differs between what is in force and `overlay`, by name.
+/// Names of the teams whose state differs between the overlay in force and `overlay`, sorted.
 fn changed_teams<'a>(
     current: &'a Snapshot,
     overlay: &'a BTreeMap<String, TeamState>,
@@ -144,8 +145,8 @@
         .collect()
 }
 
-/// Marks teams that were added since an earlier version as removed in its overlay, rather than
-/// forgetting them: their accepted jobs still count against their quota.
+/// Marks teams that were added since an earlier version as removed in the overlay of that version,
+/// instead of deleting them: their accepted jobs still count against their quota.
 fn keep_added(
     mut overlay: BTreeMap<String, TeamState>,
     current: &Snapshot,
@@ -161,7 +162,7 @@
     overlay
 }
 
-/// The chunks that hold a changed team, as they are to be.
+/// The new values of the chunks that contain a changed team.
 fn chunks(overlay: &BTreeMap<String, TeamState>, changed: &[&String]) -> BTreeMap<usize, Chunk> {
     let empty = Chunk {
         v: FORMAT_VERSION,
@@ -179,7 +180,7 @@
     chunks
 }
 
-/// The record of what the changed teams were before, in parts.
+/// The record of the former state of the changed teams, in parts.
 fn record(current: &Snapshot, changed: &[&String], author: &Author) -> Vec<RecordPart> {
     let parts = changed.chunks(TEAMS_PER_RECORD_PART);
     let count = parts.len() as u32;
@@ -198,8 +199,8 @@
         .collect()
 }
 
-/// The CPUs that the teams are guaranteed in all, if these are more than the fleet has: a
-/// reason to warn, not to refuse.
+/// The total of all CPU guarantees if it exceeds the CPUs of the fleet, else `None`. An excess
+/// causes a warning; the change is not refused.
 #[must_use]
 pub fn guarantees_above(teams: &[EffectiveTeam], fleet_cpus: f64) -> Option<f64> {
     let guaranteed: f64 = teams
--- a/crates/configuration/src/plan/tests.rs
+++ b/crates/configuration/src/plan/tests.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// What the key-value store holds after a plan.
+/// The contents of the key-value store after a plan is written.
 fn made(mut now: Snapshot, plan: ChangePlan) -> Snapshot {
     let version = plan.head.version;
     now.overlay
@@ -213,7 +213,7 @@
     let again = change(1, &[("one", TeamChange::Set(quota(1.0, 2.0)))]);
     assert!(
         again.plan(&now, &base(), author("x")).is_err(),
-        "it is gone"
+        "a removed team cannot be changed"
     );
     let now = apply(
         now,
@@ -251,7 +251,7 @@
     );
 }
 
-/// Fields that a newer program wrote stay.
+/// Fields that a newer release wrote are preserved.
 #[test]
 fn unknown_fields_of_head_are_written_back() {
     let mut now = apply(
@@ -274,7 +274,8 @@
     assert_eq!(guarantees_above(&teams, 10.0), None);
 }
 
-/// Going back before a team was added once forgot it, and its open jobs had no limit.
+/// Guards against a former fault: restoring a version from before a team was added deleted the
+/// team, and its open jobs had no limit.
 #[test]
 fn restore_removes_team_added_since_and_keeps_its_quota() {
     let now = apply(
@@ -292,7 +293,7 @@
         .find(|t| t.name == "new")
         .expect("kept");
     assert!(new.removed && new.quota.cpus_max == 5.0);
-    // Once more there is nothing to go back from.
+    // Restoring the same version again changes nothing.
     let again = ConfigurationChange {
         seen: Version(2),
         ..back
--- a/crates/configuration/src/quota.rs
+++ b/crates/configuration/src/quota.rs
@@ -1,13 +1,13 @@
-//! Quotas: what a team is guaranteed and may use.
+//! Quotas: the guarantees and limits of a team.
 
 use beamhinge_core::settings;
 use serde::{Deserialize, Serialize};
 use validator::{Validate, ValidationError};
 
-/// No team has more CPUs or GPUs.
+/// Largest valid number of CPUs or GPUs in a quota.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// CPUs and GPUs that a team is guaranteed, and may use at most; 0: no guarantee, no limit.
+/// CPUs and GPUs that a team is guaranteed, and may use at most; 0 means no guarantee or no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 #[validate(schema(function = "limits_cover_guarantees"))]
@@ -65,13 +65,13 @@
     }
 }
 
-/// A team as it is in effect.
+/// The state of a team that is in effect, from the settings and the overlay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveTeam {
     /// Name of the team.
     pub name: String,
-    /// What it is guaranteed and may use.
+    /// Its guarantees and limits.
     pub quota: Quota,
-    /// Its accepted jobs run on; new ones are refused.
+    /// Whether the team is removed: its new jobs are refused, accepted jobs continue.
     pub removed: bool,
 }
--- a/crates/configuration/src/stored.rs
+++ b/crates/configuration/src/stored.rs
@@ -1,8 +1,9 @@
-//! The configuration as it is stored in the key-value store.
+//! The format of the configuration in the key-value store.
 //!
-//! `c/head` names the version; every change writes it, so its revision stands for the whole.
-//! `c/t/N` are chunks of the overlay; `c/h/VERSION/PART` record who made a version, why, and
-//! what was before it. Field names are part of the stored format.
+//! `c/head` holds the current version. Every change writes it, so its revision changes whenever any
+//! part of the configuration does. `c/t/N` are the chunks of the overlay. `c/h/VERSION/PART` record
+//! the author of a version, the reason for it, and the former state of the changed teams. Field
+//! names are part of the stored format.
 
 use crate::quota::{EffectiveTeam, Quota};
 use beamhinge_core::settings;
@@ -14,13 +15,14 @@
 
 /// Version of the stored format.
 pub const FORMAT_VERSION: u32 = 1;
-/// Number of chunks of the overlay. The chunk of a team follows from its name; a value of 8 KB
-/// holds about 150 teams.
+/// Number of chunks of the overlay. A hash of its name determines the chunk of a team; a value of
+/// 8 KB holds about 150 teams.
 pub const CHUNKS: usize = 8;
-/// Versions whose records are retained, so that they can be restored.
+/// Number of versions whose records are retained for restoration.
 pub const MAX_RETAINED_VERSIONS: usize = 16;
 
-/// A version of the configuration: the number of changes made so far; 0: the settings alone.
+/// A version of the configuration: the number of changes made so far. At 0 the settings apply
+/// without an overlay.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -28,7 +30,7 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// The version that the next change makes.
+    /// The version that the next change creates.
     #[must_use]
     pub fn next(self) -> Version {
         Version(self.0 + 1)
@@ -41,19 +43,19 @@
     }
 }
 
-/// Who made a version, when and why.
+/// The author of a version, the time and the reason.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Author {
-    /// Identifies the change, so that it is recognized when the reply to its transaction was
-    /// lost.
+    /// Identifies the change, so that the controller recognizes it as committed if the reply to its
+    /// transaction was lost.
     pub id: String,
-    /// Time of day, milliseconds.
+    /// Wall-clock time of the change, milliseconds.
     pub at_ms: u64,
     /// Name of the operator's key.
     pub by: String,
     /// The reason that the operator gave.
     pub why: String,
-    /// The version that this one restores, if it does.
+    /// The version that this one restores; `None` if it restores none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub restores: Option<Version>,
 }
@@ -65,26 +67,26 @@
     pub v: u32,
     /// The newest version.
     pub version: Version,
-    /// Who made it.
+    /// The author of the newest version.
     pub author: Author,
-    /// Fields of a newer program, written back as they are.
+    /// Fields written by a newer release, which are written back unchanged.
     #[serde(flatten)]
     pub unknown: BTreeMap<String, Value>,
 }
 
-/// A team in the overlay.
+/// The state of a team in the overlay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TeamState {
-    /// What it is guaranteed and may use.
+    /// Its guarantees and limits.
     #[serde(rename = "q")]
     pub quota: Quota,
-    /// The team is removed; the quota still applies to its accepted jobs.
+    /// Whether the team is removed; the quota still applies to its accepted jobs.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub removed: bool,
 }
 
 impl TeamState {
-    /// A team with this quota.
+    /// The state of an existing team with this quota.
     #[must_use]
     pub fn active(quota: Quota) -> TeamState {
         TeamState {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// A removed team whose accepted jobs are subject to this quota.
+    /// The state of a removed team whose accepted jobs are subject to this quota.
     #[must_use]
     pub fn removed(quota: Quota) -> TeamState {
         TeamState {
@@ -118,36 +120,36 @@
 pub struct RecordPart {
     /// [`FORMAT_VERSION`].
     pub v: u32,
-    /// Who made the version.
+    /// The author of the version.
     pub author: Author,
-    /// How many parts the record has.
+    /// Number of parts of the record.
     pub parts: u32,
-    /// Former state of the changed teams; `None`: the settings applied.
+    /// Former state of the changed teams in the overlay; `None` if the settings applied.
     #[serde(rename = "b")]
     pub before: BTreeMap<String, Option<TeamState>>,
 }
 
-/// The number of the chunk that holds a team.
+/// The number of the chunk that contains a team.
 #[must_use]
 pub fn chunk_of(team: &str) -> usize {
     (xxh3_64(team.as_bytes()) % CHUNKS as u64) as usize
 }
 
-/// The record of a version, put together from all of its parts.
+/// The record of a version, assembled from all of its parts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Who made the version.
+    /// The author of the version.
     pub author: Author,
-    /// Former state of the changed teams; `None`: the settings applied.
+    /// Former state of the changed teams in the overlay; `None` if the settings applied.
     pub before: BTreeMap<String, Option<TeamState>>,
 }
 
-/// The whole stored configuration as of one version.
+/// The complete stored configuration at one version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
     /// The head; `None` before the first change.
     pub head: Option<Head>,
-    /// Teams that differ from the settings, by name.
+    /// States of the teams that differ from the settings, by team name.
     pub overlay: BTreeMap<String, TeamState>,
     /// Records of the retained versions.
     pub records: BTreeMap<Version, Record>,
@@ -160,8 +162,8 @@
         self.head.as_ref().map_or(Version(0), |head| head.version)
     }
 
-    /// The overlay as it was at an earlier version; `None` if the retained records do not reach
-    /// back to it.
+    /// The overlay at an earlier version; `None` if the retained records do not reach back to it,
+    /// or if `version` is newer than the version in force.
     #[must_use]
     pub fn overlay_at(&self, version: Version) -> Option<BTreeMap<String, TeamState>> {
         if version > self.version() {
@@ -181,14 +183,16 @@
         Some(overlay)
     }
 
-    /// The teams in effect: those of the settings in their order, then added ones by name.
+    /// The teams in effect: those of the settings in the order of the settings, then the added
+    /// teams by name.
     #[must_use]
     pub fn effective(&self, base: &[settings::Team]) -> Vec<EffectiveTeam> {
         effective(&self.overlay, base)
     }
 }
 
-/// The teams of the settings with an overlay over them; added ones last, by name.
+/// The teams in effect when an overlay applies to the settings: those of the settings in the order
+/// of the settings, then the added teams by name.
 #[must_use]
 pub fn effective(
     overlay: &BTreeMap<String, TeamState>,
