--- a/crates/preemption/src/reserved_capacity.rs
+++ b/crates/preemption/src/reserved_capacity.rs
@@ -15,7 +15,7 @@
 /// CPUs that each tenant uses, and CPUs that are reserved for it against preemption.
 ///
 /// A tenant's reserved capacity is a fraction of the eligible capacity, that is, of the machines
-/// that its tasks fit on: best-effort work that needs large machines reserves a part of those, and
+/// that its tasks fit on: idle-time work that needs large machines reserves a part of those, and
 /// none of the small machines on which it could not run.
 #[derive(Debug, Default)]
 pub struct ReservedCapacity {
