--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -137,12 +137,12 @@
         .validate()
         .map_err(|errors| ChangeError::InvalidQuota {
             team: team.to_string(),
-            problem: describe(&errors),
+            problem: describe_errors(&errors),
         })
 }
 
 /// Describes all faults of a quota in one line.
-fn describe(errors: &ValidationErrors) -> String {
+fn describe_errors(errors: &ValidationErrors) -> String {
     let mut problems = Vec::new();
     for (field, kind) in errors.errors() {
         let ValidationErrorsKind::Field(errors) = kind else {
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -60,8 +60,8 @@
         let unknown = current.head.as_ref().map(|head| head.unknown.clone());
         let version = current_version.next();
         Ok(ChangePlan {
-            chunks: chunks(&overlay, &changed),
-            record: record(current, &changed, &author),
+            chunks: changed_chunks(&overlay, &changed),
+            record: record_parts(current, &changed, &author),
             expired: version
                 .0
                 .checked_sub(MAX_RETAINED_VERSIONS as u64)
@@ -85,10 +85,10 @@
         let Some(version) = self.restore_version else {
             return self.apply_teams(current, base);
         };
-        let before = current
+        let restored = current
             .overlay_at(version)
             .ok_or(ChangeError::VersionNotRetained(version))?;
-        Ok(keep_added(before, current, base))
+        Ok(mark_added_teams_removed(restored, current, base))
     }
 
     /// The overlay of `current` after the team changes are applied to it.
@@ -117,7 +117,7 @@
                 TeamChange::Restore => {
                     // A team that is not in the settings would be deleted, and the quota of its
                     // accepted jobs with it.
-                    if !is_in(base, name) {
+                    if !is_in_settings(base, name) {
                         return Err(ChangeError::UnknownTeam(name.clone()));
                     }
                     overlay.remove(name);
@@ -129,7 +129,7 @@
 }
 
 /// Whether the settings contain a team of this name.
-fn is_in(base: &[settings::Team], name: &str) -> bool {
+fn is_in_settings(base: &[settings::Team], name: &str) -> bool {
     base.iter().any(|team| team.name == name)
 }
 
@@ -147,13 +147,13 @@
 
 /// Marks teams that were added since an earlier version as removed in the overlay of that version,
 /// instead of deleting them: their accepted jobs still count against their quota.
-fn keep_added(
+fn mark_added_teams_removed(
     mut overlay: BTreeMap<String, TeamState>,
     current: &Snapshot,
     base: &[settings::Team],
 ) -> BTreeMap<String, TeamState> {
     for (name, state) in &current.overlay {
-        if !is_in(base, name) {
+        if !is_in_settings(base, name) {
             overlay
                 .entry(name.clone())
                 .or_insert_with(|| TeamState::removed(state.quota));
@@ -163,7 +163,10 @@
 }
 
 /// The new values of the chunks that contain a changed team.
-fn chunks(overlay: &BTreeMap<String, TeamState>, changed: &[&String]) -> BTreeMap<usize, Chunk> {
+fn changed_chunks(
+    overlay: &BTreeMap<String, TeamState>,
+    changed: &[&String],
+) -> BTreeMap<usize, Chunk> {
     let empty = Chunk {
         v: FORMAT_VERSION,
         ..Chunk::default()
@@ -181,7 +184,7 @@
 }
 
 /// The record of the former state of the changed teams, in parts.
-fn record(current: &Snapshot, changed: &[&String], author: &Author) -> Vec<RecordPart> {
+fn record_parts(current: &Snapshot, changed: &[&String], author: &Author) -> Vec<RecordPart> {
     let parts = changed.chunks(TEAMS_PER_RECORD_PART);
     let count = parts.len() as u32;
     parts
--- a/crates/configuration/src/plan/tests.rs
+++ b/crates/configuration/src/plan/tests.rs
@@ -45,19 +45,20 @@
 }
 
 /// The contents of the key-value store after a plan is written.
-fn made(mut now: Snapshot, plan: ChangePlan) -> Snapshot {
+fn apply_plan(mut snapshot: Snapshot, plan: ChangePlan) -> Snapshot {
     let version = plan.head.version;
-    now.overlay
+    snapshot
+        .overlay
         .retain(|team, _| !plan.chunks.contains_key(&chunk_of(team)));
     for chunk in plan.chunks.into_values() {
-        now.overlay.extend(chunk.teams);
+        snapshot.overlay.extend(chunk.teams);
     }
     let before = plan
         .record
         .into_iter()
         .flat_map(|part| part.before)
         .collect();
-    now.records.insert(
+    snapshot.records.insert(
         version,
         Record {
             author: plan.head.author.clone(),
@@ -65,19 +66,21 @@
         },
     );
     if let Some(old) = plan.expired {
-        now.records.remove(&old);
+        snapshot.records.remove(&old);
     }
-    now.head = Some(plan.head);
-    now
+    snapshot.head = Some(plan.head);
+    snapshot
 }
 
-fn apply(now: Snapshot, change: &ConfigurationChange) -> Snapshot {
-    let plan = change.plan(&now, &base(), author("x")).expect("sound");
-    made(now, plan)
+fn apply_change(snapshot: Snapshot, change: &ConfigurationChange) -> Snapshot {
+    let plan = change
+        .plan(&snapshot, &base(), author("x"))
+        .expect("a valid change");
+    apply_plan(snapshot, plan)
 }
 
-fn limit(now: &Snapshot, team: &str) -> f64 {
-    let teams = now.effective(&base());
+fn limit(snapshot: &Snapshot, team: &str) -> f64 {
+    let teams = snapshot.effective(&base());
     teams
         .iter()
         .find(|t| t.name == team)
@@ -87,19 +90,24 @@
 #[test]
 fn empty_overlay_leaves_settings_in_effect() {
     let teams = Snapshot::default().effective(&base());
-    let want: Vec<Quota> = base().iter().map(Quota::from).collect();
-    assert_eq!(teams.iter().map(|t| t.quota).collect::<Vec<_>>(), want);
+    let expected: Vec<Quota> = base().iter().map(Quota::from).collect();
+    assert_eq!(teams.iter().map(|t| t.quota).collect::<Vec<_>>(), expected);
     assert!(teams.iter().all(|t| !t.removed));
 }
 
 #[test]
-fn second_change_of_same_version_conflicts() {
-    let now = Snapshot::default();
+fn second_change_of_the_same_version_conflicts() {
+    let snapshot = Snapshot::default();
     let first = change(0, &[("one", TeamChange::Set(quota(5.0, 20.0)))]);
-    let now = apply(now, &first);
-    assert_eq!((now.version(), limit(&now, "one")), (Version(1), 20.0));
+    let snapshot = apply_change(snapshot, &first);
+    assert_eq!(
+        (snapshot.version(), limit(&snapshot, "one")),
+        (Version(1), 20.0)
+    );
     let second = change(0, &[("one", TeamChange::Set(quota(5.0, 30.0)))]);
-    let refusal = second.plan(&now, &base(), author("y")).expect_err("late");
+    let refusal = second
+        .plan(&snapshot, &base(), author("y"))
+        .expect_err("a conflict");
     assert_eq!(
         refusal,
         ChangeError::VersionConflict {
@@ -111,10 +119,10 @@
 
 #[test]
 fn batch_with_one_invalid_team_changes_nothing() {
-    let sound = ("one", TeamChange::Set(quota(1.0, 2.0)));
-    let wrong = ("three", TeamChange::Set(quota(1.0, 2.0)));
+    let valid = ("one", TeamChange::Set(quota(1.0, 2.0)));
+    let invalid = ("three", TeamChange::Set(quota(1.0, 2.0)));
     let refusal =
-        change(0, &[sound.clone(), wrong]).plan(&Snapshot::default(), &base(), author("x"));
+        change(0, &[valid.clone(), invalid]).plan(&Snapshot::default(), &base(), author("x"));
     assert_eq!(refusal, Err(ChangeError::UnknownTeam("three".into())));
     let many: Vec<(String, TeamChange)> = (0..240)
         .map(|n| (format!("t-{n}"), TeamChange::Add(quota(1.0, 9.0))))
@@ -122,20 +130,22 @@
     let many: Vec<(&str, TeamChange)> = many.iter().map(|(n, c)| (n.as_str(), c.clone())).collect();
     let plan = change(0, &many)
         .plan(&Snapshot::default(), &base(), author("x"))
-        .expect("sound");
+        .expect("a valid change");
     let writes = 1 + plan.chunks.len() + plan.record.len();
     assert!(
         writes <= 20,
-        "{writes} writes: a quarter's quotas fit one transaction"
+        "{writes} writes: a quarterly quota change fits into one transaction"
     );
     assert_eq!(
-        made(Snapshot::default(), plan).effective(&base()).len(),
+        apply_plan(Snapshot::default(), plan)
+            .effective(&base())
+            .len(),
         242
     );
 }
 
 #[test]
-fn invalid_change_is_refused_with_its_remedy() {
+fn invalid_change_is_refused_with_explanation() {
     let cases: Vec<(ConfigurationChange, &str)> = vec![
         (change(0, &[]), "names no team"),
         (
@@ -190,61 +200,63 @@
             "version 3 is not kept",
         ),
     ];
-    for (change, why) in cases {
+    for (change, expected_text) in cases {
         let refusal = change
             .plan(&Snapshot::default(), &base(), author("x"))
-            .expect_err(why);
-        assert!(refusal.to_string().contains(why), "{refusal}");
+            .expect_err(expected_text);
+        assert!(refusal.to_string().contains(expected_text), "{refusal}");
     }
 }
 
 #[test]
 fn removed_team_keeps_quota_and_can_be_added_again() {
-    let now = apply(
+    let snapshot = apply_change(
         Snapshot::default(),
         &change(0, &[("one", TeamChange::Remove)]),
     );
-    let one = now
+    let one = snapshot
         .effective(&base())
         .into_iter()
         .find(|t| t.name == "one")
-        .expect("kept");
+        .expect("the team remains in effect");
     assert!(one.removed && one.quota.cpus_max == 40.0);
     let again = change(1, &[("one", TeamChange::Set(quota(1.0, 2.0)))]);
     assert!(
-        again.plan(&now, &base(), author("x")).is_err(),
+        again.plan(&snapshot, &base(), author("x")).is_err(),
         "a removed team cannot be changed"
     );
-    let now = apply(
-        now,
+    let snapshot = apply_change(
+        snapshot,
         &change(1, &[("one", TeamChange::Add(quota(1.0, 2.0)))]),
     );
-    assert!(!now.effective(&base())[0].removed);
+    assert!(!snapshot.effective(&base())[0].removed);
 }
 
 #[test]
 fn retained_version_is_restored_as_new_version() {
-    let mut now = Snapshot::default();
+    let mut snapshot = Snapshot::default();
     for n in 1..=30u32 {
         let teams = [("one", TeamChange::Set(quota(0.0, 100.0 + f64::from(n))))];
-        now = apply(now, &change(u64::from(n) - 1, &teams));
+        snapshot = apply_change(snapshot, &change(u64::from(n) - 1, &teams));
     }
-    let back = |to| ConfigurationChange {
+    let restoration = |to| ConfigurationChange {
         restore_version: Some(Version(to)),
         ..change(30, &[])
     };
-    let restored = apply(now.clone(), &back(20));
+    let restored = apply_change(snapshot.clone(), &restoration(20));
     assert_eq!(
         (restored.version(), limit(&restored, "one")),
         (Version(31), 120.0)
     );
     assert_eq!(
-        restored.head.expect("made").author.restores,
+        restored.head.expect("a head").author.restores,
         Some(Version(20))
     );
     let oldest = 30 - MAX_RETAINED_VERSIONS as u64;
-    assert!(back(oldest).plan(&now, &base(), author("x")).is_ok());
-    let refusal = back(oldest - 1).plan(&now, &base(), author("x"));
+    assert!(restoration(oldest)
+        .plan(&snapshot, &base(), author("x"))
+        .is_ok());
+    let refusal = restoration(oldest - 1).plan(&snapshot, &base(), author("x"));
     assert_eq!(
         refusal,
         Err(ChangeError::VersionNotRetained(Version(oldest - 1)))
@@ -254,15 +266,15 @@
 /// Fields that a newer release wrote are preserved.
 #[test]
 fn unknown_fields_of_head_are_written_back() {
-    let mut now = apply(
+    let mut snapshot = apply_change(
         Snapshot::default(),
         &change(0, &[("one", TeamChange::Remove)]),
     );
-    let head = now.head.as_mut().expect("made");
+    let head = snapshot.head.as_mut().expect("a head");
     head.unknown
         .insert("later".into(), ciborium::Value::from(7));
-    let now = apply(now, &change(1, &[("two", TeamChange::Remove)]));
-    let value = beamhinge_core::wire::to_value(&now.head.expect("made"));
+    let snapshot = apply_change(snapshot, &change(1, &[("two", TeamChange::Remove)]));
+    let value = beamhinge_core::wire::to_value(&snapshot.head.expect("a head"));
     let read: Head = beamhinge_core::wire::from_value(&value).expect("read");
     assert_eq!(read.unknown.get("later"), Some(&ciborium::Value::from(7)));
 }
@@ -277,29 +289,29 @@
 /// Guards against a former fault: restoring a version from before a team was added deleted the
 /// team, and its open jobs had no limit.
 #[test]
-fn restore_removes_team_added_since_and_keeps_its_quota() {
-    let now = apply(
+fn restored_version_marks_later_team_removed_and_keeps_its_quota() {
+    let snapshot = apply_change(
         Snapshot::default(),
         &change(0, &[("new", TeamChange::Add(quota(0.0, 5.0)))]),
     );
-    let back = ConfigurationChange {
+    let restoration = ConfigurationChange {
         restore_version: Some(Version(0)),
         ..change(1, &[])
     };
-    let now = apply(now, &back);
-    let new = now
+    let snapshot = apply_change(snapshot, &restoration);
+    let new = snapshot
         .effective(&base())
         .into_iter()
         .find(|t| t.name == "new")
-        .expect("kept");
+        .expect("the team remains in effect");
     assert!(new.removed && new.quota.cpus_max == 5.0);
     // Restoring the same version again changes nothing.
     let again = ConfigurationChange {
         seen: Version(2),
-        ..back
+        ..restoration
     };
     assert_eq!(
-        again.plan(&now, &base(), author("x")),
+        again.plan(&snapshot, &base(), author("x")),
         Err(ChangeError::Unchanged)
     );
 }
--- a/crates/priority-aging/src/bound.rs
+++ b/crates/priority-aging/src/bound.rs
@@ -20,7 +20,7 @@
 use beamhinge_core::job::Urgency;
 
 /// Tolerance for rounding errors in the number of tasks that fit into the lane.
-const ROUNDING_SLACK: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// Bound on arrivals in the lane: at most `burst + rate_per_s * t` tasks in any `t` seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -98,22 +98,22 @@
     /// Number of tasks of the largest size that fit into the lane side by side, at least 1.
     parallel_tasks: f64,
     /// Longest time that a task stays in the lane, seconds.
-    occupancy_s: f64,
+    max_time_in_lane_s: f64,
 }
 
 impl LaneService {
     fn new(policy: &AgingPolicy, max_task_cpus: f64, max_task_s: f64, cpus: f64) -> LaneService {
         let width_cpus = policy.lane_width_cpus(cpus);
         let parallel_tasks =
-            (width_cpus / max_task_cpus.max(ROUNDING_SLACK) + ROUNDING_SLACK).floor();
+            (width_cpus / max_task_cpus.max(ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE).floor();
         LaneService {
             parallel_tasks: parallel_tasks.max(1.0),
-            occupancy_s: 3.0 * max_task_s,
+            max_time_in_lane_s: 3.0 * max_task_s,
         }
     }
 
     fn throughput_per_s(&self) -> f64 {
-        self.parallel_tasks / self.occupancy_s
+        self.parallel_tasks / self.max_time_in_lane_s
     }
 }
 
@@ -154,8 +154,9 @@
             share,
         });
     }
-    let in_lane_s = service.occupancy_s * (1.0 + load.arrivals.burst / service.parallel_tasks);
-    Ok(boost_after_s + in_lane_s + 2.0 * load.max_task_s + capacity.downtime_s)
+    let admission_delay_s =
+        service.max_time_in_lane_s * (1.0 + load.arrivals.burst / service.parallel_tasks);
+    Ok(boost_after_s + admission_delay_s + 2.0 * load.max_task_s + capacity.downtime_s)
 }
 
 #[cfg(test)]
--- a/crates/priority-aging/src/bound/tests.rs
+++ b/crates/priority-aging/src/bound/tests.rs
@@ -82,7 +82,7 @@
     #[test]
     fn no_wait_exceeds_the_bound(
         cpus in 20.0f64..400.0,
-        drawn in prop::collection::vec(
+        samples in prop::collection::vec(
             (0.0f64..400.0, 0.2f64..16.0, 0.0f64..=1.0, 0.01f64..=1.0),
             1..80,
         ),
@@ -91,7 +91,7 @@
         let policy = policy();
         let width_cpus = policy.lane_width_cpus(cpus);
         let mut boosted_s = 0.0;
-        let boosted: Vec<BoostedTask> = drawn
+        let boosted: Vec<BoostedTask> = samples
             .iter()
             .map(|(after_s, cpus, wait, run)| {
                 boosted_s += after_s;
--- a/crates/priority-aging/src/policy.rs
+++ b/crates/priority-aging/src/policy.rs
@@ -67,18 +67,18 @@
     /// the job's urgency to the ceiling, and stays there.
     #[must_use]
     pub fn boost(&self, urgency: Urgency, submitted: WallMs, wall: WallMs) -> PriorityBoost {
-        let own = f64::from(urgency as u8);
+        let base_priority = f64::from(urgency as u8);
         let Some(after_s) = self.boost_after_s(urgency) else {
             return PriorityBoost {
-                priority: own,
+                priority: base_priority,
                 boosted_in_s: None,
             };
         };
         // A submission time in the future comes from a clock that was ahead.
         let age_s = wall.0.saturating_sub(submitted.0) as f64 / 1e3;
-        let to_ceiling = f64::from(self.settings.ceiling as u8) - own;
+        let increase_to_ceiling = f64::from(self.settings.ceiling as u8) - base_priority;
         PriorityBoost {
-            priority: own + to_ceiling * (age_s / after_s).min(1.0),
+            priority: base_priority + increase_to_ceiling * (age_s / after_s).min(1.0),
             boosted_in_s: Some(after_s - age_s),
         }
     }
--- a/crates/priority-aging/src/policy/tests.rs
+++ b/crates/priority-aging/src/policy/tests.rs
@@ -46,7 +46,7 @@
 
 /// Two controllers whose clocks differ by the whole allowed skew compute the same order.
 #[test]
-fn order_of_boosted_jobs_ignores_the_readers_clock() {
+fn order_of_boosted_jobs_is_independent_of_the_local_clock() {
     let policy = policy();
     let (earlier, later) = (WallMs(1_000_000), WallMs(1_000_400));
     let boosted_at = |submitted| policy.boosted_at_ms(Urgency::Standard, submitted);
--- a/crates/priority-aging/src/reservations.rs
+++ b/crates/priority-aging/src/reservations.rs
@@ -41,16 +41,16 @@
 pub fn earliest_fit_s(
     free: Resources,
     running: &mut [RunningTask],
-    wanted: Resources,
+    requested: Resources,
 ) -> Option<f64> {
     let mut free = free;
-    if wanted.fits(&free) {
+    if requested.fits(&free) {
         return Some(0.0);
     }
     running.sort_by(|a, b| a.remaining_s.total_cmp(&b.remaining_s));
     for task in running.iter() {
         free.add(&task.resources);
-        if wanted.fits(&free) {
+        if requested.fits(&free) {
             return Some(task.remaining_s.max(0.0));
         }
     }
@@ -97,8 +97,8 @@
         if let Some(reservation) = self.get(job) {
             return Some(reservation);
         }
-        let unreserved = machines.filter(|(machine, _)| self.owner(*machine).is_none());
-        let (machine, available_in_s) = unreserved.min_by(|a, b| a.1.total_cmp(&b.1))?;
+        let unreserved_machines = machines.filter(|(machine, _)| self.owner(*machine).is_none());
+        let (machine, available_in_s) = unreserved_machines.min_by(|a, b| a.1.total_cmp(&b.1))?;
         let reservation = Reservation {
             machine,
             available_at: now.plus(available_in_s),
--- a/crates/priority-aging/src/reservations/tests.rs
+++ b/crates/priority-aging/src/reservations/tests.rs
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn earliest_fit_is_the_end_of_the_last_task_that_is_needed() {
+fn earliest_fit_is_the_end_of_the_last_required_task() {
     let task = |remaining_s, size| RunningTask {
         remaining_s,
         resources: cpus(size),
     };
     let mut running = [task(30.0, 8.0), task(10.0, 8.0), task(20.0, 16.0)];
-    let mut fits_in = |free, wanted| earliest_fit_s(cpus(free), &mut running, cpus(wanted));
+    let mut fits_in = |free, requested| earliest_fit_s(cpus(free), &mut running, cpus(requested));
     assert_eq!(fits_in(0.0, 8.0), Some(10.0));
     assert_eq!(fits_in(0.0, 20.0), Some(20.0));
     assert_eq!(fits_in(2.0, 34.0), Some(30.0));
@@ -34,7 +34,7 @@
 /// If an estimate is wrong by a factor of four, backfill on the machine still stops at the expected
 /// time, and the job does not move to another machine.
 #[test]
-fn reserved_machine_and_time_stay_when_the_estimate_was_wrong() {
+fn reservation_with_wrong_estimate_keeps_machine_and_time() {
     let now = Time::from_micros(1_000_000);
     let mut reservations = Reservations::default();
     let first = reservations.reserve(
