--- a/crates/preemption/src/budget.rs
+++ b/crates/preemption/src/budget.rs
@@ -2,8 +2,8 @@
 
 use beamhinge_core::types::Time;
 
-/// Lower bound of the window, in nominations. It is not 0, so that nominations still show when
-/// preemption leads to starts again.
+/// Lower bound of the window, in nominations. It is above 0, since only further nominations can
+/// show that preemption leads to starts again.
 const MIN_WINDOW: f64 = 4.0;
 /// Window before any nomination has ended, in nominations.
 const INITIAL_WINDOW: f64 = 32.0;
--- a/crates/preemption/src/history.rs
+++ b/crates/preemption/src/history.rs
@@ -54,7 +54,7 @@
         count < max_preemptions || ran_s >= protected_s
     }
 
-    /// Removes all tasks that are no longer unfinished.
+    /// Keeps only the tasks for which `is_unfinished` returns `true`.
     pub fn retain(&mut self, is_unfinished: impl Fn(&TaskId) -> bool) {
         self.preemptions.retain(|task, _| is_unfinished(task));
     }
--- a/crates/preemption/src/nominations.rs
+++ b/crates/preemption/src/nominations.rs
@@ -5,7 +5,8 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Upper bound of the histogram of start latencies; longer ones are recorded as this value.
+/// Upper bound of the histogram of start latencies, milliseconds; longer ones are recorded as this
+/// value.
 const MAX_START_LATENCY_MS: u64 = 600_000;
 /// Significant decimal digits that the histogram of start latencies keeps.
 const START_LATENCY_DIGITS: u8 = 2;
--- a/crates/preemption/src/victim_selection.rs
+++ b/crates/preemption/src/victim_selection.rs
@@ -99,8 +99,8 @@
     requested.fits(&free_after).then_some((free_after, victims))
 }
 
-/// Drops victims without which `requested` still fits, the most expensive first. `free_after` are
-/// the resources that are free once all victims have ended.
+/// Drops victims without which `requested` still fits, the most expensive first. `free_after` is
+/// the free capacity once all victims have ended.
 fn drop_redundant_victims(
     free_after: Resources,
     victims: &mut Vec<PreemptibleTask>,
--- a/crates/priority-aging/src/lane.rs
+++ b/crates/priority-aging/src/lane.rs
@@ -45,7 +45,7 @@
         self.used_cpus
     }
 
-    /// Maximum CPUs of the tasks in the lane.
+    /// The width of the lane in CPUs.
     #[must_use]
     pub fn width_cpus(&self) -> f64 {
         self.width_cpus
--- a/crates/priority-aging/src/lib.rs
+++ b/crates/priority-aging/src/lib.rs
@@ -1,5 +1,5 @@
-//! Priority aging: jobs that have waited long enough get capacity, at the cost of at most a
-//! configured share of the cluster for urgent jobs.
+//! Priority aging: jobs that have waited long enough get capacity, and urgent jobs lose at most a
+//! configured share of the cluster to them.
 //!
 //! A job is *boosted* once it has waited for the time that is set for its urgency
 //! ([`AgingPolicy`]). Boosted jobs form a priority lane ([`PriorityLane`]): they are ordered by the
--- a/crates/priority-aging/src/policy.rs
+++ b/crates/priority-aging/src/policy.rs
@@ -33,7 +33,7 @@
         self.settings.on
     }
 
-    /// The highest urgency whose jobs boosted jobs go ahead of.
+    /// Boosted jobs go ahead of all jobs up to and including this urgency.
     #[must_use]
     pub fn ceiling(&self) -> Urgency {
         self.settings.ceiling
