--- a/crates/core/src/http.rs
+++ b/crates/core/src/http.rs
@@ -1,19 +1,19 @@
-//! HTTP/1.1 messages: an incremental parser and writers for both sides.
+//! HTTP/1.1 messages: an incremental parser and writers for requests and responses.
 //!
-//! Only what the protocols use is accepted: bodies by `Content-Length`, or chunked. The parser
-//! works on a buffer that the caller fills, removes whole messages from its front and holds no
-//! state in between.
+//! The parser accepts only the features that the protocols use: bodies with `Content-Length` or
+//! chunked transfer encoding. It removes complete messages from the front of a buffer that the
+//! caller fills, and keeps no state between calls.
 
-/// Longest head of a message, bytes; bounds memory against a head that never ends.
+/// Maximum size of a message head, bytes; bounds memory use if the head never ends.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// Why no message can be read from a connection any more.
+/// Errors after which no further message can be read from a connection.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// The bytes are no HTTP/1.x message of the accepted form.
+    /// The bytes are not an HTTP/1.x message that the parser accepts.
     #[error("malformed message")]
     Malformed,
-    /// The body is over the caller's limit.
+    /// The body is larger than the caller's limit.
     #[error("body over the limit")]
     TooLarge,
 }
@@ -27,12 +27,12 @@
     Post,
     /// `DELETE`
     Delete,
-    /// Any other method; no interface accepts one.
+    /// Any other method; no API accepts it.
     Other,
 }
 
 impl Method {
-    /// The method as it is written in a request line.
+    /// The method as written in the request line.
     pub fn name(self) -> &'static str {
         match self {
             Method::Get => "GET",
@@ -50,7 +50,7 @@
     Cbor,
     /// JSON, for the admin API.
     Json,
-    /// Text in the exposition format of metrics.
+    /// Text in the Prometheus exposition format, for metrics.
     Text,
 }
 
@@ -64,35 +64,35 @@
     }
 }
 
-/// A request that has arrived whole.
+/// A complete request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its method.
+    /// Method of the request.
     pub method: Method,
-    /// Path with the query.
+    /// Path, including the query string.
     pub path: String,
-    /// The body; empty if there is none.
+    /// The body; empty if the request has none.
     pub body: Vec<u8>,
     /// Whether the client closes the connection after the response.
     pub close: bool,
-    /// Value of the `Authorization` header.
+    /// Value of the `Authorization` header; `None` if absent.
     pub authorization: Option<String>,
 }
 
-/// A response that has arrived whole.
+/// A complete response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// The body; empty if there is none.
+    /// The body; empty if the response has none.
     pub body: Vec<u8>,
-    /// Whether the server closes the connection after it.
+    /// Whether the server closes the connection after the response.
     pub close: bool,
-    /// Value of the `Retry-After` header, seconds.
+    /// Value of the `Retry-After` header, seconds; `None` if absent or not a number.
     pub retry_after: Option<u32>,
 }
 
-/// Longest line in front of a chunk, bytes.
+/// Maximum length of a chunk-size line, bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 64;
 
 /// The parsed head of a message.
@@ -102,14 +102,14 @@
     content_length: Option<usize>,
     chunked: bool,
     close: bool,
-    /// Length of the head with the empty line that ends it, bytes.
+    /// Size of the head, including the empty line that ends it, bytes.
     size: usize,
     authorization: Option<String>,
     retry_after: Option<u32>,
 }
 
 impl Head {
-    /// Parses the head at the front of `buf`; `None` until all of it has arrived.
+    /// Parses the head at the front of `buf`; `None` until the head is complete.
     fn parse(buf: &[u8]) -> Result<Option<Head>, HttpError> {
         let Some(end) = buf
             .windows(4)
@@ -147,15 +147,15 @@
         Ok(Some(head))
     }
 
-    /// Takes over one header; those that the protocols do not use are ignored.
+    /// Applies one header; headers that the protocols do not use are ignored.
     fn apply_header(&mut self, name: &str, value: &str) -> Result<(), HttpError> {
         if name.eq_ignore_ascii_case("content-length") {
             if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
                 return Err(HttpError::Malformed);
             }
             let length: usize = value.parse().map_err(|_| HttpError::TooLarge)?;
-            // Two lengths that differ would let two readers disagree on where the next message
-            // begins.
+            // With two different lengths, two parsers could disagree on where the next message
+            // begins (request smuggling).
             if self.content_length.is_some_and(|earlier| earlier != length) {
                 return Err(HttpError::Malformed);
             }
@@ -178,8 +178,8 @@
     }
 }
 
-/// A message's body and the place in `buf` where the message ends; `None` until all of it has
-/// arrived.
+/// Returns the body of a message and the offset in `buf` at which the message ends; `None` until
+/// the message is complete.
 fn parse_body(
     buf: &[u8],
     head: &Head,
@@ -196,7 +196,8 @@
     Ok(buf.get(head.size..end).map(|body| (body.to_vec(), end)))
 }
 
-/// The chunked body that begins at `start`, and where it ends.
+/// Returns the chunked body that begins at offset `start`, and the offset at which it ends; `None`
+/// until the body is complete.
 fn parse_chunks(
     buf: &[u8],
     start: usize,
@@ -238,11 +239,12 @@
     }
 }
 
-/// Removes one whole request from the front of `buf`; `None` until all of it has arrived.
+/// Removes one complete request from the front of `buf`; `None` until the request is complete.
+/// `limit` is the maximum size of the body, bytes.
 ///
 /// # Errors
 ///
-/// [`HttpError`] if no request can be read from this connection any more. `limit` bounds the body.
+/// [`HttpError`] if no further request can be read from this connection.
 pub fn take_request(buf: &mut Vec<u8>, limit: usize) -> Result<Option<Request>, HttpError> {
     let Some(mut head) = Head::parse(buf)? else {
         return Ok(None);
@@ -281,12 +283,12 @@
     }))
 }
 
-/// Removes one whole response from the front of `buf`; `None` until all of it has arrived.
+/// Removes one complete response from the front of `buf`; `None` until the response is complete.
+/// `limit` is the maximum size of the body, bytes.
 ///
 /// # Errors
 ///
-/// [`HttpError`] if no response can be read from this connection any more. `limit` bounds the
-/// body.
+/// [`HttpError`] if no further response can be read from this connection.
 pub fn take_response(buf: &mut Vec<u8>, limit: usize) -> Result<Option<Response>, HttpError> {
     let Some(head) = Head::parse(buf)? else {
         return Ok(None);
@@ -318,17 +320,17 @@
 pub struct RequestHead<'a> {
     /// Method of the request.
     pub method: Method,
-    /// Path with the query.
+    /// Path, including the query string.
     pub path: &'a str,
     /// Value of the `Host` header.
     pub host: &'a str,
     /// Media type of the body.
     pub content: Content,
-    /// Value of the `Authorization` header.
+    /// Value of the `Authorization` header; `None` omits it.
     pub authorization: Option<&'a str>,
 }
 
-/// Appends a whole request to `out`.
+/// Appends a complete request to `out`.
 pub fn write_request(out: &mut Vec<u8>, head: &RequestHead, body: &[u8]) {
     let mut text = format!(
         "{} {} HTTP/1.1\r\nHost: {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
@@ -373,7 +375,7 @@
 pub struct ResponseHead {
     /// Status code.
     pub status: u16,
-    /// Value of the `Retry-After` header, seconds.
+    /// Value of the `Retry-After` header, seconds; `None` omits it.
     pub retry_after: Option<u32>,
     /// Whether the server closes the connection after this response.
     pub close: bool,
@@ -381,7 +383,7 @@
     pub content: Content,
 }
 
-/// Appends a whole response to `out`.
+/// Appends a complete response to `out`.
 pub fn write_response(out: &mut Vec<u8>, response: &ResponseHead, body: &[u8]) {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -1,7 +1,7 @@
-//! A job as its user described it, and its record in the key-value store.
+//! The job specification that a user submitted, and the job's record in the key-value store.
 //!
-//! Records are stored with short field names, which the serde attributes fix: records written by
-//! any earlier version must stay readable.
+//! Serde attributes fix the short field names of stored records: records written by any earlier
+//! version must stay readable.
 
 use crate::types::{JobId, WallMs};
 use crate::wire;
@@ -9,9 +9,9 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Prefix of the keys that job records are stored under.
+/// Key prefix of job records in the key-value store.
 pub const PREFIX: &str = "j/";
-/// Version of the record's form; a record of another version is not read.
+/// Version of the record format; records of other versions are ignored.
 pub const RECORD_VERSION: u32 = 1;
 
 /// How long the tasks of a job run.
@@ -25,30 +25,30 @@
     Service,
 }
 
-/// Priority class of a job, lowest first.
+/// Priority class of a job, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Urgency {
-    /// Runs on what no other class needs.
+    /// Uses only capacity that no other class needs.
     #[serde(rename = "best_effort")]
     BestEffort,
-    /// The usual class.
+    /// The default class.
     #[serde(rename = "standard")]
     Standard,
-    /// Goes ahead of the classes below.
+    /// Takes precedence over the lower classes.
     #[serde(rename = "high")]
     High,
-    /// Goes ahead of everything else.
+    /// Takes precedence over all other classes.
     #[serde(rename = "critical")]
     Critical,
 }
 
-/// What a user asked for, stored with short field names.
+/// Specification of a job as submitted by the user, stored with short field names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Class of the job, by which run times and objectives are kept.
+    /// Job class; run times are tracked and objectives are set per class.
     #[serde(rename = "c")]
     pub class: Rc<str>,
-    /// Team whose quota the job counts against.
+    /// Team whose quota the job is charged to.
     #[serde(rename = "o")]
     pub team: Rc<str>,
     /// Whether tasks run to completion or until cancelled.
@@ -60,16 +60,16 @@
     /// Number of tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// CPUs of one task.
+    /// CPUs per task.
     #[serde(rename = "cpu")]
     pub cpus: f64,
-    /// GPUs of one task.
+    /// GPUs per task.
     #[serde(rename = "gpu")]
     pub gpus: f64,
-    /// Memory of one task, GB.
+    /// Memory per task, GB.
     #[serde(rename = "mem")]
     pub memory_gb: f64,
-    /// Image that the tasks run.
+    /// Container image of the tasks.
     #[serde(rename = "img")]
     pub image: Rc<str>,
     /// Size of the image, GB.
@@ -81,37 +81,37 @@
     /// Zone that tasks must run in; `None` allows all.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks run in one zone, whichever it is.
+    /// Whether all tasks must run in the same zone, whichever it is.
     #[serde(rename = "oz")]
     pub single_zone: bool,
-    /// At most half of the tasks run in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in the same zone.
     #[serde(rename = "ap")]
     pub spread: bool,
-    /// Tasks may run on spot machines.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "sp")]
     pub spot: bool,
-    /// How long the user expects a task to run, seconds.
+    /// Run time of a task as estimated by the user, seconds.
     #[serde(rename = "ex")]
     pub expected_run_s: f64,
-    /// How often a task saves a checkpoint, seconds; 0 means never.
+    /// Interval between checkpoints of a task, seconds; 0 means that it saves none.
     #[serde(rename = "ce")]
     pub checkpoint_interval_s: f64,
-    /// How long a task takes to save a checkpoint, seconds.
+    /// Time that a task needs to save a checkpoint, seconds.
     #[serde(rename = "cs")]
     pub checkpoint_duration_s: f64,
-    /// Time after the submission by which the job should be done, seconds.
+    /// Deadline of the job, seconds after the submission; `None` if it has none.
     #[serde(rename = "due", default, skip_serializing_if = "Option::is_none")]
     pub due_s: Option<f64>,
-    /// When a controller first read the submission, milliseconds of the time of day.
+    /// Wall-clock time at which a controller first read the submission, milliseconds.
     #[serde(rename = "at")]
     pub submitted: u64,
-    /// Command line of each task, where workers run command lines.
+    /// Command line of each task, for workers that run command lines; `None` otherwise.
     #[serde(rename = "cmd", default, skip_serializing_if = "Option::is_none")]
     pub command: Option<Box<str>>,
 }
 
 impl JobSpec {
-    /// When a controller first read the submission.
+    /// Wall-clock time at which a controller first read the submission.
     pub fn submitted(&self) -> WallMs {
         WallMs(self.submitted)
     }
@@ -120,13 +120,13 @@
 /// Stored state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Tasks wait or run.
+    /// Tasks are pending or running.
     #[serde(rename = "open")]
     Open,
     /// All tasks have ended.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled by a user; tasks may still be ending.
+    /// Cancelled by a user; some tasks may not have ended yet.
     #[serde(rename = "cancelled")]
     Cancelled,
 }
@@ -134,36 +134,36 @@
 /// The stored record of a job.
 #[derive(Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Form of the record, see [`RECORD_VERSION`].
+    /// Version of the record format, see [`RECORD_VERSION`].
     #[serde(rename = "v")]
     pub version: u32,
     /// State of the job.
     #[serde(rename = "st")]
     pub state: JobState,
-    /// Description, as long as tasks of the job may exist.
+    /// The job specification; `None` once no task of the job can exist.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// Number of tasks of a job that is done.
+    /// Number of tasks; set only if the job is done.
     #[serde(rename = "n", default, skip_serializing_if = "Option::is_none")]
     pub task_count: Option<u32>,
-    /// What lists show of a job that is done.
+    /// Summary for listings; set only if the job is done.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub summary: Option<JobSummary>,
 }
 
-/// All that a list of finished jobs shows of a job.
+/// The fields of a finished job that job listings show.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSummary {
-    /// Team whose quota the job counted against.
+    /// Team whose quota the job was charged to.
     #[serde(rename = "o")]
     pub team: String,
-    /// Class of the job.
+    /// Job class.
     #[serde(rename = "c")]
     pub class: String,
     /// Priority class.
     #[serde(rename = "u")]
     pub urgency: Urgency,
-    /// When the job was submitted, milliseconds of the time of day.
+    /// Wall-clock time of the submission, milliseconds.
     #[serde(rename = "at")]
     pub submitted: u64,
 }
@@ -179,7 +179,7 @@
     }
 }
 
-/// The record of a job whose tasks wait or run.
+/// The record of a job whose tasks are pending or running.
 pub fn open_record(spec: &JobSpec) -> Value {
     wire::to_value(&JobRecord {
         version: RECORD_VERSION,
@@ -192,8 +192,8 @@
 
 /// The record of a job that is done.
 ///
-/// The key is kept for good, so that a repeated submission finds it; the description is not needed
-/// any more.
+/// The key is kept permanently, so that a repeated submission finds it. The specification is
+/// dropped, since it is no longer needed.
 pub fn done_record(spec: &JobSpec) -> Value {
     wire::to_value(&JobRecord {
         version: RECORD_VERSION,
@@ -206,8 +206,8 @@
 
 /// The record of a job that was cancelled.
 ///
-/// It keeps the description: tasks may still have to be ended, and a new leader needs to know their
-/// resources.
+/// It keeps the specification: tasks may still have to be stopped, and a new leader needs to know
+/// their resources.
 pub fn cancelled_record(spec: &JobSpec) -> Value {
     wire::to_value(&JobRecord {
         version: RECORD_VERSION,
@@ -218,7 +218,7 @@
     })
 }
 
-/// The key that a job's record is stored under.
+/// The key of a job's record in the key-value store.
 pub fn key(id: JobId) -> String {
     format!("{PREFIX}{id}")
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Types that every package of beamhinge shares: identifiers, revisions and times, settings,
-//! messages and their encodings.
+//! Types shared by all beamhinge crates: identifiers, revisions and times, settings, messages and
+//! their encodings.
 //!
-//! The crate opens no sockets and takes no scheduling decisions. Names in stored records and on
-//! the wire are fixed by serde attributes and held by the golden files of `tests/golden`: Rust
-//! names may change, bytes may not.
+//! The crate opens no sockets and makes no scheduling decisions. Serde attributes fix the names in
+//! stored records and on the wire, and the golden files in `tests/golden` pin them: Rust names may
+//! change, encoded bytes may not.
 
 pub mod http;
 pub mod job;
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -1,27 +1,27 @@
 //! The interface between a service and the event loop that owns its sockets.
 //!
-//! A [`Service`] does no input or output of its own: it is called with events and the time, and
-//! answers with [`Effect`]s. That is why a controller runs unchanged in the simulator.
+//! A [`Service`] performs no I/O itself: the event loop calls it with events and the current time,
+//! and the service returns [`Effect`]s. This lets a controller run unchanged in the simulator.
 
 use crate::http::{Content, Method, Request};
 use crate::peers::Frame;
 use crate::types::{CallId, RequestId, Time, WallMs};
 use std::net::SocketAddrV4;
 
-/// Where a call goes.
+/// The receiver of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Destination {
     /// The key-value store.
     State,
-    /// The cloud's interface.
+    /// The cloud API.
     Cloud,
-    /// The agent on a machine.
+    /// The worker on a machine.
     Worker(SocketAddrV4),
-    /// A controller, as called by a worker or a user.
+    /// A controller that a worker or a user calls.
     Node {
         /// The controller's public address.
         address: SocketAddrV4,
-        /// Identifies the caller; each has a connection of its own.
+        /// Identifies the caller; each caller uses a separate connection.
         caller: u64,
     },
 }
@@ -29,50 +29,50 @@
 /// An action that a service asks the event loop to perform.
 #[derive(Debug)]
 pub enum Effect {
-    /// Calls an outside service; the result comes to [`Service::on_reply`].
+    /// Calls an external service; the event loop passes the result to [`Service::on_reply`].
     Call {
         /// Identifies the call in its reply.
         id: CallId,
-        /// Where the call goes.
+        /// The receiver of the call.
         destination: Destination,
-        /// The request's method.
+        /// Method of the request.
         method: Method,
-        /// The request's path with its query.
+        /// Path of the request, including the query string.
         path: String,
-        /// The request's body, CBOR.
+        /// Body of the request, CBOR.
         body: Vec<u8>,
-        /// Time after which the call counts as failed, seconds.
+        /// Time without a reply after which the call counts as failed, seconds.
         timeout_s: f64,
     },
     /// Answers a user or a worker.
     Answer {
-        /// The request that is answered.
+        /// The request to answer.
         to: RequestId,
         /// HTTP status.
         status: u16,
         /// Value of the `Retry-After` header, seconds.
         retry_after: Option<u32>,
-        /// The answer's body, CBOR.
+        /// Body of the answer, CBOR.
         body: Vec<u8>,
     },
     /// Answers a client of the admin API.
     OperatorAnswer {
-        /// The request that is answered.
+        /// The request to answer.
         to: RequestId,
         /// HTTP status.
         status: u16,
         /// Value of the `Retry-After` header, seconds.
         retry_after: Option<u32>,
-        /// The form that the body is written in.
+        /// Media type of the body.
         content: Content,
-        /// The answer's body.
+        /// Body of the answer.
         body: Vec<u8>,
     },
-    /// Sends an encoded frame to every peer, or to the one labelled `to`.
+    /// Sends an encoded frame to all peers, or only to the peer labelled `to`.
     SendFrame {
-        /// Label of the receiver; `None` sends to every peer.
+        /// Label of the receiving peer; `None` sends to all peers.
         to: Option<String>,
-        /// The frame as [`crate::peers::encode`] writes it.
+        /// The frame as encoded by [`crate::peers::encode`].
         frame: Vec<u8>,
     },
 }
@@ -80,15 +80,16 @@
 /// Progress of a job, for display only.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Tasks that have ended.
+    /// Number of tasks that have ended.
     pub done: u32,
-    /// Tasks that run now.
+    /// Number of running tasks.
     pub running: u32,
 }
 
-/// A program that the event loop serves: events and the time go in, effects come out.
+/// An event handler driven by the event loop: it receives events and the current time, and appends
+/// its effects to `out`.
 pub trait Service {
-    /// Handles a request. `listener` is the place of the listener in the event loop's list.
+    /// Handles a request. `listener` is the index of the listener in the event loop's list.
     fn on_request(
         &mut self,
         now: Time,
@@ -100,8 +101,8 @@
     );
     /// Handles the status and body of a call's reply.
     ///
-    /// `None` means that the connection failed or the time ran out: whether the call had an effect is
-    /// unknown. A service that makes no calls keeps the empty default.
+    /// `None` means that the connection failed or the call timed out: whether the call took effect
+    /// is unknown. The default does nothing, for services that make no calls.
     fn on_reply(
         &mut self,
         _now: Time,
@@ -111,8 +112,8 @@
         _out: &mut Vec<Effect>,
     ) {
     }
-    /// Handles a frame from a peer. A service without peers keeps the empty default.
+    /// Handles a frame from a peer. The default does nothing, for services without peers.
     fn on_frame(&mut self, _now: Time, _wall: WallMs, _frame: Frame, _out: &mut Vec<Effect>) {}
-    /// Runs what is due; called several times a second.
+    /// Runs timers and other periodic work that is due; called several times a second.
     fn on_tick(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>);
 }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -1,20 +1,20 @@
-//! Frames that controllers send each other: `postcard` behind a length of four bytes.
+//! Frames exchanged between controllers: a `postcard` body preceded by its length in four bytes.
 //!
-//! Nothing in a frame is proof of anything: safety rests on leases and fencing tokens alone. A
-//! leader that hears of a higher token steps down a little sooner than its workers would make it;
-//! progress is for display; the age of the last exchange with the store lets a controller that
-//! alone is cut off from it send users elsewhere.
+//! Frames are advisory: safety depends on leases and fencing tokens alone. A leader that learns of
+//! a higher fencing token steps down slightly earlier than its workers would force it to.
+//! Progress is for display only. The age of the last exchange with the key-value store lets a
+//! controller that alone has lost access to the store redirect users to its peers.
 //!
-//! `postcard` writes neither names nor numbers of fields: the order of variants and fields is the
-//! format, and new variants go to the end.
+//! `postcard` encodes neither field names nor field numbers: the order of variants and fields
+//! defines the format, and new variants must be appended at the end.
 
 use crate::types::{JobId, MachineId};
 use serde::{Deserialize, Serialize};
 
-/// Longest body of a frame, bytes; a longer one is refused to bound memory.
+/// Maximum size of a frame body, bytes; longer frames are rejected to bound memory use.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 
-/// Bytes of the length in front of a frame, big-endian.
+/// Size of the big-endian length prefix of a frame, bytes.
 const LENGTH_BYTES: usize = 4;
 
 /// A message between controllers.
@@ -32,9 +32,9 @@
         #[serde(rename = "holder")]
         leader: bool,
     },
-    /// From the leader: jobs with their numbers of tasks done and running.
+    /// Sent by the leader: job ids with their numbers of done and running tasks.
     Progress(Vec<(String, u32, u32)>),
-    /// From the leader: no controller with a lower fencing token may act.
+    /// Sent by the leader: a controller with a lower fencing token must step down.
     LeaderHeartbeat {
         /// Label of the leader.
         label: String,
@@ -45,46 +45,48 @@
     Readiness {
         /// Label of the sender.
         label: String,
-        /// Whether the sender could take over at once.
+        /// Whether the sender could take over leadership immediately.
         ready: bool,
         /// Whether operators have drained the sender.
         drained: bool,
     },
-    /// A query of the admin API that only the leader can answer, in a form that this module does
-    /// not read.
+    /// An admin API query that only the leader can answer. This module treats its encoding as
+    /// opaque.
     Query {
-        /// Label of the controller that was asked.
+        /// Label of the controller that received the query from the client.
         from: String,
-        /// Identifies the query in its response.
+        /// Identifies the query in the response.
         serial: u64,
         /// The encoded query.
         query: Vec<u8>,
     },
     /// The leader's response to a [`Frame::Query`].
     QueryResponse {
-        /// Number of the query.
+        /// Serial number of the query.
         serial: u64,
         /// HTTP status.
         status: u16,
-        /// The response's body, JSON.
+        /// Body of the response, JSON.
         body: Vec<u8>,
     },
-    /// To the leader: machines that reported to another controller lately, because the leader
-    /// does not answer them or they do not know it. Sent only while there are such machines.
+    /// Sent to the leader: machines that recently reported to another controller, because the
+    /// leader does not answer them or they do not know the leader. Sent only while there are such
+    /// machines.
     MisroutedWorkers {
-        /// Label of the controller that the machines report to.
+        /// Label of the controller that receives the reports.
         label: String,
         /// Names of the machines.
         machines: Vec<String>,
     },
-    /// From a leader that commits nothing although there is work: its successor begins with
-    /// small transactions.
+    /// Sent by a leader that commits nothing although work is pending, before it steps down: the
+    /// next leader starts with small transactions.
     LeaderStalled {
         /// Label of the leader.
         label: String,
     },
-    /// Jobs whose end a user was told by the sender: older answers to queries that wait elsewhere
-    /// must not be given any more. No controller records a job's end from this frame.
+    /// Jobs whose end the sender has reported to a user: other controllers must no longer answer
+    /// waiting queries from an older state of these jobs. No controller records a job's end from
+    /// this frame.
     JobsEnded {
         /// Ids of the jobs.
         jobs: Vec<String>,
@@ -92,17 +94,17 @@
 }
 
 impl Frame {
-    /// Names of machines or jobs in one [`Frame::MisroutedWorkers`] or [`Frame::JobsEnded`]. A longer list
-    /// goes out as several frames. 8,192 of the longest names are 184 KB, which leaves a
+    /// Maximum number of names in one [`Frame::MisroutedWorkers`] or [`Frame::JobsEnded`]; a longer
+    /// list is split into several frames. 8,192 names of maximum length take 184 KB, which leaves a
     /// quarter of [`MAX_FRAME_BYTES`] for the label.
     pub const MAX_NAMES: usize = 8_192;
 
-    /// Rows in one [`Frame::Progress`]; a longer list goes out as several frames, see
-    /// [`Frame::progress`]. The longest row takes 33 bytes, so 4,000 rows are 129 KB.
+    /// Maximum number of rows in one [`Frame::Progress`]; a longer list is split into several
+    /// frames, see [`Frame::progress`]. A row takes at most 33 bytes, so 4,000 rows take 129 KB.
     pub const MAX_ROWS: usize = 4_000;
 
-    /// The machines that report to `label` in place of the leader: as many frames as their
-    /// names need. The receiver adds them up.
+    /// Builds the frames that list the machines which report to `label` instead of the leader. The
+    /// receiver merges the lists.
     pub fn misrouted_workers(label: &str, machines: &[MachineId]) -> Vec<Frame> {
         let frame = |part: &[MachineId]| Frame::MisroutedWorkers {
             label: label.to_string(),
@@ -111,7 +113,7 @@
         machines.chunks(Frame::MAX_NAMES).map(frame).collect()
     }
 
-    /// Jobs whose end a user was told: as many frames as their names need.
+    /// Builds the frames that list the jobs whose end was reported to a user.
     pub fn jobs_ended(jobs: &[JobId]) -> Vec<Frame> {
         let frame = |part: &[JobId]| Frame::JobsEnded {
             jobs: part.iter().map(JobId::to_string).collect(),
@@ -119,11 +121,11 @@
         jobs.chunks(Frame::MAX_NAMES).map(frame).collect()
     }
 
-    /// The progress of jobs, in rising order of their ids: as many frames as the rows need.
+    /// Builds the frames that carry the progress of jobs; `rows` are in ascending order of job ids.
     ///
-    /// The list replaces the one before it, so its end must be known: a frame of
-    /// [`Frame::MAX_ROWS`] rows is continued by the next, and the last one has fewer rows
-    /// (none, if the others took all).
+    /// The list replaces the previous one, so the receiver must recognise its end: a frame with
+    /// [`Frame::MAX_ROWS`] rows is continued by the next frame, and the last frame has fewer rows
+    /// (none if the preceding frames contain all of them).
     pub fn progress(rows: Vec<(String, u32, u32)>) -> Vec<Frame> {
         let mut frames = Vec::new();
         let mut rows = rows.into_iter();
@@ -138,9 +140,9 @@
     }
 }
 
-/// Encodes a frame with its length in front.
+/// Encodes a frame, preceded by its length.
 ///
-/// Every frame can be encoded: its types are plain data, and writing to memory does not fail.
+/// Encoding cannot fail: all fields are plain data, and the frame is written to memory.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let body = postcard::to_stdvec(frame).unwrap_or_default();
     let mut out = (body.len() as u32).to_be_bytes().to_vec();
@@ -148,16 +150,16 @@
     out
 }
 
-/// A frame over [`MAX_FRAME_BYTES`] or of unknown form.
+/// A frame that is longer than [`MAX_FRAME_BYTES`] or cannot be decoded.
 #[derive(Debug, thiserror::Error)]
-#[error("a frame over the limit or of unknown form")]
+#[error("frame is too long or cannot be decoded")]
 pub struct InvalidFrame;
 
-/// Removes one whole frame from the front of `buf`; `None` until all of it has arrived.
+/// Removes one complete frame from the front of `buf`; `None` until the frame is complete.
 ///
 /// # Errors
 ///
-/// [`InvalidFrame`] if the link cannot be used any further.
+/// [`InvalidFrame`] if the frame is invalid; the connection must then be closed.
 pub fn take_frame(buf: &mut Vec<u8>) -> Result<Option<Frame>, InvalidFrame> {
     let Some(head) = buf
         .get(..LENGTH_BYTES)
--- a/crates/core/src/peers/tests.rs
+++ b/crates/core/src/peers/tests.rs
@@ -1,7 +1,8 @@
 use super::{encode, take_frame, Frame, MAX_FRAME_BYTES};
 use crate::types::{JobId, MachineId};
 
-/// Guards against a frame that the receiver refuses: it would close the link each second.
+/// A frame over the size limit is rejected by the receiver, which would then close the connection
+/// every second.
 #[test]
 fn longest_lists_fit_one_frame() {
     let long = "n-123456789012345678".to_string();
@@ -46,7 +47,8 @@
         .collect()
 }
 
-/// Lists were once cut at 4,000 machines: all names are sent, in frames within the limit.
+/// Guards against truncation: earlier, lists were cut at 4,000 machines. All names must be sent, in
+/// frames within the size limit.
 #[test]
 fn list_beyond_one_frame_is_split_without_loss() {
     for count in [0, 1, 4_000, 4_001, 8_192, 8_193, 20_000] {
@@ -74,7 +76,7 @@
     assert_eq!(Frame::misrouted_workers("a", &machines(8_192)).len(), 1);
 }
 
-/// What fits one frame has the bytes that it always had.
+/// A list that fits into one frame is encoded as it was before lists could be split.
 #[test]
 fn list_that_fits_is_one_frame_of_the_same_bytes() {
     let names: Vec<String> = machines(3).iter().map(MachineId::to_string).collect();
@@ -91,7 +93,7 @@
     let before = encode(&Frame::Progress(rows.clone()));
     let now: Vec<_> = Frame::progress(rows).iter().map(encode).collect();
     assert_eq!(now, [before]);
-    // A leader without any progress sends an empty list.
+    // A leader without progress to report sends an empty list.
     assert_eq!(Frame::progress(Vec::new()), [Frame::Progress(Vec::new())]);
 }
 
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -1,22 +1,23 @@
-//! Amounts of what tasks take of a machine.
+//! Resources that tasks use and machines provide.
 
-/// Sums of decimal amounts may miss a bound by a rounding error of at most this.
+/// Tolerance for the accumulated rounding error when sums of decimal amounts are compared with a
+/// bound.
 pub const EPSILON: f64 = 1e-6;
 
-/// What a task takes, or what a machine has free. Free amounts are negative where more is
-/// promised than there is.
+/// Resources that a task requires, or free capacity of a machine. Free amounts are negative if more
+/// is allocated than the machine has.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct Resources {
-    /// Processors, also parts of one.
+    /// CPUs; may be fractional.
     pub cpus: f64,
-    /// Graphics processors, also parts of one.
+    /// GPUs; may be fractional.
     pub gpus: f64,
-    /// Memory in gigabytes.
+    /// Memory, GB.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// Whether these resources fit into what is free.
+    /// Whether these resources fit into the free capacity, within [`EPSILON`].
     #[must_use]
     pub fn fits(&self, free: &Resources) -> bool {
         self.cpus <= free.cpus + EPSILON
@@ -24,14 +25,14 @@
             && self.memory_gb <= free.memory_gb + EPSILON
     }
 
-    /// Adds each amount of the other.
+    /// Adds the amounts of `other`.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// Subtracts each amount of the other.
+    /// Subtracts the amounts of `other`.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,8 +1,9 @@
-//! The platform's settings file (TOML) and the operators' own (INI).
+//! The platform's settings file (TOML) and the operators' settings file (INI).
 //!
-//! Both are checked before anything starts: a value that cannot work is refused, and the error
-//! names it as the file does. Unknown fields of the platform's file are ignored, since it may
-//! come from a newer platform; unknown settings of the operators' file are refused.
+//! Both are validated at startup, before any other work: an unusable value is rejected with an
+//! error that names the setting as the file does. Unknown fields of the platform's file are
+//! ignored, since a newer platform may have written it; unknown settings of the operators' file are
+//! rejected.
 
 mod error;
 mod operator;
@@ -16,7 +17,7 @@
     StateLimits, Team, WorkerTimings,
 };
 
-/// A complete platform file to start from.
+/// A complete sample of the platform's settings file.
 pub const SAMPLE: &str = include_str!("../sample.toml");
 
 #[cfg(test)]
--- a/crates/core/src/settings/error.rs
+++ b/crates/core/src/settings/error.rs
@@ -1,10 +1,10 @@
-//! Why settings are refused.
+//! Errors for settings files that cannot be used.
 
 use std::io;
 use std::net::SocketAddrV4;
 use std::path::Path;
 
-/// Settings that cannot be used.
+/// A settings file that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -15,7 +15,7 @@
         /// The cause.
         source: io::Error,
     },
-    /// The platform's file is not TOML of the expected form.
+    /// The platform's file is not valid TOML or does not have the expected structure.
     #[error("{file}: {source}")]
     Toml {
         /// Path of the file.
@@ -23,7 +23,7 @@
         /// The cause.
         source: Box<toml::de::Error>,
     },
-    /// The operators' file is not INI.
+    /// The operators' file is not valid INI.
     #[error("{file}: {source}")]
     Ini {
         /// Path of the file.
@@ -31,10 +31,10 @@
         /// The cause.
         source: ini::ParseError,
     },
-    /// A value cannot work.
+    /// A value is unusable.
     #[error("{field}: {source}")]
     Invalid {
-        /// The setting, as it is named in its file.
+        /// Name of the setting as in its file.
         field: String,
         /// What is wrong with the value.
         source: InvalidValue,
@@ -52,7 +52,7 @@
 
 /// What is wrong with the value of a setting.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[allow(missing_docs)] // Each message says what the variant means.
+#[allow(missing_docs)] // The error messages describe the variants.
 pub enum InvalidValue {
     #[error("{0} is not a positive number")]
     NotPositive(f64),
@@ -60,11 +60,14 @@
     Empty,
     #[error("is negative or not finite")]
     NegativeOrNotFinite,
-    #[error("is below 4, the smallest that holds a placement")]
+    #[error("is below 4, the minimum number of operations for a placement")]
     TransactionTooSmall,
     #[error("is below 32")]
     TooFewConnections,
-    #[error("{cancel_s} leaves no room above lease_s {lease_s}: a holder out of touch could not keep a cancellation")]
+    #[error(
+        "{cancel_s} is too close to lease_s {lease_s}: a leader without access to the key-value \
+         store could not enforce a cancellation in time"
+    )]
     NoRoomAboveLease { cancel_s: f64, lease_s: f64 },
     #[error("names this controller itself, {0}")]
     NamesItself(String),
@@ -82,11 +85,11 @@
     NotACeiling(String),
     #[error("is not a known setting")]
     UnknownSetting,
-    #[error("{0} is not on loopback: set `keys` to a key file first")]
+    #[error("{0} is not a loopback address: set `keys` to a key file first")]
     PublicWithoutKeys(SocketAddrV4),
 }
 
-/// Reads a settings file; `name` is its path as errors show it.
+/// Reads a settings file; `name` is its path as shown in errors.
 pub(super) fn read_file(path: &Path, name: &str) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
         file: name.into(),
--- a/crates/core/src/settings/operator.rs
+++ b/crates/core/src/settings/operator.rs
@@ -1,46 +1,49 @@
-//! The operators' own settings file (INI): what they may set beyond the platform's file.
+//! The operators' settings file (INI), which supplements the platform's file.
 
 use super::error::{read_file, InvalidValue, SettingsError};
 use crate::job::Urgency;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 
-/// What the operators may set beyond the platform's file.
+/// Settings that operators control, in addition to the platform's file.
 #[derive(Clone, Debug)]
 pub struct OperatorSettings {
-    /// `[fleet] idle_s`: how long a machine may be idle before it is given back, seconds.
+    /// `[fleet] idle_s`: idle time after which a machine is released, seconds.
     pub idle_s: f64,
-    /// `[split] update_s`: length of one update of the split, seconds.
+    /// `[split] update_s`: interval between updates of the split between owned, spot and on-demand
+    /// machines, seconds.
     pub update_s: f64,
-    /// `[split] seed`: seed of the learner's draws; 0 takes one from the system.
+    /// `[split] seed`: random seed of the learner that chooses the split; 0 means a seed from the
+    /// operating system.
     pub seed: u64,
-    /// `[blocks] lease_s`: how long a block of machines is leased, seconds.
+    /// `[blocks] lease_s`: duration of the lease on a block of machines, seconds.
     pub block_lease_s: f64,
-    /// `[operators]`: the listener of the admin API; none without `listen`.
+    /// `[operators]`: the listener of the admin API; `None` if `listen` is not set.
     pub listener: Option<AdminListener>,
-    /// `[ageing]`: how the priority of waiting jobs rises.
+    /// `[ageing]`: priority aging of waiting jobs.
     pub aging: PriorityAging,
     /// `[configuration] on`: whether operators may change teams and quotas while the service runs.
-    /// The same for all controllers.
+    /// Must be the same for all controllers.
     pub configuration: bool,
 }
 
-/// How the priority of waiting jobs rises; see `docs/priority-aging.md`.
+/// Settings of priority aging for waiting jobs; see `docs/priority-aging.md`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PriorityAging {
-    /// `on`: whether it rises at all.
+    /// `on`: whether priority aging is enabled.
     pub on: bool,
-    /// `best_effort_s`: how long best-effort jobs wait before they are boosted, seconds; 0 means never.
+    /// `best_effort_s`: waiting time after which best-effort jobs are boosted, seconds; 0 means
+    /// never.
     pub best_effort_s: f64,
-    /// `standard_s`: the same for standard jobs.
+    /// `standard_s`: waiting time after which standard jobs are boosted, seconds; 0 means never.
     pub standard_s: f64,
-    /// `ceiling`: the urgency that boosted jobs go ahead of, and no higher one.
+    /// `ceiling`: the highest urgency that boosted jobs take precedence over.
     pub ceiling: Urgency,
-    /// `share`: share of the capacity that boosted jobs hold at most while others wait.
+    /// `share`: maximum share of the capacity that boosted jobs may use while other jobs wait.
     pub share: f64,
-    /// `stops`: how often a task may be preempted before it is protected.
+    /// `stops`: number of preemptions after which a task is protected.
     pub stops: u32,
-    /// `spared_s`: how long a protected task runs undisturbed, seconds.
+    /// `spared_s`: time for which a protected task runs without being preempted, seconds.
     pub spared_s: f64,
 }
 
@@ -63,15 +66,15 @@
 pub struct AdminListener {
     /// Address to listen on.
     pub listen: SocketAddrV4,
-    /// File with the keys; without it only loopback may be listened on.
+    /// Key file; `None` restricts the listener to loopback addresses.
     pub keys: Option<PathBuf>,
-    /// Most connections at once.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Most queries that may wait at once.
+    /// Maximum number of pending queries.
     pub max_pending: usize,
-    /// Requests per second.
+    /// Maximum request rate, requests per second.
     pub rps: f64,
-    /// How far a client's clock may be off, seconds.
+    /// Maximum clock skew of a client, seconds.
     pub max_clock_skew_s: f64,
 }
 
@@ -102,7 +105,7 @@
     }
 }
 
-/// One entry of the file, as it is parsed.
+/// One `key = value` entry of the file with its section.
 struct Entry<'a> {
     section: &'a str,
     key: &'a str,
@@ -118,7 +121,7 @@
         self.invalid(InvalidValue::UnknownSetting)
     }
 
-    /// A number between `low` and `high`, both included.
+    /// Parses a number between `low` and `high`, both included.
     fn number(&self, low: f64, high: f64) -> Result<f64, SettingsError> {
         let value: f64 = self
             .value
@@ -149,7 +152,8 @@
         }
     }
 
-    /// The urgency that boosted jobs may reach; best effort is none.
+    /// Parses the urgency that limits boosted jobs. Best effort is rejected, since no lower class
+    /// could be boosted.
     fn ceiling(&self) -> Result<Urgency, SettingsError> {
         match self.value.trim() {
             "standard" => Ok(Urgency::Standard),
@@ -161,23 +165,24 @@
 }
 
 impl OperatorSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the file cannot be read or parsed, or if a value cannot work.
+    /// [`SettingsError`] if the file cannot be read or parsed, names an unknown setting, or
+    /// contains an unusable value.
     pub fn load(path: &Path) -> Result<OperatorSettings, SettingsError> {
         let name = path.display().to_string();
         let text = read_file(path, &name)?;
         OperatorSettings::parse(&name, &text)
     }
 
-    /// Parses and checks the text of a settings file; `name` appears in errors.
+    /// Parses and validates the text of a settings file; `name` appears in errors.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the text cannot be parsed, names an unknown setting, or if a value
-    /// cannot work.
+    /// [`SettingsError`] if the text cannot be parsed, names an unknown setting, or contains an
+    /// unusable value.
     pub fn parse(name: &str, text: &str) -> Result<OperatorSettings, SettingsError> {
         let ini = ini::Ini::load_from_str(text).map_err(|source| SettingsError::Ini {
             file: name.into(),
@@ -238,8 +243,8 @@
         Ok(())
     }
 
-    /// Anybody who reaches an address that asks for no key may cancel any job: without keys only
-    /// loopback is accepted.
+    /// Rejects an address other than loopback if no key file is set: without keys, anyone who can
+    /// reach the address could cancel any job.
     fn validate(&self) -> Result<(), SettingsError> {
         if self.keys.is_none() && !self.listen.ip().is_loopback() {
             return Err(SettingsError::invalid(
--- a/crates/core/src/settings/platform.rs
+++ b/crates/core/src/settings/platform.rs
@@ -1,21 +1,21 @@
-//! The platform's settings file (TOML): this controller, its peers, the services it calls and
-//! the limits that the platform sets.
+//! The platform's settings file (TOML): this controller, its peers, the services that it calls, and
+//! the limits set by the platform.
 
 use super::error::{read_file, SettingsError};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 use std::path::Path;
 
-/// The platform's settings of one controller.
+/// The platform's settings for one controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
     /// Name of this controller, unique in the cluster.
     pub label: String,
-    /// Area that this controller stands in.
+    /// Area in which this controller is located.
     pub area: String,
     /// Address for users and workers.
     pub public_addr: SocketAddrV4,
-    /// Address for the frames of other controllers.
+    /// Address on which this controller accepts connections from its peers.
     pub peer_bind: SocketAddrV4,
     /// The other controllers.
     #[serde(default)]
@@ -29,31 +29,31 @@
 /// Another controller of the cluster.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the peer.
     pub label: String,
-    /// Area that it stands in.
+    /// Area in which the peer is located.
     #[serde(default)]
     pub area: String,
-    /// Address for frames.
+    /// Address for frames to the peer.
     pub addr: SocketAddrV4,
 }
 
 /// The services that a controller calls.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ExternalServices {
-    /// The cloud's interface.
+    /// Address of the cloud API.
     pub cloud: SocketAddrV4,
-    /// The key-value store.
+    /// Address of the key-value store.
     pub state: SocketAddrV4,
 }
 
 /// Parameters that are the same for all controllers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PlatformParameters {
-    /// Zones that machines stand in.
+    /// Zones in which machines are located.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Bound on the difference between two clocks, milliseconds.
+    /// Maximum skew between the clocks of two processes, milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
     /// Teams with their quotas.
@@ -80,13 +80,13 @@
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Limit of CPUs.
+    /// Maximum CPUs.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit of GPUs.
+    /// Maximum GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -94,16 +94,16 @@
 /// A service-level objective.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What is measured: `wait`, `finished` or `guarantee`.
+    /// The measured quantity: `wait`, `finished` or `guarantee`.
     #[serde(default)]
     pub kind: String,
-    /// Class of jobs that the objective is for.
+    /// Job class to which the objective applies.
     #[serde(default)]
     pub class: String,
     /// The bound, seconds.
     #[serde(default)]
     pub within_s: f64,
-    /// Share of jobs that must keep the bound.
+    /// Share of jobs that must stay within the bound.
     #[serde(default)]
     pub share: f64,
 }
@@ -111,64 +111,64 @@
 /// Timings of the worker protocol, seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerTimings {
-    /// How often a worker reports.
+    /// Interval between reports of a worker.
     pub report_s: f64,
-    /// How long a worker keeps its tasks without an answer.
+    /// Time for which a worker keeps its tasks running without an answer from the leader.
     pub lease_s: f64,
-    /// Time within which a cancelled task must have ended.
+    /// Time within which a cancelled task must end.
     pub cancel_s: f64,
 }
 
 /// Limits of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
-    /// Requests per second.
+    /// Maximum request rate, requests per second.
     pub rps: f64,
-    /// Transactions that write, per second.
+    /// Maximum rate of writing transactions, per second.
     pub write_rps: f64,
-    /// Largest value, KB.
+    /// Maximum size of a value, KB.
     pub value_kb: f64,
-    /// Most operations of a transaction.
+    /// Maximum number of operations in a transaction.
     pub txn_ops: usize,
 }
 
 /// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second.
+    /// Maximum request rate, requests per second.
     pub rps: f64,
-    /// How old the cloud's list of machines may be, seconds.
+    /// Maximum staleness of the machine list that the cloud returns, seconds.
     pub list_lag_s: f64,
 }
 
 /// Limits of the machine that the controller runs on.
 #[derive(Clone, Debug, Deserialize)]
 pub struct MachineLimits {
-    /// Share of one CPU.
+    /// Maximum CPU use, as a share of one CPU.
     pub cpu_share: f64,
-    /// Memory, MB.
+    /// Maximum memory use, MB.
     pub ram_mb: f64,
-    /// Most open connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the file cannot be read or parsed, or if a value cannot work.
+    /// [`SettingsError`] if the file cannot be read or parsed, or contains an unusable value.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let name = path.display().to_string();
         let text = read_file(path, &name)?;
         Settings::parse(&name, &text)
     }
 
-    /// Parses and checks the text of a settings file; `name` appears in errors.
+    /// Parses and validates the text of a settings file; `name` appears in errors.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the text cannot be parsed, or if a value cannot work.
+    /// [`SettingsError`] if the text cannot be parsed or contains an unusable value.
     pub fn parse(name: &str, text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|source| SettingsError::Toml {
             file: name.into(),
@@ -178,22 +178,23 @@
         Ok(settings)
     }
 
-    /// How long a leader goes on answering workers without a successful exchange with the store,
-    /// seconds.
+    /// The serving deadline: time for which a leader continues to answer workers without a
+    /// successful exchange with the key-value store, seconds.
     ///
-    /// This time plus `lease_s` plus the margin stays below `cancel_s`: a cancellation that the leader
-    /// could not see is carried out in time all the same.
+    /// The serving deadline plus `lease_s` plus the margin is below `cancel_s`, so that a cancelled
+    /// task ends in time even if the leader could not read the cancellation.
     pub fn serving_deadline_s(&self) -> f64 {
         let w = &self.params.workers;
         (w.cancel_s - w.lease_s) * 0.999 - self.margin_s()
     }
 
-    /// Allowance for clock drift, late timers and answers in flight, seconds.
+    /// Safety margin for clock drift, late timers and answers in flight, seconds.
     pub fn margin_s(&self) -> f64 {
         4.0_f64.min((self.params.workers.cancel_s - self.params.workers.lease_s) * 0.2)
     }
 
-    /// The tightest bound that an objective of this kind sets for a class, seconds.
+    /// The tightest bound among the objectives of a kind for a job class, seconds; `None` if there
+    /// is no such objective.
     pub fn tightest_objective_s(&self, kind: &str, class: &str) -> Option<f64> {
         let aims = self.params.objectives.iter();
         aims.filter(|o| o.kind == kind && o.class == class && o.within_s > 0.0)
@@ -201,18 +202,19 @@
             .min_by(f64::total_cmp)
     }
 
-    /// Largest value that a controller stores, bytes.
+    /// Maximum size of a value that a controller stores, bytes.
     pub fn value_limit(&self) -> usize {
-        // A tenth is kept free for the envelope around a value.
+        // A tenth of the limit is reserved for the envelope around the value.
         (self.params.state.value_kb * 1024.0 * 0.9) as usize
     }
 
-    /// Place of a team in the list of teams.
+    /// Index of a team in the list of teams; `None` if there is no team of this name.
     pub fn team(&self, name: &str) -> Option<usize> {
         self.params.teams.iter().position(|t| t.name == name)
     }
 
-    /// Time for which the store keeps a leader's key without a renewal, seconds.
+    /// Duration of the leader's session lease: the key-value store removes the leader's key if the
+    /// lease is not renewed for this time, seconds.
     pub fn leader_lease_s(&self) -> f64 {
         (self.params.workers.lease_s * 0.25).clamp(1.5, 6.0)
     }
--- a/crates/core/src/settings/validation.rs
+++ b/crates/core/src/settings/validation.rs
@@ -1,12 +1,12 @@
-//! Checks of the platform's settings: a value that cannot work is refused by name before
-//! anything starts.
+//! Validation of the platform's settings at startup: an unusable value is rejected with an error
+//! that names the setting.
 
 use super::error::{InvalidValue, SettingsError};
 use super::platform::Settings;
 
-/// The smallest transaction that holds a placement, operations.
+/// Minimum number of operations in a transaction, as needed for one placement.
 const MIN_TRANSACTION_OPERATIONS: usize = 4;
-/// The fewest connections that a controller can work with.
+/// Minimum number of connections that a controller needs.
 const MIN_CONNECTIONS: usize = 32;
 
 fn check_positive(field: &str, value: f64) -> Result<(), SettingsError> {
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -1,11 +1,11 @@
-//! Identifiers, revisions and times as types of their own, so that a revision is never taken for
-//! a fencing token nor a job for a machine.
+//! Distinct types for identifiers, revisions and times, so that the compiler rejects a revision
+//! used as a fencing token or a job id used as a machine id.
 
 use std::fmt;
 use std::ops::Add;
 use std::time::Duration;
 
-/// Monotonic time, microseconds since an origin that differs between processes.
+/// Monotonic time in microseconds since an origin that differs between processes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash)]
 pub struct Time(u64);
 
@@ -14,19 +14,19 @@
     pub fn from_micros(us: u64) -> Time {
         Time(us)
     }
-    /// Seconds passed since `earlier`; zero if `earlier` lies ahead.
+    /// Seconds elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Time) -> f64 {
         self.0.saturating_sub(earlier.0) as f64 / 1e6
     }
-    /// Signed seconds from `now` until `self`.
+    /// Seconds from `now` until `self`; negative if `self` is in the past.
     pub fn until(self, now: Time) -> f64 {
         (self.0 as f64 - now.0 as f64) / 1e6
     }
-    /// The time `seconds` later; a negative amount counts as zero.
+    /// The time `seconds` later; a negative duration counts as zero.
     pub fn plus(self, seconds: f64) -> Time {
         Time(self.0.saturating_add((seconds.max(0.0) * 1e6) as u64))
     }
-    /// The time `seconds` earlier, at the least the origin; a negative amount counts as zero.
+    /// The time `seconds` earlier, but not before the origin; a negative duration counts as zero.
     pub fn minus(self, seconds: f64) -> Time {
         Time(self.0.saturating_sub((seconds.max(0.0) * 1e6) as u64))
     }
@@ -39,9 +39,10 @@
     }
 }
 
-/// Milliseconds of the time of day.
+/// Wall-clock time, milliseconds since the Unix epoch.
 ///
-/// Comparable between processes only within the platform's clock skew, so no safety rule rests on it.
+/// Comparable between processes only within the platform's clock skew, so no safety rule depends
+/// on it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct WallMs(pub u64);
 
@@ -53,26 +54,26 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Hash)]
 pub struct FencingToken(pub u64);
 
-/// A job's id, `job-<digits>`.
+/// Id of a job, `job-<digits>`.
 ///
-/// The digits are kept as written, leading zeros included, in a value that is cheap to copy.
+/// The value is cheap to copy and preserves the digits as written, including leading zeros.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct JobId {
     number: u64,
     width: u8,
 }
 
-/// A machine's name as the cloud gives it, `n-<digits>`.
+/// Name of a machine as assigned by the cloud, `n-<digits>`.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct MachineId {
     number: u64,
     width: u8,
 }
 
-/// Most names in a [`MachineId::range_to`].
+/// Maximum number of names that [`MachineId::range_to`] yields.
 const MAX_RANGE: u64 = 100_000;
 
-/// Reads up to 18 digits: their value, and how many there are.
+/// Parses 1 to 18 decimal digits; returns their value and their count, or `None` for other text.
 fn digits(text: &str) -> Option<(u64, u8)> {
     if text.is_empty() || text.len() > 18 || !text.bytes().all(|b| b.is_ascii_digit()) {
         return None;
@@ -81,7 +82,7 @@
 }
 
 impl JobId {
-    /// Reads an id; `None` if the text is not of the form `job-<digits>` with 1 to 18 digits.
+    /// Parses an id; `None` if the text is not of the form `job-<digits>` with 1 to 18 digits.
     pub fn parse(text: &str) -> Option<JobId> {
         let (number, width) = digits(text.strip_prefix("job-")?)?;
         Some(JobId { number, width })
@@ -95,23 +96,24 @@
 }
 
 impl MachineId {
-    /// Reads a name; `None` if the text is not of the form `n-<digits>` with 1 to 18 digits.
+    /// Parses a name; `None` if the text is not of the form `n-<digits>` with 1 to 18 digits.
     pub fn parse(text: &str) -> Option<MachineId> {
         let (number, width) = digits(text.strip_prefix("n-")?)?;
         Some(MachineId { number, width })
     }
-    /// The number that the digits stand for.
+    /// The numeric value of the digits.
     pub fn number(self) -> u64 {
         self.number
     }
-    /// The name that follows, with as many digits.
+    /// The next name in numeric order, padded to the same number of digits.
     pub fn next(self) -> MachineId {
         MachineId {
             number: self.number + 1,
             width: self.width,
         }
     }
-    /// All names from this one to `last`, at most 100,000; none if they differ in length.
+    /// Iterates over the names from this one to `last`, both included, at most 100,000; empty if
+    /// the two names differ in their number of digits.
     pub fn range_to(self, last: MachineId) -> impl Iterator<Item = MachineId> {
         let to = if self.width == last.width {
             last.number + 1
@@ -132,7 +134,7 @@
     }
 }
 
-/// One task of a job, written `job-000412/3`.
+/// Id of one task of a job, written as `job-000412/3`.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
     /// The job.
@@ -142,7 +144,7 @@
 }
 
 impl TaskId {
-    /// Reads an id; `None` if the text is not of the form `job-<digits>/<index>`.
+    /// Parses an id; `None` if the text is not of the form `job-<digits>/<index>`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.split_once('/')?;
         let (index, _) = digits(index)?;
@@ -159,23 +161,23 @@
     }
 }
 
-/// An attempt at a task, never used twice.
+/// Number of one attempt to run a task; never reused.
 ///
-/// Its upper part is the leader's fencing token, which no two processes share, so no counter has to
-/// be stored.
+/// The upper bits are the leader's fencing token, which no two processes share, so no counter has
+/// to be stored.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Attempt(pub u64);
 
-/// A call made to one of the outside services.
+/// Identifies a call to an external service.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct CallId(pub u64);
 
-/// An open request of a client that waits for its answer.
+/// Identifies a client request that has not been answered yet.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RequestId {
-    /// Place of the connection in the event loop's table.
+    /// Index of the connection in the event loop's connection table.
     pub slot: usize,
-    /// Tells the connection from earlier ones in the same place.
+    /// Distinguishes the connection from earlier ones in the same slot.
     pub generation: u64,
 }
 
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -1,16 +1,17 @@
-//! CBOR bodies of requests, answers and stored records.
+//! CBOR encoding of requests, answers and stored records.
 //!
-//! Amounts may come as integers. Sizes are counted on the JSON form, as the protocol demands.
+//! Amounts may be encoded as integers or floats. Size limits apply to the length of the JSON form,
+//! as the protocol requires.
 
 use ciborium::Value;
 use serde::de::{DeserializeOwned, Deserializer, Visitor};
 use serde::Serialize;
 use std::fmt;
 
-/// Largest body of a request or of an answer to workers and users, bytes.
+/// Maximum size of a request body, or of the body of an answer to a worker or user, bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// A body that is not CBOR or not of the expected form.
+/// A body that is not valid CBOR or does not match the expected type.
 #[derive(Debug, thiserror::Error)]
 #[error("not a CBOR body of the expected form")]
 pub struct DecodeError;
@@ -20,8 +21,8 @@
     let mut out = Vec::with_capacity(128);
     match ciborium::into_writer(value, &mut out) {
         Ok(()) => out,
-        // Writing to memory fails only for types that cannot be serialised. An empty map is a
-        // valid body by which a receiver releases nothing.
+        // Writing to memory fails only for types that cannot be serialised. 0xa0 is an empty map:
+        // a valid body that never makes the receiver release anything.
         Err(_) => vec![0xa0],
     }
 }
@@ -30,38 +31,39 @@
 ///
 /// # Errors
 ///
-/// [`DecodeError`] if the body is malformed, nested too deeply or lacks a field.
+/// [`DecodeError`] if the body is malformed, nested too deeply or lacks a required field.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
-    // The nesting limit guards against bodies made to exhaust the stack.
+    // The nesting limit protects against bodies crafted to exhaust the stack.
     ciborium::de::from_reader_with_recursion_limit(body, 32).map_err(|_| DecodeError)
 }
 
-/// Converts a value to CBOR's data model; `Null` if it cannot be serialised.
+/// Converts a value to the CBOR data model; `Null` if it cannot be serialised.
 pub fn to_value<T: Serialize>(value: &T) -> Value {
     Value::serialized(value).unwrap_or(Value::Null)
 }
 
-/// Converts from CBOR's data model.
+/// Converts a value from the CBOR data model.
 ///
 /// # Errors
 ///
-/// [`DecodeError`] if the value is not of the expected form.
+/// [`DecodeError`] if the value does not match the expected type.
 pub fn from_value<T: DeserializeOwned>(value: &Value) -> Result<T, DecodeError> {
     value.deserialized().map_err(|_| DecodeError)
 }
 
-/// The body of an answer that reports an error.
+/// Body of an error answer.
 #[derive(Serialize)]
 struct Problem<'a> {
     error: &'a str,
 }
 
-/// Encodes the body of an answer that reports an error.
+/// Encodes the body of an error answer.
 pub fn error_body(text: &str) -> Vec<u8> {
     encode(&Problem { error: text })
 }
 
-/// Length of the value's JSON form, bytes.
+/// Length of the value's JSON form, bytes. Slightly more than the exact length, since a separator
+/// is counted for every element of an array or map.
 pub fn json_len(value: &Value) -> usize {
     match value {
         Value::Null | Value::Bool(true) => 4,
@@ -90,7 +92,7 @@
     }
 }
 
-/// Accepts any number as a float.
+/// Accepts an integer or a float and yields a float.
 struct NumberVisitor;
 
 impl Visitor<'_> for NumberVisitor {
@@ -109,12 +111,13 @@
     }
 }
 
-/// Deserializes an amount that may be written as an integer.
+/// Deserializes an amount that may be encoded as an integer.
 pub fn amount<'de, D: Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
     d.deserialize_any(NumberVisitor)
 }
 
-/// The same for a field that may be null or left out.
+/// Deserializes an optional amount: null yields `None`. Fields that may be absent need
+/// `#[serde(default)]` as well.
 pub fn amount_or_null<'de, D: Deserializer<'de>>(d: D) -> Result<Option<f64>, D::Error> {
     struct Maybe;
     impl<'de> Visitor<'de> for Maybe {
--- a/crates/core/src/wire/tests.rs
+++ b/crates/core/src/wire/tests.rs
@@ -25,6 +25,6 @@
         body.truncate(rng.gen_range(0..=body.len()));
         let _ = decode::<Value>(&body);
     }
-    // A deeply nested body is refused, not followed.
+    // A deeply nested body is rejected instead of exhausting the stack.
     assert!(decode::<Value>(&[0x81; 60_000]).is_err());
 }
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The forms of job records, peer frames and settings files, as they were recorded.
+//! Compares the encodings of job records, peer frames, HTTP messages and settings files with the
+//! golden files.
 
 #[path = "support/golden.rs"]
 mod golden;
@@ -43,7 +44,7 @@
     }
 }
 
-/// Flags the other way round, and all that may be left out left out.
+/// `spec` with all flags inverted and all optional fields absent.
 fn bare_spec(kind: JobKind, urgency: Urgency) -> JobSpec {
     JobSpec {
         kind,
@@ -89,7 +90,7 @@
     golden.check();
 }
 
-/// Each field is found under its stored name, and goes to the field that it belongs to.
+/// Each field is read from its stored name into the matching field of the record.
 #[test]
 fn job_record_is_read_field_by_field() {
     let stored = json!({"v": 1, "st": "open", "spec": {"c": "train", "o": "vision", "k": "batch",
@@ -101,7 +102,7 @@
     assert_eq!(record.state, JobState::Open);
 }
 
-/// Records of earlier versions knew neither command lines nor whose a finished job was.
+/// Records written by earlier versions contain no command line, and no summary of a finished job.
 #[test]
 fn job_records_of_earlier_forms_are_read() {
     let done: JobRecord =
@@ -127,7 +128,7 @@
     );
 }
 
-/// Frames that controllers send on their own, under their names in the golden file.
+/// Frames that controllers send unprompted, under their names in the golden file.
 fn announcements() -> Vec<(&'static str, Frame)> {
     let label = || "north-1".to_string();
     vec![
@@ -209,7 +210,7 @@
 fn peer_frames_match_golden_file() {
     let mut golden = Golden::new("tests/golden/peer-frames.hex");
     let mut frames = announcements();
-    // The golden file holds the frames in the order of their variants.
+    // The golden file lists the frames in the order of the enum variants.
     let after_readiness = 5;
     frames.splice(after_readiness..after_readiness, queries());
     for (name, frame) in frames {
@@ -280,7 +281,7 @@
     golden.check();
 }
 
-/// Every field of the platform's file, under its name there.
+/// The value of every field of the platform's settings, as one line of JSON.
 fn settings_lines(s: &Settings) -> String {
     let p = &s.params;
     let members: Vec<_> = s
@@ -340,6 +341,7 @@
 machine_limits = { cpu_share = 0.125, ram_mb = 64.5, max_connections = 501 }
 "#;
 
+/// The value of every operator setting, as one line of JSON.
 fn operator_lines(o: &OperatorSettings) -> String {
     let listener = o.listener.as_ref().map(|d| {
         let keys = d.keys.as_ref().map(|k| k.display().to_string());
--- a/crates/core/tests/support/golden.rs
+++ b/crates/core/tests/support/golden.rs
@@ -1,10 +1,10 @@
-//! Golden files: encodings that were recorded once and are compared with those of today.
+//! Golden files: recorded encodings that the tests compare with the current ones.
 //!
-//! A file holds one line `name: hex` (or `name: text`) per value. Where
-//! `BEAMHINGE_REGENERATE_GOLDEN=1` is set, the file is written anew and the test fails all
-//! the same, so that no run passes by writing what it should compare with.
+//! A file contains one line `name: hex` (or `name: text`) per value. If
+//! `BEAMHINGE_REGENERATE_GOLDEN=1` is set, the file is rewritten and the test still fails, so that
+//! no run passes against a file that it has written itself.
 //!
-//! Packages include this file by its path; none of them needs all of it.
+//! Several crates include this file by its path, and none of them uses all of it.
 #![allow(dead_code)]
 
 use beamhinge_core::wire;
@@ -20,7 +20,7 @@
 }
 
 impl Golden {
-    /// `file`: its path below the package's folder.
+    /// Starts an empty golden file; `file` is its path relative to the crate's directory.
     pub(crate) fn new(file: &'static str) -> Golden {
         Golden {
             file,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Adds bytes as they are.
+    /// Adds a line with the bytes in hexadecimal.
     pub(crate) fn bytes(&mut self, name: &str, bytes: &[u8]) {
         let hex = bytes.iter().fold(String::new(), |mut hex, byte| {
             let _ = write!(hex, "{byte:02x}");
@@ -43,7 +43,7 @@
         let _ = writeln!(self.lines, "{name}: {text}");
     }
 
-    /// Adds a value as the state service holds it; it must come back as it was.
+    /// Adds a value in the encoding of the key-value store; decoding must yield the same value.
     pub(crate) fn stored<T: Serialize + DeserializeOwned>(&mut self, name: &str, value: &T) {
         let value = wire::to_value(value);
         let bytes = wire::encode(&value);
@@ -52,17 +52,19 @@
         assert_eq!(
             wire::to_value(&back),
             value,
-            "{name} does not come back as it was"
+            "{name} changes when it is encoded and decoded"
         );
         self.bytes(name, &bytes);
     }
 
-    /// Compares with the committed file, or writes it where that is asked for.
+    /// Compares the lines with the committed file, or rewrites the file if regeneration is
+    /// requested.
     pub(crate) fn check(self) {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(self.file);
         if std::env::var("BEAMHINGE_REGENERATE_GOLDEN").is_ok_and(|v| v == "1") {
-            std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
-            std::fs::write(&path, &self.lines).expect("a file that can be written");
+            std::fs::create_dir_all(path.parent().expect("the file has a directory"))
+                .expect("the directory can be created");
+            std::fs::write(&path, &self.lines).expect("the file can be written");
             panic!(
                 "{} was rewritten: run again without the variable",
                 self.file
@@ -72,7 +74,7 @@
         for (kept, now) in kept.lines().zip(self.lines.lines()) {
             assert_eq!(
                 kept, now,
-                "{} (left) and today's form (right) differ",
+                "{} (left) and the current encoding (right) differ",
                 self.file
             );
         }
