--- a/crates/core/src/http.rs
+++ b/crates/core/src/http.rs
@@ -204,9 +204,9 @@
     limit: usize,
 ) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
     let mut body = Vec::new();
-    let mut at = start;
+    let mut offset = start;
     loop {
-        let rest = buf.get(at..).unwrap_or(&[]);
+        let rest = buf.get(offset..).unwrap_or(&[]);
         let Some(line_end) = rest
             .windows(2)
             .take(MAX_CHUNK_LINE_BYTES)
@@ -232,9 +232,9 @@
             return Err(HttpError::Malformed);
         }
         body.extend_from_slice(&chunk[..size]);
-        at += chunk_start + size + 2;
+        offset += chunk_start + size + 2;
         if size == 0 {
-            return Ok(Some((body, at)));
+            return Ok(Some((body, offset)));
         }
     }
 }
@@ -250,9 +250,9 @@
         return Ok(None);
     };
     let authorization = head.authorization.take();
-    let mut words = head.first_line.split(' ');
+    let mut parts = head.first_line.split(' ');
     let (Some(method), Some(path), Some(version), None) =
-        (words.next(), words.next(), words.next(), words.next())
+        (parts.next(), parts.next(), parts.next(), parts.next())
     else {
         return Err(HttpError::Malformed);
     };
@@ -293,9 +293,9 @@
     let Some(head) = Head::parse(buf)? else {
         return Ok(None);
     };
-    let mut words = head.first_line.splitn(3, ' ');
-    let version = words.next().unwrap_or("");
-    let status: u16 = words
+    let mut parts = head.first_line.splitn(3, ' ');
+    let version = parts.next().unwrap_or("");
+    let status: u16 = parts
         .next()
         .filter(|s| s.len() == 3)
         .and_then(|s| s.parse().ok())
--- a/crates/core/src/http/tests.rs
+++ b/crates/core/src/http/tests.rs
@@ -16,14 +16,16 @@
 }
 
 #[test]
-fn request_in_any_pieces_is_parsed_whole() {
-    let mut whole = Vec::new();
-    write_request(&mut whole, &head(Method::Post, "/x?a=1"), b"body");
-    for cut in 0..whole.len() {
-        let mut buf = whole[..cut].to_vec();
+fn request_split_at_any_byte_is_parsed() {
+    let mut message = Vec::new();
+    write_request(&mut message, &head(Method::Post, "/x?a=1"), b"body");
+    for cut in 0..message.len() {
+        let mut buf = message[..cut].to_vec();
         assert_eq!(take_request(&mut buf, 100), Ok(None), "cut at {cut}");
-        buf.extend_from_slice(&whole[cut..]);
-        let r = take_request(&mut buf, 100).expect("sound").expect("whole");
+        buf.extend_from_slice(&message[cut..]);
+        let r = take_request(&mut buf, 100)
+            .expect("valid")
+            .expect("complete");
         assert_eq!(
             (r.method, r.path.as_str(), r.body.as_slice()),
             (Method::Post, "/x?a=1", &b"body"[..])
@@ -33,10 +35,10 @@
 }
 
 #[test]
-fn large_and_malformed_messages_are_different_errors() {
-    let case = |s: &str| take_request(&mut s.as_bytes().to_vec(), 10);
+fn too_large_body_and_malformed_message_give_different_errors() {
+    let parse = |s: &str| take_request(&mut s.as_bytes().to_vec(), 10);
     assert_eq!(
-        case("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n"),
+        parse("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n"),
         Err(HttpError::TooLarge)
     );
     for bad in [
@@ -47,10 +49,10 @@
         "GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
         "GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
     ] {
-        assert_eq!(case(bad), Err(HttpError::Malformed), "{bad}");
+        assert_eq!(parse(bad), Err(HttpError::Malformed), "{bad}");
     }
     assert_eq!(
-        case(&"x".repeat(MAX_HEAD_BYTES + 5)),
+        parse(&"x".repeat(MAX_HEAD_BYTES + 5)),
         Err(HttpError::Malformed)
     );
 }
@@ -60,24 +62,26 @@
     let mut buf =
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
             .to_vec();
-    let r = take_response(&mut buf, 100).expect("sound").expect("whole");
+    let r = take_response(&mut buf, 100)
+        .expect("valid")
+        .expect("complete");
     assert_eq!(r.body, b"abcde");
 }
 
 #[test]
 fn random_bytes_never_panic() {
     let mut rng = StdRng::seed_from_u64(11);
-    let mut good = Vec::new();
+    let mut valid = Vec::new();
     write_request(
-        &mut good,
+        &mut valid,
         &head(Method::Get, "/api/jobs/job-1"),
         b"0123456789",
     );
-    good.extend_from_slice(
+    valid.extend_from_slice(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
     );
     for _ in 0..20_000 {
-        let mut buf = good[rng.gen_range(0..good.len())..].to_vec();
+        let mut buf = valid[rng.gen_range(0..valid.len())..].to_vec();
         for _ in 0..rng.gen_range(0..4) {
             let at = rng.gen_range(0..buf.len());
             buf[at] = rng.gen();
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -106,17 +106,17 @@
     /// Builds the frames that list the machines which report to `label` instead of the leader. The
     /// receiver merges the lists.
     pub fn misrouted_workers(label: &str, machines: &[MachineId]) -> Vec<Frame> {
-        let frame = |part: &[MachineId]| Frame::MisroutedWorkers {
+        let frame = |chunk: &[MachineId]| Frame::MisroutedWorkers {
             label: label.to_string(),
-            machines: part.iter().map(MachineId::to_string).collect(),
+            machines: chunk.iter().map(MachineId::to_string).collect(),
         };
         machines.chunks(Frame::MAX_NAMES).map(frame).collect()
     }
 
     /// Builds the frames that list the jobs whose end was reported to a user.
     pub fn jobs_ended(jobs: &[JobId]) -> Vec<Frame> {
-        let frame = |part: &[JobId]| Frame::JobsEnded {
-            jobs: part.iter().map(JobId::to_string).collect(),
+        let frame = |chunk: &[JobId]| Frame::JobsEnded {
+            jobs: chunk.iter().map(JobId::to_string).collect(),
         };
         jobs.chunks(Frame::MAX_NAMES).map(frame).collect()
     }
@@ -130,9 +130,9 @@
         let mut frames = Vec::new();
         let mut rows = rows.into_iter();
         loop {
-            let part: Vec<_> = rows.by_ref().take(Frame::MAX_ROWS).collect();
-            let last = part.len() < Frame::MAX_ROWS;
-            frames.push(Frame::Progress(part));
+            let chunk: Vec<_> = rows.by_ref().take(Frame::MAX_ROWS).collect();
+            let last = chunk.len() < Frame::MAX_ROWS;
+            frames.push(Frame::Progress(chunk));
             if last {
                 return frames;
             }
@@ -161,13 +161,13 @@
 ///
 /// [`InvalidFrame`] if the frame is invalid; the connection must then be closed.
 pub fn take_frame(buf: &mut Vec<u8>) -> Result<Option<Frame>, InvalidFrame> {
-    let Some(head) = buf
+    let Some(length_prefix) = buf
         .get(..LENGTH_BYTES)
-        .and_then(|head| <[u8; LENGTH_BYTES]>::try_from(head).ok())
+        .and_then(|length_prefix| <[u8; LENGTH_BYTES]>::try_from(length_prefix).ok())
     else {
         return Ok(None);
     };
-    let length = u32::from_be_bytes(head) as usize;
+    let length = u32::from_be_bytes(length_prefix) as usize;
     if length > MAX_FRAME_BYTES {
         return Err(InvalidFrame);
     }
--- a/crates/core/src/settings/error.rs
+++ b/crates/core/src/settings/error.rs
@@ -68,7 +68,7 @@
         "{cancel_s} is too close to lease_s {lease_s}: a leader without access to the key-value \
          store could not enforce a cancellation in time"
     )]
-    NoRoomAboveLease { cancel_s: f64, lease_s: f64 },
+    TooCloseToLease { cancel_s: f64, lease_s: f64 },
     #[error("names this controller itself, {0}")]
     NamesItself(String),
     #[error("'{0}' is not a number")]
@@ -82,7 +82,7 @@
     #[error("'{0}' is not yes or no")]
     NotYesOrNo(String),
     #[error("'{0}' is not standard, high or critical")]
-    NotACeiling(String),
+    NotAPriorityCeiling(String),
     #[error("is not a known setting")]
     UnknownSetting,
     #[error("{0} is not a loopback address: set `keys` to a key file first")]
--- a/crates/core/src/settings/operator.rs
+++ b/crates/core/src/settings/operator.rs
@@ -159,7 +159,7 @@
             "standard" => Ok(Urgency::Standard),
             "high" => Ok(Urgency::High),
             "critical" => Ok(Urgency::Critical),
-            other => Err(self.invalid(InvalidValue::NotACeiling(other.into()))),
+            other => Err(self.invalid(InvalidValue::NotAPriorityCeiling(other.into()))),
         }
     }
 }
@@ -190,7 +190,7 @@
         })?;
         let mut settings = OperatorSettings::default();
         let mut listener = AdminListener::new(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0));
-        let mut listens = false;
+        let mut has_listener = false;
         for (section, entries) in ini.iter() {
             let section = section.unwrap_or("");
             for (key, value) in entries.iter() {
@@ -201,7 +201,7 @@
                 };
                 match section {
                     "operators" => {
-                        listens |= key == "listen";
+                        has_listener |= key == "listen";
                         listener.apply(&entry)?;
                     }
                     "ageing" => settings.aging.apply(&entry)?,
@@ -209,10 +209,10 @@
                 }
             }
         }
-        if listens {
+        if has_listener {
             listener.validate()?;
         }
-        settings.listener = listens.then_some(listener);
+        settings.listener = has_listener.then_some(listener);
         Ok(settings)
     }
 
--- a/crates/core/src/settings/platform.rs
+++ b/crates/core/src/settings/platform.rs
@@ -184,8 +184,8 @@
     /// The serving deadline plus `lease_s` plus the margin is below `cancel_s`, so that a cancelled
     /// task ends in time even if the leader could not read the cancellation.
     pub fn serving_deadline_s(&self) -> f64 {
-        let w = &self.params.workers;
-        (w.cancel_s - w.lease_s) * 0.999 - self.margin_s()
+        let workers = &self.params.workers;
+        (workers.cancel_s - workers.lease_s) * 0.999 - self.margin_s()
     }
 
     /// Safety margin for clock drift, late timers and answers in flight, seconds.
@@ -196,8 +196,9 @@
     /// The tightest bound among the objectives of a kind for a job class, seconds; `None` if there
     /// is no such objective.
     pub fn tightest_objective_s(&self, kind: &str, class: &str) -> Option<f64> {
-        let aims = self.params.objectives.iter();
-        aims.filter(|o| o.kind == kind && o.class == class && o.within_s > 0.0)
+        let objectives = self.params.objectives.iter();
+        objectives
+            .filter(|o| o.kind == kind && o.class == class && o.within_s > 0.0)
             .map(|o| o.within_s)
             .min_by(f64::total_cmp)
     }
--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -2,30 +2,33 @@
 use crate::job::Urgency;
 
 #[test]
-fn settings_with_unknown_fields_pass_and_invalid_ones_are_named() {
-    let s = Settings::parse("t", SAMPLE).expect("the sample is sound");
-    assert!(s.serving_deadline_s() + 10.0 + 1.0 < 30.0);
-    for (from, to, names) in [
+fn unknown_field_is_accepted_and_invalid_value_is_named() {
+    let settings = Settings::parse("t", SAMPLE).expect("the sample is valid");
+    assert!(settings.serving_deadline_s() + 10.0 + 1.0 < 30.0);
+    for (from, to, expected) in [
         ("lease_s = 10.0", "lease_s = 29.0", "cancel_s"),
         ("rps = 100.0", "rps = 0.0", "state.rps"),
         ("txn_ops = 16", "txn_ops = 1", "txn_ops"),
         ("label = \"a\"\n", "", "label"),
     ] {
         let text = SAMPLE.replacen(from, to, 1);
-        let err = Settings::parse("t", &text).expect_err(names).to_string();
-        assert!(err.contains(names), "{err}");
+        let err = Settings::parse("t", &text).expect_err(expected).to_string();
+        assert!(err.contains(expected), "{err}");
     }
 }
 
 #[test]
-fn public_listener_without_keys_is_refused() {
+fn public_listener_without_keys_is_rejected() {
     let parse = |text| OperatorSettings::parse("t", text).map(|o| o.listener);
     assert!(parse("[operators]\nlisten = 0.0.0.0:7900\n").is_err());
-    let kept = parse("[operators]\nlisten = 0.0.0.0:7900\nkeys = k.ini\n");
-    assert!(kept.is_ok_and(|d| d.is_some()));
+    let with_keys = parse("[operators]\nlisten = 0.0.0.0:7900\nkeys = k.ini\n");
+    assert!(with_keys.is_ok_and(|listener| listener.is_some()));
     let local = parse("[operators]\nlisten = 127.0.0.1:7900\nrps = 5\n");
     assert_eq!(
-        local.ok().flatten().map(|d| (d.rps, d.max_connections)),
+        local
+            .ok()
+            .flatten()
+            .map(|listener| (listener.rps, listener.max_connections)),
         Some((5.0, 16))
     );
     assert_eq!(parse("[operators]\nrps = 5\n").ok().flatten(), None);
@@ -37,7 +40,7 @@
     let text = "[ageing]\non = yes\nshare = 0.1\nceiling = standard\n";
     let aging = OperatorSettings::parse("t", text)
         .map(|o| o.aging)
-        .expect("sound");
+        .expect("valid settings");
     assert_eq!(
         (aging.on, aging.share, aging.ceiling),
         (true, 0.1, Urgency::Standard)
@@ -51,14 +54,14 @@
             ..PriorityAging::default()
         })
     );
-    for wrong in [
+    for invalid in [
         "on = maybe",
         "share = 0",
         "ceiling = best_effort",
         "stops = -1",
     ] {
-        let err = OperatorSettings::parse("t", &format!("[ageing]\n{wrong}\n"));
-        assert!(err.expect_err(wrong).to_string().contains("[ageing]"));
+        let err = OperatorSettings::parse("t", &format!("[ageing]\n{invalid}\n"));
+        assert!(err.expect_err(invalid).to_string().contains("[ageing]"));
     }
 }
 
--- a/crates/core/src/settings/validation.rs
+++ b/crates/core/src/settings/validation.rs
@@ -75,7 +75,7 @@
         if self.serving_deadline_s() < workers.report_s {
             return Err(SettingsError::invalid(
                 "params.workers.cancel_s",
-                InvalidValue::NoRoomAboveLease {
+                InvalidValue::TooCloseToLease {
                     cancel_s: workers.cancel_s,
                     lease_s: workers.lease_s,
                 },
--- a/crates/core/src/types.rs
+++ b/crates/core/src/types.rs
@@ -71,10 +71,10 @@
 }
 
 /// Maximum number of names that [`MachineId::range_to`] yields.
-const MAX_RANGE: u64 = 100_000;
+const MAX_RANGE_LENGTH: u64 = 100_000;
 
 /// Parses 1 to 18 decimal digits; returns their value and their count, or `None` for other text.
-fn digits(text: &str) -> Option<(u64, u8)> {
+fn parse_digits(text: &str) -> Option<(u64, u8)> {
     if text.is_empty() || text.len() > 18 || !text.bytes().all(|b| b.is_ascii_digit()) {
         return None;
     }
@@ -84,7 +84,7 @@
 impl JobId {
     /// Parses an id; `None` if the text is not of the form `job-<digits>` with 1 to 18 digits.
     pub fn parse(text: &str) -> Option<JobId> {
-        let (number, width) = digits(text.strip_prefix("job-")?)?;
+        let (number, width) = parse_digits(text.strip_prefix("job-")?)?;
         Some(JobId { number, width })
     }
 }
@@ -98,7 +98,7 @@
 impl MachineId {
     /// Parses a name; `None` if the text is not of the form `n-<digits>` with 1 to 18 digits.
     pub fn parse(text: &str) -> Option<MachineId> {
-        let (number, width) = digits(text.strip_prefix("n-")?)?;
+        let (number, width) = parse_digits(text.strip_prefix("n-")?)?;
         Some(MachineId { number, width })
     }
     /// The numeric value of the digits.
@@ -115,13 +115,13 @@
     /// Iterates over the names from this one to `last`, both included, at most 100,000; empty if
     /// the two names differ in their number of digits.
     pub fn range_to(self, last: MachineId) -> impl Iterator<Item = MachineId> {
-        let to = if self.width == last.width {
+        let end = if self.width == last.width {
             last.number + 1
         } else {
             0
         };
-        let to = to.min(self.number.saturating_add(MAX_RANGE));
-        (self.number..to).map(move |number| MachineId {
+        let end = end.min(self.number.saturating_add(MAX_RANGE_LENGTH));
+        (self.number..end).map(move |number| MachineId {
             number,
             width: self.width,
         })
@@ -147,7 +147,7 @@
     /// Parses an id; `None` if the text is not of the form `job-<digits>/<index>`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.split_once('/')?;
-        let (index, _) = digits(index)?;
+        let (index, _) = parse_digits(index)?;
         Some(TaskId {
             job: JobId::parse(job)?,
             index: u32::try_from(index).ok()?,
--- a/crates/core/src/types/tests.rs
+++ b/crates/core/src/types/tests.rs
@@ -1,8 +1,8 @@
 use super::{JobId, TaskId};
 
 #[test]
-fn ids_keep_their_digits_and_refuse_other_forms() {
-    let id = JobId::parse("job-000412").map(|i| i.to_string());
+fn id_preserves_its_digits_and_malformed_id_is_rejected() {
+    let id = JobId::parse("job-000412").map(|id| id.to_string());
     assert_eq!(id.as_deref(), Some("job-000412"));
     assert_ne!(JobId::parse("job-412"), JobId::parse("job-000412"));
     for bad in [
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -53,13 +53,13 @@
 
 /// Body of an error answer.
 #[derive(Serialize)]
-struct Problem<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
 }
 
 /// Encodes the body of an error answer.
 pub fn error_body(text: &str) -> Vec<u8> {
-    encode(&Problem { error: text })
+    encode(&ErrorBody { error: text })
 }
 
 /// Length of the value's JSON form, bytes. Slightly more than the exact length, since a separator
@@ -119,8 +119,8 @@
 /// Deserializes an optional amount: null yields `None`. Fields that may be absent need
 /// `#[serde(default)]` as well.
 pub fn amount_or_null<'de, D: Deserializer<'de>>(d: D) -> Result<Option<f64>, D::Error> {
-    struct Maybe;
-    impl<'de> Visitor<'de> for Maybe {
+    struct OptionalNumberVisitor;
+    impl<'de> Visitor<'de> for OptionalNumberVisitor {
         type Value = Option<f64>;
         fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
             f.write_str("a number or null")
@@ -135,7 +135,7 @@
             amount(d).map(Some)
         }
     }
-    d.deserialize_option(Maybe)
+    d.deserialize_option(OptionalNumberVisitor)
 }
 
 #[cfg(test)]
--- a/crates/core/src/wire/tests.rs
+++ b/crates/core/src/wire/tests.rs
@@ -3,7 +3,7 @@
 use rand::{rngs::StdRng, Rng, SeedableRng};
 
 #[test]
-fn json_len_covers_the_json_form() {
+fn json_len_is_at_least_the_length_of_the_json_form() {
     let value = Value::Map(vec![(
         Value::Text("a".into()),
         Value::Integer((-120).into()),
@@ -15,9 +15,9 @@
 #[test]
 fn random_bodies_never_panic() {
     let mut rng = StdRng::seed_from_u64(7);
-    let good = encode(&serde_json::json!({"nameId": "job-1", "pieces": [1, 2.5, null]}));
+    let valid = encode(&serde_json::json!({"nameId": "job-1", "pieces": [1, 2.5, null]}));
     for _ in 0..5_000 {
-        let mut body = good.clone();
+        let mut body = valid.clone();
         for _ in 0..rng.gen_range(1..6) {
             let at = rng.gen_range(0..body.len());
             body[at] = rng.gen();
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -45,7 +45,7 @@
 }
 
 /// `spec` with all flags inverted and all optional fields absent.
-fn bare_spec(kind: JobKind, urgency: Urgency) -> JobSpec {
+fn minimal_spec(kind: JobKind, urgency: Urgency) -> JobSpec {
     JobSpec {
         kind,
         urgency,
@@ -63,17 +63,17 @@
 #[test]
 fn job_records_match_golden_file() {
     let mut golden = Golden::new("tests/golden/job-records.hex");
-    let id = JobId::parse("job-000412").expect("an id");
+    let id = JobId::parse("job-000412").expect("valid job id");
     golden.text("key", &key(id));
-    let mut add = |name: &str, value| {
+    let mut check_record = |name: &str, value| {
         let record: JobRecord = wire::from_value(&value).expect(name);
         assert_eq!(record.version, RECORD_VERSION);
         assert_eq!(wire::to_value(&record), value);
         golden.stored(name, &record);
     };
-    add("open", open_record(&spec()));
-    add("done", done_record(&spec()));
-    add("cancelled", cancelled_record(&spec()));
+    check_record("open", open_record(&spec()));
+    check_record("done", done_record(&spec()));
+    check_record("cancelled", cancelled_record(&spec()));
     let kinds = [("batch", JobKind::Batch), ("standing", JobKind::Service)];
     let urgencies = [
         ("best_effort", Urgency::BestEffort),
@@ -84,7 +84,7 @@
     for (kind_name, kind) in kinds {
         for (urgency_name, urgency) in urgencies {
             let name = format!("open bare {kind_name} {urgency_name}");
-            add(&name, open_record(&bare_spec(kind, urgency)));
+            check_record(&name, open_record(&minimal_spec(kind, urgency)));
         }
     }
     golden.check();
@@ -97,7 +97,7 @@
         "u": "high", "n": 16, "cpu": 8.5, "gpu": 1.25, "mem": 64.5, "img": "img-07", "igb": 6.2,
         "sh": ["g8", "c4"], "z": "a", "oz": true, "ap": false, "sp": true, "ex": 240.5,
         "ce": 30.5, "cs": 4.5, "due": 900.5, "at": 1_700_000_000_123_u64, "cmd": "echo hello"}});
-    let record: JobRecord = wire::decode(&wire::encode(&stored)).expect("a record");
+    let record: JobRecord = wire::decode(&wire::encode(&stored)).expect("valid record");
     assert_eq!(record.spec, Some(spec()));
     assert_eq!(record.state, JobState::Open);
 }
@@ -106,7 +106,7 @@
 #[test]
 fn job_records_of_earlier_forms_are_read() {
     let done: JobRecord =
-        wire::decode(&wire::encode(&json!({"v": 1, "st": "done", "n": 16}))).expect("a record");
+        wire::decode(&wire::encode(&json!({"v": 1, "st": "done", "n": 16}))).expect("valid record");
     assert_eq!(
         (done.state, done.task_count, done.summary),
         (JobState::Done, Some(16), None)
@@ -115,9 +115,9 @@
         "u": "best_effort", "n": 2, "cpu": 1.0, "gpu": 0.0, "mem": 2.0, "img": "i", "igb": 0.0,
         "sh": null, "z": null, "oz": false, "ap": true, "sp": false, "ex": 0.0, "ce": 0.0, "cs": 0.0,
         "due": null, "at": 5}});
-    let cancelled: JobRecord = wire::decode(&wire::encode(&cancelled)).expect("a record");
+    let cancelled: JobRecord = wire::decode(&wire::encode(&cancelled)).expect("valid record");
     assert_eq!(cancelled.state, JobState::Cancelled);
-    let spec = cancelled.spec.expect("a description");
+    let spec = cancelled.spec.expect("specification");
     assert_eq!(
         (spec.kind, spec.urgency),
         (JobKind::Service, Urgency::BestEffort)
@@ -129,7 +129,7 @@
 }
 
 /// Frames that controllers send unprompted, under their names in the golden file.
-fn announcements() -> Vec<(&'static str, Frame)> {
+fn announcement_frames() -> Vec<(&'static str, Frame)> {
     let label = || "north-1".to_string();
     vec![
         (
@@ -185,7 +185,7 @@
 }
 
 /// A query to the leader and its response.
-fn queries() -> Vec<(&'static str, Frame)> {
+fn query_frames() -> Vec<(&'static str, Frame)> {
     vec![
         (
             "ask",
@@ -209,10 +209,10 @@
 #[test]
 fn peer_frames_match_golden_file() {
     let mut golden = Golden::new("tests/golden/peer-frames.hex");
-    let mut frames = announcements();
+    let mut frames = announcement_frames();
     // The golden file lists the frames in the order of the enum variants.
     let after_readiness = 5;
-    frames.splice(after_readiness..after_readiness, queries());
+    frames.splice(after_readiness..after_readiness, query_frames());
     for (name, frame) in frames {
         let bytes = encode(&frame);
         golden.bytes(name, &bytes);
@@ -282,7 +282,7 @@
 }
 
 /// The value of every field of the platform's settings, as one line of JSON.
-fn settings_lines(s: &Settings) -> String {
+fn settings_line(s: &Settings) -> String {
     let p = &s.params;
     let members: Vec<_> = s
         .members
@@ -342,16 +342,16 @@
 "#;
 
 /// The value of every operator setting, as one line of JSON.
-fn operator_lines(o: &OperatorSettings) -> String {
-    let listener = o.listener.as_ref().map(|d| {
-        let keys = d.keys.as_ref().map(|k| k.display().to_string());
+fn operator_line(o: &OperatorSettings) -> String {
+    let listener = o.listener.as_ref().map(|l| {
+        let keys = l.keys.as_ref().map(|k| k.display().to_string());
         json!([
-            d.listen.to_string(),
+            l.listen.to_string(),
             keys,
-            d.max_connections,
-            d.max_pending,
-            d.rps,
-            d.max_clock_skew_s
+            l.max_connections,
+            l.max_pending,
+            l.rps,
+            l.max_clock_skew_s
         ])
     });
     let a = &o.aging;
@@ -388,7 +388,7 @@
     let mut golden = Golden::new("tests/golden/settings.txt");
     for (name, text) in [("sample.toml", SAMPLE), ("all fields", FULL_SETTINGS)] {
         let settings = Settings::parse(name, text).expect(name);
-        golden.text(name, &settings_lines(&settings));
+        golden.text(name, &settings_line(&settings));
     }
     for (name, text) in [
         ("no file", ""),
@@ -405,7 +405,7 @@
     ] {
         golden.text(
             name,
-            &operator_lines(&OperatorSettings::parse(name, text).expect(name)),
+            &operator_line(&OperatorSettings::parse(name, text).expect(name)),
         );
     }
     let service: toml::Table = include_str!("../../../deploy/service.toml")
@@ -413,7 +413,7 @@
         .expect("service.toml");
     golden.text(
         "service.toml",
-        &serde_json::to_string(&service).expect("plain data"),
+        &serde_json::to_string(&service).expect("serializable table"),
     );
     golden.check();
 }
--- a/crates/core/tests/support/golden.rs
+++ b/crates/core/tests/support/golden.rs
@@ -47,10 +47,10 @@
     pub(crate) fn stored<T: Serialize + DeserializeOwned>(&mut self, name: &str, value: &T) {
         let value = wire::to_value(value);
         let bytes = wire::encode(&value);
-        let read = wire::decode(&bytes).expect(name);
-        let back: T = wire::from_value(&read).expect(name);
+        let decoded = wire::decode(&bytes).expect(name);
+        let restored: T = wire::from_value(&decoded).expect(name);
         assert_eq!(
-            wire::to_value(&back),
+            wire::to_value(&restored),
             value,
             "{name} changes when it is encoded and decoded"
         );
@@ -70,16 +70,16 @@
                 self.file
             );
         }
-        let kept = std::fs::read_to_string(&path).expect(self.file);
-        for (kept, now) in kept.lines().zip(self.lines.lines()) {
+        let recorded = std::fs::read_to_string(&path).expect(self.file);
+        for (recorded, current) in recorded.lines().zip(self.lines.lines()) {
             assert_eq!(
-                kept, now,
+                recorded, current,
                 "{} (left) and the current encoding (right) differ",
                 self.file
             );
         }
         assert_eq!(
-            kept.lines().count(),
+            recorded.lines().count(),
             self.lines.lines().count(),
             "lines of {}",
             self.file
