--- a/crates/core/src/settings/platform.rs
+++ b/crates/core/src/settings/platform.rs
@@ -113,7 +113,7 @@
 pub struct WorkerTimings {
     /// Interval between reports of a worker.
     pub report_s: f64,
-    /// Time for which a worker keeps its tasks running without an answer from the leader.
+    /// Time for which a worker keeps its tasks running without an answer to its reports.
     pub lease_s: f64,
     /// Time within which a cancelled task must end.
     pub cancel_s: f64,
