--- a/crates/transport/src/connections.rs
+++ b/crates/transport/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: accepted, opened, bounded in number, and closed when they time out.
+//! Connections: accepts, opens and closes them, and enforces their limits and timeouts.
 
 use crate::network::{connect, open_listener, ListenerKind};
 use crate::output::{MAX_CLOUD_CONNECTIONS, MAX_STATE_CONNECTIONS};
@@ -9,31 +9,35 @@
 use std::io;
 use std::net::{TcpListener, TcpStream};
 
-/// How long a request may take to come in, seconds.
+/// Maximum time in which a request must arrive completely, in seconds.
 const REQUEST_TIMEOUT_S: f64 = 10.0;
-/// How long a connection may be idle, seconds.
+/// Maximum idle time of a connection from a client, in seconds.
 const IDLE_TIMEOUT_S: f64 = 75.0;
-/// Idle time after which a connection may be closed for a new one, seconds.
+/// Idle time after which a connection may be closed in favor of a new one, in seconds.
 const MIN_IDLE_BEFORE_EVICTION_S: f64 = 2.0;
-/// A client of the admin API that reads nothing of its answer for so long is closed, seconds.
+/// Time after which an admin API client that reads nothing of its answer is disconnected, in
+/// seconds.
 const SLOW_READER_TIMEOUT_S: f64 = 10.0;
-/// Idle time after which a connection to an outside service is closed, seconds.
+/// Idle time after which a connection to an external service is closed, in seconds.
 const CALL_IDLE_TIMEOUT_S: f64 = 30.0;
-/// A peer sends a heartbeat each second: a link that is silent for so long is closed, seconds.
+/// Time without received data after which a connection from a peer is closed, in seconds. Peers
+/// send a heartbeat every second.
 const PEER_SILENCE_TIMEOUT_S: f64 = 10.0;
-/// A peer that reads nothing for so long is disconnected, seconds.
+/// Time after which a peer that does not read pending data is disconnected, in seconds.
 const PEER_WRITE_TIMEOUT_S: f64 = 5.0;
-/// Pause between two attempts to connect to a peer, seconds.
+/// Interval between attempts to connect to a peer, in seconds.
 const PEER_RETRY_S: f64 = 1.0;
-/// Most connections accepted from one listener before other events are served.
+/// Maximum number of connections accepted from one listener before other events are handled.
 const MAX_ACCEPTS_PER_EVENT: usize = 64;
-/// Connections kept free for peers and workers, beside those to the store and the cloud.
+/// Connections reserved for peers and for calls to workers, in addition to those reserved for the
+/// key-value store and the cloud.
 const RESERVED_FOR_PEERS: usize = 16;
-/// How often a listener that could not be opened is tried again, seconds.
+/// Interval between attempts to open a listener that could not be opened, in seconds.
 pub(crate) const LISTENER_RETRY_INTERVAL_S: f64 = 5.0;
 
 impl<S: Service> EventLoop<S> {
-    /// Registers a connection and returns its slot. `connecting`: it is not established yet.
+    /// Registers a connection and returns its slot. `connecting` is true if the connection is not
+    /// established yet.
     pub(crate) fn insert(
         &mut self,
         stream: TcpStream,
@@ -78,7 +82,7 @@
         Ok(slot)
     }
 
-    /// Closes a connection; a call that it carried counts as failed.
+    /// Closes a connection. A call in progress on it is reported as failed.
     pub(crate) fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot).and_then(Option::take) else {
             return;
@@ -102,7 +106,7 @@
         }
     }
 
-    /// Accepts what waits at a listener; `None` is the listener for peers.
+    /// Accepts pending connections of a listener; `None` stands for the peer listener.
     pub(crate) fn accept(&mut self, place: Option<usize>) {
         let limit = self.network.max_connections;
         let reserve = self.reserved_connections();
@@ -118,7 +122,8 @@
                 continue;
             }
             let _ = stream.set_nodelay(true);
-            // A connection that has been idle at the same listener is closed for the new one.
+            // At the limit, an idle connection of the same listener is closed in favor of the new
+            // one.
             let full = match place.map(|place| (place, self.network.listeners[place].kind)) {
                 Some((place, ListenerKind::Admin { max_connections })) => {
                     self.open_by_listener[place] >= max_connections && !self.evict_idle(place)
@@ -130,8 +135,8 @@
                 None => false,
             };
             if full {
-                // Closed at once: the load balancer, the worker or the client tries another
-                // controller instead of waiting for this one.
+                // The connection is closed immediately, so that the load balancer, the worker or
+                // the client tries another controller instead of waiting for this one.
                 continue;
             }
             let kind = match place {
@@ -148,21 +153,22 @@
         }
     }
 
-    /// Connections kept free for peers, the key-value store, the cloud and workers.
+    /// Number of connections reserved for peers, the key-value store, the cloud and workers.
     pub(crate) fn reserved_connections(&self) -> usize {
         (MAX_STATE_CONNECTIONS + MAX_CLOUD_CONNECTIONS + RESERVED_FOR_PEERS)
             .min(self.network.max_connections / 3)
     }
 
-    /// Whether so many connections are open that workers must give theirs up between reports.
+    /// Returns whether so many connections are open that workers must close theirs after each
+    /// report.
     ///
-    /// Guards against more machines than connections: those that are connected would keep all of
-    /// them, the others could not report, and users would find no controller.
+    /// Guards against having more machines than connections: the connected machines would occupy
+    /// all connections, the other machines could not report, and users would reach no controller.
     pub(crate) fn near_limit(&self) -> bool {
         (self.open_connections + self.reserved_connections()) * 5 > self.network.max_connections * 4
     }
 
-    /// Tries the listeners again that could not be opened.
+    /// Retries listeners that could not be opened.
     pub(crate) fn retry_listeners(&mut self, now: Time) {
         if now.since(self.listeners_tried) < LISTENER_RETRY_INTERVAL_S
             || self.listeners.iter().all(Option::is_some)
@@ -180,7 +186,7 @@
         }
     }
 
-    /// Whether a listener serves the admin API.
+    /// Returns whether a listener serves the admin API.
     pub(crate) fn is_admin(&self, listener: usize) -> bool {
         matches!(
             self.network.listeners.get(listener).map(|l| l.kind),
@@ -188,9 +194,10 @@
         )
     }
 
-    /// Closes the connection of a listener that has been idle longest; workers keep theirs.
+    /// Closes the connection of a listener that has been idle the longest, unless it belongs to a
+    /// worker.
     ///
-    /// Returns whether one was idle for long enough.
+    /// Returns whether a connection was idle long enough to be closed.
     pub(crate) fn evict_idle(&mut self, place: usize) -> bool {
         let now = self.now();
         let oldest = self
@@ -213,7 +220,7 @@
         }
     }
 
-    /// Closes the connections that have timed out.
+    /// Closes connections that have timed out.
     pub(crate) fn close_expired(&mut self, now: Time) {
         let mut expired = Vec::new();
         for (slot, connection) in self.connections.iter().enumerate() {
@@ -251,7 +258,7 @@
         }
     }
 
-    /// Opens the connections to peers that are missing.
+    /// Opens connections to peers that are not connected.
     pub(crate) fn connect_peers(&mut self, now: Time) {
         for member in 0..self.network.members.len() {
             let linked =
--- a/crates/transport/src/input.rs
+++ b/crates/transport/src/input.rs
@@ -1,5 +1,5 @@
-//! Input: whole requests, responses and frames are taken from the buffers of connections and
-//! handed to the service.
+//! Input: extracts complete requests, responses and frames from connection buffers and passes
+//! them to the service.
 
 use crate::{wall, ConnectionKind, EventLoop};
 use beamhinge_core::http::{self, Content, HttpError};
@@ -9,19 +9,19 @@
 use beamhinge_core::wire::{self, MAX_BODY_BYTES};
 use std::io::{self, Read};
 
-/// Largest response that is accepted, bytes; those of the key-value store may be large.
+/// Maximum size of a response body in bytes. Responses of the key-value store may be large.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
-/// The status by which a controller sends its caller to another one.
+/// HTTP status with which a controller redirects its caller to another controller.
 const MISDIRECTED: u16 = 421;
 
 impl<S: Service> EventLoop<S> {
-    /// Serves a connection that can be read or written.
+    /// Handles a connection that is readable or writable.
     pub(crate) fn on_ready(&mut self, slot: usize, readable: bool, writable: bool) {
         if writable {
             if !self.flush(slot) {
                 return;
             }
-            // Requests that waited until the last answer was read are handled now.
+            // Requests that were deferred until the client read the last answer are handled now.
             let waits = self
                 .connections
                 .get(slot)
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Reads what has arrived on a connection and handles it.
+    /// Reads the available bytes of a connection and handles the complete messages in them.
     pub(crate) fn read_from(&mut self, slot: usize) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Hands whole requests to the service, one at a time.
+    /// Passes complete requests to the service, one at a time.
     pub(crate) fn handle_requests(&mut self, slot: usize) {
         loop {
             let now = self.now();
@@ -112,8 +112,8 @@
                 return;
             };
             let listener = *listener;
-            // The next request is taken only when the last answer has been read: answers to a
-            // client that sends and never reads would fill the memory otherwise.
+            // The next request is parsed only after the last answer was written completely.
+            // Otherwise the answers to a client that sends but never reads would fill the memory.
             if *waiting || *close || !connection.output.is_empty() {
                 return;
             }
@@ -153,7 +153,8 @@
         }
     }
 
-    /// The answer to a request that cannot be parsed, in the form of the listener's interface.
+    /// Builds the answer to a request that cannot be parsed, in the listener's format (JSON for
+    /// the admin API, CBOR for the platform).
     fn malformed_request_answer(
         &self,
         to: RequestId,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Handles the reply to the call that a connection carries.
+    /// Handles the response to the current call of a connection.
     pub(crate) fn handle_response(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
             return;
@@ -194,10 +195,11 @@
         else {
             return;
         };
-        // Thousands of workers are called rarely: none of them keeps a connection.
+        // There are thousands of workers and each is called rarely, so connections to workers are
+        // closed after one call.
         let once = matches!(destination, Destination::Worker(_));
         if current.is_none() {
-            // Bytes without a call: the connection cannot be used any further.
+            // Bytes that belong to no call make the connection unusable.
             if !connection.input.is_empty() {
                 self.close(slot);
             }
@@ -207,7 +209,7 @@
             Ok(None) => {}
             Ok(Some(response)) => {
                 let id = current.take().map(|(id, _)| id);
-                // A caller that is sent elsewhere closes the connection (PROTOCOL).
+                // A caller that is redirected closes the connection (PROTOCOL).
                 if response.close || once || response.status == MISDIRECTED {
                     self.close(slot);
                 } else {
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Hands whole frames of a peer to the service.
+    /// Passes complete frames of a peer to the service.
     pub(crate) fn handle_frames(&mut self, slot: usize) {
         loop {
             let now = self.now();
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,8 +1,8 @@
-//! Sockets, timers and the event loop: `polling` on a single thread.
+//! Event loop with sockets and timers; a single thread waits for events with `polling`.
 //!
-//! Everything is bounded: connections by the platform's limit, buffers by the size of a message,
-//! calls by their timeouts. Users are turned away before workers, peers, the key-value store or
-//! the cloud run out of connections.
+//! All resources are bounded: connections by the configured limit, buffers by the maximum message
+//! size, calls by their timeouts. Connections of users are refused before workers, peers, the
+//! key-value store or the cloud run out of connections.
 
 mod connections;
 mod input;
@@ -21,56 +21,59 @@
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time at the start of the process, well above zero so that times before it can be expressed.
+/// Time at the start of the event loop in microseconds. It is well above zero so that earlier
+/// times can be represented.
 const START_MICROS: u64 = 3_600_000_000;
-/// How often the service is called without an event, seconds.
+/// Minimum interval between two calls of [`Service::on_tick`], in seconds.
 const TICK_INTERVAL_S: f64 = 0.025;
-/// How often connections are checked for timeouts and peers are connected, seconds.
+/// Interval at which expired connections are closed, unopened listeners are retried and missing
+/// peer connections are opened, in seconds.
 const MAINTENANCE_INTERVAL_S: f64 = 0.1;
-/// Key of the peer listener's events; below it are those of other listeners and connections.
+/// Poller key of the peer listener. The keys of other listeners and of connections are lower.
 const PEER_LISTENER_KEY: usize = usize::MAX - 3;
-/// Key of the first listener's events; further listeners follow downwards.
+/// Poller key of the first listener; each further listener has the next lower key.
 const LISTENER_KEYS: usize = usize::MAX - 4;
 
-/// Why the event loop cannot start or go on.
+/// Error that prevents the event loop from starting or continuing.
 #[derive(Debug, thiserror::Error)]
 pub enum EventLoopError {
-    /// An address cannot be listened on.
+    /// A listening socket could not be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address of the listener.
         address: SocketAddrV4,
-        /// The cause.
+        /// Error of the socket call.
         source: io::Error,
     },
-    /// The operating system refuses to report events.
+    /// A socket could not be registered with the poller, or waiting for events failed.
     #[error("cannot wait for events: {0}")]
     Poll(#[from] io::Error),
 }
 
-/// What a connection is used for.
+/// Purpose of a connection, with the state that depends on it.
 enum ConnectionKind {
-    /// From a user, a worker or a client of the admin API.
+    /// Accepted from a user, a worker or a client of the admin API.
     Public {
-        /// Place of the listener that accepted it.
+        /// Index of the listener that accepted the connection.
         listener: usize,
-        /// A request is being served.
+        /// A request was passed to the service and has not been answered yet.
         waiting: bool,
-        /// It is closed after the answer.
+        /// The connection is closed after the current answer.
         close: bool,
-        /// When the first part of an incomplete request arrived.
+        /// Time at which the first bytes of an incomplete request arrived; `None` if there is none.
         partial: Option<Time>,
-        /// A worker has reported over it.
+        /// A worker has sent a report over this connection.
         worker: bool,
     },
-    /// To an outside service, with the current call and its deadline.
+    /// Opened to an external service or a worker. `current` is the call in progress and its
+    /// deadline; `None` while the connection is idle.
     Call {
         destination: Destination,
         current: Option<(CallId, Time)>,
     },
-    /// From a peer, for its frames.
+    /// Accepted from a peer; receives its frames.
     PeerIn,
-    /// To a peer, for frames to it.
+    /// Opened to a peer; sends frames to it.
     PeerOut { member: usize },
 }
 
@@ -78,24 +81,24 @@
 struct Connection {
     stream: TcpStream,
     kind: ConnectionKind,
-    /// Tells it from earlier ones in the same slot.
+    /// Distinguishes this connection from earlier ones in the same slot.
     generation: u64,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Registered for write events.
+    /// The connection is registered for write events.
     writing: bool,
-    /// To a peer that does not read: the last frame for it was dropped.
+    /// The last frame for this peer was dropped because the peer does not read.
     dropping_frames: bool,
     last_active: Time,
 }
 
-/// Serves one [`Service`]: owns its sockets and calls it with events.
+/// Runs one [`Service`]: owns its sockets and passes events to it.
 pub struct EventLoop<S> {
     poller: Poller,
     start: Instant,
-    /// `None`: a listener that could not be opened yet.
+    /// Listeners by index; `None` for a listener that could not be opened yet.
     listeners: Vec<Option<TcpListener>>,
-    /// When listeners that could not be opened were tried last.
+    /// Time of the last attempt to open listeners that are not open.
     listeners_tried: Time,
     peer_listener: Option<TcpListener>,
     network: NetworkConfig,
@@ -105,14 +108,15 @@
     open_by_listener: Vec<usize>,
     generation: u64,
     service: S,
-    /// Calls whose connection failed: whether they had an effect is unknown.
+    /// Calls whose connection failed or could not be opened. It is unknown whether they were
+    /// executed.
     failed_calls: VecDeque<CallId>,
     peer_retry_at: Vec<Time>,
     last_tick: Time,
     last_maintenance: Time,
 }
 
-/// The time of day.
+/// Returns the current wall-clock time.
 pub fn wall() -> WallMs {
     WallMs(
         SystemTime::now()
@@ -122,11 +126,11 @@
 }
 
 impl<S: Service> EventLoop<S> {
-    /// Opens the listeners and makes the service.
+    /// Opens the listeners and creates the service.
     ///
     /// # Errors
     ///
-    /// [`EventLoopError`] if the platform's or the peers' address cannot be listened on.
+    /// [`EventLoopError`] if the platform listener or the peer listener cannot be opened.
     pub fn new(
         network: NetworkConfig,
         make: impl FnOnce(Time) -> S,
@@ -137,7 +141,8 @@
         }
     }
 
-    /// The same for a service that may fail to be made; its error is the inner one.
+    /// Like [`EventLoop::new`], for a service whose creation may fail; the inner result has the
+    /// service's error.
     pub fn try_new<E>(
         network: NetworkConfig,
         make: impl FnOnce(Time) -> Result<S, E>,
@@ -147,8 +152,8 @@
         for (i, listener) in network.listeners.iter().enumerate() {
             listeners.push(match open_listener(&poller, i, listener) {
                 Ok(listener) => Some(listener),
-                // The admin API must not keep the service from running: it goes on without this
-                // listener and tries again.
+                // A failure of the admin API must not prevent the service from running: the event
+                // loop starts without this listener and retries it later.
                 Err(e) if matches!(listener.kind, ListenerKind::Admin { .. }) => {
                     tracing::error!(error = %e, "cannot open admin API listener, trying again");
                     None
@@ -194,7 +199,7 @@
         Time::from_micros(START_MICROS) + self.start.elapsed()
     }
 
-    /// Serves until the process ends.
+    /// Runs until the process exits.
     ///
     /// # Errors
     ///
@@ -203,7 +208,7 @@
         self.run_while(|| true)
     }
 
-    /// Serves as long as `go` returns true; it is called about every 25 ms.
+    /// Runs as long as `go` returns true. `go` is called at least about every 25 ms.
     ///
     /// # Errors
     ///
@@ -241,7 +246,8 @@
         Ok(())
     }
 
-    /// Reports failed calls to the service, including those that it makes in turn.
+    /// Reports failed calls to the service, including calls that fail while it handles these
+    /// reports.
     fn report_failed_calls(&mut self) {
         while let Some(id) = self.failed_calls.pop_front() {
             let mut out = Vec::new();
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -1,4 +1,4 @@
-//! The addresses that a process listens on and calls, and how they are opened.
+//! Network configuration of a process, and functions that open its sockets.
 
 use crate::{EventLoopError, LISTENER_KEYS};
 use beamhinge_core::settings::{ExternalServices, Member, Settings};
@@ -9,47 +9,48 @@
 
 /// An address that the event loop listens on.
 ///
-/// A listener is identified by its place in the list, which comes with each request.
+/// A listener is identified by its index in [`NetworkConfig::listeners`], which is passed to the
+/// service with each request.
 pub struct Listener {
-    /// The address.
+    /// Address to bind.
     pub addr: SocketAddrV4,
-    /// The interface that it serves.
+    /// Interface that the listener serves.
     pub kind: ListenerKind,
 }
 
-/// `errno` of a connection that is being established.
+/// `errno` of a non-blocking `connect` whose connection is still being established.
 const EINPROGRESS: i32 = 115;
 
-/// The interface that a listener serves.
+/// Interface that a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerKind {
-    /// CBOR for users and workers; shares the limit of all connections.
+    /// CBOR API for users and workers; limited only by the total number of connections.
     Platform,
-    /// JSON for the admin API. It has a limit of its own, so that many clients here take no
-    /// connection from users or workers.
+    /// JSON admin API. It has a separate connection limit, so that many admin clients cannot use
+    /// up the connections of users and workers.
     Admin {
-        /// Most connections at once.
+        /// Maximum number of open connections of this listener.
         max_connections: usize,
     },
 }
 
-/// The addresses that a process listens on and calls.
+/// Addresses that a process listens on and connects to, and its connection limit.
 pub struct NetworkConfig {
-    /// Addresses for requests.
+    /// Listeners for requests.
     pub listeners: Vec<Listener>,
-    /// Address for the frames of peers.
+    /// Address of the listener for frames of peers; `None` if there is no such listener.
     pub peers: Option<SocketAddrV4>,
     /// Peers to connect to.
     pub members: Vec<Member>,
-    /// Services that are called.
+    /// Addresses of the external services: the cloud and the key-value store.
     pub external: ExternalServices,
-    /// Most open connections.
+    /// Maximum number of open connections of the process.
     pub max_connections: usize,
 }
 
 impl NetworkConfig {
-    /// The configuration of a controller: the platform's listener first, then that of the admin
-    /// API with its limit of connections, if there is one.
+    /// Creates the configuration of a controller: the platform listener first, then the admin API
+    /// listener if `admin` has its address and connection limit.
     pub fn controller(settings: &Settings, admin: Option<(SocketAddrV4, usize)>) -> NetworkConfig {
         let mut listeners = vec![Listener {
             addr: settings.public_addr,
@@ -75,7 +76,7 @@
 pub(crate) fn listen(addr: SocketAddrV4) -> Result<TcpListener, EventLoopError> {
     let open = || -> io::Result<TcpListener> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
-        // A restarted controller takes its address back at once.
+        // Lets a restarted controller bind its address again immediately.
         socket.set_reuse_address(true)?;
         socket.bind(&addr.into())?;
         socket.listen(512)?;
@@ -88,7 +89,7 @@
     })
 }
 
-/// Opens a listener and registers it under the key of its place.
+/// Opens a listener and registers it with the poller under the key of its index.
 pub(crate) fn open_listener(
     poller: &Poller,
     place: usize,
@@ -103,7 +104,7 @@
     Ok(listener)
 }
 
-/// Begins to connect; the socket becomes writable once the connection is established.
+/// Starts a non-blocking connect. The socket becomes writable once the connection is established.
 pub(crate) fn connect(addr: SocketAddrV4) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
--- a/crates/transport/src/output.rs
+++ b/crates/transport/src/output.rs
@@ -1,4 +1,4 @@
-//! Output: answers, calls and frames are written to the buffers of connections and flushed.
+//! Output: writes answers, calls and frames to connection buffers and flushes them.
 
 use crate::network::connect;
 use crate::{Connection, ConnectionKind, EventLoop};
@@ -10,19 +10,19 @@
 use std::io::{self, Write};
 use std::net::SocketAddrV4;
 
-/// Most connections to the key-value store.
+/// Maximum number of connections to the key-value store.
 pub(crate) const MAX_STATE_CONNECTIONS: usize = 24;
-/// Most connections to the cloud.
+/// Maximum number of connections to the cloud.
 pub(crate) const MAX_CLOUD_CONNECTIONS: usize = 8;
-/// Most connections to workers, whatever their addresses.
+/// Maximum number of connections to all workers together.
 pub(crate) const MAX_WORKER_CONNECTIONS: usize = 64;
 
-/// Bytes that wait for one peer to read them before further frames to it are dropped: two of
-/// the longest, since a list of more than 8,192 machines is sent as two.
+/// Unsent bytes for one peer, above which further frames to it are dropped. This is the size of
+/// two frames of maximum length, since a list of more than 8,192 machines is sent as two frames.
 const MAX_UNREAD_BYTES: usize = 2 * peers::MAX_FRAME_BYTES;
 
 impl<S: Service> EventLoop<S> {
-    /// Performs what the service asked for.
+    /// Performs the effects that the service requested.
     pub(crate) fn apply_effects(&mut self, out: Vec<Effect>) {
         for o in out {
             match o {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Queues a frame for all peers, or for the one with this label.
+    /// Queues a frame for the peer with the label `to`, or for all peers if it is `None`.
     pub(crate) fn send_frame(&mut self, to: Option<&str>, frame: &[u8]) {
         for slot in 0..self.connections.len() {
             let Some(c) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
@@ -86,7 +86,7 @@
             if to.is_some_and(|label| self.network.members[member].label != label) {
                 continue;
             }
-            // Frames for a peer that does not read are dropped, so that the buffer stays bounded.
+            // Frames for a peer that does not read are dropped to keep the buffer bounded.
             if c.output.len() < MAX_UNREAD_BYTES {
                 c.output.extend_from_slice(frame);
                 c.dropping_frames = false;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The address that a destination stands for.
+    /// Returns the address of a destination.
     pub(crate) fn address(&self, destination: Destination) -> SocketAddrV4 {
         match destination {
             Destination::State => self.network.external.state,
@@ -109,8 +109,8 @@
         }
     }
 
-    /// The slot of an idle connection to `destination`, or of a new one; `None` at the limit or if
-    /// no connection can be opened.
+    /// Returns the slot of an idle connection to `destination`, or of a new one; `None` if the
+    /// connection limit is reached or no connection can be opened.
     pub(crate) fn connection_to(&mut self, destination: Destination) -> Option<usize> {
         let mut count = 0;
         let mut idle = None;
@@ -124,7 +124,7 @@
                 ..
             }) = c
             {
-                // Workers share one limit, whatever their addresses.
+                // All workers share one limit.
                 let both_workers = matches!(
                     (d, destination),
                     (Destination::Worker(_), Destination::Worker(_))
@@ -159,7 +159,7 @@
         .ok()
     }
 
-    /// Answers a request, unless its connection is gone.
+    /// Answers a request, unless its connection was closed.
     pub(crate) fn answer(
         &mut self,
         to: RequestId,
@@ -173,7 +173,7 @@
         let Some(connection) = self.connections.get_mut(to.slot).and_then(Option::as_mut) else {
             return;
         };
-        // The slot may serve another connection by now.
+        // The slot may have been reused by another connection.
         if connection.generation != to.generation {
             return;
         }
@@ -191,8 +191,9 @@
         }
         *waiting = false;
         connection.last_active = now;
-        // The load balancer never moves an open connection: a user that is told to try again does
-        // better with a new one, perhaps to a controller that can answer.
+        // The load balancer never moves an open connection to another controller. A user that is
+        // told to retry gets a better chance with a new connection, which may reach a controller
+        // that can answer. Near the connection limit, workers' connections are closed too.
         *close |= status == 503 && !*worker || near_limit && *worker;
         let closing = *close;
         let head = http::ResponseHead {
@@ -208,7 +209,8 @@
         }
     }
 
-    /// Writes what the socket accepts; `false` if the connection has been closed.
+    /// Writes as many buffered bytes as the socket accepts. Returns `false` if the connection does
+    /// not exist or was closed.
     pub(crate) fn flush(&mut self, slot: usize) -> bool {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
--- a/crates/transport/src/tests.rs
+++ b/crates/transport/src/tests.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Answers every request with half a megabyte.
+/// Service that answers every request with half a megabyte and counts the requests.
 struct LargeAnswers(Arc<AtomicUsize>);
 
 impl Service for LargeAnswers {
@@ -51,13 +51,13 @@
     }
 }
 
-/// Guards against a controller that does not start, and is restarted without end, because the
-/// address of its admin API is taken.
+/// Guards against a controller that fails to start, and is restarted endlessly, because the
+/// address of its admin API is in use.
 #[test]
 fn occupied_admin_address_does_not_stop_the_service() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let std::net::SocketAddr::V4(addr) = taken.local_addr().expect("bound") else {
-        panic!("it is IPv4")
+        panic!("the address is not IPv4")
     };
     let config = |kind| NetworkConfig {
         listeners: vec![Listener { addr, kind }],
@@ -71,22 +71,25 @@
     };
     let talker = |_| LargeAnswers(Arc::default());
     let mut net = EventLoop::new(config(ListenerKind::Admin { max_connections: 1 }), talker)
-        .expect("it serves without");
+        .expect("starts without the admin listener");
     assert!(net.listeners[0].is_none());
     drop(taken);
     net.retry_listeners(net.now().plus(LISTENER_RETRY_INTERVAL_S));
-    assert!(net.listeners[0].is_some(), "taken as soon as it is free");
+    assert!(
+        net.listeners[0].is_some(),
+        "the listener is opened once the address is free"
+    );
     drop(net);
     let taken = TcpListener::bind(addr).expect("free again");
     assert!(
         EventLoop::new(config(ListenerKind::Platform), talker).is_err(),
-        "users need theirs"
+        "the platform listener is required"
     );
     drop(taken);
 }
 
-/// An event loop on a thread of its own: its address, the number of requests served, the flag
-/// that ends it and its thread.
+/// Runs an event loop in a separate thread. Returns its address, the number of served requests,
+/// the flag that stops it when set to false, and the thread.
 fn serve_in_thread(
     kind: ListenerKind,
     max_connections: usize,
@@ -121,7 +124,8 @@
     (addr, served, go, thread)
 }
 
-/// More workers than connections: each is served, since they take turns.
+/// With more workers than connections, each worker is served because connections are closed after
+/// the answer near the limit.
 #[test]
 fn workers_near_the_connection_limit_take_turns() {
     let (addr, _served, go, thread) = serve_in_thread(ListenerKind::Platform, 60);
@@ -144,8 +148,10 @@
         }
     }
     go.store(false, Ordering::Relaxed);
-    thread.join().expect("ended");
-    assert_eq!(kept.len() + closed, 150, "all were served");
+    thread
+        .join()
+        .expect("event loop thread ends without a panic");
+    assert_eq!(kept.len() + closed, 150, "not all workers were served");
     assert!(
         closed > 100 && kept.len() < 60,
         "{closed} closed, {} kept",
@@ -153,7 +159,8 @@
     );
 }
 
-/// Guards against a client that pipelines requests, never reads, and has all answers buffered.
+/// Guards against unbounded buffering of answers for a client that pipelines requests and never
+/// reads.
 #[test]
 fn client_that_never_reads_gets_no_further_answers() {
     let (addr, served, go, thread) =
@@ -168,23 +175,29 @@
     };
     let asked = 200usize;
     for _ in 0..asked {
-        stream.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("small");
+        stream
+            .write_all(b"GET / HTTP/1.1\r\n\r\n")
+            .expect("the request fits into the socket buffer");
     }
     std::thread::sleep(Duration::from_millis(500));
     let before = served.load(Ordering::Relaxed);
-    // Socket buffers of both ends hold some megabytes, not a hundred.
+    // The socket buffers of both ends hold a few megabytes, not a hundred.
     assert!(
         (1..60).contains(&before),
-        "{before} answers were made for nobody"
+        "{before} requests were served for a client that does not read"
     );
     // Once the client reads, all requests are served.
     let mut left = asked * (512 * 1024);
     let mut chunk = vec![0u8; 256 * 1024];
     while left > 0 && Instant::now() < until {
-        let n = stream.read(&mut chunk).expect("it goes on");
+        let n = stream
+            .read(&mut chunk)
+            .expect("the server continues to send");
         left = left.saturating_sub(n);
     }
     assert_eq!(served.load(Ordering::Relaxed), asked);
     go.store(false, Ordering::Relaxed);
-    thread.join().expect("ends");
+    thread
+        .join()
+        .expect("event loop thread ends without a panic");
 }
