--- a/crates/transport/src/connections.rs
+++ b/crates/transport/src/connections.rs
@@ -22,7 +22,7 @@
 const CALL_IDLE_TIMEOUT_S: f64 = 30.0;
 /// Time without received data after which a connection from a peer is closed, in seconds. Peers
 /// send a heartbeat every second.
-const PEER_SILENCE_TIMEOUT_S: f64 = 10.0;
+const PEER_RECEIVE_TIMEOUT_S: f64 = 10.0;
 /// Time after which a peer that does not read pending data is disconnected, in seconds.
 const PEER_WRITE_TIMEOUT_S: f64 = 5.0;
 /// Interval between attempts to connect to a peer, in seconds.
@@ -92,14 +92,14 @@
         self.free_slots.push(slot);
         match connection.kind {
             ConnectionKind::Call {
-                current: Some((id, _)),
+                current_call: Some((id, _)),
                 ..
             } => self.failed_calls.push_back(id),
             ConnectionKind::Public { listener, .. } => self.open_by_listener[listener] -= 1,
             ConnectionKind::PeerOut { member } => {
-                let at = self.now().plus(PEER_RETRY_S);
-                if let Some(r) = self.peer_retry_at.get_mut(member) {
-                    *r = at;
+                let next_attempt = self.now().plus(PEER_RETRY_S);
+                if let Some(retry_at) = self.peer_retry_at.get_mut(member) {
+                    *retry_at = next_attempt;
                 }
             }
             _ => {}
@@ -107,12 +107,12 @@
     }
 
     /// Accepts pending connections of a listener; `None` stands for the peer listener.
-    pub(crate) fn accept(&mut self, place: Option<usize>) {
+    pub(crate) fn accept(&mut self, index: Option<usize>) {
         let limit = self.network.max_connections;
         let reserve = self.reserved_connections();
         for _ in 0..MAX_ACCEPTS_PER_EVENT {
-            let listener = match place {
-                Some(place) => self.listeners.get(place).and_then(Option::as_ref),
+            let listener = match index {
+                Some(index) => self.listeners.get(index).and_then(Option::as_ref),
                 None => self.peer_listener.as_ref(),
             };
             let Some(Ok((stream, _))) = listener.map(TcpListener::accept) else {
@@ -124,28 +124,28 @@
             let _ = stream.set_nodelay(true);
             // At the limit, an idle connection of the same listener is closed in favor of the new
             // one.
-            let full = match place.map(|place| (place, self.network.listeners[place].kind)) {
-                Some((place, ListenerKind::Admin { max_connections })) => {
-                    self.open_by_listener[place] >= max_connections && !self.evict_idle(place)
+            let at_limit = match index.map(|index| (index, self.network.listeners[index].kind)) {
+                Some((index, ListenerKind::Admin { max_connections })) => {
+                    self.open_by_listener[index] >= max_connections && !self.evict_idle(index)
                         || self.open_connections + reserve >= limit
                 }
-                Some((place, ListenerKind::Platform)) => {
-                    self.open_connections + reserve >= limit && !self.evict_idle(place)
+                Some((index, ListenerKind::Platform)) => {
+                    self.open_connections + reserve >= limit && !self.evict_idle(index)
                 }
                 None => false,
             };
-            if full {
+            if at_limit {
                 // The connection is closed immediately, so that the load balancer, the worker or
                 // the client tries another controller instead of waiting for this one.
                 continue;
             }
-            let kind = match place {
+            let kind = match index {
                 Some(listener) => ConnectionKind::Public {
                     listener,
-                    waiting: false,
+                    awaiting_answer: false,
                     close: false,
-                    partial: None,
-                    worker: false,
+                    partial_since: None,
+                    is_worker: false,
                 },
                 None => ConnectionKind::PeerIn,
             };
@@ -170,17 +170,17 @@
 
     /// Retries listeners that could not be opened.
     pub(crate) fn retry_listeners(&mut self, now: Time) {
-        if now.since(self.listeners_tried) < LISTENER_RETRY_INTERVAL_S
+        if now.since(self.last_listener_retry) < LISTENER_RETRY_INTERVAL_S
             || self.listeners.iter().all(Option::is_some)
         {
             return;
         }
-        self.listeners_tried = now;
-        for (place, config) in self.network.listeners.iter().enumerate() {
-            if self.listeners[place].is_none() {
-                if let Ok(listener) = open_listener(&self.poller, place, config) {
+        self.last_listener_retry = now;
+        for (index, config) in self.network.listeners.iter().enumerate() {
+            if self.listeners[index].is_none() {
+                if let Ok(listener) = open_listener(&self.poller, index, config) {
                     tracing::info!(address = %config.addr, "opened admin API listener");
-                    self.listeners[place] = Some(listener);
+                    self.listeners[index] = Some(listener);
                 }
             }
         }
@@ -198,20 +198,20 @@
     /// worker.
     ///
     /// Returns whether a connection was idle long enough to be closed.
-    pub(crate) fn evict_idle(&mut self, place: usize) -> bool {
+    pub(crate) fn evict_idle(&mut self, index: usize) -> bool {
         let now = self.now();
-        let oldest = self
+        let longest_idle = self
             .connections
             .iter()
             .enumerate()
             .filter_map(|(i, c)| c.as_ref().map(|c| (i, c)))
             .filter(|(_, c)| {
-                matches!(c.kind, ConnectionKind::Public { listener, waiting: false, worker: false, .. }
-                    if listener == place)
+                matches!(c.kind, ConnectionKind::Public { listener, awaiting_answer: false, is_worker: false, .. }
+                    if listener == index)
             })
             .min_by_key(|(_, c)| c.last_active)
             .map(|(i, c)| (i, c.last_active));
-        match oldest {
+        match longest_idle {
             Some((slot, last_active)) if now.since(last_active) > MIN_IDLE_BEFORE_EVICTION_S => {
                 self.close(slot);
                 true
@@ -225,31 +225,31 @@
         let mut expired = Vec::new();
         for (slot, connection) in self.connections.iter().enumerate() {
             let Some(c) = connection else { continue };
-            let late = match &c.kind {
+            let timed_out = match &c.kind {
                 ConnectionKind::Public { listener, .. }
                     if self.is_admin(*listener) && !c.output.is_empty() =>
                 {
                     now.since(c.last_active) > SLOW_READER_TIMEOUT_S
                 }
                 ConnectionKind::Call {
-                    current: Some((_, deadline)),
+                    current_call: Some((_, deadline)),
                     ..
                 } => now > *deadline,
-                ConnectionKind::Call { current: None, .. } => {
-                    now.since(c.last_active) > CALL_IDLE_TIMEOUT_S
-                }
+                ConnectionKind::Call {
+                    current_call: None, ..
+                } => now.since(c.last_active) > CALL_IDLE_TIMEOUT_S,
                 ConnectionKind::Public {
-                    waiting: false,
-                    partial: Some(t),
+                    awaiting_answer: false,
+                    partial_since: Some(arrived_at),
                     ..
-                } => now.since(*t) > REQUEST_TIMEOUT_S,
+                } => now.since(*arrived_at) > REQUEST_TIMEOUT_S,
                 ConnectionKind::Public { .. } => now.since(c.last_active) > IDLE_TIMEOUT_S,
-                ConnectionKind::PeerIn => now.since(c.last_active) > PEER_SILENCE_TIMEOUT_S,
+                ConnectionKind::PeerIn => now.since(c.last_active) > PEER_RECEIVE_TIMEOUT_S,
                 ConnectionKind::PeerOut { .. } => {
                     !c.output.is_empty() && now.since(c.last_active) > PEER_WRITE_TIMEOUT_S
                 }
             };
-            if late {
+            if timed_out {
                 expired.push(slot);
             }
         }
@@ -261,11 +261,11 @@
     /// Opens connections to peers that are not connected.
     pub(crate) fn connect_peers(&mut self, now: Time) {
         for member in 0..self.network.members.len() {
-            let linked =
+            let connected =
                 self.connections.iter().flatten().any(
-                    |c| matches!(c.kind, ConnectionKind::PeerOut { member: m } if m == member),
+                    |c| matches!(c.kind, ConnectionKind::PeerOut { member: connected_member } if connected_member == member),
                 );
-            if linked || now < self.peer_retry_at[member] {
+            if connected || now < self.peer_retry_at[member] {
                 continue;
             }
             self.peer_retry_at[member] = now.plus(PEER_RETRY_S);
--- a/crates/transport/src/input.rs
+++ b/crates/transport/src/input.rs
@@ -22,7 +22,7 @@
                 return;
             }
             // Requests that were deferred until the client read the last answer are handled now.
-            let waits = self
+            let has_deferred_requests = self
                 .connections
                 .get(slot)
                 .and_then(Option::as_ref)
@@ -31,7 +31,7 @@
                         && c.output.is_empty()
                         && !c.input.is_empty()
                 });
-            if waits {
+            if has_deferred_requests {
                 self.handle_requests(slot);
             }
         }
@@ -83,12 +83,12 @@
             ConnectionKind::PeerIn => self.handle_frames(slot),
             ConnectionKind::PeerOut { .. } => connection.input.clear(),
         }
-        let over = self
+        let over_limit = self
             .connections
             .get(slot)
             .and_then(Option::as_ref)
             .is_some_and(|c| c.input.len() > limit);
-        if closed || over {
+        if closed || over_limit {
             self.close(slot);
         }
     }
@@ -103,10 +103,10 @@
             let generation = connection.generation;
             let ConnectionKind::Public {
                 listener,
-                waiting,
+                awaiting_answer,
                 close,
-                partial,
-                worker,
+                partial_since,
+                is_worker,
             } = &mut connection.kind
             else {
                 return;
@@ -114,23 +114,23 @@
             let listener = *listener;
             // The next request is parsed only after the last answer was written completely.
             // Otherwise the answers to a client that sends but never reads would fill the memory.
-            if *waiting || *close || !connection.output.is_empty() {
+            if *awaiting_answer || *close || !connection.output.is_empty() {
                 return;
             }
             match http::take_request(&mut connection.input, MAX_BODY_BYTES) {
                 Ok(None) => {
-                    *partial = if connection.input.is_empty() {
+                    *partial_since = if connection.input.is_empty() {
                         None
                     } else {
-                        partial.or(Some(now))
+                        partial_since.or(Some(now))
                     };
                     return;
                 }
                 Ok(Some(request)) => {
-                    *waiting = true;
+                    *awaiting_answer = true;
                     *close = request.close;
-                    *partial = None;
-                    *worker |= request.path.starts_with("/hello");
+                    *partial_since = None;
+                    *is_worker |= request.path.starts_with("/hello");
                     let id = RequestId { slot, generation };
                     let mut out = Vec::new();
                     self.service
@@ -138,7 +138,7 @@
                     self.apply_effects(out);
                 }
                 Err(error) => {
-                    *waiting = true;
+                    *awaiting_answer = true;
                     *close = true;
                     connection.input.clear();
                     let answer = self.malformed_request_answer(
@@ -190,15 +190,15 @@
         };
         let ConnectionKind::Call {
             destination,
-            current,
+            current_call,
         } = &mut connection.kind
         else {
             return;
         };
         // There are thousands of workers and each is called rarely, so connections to workers are
         // closed after one call.
-        let once = matches!(destination, Destination::Worker(_));
-        if current.is_none() {
+        let close_after_reply = matches!(destination, Destination::Worker(_));
+        if current_call.is_none() {
             // Bytes that belong to no call make the connection unusable.
             if !connection.input.is_empty() {
                 self.close(slot);
@@ -208,9 +208,9 @@
         match http::take_response(&mut connection.input, MAX_RESPONSE_BYTES) {
             Ok(None) => {}
             Ok(Some(response)) => {
-                let id = current.take().map(|(id, _)| id);
+                let id = current_call.take().map(|(id, _)| id);
                 // A caller that is redirected closes the connection (PROTOCOL).
-                if response.close || once || response.status == MISDIRECTED {
+                if response.close || close_after_reply || response.status == MISDIRECTED {
                     self.close(slot);
                 } else {
                     connection.input.shrink_to(16 * 1024);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -32,7 +32,7 @@
 /// Poller key of the peer listener. The keys of other listeners and of connections are lower.
 const PEER_LISTENER_KEY: usize = usize::MAX - 3;
 /// Poller key of the first listener; each further listener has the next lower key.
-const LISTENER_KEYS: usize = usize::MAX - 4;
+const FIRST_LISTENER_KEY: usize = usize::MAX - 4;
 
 /// Error that prevents the event loop from starting or continuing.
 #[derive(Debug, thiserror::Error)]
@@ -57,19 +57,19 @@
         /// Index of the listener that accepted the connection.
         listener: usize,
         /// A request was passed to the service and has not been answered yet.
-        waiting: bool,
+        awaiting_answer: bool,
         /// The connection is closed after the current answer.
         close: bool,
         /// Time at which the first bytes of an incomplete request arrived; `None` if there is none.
-        partial: Option<Time>,
+        partial_since: Option<Time>,
         /// A worker has sent a report over this connection.
-        worker: bool,
+        is_worker: bool,
     },
-    /// Opened to an external service or a worker. `current` is the call in progress and its
-    /// deadline; `None` while the connection is idle.
+    /// Opened to an external service, a worker or a controller's public address. `current_call` is
+    /// the call in progress and its deadline; `None` while the connection is idle.
     Call {
         destination: Destination,
-        current: Option<(CallId, Time)>,
+        current_call: Option<(CallId, Time)>,
     },
     /// Accepted from a peer; receives its frames.
     PeerIn,
@@ -99,7 +99,7 @@
     /// Listeners by index; `None` for a listener that could not be opened yet.
     listeners: Vec<Option<TcpListener>>,
     /// Time of the last attempt to open listeners that are not open.
-    listeners_tried: Time,
+    last_listener_retry: Time,
     peer_listener: Option<TcpListener>,
     network: NetworkConfig,
     connections: Vec<Option<Connection>>,
@@ -133,11 +133,11 @@
     /// [`EventLoopError`] if the platform listener or the peer listener cannot be opened.
     pub fn new(
         network: NetworkConfig,
-        make: impl FnOnce(Time) -> S,
+        create_service: impl FnOnce(Time) -> S,
     ) -> Result<EventLoop<S>, EventLoopError> {
-        match EventLoop::try_new(network, |now| Ok::<S, Infallible>(make(now)))? {
+        match EventLoop::try_new(network, |now| Ok::<S, Infallible>(create_service(now)))? {
             Ok(event_loop) => Ok(event_loop),
-            Err(never) => match never {},
+            Err(impossible) => match impossible {},
         }
     }
 
@@ -145,7 +145,7 @@
     /// service's error.
     pub fn try_new<E>(
         network: NetworkConfig,
-        make: impl FnOnce(Time) -> Result<S, E>,
+        create_service: impl FnOnce(Time) -> Result<S, E>,
     ) -> Result<Result<EventLoop<S>, E>, EventLoopError> {
         let poller = Poller::new()?;
         let mut listeners = Vec::new();
@@ -169,7 +169,7 @@
                 PollMode::Level,
             )?;
         }
-        let service = match make(Time::from_micros(START_MICROS)) {
+        let service = match create_service(Time::from_micros(START_MICROS)) {
             Ok(service) => service,
             Err(e) => return Ok(Err(e)),
         };
@@ -178,7 +178,7 @@
             start: Instant::now(),
             open_by_listener: vec![0; listeners.len()],
             listeners,
-            listeners_tried: Time::default(),
+            last_listener_retry: Time::default(),
             peer_listener,
             connections: Vec::new(),
             free_slots: Vec::new(),
@@ -208,22 +208,24 @@
         self.run_while(|| true)
     }
 
-    /// Runs as long as `go` returns true. `go` is called at least about every 25 ms.
+    /// Runs as long as `keep_running` returns true, which is checked at least about every 25 ms.
     ///
     /// # Errors
     ///
     /// [`EventLoopError::Poll`] if events cannot be waited for.
-    pub fn run_while(mut self, go: impl Fn() -> bool) -> Result<(), EventLoopError> {
+    pub fn run_while(mut self, keep_running: impl Fn() -> bool) -> Result<(), EventLoopError> {
         let mut events = Vec::new();
-        while go() {
+        while keep_running() {
             events.clear();
             self.poller
                 .wait(&mut events, Some(Duration::from_secs_f64(TICK_INTERVAL_S)))?;
             for event in &events {
                 match event.key {
                     PEER_LISTENER_KEY => self.accept(None),
-                    key if key <= LISTENER_KEYS && key > LISTENER_KEYS - self.listeners.len() => {
-                        self.accept(Some(LISTENER_KEYS - key))
+                    key if key <= FIRST_LISTENER_KEY
+                        && key > FIRST_LISTENER_KEY - self.listeners.len() =>
+                    {
+                        self.accept(Some(FIRST_LISTENER_KEY - key))
                     }
                     slot => self.on_ready(slot, event.readable, event.writable),
                 }
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -1,6 +1,6 @@
 //! Network configuration of a process, and functions that open its sockets.
 
-use crate::{EventLoopError, LISTENER_KEYS};
+use crate::{EventLoopError, FIRST_LISTENER_KEY};
 use beamhinge_core::settings::{ExternalServices, Member, Settings};
 use polling::{Event, PollMode, Poller};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -92,13 +92,13 @@
 /// Opens a listener and registers it with the poller under the key of its index.
 pub(crate) fn open_listener(
     poller: &Poller,
-    place: usize,
+    index: usize,
     listener: &Listener,
 ) -> Result<TcpListener, EventLoopError> {
     let listener = listen(listener.addr)?;
     poller.add_with_mode(
         &listener,
-        Event::readable(LISTENER_KEYS - place),
+        Event::readable(FIRST_LISTENER_KEY - index),
         PollMode::Level,
     )?;
     Ok(listener)
--- a/crates/transport/src/output.rs
+++ b/crates/transport/src/output.rs
@@ -56,7 +56,7 @@
                     if let Some(c) = self.connections.get_mut(slot).and_then(Option::as_mut) {
                         c.kind = ConnectionKind::Call {
                             destination,
-                            current: Some((id, deadline)),
+                            current_call: Some((id, deadline)),
                         };
                         let head = http::RequestHead {
                             method,
@@ -112,31 +112,31 @@
     /// Returns the slot of an idle connection to `destination`, or of a new one; `None` if the
     /// connection limit is reached or no connection can be opened.
     pub(crate) fn connection_to(&mut self, destination: Destination) -> Option<usize> {
-        let mut count = 0;
-        let mut idle = None;
+        let mut open_count = 0;
+        let mut idle_slot = None;
         for (slot, c) in self.connections.iter().enumerate() {
             if let Some(Connection {
                 kind:
                     ConnectionKind::Call {
-                        destination: d,
-                        current,
+                        destination: open_destination,
+                        current_call,
                     },
                 ..
             }) = c
             {
                 // All workers share one limit.
-                let both_workers = matches!(
-                    (d, destination),
+                let both_are_workers = matches!(
+                    (open_destination, destination),
                     (Destination::Worker(_), Destination::Worker(_))
                 );
-                count += usize::from(*d == destination || both_workers);
-                if *d == destination && current.is_none() {
-                    idle = Some(slot);
+                open_count += usize::from(*open_destination == destination || both_are_workers);
+                if *open_destination == destination && current_call.is_none() {
+                    idle_slot = Some(slot);
                 }
             }
         }
-        if idle.is_some() {
-            return idle;
+        if idle_slot.is_some() {
+            return idle_slot;
         }
         let limit = match destination {
             Destination::State => MAX_STATE_CONNECTIONS,
@@ -144,7 +144,7 @@
             Destination::Worker(_) => MAX_WORKER_CONNECTIONS,
             Destination::Node { .. } => 1,
         };
-        if count >= limit {
+        if open_count >= limit {
             return None;
         }
         let stream = connect(self.address(destination)).ok()?;
@@ -152,7 +152,7 @@
             stream,
             ConnectionKind::Call {
                 destination,
-                current: None,
+                current_call: None,
             },
             true,
         )
@@ -178,23 +178,23 @@
             return;
         }
         let ConnectionKind::Public {
-            waiting,
+            awaiting_answer,
             close,
-            worker,
+            is_worker,
             ..
         } = &mut connection.kind
         else {
             return;
         };
-        if !*waiting {
+        if !*awaiting_answer {
             return;
         }
-        *waiting = false;
+        *awaiting_answer = false;
         connection.last_active = now;
         // The load balancer never moves an open connection to another controller. A user that is
         // told to retry gets a better chance with a new connection, which may reach a controller
         // that can answer. Near the connection limit, workers' connections are closed too.
-        *close |= status == 503 && !*worker || near_limit && *worker;
+        *close |= status == 503 && !*is_worker || near_limit && *is_worker;
         let closing = *close;
         let head = http::ResponseHead {
             status,
@@ -242,12 +242,12 @@
             }
         }
         connection.output.drain(..sent);
-        let done = connection.output.is_empty();
-        let finished = done
+        let output_empty = connection.output.is_empty();
+        let finished = output_empty
             && matches!(
                 connection.kind,
                 ConnectionKind::Public {
-                    waiting: false,
+                    awaiting_answer: false,
                     close: true,
                     ..
                 }
@@ -256,9 +256,9 @@
             self.close(slot);
             return false;
         }
-        if done == connection.writing {
-            connection.writing = !done;
-            let interest = if done {
+        if output_empty == connection.writing {
+            connection.writing = !output_empty;
+            let interest = if output_empty {
                 Event::readable(slot)
             } else {
                 Event::all(slot)
--- a/crates/transport/src/tests.rs
+++ b/crates/transport/src/tests.rs
@@ -55,8 +55,8 @@
 /// address of its admin API is in use.
 #[test]
 fn occupied_admin_address_does_not_stop_the_service() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let std::net::SocketAddr::V4(addr) = taken.local_addr().expect("bound") else {
+    let occupying_listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let std::net::SocketAddr::V4(addr) = occupying_listener.local_addr().expect("bound") else {
         panic!("the address is not IPv4")
     };
     let config = |kind| NetworkConfig {
@@ -69,23 +69,26 @@
         },
         max_connections: 100,
     };
-    let talker = |_| LargeAnswers(Arc::default());
-    let mut net = EventLoop::new(config(ListenerKind::Admin { max_connections: 1 }), talker)
-        .expect("starts without the admin listener");
-    assert!(net.listeners[0].is_none());
-    drop(taken);
-    net.retry_listeners(net.now().plus(LISTENER_RETRY_INTERVAL_S));
+    let create_service = |_| LargeAnswers(Arc::default());
+    let mut event_loop = EventLoop::new(
+        config(ListenerKind::Admin { max_connections: 1 }),
+        create_service,
+    )
+    .expect("starts without the admin listener");
+    assert!(event_loop.listeners[0].is_none());
+    drop(occupying_listener);
+    event_loop.retry_listeners(event_loop.now().plus(LISTENER_RETRY_INTERVAL_S));
     assert!(
-        net.listeners[0].is_some(),
+        event_loop.listeners[0].is_some(),
         "the listener is opened once the address is free"
     );
-    drop(net);
-    let taken = TcpListener::bind(addr).expect("free again");
+    drop(event_loop);
+    let occupying_listener = TcpListener::bind(addr).expect("free again");
     assert!(
-        EventLoop::new(config(ListenerKind::Platform), talker).is_err(),
+        EventLoop::new(config(ListenerKind::Platform), create_service).is_err(),
         "the platform listener is required"
     );
-    drop(taken);
+    drop(occupying_listener);
 }
 
 /// Runs an event loop in a separate thread. Returns its address, the number of served requests,
@@ -100,38 +103,39 @@
     std::thread::JoinHandle<()>,
 ) {
     let addr = free_address();
-    let nowhere = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
+    let unused_address = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
     let network = NetworkConfig {
         listeners: vec![Listener { addr, kind }],
         peers: None,
         members: Vec::new(),
         external: ExternalServices {
-            cloud: nowhere,
-            state: nowhere,
+            cloud: unused_address,
+            state: unused_address,
         },
         max_connections,
     };
-    let (served, go) = (
+    let (served, keep_running) = (
         Arc::new(AtomicUsize::new(0)),
         Arc::new(AtomicBool::new(true)),
     );
-    let (count, running) = (served.clone(), go.clone());
+    let (count, thread_keep_running) = (served.clone(), keep_running.clone());
     let thread = std::thread::spawn(move || {
-        let net = EventLoop::new(network, |_| LargeAnswers(count)).expect("listens");
-        net.run_while(|| running.load(Ordering::Relaxed))
+        let event_loop = EventLoop::new(network, |_| LargeAnswers(count)).expect("listens");
+        event_loop
+            .run_while(|| thread_keep_running.load(Ordering::Relaxed))
             .expect("runs");
     });
-    (addr, served, go, thread)
+    (addr, served, keep_running, thread)
 }
 
 /// With more workers than connections, each worker is served because connections are closed after
 /// the answer near the limit.
 #[test]
 fn workers_near_the_connection_limit_take_turns() {
-    let (addr, _served, go, thread) = serve_in_thread(ListenerKind::Platform, 60);
+    let (addr, _served, keep_running, thread) = serve_in_thread(ListenerKind::Platform, 60);
     let until = Instant::now() + Duration::from_secs(20);
-    let (mut kept, mut closed) = (Vec::new(), 0);
-    while kept.len() + closed < 150 && Instant::now() < until {
+    let (mut kept_open, mut closed) = (Vec::new(), 0);
+    while kept_open.len() + closed < 150 && Instant::now() < until {
         let Ok(mut stream) = TcpStream::connect(addr) else {
             continue;
         };
@@ -144,18 +148,18 @@
         let text = String::from_utf8_lossy(&answer[..n]).to_lowercase();
         match text.contains("connection: close") {
             true => closed += 1,
-            false => kept.push(stream),
+            false => kept_open.push(stream),
         }
     }
-    go.store(false, Ordering::Relaxed);
+    keep_running.store(false, Ordering::Relaxed);
     thread
         .join()
         .expect("event loop thread ends without a panic");
-    assert_eq!(kept.len() + closed, 150, "not all workers were served");
+    assert_eq!(kept_open.len() + closed, 150, "not all workers were served");
     assert!(
-        closed > 100 && kept.len() < 60,
+        closed > 100 && kept_open.len() < 60,
         "{closed} closed, {} kept",
-        kept.len()
+        kept_open.len()
     );
 }
 
@@ -163,7 +167,7 @@
 /// reads.
 #[test]
 fn client_that_never_reads_gets_no_further_answers() {
-    let (addr, served, go, thread) =
+    let (addr, served, keep_running, thread) =
         serve_in_thread(ListenerKind::Admin { max_connections: 4 }, 200);
     let until = Instant::now() + Duration::from_secs(20);
     let mut stream = loop {
@@ -173,30 +177,30 @@
             Err(e) => panic!("{e}"),
         }
     };
-    let asked = 200usize;
-    for _ in 0..asked {
+    let request_count = 200usize;
+    for _ in 0..request_count {
         stream
             .write_all(b"GET / HTTP/1.1\r\n\r\n")
             .expect("the request fits into the socket buffer");
     }
     std::thread::sleep(Duration::from_millis(500));
-    let before = served.load(Ordering::Relaxed);
+    let served_before_reading = served.load(Ordering::Relaxed);
     // The socket buffers of both ends hold a few megabytes, not a hundred.
     assert!(
-        (1..60).contains(&before),
-        "{before} requests were served for a client that does not read"
+        (1..60).contains(&served_before_reading),
+        "{served_before_reading} requests were served for a client that does not read"
     );
     // Once the client reads, all requests are served.
-    let mut left = asked * (512 * 1024);
+    let mut bytes_left = request_count * (512 * 1024);
     let mut chunk = vec![0u8; 256 * 1024];
-    while left > 0 && Instant::now() < until {
+    while bytes_left > 0 && Instant::now() < until {
         let n = stream
             .read(&mut chunk)
             .expect("the server continues to send");
-        left = left.saturating_sub(n);
+        bytes_left = bytes_left.saturating_sub(n);
     }
-    assert_eq!(served.load(Ordering::Relaxed), asked);
-    go.store(false, Ordering::Relaxed);
+    assert_eq!(served.load(Ordering::Relaxed), request_count);
+    keep_running.store(false, Ordering::Relaxed);
     thread
         .join()
         .expect("event loop thread ends without a panic");
