--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,14 +1,14 @@
-//! Shards of the fleet: which controller owns which slot of machines.
+//! Sharding of the fleet: which controller owns which slot of machines.
 //!
-//! Machines fall into a fixed number of slots by a hash of their names, so that a machine
-//! never changes its slot. Each slot has a key of its own in the state service; the revision
-//! of the transaction that last wrote it is the slot's fencing token. Slots move between
-//! controllers while jobs run; what a task may use, and where it may start, is kept by
-//! conditions on the keys of both sides.
+//! Machines are assigned to a fixed number of slots by a hash of their names, so that a machine
+//! never changes its slot. Each slot has a separate key in the key-value store; the revision of
+//! the transaction that last wrote the key is the slot's fencing token. Slots move between
+//! controllers while jobs run. Transactions that are conditional on the keys of both slots
+//! enforce how much quota a task may use and where it may start.
 //!
-//! Nothing here does input or output: what was read and answered goes in, transactions to be
-//! written come out. Nothing in the service uses this yet; `docs/sharding.md` says what is
-//! missing.
+//! The crate does no input or output: callers pass in the records that were read and the outcomes
+//! of writes, and get the transactions to write. The controller does not use this crate yet;
+//! `docs/sharding.md` lists what is missing.
 
 mod ownership;
 mod quota_partition;
--- a/crates/sharding/src/ownership.rs
+++ b/crates/sharding/src/ownership.rs
@@ -1,78 +1,82 @@
-//! Which slots this controller owns, and by which fencing token.
+//! Which slots this controller owns, and under which fencing tokens.
 
 use crate::slots::{Slot, Slots};
 use beamhinge_core::types::{FencingToken, Revision};
 
-/// A controller's process: a label that stays, and a number that does not.
+/// Identifies a controller process by the controller's label, which survives restarts, and a nonce
+/// that is new for each process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ProcessId {
     /// The controller's label.
     pub label: String,
-    /// Drawn when the process starts.
+    /// Random number, drawn when the process starts.
     pub nonce: u64,
 }
 
-/// A slot's key as it was read: who owns it, and since which revision.
+/// Contents of a slot's key as read from the key-value store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SlotRecord {
-    /// The owner, if there is one.
+    /// Owner of the slot; `None` if the slot has no owner.
     pub owner: Option<ProcessId>,
-    /// Of the key; zero if nobody ever owned it.
+    /// Revision of the key; zero if the slot never had an owner.
     pub revision: Revision,
 }
 
-/// The transaction that makes a process a slot's owner, on condition that the slot's key has
-/// this revision.
+/// A transaction that makes a process the owner of a slot if the slot's key still has the expected
+/// revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SlotWrite {
-    /// The slot.
+    /// Slot to write.
     pub slot: Slot,
-    /// The revision that its key must have.
+    /// Revision that the slot's key must have.
     pub expected: Revision,
-    /// The new owner.
+    /// New owner of the slot.
     pub owner: ProcessId,
 }
 
-/// What became of a [`SlotWrite`].
+/// Outcome of a [`SlotWrite`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WriteOutcome {
-    /// Applied, at this revision.
+    /// The transaction was applied at this revision.
     Applied(Revision),
-    /// Not executed: the rate is spent, or the service is away.
+    /// The transaction was not executed, because the rate limit was reached or the key-value store
+    /// is unavailable.
     Refused,
-    /// The key has another revision by now.
+    /// The transaction failed because the key has another revision.
     Conflict,
-    /// No reply: it may have been applied, or may be later.
+    /// No reply arrived: the transaction may have been applied or may still be applied later.
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Ownership {
-    /// It is another's, or that is not known.
+    /// The slot has another owner or none, or its owner is not known.
     NotOwned,
+    /// This controller owns the slot under this token.
     Owned(FencingToken),
-    /// It was written over to another, and whether that was applied is not known yet.
+    /// A transfer of the slot to another process was sent, and its outcome is not known yet.
     Transferring(FencingToken),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SlotState {
+    /// Latest record of the key that was read; `None` before the first read.
     known: Option<SlotRecord>,
     ownership: Ownership,
-    /// The highest token whose term has ended here: it is never taken up again.
+    /// Highest token under which this controller's ownership has ended; it is never used again.
     ended: FencingToken,
-    /// A write about it is in flight.
+    /// A write to the slot's key is in flight.
     in_flight: bool,
-    /// What is known may be old: the key has to be read.
+    /// The last read record may be outdated: the key must be read.
     stale: bool,
 }
 
-/// The slots as one controller sees them.
+/// Ownership of all slots as known to one controller.
 ///
-/// The token of a slot is the revision of the transaction that wrote its key
-/// (Guard 1, per slot): two transactions never share one, a later one has a higher,
-/// and only the process that is named in the key takes it for its own. A machine
-/// never changes its slot, so the tokens that its worker sees only rise.
+/// The fencing token of a slot is the revision of the transaction that last wrote its key
+/// (Guard 1, per slot). Two transactions never have the same revision, a later transaction has a
+/// higher one, and only the process named in the key uses it as its token. A machine never changes
+/// its slot, so the fencing tokens that its worker receives increase monotonically.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SlotOwnership {
     me: ProcessId,
@@ -80,7 +84,7 @@
 }
 
 impl SlotOwnership {
-    /// Nothing is owned, and every key has to be read.
+    /// Creates a state in which no slot is owned and every key must be read.
     #[must_use]
     pub fn new(me: ProcessId, slots: Slots) -> SlotOwnership {
         let state = SlotState {
@@ -100,8 +104,8 @@
         self.slots.get_mut(usize::from(slot.0))
     }
 
-    /// The token with which the controller may answer the slot's workers and commit for it;
-    /// none while it does not own the slot, or transfers it.
+    /// Returns the fencing token with which this controller may answer the slot's workers and
+    /// commit transactions; `None` while it does not own the slot or is transferring it.
     #[must_use]
     pub fn token(&self, slot: Slot) -> Option<FencingToken> {
         match self.slots.get(usize::from(slot.0))?.ownership {
@@ -110,15 +114,15 @@
         }
     }
 
-    /// Slots that the controller owns, and their tokens.
+    /// Iterates over the slots that this controller owns, with their fencing tokens.
     pub fn owned(&self) -> impl Iterator<Item = (Slot, FencingToken)> + '_ {
         (0..self.slots.len() as u16)
             .map(Slot)
             .filter_map(|s| Some((s, self.token(s)?)))
     }
 
-    /// Label of the controller that the slot's workers are sent to, as far as known: never
-    /// this one.
+    /// Returns the label of the controller to which the slot's workers are redirected; `None` if
+    /// the owner is not known, if there is none, or if it is this process.
     #[must_use]
     pub fn owner(&self, slot: Slot) -> Option<&str> {
         let known = self.slots.get(usize::from(slot.0))?.known.as_ref()?;
@@ -126,19 +130,19 @@
         (*owner != self.me).then_some(owner.label.as_str())
     }
 
-    /// Slots whose keys have to be read before anything is done about them.
+    /// Iterates over the slots whose keys must be read before any action on them.
     pub fn stale_slots(&self) -> impl Iterator<Item = Slot> + '_ {
         let due = |i: &usize| self.slots[*i].stale && !self.slots[*i].in_flight;
         (0..self.slots.len()).filter(due).map(|i| Slot(i as u16))
     }
 
-    /// The key was read, or its watch told of it. Returns the token if the controller became
-    /// the owner by that.
+    /// Handles a record of the slot's key from a read or a watch. Returns the fencing token if
+    /// this controller became the owner.
     pub fn on_record(&mut self, slot: Slot, entry: SlotRecord) -> Option<FencingToken> {
         let me = self.me.clone();
         let state = self.state_mut(slot)?;
         state.stale = false;
-        // Older than what is known.
+        // The record is older than the last known one.
         if state
             .known
             .as_ref()
@@ -150,8 +154,8 @@
         let ours = entry.owner.as_ref() == Some(&me);
         state.known = Some(entry);
         match state.ownership {
-            // As it was. One that is transferred stays silent until the key shows another:
-            // the transaction may be applied late.
+            // Ownership is unchanged. A slot in transfer has no token until the key shows another
+            // revision, because the transaction may be applied late.
             Ownership::Owned(t) | Ownership::Transferring(t) if t == token => None,
             Ownership::Owned(t) | Ownership::Transferring(t) => {
                 state.ended = state.ended.max(t);
@@ -173,8 +177,8 @@
         })
     }
 
-    /// A worker has seen a higher token, or a condition on the slot's key failed:
-    /// somebody else owns it.
+    /// Ends ownership of a slot because a worker has seen a higher fencing token or a condition on
+    /// the slot's key failed: another process owns the slot.
     pub fn on_lost(&mut self, slot: Slot) {
         let Some(state) = self.state_mut(slot) else {
             return;
@@ -186,8 +190,10 @@
         }
     }
 
-    /// Acquires a slot without an owner, or whose owner is known to be gone: that it is, others
-    /// know (`beamhinge_standby`). The transaction rests on the key as it was read.
+    /// Returns the write that acquires a slot which has no owner or whose owner has failed; the
+    /// caller determines the failure (`beamhinge_standby`). The transaction is conditional on the
+    /// revision of the key that was read last. `None` if this controller owns the slot already, a
+    /// write is in flight, or the key must be read first.
     #[must_use]
     pub fn acquire(&mut self, slot: Slot) -> Option<SlotWrite> {
         let me = self.me.clone();
@@ -208,8 +214,10 @@
         Some(write)
     }
 
-    /// Transfers a slot to another process, which follows its pages already. From here on the
-    /// controller answers none of its workers: the transaction may be applied at any time.
+    /// Returns the write that transfers a slot to another process, which already watches the
+    /// slot's pages. From this call on, this controller does not answer the slot's workers, because
+    /// the transaction may be applied at any time. `None` if this controller does not own the slot
+    /// or a write is in flight.
     #[must_use]
     pub fn transfer(&mut self, slot: Slot, to: ProcessId) -> Option<SlotWrite> {
         let state = self.state_mut(slot)?;
@@ -228,7 +236,8 @@
         })
     }
 
-    /// What became of a write. Returns the token if the controller owns the slot by it.
+    /// Handles the outcome of a write. Returns the fencing token if this controller became the
+    /// owner of the slot.
     pub fn on_write(&mut self, write: &SlotWrite, outcome: WriteOutcome) -> Option<FencingToken> {
         let state = self.state_mut(write.slot)?;
         state.in_flight = false;
@@ -240,7 +249,7 @@
                     revision,
                 },
             ),
-            // Certainly not executed, and never will be: as it was.
+            // The write was not executed and never will be, so ownership is unchanged.
             WriteOutcome::Refused => {
                 if let Ownership::Transferring(token) = state.ownership {
                     state.ownership = Ownership::Owned(token);
@@ -259,9 +268,11 @@
         }
     }
 
-    /// A transfer of unknown fate that the key does not show, after so long that an owner must
-    /// act: the giver acquires the slot anew, with a new token, which also makes sure that
-    /// the transfer is never applied.
+    /// Returns the write with which this controller acquires a slot again after a transfer whose
+    /// outcome is unknown and which the key does not show. The caller does this when the slot has
+    /// been without an active owner for too long. The write gives the slot a new fencing token and
+    /// thereby ensures that the transfer is never applied. `None` if the slot is not in transfer,
+    /// a write is in flight, or the key must be read first.
     #[must_use]
     pub fn reclaim(&mut self, slot: Slot) -> Option<SlotWrite> {
         let me = self.me.clone();
--- a/crates/sharding/src/ownership/tests.rs
+++ b/crates/sharding/src/ownership/tests.rs
@@ -36,8 +36,11 @@
             revision: Revision(0),
         },
     );
-    let take = s.acquire(SLOT).expect("nobody holds it");
-    assert!(s.acquire(SLOT).is_none(), "one at a time");
+    let take = s.acquire(SLOT).expect("the slot has no owner");
+    assert!(
+        s.acquire(SLOT).is_none(),
+        "a second write was issued while one is in flight"
+    );
     assert_eq!(
         s.on_write(&take, WriteOutcome::Applied(Revision(revision))),
         Some(FencingToken(revision))
@@ -55,15 +58,15 @@
             revision: Revision(0),
         },
     );
-    let take = s.acquire(SLOT).expect("free");
+    let take = s.acquire(SLOT).expect("the slot has no owner");
     assert_eq!(s.on_write(&take, WriteOutcome::Unknown), None);
     assert_eq!(s.stale_slots().collect::<Vec<_>>(), [SLOT]);
-    assert!(s.acquire(SLOT).is_none(), "read first");
+    assert!(s.acquire(SLOT).is_none(), "the key must be read first");
     assert_eq!(
         s.on_record(SLOT, entry(&name("a", 1), 7)),
         Some(FencingToken(7))
     );
-    // Another process of the same label is another.
+    // A process with the same label but another nonce is not the owner.
     assert_eq!(
         slots_of("a", 2).on_record(SLOT, entry(&name("a", 1), 7)),
         None
@@ -75,11 +78,15 @@
     let b = name("b", 5);
     let mut s = owning(1, 7);
     let gift = s.transfer(SLOT, b.clone()).expect("held");
-    assert_eq!(s.token(SLOT), None, "it may be applied at any time");
+    assert_eq!(
+        s.token(SLOT),
+        None,
+        "the transfer may be applied at any time"
+    );
     s.on_write(&gift, WriteOutcome::Unknown);
     s.on_record(SLOT, entry(&name("a", 1), 7));
-    assert_eq!(s.token(SLOT), None, "and may be still");
-    let back = s.reclaim(SLOT).expect("not shown");
+    assert_eq!(s.token(SLOT), None, "the transfer may still be applied");
+    let back = s.reclaim(SLOT).expect("the key does not show the transfer");
     assert_eq!(
         back.expected,
         Revision(7),
@@ -89,13 +96,13 @@
         s.on_write(&back, WriteOutcome::Applied(Revision(9))),
         Some(FencingToken(9))
     );
-    // The gift was applied first.
+    // The transfer was applied before the controller reclaimed the slot.
     let mut s = owning(1, 7);
     let gift = s.transfer(SLOT, b.clone()).expect("held");
     s.on_write(&gift, WriteOutcome::Unknown);
     s.on_record(SLOT, entry(&b, 8));
     assert_eq!((s.token(SLOT), s.owner(SLOT)), (None, Some("b")));
-    // Refused for sure: as before.
+    // A refused transfer is never executed: the token is valid again.
     let mut s = owning(1, 7);
     let gift = s.transfer(SLOT, b).expect("held");
     s.on_write(&gift, WriteOutcome::Refused);
@@ -106,13 +113,17 @@
 fn token_that_ended_is_never_used_again() {
     let mut s = owning(1, 7);
     s.on_lost(SLOT);
-    assert_eq!(s.on_record(SLOT, entry(&name("a", 1), 7)), None, "old news");
+    assert_eq!(
+        s.on_record(SLOT, entry(&name("a", 1), 7)),
+        None,
+        "the token has ended"
+    );
     assert_eq!(s.on_record(SLOT, entry(&name("b", 2), 9)), None);
     assert_eq!(s.on_record(SLOT, entry(&name("a", 1), 7)), None);
     assert_eq!(s.owner(SLOT), Some("b"));
     assert_eq!(
         s.on_record(SLOT, entry(&name("a", 1), 12)),
         Some(FencingToken(12)),
-        "given back"
+        "the slot was returned with a new token"
     );
 }
--- a/crates/sharding/src/quota_partition.rs
+++ b/crates/sharding/src/quota_partition.rs
@@ -1,14 +1,14 @@
-//! A team's limit over several owners: each slot has a part of it.
+//! Division of a team's limit among the owners of slots: each slot has a part of it.
 
 use crate::slots::Slot;
 use std::collections::BTreeMap;
 
-/// How a team's limit is divided among slots, in whole units (thousandths of a CPU).
+/// Division of a team's limit among slots, in whole units (thousandths of a CPU).
 ///
-/// The parts are kept in the state service, a key for each slot; they move by one
-/// transaction that is conditional on both keys and on the giving slot's token. So
-/// their sum never passes the limit, whoever fails, and an owner that is cut off keeps its
-/// part and gets nothing new.
+/// The parts are stored in the key-value store, with one key per slot. Units move between slots in
+/// one transaction that is conditional on both keys and on the source slot's fencing token.
+/// Therefore the sum of the parts never exceeds the limit, whichever controller fails, and an
+/// owner that is cut off by a network partition keeps its part and receives no more units.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct QuotaPartition {
     parts: BTreeMap<Slot, u64>,
@@ -17,16 +17,16 @@
 /// Units that should move from one slot to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaShift {
-    /// The slot that gives.
+    /// Slot that loses the units.
     pub from: Slot,
-    /// The slot that gets.
+    /// Slot that receives the units.
     pub to: Slot,
-    /// How many.
+    /// Number of units.
     pub units: u64,
 }
 
 impl QuotaPartition {
-    /// All of a limit, divided as evenly as can be.
+    /// Divides a limit among the slots as evenly as possible.
     #[must_use]
     pub fn even(limit: u64, slots: impl Iterator<Item = Slot>) -> QuotaPartition {
         let slots: Vec<Slot> = slots.collect();
@@ -41,20 +41,21 @@
         }
     }
 
-    /// The part of a slot, units.
+    /// Returns the part of a slot, in units.
     #[must_use]
     pub fn part(&self, slot: Slot) -> u64 {
         self.parts.get(&slot).copied().unwrap_or(0)
     }
 
-    /// The sum of all parts, units.
+    /// Returns the sum of all parts, in units.
     #[must_use]
     pub fn limit(&self) -> u64 {
         self.parts.values().sum()
     }
 
-    /// Moves up to `max` units that the giver does not use: `used` is everything that may be
-    /// on its machines, until proof of the end. Returns how many.
+    /// Moves up to `max` unused units from one slot to another and returns the number of units
+    /// moved. `used` includes every task that may be running on machines of the slot `from`, until
+    /// its end is proven.
     pub fn shift(&mut self, from: Slot, used: u64, to: Slot, max: u64) -> u64 {
         let free = self.part(from).saturating_sub(used).min(max);
         if free == 0 || from == to {
@@ -65,9 +66,9 @@
         free
     }
 
-    /// Evens out what is not used towards where tasks wait: how many units each slot
-    /// should give to which. Half of what a giver has to spare, so that two that
-    /// look at the same moment do not move the same to and fro.
+    /// Plans shifts of unused units to slots where tasks wait. A slot gives at most half of its
+    /// spare units, so that two owners that plan at the same time do not move the same units back
+    /// and forth.
     #[must_use]
     pub fn plan_shifts(
         &self,
--- a/crates/sharding/src/rebalancer.rs
+++ b/crates/sharding/src/rebalancer.rs
@@ -1,51 +1,53 @@
-//! Who should own what: few moves, paced, and none to controllers that come and go.
+//! Plans which controller should own which slot. Moves are few and rate-limited, and unstable
+//! controllers receive no slots.
 
 use crate::slots::{Slot, Slots};
 use beamhinge_core::types::Time;
 use std::collections::BTreeMap;
 
-/// Times and sizes of moves, from the settings of the platform.
+/// Timing limits of moves, from the platform settings.
 #[derive(Clone, Copy, Debug)]
 pub struct RebalanceLimits {
-    /// A controller that was away gets nothing before it has been healthy for so long,
-    /// seconds; twice as long for each time it was away lately, up to eight times.
+    /// Time for which a controller that was unhealthy must be healthy before it receives slots, in
+    /// seconds. It doubles with each further recent failure, up to eight times the value.
     pub settled_s: f64,
-    /// Between two moves that only even out, seconds.
+    /// Minimum time after a move before the next move that only balances load, in seconds.
     pub min_interval_s: f64,
-    /// How long an end of being healthy is remembered, seconds.
+    /// Time for which a failure of a controller is remembered, in seconds.
     pub memory_s: f64,
 }
 
-/// A controller as the leader sees it.
+/// State of a controller as known to the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its label.
+    /// Label of the controller.
     pub label: String,
-    /// It reaches the state service and its workers, and is not drained.
+    /// The controller reaches the key-value store and its workers, and is not drained.
     pub healthy: bool,
 }
 
-/// A slot that should change hands.
+/// A planned change of a slot's owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// The slot.
+    /// Slot to move.
     pub slot: Slot,
-    /// Its owner; none if nobody owns it, or its owner is gone.
+    /// Label of the current owner; `None` if the slot has no owner or its owner is not healthy.
     pub from: Option<String>,
-    /// Label of its new owner.
+    /// Label of the new owner.
     pub to: String,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct MemberHistory {
+    /// Time since which the controller has been healthy; `None` while it is not healthy.
     healthy_since: Option<Time>,
-    /// How often it ceased to be healthy lately.
+    /// Number of recent failures, that is changes from healthy to unhealthy.
     failures: u32,
-    /// When that was last.
+    /// Time of the last failure.
     failed_at: Time,
 }
 
-/// Plans which slots move; remembers who comes and goes, and when it moved last.
+/// Plans moves of slots. It remembers recent failures of controllers and the time of the last move.
 #[derive(Debug, Default)]
 pub struct Rebalancer {
     known: BTreeMap<String, MemberHistory>,
@@ -53,7 +55,7 @@
 }
 
 impl Rebalancer {
-    /// Takes who is healthy now.
+    /// Updates which controllers are healthy.
     pub fn update_members(&mut self, now: Time, members: &[Member], limits: &RebalanceLimits) {
         self.known
             .retain(|label, _| members.iter().any(|m| m.label == *label));
@@ -64,7 +66,7 @@
                 k.failures = 0;
             }
             match (m.healthy, k.healthy_since) {
-                // Who is there from the start has not come back from anywhere.
+                // A controller that is healthy from the start is not recovering from a failure.
                 (true, None) if first => k.healthy_since = Some(now.minus(limits.settled_s)),
                 (true, None) => k.healthy_since = Some(now),
                 (false, Some(_)) => {
@@ -92,8 +94,8 @@
             .is_some_and(|k| k.healthy_since.is_some())
     }
 
-    /// The moves that are due. `owners`: who owns each slot; `load`: what each slot costs
-    /// its owner, in any one unit.
+    /// Plans the moves that are due now. `owners` has the owner of each slot; `load` has the load
+    /// that each slot causes for its owner, all in the same unit.
     pub fn plan_moves(
         &mut self,
         now: Time,
@@ -125,7 +127,7 @@
         step.into_iter().collect()
     }
 
-    /// What the slots of each healthy controller cost.
+    /// Returns the total load of the slots of each healthy controller.
     fn loads(&self, fleet: &Fleet) -> BTreeMap<String, f64> {
         let healthy = self.known.keys().filter(|label| self.healthy(label));
         let mut loads: BTreeMap<String, f64> = healthy.map(|l| (l.clone(), 0.0)).collect();
@@ -138,8 +140,9 @@
         loads
     }
 
-    /// What nobody owns goes at once, the largest first: to who is settled, or, where nobody
-    /// is, to whoever is there. Somebody always is better.
+    /// Assigns slots without a healthy owner immediately, those with the highest load first. They
+    /// go to the settled controller with the least load, or, if no controller is settled, to the
+    /// healthy controller with the least load: any owner is better than none.
     fn assign_unowned(&self, now: Time, fleet: &Fleet, limits: &RebalanceLimits) -> Vec<Move> {
         let mut loads = self.loads(fleet);
         let has_owner = |slot: &Slot| {
@@ -169,8 +172,8 @@
         moves
     }
 
-    /// One move towards evenness, if it makes the greater of the two loads smaller by more
-    /// than a tenth of it: else it would come back with the next change.
+    /// Plans one move that balances load, if it reduces the greater load of the two controllers
+    /// by more than a tenth. With a smaller gain, the next change of load could move the slot back.
     fn even_out(&self, now: Time, fleet: &Fleet, limits: &RebalanceLimits) -> Option<Move> {
         let loads = self.loads(fleet);
         let (from, high) = loads.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
@@ -191,12 +194,13 @@
     }
 }
 
-/// A move that only evens out has to bring the greater load below this part of it.
+/// A move that only balances load must reduce the greater load of the two controllers to less than
+/// this fraction of its value.
 const MIN_GAIN: f64 = 0.9;
-/// What a slot costs at least, so that those without any are spread as well.
+/// Minimum load of a slot, so that slots without load are distributed evenly as well.
 const MIN_LOAD: f64 = 1e-3;
 
-/// Slots, who owns them, and what each costs its owner.
+/// Slots with their owners and their loads.
 struct Fleet<'a> {
     slots: Slots,
     owners: &'a BTreeMap<Slot, String>,
--- a/crates/sharding/src/rebalancer/tests.rs
+++ b/crates/sharding/src/rebalancer/tests.rs
@@ -20,7 +20,9 @@
     Time::default().plus(1_000.0 + s)
 }
 
-/// Plays so many seconds with moves carried out at once; counts them.
+/// Simulates the given number of seconds and carries out planned moves immediately. Returns the
+/// owners at the end, the number of moves, and the number of moves of slots without a healthy
+/// owner. Moves in the first second are not counted.
 fn play(seconds: u32, healthy: impl Fn(&str, u32) -> bool) -> (BTreeMap<Slot, String>, u32, u32) {
     let (mut rebalancer, mut owners) = (Rebalancer::default(), BTreeMap::new());
     let load: BTreeMap<Slot, f64> = slots().all().map(|s| (s, 1.0)).collect();
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn returning_member_gets_its_part_slowly_and_one_alone_owns_all() {
+fn recovered_member_regains_slots_gradually_and_single_member_owns_all() {
     let (owners, moves, orphaned) = play(120, |l, s| l != "c" || !(30..50).contains(&s));
     assert!(
         ["a", "b", "c"]
@@ -68,23 +70,23 @@
     );
     assert!(
         orphaned == 5 && moves <= 10,
-        "{moves} moves, {orphaned} of what nobody held"
+        "{moves} moves, {orphaned} of slots without a healthy owner"
     );
     let (owners, ..) = play(60, |l, s| l == "a" || s < 20);
     assert_eq!(of(&owners, "a"), 16);
 }
 
-/// It ends each 20 s and is back after four: after the first time it is never
-/// healthy for long enough, so only what it held at first moves.
+/// The controller fails every 20 s and recovers after 4 s. After its first failure it is never
+/// healthy for long enough, so only the slots that it owned initially move.
 #[test]
-fn member_that_comes_and_goes_causes_few_moves() {
+fn flapping_member_causes_few_moves() {
     let (owners, moves, _) = play(600, |l, s| l != "c" || s % 20 < 16);
     assert!(moves <= 12, "{moves} moves in ten minutes");
     assert_eq!(of(&owners, "c"), 0);
 }
 
 #[test]
-fn slot_without_owner_never_waits_for_a_settled_member() {
+fn slot_without_owner_is_assigned_without_a_settled_member() {
     let (owners, ..) = play(3, |l, s| l == "b" && s >= 1);
     assert_eq!(of(&owners, "b"), 16);
 }
--- a/crates/sharding/src/slots.rs
+++ b/crates/sharding/src/slots.rs
@@ -1,26 +1,27 @@
-//! Slots: fixed sets of machines.
+//! Slots: fixed sets of machines, the unit of sharding.
 
 use beamhinge_core::types::MachineId;
 use beamhinge_rate_limit::TransactionLimits;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// More slots than this move nothing finer, and each costs keys to follow.
+/// Maximum number of slots. More slots would not make the distribution of machines any finer, and
+/// each slot adds keys to watch.
 const MAX_SLOTS: usize = 16;
-/// Writes and conditions that a transaction over all slots needs beside theirs: the
-/// leadership's, and one to spare.
+/// Writes and conditions that a transaction over all slots needs in addition to those of the
+/// slots: one for leadership and one in reserve.
 const EXTRA_WRITES: usize = 2;
 
-/// A set of machines that always moves as one.
+/// A set of machines that always moves between controllers as a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Slot(pub u16);
 
-/// How many slots there are.
+/// The number of slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slots(u16);
 
 impl Slots {
-    /// As many as one transaction can acquire together with leadership: after the end of an
-    /// owner its successor acquires its slots at once or not at all.
+    /// Returns the number of slots that one transaction can acquire together with leadership, so
+    /// that a successor acquires all slots of a failed owner atomically.
     #[must_use]
     pub fn within(limits: &TransactionLimits) -> Slots {
         let most = limits
@@ -30,20 +31,20 @@
         Slots(most.clamp(1, MAX_SLOTS) as u16)
     }
 
-    /// How many there are.
+    /// Returns the number of slots.
     #[must_use]
     pub fn count(self) -> usize {
         usize::from(self.0)
     }
 
-    /// All of them.
+    /// Iterates over all slots.
     pub fn all(self) -> impl Iterator<Item = Slot> {
         (0..self.0).map(Slot)
     }
 
-    /// The slot of a machine. It depends on the name and the number of slots alone,
-    /// so that all controllers, of any process and version, find the same. The number
-    /// follows from the platform's settings, which all of them are given alike.
+    /// Returns the slot of a machine. It depends only on the machine's name and the number of
+    /// slots, so that all controller processes of any version compute the same slot. The number
+    /// of slots follows from the platform settings, which are the same for all controllers.
     #[must_use]
     pub fn of(self, machine: MachineId) -> Slot {
         Slot((xxh3_64(machine.to_string().as_bytes()) % u64::from(self.0)) as u16)
--- a/crates/sharding/src/slots/tests.rs
+++ b/crates/sharding/src/slots/tests.rs
@@ -2,28 +2,29 @@
 use beamhinge_core::settings::{Settings, SAMPLE};
 
 #[test]
-fn one_transaction_takes_all_slots_and_machines_spread_over_them() {
-    let mut settings = Settings::parse("t", SAMPLE).expect("the sample is sound");
+fn slot_count_fits_one_transaction_and_machines_spread_evenly() {
+    let mut settings = Settings::parse("t", SAMPLE).expect("the sample settings are valid");
     for (ops, count) in [(1, 1), (3, 1), (8, 6), (20, 16), (24, 16)] {
         settings.params.state.txn_ops = ops;
         let slots = Slots::within(&TransactionLimits::from(&settings.params.state));
-        assert_eq!(slots.count(), count, "{ops} writes a transaction");
+        assert_eq!(slots.count(), count, "{ops} writes per transaction");
     }
     let slots = Slots(16);
     let mut of = vec![0u32; slots.count()];
     for n in 0..1_600 {
-        let id = MachineId::parse(&format!("n-{n:06}")).expect("a name");
+        let id = MachineId::parse(&format!("n-{n:06}")).expect("valid machine name");
         assert_eq!(slots.of(id), slots.of(id));
         of[usize::from(slots.of(id).0)] += 1;
     }
-    // Of 100 in each; four standard deviations are 39.
+    // 100 machines are expected in each slot; four standard deviations are 39.
     assert!(of.iter().all(|n| (61..=139).contains(n)), "{of:?}");
 }
 
-/// The hash is part of what is stored: another one would give machines to others.
+/// Stored slot ownership depends on the hash: another hash function would assign machines to other
+/// owners.
 #[test]
 fn slot_of_a_name_never_changes() {
-    let id = MachineId::parse("n-000231").expect("a name");
+    let id = MachineId::parse("n-000231").expect("valid machine name");
     assert_eq!(Slots(16).of(id).0, (xxh3_64(b"n-000231") % 16) as u16);
     assert_eq!(xxh3_64(b""), 0x2d06_8005_38d3_94c2);
 }
