--- a/crates/sharding/src/ownership.rs
+++ b/crates/sharding/src/ownership.rs
@@ -61,10 +61,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SlotState {
     /// Latest record of the key that was read; `None` before the first read.
-    known: Option<SlotRecord>,
+    last_record: Option<SlotRecord>,
     ownership: Ownership,
     /// Highest token under which this controller's ownership has ended; it is never used again.
-    ended: FencingToken,
+    highest_ended_token: FencingToken,
     /// A write to the slot's key is in flight.
     in_flight: bool,
     /// The last read record may be outdated: the key must be read.
@@ -79,23 +79,23 @@
 /// its slot, so the fencing tokens that its worker receives increase monotonically.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SlotOwnership {
-    me: ProcessId,
+    local_process: ProcessId,
     slots: Vec<SlotState>,
 }
 
 impl SlotOwnership {
     /// Creates a state in which no slot is owned and every key must be read.
     #[must_use]
-    pub fn new(me: ProcessId, slots: Slots) -> SlotOwnership {
+    pub fn new(local_process: ProcessId, slots: Slots) -> SlotOwnership {
         let state = SlotState {
-            known: None,
+            last_record: None,
             ownership: Ownership::NotOwned,
-            ended: FencingToken(0),
+            highest_ended_token: FencingToken(0),
             in_flight: false,
             stale: true,
         };
         SlotOwnership {
-            me,
+            local_process,
             slots: vec![state; slots.count()],
         }
     }
@@ -125,53 +125,55 @@
     /// the owner is not known, if there is none, or if it is this process.
     #[must_use]
     pub fn owner(&self, slot: Slot) -> Option<&str> {
-        let known = self.slots.get(usize::from(slot.0))?.known.as_ref()?;
-        let owner = known.owner.as_ref()?;
-        (*owner != self.me).then_some(owner.label.as_str())
+        let last_record = self.slots.get(usize::from(slot.0))?.last_record.as_ref()?;
+        let owner = last_record.owner.as_ref()?;
+        (*owner != self.local_process).then_some(owner.label.as_str())
     }
 
     /// Iterates over the slots whose keys must be read before any action on them.
     pub fn stale_slots(&self) -> impl Iterator<Item = Slot> + '_ {
-        let due = |i: &usize| self.slots[*i].stale && !self.slots[*i].in_flight;
-        (0..self.slots.len()).filter(due).map(|i| Slot(i as u16))
+        let must_read = |i: &usize| self.slots[*i].stale && !self.slots[*i].in_flight;
+        (0..self.slots.len())
+            .filter(must_read)
+            .map(|i| Slot(i as u16))
     }
 
     /// Handles a record of the slot's key from a read or a watch. Returns the fencing token if
     /// this controller became the owner.
-    pub fn on_record(&mut self, slot: Slot, entry: SlotRecord) -> Option<FencingToken> {
-        let me = self.me.clone();
+    pub fn on_record(&mut self, slot: Slot, record: SlotRecord) -> Option<FencingToken> {
+        let local_process = self.local_process.clone();
         let state = self.state_mut(slot)?;
         state.stale = false;
         // The record is older than the last known one.
         if state
-            .known
+            .last_record
             .as_ref()
-            .is_some_and(|k| k.revision > entry.revision)
+            .is_some_and(|k| k.revision > record.revision)
         {
             return None;
         }
-        let token = FencingToken(entry.revision.0);
-        let ours = entry.owner.as_ref() == Some(&me);
-        state.known = Some(entry);
+        let token = FencingToken(record.revision.0);
+        let named_in_key = record.owner.as_ref() == Some(&local_process);
+        state.last_record = Some(record);
         match state.ownership {
             // Ownership is unchanged. A slot in transfer has no token until the key shows another
             // revision, because the transaction may be applied late.
             Ownership::Owned(t) | Ownership::Transferring(t) if t == token => None,
             Ownership::Owned(t) | Ownership::Transferring(t) => {
-                state.ended = state.ended.max(t);
+                state.highest_ended_token = state.highest_ended_token.max(t);
                 state.ownership = Ownership::NotOwned;
-                Self::own_if_named(state, ours, token)
+                Self::own_if_named_in_key(state, named_in_key, token)
             }
-            Ownership::NotOwned => Self::own_if_named(state, ours, token),
+            Ownership::NotOwned => Self::own_if_named_in_key(state, named_in_key, token),
         }
     }
 
-    fn own_if_named(
+    fn own_if_named_in_key(
         state: &mut SlotState,
-        ours: bool,
+        named_in_key: bool,
         token: FencingToken,
     ) -> Option<FencingToken> {
-        (ours && token > state.ended).then(|| {
+        (named_in_key && token > state.highest_ended_token).then(|| {
             state.ownership = Ownership::Owned(token);
             token
         })
@@ -179,12 +181,12 @@
 
     /// Ends ownership of a slot because a worker has seen a higher fencing token or a condition on
     /// the slot's key failed: another process owns the slot.
-    pub fn on_lost(&mut self, slot: Slot) {
+    pub fn on_ownership_lost(&mut self, slot: Slot) {
         let Some(state) = self.state_mut(slot) else {
             return;
         };
         if let Ownership::Owned(token) | Ownership::Transferring(token) = state.ownership {
-            state.ended = state.ended.max(token);
+            state.highest_ended_token = state.highest_ended_token.max(token);
             state.ownership = Ownership::NotOwned;
             state.stale = true;
         }
@@ -196,10 +198,10 @@
     /// write is in flight, or the key must be read first.
     #[must_use]
     pub fn acquire(&mut self, slot: Slot) -> Option<SlotWrite> {
-        let me = self.me.clone();
+        let local_process = self.local_process.clone();
         let state = self.state_mut(slot)?;
-        let known = state
-            .known
+        let last_record = state
+            .last_record
             .as_ref()
             .filter(|_| !state.stale && !state.in_flight)?;
         if state.ownership != Ownership::NotOwned {
@@ -207,8 +209,8 @@
         }
         let write = SlotWrite {
             slot,
-            expected: known.revision,
-            owner: me,
+            expected: last_record.revision,
+            owner: local_process,
         };
         state.in_flight = true;
         Some(write)
@@ -257,7 +259,7 @@
                 None
             }
             WriteOutcome::Conflict => {
-                self.on_lost(write.slot);
+                self.on_ownership_lost(write.slot);
                 self.state_mut(write.slot)?.stale = true;
                 None
             }
@@ -275,7 +277,7 @@
     /// a write is in flight, or the key must be read first.
     #[must_use]
     pub fn reclaim(&mut self, slot: Slot) -> Option<SlotWrite> {
-        let me = self.me.clone();
+        let local_process = self.local_process.clone();
         let state = self.state_mut(slot)?;
         let Ownership::Transferring(token) = state.ownership else {
             return None;
@@ -287,7 +289,7 @@
         Some(SlotWrite {
             slot,
             expected: Revision(token.0),
-            owner: me,
+            owner: local_process,
         })
     }
 }
--- a/crates/sharding/src/quota_partition.rs
+++ b/crates/sharding/src/quota_partition.rs
@@ -30,13 +30,13 @@
     #[must_use]
     pub fn even(limit: u64, slots: impl Iterator<Item = Slot>) -> QuotaPartition {
         let slots: Vec<Slot> = slots.collect();
-        let n = slots.len().max(1) as u64;
-        let part = |i: usize| limit / n + u64::from((i as u64) < limit % n);
+        let slot_count = slots.len().max(1) as u64;
+        let part = |i: usize| limit / slot_count + u64::from((i as u64) < limit % slot_count);
         QuotaPartition {
             parts: slots
                 .into_iter()
                 .enumerate()
-                .map(|(i, s)| (s, part(i)))
+                .map(|(i, slot)| (slot, part(i)))
                 .collect(),
         }
     }
@@ -57,13 +57,13 @@
     /// moved. `used` includes every task that may be running on machines of the slot `from`, until
     /// its end is proven.
     pub fn shift(&mut self, from: Slot, used: u64, to: Slot, max: u64) -> u64 {
-        let free = self.part(from).saturating_sub(used).min(max);
-        if free == 0 || from == to {
+        let unused = self.part(from).saturating_sub(used).min(max);
+        if unused == 0 || from == to {
             return 0;
         }
-        *self.parts.entry(from).or_default() -= free;
-        *self.parts.entry(to).or_default() += free;
-        free
+        *self.parts.entry(from).or_default() -= unused;
+        *self.parts.entry(to).or_default() += unused;
+        unused
     }
 
     /// Plans shifts of unused units to slots where tasks wait. A slot gives at most half of its
@@ -75,28 +75,35 @@
         used: &BTreeMap<Slot, u64>,
         waiting: &BTreeMap<Slot, u64>,
     ) -> Vec<QuotaShift> {
-        let used = |s: &Slot| used.get(s).copied().unwrap_or(0);
-        let waiting = |s: &Slot| waiting.get(s).copied().unwrap_or(0);
+        let used = |slot: &Slot| used.get(slot).copied().unwrap_or(0);
+        let waiting = |slot: &Slot| waiting.get(slot).copied().unwrap_or(0);
         let mut spare: Vec<(u64, Slot)> = self
             .parts
             .iter()
-            .map(|(s, p)| (p.saturating_sub(used(s) + waiting(s)) / 2, *s))
-            .filter(|(n, _)| *n > 0)
+            .map(|(slot, part_units)| {
+                (
+                    part_units.saturating_sub(used(slot) + waiting(slot)) / 2,
+                    *slot,
+                )
+            })
+            .filter(|(spare_units, _)| *spare_units > 0)
             .collect();
         let mut out = Vec::new();
-        for (s, part) in &self.parts {
-            let mut lacks = (used(s) + waiting(s)).saturating_sub(*part);
-            while lacks > 0 {
+        for (slot, part) in &self.parts {
+            let mut missing = (used(slot) + waiting(slot)).saturating_sub(*part);
+            while missing > 0 {
                 spare.sort_unstable();
-                let Some((n, from)) = spare.last_mut().filter(|(n, _)| *n > 0) else {
+                let Some((spare_units, from)) =
+                    spare.last_mut().filter(|(spare_units, _)| *spare_units > 0)
+                else {
                     break;
                 };
-                let moved = lacks.min(*n);
-                *n -= moved;
-                lacks -= moved;
+                let moved = missing.min(*spare_units);
+                *spare_units -= moved;
+                missing -= moved;
                 out.push(QuotaShift {
                     from: *from,
-                    to: *s,
+                    to: *slot,
                     units: moved,
                 });
             }
--- a/crates/sharding/src/rebalancer.rs
+++ b/crates/sharding/src/rebalancer.rs
@@ -10,11 +10,11 @@
 pub struct RebalanceLimits {
     /// Time for which a controller that was unhealthy must be healthy before it receives slots, in
     /// seconds. It doubles with each further recent failure, up to eight times the value.
-    pub settled_s: f64,
+    pub min_healthy_s: f64,
     /// Minimum time after a move before the next move that only balances load, in seconds.
     pub min_interval_s: f64,
     /// Time for which a failure of a controller is remembered, in seconds.
-    pub memory_s: f64,
+    pub failure_memory_s: f64,
 }
 
 /// State of a controller as known to the leader.
@@ -50,48 +50,52 @@
 /// Plans moves of slots. It remembers recent failures of controllers and the time of the last move.
 #[derive(Debug, Default)]
 pub struct Rebalancer {
-    known: BTreeMap<String, MemberHistory>,
-    moved: Option<Time>,
+    history: BTreeMap<String, MemberHistory>,
+    last_move_at: Option<Time>,
 }
 
 impl Rebalancer {
     /// Updates which controllers are healthy.
     pub fn update_members(&mut self, now: Time, members: &[Member], limits: &RebalanceLimits) {
-        self.known
-            .retain(|label, _| members.iter().any(|m| m.label == *label));
-        for m in members {
-            let first = !self.known.contains_key(&m.label) && self.moved.is_none();
-            let k = self.known.entry(m.label.clone()).or_default();
-            if k.failures > 0 && now.since(k.failed_at) > limits.memory_s {
-                k.failures = 0;
+        self.history
+            .retain(|label, _| members.iter().any(|update| update.label == *label));
+        for update in members {
+            let is_initial =
+                !self.history.contains_key(&update.label) && self.last_move_at.is_none();
+            let member = self.history.entry(update.label.clone()).or_default();
+            if member.failures > 0 && now.since(member.failed_at) > limits.failure_memory_s {
+                member.failures = 0;
             }
-            match (m.healthy, k.healthy_since) {
+            match (update.healthy, member.healthy_since) {
                 // A controller that is healthy from the start is not recovering from a failure.
-                (true, None) if first => k.healthy_since = Some(now.minus(limits.settled_s)),
-                (true, None) => k.healthy_since = Some(now),
+                (true, None) if is_initial => {
+                    member.healthy_since = Some(now.minus(limits.min_healthy_s))
+                }
+                (true, None) => member.healthy_since = Some(now),
                 (false, Some(_)) => {
-                    k.healthy_since = None;
-                    k.failures += 1;
-                    k.failed_at = now;
+                    member.healthy_since = None;
+                    member.failures += 1;
+                    member.failed_at = now;
                 }
                 _ => {}
             }
         }
     }
 
-    fn settled(&self, now: Time, label: &str, limits: &RebalanceLimits) -> bool {
-        let Some(k) = self.known.get(label) else {
+    fn is_settled(&self, now: Time, label: &str, limits: &RebalanceLimits) -> bool {
+        let Some(member) = self.history.get(label) else {
             return false;
         };
-        let times = 2f64.powi(k.failures.saturating_sub(1).min(3) as i32);
-        k.healthy_since
-            .is_some_and(|at| now.since(at) >= limits.settled_s * times)
+        let backoff_factor = 2f64.powi(member.failures.saturating_sub(1).min(3) as i32);
+        member
+            .healthy_since
+            .is_some_and(|at| now.since(at) >= limits.min_healthy_s * backoff_factor)
     }
 
     fn healthy(&self, label: &str) -> bool {
-        self.known
+        self.history
             .get(label)
-            .is_some_and(|k| k.healthy_since.is_some())
+            .is_some_and(|member| member.healthy_since.is_some())
     }
 
     /// Plans the moves that are due now. `owners` has the owner of each slot; `load` has the load
@@ -111,25 +115,25 @@
         };
         let moves = self.assign_unowned(now, &fleet, limits);
         if !moves.is_empty() {
-            self.moved = Some(now);
+            self.last_move_at = Some(now);
             return moves;
         }
         if self
-            .moved
+            .last_move_at
             .is_some_and(|at| now.since(at) < limits.min_interval_s)
         {
             return moves;
         }
-        let step = self.even_out(now, &fleet, limits);
-        if step.is_some() {
-            self.moved = Some(now);
+        let balancing_move = self.balance_load(now, &fleet, limits);
+        if balancing_move.is_some() {
+            self.last_move_at = Some(now);
         }
-        step.into_iter().collect()
+        balancing_move.into_iter().collect()
     }
 
     /// Returns the total load of the slots of each healthy controller.
     fn loads(&self, fleet: &Fleet) -> BTreeMap<String, f64> {
-        let healthy = self.known.keys().filter(|label| self.healthy(label));
+        let healthy = self.history.keys().filter(|label| self.healthy(label));
         let mut loads: BTreeMap<String, f64> = healthy.map(|l| (l.clone(), 0.0)).collect();
         for slot in fleet.slots.all() {
             let owner = fleet.owners.get(&slot);
@@ -154,9 +158,13 @@
         unowned.sort_by(|a, b| load(b).total_cmp(&load(a)).then(a.cmp(b)));
         let mut moves = Vec::new();
         for slot in unowned {
-            let settled = loads.iter().filter(|(l, _)| self.settled(now, l, limits));
-            let least = |a: &(&String, &f64), b: &(&String, &f64)| a.1.total_cmp(b.1);
-            let to = settled.min_by(least).or_else(|| loads.iter().min_by(least));
+            let settled = loads
+                .iter()
+                .filter(|(l, _)| self.is_settled(now, l, limits));
+            let by_load = |a: &(&String, &f64), b: &(&String, &f64)| a.1.total_cmp(b.1);
+            let to = settled
+                .min_by(by_load)
+                .or_else(|| loads.iter().min_by(by_load));
             let Some(to) = to.map(|(label, _)| label.clone()) else {
                 break;
             };
@@ -174,18 +182,22 @@
 
     /// Plans one move that balances load, if it reduces the greater load of the two controllers
     /// by more than a tenth. With a smaller gain, the next change of load could move the slot back.
-    fn even_out(&self, now: Time, fleet: &Fleet, limits: &RebalanceLimits) -> Option<Move> {
+    fn balance_load(&self, now: Time, fleet: &Fleet, limits: &RebalanceLimits) -> Option<Move> {
         let loads = self.loads(fleet);
-        let (from, high) = loads.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
-        let settled = loads.iter().filter(|(l, _)| self.settled(now, l, limits));
-        let (to, low) = settled.min_by(|a, b| a.1.total_cmp(b.1))?;
+        let (from, high_load) = loads.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
+        let settled = loads
+            .iter()
+            .filter(|(l, _)| self.is_settled(now, l, limits));
+        let (to, low_load) = settled.min_by(|a, b| a.1.total_cmp(b.1))?;
         let movable = fleet
             .slots
             .all()
             .filter(|s| fleet.owners.get(s) == Some(from));
-        let greater = |s: &Slot| (high - fleet.load_of(*s)).max(low + fleet.load_of(*s));
-        let best = movable.min_by(|a, b| greater(a).total_cmp(&greater(b)));
-        let slot = best.filter(|s| greater(s) < high * MIN_GAIN)?;
+        let greater_load =
+            |s: &Slot| (high_load - fleet.load_of(*s)).max(low_load + fleet.load_of(*s));
+        let best_slot = movable.min_by(|a, b| greater_load(a).total_cmp(&greater_load(b)));
+        let slot =
+            best_slot.filter(|s| greater_load(s) < high_load * MAX_LOAD_FRACTION_AFTER_MOVE)?;
         Some(Move {
             slot,
             from: Some(from.clone()),
@@ -196,7 +208,7 @@
 
 /// A move that only balances load must reduce the greater load of the two controllers to less than
 /// this fraction of its value.
-const MIN_GAIN: f64 = 0.9;
+const MAX_LOAD_FRACTION_AFTER_MOVE: f64 = 0.9;
 /// Minimum load of a slot, so that slots without load are distributed evenly as well.
 const MIN_LOAD: f64 = 1e-3;
 
--- a/crates/sharding/src/slots.rs
+++ b/crates/sharding/src/slots.rs
@@ -23,12 +23,12 @@
     /// Returns the number of slots that one transaction can acquire together with leadership, so
     /// that a successor acquires all slots of a failed owner atomically.
     #[must_use]
-    pub fn within(limits: &TransactionLimits) -> Slots {
-        let most = limits
+    pub fn for_limits(limits: &TransactionLimits) -> Slots {
+        let fitting_slots = limits
             .writes
             .min(limits.conditions)
             .saturating_sub(EXTRA_WRITES);
-        Slots(most.clamp(1, MAX_SLOTS) as u16)
+        Slots(fitting_slots.clamp(1, MAX_SLOTS) as u16)
     }
 
     /// Returns the number of slots.
@@ -46,7 +46,7 @@
     /// slots, so that all controller processes of any version compute the same slot. The number
     /// of slots follows from the platform settings, which are the same for all controllers.
     #[must_use]
-    pub fn of(self, machine: MachineId) -> Slot {
+    pub fn slot_of(self, machine: MachineId) -> Slot {
         Slot((xxh3_64(machine.to_string().as_bytes()) % u64::from(self.0)) as u16)
     }
 }
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -149,7 +149,7 @@
 }
 
 fn two_slots() -> Slots {
-    Slots::within(&TransactionLimits {
+    Slots::for_limits(&TransactionLimits {
         writes: 4,
         conditions: 16,
         bytes: 9_000,
@@ -348,7 +348,7 @@
             return;
         };
         if r.baton > token.0 && defect != Defect::OneToken {
-            self.ctl[c].shares.on_lost(Slot(s as u16));
+            self.ctl[c].shares.on_ownership_lost(Slot(s as u16));
             return;
         }
         let told = if defect == Defect::OneToken {
