--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -1,7 +1,10 @@
-//! Two controllers, two slots with a machine each, two tasks and a team limit of
-//! one or two, explored exhaustively within stated bounds: transactions that are applied
-//! late or not at all, replies and answers that are lost, copies of reports, ends,
-//! takes from a holder that lives. The shares are the package's own.
+//! Model checker for slot ownership, fencing tokens and quota parts.
+//!
+//! The model has two controllers, two slots with one machine each, two tasks and a team limit of
+//! one or two. It is explored exhaustively within stated bounds. Its faults are transactions that
+//! are applied late or never, lost replies and answers, duplicated reports, controller restarts,
+//! and acquisitions of a slot whose owner is alive. Slot ownership is the crate's implementation,
+//! [`SlotOwnership`].
 
 use beamhinge_core::types::Revision;
 use beamhinge_rate_limit::TransactionLimits;
@@ -11,25 +14,26 @@
 use std::collections::{HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-/// Faults that are planted, and must be found.
+/// Defects that are planted in the model and that the checker must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Defect {
     None,
-    /// One token for all, as if taken from the leader and not from the slot.
+    /// All answers carry the same token, as if it were the leader's token and not the slot's.
     OneToken,
-    /// Absence proves the end before the token was seen.
+    /// A task that is missing from a report counts as ended although the worker has not seen the
+    /// owner's token yet.
     EarlyProof,
-    /// A task is granted elsewhere though it may have been placed here.
+    /// A task is reassigned to the other slot although it may have been placed on this one.
     GrantedTwice,
-    /// Each holder counts the whole limit as its own.
+    /// Each owner counts the whole limit as its part.
     LimitEach,
-    /// A part that was given away, by a transaction of unknown fate, is used again.
+    /// A unit that was shifted to the other slot by a transaction of unknown outcome is used again.
     PartUsedAgain,
-    /// A placement does not rest on the slot's key.
+    /// A placement is not conditional on the slot's key.
     Unconditional,
 }
 
-/// How often what may happen.
+/// How often each kind of event may still happen, and fixed parameters of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Left {
     ends: u8,
@@ -39,26 +43,32 @@
     shifts: u8,
     lapses: u8,
     reports: [u8; 2],
-    /// The team's limit, as it is divided at first.
+    /// Initial division of the team's limit among the slots.
     parts: [u64; 2],
-    /// How often each report is heard, by whomever.
+    /// Number of times that each report is delivered, to any controller.
     copies: u8,
     unknown: u8,
 }
 
+/// State of a task's attempt in a slot, as known to the slot's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Run {
     No,
+    /// The placement transaction was sent.
     Planned,
+    /// The placement was committed and `run` was not sent, or was not received.
     Committed(u64),
-    /// `run` went out with the answer to this report.
+    /// `run` was sent in the answer to the report with this sequence.
     Sent(u64, u8),
+    /// The attempt occurred in a report.
     Seen(u64),
+    /// The placement was found when the owner read the slot's records.
     Inherited(u64),
+    /// The transaction that ends the attempt was sent.
     Ending(u64),
 }
 
-/// What a holder knows of a slot since it read it.
+/// Contents of a slot's keys as known to its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Books {
     token: u64,
@@ -66,7 +76,7 @@
     row: [u64; 2],
     run: [Run; 2],
     part: (u64, u64),
-    /// A shift of unknown fate: the unit counts as given.
+    /// The outcome of a quota shift is unknown; its unit counts as shifted to the other slot.
     unsure: bool,
     last: u8,
 }
@@ -79,6 +89,7 @@
     in_flight: [bool; 2],
 }
 
+/// A transaction's write and the revisions that it expects of the keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Kind {
     Hold(SlotWrite),
@@ -96,7 +107,7 @@
     slot: usize,
     token: u64,
     kind: Kind,
-    /// Its sender was told that nobody knows; it may still be applied.
+    /// Its sender got no reply or restarted; the transaction may still be applied.
     orphan: bool,
 }
 
@@ -130,7 +141,8 @@
     rev: u64,
     slot: [SlotRecord; 2],
     home: [(u8, u64); 2],
-    /// Where a task is placed, by which attempt; and the key's stamp.
+    /// Slot and attempt of each task's placement, `None` if it is not placed; and the key's
+    /// revision.
     row: [(Option<(u8, u64)>, u64); 2],
     part: [(u64, u64); 2],
     ctl: [Ctl; 2],
@@ -203,7 +215,8 @@
 type Step<'a> = dyn FnMut(&dyn Fn() -> String, &dyn Fn(&mut World)) + 'a;
 
 impl World {
-    /// Leaves out what can have no effect any more: stamps and numbers only rise.
+    /// Removes transactions, answers and reports that can have no effect any more. A transaction
+    /// whose conditions failed stays ineffective because revisions and sequences only increase.
     fn forget(&mut self) {
         let mut txns = std::mem::take(&mut self.txns);
         let now = self.clone();
@@ -238,7 +251,7 @@
         });
     }
 
-    /// Whether the transaction's conditions hold; applies it if they do.
+    /// Applies a transaction if its conditions hold, and returns the outcome.
     fn apply(&mut self, t: &Txn, defect: Defect) -> WriteOutcome {
         let s = t.slot;
         let held = match t.kind {
@@ -289,7 +302,7 @@
         WriteOutcome::Applied(Revision(rev))
     }
 
-    /// Its sender learns what became of it.
+    /// Delivers the outcome of a transaction to its sender.
     fn told(&mut self, t: &Txn, outcome: WriteOutcome, defect: Defect) {
         let ctl = &mut self.ctl[t.by];
         if ctl.life != t.life {
@@ -323,7 +336,7 @@
             (Kind::Shift { .. }, None) if outcome == WriteOutcome::Unknown => {
                 b.unsure = defect != Defect::PartUsedAgain;
             }
-            // Whatever else is not known is read again.
+            // After any other outcome, the slot's keys must be read again.
             _ => ctl.books[t.slot] = None,
         }
     }
@@ -341,7 +354,7 @@
         });
     }
 
-    /// A controller takes a report of a slot's machine in, and answers it if it may.
+    /// Delivers a report of a slot's machine to a controller, which answers it if it owns the slot.
     fn hears(&mut self, c: usize, r: &Report, defect: Defect) {
         let s = r.slot;
         let Some(token) = self.ctl[c].shares.token(Slot(s as u16)) else {
@@ -394,8 +407,8 @@
         self.answers.push(answer);
     }
 
-    /// What may happen next.
-    // One entry for each step of the model: it is read as a list.
+    /// Returns all possible next states, with descriptions of the steps if `describe` is set.
+    // A list with one entry for each step of the model.
     #[allow(clippy::too_many_lines)]
     fn next(&self, defect: Defect, describe: bool) -> Vec<(String, World)> {
         let mut out = Vec::new();
@@ -409,7 +422,7 @@
         };
         for i in 0..self.txns.len() {
             let t = &self.txns[i];
-            step(&|| format!("applied: {t:?}"), &|w| {
+            step(&|| format!("transaction executed: {t:?}"), &|w| {
                 let t = w.txns.remove(i);
                 let outcome = w.apply(&t, defect);
                 if !t.orphan {
@@ -417,7 +430,7 @@
                 }
             });
             if !t.orphan && self.left.unknown > 0 {
-                step(&|| format!("no reply: {t:?}"), &|w| {
+                step(&|| format!("reply lost: {t:?}"), &|w| {
                     w.left.unknown -= 1;
                     w.txns[i].orphan = true;
                     let t = w.txns[i].clone();
@@ -428,30 +441,36 @@
         for i in 0..self.reports.len() {
             for c in 0..2 {
                 if self.reports[i].copies > 0 {
-                    step(&|| format!("{c} hears {:?}", self.reports[i]), &|w| {
-                        w.reports[i].copies -= 1;
-                        let r = w.reports[i].clone();
-                        w.hears(c, &r, defect);
-                    });
+                    step(
+                        &|| format!("controller {c} receives {:?}", self.reports[i]),
+                        &|w| {
+                            w.reports[i].copies -= 1;
+                            let r = w.reports[i].clone();
+                            w.hears(c, &r, defect);
+                        },
+                    );
                 }
             }
         }
         for i in 0..self.answers.len() {
-            step(&|| format!("told: {:?}", self.answers[i]), &|w| {
-                let a = w.answers.remove(i);
-                let m = &mut w.workers[a.slot];
-                if m.awaits && m.id == a.id {
-                    m.awaits = false;
-                    if a.token >= m.baton {
-                        m.baton = a.token;
-                        for run in a.runs {
-                            if !m.tasks.contains(&run) {
-                                m.tasks.push(run);
+            step(
+                &|| format!("answer delivered: {:?}", self.answers[i]),
+                &|w| {
+                    let a = w.answers.remove(i);
+                    let m = &mut w.workers[a.slot];
+                    if m.awaits && m.id == a.id {
+                        m.awaits = false;
+                        if a.token >= m.baton {
+                            m.baton = a.token;
+                            for run in a.runs {
+                                if !m.tasks.contains(&run) {
+                                    m.tasks.push(run);
+                                }
                             }
                         }
                     }
-                }
-            });
+                },
+            );
         }
         for s in 0..2 {
             if self.left.reports[s] > 0 {
@@ -480,7 +499,7 @@
         }
         for c in 0..2 {
             if self.left.ends > 0 {
-                step(&|| format!("{c} ends"), &|w| {
+                step(&|| format!("controller {c} restarts"), &|w| {
                     w.left.ends -= 1;
                     let life = w.ctl[c].life + 1;
                     w.txns
@@ -503,14 +522,17 @@
         out
     }
 
-    // One entry for each step of the model: it is read as a list.
+    // A list with one entry for each step of the model.
     #[allow(clippy::too_many_lines)]
     fn holder_steps(&self, c: usize, s: usize, defect: Defect, step: &mut Step) {
         let slot = Slot(s as u16);
-        step(&|| format!("{c} reads slot {s}"), &|w| {
-            let entry = w.slot[s].clone();
-            w.ctl[c].shares.on_record(slot, entry);
-        });
+        step(
+            &|| format!("controller {c} reads the key of slot {s}"),
+            &|w| {
+                let entry = w.slot[s].clone();
+                w.ctl[c].shares.on_record(slot, entry);
+            },
+        );
         if self.ctl[c].in_flight[s] {
             return;
         }
@@ -520,21 +542,21 @@
             }
         };
         if self.left.takes > 0 && s == 0 {
-            step(&|| format!("{c} takes slot {s}"), &|w| {
+            step(&|| format!("controller {c} acquires slot {s}"), &|w| {
                 w.left.takes -= 1;
                 let write = w.ctl[c].shares.acquire(slot);
                 hold(w, write);
             });
         }
         if self.left.gives > 0 && s == 0 {
-            step(&|| format!("{c} gives slot {s}"), &|w| {
+            step(&|| format!("controller {c} transfers slot {s}"), &|w| {
                 w.left.gives -= 1;
                 let to = name(1 - c, w.ctl[1 - c].life);
                 let write = w.ctl[c].shares.transfer(slot, to);
                 hold(w, write);
             });
         }
-        step(&|| format!("{c} takes slot {s} back"), &|w| {
+        step(&|| format!("controller {c} reclaims slot {s}"), &|w| {
             let write = w.ctl[c].shares.reclaim(slot);
             hold(w, write);
         });
@@ -543,13 +565,15 @@
         };
         let books = self.ctl[c].books[s].as_ref().filter(|b| b.token == token.0);
         let Some(b) = books else {
-            return step(&|| format!("{c} reads the books of slot {s}"), &|w| {
-                w.load(c, s)
-            });
+            return step(
+                &|| format!("controller {c} reads the records of slot {s}"),
+                &|w| w.load(c, s),
+            );
         };
-        // Its watch tells of parts and grants; of its own placements it knows itself.
+        // The watch reports changes of quota parts and assignments. The owner already knows the
+        // placements that it made.
         step(
-            &|| format!("{c} reads the part and the grants of slot {s}"),
+            &|| format!("controller {c} reads the quota part and the assignments of slot {s}"),
             &|w| {
                 let (part, home, row) = (w.part[s], w.home, w.row);
                 if let Some(b) = w.ctl[c].books[s].as_mut().filter(|b| !b.unsure) {
@@ -567,17 +591,20 @@
         };
         if b.unsure {
             step(
-                &|| format!("{c} makes sure of the part of slot {s}"),
+                &|| format!("controller {c} confirms the quota part of slot {s}"),
                 &|w| {
                     w.send(c, s, token.0, Kind::Touch { own: b.part.1 });
                 },
             );
         } else if self.left.shifts > 0 && used < b.part.0 {
-            step(&|| format!("{c} shifts a unit from slot {s}"), &|w| {
-                w.left.shifts -= 1;
-                let (own, other) = (b.part.1, w.part[1 - s].1);
-                w.send(c, s, token.0, Kind::Shift { own, other });
-            });
+            step(
+                &|| format!("controller {c} shifts a unit from slot {s}"),
+                &|w| {
+                    w.left.shifts -= 1;
+                    let (own, other) = (b.part.1, w.part[1 - s].1);
+                    w.send(c, s, token.0, Kind::Shift { own, other });
+                },
+            );
         }
         for k in 0..2 {
             let (home, row) = (b.home[k], b.row[k]);
@@ -585,37 +612,43 @@
                 continue;
             }
             if b.run[k] == Run::No && used < part {
-                step(&|| format!("{c} places task {k} on machine {s}"), &|w| {
-                    if let Some(b) = &mut w.ctl[c].books[s] {
-                        b.run[k] = Run::Planned;
-                    }
-                    w.send(
-                        c,
-                        s,
-                        token.0,
-                        Kind::Place {
-                            task: k,
-                            home: home.1,
-                            row,
-                        },
-                    );
-                });
+                step(
+                    &|| format!("controller {c} places task {k} on machine {s}"),
+                    &|w| {
+                        if let Some(b) = &mut w.ctl[c].books[s] {
+                            b.run[k] = Run::Planned;
+                        }
+                        w.send(
+                            c,
+                            s,
+                            token.0,
+                            Kind::Place {
+                                task: k,
+                                home: home.1,
+                                row,
+                            },
+                        );
+                    },
+                );
             }
             let may = b.run[k] == Run::No || defect == Defect::GrantedTwice;
             if self.left.homes > 0 && may {
-                step(&|| format!("{c} grants task {k} to slot {}", 1 - s), &|w| {
-                    w.left.homes -= 1;
-                    w.send(
-                        c,
-                        s,
-                        token.0,
-                        Kind::Rehome {
-                            task: k,
-                            home: home.1,
-                            row,
-                        },
-                    );
-                });
+                step(
+                    &|| format!("controller {c} reassigns task {k} to slot {}", 1 - s),
+                    &|w| {
+                        w.left.homes -= 1;
+                        w.send(
+                            c,
+                            s,
+                            token.0,
+                            Kind::Rehome {
+                                task: k,
+                                home: home.1,
+                                row,
+                            },
+                        );
+                    },
+                );
             }
         }
     }
@@ -624,7 +657,7 @@
         self.left.parts.iter().sum()
     }
 
-    /// What must never be.
+    /// Returns the invariant that this state violates; `None` if it violates none.
     fn broken(&self) -> Option<&'static str> {
         let on = |k: usize| {
             self.workers
@@ -647,7 +680,8 @@
     hasher.finish()
 }
 
-/// The steps that lead to a state, by which of the possible ones was taken each time.
+/// Returns the descriptions of the steps that lead to a state, reconstructed from the index of the
+/// step chosen in each predecessor.
 fn way(left: Left, defect: Defect, from: &[(u32, u32)], mut at: usize, rule: &str) -> Vec<String> {
     let mut choices = Vec::new();
     while at != 0 {
@@ -664,8 +698,8 @@
     out
 }
 
-/// Looks at every state that can be reached, nearest first. Returns how many there
-/// are, whether these were all, and the way to the first that is broken.
+/// Explores the reachable states in breadth-first order. Returns their number, whether all were
+/// explored, and the trace to the first state that violates an invariant.
 fn explore(left: Left, defect: Defect, most: usize) -> (usize, bool, Option<Vec<String>>) {
     let first = start(left);
     let mut seen: HashSet<u64> = HashSet::from([mark(&first)]);
@@ -701,8 +735,8 @@
     unknown: 0,
 };
 
-/// Small worlds, each of which is looked at in full or as far as said.
-// A table: one entry for each world.
+/// Small scenarios, each of which is explored completely or up to the maximum number of states.
+// A table with one entry for each scenario.
 #[allow(clippy::too_many_lines)]
 fn worlds() -> Vec<(&'static str, Left)> {
     let one = Left {
@@ -711,7 +745,7 @@
     };
     vec![
         (
-            "a take from a holder that lives",
+            "acquisition from a live owner",
             Left {
                 takes: 1,
                 copies: 2,
@@ -719,7 +753,7 @@
             },
         ),
         (
-            "a gift",
+            "transfer",
             Left {
                 gives: 1,
                 unknown: 1,
@@ -727,7 +761,7 @@
             },
         ),
         (
-            "an end",
+            "controller restart",
             Left {
                 ends: 1,
                 takes: 1,
@@ -735,7 +769,7 @@
             },
         ),
         (
-            "a lapse",
+            "loss of a machine's tasks",
             Left {
                 lapses: 1,
                 takes: 1,
@@ -743,7 +777,7 @@
             },
         ),
         (
-            "a grant",
+            "reassignment",
             Left {
                 homes: 1,
                 reports: [1, 1],
@@ -753,7 +787,7 @@
             },
         ),
         (
-            "parts",
+            "quota parts",
             Left {
                 homes: 1,
                 shifts: 1,
@@ -763,7 +797,7 @@
             },
         ),
         (
-            "parts over a take",
+            "quota parts with an acquisition",
             Left {
                 homes: 1,
                 shifts: 1,
@@ -792,12 +826,13 @@
         );
         assert!(
             states > 300,
-            "{what}: only {states} states, the world is stuck"
+            "{what}: only {states} states, the model makes no progress"
         );
     }
 }
 
-/// Each in the world that is made for it: a check that finds nothing is none.
+/// Guards against a checker that finds nothing: each defect must be found in a scenario that is
+/// made for it.
 #[test]
 fn each_planted_defect_is_found() {
     let one = Left {
@@ -847,7 +882,7 @@
     ] {
         let (states, _, way) = explore(left, defect, MAX_SLOTS * 8);
         let Some(way) = way else {
-            panic!("{defect:?} is not found in {states} states")
+            panic!("{defect:?} was not found in {states} states")
         };
         println!(
             "{defect:?}: {states} states, {} steps\n  {}",
