--- a/crates/sharding/src/ownership.rs
+++ b/crates/sharding/src/ownership.rs
@@ -181,7 +181,7 @@
 
     /// Ends ownership of a slot because a worker has seen a higher fencing token or a condition on
     /// the slot's key failed: another process owns the slot.
-    pub fn on_ownership_lost(&mut self, slot: Slot) {
+    pub fn on_lost(&mut self, slot: Slot) {
         let Some(state) = self.state_mut(slot) else {
             return;
         };
@@ -259,7 +259,7 @@
                 None
             }
             WriteOutcome::Conflict => {
-                self.on_ownership_lost(write.slot);
+                self.on_lost(write.slot);
                 self.state_mut(write.slot)?.stale = true;
                 None
             }
--- a/crates/sharding/src/ownership/tests.rs
+++ b/crates/sharding/src/ownership/tests.rs
@@ -131,7 +131,7 @@
 #[test]
 fn token_that_ended_is_never_used_again() {
     let mut ownership = owning_since(1, 7);
-    ownership.on_ownership_lost(SLOT);
+    ownership.on_lost(SLOT);
     assert_eq!(
         ownership.on_record(SLOT, record(&process("a", 1), 7)),
         None,
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -35,33 +35,33 @@
 
 /// How often each kind of event may still happen, and fixed parameters of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Left {
-    ends: u8,
-    gives: u8,
-    takes: u8,
-    homes: u8,
+struct StepBudget {
+    restarts: u8,
+    transfers: u8,
+    acquisitions: u8,
+    reassignments: u8,
     shifts: u8,
-    lapses: u8,
+    task_losses: u8,
     reports: [u8; 2],
     /// Initial division of the team's limit among the slots.
-    parts: [u64; 2],
+    quota_parts: [u64; 2],
     /// Number of times that each report is delivered, to any controller.
-    copies: u8,
-    unknown: u8,
+    deliveries: u8,
+    lost_replies: u8,
 }
 
 /// State of a task's attempt in a slot, as known to the slot's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Run {
-    No,
-    /// The placement transaction was sent.
+enum Attempt {
+    Unplaced,
+    /// The placement transaction was sent and its outcome is not known.
     Planned,
-    /// The placement was committed and `run` was not sent, or was not received.
+    /// The placement was committed, and the `run` directive was not sent or was not received.
     Committed(u64),
-    /// `run` was sent in the answer to the report with this sequence.
-    Sent(u64, u8),
+    /// The `run` directive was sent in the answer to the report with this sequence.
+    RunSent(u64, u8),
     /// The attempt occurred in a report.
-    Seen(u64),
+    Reported(u64),
     /// The placement was found when the owner read the slot's records.
     Inherited(u64),
     /// The transaction that ends the attempt was sent.
@@ -70,93 +70,121 @@
 
 /// Contents of a slot's keys as known to its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Books {
+struct SlotView {
     token: u64,
-    home: [(u8, u64); 2],
-    row: [u64; 2],
-    run: [Run; 2],
-    part: (u64, u64),
+    /// Slot to which each task is assigned, and the key's revision.
+    assignment: [(u8, u64); 2],
+    /// Revision of each task's placement key.
+    placement: [u64; 2],
+    attempts: [Attempt; 2],
+    /// Units of the slot's quota part, and the key's revision.
+    quota_part: (u64, u64),
     /// The outcome of a quota shift is unknown; its unit counts as shifted to the other slot.
-    unsure: bool,
-    last: u8,
+    shift_unconfirmed: bool,
+    /// Sequence of the last handled report.
+    last_sequence: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Ctl {
-    life: u64,
-    shares: SlotOwnership,
-    books: [Option<Books>; 2],
+struct Controller {
+    process_nonce: u64,
+    ownership: SlotOwnership,
+    views: [Option<SlotView>; 2],
     in_flight: [bool; 2],
 }
 
-/// A transaction's write and the revisions that it expects of the keys.
+/// Operation of a transaction, with the expected revisions of the keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Kind {
-    Hold(SlotWrite),
-    Place { task: usize, home: u64, row: u64 },
-    End { task: usize, row: u64 },
-    Rehome { task: usize, home: u64, row: u64 },
-    Shift { own: u64, other: u64 },
-    Touch { own: u64 },
+enum Operation {
+    SetOwner(SlotWrite),
+    Place {
+        task: usize,
+        assignment: u64,
+        placement: u64,
+    },
+    /// Removes the placement of an ended attempt.
+    End {
+        task: usize,
+        placement: u64,
+    },
+    Reassign {
+        task: usize,
+        assignment: u64,
+        placement: u64,
+    },
+    /// Shifts a quota unit from the transaction's slot to the other slot.
+    ShiftQuota {
+        source: u64,
+        target: u64,
+    },
+    /// Rewrites the slot's quota part unchanged, so that a shift of unknown outcome cannot be
+    /// applied later.
+    ConfirmQuota {
+        source: u64,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Txn {
-    by: usize,
-    life: u64,
+struct Transaction {
+    sender: usize,
+    process_nonce: u64,
     slot: usize,
     token: u64,
-    kind: Kind,
+    operation: Operation,
     /// Its sender got no reply or restarted; the transaction may still be applied.
-    orphan: bool,
+    reply_lost: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Report {
     slot: usize,
-    id: u8,
-    baton: u64,
+    sequence: u8,
+    seen_token: u64,
     tasks: Vec<(usize, u64)>,
-    copies: u8,
+    /// Number of times that the report may still be delivered.
+    deliveries: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Answer {
     slot: usize,
-    id: u8,
+    sequence: u8,
     token: u64,
-    runs: Vec<(usize, u64)>,
+    started_attempts: Vec<(usize, u64)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Worker {
-    baton: u64,
-    id: u8,
-    awaits: bool,
+    /// Highest token that the worker has received.
+    seen_token: u64,
+    sequence: u8,
+    awaits_answer: bool,
     tasks: Vec<(usize, u64)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
-    rev: u64,
+struct ModelState {
+    revision: u64,
     slot: [SlotRecord; 2],
-    home: [(u8, u64); 2],
-    /// Slot and attempt of each task's placement, `None` if it is not placed; and the key's
+    /// Slot to which each task is assigned, and the key's revision.
+    assignment: [(u8, u64); 2],
+    /// Slot and attempt of each task's placement, `None` if the task is not placed; and the key's
     /// revision.
-    row: [(Option<(u8, u64)>, u64); 2],
-    part: [(u64, u64); 2],
-    ctl: [Ctl; 2],
-    txns: Vec<Txn>,
+    placement: [(Option<(u8, u64)>, u64); 2],
+    /// Units of each slot's quota part, and the key's revision.
+    quota_part: [(u64, u64); 2],
+    controllers: [Controller; 2],
+    transactions: Vec<Transaction>,
     reports: Vec<Report>,
     answers: Vec<Answer>,
     workers: [Worker; 2],
-    left: Left,
+    budget: StepBudget,
 }
 
-fn name(c: usize, life: u64) -> ProcessId {
+fn process_id(controller: usize, process_nonce: u64) -> ProcessId {
     ProcessId {
-        label: ["a", "b"][c].into(),
-        nonce: life,
+        label: ["a", "b"][controller].into(),
+        nonce: process_nonce,
     }
 }
 
@@ -169,239 +197,290 @@
     })
 }
 
-fn start(left: Left) -> World {
-    let entry = |c: usize, revision: u64| SlotRecord {
-        owner: Some(name(c, 0)),
+fn initial_state(budget: StepBudget) -> ModelState {
+    let record = |controller: usize, revision: u64| SlotRecord {
+        owner: Some(process_id(controller, 0)),
         revision: Revision(revision),
     };
-    let slot = [entry(0, 1), entry(1, 2)];
-    let ctl = |c: usize| {
-        let mut shares = SlotOwnership::new(name(c, 0), two_slots());
-        for (s, entry) in slot.iter().enumerate() {
-            shares.on_record(Slot(s as u16), entry.clone());
+    let slot = [record(0, 1), record(1, 2)];
+    let controller_at = |controller: usize| {
+        let mut ownership = SlotOwnership::new(process_id(controller, 0), two_slots());
+        for (slot_id, record) in slot.iter().enumerate() {
+            ownership.on_record(Slot(slot_id as u16), record.clone());
         }
-        Ctl {
-            life: 0,
-            shares,
-            books: [None, None],
+        Controller {
+            process_nonce: 0,
+            ownership,
+            views: [None, None],
             in_flight: [false; 2],
         }
     };
-    let worker = |baton| Worker {
-        baton,
-        id: 0,
-        awaits: false,
+    let worker_with_token = |seen_token| Worker {
+        seen_token,
+        sequence: 0,
+        awaits_answer: false,
         tasks: Vec::new(),
     };
-    let mut w = World {
-        rev: 8,
-        ctl: [ctl(0), ctl(1)],
+    let mut state = ModelState {
+        revision: 8,
+        controllers: [controller_at(0), controller_at(1)],
         slot,
-        home: [(0, 3), (0, 4)],
-        row: [(None, 0), (None, 0)],
-        part: [(left.parts[0], 5), (left.parts[1], 6)],
-        txns: Vec::new(),
+        assignment: [(0, 3), (0, 4)],
+        placement: [(None, 0), (None, 0)],
+        quota_part: [(budget.quota_parts[0], 5), (budget.quota_parts[1], 6)],
+        transactions: Vec::new(),
         reports: Vec::new(),
         answers: Vec::new(),
-        workers: [worker(1), worker(2)],
-        left,
+        workers: [worker_with_token(1), worker_with_token(2)],
+        budget,
     };
-    for c in 0..2 {
-        w.load(c, c);
+    for controller in 0..2 {
+        state.read_slot(controller, controller);
     }
-    w
+    state
 }
 
-type Step<'a> = dyn FnMut(&dyn Fn() -> String, &dyn Fn(&mut World)) + 'a;
+type Step<'a> = dyn FnMut(&dyn Fn() -> String, &dyn Fn(&mut ModelState)) + 'a;
 
-impl World {
+impl ModelState {
     /// Removes transactions, answers and reports that can have no effect any more. A transaction
     /// whose conditions failed stays ineffective because revisions and sequences only increase.
-    fn forget(&mut self) {
-        let mut txns = std::mem::take(&mut self.txns);
-        let now = self.clone();
-        txns.retain(|t| {
-            let mut w = now.clone();
-            !t.orphan || w.apply(t, Defect::None) != WriteOutcome::Conflict
+    fn prune_ineffective(&mut self) {
+        let mut transactions = std::mem::take(&mut self.transactions);
+        let current = self.clone();
+        transactions.retain(|transaction| {
+            let mut state = current.clone();
+            !transaction.reply_lost
+                || state.apply(transaction, Defect::None) != WriteOutcome::Conflict
         });
-        txns.sort_by_key(|t| (t.by, t.slot, t.orphan, t.token));
-        self.txns = txns;
+        transactions.sort_by_key(|transaction| {
+            (
+                transaction.sender,
+                transaction.slot,
+                transaction.reply_lost,
+                transaction.token,
+            )
+        });
+        self.transactions = transactions;
         let workers = &self.workers;
-        let waits = |a: &Answer| workers[a.slot].awaits && workers[a.slot].id == a.id;
-        self.answers.retain(waits);
-        self.reports.retain(|r| r.copies > 0);
+        let is_awaited = |answer: &Answer| {
+            workers[answer.slot].awaits_answer && workers[answer.slot].sequence == answer.sequence
+        };
+        self.answers.retain(is_awaited);
+        self.reports.retain(|report| report.deliveries > 0);
     }
 
-    fn load(&mut self, c: usize, s: usize) {
-        let Some(token) = self.ctl[c].shares.token(Slot(s as u16)) else {
+    fn read_slot(&mut self, controller: usize, slot_id: usize) {
+        let Some(token) = self.controllers[controller]
+            .ownership
+            .token(Slot(slot_id as u16))
+        else {
             return;
         };
-        let run = |k: usize| match self.row[k].0 {
-            Some((at, attempt)) if usize::from(at) == s => Run::Inherited(attempt),
-            _ => Run::No,
+        let attempt_state = |task_id: usize| match self.placement[task_id].0 {
+            Some((placed_slot, attempt)) if usize::from(placed_slot) == slot_id => {
+                Attempt::Inherited(attempt)
+            }
+            _ => Attempt::Unplaced,
         };
-        self.ctl[c].books[s] = Some(Books {
+        self.controllers[controller].views[slot_id] = Some(SlotView {
             token: token.0,
-            home: self.home,
-            row: [self.row[0].1, self.row[1].1],
-            run: [run(0), run(1)],
-            part: self.part[s],
-            unsure: false,
-            last: 0,
+            assignment: self.assignment,
+            placement: [self.placement[0].1, self.placement[1].1],
+            attempts: [attempt_state(0), attempt_state(1)],
+            quota_part: self.quota_part[slot_id],
+            shift_unconfirmed: false,
+            last_sequence: 0,
         });
     }
 
     /// Applies a transaction if its conditions hold, and returns the outcome.
-    fn apply(&mut self, t: &Txn, defect: Defect) -> WriteOutcome {
-        let s = t.slot;
-        let held = match t.kind {
-            Kind::Hold(ref w) => self.slot[s].revision == w.expected,
-            Kind::Place { .. } if defect == Defect::Unconditional => true,
-            _ => self.slot[s].revision.0 == t.token,
+    fn apply(&mut self, transaction: &Transaction, defect: Defect) -> WriteOutcome {
+        let slot_id = transaction.slot;
+        let owner_matches = match transaction.operation {
+            Operation::SetOwner(ref write) => self.slot[slot_id].revision == write.expected,
+            Operation::Place { .. } if defect == Defect::Unconditional => true,
+            _ => self.slot[slot_id].revision.0 == transaction.token,
         };
-        let ok = held
-            && match t.kind {
-                Kind::Hold(_) => true,
-                Kind::Place { task, home, row } => {
-                    self.home[task].1 == home && self.row[task].1 == row
+        let conditions_hold = owner_matches
+            && match transaction.operation {
+                Operation::SetOwner(_) => true,
+                Operation::Place {
+                    task,
+                    assignment,
+                    placement,
+                } => self.assignment[task].1 == assignment && self.placement[task].1 == placement,
+                Operation::End { task, placement } => self.placement[task].1 == placement,
+                Operation::Reassign {
+                    task,
+                    assignment,
+                    placement,
+                } => {
+                    let placement_unchanged =
+                        defect == Defect::GrantedTwice || self.placement[task].1 == placement;
+                    self.assignment[task].1 == assignment && placement_unchanged
                 }
-                Kind::End { task, row } => self.row[task].1 == row,
-                Kind::Rehome { task, home, row } => {
-                    let free = defect == Defect::GrantedTwice || self.row[task].1 == row;
-                    self.home[task].1 == home && free
+                Operation::ShiftQuota { source, target } => {
+                    self.quota_part[slot_id].1 == source && self.quota_part[1 - slot_id].1 == target
                 }
-                Kind::Shift { own, other } => self.part[s].1 == own && self.part[1 - s].1 == other,
-                Kind::Touch { own } => self.part[s].1 == own,
+                Operation::ConfirmQuota { source } => self.quota_part[slot_id].1 == source,
             };
-        if !ok {
+        if !conditions_hold {
             return WriteOutcome::Conflict;
         }
-        self.rev += 1;
-        let rev = self.rev;
-        match &t.kind {
-            Kind::Hold(w) => {
-                self.slot[s] = SlotRecord {
-                    owner: Some(w.owner.clone()),
-                    revision: Revision(rev),
+        self.revision += 1;
+        let revision = self.revision;
+        match &transaction.operation {
+            Operation::SetOwner(write) => {
+                self.slot[slot_id] = SlotRecord {
+                    owner: Some(write.owner.clone()),
+                    revision: Revision(revision),
                 }
             }
-            Kind::Place { task, .. } => self.row[*task] = (Some((s as u8, rev)), rev),
-            Kind::End { task, .. } => self.row[*task] = (None, rev),
-            Kind::Rehome { task, .. } => {
-                self.home[*task] = ((1 - s) as u8, rev);
+            Operation::Place { task, .. } => {
+                self.placement[*task] = (Some((slot_id as u8, revision)), revision)
+            }
+            Operation::End { task, .. } => self.placement[*task] = (None, revision),
+            Operation::Reassign { task, .. } => {
+                self.assignment[*task] = ((1 - slot_id) as u8, revision);
                 if defect == Defect::GrantedTwice {
-                    self.row[*task] = (None, rev);
+                    self.placement[*task] = (None, revision);
                 }
             }
-            Kind::Shift { .. } => {
-                self.part[s] = (self.part[s].0 - 1, rev);
-                self.part[1 - s] = (self.part[1 - s].0 + 1, rev);
+            Operation::ShiftQuota { .. } => {
+                self.quota_part[slot_id] = (self.quota_part[slot_id].0 - 1, revision);
+                self.quota_part[1 - slot_id] = (self.quota_part[1 - slot_id].0 + 1, revision);
             }
-            Kind::Touch { .. } => self.part[s].1 = rev,
+            Operation::ConfirmQuota { .. } => self.quota_part[slot_id].1 = revision,
         }
-        WriteOutcome::Applied(Revision(rev))
+        WriteOutcome::Applied(Revision(revision))
     }
 
     /// Delivers the outcome of a transaction to its sender.
-    fn told(&mut self, t: &Txn, outcome: WriteOutcome, defect: Defect) {
-        let ctl = &mut self.ctl[t.by];
-        if ctl.life != t.life {
+    fn deliver_outcome(
+        &mut self,
+        transaction: &Transaction,
+        outcome: WriteOutcome,
+        defect: Defect,
+    ) {
+        let sender = &mut self.controllers[transaction.sender];
+        if sender.process_nonce != transaction.process_nonce {
             return;
         }
-        ctl.in_flight[t.slot] = false;
-        if let Kind::Hold(w) = &t.kind {
-            ctl.shares.on_write(w, outcome);
+        sender.in_flight[transaction.slot] = false;
+        if let Operation::SetOwner(write) = &transaction.operation {
+            sender.ownership.on_write(write, outcome);
             return;
         }
         let applied = match outcome {
             WriteOutcome::Applied(revision) => Some(revision.0),
             _ => None,
         };
-        let Some(b) = ctl.books[t.slot].as_mut().filter(|b| b.token == t.token) else {
+        let Some(view) = sender.views[transaction.slot]
+            .as_mut()
+            .filter(|view| view.token == transaction.token)
+        else {
             return;
         };
-        match (&t.kind, applied) {
-            (Kind::Place { task, .. }, Some(rev)) => {
-                (b.row[*task], b.run[*task]) = (rev, Run::Committed(rev));
+        match (&transaction.operation, applied) {
+            (Operation::Place { task, .. }, Some(revision)) => {
+                (view.placement[*task], view.attempts[*task]) =
+                    (revision, Attempt::Committed(revision));
+            }
+            (Operation::End { task, .. }, Some(revision)) => {
+                (view.placement[*task], view.attempts[*task]) = (revision, Attempt::Unplaced)
             }
-            (Kind::End { task, .. }, Some(rev)) => (b.row[*task], b.run[*task]) = (rev, Run::No),
-            (Kind::Rehome { task, .. }, Some(rev)) => {
-                b.home[*task] = ((1 - t.slot) as u8, rev);
+            (Operation::Reassign { task, .. }, Some(revision)) => {
+                view.assignment[*task] = ((1 - transaction.slot) as u8, revision);
                 if defect == Defect::GrantedTwice {
-                    (b.row[*task], b.run[*task]) = (rev, Run::No);
+                    (view.placement[*task], view.attempts[*task]) = (revision, Attempt::Unplaced);
                 }
             }
-            (Kind::Shift { .. }, Some(rev)) => b.part = (b.part.0 - 1, rev),
-            (Kind::Touch { .. }, Some(rev)) => (b.part.1, b.unsure) = (rev, false),
-            (Kind::Shift { .. }, None) if outcome == WriteOutcome::Unknown => {
-                b.unsure = defect != Defect::PartUsedAgain;
+            (Operation::ShiftQuota { .. }, Some(revision)) => {
+                view.quota_part = (view.quota_part.0 - 1, revision)
+            }
+            (Operation::ConfirmQuota { .. }, Some(revision)) => {
+                (view.quota_part.1, view.shift_unconfirmed) = (revision, false)
+            }
+            (Operation::ShiftQuota { .. }, None) if outcome == WriteOutcome::Unknown => {
+                view.shift_unconfirmed = defect != Defect::PartUsedAgain;
             }
             // After any other outcome, the slot's keys must be read again.
-            _ => ctl.books[t.slot] = None,
+            _ => sender.views[transaction.slot] = None,
         }
     }
 
-    fn send(&mut self, c: usize, slot: usize, token: u64, kind: Kind) {
-        self.ctl[c].in_flight[slot] = true;
-        let life = self.ctl[c].life;
-        self.txns.push(Txn {
-            by: c,
-            life,
+    fn send(&mut self, controller: usize, slot: usize, token: u64, operation: Operation) {
+        self.controllers[controller].in_flight[slot] = true;
+        let process_nonce = self.controllers[controller].process_nonce;
+        self.transactions.push(Transaction {
+            sender: controller,
+            process_nonce,
             slot,
             token,
-            kind,
-            orphan: false,
+            operation,
+            reply_lost: false,
         });
     }
 
     /// Delivers a report of a slot's machine to a controller, which answers it if it owns the slot.
-    fn hears(&mut self, c: usize, r: &Report, defect: Defect) {
-        let s = r.slot;
-        let Some(token) = self.ctl[c].shares.token(Slot(s as u16)) else {
+    fn handle_report(&mut self, to: usize, report: &Report, defect: Defect) {
+        let slot_id = report.slot;
+        let Some(token) = self.controllers[to].ownership.token(Slot(slot_id as u16)) else {
             return;
         };
-        if r.baton > token.0 && defect != Defect::OneToken {
-            self.ctl[c].shares.on_ownership_lost(Slot(s as u16));
+        if report.seen_token > token.0 && defect != Defect::OneToken {
+            self.controllers[to].ownership.on_lost(Slot(slot_id as u16));
             return;
         }
-        let told = if defect == Defect::OneToken {
+        let answer_token = if defect == Defect::OneToken {
             1
         } else {
             token.0
         };
-        let Some(b) = self.ctl[c].books[s].as_mut().filter(|b| b.token == token.0) else {
+        let Some(view) = self.controllers[to].views[slot_id]
+            .as_mut()
+            .filter(|view| view.token == token.0)
+        else {
             return;
         };
         let mut answer = Answer {
-            slot: s,
-            id: r.id,
-            token: told,
-            runs: Vec::new(),
+            slot: slot_id,
+            sequence: report.sequence,
+            token: answer_token,
+            started_attempts: Vec::new(),
         };
-        if r.id > b.last {
-            b.last = r.id;
-            let ours = r.baton == told || defect == Defect::EarlyProof;
+        if report.sequence > view.last_sequence {
+            view.last_sequence = report.sequence;
+            let token_seen = report.seen_token == answer_token || defect == Defect::EarlyProof;
             let mut ended = None;
-            for k in 0..2 {
-                let here = |a: u64| r.tasks.contains(&(k, a));
-                match b.run[k] {
-                    Run::Sent(a, _) | Run::Inherited(a) if here(a) => b.run[k] = Run::Seen(a),
-                    Run::Sent(a, at) if ours && r.id > at => b.run[k] = Run::Committed(a),
-                    Run::Seen(a) | Run::Inherited(a)
-                        if ours && !here(a) && ended.is_none() && !self.ctl[c].in_flight[s] =>
+            for task_id in 0..2 {
+                let reported = |id: u64| report.tasks.contains(&(task_id, id));
+                match view.attempts[task_id] {
+                    Attempt::RunSent(id, _) | Attempt::Inherited(id) if reported(id) => {
+                        view.attempts[task_id] = Attempt::Reported(id)
+                    }
+                    Attempt::RunSent(id, sent_at) if token_seen && report.sequence > sent_at => {
+                        view.attempts[task_id] = Attempt::Committed(id)
+                    }
+                    Attempt::Reported(id) | Attempt::Inherited(id)
+                        if token_seen
+                            && !reported(id)
+                            && ended.is_none()
+                            && !self.controllers[to].in_flight[slot_id] =>
                     {
-                        b.run[k] = Run::Ending(a);
-                        ended = Some((k, b.row[k]));
+                        view.attempts[task_id] = Attempt::Ending(id);
+                        ended = Some((task_id, view.placement[task_id]));
                     }
                     _ => {}
                 }
-                if let (Run::Committed(a), true) = (b.run[k], ours) {
-                    b.run[k] = Run::Sent(a, r.id);
-                    answer.runs.push((k, a));
+                if let (Attempt::Committed(id), true) = (view.attempts[task_id], token_seen) {
+                    view.attempts[task_id] = Attempt::RunSent(id, report.sequence);
+                    answer.started_attempts.push((task_id, id));
                 }
             }
-            if let Some((task, row)) = ended {
-                self.send(c, s, token.0, Kind::End { task, row });
+            if let Some((task, placement)) = ended {
+                self.send(to, slot_id, token.0, Operation::End { task, placement });
             }
         }
         self.answers.push(answer);
@@ -410,43 +489,53 @@
     /// Returns all possible next states, with descriptions of the steps if `describe` is set.
     // A list with one entry for each step of the model.
     #[allow(clippy::too_many_lines)]
-    fn next(&self, defect: Defect, describe: bool) -> Vec<(String, World)> {
+    fn successors(&self, defect: Defect, describe: bool) -> Vec<(String, ModelState)> {
         let mut out = Vec::new();
-        let mut step = |what: &dyn Fn() -> String, f: &dyn Fn(&mut World)| {
-            let mut w = self.clone();
-            f(&mut w);
-            w.forget();
-            if w != *self {
-                out.push((if describe { what() } else { String::new() }, w));
+        let mut step = |description: &dyn Fn() -> String, apply_step: &dyn Fn(&mut ModelState)| {
+            let mut state = self.clone();
+            apply_step(&mut state);
+            state.prune_ineffective();
+            if state != *self {
+                out.push((
+                    if describe {
+                        description()
+                    } else {
+                        String::new()
+                    },
+                    state,
+                ));
             }
         };
-        for i in 0..self.txns.len() {
-            let t = &self.txns[i];
-            step(&|| format!("transaction executed: {t:?}"), &|w| {
-                let t = w.txns.remove(i);
-                let outcome = w.apply(&t, defect);
-                if !t.orphan {
-                    w.told(&t, outcome, defect);
-                }
-            });
-            if !t.orphan && self.left.unknown > 0 {
-                step(&|| format!("reply lost: {t:?}"), &|w| {
-                    w.left.unknown -= 1;
-                    w.txns[i].orphan = true;
-                    let t = w.txns[i].clone();
-                    w.told(&t, WriteOutcome::Unknown, defect);
+        for i in 0..self.transactions.len() {
+            let transaction = &self.transactions[i];
+            step(
+                &|| format!("transaction executed: {transaction:?}"),
+                &|state| {
+                    let transaction = state.transactions.remove(i);
+                    let outcome = state.apply(&transaction, defect);
+                    if !transaction.reply_lost {
+                        state.deliver_outcome(&transaction, outcome, defect);
+                    }
+                },
+            );
+            if !transaction.reply_lost && self.budget.lost_replies > 0 {
+                step(&|| format!("reply lost: {transaction:?}"), &|state| {
+                    state.budget.lost_replies -= 1;
+                    state.transactions[i].reply_lost = true;
+                    let transaction = state.transactions[i].clone();
+                    state.deliver_outcome(&transaction, WriteOutcome::Unknown, defect);
                 });
             }
         }
         for i in 0..self.reports.len() {
-            for c in 0..2 {
-                if self.reports[i].copies > 0 {
+            for controller in 0..2 {
+                if self.reports[i].deliveries > 0 {
                     step(
-                        &|| format!("controller {c} receives {:?}", self.reports[i]),
-                        &|w| {
-                            w.reports[i].copies -= 1;
-                            let r = w.reports[i].clone();
-                            w.hears(c, &r, defect);
+                        &|| format!("controller {controller} receives {:?}", self.reports[i]),
+                        &|state| {
+                            state.reports[i].deliveries -= 1;
+                            let report = state.reports[i].clone();
+                            state.handle_report(controller, &report, defect);
                         },
                     );
                 }
@@ -455,16 +544,16 @@
         for i in 0..self.answers.len() {
             step(
                 &|| format!("answer delivered: {:?}", self.answers[i]),
-                &|w| {
-                    let a = w.answers.remove(i);
-                    let m = &mut w.workers[a.slot];
-                    if m.awaits && m.id == a.id {
-                        m.awaits = false;
-                        if a.token >= m.baton {
-                            m.baton = a.token;
-                            for run in a.runs {
-                                if !m.tasks.contains(&run) {
-                                    m.tasks.push(run);
+                &|state| {
+                    let answer = state.answers.remove(i);
+                    let worker = &mut state.workers[answer.slot];
+                    if worker.awaits_answer && worker.sequence == answer.sequence {
+                        worker.awaits_answer = false;
+                        if answer.token >= worker.seen_token {
+                            worker.seen_token = answer.token;
+                            for started in answer.started_attempts {
+                                if !worker.tasks.contains(&started) {
+                                    worker.tasks.push(started);
                                 }
                             }
                         }
@@ -472,179 +561,243 @@
                 },
             );
         }
-        for s in 0..2 {
-            if self.left.reports[s] > 0 {
-                step(&|| format!("machine {s} reports"), &|w| {
-                    w.left.reports[s] -= 1;
-                    let m = &mut w.workers[s];
-                    (m.id, m.awaits) = (m.id + 1, true);
-                    let (id, baton, tasks) = (m.id, m.baton, m.tasks.clone());
-                    let copies = w.left.copies;
-                    w.reports.push(Report {
-                        slot: s,
-                        id,
-                        baton,
+        for slot_id in 0..2 {
+            if self.budget.reports[slot_id] > 0 {
+                step(&|| format!("machine {slot_id} reports"), &|state| {
+                    state.budget.reports[slot_id] -= 1;
+                    let worker = &mut state.workers[slot_id];
+                    (worker.sequence, worker.awaits_answer) = (worker.sequence + 1, true);
+                    let (sequence, seen_token, tasks) =
+                        (worker.sequence, worker.seen_token, worker.tasks.clone());
+                    let deliveries = state.budget.deliveries;
+                    state.reports.push(Report {
+                        slot: slot_id,
+                        sequence,
+                        seen_token,
                         tasks,
-                        copies,
+                        deliveries,
                     });
                 });
             }
-            if self.left.lapses > 0 && !self.workers[s].tasks.is_empty() {
-                step(&|| format!("machine {s} loses its tasks"), &|w| {
-                    w.left.lapses -= 1;
-                    w.workers[s].tasks.clear();
-                    w.workers[s].awaits = false;
+            if self.budget.task_losses > 0 && !self.workers[slot_id].tasks.is_empty() {
+                step(&|| format!("machine {slot_id} loses its tasks"), &|state| {
+                    state.budget.task_losses -= 1;
+                    state.workers[slot_id].tasks.clear();
+                    state.workers[slot_id].awaits_answer = false;
                 });
             }
         }
-        for c in 0..2 {
-            if self.left.ends > 0 {
-                step(&|| format!("controller {c} restarts"), &|w| {
-                    w.left.ends -= 1;
-                    let life = w.ctl[c].life + 1;
-                    w.txns
+        for controller in 0..2 {
+            if self.budget.restarts > 0 {
+                step(&|| format!("controller {controller} restarts"), &|state| {
+                    state.budget.restarts -= 1;
+                    let process_nonce = state.controllers[controller].process_nonce + 1;
+                    state
+                        .transactions
                         .iter_mut()
-                        .filter(|t| t.by == c)
-                        .for_each(|t| t.orphan = true);
-                    let shares = SlotOwnership::new(name(c, life), two_slots());
-                    w.ctl[c] = Ctl {
-                        life,
-                        shares,
-                        books: [None, None],
+                        .filter(|transaction| transaction.sender == controller)
+                        .for_each(|transaction| transaction.reply_lost = true);
+                    let ownership =
+                        SlotOwnership::new(process_id(controller, process_nonce), two_slots());
+                    state.controllers[controller] = Controller {
+                        process_nonce,
+                        ownership,
+                        views: [None, None],
                         in_flight: [false; 2],
                     };
                 });
             }
-            for s in 0..2 {
-                self.holder_steps(c, s, defect, &mut step);
+            for slot_id in 0..2 {
+                self.owner_steps(controller, slot_id, defect, &mut step);
             }
         }
         out
     }
 
+    /// Adds the possible steps of a controller for a slot: reads, writes of the owner and, if the
+    /// controller owns the slot_id, quota shifts, placements and reassignments.
     // A list with one entry for each step of the model.
     #[allow(clippy::too_many_lines)]
-    fn holder_steps(&self, c: usize, s: usize, defect: Defect, step: &mut Step) {
-        let slot = Slot(s as u16);
+    fn owner_steps(&self, controller: usize, slot_id: usize, defect: Defect, step: &mut Step) {
+        let slot = Slot(slot_id as u16);
         step(
-            &|| format!("controller {c} reads the key of slot {s}"),
-            &|w| {
-                let entry = w.slot[s].clone();
-                w.ctl[c].shares.on_record(slot, entry);
+            &|| format!("controller {controller} reads the key of slot {slot_id}"),
+            &|state| {
+                let record = state.slot[slot_id].clone();
+                state.controllers[controller]
+                    .ownership
+                    .on_record(slot, record);
             },
         );
-        if self.ctl[c].in_flight[s] {
+        if self.controllers[controller].in_flight[slot_id] {
             return;
         }
-        let hold = |w: &mut World, write: Option<SlotWrite>| {
+        let send_owner_write = |state: &mut ModelState, write: Option<SlotWrite>| {
             if let Some(write) = write {
-                w.send(c, s, 0, Kind::Hold(write));
+                state.send(controller, slot_id, 0, Operation::SetOwner(write));
             }
         };
-        if self.left.takes > 0 && s == 0 {
-            step(&|| format!("controller {c} acquires slot {s}"), &|w| {
-                w.left.takes -= 1;
-                let write = w.ctl[c].shares.acquire(slot);
-                hold(w, write);
-            });
+        if self.budget.acquisitions > 0 && slot_id == 0 {
+            step(
+                &|| format!("controller {controller} acquires slot {slot_id}"),
+                &|state| {
+                    state.budget.acquisitions -= 1;
+                    let write = state.controllers[controller].ownership.acquire(slot);
+                    send_owner_write(state, write);
+                },
+            );
         }
-        if self.left.gives > 0 && s == 0 {
-            step(&|| format!("controller {c} transfers slot {s}"), &|w| {
-                w.left.gives -= 1;
-                let to = name(1 - c, w.ctl[1 - c].life);
-                let write = w.ctl[c].shares.transfer(slot, to);
-                hold(w, write);
-            });
+        if self.budget.transfers > 0 && slot_id == 0 {
+            step(
+                &|| format!("controller {controller} transfers slot {slot_id}"),
+                &|state| {
+                    state.budget.transfers -= 1;
+                    let to = process_id(
+                        1 - controller,
+                        state.controllers[1 - controller].process_nonce,
+                    );
+                    let write = state.controllers[controller].ownership.transfer(slot, to);
+                    send_owner_write(state, write);
+                },
+            );
         }
-        step(&|| format!("controller {c} reclaims slot {s}"), &|w| {
-            let write = w.ctl[c].shares.reclaim(slot);
-            hold(w, write);
-        });
-        let Some(token) = self.ctl[c].shares.token(slot) else {
+        step(
+            &|| format!("controller {controller} reclaims slot {slot_id}"),
+            &|state| {
+                let write = state.controllers[controller].ownership.reclaim(slot);
+                send_owner_write(state, write);
+            },
+        );
+        let Some(token) = self.controllers[controller].ownership.token(slot) else {
             return;
         };
-        let books = self.ctl[c].books[s].as_ref().filter(|b| b.token == token.0);
-        let Some(b) = books else {
+        let current_view = self.controllers[controller].views[slot_id]
+            .as_ref()
+            .filter(|view| view.token == token.0);
+        let Some(view) = current_view else {
             return step(
-                &|| format!("controller {c} reads the records of slot {s}"),
-                &|w| w.load(c, s),
+                &|| format!("controller {controller} reads the records of slot {slot_id}"),
+                &|state| state.read_slot(controller, slot_id),
             );
         };
         // The watch reports changes of quota parts and assignments. The owner already knows the
         // placements that it made.
         step(
-            &|| format!("controller {c} reads the quota part and the assignments of slot {s}"),
-            &|w| {
-                let (part, home, row) = (w.part[s], w.home, w.row);
-                if let Some(b) = w.ctl[c].books[s].as_mut().filter(|b| !b.unsure) {
-                    (b.part, b.home) = (part, home);
-                    for k in (0..2).filter(|k| b.run[*k] == Run::No) {
-                        b.row[k] = row[k].1;
+            &|| {
+                format!(
+                    "controller {controller} reads the quota part and the assignments of \
+                     slot {slot_id}"
+                )
+            },
+            &|state| {
+                let (quota_part, assignment, placement) =
+                    (state.quota_part[slot_id], state.assignment, state.placement);
+                if let Some(view) = state.controllers[controller].views[slot_id]
+                    .as_mut()
+                    .filter(|view| !view.shift_unconfirmed)
+                {
+                    (view.quota_part, view.assignment) = (quota_part, assignment);
+                    for task_id in
+                        (0..2).filter(|task_id| view.attempts[*task_id] == Attempt::Unplaced)
+                    {
+                        view.placement[task_id] = placement[task_id].1;
                     }
                 }
             },
         );
-        let used = b.run.iter().filter(|r| **r != Run::No).count() as u64;
-        let part = match defect {
+        let used = view
+            .attempts
+            .iter()
+            .filter(|attempt_state| **attempt_state != Attempt::Unplaced)
+            .count() as u64;
+        let usable_units = match defect {
             Defect::LimitEach => self.limit(),
-            _ => b.part.0 - u64::from(b.unsure && b.part.0 > 0),
+            _ => view.quota_part.0 - u64::from(view.shift_unconfirmed && view.quota_part.0 > 0),
         };
-        if b.unsure {
+        if view.shift_unconfirmed {
             step(
-                &|| format!("controller {c} confirms the quota part of slot {s}"),
-                &|w| {
-                    w.send(c, s, token.0, Kind::Touch { own: b.part.1 });
+                &|| {
+                    format!(
+                        "controller {controller} confirms the quota part of \
+                         slot {slot_id}"
+                    )
+                },
+                &|state| {
+                    state.send(
+                        controller,
+                        slot_id,
+                        token.0,
+                        Operation::ConfirmQuota {
+                            source: view.quota_part.1,
+                        },
+                    );
                 },
             );
-        } else if self.left.shifts > 0 && used < b.part.0 {
+        } else if self.budget.shifts > 0 && used < view.quota_part.0 {
             step(
-                &|| format!("controller {c} shifts a unit from slot {s}"),
-                &|w| {
-                    w.left.shifts -= 1;
-                    let (own, other) = (b.part.1, w.part[1 - s].1);
-                    w.send(c, s, token.0, Kind::Shift { own, other });
+                &|| format!("controller {controller} shifts a unit from slot {slot_id}"),
+                &|state| {
+                    state.budget.shifts -= 1;
+                    let (source, target) = (view.quota_part.1, state.quota_part[1 - slot_id].1);
+                    state.send(
+                        controller,
+                        slot_id,
+                        token.0,
+                        Operation::ShiftQuota { source, target },
+                    );
                 },
             );
         }
-        for k in 0..2 {
-            let (home, row) = (b.home[k], b.row[k]);
-            if usize::from(home.0) != s {
+        for task_id in 0..2 {
+            let (assignment, placement) = (view.assignment[task_id], view.placement[task_id]);
+            if usize::from(assignment.0) != slot_id {
                 continue;
             }
-            if b.run[k] == Run::No && used < part {
+            if view.attempts[task_id] == Attempt::Unplaced && used < usable_units {
                 step(
-                    &|| format!("controller {c} places task {k} on machine {s}"),
-                    &|w| {
-                        if let Some(b) = &mut w.ctl[c].books[s] {
-                            b.run[k] = Run::Planned;
+                    &|| {
+                        format!(
+                            "controller {controller} places task {task_id} on \
+                             machine {slot_id}"
+                        )
+                    },
+                    &|state| {
+                        if let Some(view) = &mut state.controllers[controller].views[slot_id] {
+                            view.attempts[task_id] = Attempt::Planned;
                         }
-                        w.send(
-                            c,
-                            s,
+                        state.send(
+                            controller,
+                            slot_id,
                             token.0,
-                            Kind::Place {
-                                task: k,
-                                home: home.1,
-                                row,
+                            Operation::Place {
+                                task: task_id,
+                                assignment: assignment.1,
+                                placement,
                             },
                         );
                     },
                 );
             }
-            let may = b.run[k] == Run::No || defect == Defect::GrantedTwice;
-            if self.left.homes > 0 && may {
+            let may_reassign =
+                view.attempts[task_id] == Attempt::Unplaced || defect == Defect::GrantedTwice;
+            if self.budget.reassignments > 0 && may_reassign {
                 step(
-                    &|| format!("controller {c} reassigns task {k} to slot {}", 1 - s),
-                    &|w| {
-                        w.left.homes -= 1;
-                        w.send(
-                            c,
-                            s,
+                    &|| {
+                        format!(
+                            "controller {controller} reassigns task {task_id} to slot {}",
+                            1 - slot_id
+                        )
+                    },
+                    &|state| {
+                        state.budget.reassignments -= 1;
+                        state.send(
+                            controller,
+                            slot_id,
                             token.0,
-                            Kind::Rehome {
-                                task: k,
-                                home: home.1,
-                                row,
+                            Operation::Reassign {
+                                task: task_id,
+                                assignment: assignment.1,
+                                placement,
                             },
                         );
                     },
@@ -654,179 +807,197 @@
     }
 
     fn limit(&self) -> u64 {
-        self.left.parts.iter().sum()
+        self.budget.quota_parts.iter().sum()
     }
 
     /// Returns the invariant that this state violates; `None` if it violates none.
-    fn broken(&self) -> Option<&'static str> {
-        let on = |k: usize| {
+    fn violated_invariant(&self) -> Option<&'static str> {
+        let machines_running = |task_id: usize| {
             self.workers
                 .iter()
-                .filter(|m| m.tasks.iter().any(|(t, _)| *t == k))
+                .filter(|worker| worker.tasks.iter().any(|(task, _)| *task == task_id))
                 .count()
         };
-        let twice = |m: &Worker| m.tasks.len() == 2 && m.tasks[0].0 == m.tasks[1].0;
-        if on(0) > 1 || on(1) > 1 || self.workers.iter().any(twice) {
+        let runs_task_twice =
+            |worker: &Worker| worker.tasks.len() == 2 && worker.tasks[0].0 == worker.tasks[1].0;
+        if machines_running(0) > 1
+            || machines_running(1) > 1
+            || self.workers.iter().any(runs_task_twice)
+        {
             return Some("ran_twice");
         }
-        let all: usize = self.workers.iter().map(|m| m.tasks.len()).sum();
-        (all as u64 > self.limit()).then_some("quota")
+        let running_tasks: usize = self.workers.iter().map(|worker| worker.tasks.len()).sum();
+        (running_tasks as u64 > self.limit()).then_some("quota")
     }
 }
 
-fn mark(world: &World) -> u64 {
+fn state_hash(state: &ModelState) -> u64 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
-    world.hash(&mut hasher);
+    state.hash(&mut hasher);
     hasher.finish()
 }
 
 /// Returns the descriptions of the steps that lead to a state, reconstructed from the index of the
 /// step chosen in each predecessor.
-fn way(left: Left, defect: Defect, from: &[(u32, u32)], mut at: usize, rule: &str) -> Vec<String> {
+fn trace(
+    budget: StepBudget,
+    defect: Defect,
+    predecessors: &[(u32, u32)],
+    mut state_index: usize,
+    invariant: &str,
+) -> Vec<String> {
     let mut choices = Vec::new();
-    while at != 0 {
-        choices.push(from[at].1 as usize);
-        at = from[at].0 as usize;
+    while state_index != 0 {
+        choices.push(predecessors[state_index].1 as usize);
+        state_index = predecessors[state_index].0 as usize;
     }
-    let (mut world, mut out) = (start(left), Vec::new());
+    let (mut state, mut out) = (initial_state(budget), Vec::new());
     for choice in choices.into_iter().rev() {
-        let (what, next) = world.next(defect, true).swap_remove(choice);
-        out.push(what);
-        world = next;
+        let (description, successor) = state.successors(defect, true).swap_remove(choice);
+        out.push(description);
+        state = successor;
     }
-    out.push(rule.to_string());
+    out.push(invariant.to_string());
     out
 }
 
 /// Explores the reachable states in breadth-first order. Returns their number, whether all were
 /// explored, and the trace to the first state that violates an invariant.
-fn explore(left: Left, defect: Defect, most: usize) -> (usize, bool, Option<Vec<String>>) {
-    let first = start(left);
-    let mut seen: HashSet<u64> = HashSet::from([mark(&first)]);
-    let mut from: Vec<(u32, u32)> = vec![(0, 0)];
-    let mut queue = VecDeque::from([(0usize, first)]);
-    while let Some((at, world)) = queue.pop_front() {
-        if let Some(rule) = world.broken() {
-            return (seen.len(), false, Some(way(left, defect, &from, at, rule)));
+fn explore(
+    budget: StepBudget,
+    defect: Defect,
+    max_states: usize,
+) -> (usize, bool, Option<Vec<String>>) {
+    let initial = initial_state(budget);
+    let mut seen: HashSet<u64> = HashSet::from([state_hash(&initial)]);
+    let mut predecessors: Vec<(u32, u32)> = vec![(0, 0)];
+    let mut queue = VecDeque::from([(0usize, initial)]);
+    while let Some((state_index, state)) = queue.pop_front() {
+        if let Some(invariant) = state.violated_invariant() {
+            return (
+                seen.len(),
+                false,
+                Some(trace(budget, defect, &predecessors, state_index, invariant)),
+            );
         }
-        if seen.len() >= most {
+        if seen.len() >= max_states {
             return (seen.len(), false, None);
         }
-        for (choice, (_, next)) in world.next(defect, false).into_iter().enumerate() {
-            if seen.insert(mark(&next)) {
-                from.push((at as u32, choice as u32));
-                queue.push_back((from.len() - 1, next));
+        for (choice, (_, successor)) in state.successors(defect, false).into_iter().enumerate() {
+            if seen.insert(state_hash(&successor)) {
+                predecessors.push((state_index as u32, choice as u32));
+                queue.push_back((predecessors.len() - 1, successor));
             }
         }
     }
     (seen.len(), true, None)
 }
 
-const NONE: Left = Left {
-    ends: 0,
-    gives: 0,
-    takes: 0,
-    homes: 0,
+const EMPTY_BUDGET: StepBudget = StepBudget {
+    restarts: 0,
+    transfers: 0,
+    acquisitions: 0,
+    reassignments: 0,
     shifts: 0,
-    lapses: 0,
+    task_losses: 0,
     reports: [0, 0],
-    parts: [1, 0],
-    copies: 1,
-    unknown: 0,
+    quota_parts: [1, 0],
+    deliveries: 1,
+    lost_replies: 0,
 };
 
 /// Small scenarios, each of which is explored completely or up to the maximum number of states.
 // A table with one entry for each scenario.
 #[allow(clippy::too_many_lines)]
-fn worlds() -> Vec<(&'static str, Left)> {
-    let one = Left {
+fn scenarios() -> Vec<(&'static str, StepBudget)> {
+    let two_reports = StepBudget {
         reports: [2, 0],
-        ..NONE
+        ..EMPTY_BUDGET
     };
     vec![
         (
             "acquisition from a live owner",
-            Left {
-                takes: 1,
-                copies: 2,
-                ..one
+            StepBudget {
+                acquisitions: 1,
+                deliveries: 2,
+                ..two_reports
             },
         ),
         (
             "transfer",
-            Left {
-                gives: 1,
-                unknown: 1,
-                ..one
+            StepBudget {
+                transfers: 1,
+                lost_replies: 1,
+                ..two_reports
             },
         ),
         (
             "controller restart",
-            Left {
-                ends: 1,
-                takes: 1,
-                ..one
+            StepBudget {
+                restarts: 1,
+                acquisitions: 1,
+                ..two_reports
             },
         ),
         (
             "loss of a machine's tasks",
-            Left {
-                lapses: 1,
-                takes: 1,
-                ..one
+            StepBudget {
+                task_losses: 1,
+                acquisitions: 1,
+                ..two_reports
             },
         ),
         (
             "reassignment",
-            Left {
-                homes: 1,
+            StepBudget {
+                reassignments: 1,
                 reports: [1, 1],
-                parts: [1, 1],
-                unknown: 1,
-                ..NONE
+                quota_parts: [1, 1],
+                lost_replies: 1,
+                ..EMPTY_BUDGET
             },
         ),
         (
             "quota parts",
-            Left {
-                homes: 1,
+            StepBudget {
+                reassignments: 1,
                 shifts: 1,
                 reports: [1, 1],
-                unknown: 1,
-                ..NONE
+                lost_replies: 1,
+                ..EMPTY_BUDGET
             },
         ),
         (
             "quota parts with an acquisition",
-            Left {
-                homes: 1,
+            StepBudget {
+                reassignments: 1,
                 shifts: 1,
-                takes: 1,
+                acquisitions: 1,
                 reports: [1, 1],
-                ..NONE
+                ..EMPTY_BUDGET
             },
         ),
     ]
 }
 
-const MAX_SLOTS: usize = 40_000;
+const MAX_STATES: usize = 40_000;
 
 #[test]
-fn no_reachable_state_breaks_a_rule() {
-    for (what, left) in worlds() {
-        let (states, all, way) = explore(left, Defect::None, MAX_SLOTS);
+fn no_reachable_state_violates_an_invariant() {
+    for (scenario, budget) in scenarios() {
+        let (states, all, trace) = explore(budget, Defect::None, MAX_STATES);
         println!(
-            "{what}: {states} states, {}",
+            "{scenario}: {states} states, {}",
             if all { "all" } else { "bounded" }
         );
         assert!(
-            way.is_none(),
-            "{what}: {}",
-            way.unwrap_or_default().join("\n")
+            trace.is_none(),
+            "{scenario}: {}",
+            trace.unwrap_or_default().join("\n")
         );
         assert!(
             states > 300,
-            "{what}: only {states} states, the model makes no progress"
+            "{scenario}: only {states} states, the model makes no progress"
         );
     }
 }
@@ -835,60 +1006,60 @@
 /// made for it.
 #[test]
 fn each_planted_defect_is_found() {
-    let one = Left {
+    let two_reports = StepBudget {
         reports: [2, 0],
-        ..NONE
+        ..EMPTY_BUDGET
     };
-    let both = Left {
-        homes: 1,
+    let base = StepBudget {
+        reassignments: 1,
         reports: [1, 1],
-        unknown: 1,
-        ..NONE
+        lost_replies: 1,
+        ..EMPTY_BUDGET
     };
-    for (defect, left) in [
+    for (defect, budget) in [
         (
             Defect::OneToken,
-            Left {
-                takes: 1,
-                copies: 2,
-                ..one
+            StepBudget {
+                acquisitions: 1,
+                deliveries: 2,
+                ..two_reports
             },
         ),
         (
             Defect::EarlyProof,
-            Left {
-                takes: 1,
-                copies: 2,
-                ..one
+            StepBudget {
+                acquisitions: 1,
+                deliveries: 2,
+                ..two_reports
             },
         ),
         (
             Defect::GrantedTwice,
-            Left {
-                parts: [1, 1],
-                ..both
+            StepBudget {
+                quota_parts: [1, 1],
+                ..base
             },
         ),
-        (Defect::LimitEach, both),
-        (Defect::PartUsedAgain, Left { shifts: 1, ..both }),
+        (Defect::LimitEach, base),
+        (Defect::PartUsedAgain, StepBudget { shifts: 1, ..base }),
         (
             Defect::Unconditional,
-            Left {
-                takes: 1,
+            StepBudget {
+                acquisitions: 1,
                 reports: [3, 0],
-                ..NONE
+                ..EMPTY_BUDGET
             },
         ),
     ] {
-        let (states, _, way) = explore(left, defect, MAX_SLOTS * 8);
-        let Some(way) = way else {
+        let (states, _, trace) = explore(budget, defect, MAX_STATES * 8);
+        let Some(trace) = trace else {
             panic!("{defect:?} was not found in {states} states")
         };
         println!(
             "{defect:?}: {states} states, {} steps\n  {}",
-            way.len() - 1,
-            way.join("\n  ")
+            trace.len() - 1,
+            trace.join("\n  ")
         );
-        assert!(way.len() <= 20, "{defect:?}: {} steps", way.len());
+        assert!(trace.len() <= 20, "{defect:?}: {} steps", trace.len());
     }
 }
--- a/crates/transport/src/connections.rs
+++ b/crates/transport/src/connections.rs
@@ -206,8 +206,15 @@
             .enumerate()
             .filter_map(|(i, c)| c.as_ref().map(|c| (i, c)))
             .filter(|(_, c)| {
-                matches!(c.kind, ConnectionKind::Public { listener, awaiting_answer: false, is_worker: false, .. }
-                    if listener == index)
+                matches!(
+                    c.kind,
+                    ConnectionKind::Public {
+                        listener,
+                        awaiting_answer: false,
+                        is_worker: false,
+                        ..
+                    } if listener == index
+                )
             })
             .min_by_key(|(_, c)| c.last_active)
             .map(|(i, c)| (i, c.last_active));
@@ -263,7 +270,7 @@
         for member in 0..self.network.members.len() {
             let connected =
                 self.connections.iter().flatten().any(
-                    |c| matches!(c.kind, ConnectionKind::PeerOut { member: connected_member } if connected_member == member),
+                    |c| matches!(c.kind, ConnectionKind::PeerOut { member: m } if m == member),
                 );
             if connected || now < self.peer_retry_at[member] {
                 continue;
