--- a/crates/transport/src/connections.rs
+++ b/crates/transport/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: accepted, opened, bounded in number, and closed when they time out.
+//! Connections: accepts, opens and closes them, and enforces their limits and timeouts.
 
 use crate::network::{connect, open_listener, ListenerKind};
 use crate::output::{MAX_CLOUD_CONNECTIONS, MAX_STATE_CONNECTIONS};
@@ -9,31 +9,35 @@
 use std::io;
 use std::net::{TcpListener, TcpStream};
 
-/// How long a request may take to come in, seconds.
+/// Maximum time in which a request must arrive completely, in seconds.
 const REQUEST_TIMEOUT_S: f64 = 10.0;
-/// How long a connection may be idle, seconds.
+/// Maximum idle time of a connection from a client, in seconds.
 const IDLE_TIMEOUT_S: f64 = 75.0;
-/// Idle time after which a connection may be closed for a new one, seconds.
+/// Idle time after which a connection may be closed in favor of a new one, in seconds.
 const MIN_IDLE_BEFORE_EVICTION_S: f64 = 2.0;
-/// A client of the admin API that reads nothing of its answer for so long is closed, seconds.
+/// Time after which an admin API client that reads nothing of its answer is disconnected, in
+/// seconds.
 const SLOW_READER_TIMEOUT_S: f64 = 10.0;
-/// Idle time after which a connection to an outside service is closed, seconds.
+/// Idle time after which a connection to an external service is closed, in seconds.
 const CALL_IDLE_TIMEOUT_S: f64 = 30.0;
-/// A peer sends a heartbeat each second: a link that is silent for so long is closed, seconds.
-const PEER_SILENCE_TIMEOUT_S: f64 = 10.0;
-/// A peer that reads nothing for so long is disconnected, seconds.
+/// Time without received data after which a connection from a peer is closed, in seconds. Peers
+/// send a heartbeat every second.
+const PEER_RECEIVE_TIMEOUT_S: f64 = 10.0;
+/// Time after which a peer that does not read pending data is disconnected, in seconds.
 const PEER_WRITE_TIMEOUT_S: f64 = 5.0;
-/// Pause between two attempts to connect to a peer, seconds.
+/// Interval between attempts to connect to a peer, in seconds.
 const PEER_RETRY_S: f64 = 1.0;
-/// Most connections accepted from one listener before other events are served.
+/// Maximum number of connections accepted from one listener before other events are handled.
 const MAX_ACCEPTS_PER_EVENT: usize = 64;
-/// Connections kept free for peers and workers, beside those to the store and the cloud.
+/// Connections reserved for peers and for calls to workers, in addition to those reserved for the
+/// key-value store and the cloud.
 const RESERVED_FOR_PEERS: usize = 16;
-/// How often a listener that could not be opened is tried again, seconds.
+/// Interval between attempts to open a listener that could not be opened, in seconds.
 pub(crate) const LISTENER_RETRY_INTERVAL_S: f64 = 5.0;
 
 impl<S: Service> EventLoop<S> {
-    /// Registers a connection and returns its slot. `connecting`: it is not established yet.
+    /// Registers a connection and returns its slot. `connecting` is true if the connection is not
+    /// established yet.
     pub(crate) fn insert(
         &mut self,
         stream: TcpStream,
@@ -78,7 +82,7 @@
         Ok(slot)
     }
 
-    /// Closes a connection; a call that it carried counts as failed.
+    /// Closes a connection. A call in progress on it is reported as failed.
     pub(crate) fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot).and_then(Option::take) else {
             return;
@@ -88,27 +92,27 @@
         self.free_slots.push(slot);
         match connection.kind {
             ConnectionKind::Call {
-                current: Some((id, _)),
+                current_call: Some((id, _)),
                 ..
             } => self.failed_calls.push_back(id),
             ConnectionKind::Public { listener, .. } => self.open_by_listener[listener] -= 1,
             ConnectionKind::PeerOut { member } => {
-                let at = self.now().plus(PEER_RETRY_S);
-                if let Some(r) = self.peer_retry_at.get_mut(member) {
-                    *r = at;
+                let next_attempt = self.now().plus(PEER_RETRY_S);
+                if let Some(retry_at) = self.peer_retry_at.get_mut(member) {
+                    *retry_at = next_attempt;
                 }
             }
             _ => {}
         }
     }
 
-    /// Accepts what waits at a listener; `None` is the listener for peers.
-    pub(crate) fn accept(&mut self, place: Option<usize>) {
+    /// Accepts pending connections of a listener; `None` stands for the peer listener.
+    pub(crate) fn accept(&mut self, index: Option<usize>) {
         let limit = self.network.max_connections;
         let reserve = self.reserved_connections();
         for _ in 0..MAX_ACCEPTS_PER_EVENT {
-            let listener = match place {
-                Some(place) => self.listeners.get(place).and_then(Option::as_ref),
+            let listener = match index {
+                Some(index) => self.listeners.get(index).and_then(Option::as_ref),
                 None => self.peer_listener.as_ref(),
             };
             let Some(Ok((stream, _))) = listener.map(TcpListener::accept) else {
@@ -118,29 +122,30 @@
                 continue;
             }
             let _ = stream.set_nodelay(true);
-            // A connection that has been idle at the same listener is closed for the new one.
-            let full = match place.map(|place| (place, self.network.listeners[place].kind)) {
-                Some((place, ListenerKind::Admin { max_connections })) => {
-                    self.open_by_listener[place] >= max_connections && !self.evict_idle(place)
+            // At the limit, an idle connection of the same listener is closed in favor of the new
+            // one.
+            let at_limit = match index.map(|index| (index, self.network.listeners[index].kind)) {
+                Some((index, ListenerKind::Admin { max_connections })) => {
+                    self.open_by_listener[index] >= max_connections && !self.evict_idle(index)
                         || self.open_connections + reserve >= limit
                 }
-                Some((place, ListenerKind::Platform)) => {
-                    self.open_connections + reserve >= limit && !self.evict_idle(place)
+                Some((index, ListenerKind::Platform)) => {
+                    self.open_connections + reserve >= limit && !self.evict_idle(index)
                 }
                 None => false,
             };
-            if full {
-                // Closed at once: the load balancer, the worker or the client tries another
-                // controller instead of waiting for this one.
+            if at_limit {
+                // The connection is closed immediately, so that the load balancer, the worker or
+                // the client tries another controller instead of waiting for this one.
                 continue;
             }
-            let kind = match place {
+            let kind = match index {
                 Some(listener) => ConnectionKind::Public {
                     listener,
-                    waiting: false,
+                    awaiting_answer: false,
                     close: false,
-                    partial: None,
-                    worker: false,
+                    partial_since: None,
+                    is_worker: false,
                 },
                 None => ConnectionKind::PeerIn,
             };
@@ -148,39 +153,40 @@
         }
     }
 
-    /// Connections kept free for peers, the key-value store, the cloud and workers.
+    /// Number of connections reserved for peers, the key-value store, the cloud and workers.
     pub(crate) fn reserved_connections(&self) -> usize {
         (MAX_STATE_CONNECTIONS + MAX_CLOUD_CONNECTIONS + RESERVED_FOR_PEERS)
             .min(self.network.max_connections / 3)
     }
 
-    /// Whether so many connections are open that workers must give theirs up between reports.
+    /// Returns whether so many connections are open that workers must close theirs after each
+    /// report.
     ///
-    /// Guards against more machines than connections: those that are connected would keep all of
-    /// them, the others could not report, and users would find no controller.
+    /// Guards against having more machines than connections: the connected machines would occupy
+    /// all connections, the other machines could not report, and users would reach no controller.
     pub(crate) fn near_limit(&self) -> bool {
         (self.open_connections + self.reserved_connections()) * 5 > self.network.max_connections * 4
     }
 
-    /// Tries the listeners again that could not be opened.
+    /// Retries listeners that could not be opened.
     pub(crate) fn retry_listeners(&mut self, now: Time) {
-        if now.since(self.listeners_tried) < LISTENER_RETRY_INTERVAL_S
+        if now.since(self.last_listener_retry) < LISTENER_RETRY_INTERVAL_S
             || self.listeners.iter().all(Option::is_some)
         {
             return;
         }
-        self.listeners_tried = now;
-        for (place, config) in self.network.listeners.iter().enumerate() {
-            if self.listeners[place].is_none() {
-                if let Ok(listener) = open_listener(&self.poller, place, config) {
+        self.last_listener_retry = now;
+        for (index, config) in self.network.listeners.iter().enumerate() {
+            if self.listeners[index].is_none() {
+                if let Ok(listener) = open_listener(&self.poller, index, config) {
                     tracing::info!(address = %config.addr, "opened admin API listener");
-                    self.listeners[place] = Some(listener);
+                    self.listeners[index] = Some(listener);
                 }
             }
         }
     }
 
-    /// Whether a listener serves the admin API.
+    /// Returns whether a listener serves the admin API.
     pub(crate) fn is_admin(&self, listener: usize) -> bool {
         matches!(
             self.network.listeners.get(listener).map(|l| l.kind),
@@ -188,23 +194,31 @@
         )
     }
 
-    /// Closes the connection of a listener that has been idle longest; workers keep theirs.
+    /// Closes the connection of a listener that has been idle the longest, unless it belongs to a
+    /// worker.
     ///
-    /// Returns whether one was idle for long enough.
-    pub(crate) fn evict_idle(&mut self, place: usize) -> bool {
+    /// Returns whether a connection was idle long enough to be closed.
+    pub(crate) fn evict_idle(&mut self, index: usize) -> bool {
         let now = self.now();
-        let oldest = self
+        let longest_idle = self
             .connections
             .iter()
             .enumerate()
             .filter_map(|(i, c)| c.as_ref().map(|c| (i, c)))
             .filter(|(_, c)| {
-                matches!(c.kind, ConnectionKind::Public { listener, waiting: false, worker: false, .. }
-                    if listener == place)
+                matches!(
+                    c.kind,
+                    ConnectionKind::Public {
+                        listener,
+                        awaiting_answer: false,
+                        is_worker: false,
+                        ..
+                    } if listener == index
+                )
             })
             .min_by_key(|(_, c)| c.last_active)
             .map(|(i, c)| (i, c.last_active));
-        match oldest {
+        match longest_idle {
             Some((slot, last_active)) if now.since(last_active) > MIN_IDLE_BEFORE_EVICTION_S => {
                 self.close(slot);
                 true
@@ -213,36 +227,36 @@
         }
     }
 
-    /// Closes the connections that have timed out.
+    /// Closes connections that have timed out.
     pub(crate) fn close_expired(&mut self, now: Time) {
         let mut expired = Vec::new();
         for (slot, connection) in self.connections.iter().enumerate() {
             let Some(c) = connection else { continue };
-            let late = match &c.kind {
+            let timed_out = match &c.kind {
                 ConnectionKind::Public { listener, .. }
                     if self.is_admin(*listener) && !c.output.is_empty() =>
                 {
                     now.since(c.last_active) > SLOW_READER_TIMEOUT_S
                 }
                 ConnectionKind::Call {
-                    current: Some((_, deadline)),
+                    current_call: Some((_, deadline)),
                     ..
                 } => now > *deadline,
-                ConnectionKind::Call { current: None, .. } => {
-                    now.since(c.last_active) > CALL_IDLE_TIMEOUT_S
-                }
+                ConnectionKind::Call {
+                    current_call: None, ..
+                } => now.since(c.last_active) > CALL_IDLE_TIMEOUT_S,
                 ConnectionKind::Public {
-                    waiting: false,
-                    partial: Some(t),
+                    awaiting_answer: false,
+                    partial_since: Some(arrived_at),
                     ..
-                } => now.since(*t) > REQUEST_TIMEOUT_S,
+                } => now.since(*arrived_at) > REQUEST_TIMEOUT_S,
                 ConnectionKind::Public { .. } => now.since(c.last_active) > IDLE_TIMEOUT_S,
-                ConnectionKind::PeerIn => now.since(c.last_active) > PEER_SILENCE_TIMEOUT_S,
+                ConnectionKind::PeerIn => now.since(c.last_active) > PEER_RECEIVE_TIMEOUT_S,
                 ConnectionKind::PeerOut { .. } => {
                     !c.output.is_empty() && now.since(c.last_active) > PEER_WRITE_TIMEOUT_S
                 }
             };
-            if late {
+            if timed_out {
                 expired.push(slot);
             }
         }
@@ -251,14 +265,14 @@
         }
     }
 
-    /// Opens the connections to peers that are missing.
+    /// Opens connections to peers that are not connected.
     pub(crate) fn connect_peers(&mut self, now: Time) {
         for member in 0..self.network.members.len() {
-            let linked =
+            let connected =
                 self.connections.iter().flatten().any(
                     |c| matches!(c.kind, ConnectionKind::PeerOut { member: m } if m == member),
                 );
-            if linked || now < self.peer_retry_at[member] {
+            if connected || now < self.peer_retry_at[member] {
                 continue;
             }
             self.peer_retry_at[member] = now.plus(PEER_RETRY_S);
--- a/crates/transport/src/input.rs
+++ b/crates/transport/src/input.rs
@@ -1,5 +1,5 @@
-//! Input: whole requests, responses and frames are taken from the buffers of connections and
-//! handed to the service.
+//! Input: extracts complete requests, responses and frames from connection buffers and passes
+//! them to the service.
 
 use crate::{wall, ConnectionKind, EventLoop};
 use beamhinge_core::http::{self, Content, HttpError};
@@ -9,20 +9,20 @@
 use beamhinge_core::wire::{self, MAX_BODY_BYTES};
 use std::io::{self, Read};
 
-/// Largest response that is accepted, bytes; those of the key-value store may be large.
+/// Maximum size of a response body in bytes. Responses of the key-value store may be large.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
-/// The status by which a controller sends its caller to another one.
+/// HTTP status with which a controller redirects its caller to another controller.
 const MISDIRECTED: u16 = 421;
 
 impl<S: Service> EventLoop<S> {
-    /// Serves a connection that can be read or written.
+    /// Handles a connection that is readable or writable.
     pub(crate) fn on_ready(&mut self, slot: usize, readable: bool, writable: bool) {
         if writable {
             if !self.flush(slot) {
                 return;
             }
-            // Requests that waited until the last answer was read are handled now.
-            let waits = self
+            // Requests that were deferred until the client read the last answer are handled now.
+            let has_deferred_requests = self
                 .connections
                 .get(slot)
                 .and_then(Option::as_ref)
@@ -31,7 +31,7 @@
                         && c.output.is_empty()
                         && !c.input.is_empty()
                 });
-            if waits {
+            if has_deferred_requests {
                 self.handle_requests(slot);
             }
         }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Reads what has arrived on a connection and handles it.
+    /// Reads the available bytes of a connection and handles the complete messages in them.
     pub(crate) fn read_from(&mut self, slot: usize) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
@@ -83,17 +83,17 @@
             ConnectionKind::PeerIn => self.handle_frames(slot),
             ConnectionKind::PeerOut { .. } => connection.input.clear(),
         }
-        let over = self
+        let over_limit = self
             .connections
             .get(slot)
             .and_then(Option::as_ref)
             .is_some_and(|c| c.input.len() > limit);
-        if closed || over {
+        if closed || over_limit {
             self.close(slot);
         }
     }
 
-    /// Hands whole requests to the service, one at a time.
+    /// Passes complete requests to the service, one at a time.
     pub(crate) fn handle_requests(&mut self, slot: usize) {
         loop {
             let now = self.now();
@@ -103,34 +103,34 @@
             let generation = connection.generation;
             let ConnectionKind::Public {
                 listener,
-                waiting,
+                awaiting_answer,
                 close,
-                partial,
-                worker,
+                partial_since,
+                is_worker,
             } = &mut connection.kind
             else {
                 return;
             };
             let listener = *listener;
-            // The next request is taken only when the last answer has been read: answers to a
-            // client that sends and never reads would fill the memory otherwise.
-            if *waiting || *close || !connection.output.is_empty() {
+            // The next request is parsed only after the last answer was written completely.
+            // Otherwise the answers to a client that sends but never reads would fill the memory.
+            if *awaiting_answer || *close || !connection.output.is_empty() {
                 return;
             }
             match http::take_request(&mut connection.input, MAX_BODY_BYTES) {
                 Ok(None) => {
-                    *partial = if connection.input.is_empty() {
+                    *partial_since = if connection.input.is_empty() {
                         None
                     } else {
-                        partial.or(Some(now))
+                        partial_since.or(Some(now))
                     };
                     return;
                 }
                 Ok(Some(request)) => {
-                    *waiting = true;
+                    *awaiting_answer = true;
                     *close = request.close;
-                    *partial = None;
-                    *worker |= request.path.starts_with("/hello");
+                    *partial_since = None;
+                    *is_worker |= request.path.starts_with("/hello");
                     let id = RequestId { slot, generation };
                     let mut out = Vec::new();
                     self.service
@@ -138,7 +138,7 @@
                     self.apply_effects(out);
                 }
                 Err(error) => {
-                    *waiting = true;
+                    *awaiting_answer = true;
                     *close = true;
                     connection.input.clear();
                     let answer = self.malformed_request_answer(
@@ -153,7 +153,8 @@
         }
     }
 
-    /// The answer to a request that cannot be parsed, in the form of the listener's interface.
+    /// Builds the answer to a request that cannot be parsed, in the listener's format (JSON for
+    /// the admin API, CBOR for the platform).
     fn malformed_request_answer(
         &self,
         to: RequestId,
@@ -182,22 +183,23 @@
         }
     }
 
-    /// Handles the reply to the call that a connection carries.
+    /// Handles the response to the current call of a connection.
     pub(crate) fn handle_response(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
             return;
         };
         let ConnectionKind::Call {
             destination,
-            current,
+            current_call,
         } = &mut connection.kind
         else {
             return;
         };
-        // Thousands of workers are called rarely: none of them keeps a connection.
-        let once = matches!(destination, Destination::Worker(_));
-        if current.is_none() {
-            // Bytes without a call: the connection cannot be used any further.
+        // There are thousands of workers and each is called rarely, so connections to workers are
+        // closed after one call.
+        let close_after_reply = matches!(destination, Destination::Worker(_));
+        if current_call.is_none() {
+            // Bytes that belong to no call make the connection unusable.
             if !connection.input.is_empty() {
                 self.close(slot);
             }
@@ -206,9 +208,9 @@
         match http::take_response(&mut connection.input, MAX_RESPONSE_BYTES) {
             Ok(None) => {}
             Ok(Some(response)) => {
-                let id = current.take().map(|(id, _)| id);
-                // A caller that is sent elsewhere closes the connection (PROTOCOL).
-                if response.close || once || response.status == MISDIRECTED {
+                let id = current_call.take().map(|(id, _)| id);
+                // A caller that is redirected closes the connection (PROTOCOL).
+                if response.close || close_after_reply || response.status == MISDIRECTED {
                     self.close(slot);
                 } else {
                     connection.input.shrink_to(16 * 1024);
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Hands whole frames of a peer to the service.
+    /// Passes complete frames of a peer to the service.
     pub(crate) fn handle_frames(&mut self, slot: usize) {
         loop {
             let now = self.now();
