--- a/crates/sim/src/cluster.rs
+++ b/crates/sim/src/cluster.rs
@@ -1,18 +1,18 @@
-//! A whole cluster in simulated time: the controllers as they are, on the emulators of the
-//! state service, the cloud, the workers and the users. After every step the protocol's
-//! rules are checked against what really is on the machines, not against what the
+//! A whole cluster in simulated time: the unmodified controllers run on the emulators of the
+//! key-value store, the cloud, the workers and the users. After every step the protocol's
+//! rules are checked against the actual tasks on the machines, not against what the
 //! controllers believe.
 //!
 //! [`Sim`] owns all state; its methods are split by concern:
 //!
-//! - `controllers`: their processes, and what they send;
-//! - `delivery`: what happens at the far end of each message;
-//! - `links`: which messages pass;
-//! - `machines`, `users`, `operators`, `adverse_users`: those around the cluster;
-//! - `checks`, `starvation`, `figures`: the rules, and what a scenario came to.
+//! - `controllers`: the controller processes and the messages that they send;
+//! - `delivery`: the handling of each message at its receiver;
+//! - `links`: which messages are delivered, delayed or lost;
+//! - `machines`, `users`, `operators`, `adverse_users`: everything that uses the controllers;
+//! - `checks`, `starvation`, `figures`: the rules, and the results of a scenario.
 //!
-//! Invariants: an event happens at a time not before the one that caused it; every random
-//! draw comes from the scenario's seed, those for frames from a stream of their own.
+//! Invariants: an event never happens before the event that caused it. Every random draw
+//! comes from the scenario's seed; draws for frames use a separate stream.
 
 mod adverse_users;
 mod checks;
@@ -44,30 +44,30 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// When simulated time begins: late enough that times before it exist.
+/// When simulated time begins. It is greater than zero so that earlier times can be expressed.
 pub const START: Micros = 3_600 * SECOND;
-/// Within so many seconds after the last fault every user asks once more.
+/// Every user polls once more within this many seconds after the last fault.
 const LAST_POLL_S: u64 = 20;
-/// Tells the seed of the frames' draws from that of all others.
+/// Combined with the scenario's seed to get a separate seed for the draws of frames.
 const FRAME_SEED: u64 = 0x6672_616d_6573;
 /// The wall clock at simulated time zero, milliseconds.
 const WALL_START_MS: u64 = 1_700_000_000_000;
 
-/// Who waits for an answer of a controller.
+/// The sender that waits for a controller's answer.
 enum Requester {
     User(UserCall),
     Worker { machine: u64, serial: u64 },
     Operator(OperatorRequest),
 }
 
-/// A request of a user under way.
+/// A user's request that is in progress.
 #[derive(Clone, Debug)]
 struct UserCall {
     job: String,
     request: UserRequest,
-    /// When it was sent first.
+    /// When its first attempt was sent.
     since: Micros,
-    /// When it was sent this time.
+    /// When this attempt was sent.
     sent: Micros,
     /// An additional request that is sent only once.
     probe: bool,
@@ -75,63 +75,63 @@
 
 /// A cluster in simulated time.
 pub struct Sim {
-    /// The present.
+    /// The current simulated time.
     pub now: Micros,
     queue: EventQueue,
-    /// All draws but those for frames.
+    /// Random draws, except those for frames.
     pub rng: StdRng,
-    /// Draws for frames between controllers, apart from all others: how often they speak to
-    /// each other must not change what else is drawn.
+    /// Draws for frames between controllers. They are separate so that the number of frames
+    /// does not change any other draw.
     frame_rng: StdRng,
     /// Each controller's settings.
     pub settings: Vec<Settings>,
     controllers: Vec<Option<Node>>,
     /// How often each controller has started and ended.
     generations: Vec<u64>,
-    /// Lines of the operators' file beside its listener.
+    /// Lines of the operators' file, in addition to its listener.
     pub operator_config: String,
-    /// Faults of old and guards left out of the controllers.
+    /// Past faults put back into the controllers, and guards left out of them.
     regressions: Faults,
-    /// The state service.
+    /// The key-value store.
     pub state: StateService,
     /// The cloud.
     pub cloud: Cloud,
-    /// The workers by the number of their machine.
+    /// The workers, by machine number.
     pub workers: BTreeMap<u64, Worker>,
     /// The jobs by id.
     pub jobs: BTreeMap<String, JobPlan>,
     /// The users.
     pub users: Users,
-    /// Requests under way, by controller and number.
+    /// Requests in progress, by controller and request number.
     requesters: BTreeMap<(usize, u64), Requester>,
     last_request: u64,
-    /// What operators were answered, by the name of their request.
+    /// Answers to operators, by the name of the request.
     pub operator_answers: BTreeMap<String, (u16, serde_json::Value)>,
     /// Faults in force.
     pub faults: FaultInjection,
     /// Violations of the protocol by the emulators.
     pub protocol_faults: ProtocolFaults,
-    /// Actions that wait for something to happen.
+    /// Actions that wait for a trigger.
     pub armed: Vec<ArmedAction>,
-    /// When the last fault ended: from then on every question has an answer.
+    /// When the last fault ended. Every request must be answered from then on.
     pub healed: Option<Micros>,
-    /// The rules, and what is counted.
+    /// The protocol's rules and the collected counters.
     pub checks: Checks,
-    /// The leadership block as it was last seen.
+    /// The last known value of the leadership block.
     leadership_block: Option<serde_json::Value>,
-    /// When the state service's watches are looked at next.
+    /// When the key-value store's watches are checked next.
     next_watch: Micros,
-    /// Machines with a lower number were there from the start.
+    /// Machines with a lower number existed from the start.
     pub first_rented: u64,
-    /// Of all that controllers sent.
+    /// Running hash of all messages that the controllers sent.
     pub fingerprinter: Fingerprinter,
 }
 
 impl Sim {
-    /// A cluster whose controllers have these regressions put back; none of them runs yet.
+    /// A cluster whose controllers contain these regressions. No controller runs yet.
     ///
     /// # Panics
-    /// Without any settings.
+    /// If `settings` is empty.
     #[must_use]
     pub fn new(settings: Vec<Settings>, seed: u64, regressions: Faults) -> Sim {
         let params = &settings[0].params;
@@ -175,12 +175,12 @@
         WallMs(WALL_START_MS + self.now / 1_000)
     }
 
-    /// The lease of the workers, seconds.
+    /// Duration of the workers' session lease, seconds.
     fn lease_s(&self) -> f64 {
         self.settings[0].params.workers.lease_s
     }
 
-    /// Plays until `end`, or until a step of the script is due: see [`Sim::due_script`].
+    /// Runs until `end`, or until a step of the script is due: see [`Sim::due_script`].
     pub fn run_until(&mut self, end: Micros) {
         while let Some((at, event)) = self.queue.peek().filter(|(at, _)| *at <= end) {
             let is_script = matches!(event, Event::Script(_));
@@ -191,7 +191,7 @@
                 return;
             }
             if let Some(until) = self.frozen_until(&event) {
-                // In the order in which they came.
+                // Deferred events keep their order.
                 self.push(until, event);
                 continue;
             }
@@ -202,13 +202,13 @@
         self.now = self.now.max(end);
     }
 
-    /// The end of the standstill of the controller that an event is for.
+    /// Until when the controller that the event is for is frozen; `None` if it is not.
     fn frozen_until(&self, event: &Event) -> Option<Micros> {
         let until = self.faults.frozen_until.get(event.controller()?).copied();
         until.filter(|until| self.now < *until)
     }
 
-    /// Where [`Sim::run_until`] stopped for the script, the step that is due.
+    /// The step of the script that is due, if [`Sim::run_until`] stopped for one.
     pub fn due_script(&mut self) -> Option<ScriptStep> {
         let (at, event) = self.queue.peek()?;
         if at > self.now || !matches!(event, Event::Script(_)) {
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Actions that waited for this are due.
+    /// Schedules the actions that waited for this trigger.
     fn trigger(&mut self, trigger: Trigger) {
         let (due, waiting): (Vec<_>, Vec<_>) =
             self.armed.drain(..).partition(|a| a.trigger == trigger);
@@ -230,7 +230,7 @@
         }
     }
 
-    /// All faults end: links and services are there, all controllers run.
+    /// Ends all faults: all links and services are available, and all controllers run.
     pub fn heal(&mut self) {
         let now = self.now;
         self.faults.heal(now);
@@ -239,8 +239,9 @@
             faults.inbound_cut_until = faults.inbound_cut_until.min(now);
             faults.outbound_cut_until = faults.outbound_cut_until.min(now);
         }
-        // An outage that is cut short gives the leases their full time from now on, not
-        // from when it was to end: nobody could acquire a lease that was left for a minute.
+        // When an outage is ended early, leases get their full duration from now on, not from
+        // the planned end of the outage: otherwise an abandoned lease could not be acquired
+        // for up to a minute.
         if self.state.down_until > now {
             self.state.outage(now);
         }
@@ -248,7 +249,7 @@
         self.cloud.capacity_fraction = 1.0;
         (0..self.settings.len()).for_each(|controller| self.start(controller));
         self.healed = Some(now);
-        // Users may ask at any later time, also about what is over.
+        // Users may poll at any later time, also about jobs that have ended.
         for job in self.users.accepted_jobs() {
             let since = now + self.rng.gen_range(0..LAST_POLL_S * SECOND);
             let request = UserRequest::Poll;
--- a/crates/sim/src/cluster/adverse_users.rs
+++ b/crates/sim/src/cluster/adverse_users.rs
@@ -1,5 +1,5 @@
-//! Users at the worst moments: who ask all controllers at once, and who cancel at the very
-//! end or just now.
+//! Users who send requests at the worst moments: to all controllers at once, or cancellations
+//! just as a job ends or while it runs.
 
 use super::Sim;
 use crate::event::Event;
@@ -8,13 +8,13 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Machines that hang at most as users cancel.
+/// Most machines that hang while users cancel.
 const MAX_HUNG: usize = 8;
-/// Part of the jobs with additional requests that are then cancelled.
+/// Fraction of the jobs with additional requests that are then cancelled.
 const PROBED_CANCELLED: f64 = 0.1;
-/// Additional requests come within this time.
+/// Additional requests are sent within this time.
 const PROBE_SPREAD: Micros = 8_000;
-/// Cancellations come within this time of a job's end, or of each other.
+/// Cancellations are sent within this time of a job's end, or of each other.
 const CANCEL_SPREAD: Micros = SECOND / 5;
 
 impl Sim {
@@ -27,7 +27,7 @@
         self.push(at, event);
     }
 
-    /// All controllers are asked within milliseconds, and the submission is sent again.
+    /// Polls all controllers within milliseconds, and sends the submission again.
     pub(super) fn probe_all_controllers(&mut self, job: &str) {
         if self.now >= self.faults.probes_until {
             return;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The last task of a job has just ended on its machine.
+    /// Handles the end of a job's last task on its machine: its user may cancel it just then.
     pub(super) fn on_job_ended(&mut self, job: &str) {
         if self.faults.cancel_at_end.draw(self.now, &mut self.rng) {
             let at = self.now + self.rng.gen_range(0..CANCEL_SPREAD);
@@ -57,8 +57,9 @@
         }
     }
 
-    /// Users cancel so many of the jobs that run and have long to go, within a fifth of a
-    /// second; with `hang`, up to eight of their machines hang for so long.
+    /// Users cancel up to `count` running jobs, those with the longest tasks first, within a
+    /// fifth of a second. If `hang` is not zero, up to eight of their machines hang for that
+    /// long.
     pub fn cancel_running(&mut self, count: usize, hang: Micros) {
         let mut hung = 0;
         for (job, machines) in self.longest_running_jobs().into_iter().take(count) {
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Jobs that nobody cancelled and their machines, those with the longest tasks first.
+    /// Running jobs that no user has asked to cancel, with their machines; those with the
+    /// longest tasks first.
     fn longest_running_jobs(&self) -> Vec<(String, Vec<u64>)> {
         let mut running: BTreeMap<String, Vec<u64>> = BTreeMap::new();
         for (id, worker) in &self.workers {
--- a/crates/sim/src/cluster/checks.rs
+++ b/crates/sim/src/cluster/checks.rs
@@ -1,4 +1,4 @@
-//! The rules of the protocol, checked against what really is on the machines.
+//! The rules of the protocol, checked against the actual tasks on the machines.
 
 use super::{Sim, START};
 use crate::effective_quotas::EffectiveQuotas;
@@ -9,36 +9,37 @@
 use beamhinge_emulator::{job_id, JobPlan, Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request that is open for longer, without any fault, is about a job that was forgotten;
-/// seconds.
+/// A job is forgotten if a request about it stays unanswered for longer than this without any
+/// fault; seconds.
 const FORGOTTEN_S: u64 = 75;
-/// What only time breaks is looked at this often.
+/// Interval between checks of the rules that the passing of time alone can break.
 const CLOCK_INTERVAL: Micros = SECOND;
 
-/// What happened to machines and tasks, by what really was the case.
+/// Losses of machines and tasks, by the actual state of the machines.
 #[derive(Clone, Debug, Default)]
 pub struct LossCounts {
     /// Machines that were up when their link was cut.
     pub cut_off: u64,
-    /// Healthy machines that were returned busy, or while they were cut off.
+    /// Healthy machines that were returned while they ran tasks or were cut off.
     pub healthy_returned: u64,
-    /// Machines returned that had not been answered since they hung, and woke.
+    /// Machines that hung, resumed, and were returned before a controller had answered them
+    /// again.
     pub faulty_returned: u64,
-    /// Tasks on healthy returned machines, and tasks that a lease ended on a machine and at
-    /// a time without any fault.
+    /// Tasks on healthy returned machines, and tasks that ended with an expired lease on a
+    /// machine without a fault while no other fault was in force.
     pub unexplained: u64,
-    /// Tasks that a lease ended.
+    /// Tasks that ended because their worker's lease expired.
     pub expired: u64,
 }
 
-/// Who led when.
+/// Tracks which controller is the leader over time.
 #[derive(Default)]
 pub(super) struct LeadershipWatch {
     last_led: Micros,
     leader: Option<usize>,
     /// The longest time without a leader.
     longest_gap: Micros,
-    /// How often another controller came to lead.
+    /// How often leadership moved to another controller.
     changes: u64,
 }
 
@@ -55,38 +56,39 @@
     }
 }
 
-/// Rules that were broken, and what is counted for the outcome of a scenario.
+/// Rules that were broken, and counters for the outcome of a scenario.
 #[derive(Default)]
 pub struct Checks {
     /// Names of the rules that were broken.
     pub violated: BTreeSet<String>,
-    /// When each of them was broken first, and by what.
+    /// When each rule was first broken, and by what.
     pub log: Vec<String>,
-    /// Losses.
+    /// Counts of lost machines and tasks.
     pub losses: LossCounts,
-    /// Tasks that were preempted.
+    /// Preempted tasks.
     pub preemptions: PreemptionTracker,
-    /// Jobs that wait beside room that fits.
+    /// Jobs that wait although enough free capacity fits them.
     pub starvation: StarvationTracker,
-    /// Limits of teams, where operators change them.
+    /// Limits of teams, in case operators change them.
     pub quotas: EffectiveQuotas,
     /// Tasks that started.
     pub started: u64,
-    /// Tasks that started after a user was told that their job is cancelled.
+    /// Tasks that started after the user was told that their job is cancelled.
     pub late_starts: u64,
-    /// The longest that a cancelled job's task was on a machine, as a part of its time.
+    /// The longest time that a cancelled job's task stayed on a machine, as a fraction of the
+    /// time that is allowed.
     pub cancelled_left: f64,
     pub(super) contents: MachineContents,
-    /// Tasks that ended well, by job. Results are kept outside the machines.
+    /// Tasks that succeeded, by job. Results are stored outside the machines.
     finished: BTreeMap<String, BTreeSet<String>>,
     leadership: LeadershipWatch,
-    /// Faults of controllers and links explain what is lost until then.
+    /// Faults of controllers and links explain losses until this time.
     explained_until: Micros,
     clock_checked: Micros,
 }
 
 impl Checks {
-    /// Notes that a rule was broken; only the first time counts.
+    /// Records that a rule was broken; only the first violation of each rule counts.
     pub fn violate(&mut self, now: Micros, rule: &str, subject: &str) {
         if self.violated.insert(rule.to_string()) {
             let at = (now - START) as f64 / 1e6;
@@ -95,7 +97,7 @@
         }
     }
 
-    /// How many tasks of a job have ended well.
+    /// How many tasks of a job have succeeded.
     #[must_use]
     pub fn finished_tasks(&self, job: &str) -> u64 {
         self.finished.get(job).map_or(0, |tasks| tasks.len() as u64)
@@ -107,13 +109,13 @@
         self.leadership.longest_gap
     }
 
-    /// How often another controller came to lead.
+    /// How often leadership moved to another controller.
     #[must_use]
     pub fn leader_changes(&self) -> u64 {
         self.leadership.changes
     }
 
-    /// Takes tasks that ended well; returns the jobs that are complete by that.
+    /// Records tasks that succeeded; returns the jobs that this completes.
     fn finish_tasks(
         &mut self,
         task_ids: Vec<String>,
@@ -136,16 +138,16 @@
 }
 
 impl Sim {
-    /// A fault of controllers or links, or of what they need: losses until a while after its
-    /// end have a cause.
+    /// Records a fault of controllers or links, or of a service that they need, which ends at
+    /// `until`: it explains losses until two leases after its end.
     pub fn explain_until(&mut self, until: Micros) {
         let two_leases = (self.lease_s() * 2e6) as Micros;
         let explained = &mut self.checks.explained_until;
         *explained = (*explained).max(until + two_leases);
     }
 
-    /// The rules are about what is on machines: they are looked at whenever that may have
-    /// changed, and each second for what only time breaks.
+    /// Checks the rules about the contents of machines whenever those may have changed, and
+    /// each second the rules that the passing of time alone can break.
     pub(super) fn check(&mut self, machine: Option<u64>) {
         self.checks.leadership.update(self.now, self.leader());
         if let Some(machine) = machine {
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Takes what happened on a machine, and looks at the rules.
+    /// Collects the events on a machine and checks the rules.
     pub(super) fn check_machine(&mut self, machine: u64) {
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
@@ -174,7 +176,7 @@
         self.checks.started += std::mem::take(&mut worker.started);
         let violations = self.update_contents(machine);
         self.count_expired(expired, faulty_until);
-        // What a lease ended, nobody stopped.
+        // Tasks that ended with an expired lease were not stopped by a command.
         if expired == 0 {
             let views = &self.users.views;
             let state = MachineState { machine, leaving };
@@ -204,14 +206,14 @@
         }
     }
 
-    /// Takes what is on a machine now; returns the rules that this breaks.
+    /// Records the tasks that are on a machine now; returns the rules that this breaks.
     fn update_contents(&mut self, machine: u64) -> Vec<Violation> {
         let Some(worker) = self.workers.get(&machine) else {
             return Vec::new();
         };
         let running = worker.running().map(|t| t.task_id.clone()).collect();
         let teams = &self.settings[0].params.teams;
-        // Limits that change are looked at where tasks start.
+        // Limits that operators change are checked where tasks start.
         let changed = self.checks.quotas.is_changed();
         let limit = |name: &str| {
             let team = teams.iter().find(|t| t.name == name && !changed);
@@ -222,7 +224,7 @@
         contents.set(machine, &attributes, running, &self.jobs, limit)
     }
 
-    /// Counts tasks that a lease ended.
+    /// Counts tasks that ended because their worker's lease expired.
     fn count_expired(&mut self, expired: u64, machine_faulty_until: Micros) {
         let two_leases = (self.lease_s() * 2e6) as Micros;
         self.checks.losses.expired += expired;
@@ -248,7 +250,8 @@
         }
     }
 
-    /// A task that started beyond a limit that has been in force for long enough.
+    /// A description of the violation if the start of a task exceeds a limit that has been in
+    /// force for long enough.
     fn above_limit(&self, task_id: &str) -> Option<String> {
         if !self.checks.quotas.is_changed() {
             return None;
@@ -259,7 +262,7 @@
         (used > allowed + EPSILON).then(|| format!("{task_id}: {team} uses {used} of {allowed}"))
     }
 
-    /// Looks at what only time breaks.
+    /// Checks the rules that the passing of time alone can break.
     fn check_clock(&mut self) {
         self.checks.preemptions.expire(self.now);
         self.check_forgotten();
@@ -280,8 +283,8 @@
         }
     }
 
-    /// Accepted jobs about which no request was answered in time, once all faults are over,
-    /// however others fare.
+    /// Reports accepted jobs about which no request was answered in time once all faults are
+    /// over, whether or not requests about other jobs were answered.
     fn check_forgotten(&mut self) {
         let Some(healed) = self.healed else { return };
         let late = |(job, opened): (&String, &Micros)| {
--- a/crates/sim/src/cluster/controllers.rs
+++ b/crates/sim/src/cluster/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers: their processes, and the way of what they send.
+//! Controllers: their processes, and the routing of the messages that they send.
 
 use super::links::LinkEnd;
 use super::{Requester, Sim};
@@ -13,20 +13,21 @@
 use beamhinge_emulator::{decode, Micros, SECOND};
 use rand::Rng;
 
-/// The operators' file of every controller begins so.
+/// The first lines of every controller's operators' file.
 const OPERATOR_CONFIG: &str = "[operators]\nlisten = 127.0.0.1:7900\n[split]\nseed = 7\n";
-/// A controller's timers run this long after its start, and then this often.
+/// A controller's timers first run this long after its start.
 const FIRST_TICK: Micros = 1_000;
+/// Interval between later runs of a controller's timers.
 pub(super) const TICK: Micros = 25_000;
 /// A broken connection is noticed after this long.
 pub(super) const RESET_DELAY: Micros = 2_000;
-/// A message takes so long one way.
+/// One-way latency of a message.
 const HOP: std::ops::Range<Micros> = 1_000..4_000;
-/// Time that the cloud takes for a request.
+/// Time that the cloud takes to process a request.
 const CLOUD_TIME: Micros = 50_000;
-/// A commit that is late comes so many seconds later.
+/// Delay of a late commit, seconds.
 const LATE_COMMIT_S: std::ops::Range<Micros> = 1..20;
-/// Number of the users' and workers' listener.
+/// Index of the listener for users and workers.
 const PUBLIC_LISTENER: usize = 0;
 
 /// A call of a controller, without its destination.
@@ -38,7 +39,7 @@
 }
 
 impl Sim {
-    /// Starts a controller, if it does not run.
+    /// Starts a controller if it is not running.
     pub fn start(&mut self, controller: usize) {
         if self.controllers[controller].is_some() {
             return;
@@ -56,11 +57,11 @@
         self.push(self.now + FIRST_TICK, Event::Tick(process));
     }
 
-    /// Ends a controller as a power cut would.
+    /// Ends a controller abruptly, as a power failure would.
     pub fn crash(&mut self, controller: usize) {
         self.controllers[controller] = None;
         self.generations[controller] += 1;
-        // Whoever waits on a connection to it sees it reset.
+        // Senders that wait for its answer see a connection reset.
         let waiting: Vec<(usize, u64)> = self
             .requesters
             .keys()
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The process that a controller is now.
+    /// The current process of a controller.
     pub(super) fn process(&self, controller: usize) -> Process {
         Process {
             controller,
@@ -89,12 +90,12 @@
         }
     }
 
-    /// Whether that process is still there.
+    /// Whether that process is still the controller's current one.
     pub(super) fn is_current(&self, process: Process) -> bool {
         self.generations[process.controller] == process.generation
     }
 
-    /// The controller that leads, as it believes.
+    /// The first controller that believes it is the leader; `None` if none does.
     #[must_use]
     pub fn leader(&self) -> Option<usize> {
         self.controllers
@@ -102,12 +103,12 @@
             .position(|node| node.as_ref().is_some_and(Node::is_leader))
     }
 
-    /// The controllers that run.
+    /// The controllers that are running.
     pub(super) fn running_controllers(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.controllers.len()).filter(|i| self.controllers[*i].is_some())
     }
 
-    /// Calls a controller, if it runs, and delivers what it sends.
+    /// Calls a controller if it is running, and sends the messages that it produces.
     pub(super) fn with_node(
         &mut self,
         controller: usize,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// A request reaches a controller's public listener; returns its number.
+    /// Delivers a request to a controller's public listener; returns the request's number.
     pub(super) fn request(
         &mut self,
         controller: usize,
@@ -150,7 +151,7 @@
         self.last_request
     }
 
-    /// Draws how long a message takes one way.
+    /// Draws the one-way latency of a message.
     pub(super) fn draw_hop(&mut self) -> Micros {
         self.rng.gen_range(HOP)
     }
@@ -206,7 +207,7 @@
 
     fn send_to_state(&mut self, call: OutgoingCall, at: Micros) {
         let controller = call.origin.process.controller;
-        // What is slow is the way there or the way back.
+        // Either the request or the answer is delayed.
         let delay = self.state_delay();
         let slow_answer = delay > 0 && self.rng.gen_bool(0.5);
         let (request_delay, answer_delay) = if slow_answer { (0, delay) } else { (delay, 0) };
@@ -221,7 +222,8 @@
         } else {
             at
         };
-        // Watches and reads change nothing, however often they come.
+        // Only requests that change state are duplicated: repeated watches and reads have no
+        // effect.
         let changes = is_commit || call.path.starts_with("/holds");
         let copy = self.draw_copy().filter(|_| changes);
         let request = StateRequest {
@@ -290,7 +292,7 @@
         self.push(at, command);
     }
 
-    /// A controller answers on its public listener.
+    /// Handles a controller's answer on its public listener.
     fn answer(
         &mut self,
         controller: usize,
@@ -321,7 +323,8 @@
         }
     }
 
-    /// A controller sends a frame to the one with this label, or to all.
+    /// Sends a controller's frame to the controller with this label, or to all others if
+    /// `label` is `None`.
     fn send_frame(&mut self, from: usize, label: Option<&str>, frame: &[u8], hop: Micros) {
         for to in 0..self.controllers.len() {
             let meant = label.is_none_or(|label| self.settings[to].label == label);
@@ -339,7 +342,7 @@
                 body: frame.to_vec(),
             };
             self.push(at, event);
-            // A copy comes even to a process that has begun since.
+            // A copy is delivered even to a process that has started in the meantime.
             let duplication = self.faults.duplication;
             if let Some(copy_at) = duplication.draw(self.now, &mut self.frame_rng) {
                 let copy = Event::Frame {
@@ -352,7 +355,7 @@
         }
     }
 
-    /// Whether that link of a controller is cut now.
+    /// Whether this link of a controller is cut now.
     pub(super) fn is_cut(&self, controller: usize, link: LinkKind) -> bool {
         self.faults.is_cut(self.now, controller, link)
     }
--- a/crates/sim/src/cluster/delivery.rs
+++ b/crates/sim/src/cluster/delivery.rs
@@ -1,4 +1,4 @@
-//! What happens at the far end of each message, when it is there.
+//! The handling of each message when it reaches its receiver.
 
 use super::controllers::{RESET_DELAY, TICK};
 use super::links::LinkEnd;
@@ -15,23 +15,26 @@
 use rand::Rng;
 use serde_json::json;
 
-/// The state service's answer to a watch, and the answer of a worker, take so long.
+/// Latency of the key-value store's answer to a watch.
 const WATCH_ANSWER_TIME: Micros = 2_000;
+/// Latency of a worker's answer.
 const WORKER_ANSWER_TIME: Micros = 3_000;
-/// The cloud's answer takes so long.
+/// Latency of the cloud's answer.
 const CLOUD_ANSWER_TIME: Micros = 50_000;
-/// A worker reports this long after a direct command, and after a change of its tasks.
+/// A worker reports this long after a direct command.
 const REPORT_AFTER_COMMAND: Micros = 500_000;
+/// A worker reports this long after a change of its tasks.
 const REPORT_AFTER_CHANGE: Micros = 250_000;
-/// The state service's watches are looked at again no sooner than this.
+/// Shortest time between two checks of the key-value store's watches.
 const MIN_WATCH_GAP: Micros = 1_000;
-/// Prefixes of the keys of jobs and of the configuration.
+/// Prefix of the keys of jobs.
 const JOBS: &str = "j/";
+/// Prefix of the keys of the configuration.
 const CONFIGURATION: &str = "c/";
 /// The key that a new leader writes first.
 const LEADERSHIP_BLOCK: &str = "block/0";
 
-/// Who called, as the state service hands it back.
+/// The caller in the form that the key-value store returns with an answer.
 fn caller(origin: CallOrigin) -> Caller {
     Caller {
         connection: origin.process.controller,
@@ -142,7 +145,7 @@
         self.after_state_change();
     }
 
-    /// Looks at what a request to the state service may have changed.
+    /// Handles changes that a request to the key-value store may have made.
     fn after_state_change(&mut self) {
         if self.protocol_faults.forgets_jobs {
             self.state.forget_jobs(self.now);
@@ -159,7 +162,7 @@
         self.watch_at(self.now);
     }
 
-    /// The answer to a call goes back over the controller's link.
+    /// Sends the answer to a call back over the controller's link.
     fn reply(&mut self, origin: CallOrigin, end: LinkEnd, at: Micros, reply: Response) {
         if let Some(at) = self.passes(origin.process.controller, end, at) {
             let reply = Some(reply);
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Answers the state service's open watches, where that is due.
+    /// Answers the open watches of the key-value store that are due.
     fn on_watches(&mut self) {
         if self.next_watch > self.now {
             return;
@@ -192,8 +195,9 @@
         }
     }
 
-    /// Looks at the watches then, or before: one event at a time, or each request would add
-    /// another that comes again for ever.
+    /// Schedules a check of the watches at this time, unless one is due earlier. Only one such
+    /// event is pending at a time: otherwise each request would add another that repeats
+    /// without end.
     pub fn watch_at(&mut self, at: Micros) {
         if at < self.next_watch {
             self.next_watch = at;
@@ -330,9 +334,9 @@
         }
     }
 
-    /// A new leader begins: the reports that were kept reach every controller.
+    /// Sends the kept reports to every controller, when a new leader begins.
     fn deliver_kept_reports(&mut self) {
-        /// While it reads its state, and just after.
+        /// The copies arrive while the new leader reads its state, and just after.
         const SPREAD: Micros = 600_000;
         for (machine, bodies) in self.faults.kept_reports.take() {
             for body in bodies {
--- a/crates/sim/src/cluster/figures.rs
+++ b/crates/sim/src/cluster/figures.rs
@@ -1,4 +1,4 @@
-//! What a scenario came to, by what really happened.
+//! Results of a scenario, by what actually happened on the machines.
 
 use super::{Sim, LAST_POLL_S};
 use crate::preemptions::{largest_jobs, served_fractions};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 impl Sim {
-    /// What each class and each team got of the work it may have done, the least first.
+    /// The fraction of its eligible work that each class and each team got done, lowest first.
     #[must_use]
     pub fn served(&self) -> Vec<(String, f64)> {
         served_fractions(
@@ -17,15 +17,15 @@
         )
     }
 
-    /// Whether a job was accepted and should be done.
+    /// Whether a job was accepted and should succeed in the end.
     pub(super) fn should_finish(&self, id: &str, plan: &JobPlan) -> bool {
         let view = self.users.views.get(id);
         let wanted = view.is_some_and(|v| v.accepted && !v.cancel_requested);
         wanted && !plan.fails && plan.is_batch()
     }
 
-    /// The longest that one of its class's largest jobs waited until it started, or has
-    /// waited by now, seconds.
+    /// The longest wait of any class's largest jobs, until the start or until now, in seconds;
+    /// `None` if there is no such job.
     #[must_use]
     pub fn largest_wait(&self) -> Option<(String, f64)> {
         let starts = &self.users.first_starts;
@@ -40,7 +40,8 @@
         waits.max_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// Users wait for answers that must come, or will ask again for the first time.
+    /// Whether users wait for answers that must come, or have yet to poll once more after the
+    /// last fault.
     #[must_use]
     pub fn questions_open(&self) -> bool {
         let Some(healed) = self.healed else {
@@ -52,7 +53,7 @@
         asks_again || !forgotten && open.any(|job| self.users.is_accepted(job))
     }
 
-    /// Machines that cost money: all but those that were there before.
+    /// Number of machines that cost money: all except those that existed from the start.
     #[must_use]
     pub fn rented_machines(&self) -> usize {
         let instances = self.cloud.instances.iter();
@@ -61,7 +62,8 @@
             .count()
     }
 
-    /// Some service is to run for ever: its machines cost money for something.
+    /// Whether some job is meant to run without end, such as a service: its machines are not
+    /// idle cost.
     #[must_use]
     pub fn services_run(&self) -> bool {
         let open = |id: &String| {
@@ -72,7 +74,7 @@
         jobs.any(|(id, plan)| (plan.is_service() || plan.fails) && open(id))
     }
 
-    /// Accepted jobs that are neither done nor cancelled, and should be.
+    /// Accepted jobs that should end by themselves, and are neither done nor cancelled.
     #[must_use]
     pub fn unfinished(&self) -> Vec<&str> {
         let open = |v: &UserJobView| v.accepted && !v.done && v.cancelled.is_none();
--- a/crates/sim/src/cluster/links.rs
+++ b/crates/sim/src/cluster/links.rs
@@ -1,12 +1,13 @@
-//! Links of controllers and zones: which messages pass, which are held, which are lost.
+//! Links of controllers and zones: which messages are delivered, delayed or lost.
 
 use super::Sim;
 use crate::fault_injection::{Cut, LinkKind};
 use beamhinge_emulator::Micros;
 
-/// How long the state service takes for a request, microseconds; multiplied while it is slow.
+/// Processing time of the key-value store for a request, microseconds; multiplied while it is
+/// slow.
 const STATE_TIME: f64 = 3_000.0;
-/// What a cut held is delivered this long after its end.
+/// Messages that a cut delayed are delivered this long after its end.
 const AFTER_CUT: Micros = 1_000;
 
 /// The far end of a controller's link.
@@ -27,8 +28,8 @@
         &self.settings[controller].area
     }
 
-    /// When a message over a controller's link arrives that would do so at `at`; none: it is
-    /// lost.
+    /// When a message over a controller's link arrives that would arrive at `at` without a
+    /// fault; `None` if it is lost.
     pub(super) fn passes(&self, controller: usize, end: LinkEnd, at: Micros) -> Option<Micros> {
         let (kind, far_zone) = match end {
             LinkEnd::State => (LinkKind::State, None),
@@ -56,19 +57,19 @@
         }
     }
 
-    /// The zone of a machine; empty if it is gone.
+    /// The zone of a machine; empty if the machine no longer exists.
     pub(super) fn worker_zone(&self, machine: u64) -> String {
         let worker = self.workers.get(&machine);
         worker.map(|w| w.zone.clone()).unwrap_or_default()
     }
 
-    /// How much longer the state service takes now.
+    /// Additional processing time of the key-value store now.
     pub(super) fn state_delay(&self) -> Micros {
         let slowdown = self.faults.state_slowdown.get(self.now);
         slowdown.map_or(0, |factor| (factor * STATE_TIME) as Micros)
     }
 
-    /// When a copy of what is sent now arrives, if one is made.
+    /// When a duplicate of a message that is sent now arrives; `None` if none is made.
     pub(super) fn draw_copy(&mut self) -> Option<Micros> {
         self.faults.duplication.draw(self.now, &mut self.rng)
     }
--- a/crates/sim/src/cluster/machines.rs
+++ b/crates/sim/src/cluster/machines.rs
@@ -1,4 +1,4 @@
-//! Machines and their workers: reports, and machines that go.
+//! Machines and their workers: reports, and the loss or return of machines.
 
 use super::links::LinkEnd;
 use super::Sim;
@@ -8,16 +8,16 @@
 use beamhinge_emulator::worker::Worker;
 use beamhinge_emulator::{Micros, SECOND};
 
-/// A report takes so long one way.
+/// One-way latency of a report.
 const REPORT_TIME: Micros = 2_000;
-/// How long a worker waits for an answer.
+/// How long a worker waits for the answer to its report.
 const ANSWER_TIMEOUT: Micros = 4 * SECOND;
-/// The cloud lists a machine that stopped by itself as failed after this long.
+/// The cloud lists a failed machine as such after this long.
 const FAILURE_LISTED_AFTER: Micros = 30 * SECOND;
 
 impl Sim {
-    /// A worker sends its report, if one may go out now. The first one brings the worker of
-    /// a machine that is up into being.
+    /// Sends a worker's report if one may be sent now. The first call after a machine has
+    /// booted creates its worker.
     pub(super) fn report(&mut self, machine: u64) {
         if !self.workers.contains_key(&machine) {
             let Some(booted) = self.cloud.booted(self.now, machine) else {
@@ -68,8 +68,8 @@
         self.push(at, Event::ReportArrives(report));
     }
 
-    /// The cloud takes a machine back since a controller asked for it; `late`: the request
-    /// had been held back.
+    /// Removes a machine that a controller returned to the cloud. `late` says that the request
+    /// was delayed by a cut link.
     pub(super) fn on_machine_returned(&mut self, controller: usize, machine: u64, late: bool) {
         let Some(worker) = self.lose_machine(machine) else {
             return;
@@ -80,7 +80,7 @@
         let tasks = worker.running().count() as u64;
         let link = self.passes(controller, LinkEnd::Worker(&worker.zone), self.now);
         let cut_off = link.is_none_or(|at| at > self.now);
-        // Nothing ran on it and nobody needed it: that costs nothing.
+        // Returning an idle machine without tasks does no harm.
         let idle = tasks == 0 && self.return_reason(controller, machine).as_deref() == Some("idle");
         if !faulty && !late && !idle && (tasks > 0 || cut_off) {
             self.checks.losses.healthy_returned += 1;
@@ -90,9 +90,10 @@
 
     /// Whether a controller had cause to return a machine.
     ///
-    /// One that hung beyond the limit of silence is returned with cause, also when it wakes
-    /// while the call is on its way: until a controller has answered it again, nobody can
-    /// know. Whoever does not within a lease has given a healthy machine away.
+    /// A machine that hung beyond the time after which it is presumed dead is returned with
+    /// cause, even if it resumes while the call is in flight: no controller can know this
+    /// until it has answered the machine's report again. If the machine has been awake for a
+    /// lease or longer without an answer, it counts as healthy.
     fn was_faulty(&self, worker: &Worker) -> bool {
         let lease = (self.lease_s() * 1e6) as Micros;
         let faults = &worker.faults;
@@ -106,7 +107,7 @@
             || faults.reclaim_at.is_some()
     }
 
-    /// Why a controller says that it returned a machine.
+    /// The reason that a controller logged for the return of a machine.
     fn return_reason(&self, controller: usize, machine: u64) -> Option<String> {
         let scheduler = self.controllers[controller].as_ref()?.scheduler()?;
         let name = format!("n-{machine:06}");
@@ -117,7 +118,7 @@
         })
     }
 
-    /// The machine is gone, whoever took it.
+    /// Removes a machine and its worker, for whatever reason the machine is lost.
     pub fn lose_machine(&mut self, machine: u64) -> Option<Worker> {
         self.check_machine(machine);
         self.checks.contents.remove(machine, &self.jobs);
@@ -125,7 +126,7 @@
         self.workers.remove(&machine)
     }
 
-    /// The machine stops with all that is on it; the cloud notices later.
+    /// Fails a machine with all tasks on it; the cloud lists the failure later.
     pub fn fail_machine(&mut self, machine: u64) {
         self.lose_machine(machine);
         if let Some(instance) = self.cloud.instances.get_mut(&machine) {
@@ -133,14 +134,15 @@
         }
     }
 
-    /// How many machines with their worker up are in a zone, or anywhere.
+    /// How many machines with a running worker are in a zone, or in all zones if `zone` is
+    /// `None`.
     #[must_use]
     pub fn machines_up(&self, zone: Option<&str>) -> u64 {
         let there = |w: &&Worker| zone.is_none_or(|zone| zone == w.zone);
         self.workers.values().filter(there).count() as u64
     }
 
-    /// Until then a machine has a fault: its tasks and its reports go on afterwards.
+    /// Schedules the next step and report of a machine for the time when its fault ends.
     pub fn resume_machine_at(&mut self, machine: u64, until: Micros) {
         self.push(until, Event::WorkerStep { machine });
         self.push(until, Event::ReportDue { machine });
--- a/crates/sim/src/cluster/operators.rs
+++ b/crates/sim/src/cluster/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: what they ask, and what they are answered.
+//! Operators: their requests and the answers.
 
 use super::{Requester, Sim};
 use crate::event::{Event, OperatorRequest};
@@ -11,7 +11,7 @@
 
 /// A request that was refused is sent again after this long.
 const REPEAT_DELAY: Micros = SECOND / 2;
-/// What the load balancer asks, it asks at the users' listener.
+/// Path of the load balancer's health check, which goes to the users' listener.
 const HEALTH_PATH: &str = "/up";
 const USER_LISTENER: usize = 0;
 
@@ -56,7 +56,7 @@
         });
     }
 
-    /// A controller answers on its operators' listener.
+    /// Handles a controller's answer on its operators' listener.
     pub(super) fn answer_operator(
         &mut self,
         controller: usize,
@@ -71,12 +71,13 @@
         if status == 503 && request.tries > 0 {
             return self.repeat_operator_request(request);
         }
-        // What is not JSON is no answer to look into.
+        // A body that is not JSON is stored as null.
         let body = serde_json::from_slice(body).unwrap_or_default();
         self.operator_answers.insert(request.name, (status, body));
     }
 
-    /// Replaces the words that stand for what is there at the moment.
+    /// Replaces `$busiest` by the machine with the most tasks and `$leader` by the leader's
+    /// label.
     #[must_use]
     pub fn expand(&self, text: &str) -> String {
         let busiest = self.workers.iter().max_by_key(|(_, w)| w.running().count());
--- a/crates/sim/src/cluster/starvation.rs
+++ b/crates/sim/src/cluster/starvation.rs
@@ -1,4 +1,5 @@
-//! Which jobs wait although a machine that fits has room and their team is under its limit.
+//! Which jobs wait although a suitable machine has enough free capacity and their team is under
+//! its limit.
 
 use super::Sim;
 use crate::machine_contents::EPSILON;
@@ -6,18 +7,18 @@
 use beamhinge_emulator::{job_id, JobPlan};
 use std::collections::BTreeMap;
 
-/// What is on all machines.
+/// The tasks and the free capacity of all machines.
 struct Occupation<'a> {
-    /// CPUs in use by team.
+    /// CPUs in use, by team.
     used: BTreeMap<&'a str, f64>,
-    /// The workers of each job's tasks, one for each task.
+    /// The workers of each job's tasks, one entry for each task.
     workers_of_job: BTreeMap<&'a str, Vec<&'a Worker>>,
-    /// Healthy machines, and what is free on them.
+    /// Healthy machines and their free capacity.
     free: Vec<(&'a Worker, Capacity)>,
 }
 
 impl Sim {
-    /// Looks once; called every second or two after the last fault.
+    /// Updates the starvation tracker; called every second or two after the last fault.
     pub(super) fn check_starvation(&mut self) {
         let Some(healed) = self.healed else { return };
         let occupation = self.occupation();
@@ -58,7 +59,7 @@
         }
     }
 
-    /// How many tasks of the job have started, if one of the others could start now.
+    /// How many tasks of the job have started, if another one could start now; `None` if not.
     fn waits_beside_room(&self, id: &str, plan: &JobPlan, on: &Occupation) -> Option<u64> {
         let workers = on.workers_of_job.get(id).map_or(&[][..], Vec::as_slice);
         let started = self.checks.finished_tasks(id) + workers.len() as u64;
--- a/crates/sim/src/cluster/users.rs
+++ b/crates/sim/src/cluster/users.rs
@@ -1,4 +1,4 @@
-//! Users: what they send, and what they do with the answers.
+//! Users: the requests that they send, and their reactions to the answers.
 
 use super::{Requester, Sim, UserCall};
 use crate::event::{Event, Trigger};
@@ -10,39 +10,41 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a user waits for an answer to a poll, and to other requests.
+/// How long a user waits for an answer to a poll.
 const POLL_TIMEOUT: Micros = 2 * SECOND;
+/// How long a user waits for an answer to any other request.
 const REQUEST_TIMEOUT: Micros = 5 * SECOND;
-/// A request without an answer is repeated after this long, a poll after that, seconds.
+/// A submission or cancellation without an answer is repeated after this long, seconds.
 const RETRY_S: f64 = 1.0;
+/// A poll without an answer is repeated after this long, seconds.
 const POLL_S: f64 = 5.0;
-/// A submission or a cancellation is not repeated any more this long after the first.
+/// A submission or cancellation is no longer repeated this long after its first attempt.
 const GIVE_UP: Micros = 60 * SECOND;
 
-/// All users, and what they were told.
+/// All users and the answers that they received.
 #[derive(Default)]
 pub struct Users {
-    /// What the users of each job were told.
+    /// The latest information that each job's user received.
     pub views: BTreeMap<String, UserJobView>,
-    /// The controller that the next user who sends something asks.
+    /// The controller to which the next user request goes, if it is reachable.
     pub next_controller: Option<usize>,
-    /// Jobs that cannot run or lack a field.
+    /// Jobs that cannot run or that lack a field.
     pub invalid_jobs: BTreeSet<String>,
-    /// Those of them that were accepted.
+    /// Invalid jobs that were accepted.
     pub invalid_jobs_accepted: BTreeSet<String>,
-    /// Users who poll this job get no answer: for the check of that rule.
+    /// Answers to polls of this job are discarded, to test the check for forgotten jobs.
     pub ignored_job: Option<String>,
-    /// Jobs about which a request is open since the last fault ended.
+    /// Jobs with an unanswered request since the last fault ended, with the time of the first.
     pub(super) open: BTreeMap<String, Micros>,
-    /// The longest that a request was open after the last fault.
+    /// The longest time that a request was unanswered after the last fault.
     pub longest_open: Micros,
-    /// Users poll so many times as often.
+    /// Factor by which users poll more often.
     pub poll_storm: Temporary<f64>,
-    /// Users poll a job no more often than this, seconds.
+    /// Shortest interval between polls of a job, seconds.
     pub min_poll_s: f64,
     /// Jobs that have not started.
     pub unstarted: BTreeSet<String>,
-    /// When each job started first.
+    /// When each job's first task started.
     pub first_starts: Vec<(String, Micros)>,
     /// Requests that were never answered.
     pub unanswered: u64,
@@ -70,7 +72,7 @@
 }
 
 impl Sim {
-    /// A user sends a request to some controller.
+    /// Sends a user's request to a random reachable controller, or to the one that was chosen.
     pub(super) fn user_sends(&mut self, job: String, request: UserRequest, since: Micros) {
         let reachable: Vec<usize> = self
             .running_controllers()
@@ -95,7 +97,7 @@
         );
     }
 
-    /// A user sends an additional request, if the job was accepted.
+    /// Sends a user's additional request if the job was accepted and the controller runs.
     pub(super) fn user_probes(&mut self, job: String, request: UserRequest, controller: usize) {
         if self.controllers[controller].is_some() && self.users.is_accepted(&job) {
             let now = self.now;
@@ -112,7 +114,7 @@
         }
     }
 
-    /// A user's request goes to this controller.
+    /// Sends a user's request to this controller.
     fn ask(&mut self, controller: usize, call: UserCall) {
         if self.healed.is_some() && !call.probe {
             let open = &mut self.users.open;
@@ -145,7 +147,7 @@
         self.request(controller, method, &path, body);
     }
 
-    /// A user waits no longer for an answer.
+    /// Times out a user's request.
     pub(super) fn user_gives_up(&mut self, request: u64) {
         let key = self.requesters.keys().find(|(_, r)| *r == request).copied();
         let requester = key.and_then(|key| self.requesters.remove(&key));
@@ -157,7 +159,7 @@
         }
     }
 
-    /// A request got no answer.
+    /// Repeats a request that got no answer.
     pub(super) fn retry_lost(&mut self, call: UserCall) {
         self.repeat(call.job, call.request, call.since, RETRY_S);
     }
@@ -178,7 +180,7 @@
         );
     }
 
-    /// A controller answers a user.
+    /// Handles a controller's answer to a user.
     pub(super) fn on_user_answer(&mut self, call: UserCall, status: u16, body: &[u8]) {
         let ignored = self.users.ignored_job.as_ref() == Some(&call.job);
         if call.request == UserRequest::Poll && ignored {
@@ -222,7 +224,7 @@
         }
     }
 
-    /// A request about a job was answered.
+    /// Records that a request about a job was answered.
     fn close_question(&mut self, job: &str) {
         let opened = self.users.open.remove(job);
         if let (Some(opened), Some(healed)) = (opened, self.healed) {
@@ -249,7 +251,7 @@
         }
     }
 
-    /// How many times as often users poll now.
+    /// The factor by which users poll more often now; 1 without a poll storm.
     fn poll_factor(&self) -> f64 {
         let storm = self.users.poll_storm.get(self.now);
         storm.map_or(1.0, |factor| factor.max(1.0))
--- a/crates/sim/src/combined_faults.rs
+++ b/crates/sim/src/combined_faults.rs
@@ -1,7 +1,7 @@
-//! Days on which faults meet: drawn like other [`days`](crate::days), but timed against what
-//! happens (a takeover, a cancellation's answer, a first answer with a new fencing token) as
-//! well as by the clock, with jobs of few tasks whose ends lie far apart and users who cancel
-//! much.
+//! Days on which several faults occur together. They are generated like other
+//! [`days`](crate::days), but faults are timed by events (a leadership acquisition, the answer
+//! to a cancellation, a first answer with a new fencing token) as well as by the clock. Jobs
+//! have few tasks that end at very different times, and users cancel many of them.
 
 mod faults;
 mod gap;
@@ -14,15 +14,15 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Tells the draws of these days from those of other days with the same seed.
+/// Makes the draws of these days differ from those of other days with the same seed.
 const FAMILY: u64 = 0x6d65_6574;
-/// Every day lasts this long at least, seconds.
+/// Every day lasts at least this long, seconds.
 const MIN_END_S: f64 = 100.0;
 
 /// The settings of a day that are drawn first.
 struct Settings {
     report_s: f64,
-    /// CPUs of the machines that are there.
+    /// Approximate CPUs of the available machines.
     cpus: f64,
     tasks_of_long_job: f64,
 }
@@ -41,7 +41,7 @@
     let cancel_s = lease_s + rng.gen_range(18.0..31.0);
     let cpus = machines * 0.7 * 8.0;
     let tasks_of_long_job = choose(&mut rng, &[1.0, 2.0, 3.0, 6.0], 2.0);
-    // Long tasks take half of the CPUs at most, short ones a third.
+    // Long tasks use at most half of the CPUs, short ones a third.
     let long_jobs = (cpus * 0.5 / (2.0 * tasks_of_long_job)).clamp(2.0, 400.0) as u64;
     let day = DayGenerator {
         rng,
@@ -60,7 +60,8 @@
     (day, settings)
 }
 
-/// Work of which half is long, in jobs of one to three tasks and in some of many.
+/// Draws the work: a stream of long jobs of one to six tasks, and a stream of short jobs of one
+/// to three tasks.
 fn draw_work(day: &mut DayGenerator, settings: &Settings) {
     let long_jobs = day.long_jobs;
     let run_s = day.between(0.8, 1.7) * day.cancel_s;
@@ -92,8 +93,8 @@
     day.line(1.5, &line);
 }
 
-/// A gap or two, and then pairs and triples of faults, close together; returns when they are
-/// over.
+/// Draws up to two cancellation gaps (see [`DayGenerator::gap`]), then pairs and triples of
+/// faults that are close together; returns when they are over.
 fn draw_faults(day: &mut DayGenerator) -> f64 {
     let mut at = day.between(18.0, 30.0);
     if day.rng.gen_bool(0.5) {
@@ -114,8 +115,8 @@
     at
 }
 
-/// The day that belongs to this seed and number: always the same. `machines`: fewest and
-/// most.
+/// Generates the day of this seed and number, which is always the same. `machines` is the
+/// fewest and the most machines.
 #[must_use]
 pub fn generate(seed: u64, number: u64, machines: (f64, f64)) -> Day {
     let day_seed = day_seed(seed, number) ^ FAMILY;
--- a/crates/sim/src/combined_faults/faults.rs
+++ b/crates/sim/src/combined_faults/faults.rs
@@ -1,24 +1,24 @@
-//! Single faults of all kinds, of which several meet.
+//! Single faults of all kinds, several of which are combined.
 
 use super::generator::DayGenerator;
 use rand::Rng;
 
-/// Kinds that [`DayGenerator::fault`] draws from, those of machines many times.
+/// Number of cases that [`DayGenerator::fault`] draws from; several of them are machine faults.
 const KINDS: u32 = 23;
 
-/// What is drawn for every fault, whatever it needs of it: so that the draws of one kind do
-/// not change those of the faults after it.
+/// The values drawn for every fault, whether its kind uses them or not, so that the kind of a
+/// fault does not change the draws of the faults after it.
 struct Draws {
-    /// Seconds, by the workers' lease.
+    /// Duration, scaled by the workers' lease, seconds.
     for_s: f64,
-    /// ` hold`: what a cut link carries is delivered afterwards.
+    /// ` hold` if messages sent over a cut link are delivered after the cut, else empty.
     hold: &'static str,
-    /// The controller.
+    /// The affected controller.
     target: &'static str,
 }
 
 impl DayGenerator {
-    /// One fault of any kind.
+    /// Adds a fault of a random kind.
     pub(super) fn fault(&mut self, at: f64) {
         let draws = Draws {
             for_s: self.lease_s * self.between(0.3, 2.5),
--- a/crates/sim/src/combined_faults/gap.rs
+++ b/crates/sim/src/combined_faults/gap.rs
@@ -1,11 +1,12 @@
-//! The gap: the state service refuses the leader alone, another controller confirms
-//! cancellations, and then it is down for all for long.
+//! The cancellation gap: the key-value store first refuses requests of the leader alone while
+//! another controller confirms cancellations, and is then down for all controllers for a long
+//! time.
 
 use super::generator::DayGenerator;
 use rand::Rng;
 
 impl DayGenerator {
-    /// One gap; returns when it is over.
+    /// Adds one gap; returns when it is over.
     pub(super) fn gap(&mut self, at: f64) -> f64 {
         let refused = self.between(1.0, 60.0);
         let between = self.between(0.0, 10.0);
@@ -37,8 +38,8 @@
         end
     }
 
-    /// Whoever acquires the lease ends before it has read the pages, and the next one's state
-    /// service goes as it acquires it.
+    /// Adds a leader that crashes after its leadership acquisition, before it has read the stored
+    /// pages, and an outage of the key-value store just as the next leader acquires leadership.
     fn leader_ends_in_gap(&mut self, at: f64, down: f64) -> f64 {
         let back = self.between(2.0, 9.0);
         let end_delay = self.one_of(&[0.002, 0.004, 0.3]);
@@ -52,7 +53,7 @@
         at + back + 8.0 + down
     }
 
-    /// Faults of controllers and machines while the state service is away.
+    /// Adds faults of controllers and machines during the gap.
     fn faults_in_gap(&mut self, at: f64, between: f64) {
         if self.rng.gen_bool(0.4) {
             let back = self.one_of(&[0.1, 0.3, 2.0]);
--- a/crates/sim/src/combined_faults/generator.rs
+++ b/crates/sim/src/combined_faults/generator.rs
@@ -1,22 +1,23 @@
-//! The draws of a day of combined faults: its script, and how often each kind is in it.
+//! The generator of a day of combined faults: its script, and how often each kind of fault
+//! occurs in it.
 
 use rand::rngs::StdRng;
 use rand::Rng;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Ids of long jobs begin here.
+/// Number of the first long job.
 pub(super) const FIRST_LONG_JOB: u64 = 900_000;
-/// What faults are timed against.
+/// Events of the scenario format that faults are timed by.
 const TRIGGERS: [&str; 3] = ["take", "cancelled", "heard"];
 
-/// What a day is drawn from, and what its faults are scaled by.
+/// The random draws of a day, and the values that scale its faults.
 pub(super) struct DayGenerator {
     pub(super) rng: StdRng,
     pub(super) machines: f64,
     /// The workers' lease, seconds.
     pub(super) lease_s: f64,
-    /// Time for a cancellation, seconds.
+    /// Time within which a cancelled task must have ended, seconds.
     pub(super) cancel_s: f64,
     /// Number of long jobs, which users cancel.
     pub(super) long_jobs: u64,
@@ -42,7 +43,8 @@
         *self.fault_counts.entry(kind).or_default() += 1;
     }
 
-    /// A fault at this time, or so long after what happens next from then on.
+    /// Adds a fault at this time, or at a random delay after the next occurrence of a random
+    /// trigger from this time on.
     pub(super) fn fault_line(&mut self, at: f64, kind: &'static str, line: &str) {
         self.count(kind);
         if self.rng.gen_bool(0.35) {
@@ -57,7 +59,8 @@
         self.one_of(&["leader", "leader", "leader", "follower", "a", "b"])
     }
 
-    /// Users cancel and ask, at any controller, around this time.
+    /// Adds cancellations, polls and repeated submissions of users, at any controller, around
+    /// this time.
     pub(super) fn cancellations(&mut self, at: f64, count: u32) {
         for _ in 0..count {
             let job = FIRST_LONG_JOB + self.rng.gen_range(0..self.long_jobs);
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Machines that hear nothing, hang or lose the network.
+    /// Adds machines that receive no messages, send none, hang or lose the network.
     pub(super) fn machine_faults(&mut self, at: f64) {
         let count = (self.machines * self.between(0.1, 0.5)).ceil();
         let for_s = self.lease_s * self.between(0.2, 1.6);
--- a/crates/sim/src/days.rs
+++ b/crates/sim/src/days.rs
@@ -1,7 +1,8 @@
-//! Days that are drawn: deployments of any size with faults of all kinds, alone and
-//! together, written as scenarios, so that a day which fails can be made smaller and kept.
+//! Randomly generated days: deployments of any size with faults of all kinds, alone and
+//! combined. They are written as scenarios, so that a day that fails can be reduced and kept
+//! as a test.
 //!
-//! The day of a seed and number is always the same; a change in the order of the draws here
+//! The same seed and number always give the same day. A change in the order of the draws here
 //! changes every day.
 
 mod bench_file;
@@ -19,51 +20,52 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// How large days may be.
+/// Bounds of the size of generated days.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Fewest and most machines.
     pub machines: (f64, f64),
-    /// Seconds in which jobs arrive, fewest and most.
+    /// Shortest and longest duration of a day, seconds. Jobs arrive until half a minute before
+    /// its end.
     pub seconds: (f64, f64),
 }
 
-/// For a first look, and for CI.
+/// Size of days for quick checks and for CI.
 pub const SMALL: Size = Size {
     machines: (40.0, 160.0),
     seconds: (90.0, 140.0),
 };
-/// For a long search.
+/// Size of days for a long search.
 pub const FULL: Size = Size {
     machines: (100.0, 3_000.0),
     seconds: (200.0, 360.0),
 };
 
-/// A drawn day.
+/// A generated day.
 #[derive(Clone, Debug)]
 pub struct Day {
-    /// Its name, unique by the family of days, seed and number.
+    /// Its name, unique for each family of days, seed and number.
     pub name: String,
     /// The scenario.
     pub text: String,
-    /// About so many machines.
+    /// Approximate number of machines.
     pub machines: u64,
     /// How often each kind of fault occurs.
     pub fault_counts: BTreeMap<&'static str, u32>,
 }
 
-/// The seed of a day's own draws.
+/// The seed of the draws that generate a day.
 pub(crate) fn day_seed(seed: u64, number: u64) -> u64 {
     seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)
         .wrapping_add(number)
 }
 
-/// What the scenario's own draws begin with.
+/// The seed of the draws that are made while the scenario is played.
 pub(crate) fn scenario_seed(day_seed: u64) -> u64 {
     day_seed % 1_000_000
 }
 
-/// Machines of a day, by how they are sold.
+/// Number of machines of a day: owned, large, on-demand (`ordinary`) and spot.
 struct Fleet {
     owned: f64,
     large: f64,
@@ -90,7 +92,7 @@
     }
 }
 
-/// Draws the settings of a day; returns them and its fleet.
+/// Draws the settings of a day; returns their text and the fleet.
 fn draw_settings(day: &mut DayGenerator, seed: u64) -> (String, Fleet) {
     let report = day.one_of(&[1.0, 2.0, 2.5, 4.0, 5.0]);
     day.lease_s = (report * 5.5).max(10.0);
@@ -101,7 +103,7 @@
     let (boot, lag) = (day.between(6.0, 30.0), day.between(1.0, 4.0));
     let fleet = Fleet::draw(day);
     let lease = day.lease_s;
-    // Capacities are of each of two zones.
+    // Capacities are per zone, and there are two zones.
     let text = format!(
         "seed {}\nteam-max 0\nowned {:.0}\nspot {:.0}\nordinary {:.0}\nlarge {:.0}\nboot {boot:.0}\n\
          workers report={report} lease={lease} cancel={}\n\
@@ -123,12 +125,13 @@
     cpus: f64,
     run_s: f64,
     tasks: f64,
-    /// Part of the day's load.
+    /// Fraction of the day's load.
     part: f64,
     words: &'static str,
 }
 
-/// Two classes, together a drawn part of all CPUs; and one in a hurry.
+/// Two ordinary classes and one with high urgency and an early deadline; together they use a
+/// randomly drawn fraction of all CPUs.
 const STREAMS: [Stream; 3] = [
     Stream {
         cpus: 4.0,
@@ -174,7 +177,7 @@
     }
 }
 
-/// The day that belongs to this seed and number: always the same.
+/// Generates the day of this seed and number, which is always the same.
 #[must_use]
 pub fn generate(seed: u64, number: u64, size: Size) -> Day {
     let day_seed = day_seed(seed, number);
@@ -212,11 +215,11 @@
     }
 }
 
-/// Makes a failing day smaller: leaves out what it fails without, line by line, within so
-/// many tries.
+/// Reduces a failing day: removes, one by one, the lines without which it still fails, in at
+/// most `tries` plays.
 ///
 /// # Errors
-/// When a line cannot be understood.
+/// If a line cannot be parsed.
 pub fn reduce(text: &str, regressions: Faults, mut tries: u32) -> Result<String, ScenarioError> {
     let mut lines: Vec<String> = text.lines().map(String::from).collect();
     let fails = |lines: &[String]| -> Result<bool, ScenarioError> {
--- a/crates/sim/src/days/bench_file.rs
+++ b/crates/sim/src/days/bench_file.rs
@@ -1,21 +1,23 @@
-//! Days from files in the bench's form.
+//! Days from files in the format of the bench.
 
 use super::{generate, Day, Size};
 use crate::scenario::ScenarioError;
 use serde::Deserialize;
 
-/// A day without a fault ends at this time; others so long after the last fault, seconds.
+/// Shortest duration of a day, seconds.
 const MIN_END_S: f64 = 60.0;
+/// Time between the end of the last fault and the end of the day, seconds.
 const AFTER_FAULT_S: f64 = 30.0;
-/// Controllers that crashed are started after this long, seconds.
+/// Crashed controllers are started after this long, seconds.
 const RESTART_S: f64 = 4.0;
-/// A crash of so many controllers is one of all.
+/// A crash of at least this many controllers is a crash of all controllers.
 const ALL_CONTROLLERS: f64 = 3.0;
-/// Numbers of the jobs of bursts.
+/// Number of the first job of the first burst.
 const FIRST_BURST_JOB: usize = 50_000;
+/// Job numbers reserved for each burst.
 const JOBS_OF_BURST: usize = 1_000;
 
-/// A fault of a day's file; its fields are the bench's.
+/// A fault in a day's file, with the field names of the bench.
 #[derive(Deserialize)]
 struct Fault {
     at_s: f64,
@@ -59,7 +61,7 @@
 }
 
 impl Fault {
-    /// The controller that it is about.
+    /// The controller that the fault affects.
     fn target(&self) -> &'static str {
         if self.busiest {
             "leader"
@@ -87,8 +89,8 @@
         }
     }
 
-    /// The action of a scenario that is this fault, the one with this index in a fleet of so
-    /// many machines.
+    /// The action of a scenario that injects this fault. `index` is the fault's index in the
+    /// file, `machines` the size of the fleet.
     fn action(&self, index: usize, machines: f64) -> Result<String, ScenarioError> {
         let (for_s, count, target) = (self.for_s, self.count, self.target());
         Ok(match self.kind.as_str() {
@@ -124,17 +126,17 @@
     }
 }
 
-/// Whether a line of a drawn day belongs to its deployment or its work.
+/// Whether a line of a generated day belongs to its deployment or its work.
 fn is_no_fault(line: &str) -> bool {
     let is_work = line.contains(" stream ") && line.contains("class=");
     (!line.starts_with("at ") || is_work) && !line.starts_with("end ")
 }
 
-/// A day's file in the bench's form (`faults = [...]`, or a `[[day]]`), played on the
-/// deployment that belongs to the seed and number.
+/// The day of a file in the format of the bench (`faults = [...]`, or a `[[day]]`), with the
+/// deployment of the day that is generated from the seed and number.
 ///
 /// # Errors
-/// When the file cannot be read, or names a kind that is not known.
+/// If the file cannot be parsed or names an unknown kind of fault.
 pub fn from_toml(text: &str, seed: u64, number: u64, size: Size) -> Result<Day, ScenarioError> {
     let file: DayFile = toml::from_str(text)?;
     let base = generate(seed, number, size);
--- a/crates/sim/src/days/faults.rs
+++ b/crates/sim/src/days/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a drawn day, one at a time.
+//! The faults of a generated day.
 
 use super::generator::{choose, DayGenerator};
 use rand::seq::SliceRandom;
@@ -30,26 +30,26 @@
     "reboot",
 ];
 const CONTROLLERS: [&str; 5] = ["leader", "leader", "a", "b", "c"];
-/// Controllers that crashed are started after this long, seconds.
+/// Crashed controllers are started after this long, seconds.
 const RESTART_S: f64 = 4.0;
 
-/// What is drawn for every fault, whatever it needs of it: so that the draws of one kind do
-/// not change those of the faults after it.
+/// The values drawn for every fault, whether its kind uses them or not, so that the kind of a
+/// fault does not change the draws of the faults after it.
 struct Draws {
     /// Number of machines.
     count: f64,
     /// How long a link is cut, seconds.
     cut_s: f64,
-    /// How long machines or controllers stand still, seconds.
+    /// How long machines hang or controllers are frozen, seconds.
     hang_s: f64,
-    /// ` hold`: what a cut link carries is delivered afterwards.
+    /// ` hold` if messages sent over a cut link are delivered after the cut, else empty.
     hold: &'static str,
-    /// The controller.
+    /// The affected controller.
     target: &'static str,
 }
 
 impl DayGenerator {
-    /// One fault of a drawn kind at about this time.
+    /// Adds a fault of a random kind at about this time.
     pub(super) fn fault(&mut self, at: f64) {
         let kind = KINDS.choose(&mut self.rng).copied().unwrap_or("crash");
         let draws = Draws {
@@ -126,8 +126,8 @@
         })
     }
 
-    /// Two restarts, the second amid the election that the first began; copies of old
-    /// messages, and repeats of requests, come after it.
+    /// Two restarts, the second during the election that the first caused. Copies of old
+    /// messages and repeated requests arrive after it.
     fn fast_restart(&mut self, at: f64, target: &str) -> String {
         let again = at + self.between(0.2, 3.0);
         let target = if self.rng.gen_bool(0.4) {
--- a/crates/sim/src/days/generator.rs
+++ b/crates/sim/src/days/generator.rs
@@ -1,4 +1,4 @@
-//! The draws of a day: its script, and how often each kind of fault is in it.
+//! The generator of a day: its script, and how often each kind of fault occurs in it.
 
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// What a day is drawn from, and what its faults are scaled by.
+/// The random draws of a day, and the values that scale its faults.
 pub(super) struct DayGenerator {
     pub(super) rng: StdRng,
     pub(super) machines: f64,
@@ -19,7 +19,7 @@
     pub(super) fault_counts: BTreeMap<&'static str, u32>,
 }
 
-/// One of some words.
+/// Chooses one of these words; `default` if there are none.
 pub(super) fn choose<'a>(rng: &mut StdRng, words: &[&'a str], default: &'a str) -> &'a str {
     words.choose(rng).copied().unwrap_or(default)
 }
@@ -48,28 +48,28 @@
         values.choose(&mut self.rng).copied().unwrap_or(1.0)
     }
 
-    /// Adds a line of no kind that is counted.
+    /// Adds a line to the script without counting a kind of fault.
     pub(super) fn line(&mut self, at: f64, line: &str) {
         // Writing to a string cannot fail.
         let _ = writeln!(self.lines, "at {at:.1} {line}");
     }
 
-    /// Adds a line of a kind that is counted.
+    /// Adds a line to the script and counts its kind of fault.
     pub(super) fn counted_line(&mut self, at: f64, kind: &'static str, line: &str) {
         self.line(at, line);
         *self.fault_counts.entry(kind).or_default() += 1;
     }
 
-    /// The ids of so many jobs; returns the first.
+    /// Reserves this many job numbers; returns the first.
     pub(super) fn reserve_jobs(&mut self, count: u64) -> u64 {
         let first = self.next_job;
         self.next_job += count;
         first
     }
 
-    /// A team without a guarantee, with work of some of these kinds: one huge array, very
-    /// many single tasks, idle-time work on large machines; and jobs with a mistake, users
-    /// who poll often. `cpus`: of all machines; `large`: number of large machines.
+    /// Adds work of a team without a guarantee, of some of these kinds: one huge job array, very
+    /// many single tasks, and jobs for idle large machines. Also adds invalid jobs and users who
+    /// poll often. `cpus` is the total of all machines, `large` the number of large machines.
     pub(super) fn guests(&mut self, cpus: f64, large: f64) {
         let at = self.between(10.0, self.end_s * 0.5);
         let first = self.reserve_jobs(10_000);
@@ -114,12 +114,12 @@
         }
     }
 
-    /// One controller is down, and the leader stands still: one is left.
+    /// Crashes one controller and freezes the leader, so that one controller is left.
     pub(super) fn one_controller_left(&mut self, at: f64) {
         self.counted_line(at, "alone", "crash follower");
         let (then, stands) = (self.between(2.0, 20.0), self.between(5.0, 40.0));
         self.line(at + then, &format!("freeze leader {stands:.1}"));
-        // Before the day's end: a line that is due later would never be played.
+        // Before the end of the day: a later line would never be played.
         let back = (at + self.between(40.0, 90.0)).min(self.end_s - 1.0);
         self.line(back, "start-all");
     }
--- a/crates/sim/src/effective_quotas.rs
+++ b/crates/sim/src/effective_quotas.rs
@@ -1,55 +1,57 @@
-//! Limits of teams as they really are: by what the state service holds, at every moment.
+//! The limits of teams that are actually in force, by what the key-value store stores at every
+//! moment.
 
 use beamhinge_core::settings::Team;
 use beamhinge_emulator::state::StateService;
 use beamhinge_emulator::{Micros, SECOND};
 use std::collections::BTreeMap;
 
-/// A limit that was lowered counts for every start from then on, seconds.
+/// A lowered limit applies to every start from this long after the change, seconds.
 pub const IN_FORCE_S: u64 = 11;
 /// Chunks of the stored overlay (`beamhinge_configuration::stored`).
 const CHUNKS: usize = beamhinge_configuration::stored::CHUNKS;
 
-/// The limits of all teams, CPUs; zero: none.
+/// The limits of all teams in CPUs; zero means no limit.
 type Limits = BTreeMap<String, f64>;
 
-/// The limits from a time on.
+/// The limits that apply from a certain time.
 struct LimitsSince {
     at: Micros,
     limits: Limits,
 }
 
-/// A version that some controller does not serve by yet.
+/// A configuration version that some controller does not apply yet.
 struct PendingVersion {
     version: u64,
     made: Micros,
 }
 
-/// The limits that were in force at any time, and how soon changes were.
+/// The history of limits, and how long changes took to be applied.
 #[derive(Default)]
 pub struct EffectiveQuotas {
     head: Option<serde_json::Value>,
-    /// Oldest first; empty if nothing was ever changed.
+    /// Oldest first; empty if the configuration was never changed.
     history: Vec<LimitsSince>,
     pending: Vec<PendingVersion>,
-    /// How long each version took until all controllers served by it or a newer one.
+    /// How long each version took until all controllers applied it or a newer one.
     pub rollout_times: Vec<Micros>,
 }
 
 impl EffectiveQuotas {
-    /// Whether anything was ever changed.
+    /// Whether the configuration was ever changed.
     #[must_use]
     pub fn is_changed(&self) -> bool {
         !self.history.is_empty()
     }
 
-    /// How many changes were made.
+    /// Number of changes of the limits.
     #[must_use]
     pub fn changes(&self) -> usize {
         self.history.len().saturating_sub(1)
     }
 
-    /// Looks at the state service after a transaction; `base`: the teams of the settings.
+    /// Reads the configuration in the key-value store after a transaction. `base` is the teams of
+    /// the settings.
     pub fn update(&mut self, now: Micros, state: &StateService, base: &[Team], controllers: usize) {
         let head = state.get("c/head");
         if head == self.head.as_ref() {
@@ -75,7 +77,7 @@
         self.history.push(LimitsSince { at: now, limits });
     }
 
-    /// Looks by which versions the controllers serve, by the keys that they keep.
+    /// Reads which versions the controllers apply, from the keys that they maintain.
     fn update_rollouts(&mut self, now: Micros, state: &StateService, controllers: usize) {
         if self.pending.is_empty() {
             return;
@@ -85,7 +87,7 @@
             let member = state.get(&format!("c/m/{}", label(n)));
             member.and_then(|m| m["version"].as_u64())
         });
-        // One that is away serves by none.
+        // A controller that is down has no key and applies no version.
         let Some(versions) = versions.collect::<Option<Vec<u64>>>() else {
             return;
         };
@@ -95,7 +97,7 @@
         self.pending.retain(|p| p.version > oldest);
     }
 
-    /// The limit of a team now; zero: none.
+    /// The current limit of a team in CPUs; zero means no limit.
     #[must_use]
     pub fn current(&self, team: &str) -> f64 {
         let current = self.history.last();
@@ -103,12 +105,12 @@
         limit.copied().unwrap_or(0.0)
     }
 
-    /// The most that a start may bring a team to: the highest limit of the last
-    /// [`IN_FORCE_S`] seconds. None: no bound.
+    /// The most CPUs that a team may use after a start: the highest limit of the last
+    /// [`IN_FORCE_S`] seconds. `None` means no limit.
     #[must_use]
     pub fn allowed(&self, now: Micros, team: &str) -> Option<f64> {
         let since = now.saturating_sub(IN_FORCE_S * SECOND);
-        // Those that came since, and the one that stood then.
+        // The limits set since then, and the one in force at that time.
         let first = self.history.iter().rposition(|l| l.at <= since);
         let first = first.unwrap_or(0).min(self.history.len());
         let limits: Vec<f64> = self.history[first..]
--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens in simulated time: the events of the cluster's queue.
+//! The events of a simulated cluster and their queue, ordered by simulated time.
 
 use beamhinge_core::http::Method;
 use beamhinge_core::types::CallId;
@@ -7,25 +7,25 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// The process of a controller: a controller that restarts is another process.
+/// The process of a controller. A restarted controller is a different process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Process {
-    /// Number of the controller.
+    /// Index of the controller.
     pub controller: usize,
-    /// How often it has started and ended before.
+    /// How often the controller has started and ended before.
     pub generation: u64,
 }
 
 /// A call of a controller to one of the services that it needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallOrigin {
-    /// Who called.
+    /// The calling process.
     pub process: Process,
-    /// The process's own id of the call.
+    /// The id that the process gave to the call.
     pub call: CallId,
 }
 
-/// A request to the state service.
+/// A request to the key-value store.
 #[derive(Clone, Debug)]
 pub struct StateRequest {
     /// Who sent it.
@@ -36,9 +36,9 @@
     pub path: String,
     /// Encoded body.
     pub body: Vec<u8>,
-    /// It is carried out, and its answer is lost.
+    /// Whether the answer is lost although the request is executed.
     pub answer_lost: bool,
-    /// How much longer its answer takes.
+    /// Additional delay of the answer.
     pub answer_delay: Micros,
 }
 
@@ -53,7 +53,8 @@
     pub path: String,
     /// Encoded body.
     pub body: Vec<u8>,
-    /// Held back by a cut link: it acts when nobody means it any more.
+    /// Whether a cut link delayed the request, so that it may take effect after the caller has
+    /// abandoned it.
     pub late: bool,
 }
 
@@ -64,17 +65,17 @@
     pub machine: u64,
     /// Number of the controller.
     pub controller: usize,
-    /// The worker's own number of the report.
+    /// The worker's serial number of the report.
     pub serial: u64,
     /// Encoded report.
     pub body: Vec<u8>,
 }
 
 impl Report {
-    /// Serial number of a copy: no worker waits for its answer.
+    /// Serial number of a copy, for whose answer no worker waits.
     const COPY: u64 = 0;
 
-    /// A copy of a report: nobody waits for its answer.
+    /// A copy of a report, for whose answer no worker waits.
     #[must_use]
     pub fn copy(machine: u64, controller: usize, body: Vec<u8>) -> Report {
         Report {
@@ -86,12 +87,12 @@
     }
 }
 
-/// A request of an operator, repeated while the answer is to come back later.
+/// A request of an operator, repeated while controllers answer that they are unavailable.
 #[derive(Clone, Debug)]
 pub struct OperatorRequest {
-    /// Under which its answer is kept.
+    /// The name under which its answer is stored.
     pub name: String,
-    /// A certain controller, or any that runs.
+    /// Index of the receiving controller; `None` for any that is running.
     pub controller: Option<usize>,
     /// HTTP method.
     pub method: Method,
@@ -99,27 +100,27 @@
     pub path: String,
     /// Body as text.
     pub body: String,
-    /// How often it may still be sent.
+    /// Number of attempts left.
     pub tries: u32,
 }
 
-/// What a scenario can wait for.
+/// An event that an action of a scenario can wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trigger {
     /// A new leader wrote the leadership block.
     Takeover,
     /// A user is told that a job is cancelled.
     Cancelled,
-    /// A worker takes its first answer with a new fencing token.
+    /// A worker receives its first answer with a new fencing token.
     NewToken,
 }
 
-/// An action of the scenario that waits for something to happen.
+/// An action of the scenario that waits for a trigger.
 #[derive(Clone, Debug)]
 pub struct ArmedAction {
-    /// What it waits for.
+    /// The event that the action waits for.
     pub trigger: Trigger,
-    /// How long after that it is done.
+    /// Delay between the trigger and the action.
     pub delay: Micros,
     /// The words of the action.
     pub words: Vec<String>,
@@ -130,16 +131,16 @@
 pub enum ScriptStep {
     /// The action with this index.
     Line(usize),
-    /// An action that waited for something to happen.
+    /// An action whose trigger has fired.
     Armed(Vec<String>),
 }
 
-/// Something that happens at a point of simulated time.
+/// An event at a point in simulated time.
 #[derive(Debug)]
 pub enum Event {
     /// A controller's timers run.
     Tick(Process),
-    /// A request reaches the state service.
+    /// A request reaches the key-value store.
     StateRequest(StateRequest),
     /// A request reaches the cloud.
     CloudRequest(CloudRequest),
@@ -154,14 +155,14 @@
     },
     /// A call of a controller is answered, or times out.
     Reply {
-        /// Who called.
+        /// The caller.
         origin: CallOrigin,
-        /// The answer; none in time.
+        /// The answer; `None` if the call timed out.
         reply: Option<Response>,
     },
-    /// The state service's open watches are looked at.
+    /// The key-value store's open watches are checked.
     Watches,
-    /// A worker may report.
+    /// A worker may send a report.
     ReportDue {
         /// Number of its machine.
         machine: u64,
@@ -172,7 +173,7 @@
     ReportAnswered {
         /// Number of its machine.
         machine: u64,
-        /// The worker's own number of the report.
+        /// The worker's serial number of the report.
         serial: u64,
         /// HTTP status.
         status: u16,
@@ -183,7 +184,7 @@
     ReportTimedOut {
         /// Number of its machine.
         machine: u64,
-        /// The worker's own number of the report.
+        /// The worker's serial number of the report.
         serial: u64,
     },
     /// The tasks of a machine advance.
@@ -195,7 +196,7 @@
     UserProbe {
         /// The job.
         job: String,
-        /// What is asked.
+        /// The kind of request.
         request: UserRequest,
         /// Number of the controller.
         controller: usize,
@@ -204,12 +205,12 @@
     UserSends {
         /// The job.
         job: String,
-        /// What is asked.
+        /// The kind of request.
         request: UserRequest,
-        /// When it was sent first.
+        /// When its first attempt was sent.
         since: Micros,
     },
-    /// A user waits no longer for an answer.
+    /// A user's request times out.
     UserGivesUp {
         /// Number of the request.
         request: u64,
@@ -218,7 +219,7 @@
     Frame {
         /// Number of the controller.
         to: usize,
-        /// The process it was sent to; none: whichever is there.
+        /// Generation of the process it was sent to; `None` if any process receives it.
         generation: Option<u64>,
         /// The encoded frame.
         body: Vec<u8>,
@@ -247,7 +248,7 @@
         }
     }
 
-    /// The controller that has to run for the event to happen.
+    /// The controller that handles the event; the event waits while that controller is frozen.
     #[must_use]
     pub fn controller(&self) -> Option<usize> {
         match self {
@@ -260,7 +261,7 @@
     }
 }
 
-/// Events in the order of their time; those of one time in the order in which they were
+/// Events ordered by their time; events at the same time keep the order in which they were
 /// added.
 #[derive(Default)]
 pub(crate) struct EventQueue {
--- a/crates/sim/src/fault_injection.rs
+++ b/crates/sim/src/fault_injection.rs
@@ -1,50 +1,51 @@
-//! The faults of a simulated cluster that are in force, and their draws: cut and slow links,
-//! controllers that stand still, lost, late and duplicated messages.
+//! The faults in force in a simulated cluster, and their random draws: cut and slow links,
+//! frozen controllers, lost, late and duplicated messages.
 //!
-//! Nothing here draws a random number unless its fault is in force, so that a scenario
-//! without faults is played alike whatever faults exist.
+//! A random number is drawn only while its fault is in force, so that new kinds of faults do
+//! not change scenarios that do not use them.
 
 use beamhinge_emulator::{Micros, SECOND};
 use rand::rngs::StdRng;
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Reports of a machine that are kept for the next leader.
+/// Most reports of one machine that are kept for the next leader.
 const MAX_KEPT_REPORTS: usize = 3;
-/// The shortest time after which TCP sends a lost packet again.
+/// Shortest time after which TCP retransmits a lost packet.
 const MIN_RETRANSMIT: Micros = SECOND / 5;
-/// A copy comes no sooner than this, and at the latest within [`MIN_COPY_SPAN`] at least.
+/// Shortest delay of a copy.
 const MIN_COPY_DELAY: Micros = SECOND / 2;
+/// Smallest upper bound of the delay of a copy.
 const MIN_COPY_SPAN: Micros = SECOND;
 
-/// A value that holds until some time.
+/// A value that is in force until a certain time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Temporary<T> {
     /// The value.
     pub value: T,
-    /// Until when.
+    /// When it ceases to be in force.
     pub until: Micros,
 }
 
 impl<T: Copy> Temporary<T> {
-    /// The value, while it holds.
+    /// The value while it is in force, `None` afterwards.
     pub fn get(&self, now: Micros) -> Option<T> {
         (now < self.until).then_some(self.value)
     }
 }
 
 impl Temporary<f64> {
-    /// Draws whether this probability hits, while it holds.
+    /// Draws an event of this probability while it is in force; `false` afterwards.
     pub fn draw(&self, now: Micros, rng: &mut StdRng) -> bool {
         self.get(now)
             .is_some_and(|probability| rng.gen_bool(probability))
     }
 }
 
-/// A link, or a part of what it serves.
+/// A link, or a part of the requests on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkKind {
-    /// To the state service.
+    /// To the key-value store.
     State,
     /// To the cloud.
     Cloud,
@@ -52,58 +53,58 @@
     Peers,
     /// To workers.
     Workers,
-    /// The state service refuses everything on the link.
+    /// The key-value store refuses everything on the link.
     Refused,
-    /// The state service refuses to read jobs.
+    /// The key-value store refuses to read jobs.
     Jobs,
-    /// The state service refuses to read the configuration.
+    /// The key-value store refuses to read the configuration.
     Configuration,
 }
 
 /// A link that is cut.
 #[derive(Clone, Copy, Debug)]
 pub struct Cut {
-    /// Until when.
+    /// When the cut ends.
     pub until: Micros,
-    /// What is sent meanwhile is delivered afterwards; else it is lost.
+    /// Whether messages sent during the cut are delivered after it; otherwise they are lost.
     pub holds: bool,
 }
 
-/// Late copies of messages that change something.
+/// Late copies of messages that change state.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Duplication {
-    /// Part of the messages that are copied.
+    /// Fraction of the messages that are copied.
     pub probability: Temporary<f64>,
-    /// The latest that a copy comes.
+    /// Longest delay of a copy.
     pub max_delay: Micros,
 }
 
 impl Duplication {
-    /// When a copy of what is sent now arrives, if one is made.
+    /// When a copy of a message that is sent now arrives; `None` if none is made.
     pub fn draw(&self, now: Micros, rng: &mut StdRng) -> Option<Micros> {
         let made = self.probability.draw(now, rng);
         made.then(|| now + rng.gen_range(MIN_COPY_DELAY..self.max_delay.max(MIN_COPY_SPAN)))
     }
 }
 
-/// Frames between controllers that are lost and sent again, which holds up those behind
+/// Frames between controllers that are lost and retransmitted, which delays the frames behind
 /// them.
 #[derive(Default)]
 pub struct FrameLoss {
-    /// Part of the frames that are lost.
+    /// Fraction of the frames that are lost.
     pub probability: Temporary<f64>,
-    /// The longest until a lost frame is sent again.
+    /// Longest time until a lost frame is retransmitted.
     pub max_delay: Micros,
-    /// Until when each link, from and to, is held up.
+    /// Until when each link (sender and receiver) is blocked by a retransmission.
     held: BTreeMap<(usize, usize), Micros>,
 }
 
 impl FrameLoss {
-    /// A lost frame may take at least this long, seconds.
+    /// Smallest value allowed for [`FrameLoss::max_delay`], seconds.
     pub const MIN_MAX_DELAY_S: f64 = 0.3;
 
-    /// When a frame arrives that would do so at `at`: behind a lost one that is being sent
-    /// again, since a link keeps the order.
+    /// When a frame arrives that would arrive at `at` without loss. A link keeps the order of
+    /// its frames, so a frame waits for the retransmission of a lost one before it.
     pub fn arrival(
         &mut self,
         now: Micros,
@@ -122,16 +123,16 @@
     }
 }
 
-/// Copies of reports that reach all controllers when the next leader begins.
+/// Copies of reports that are delivered to all controllers when the next leader begins.
 #[derive(Default)]
 pub struct KeptReports {
-    /// Part of the reports of which a copy is kept.
+    /// Fraction of the reports of which a copy is kept.
     pub probability: Temporary<f64>,
     by_machine: BTreeMap<u64, Vec<Vec<u8>>>,
 }
 
 impl KeptReports {
-    /// A report goes out: draws whether a copy is kept.
+    /// Draws whether a copy of a report that is sent is kept.
     pub fn offer(&mut self, now: Micros, machine: u64, body: &[u8], rng: &mut StdRng) {
         if !self.probability.draw(now, rng) {
             return;
@@ -142,45 +143,45 @@
         }
     }
 
-    /// The kept reports by machine; none are kept any more.
+    /// Removes and returns the kept reports, by machine.
     pub fn take(&mut self) -> BTreeMap<u64, Vec<Vec<u8>>> {
         std::mem::take(&mut self.by_machine)
     }
 }
 
-/// All faults but those of the services and machines themselves.
+/// All injected faults except those of the services and machines themselves.
 #[derive(Default)]
 pub struct FaultInjection {
-    /// Cut links of controllers. Kept when they are over.
+    /// Cut links of controllers. Entries remain after the cut has ended.
     pub link_cuts: BTreeMap<(usize, LinkKind), Cut>,
-    /// Zones without any link to the outside. Kept when they are over.
+    /// Zones without any link to the outside. Entries remain after the cut has ended.
     pub zone_cuts: BTreeMap<String, Cut>,
-    /// Until when each controller stands still while its clock runs on.
+    /// Until when each controller is frozen while its clock continues.
     pub frozen_until: Vec<Micros>,
     /// Copies of messages between controllers, workers and services.
     pub duplication: Duplication,
-    /// How many times as long the state service takes.
+    /// Delay factor of the key-value store.
     pub state_slowdown: Temporary<f64>,
-    /// Part of the commits that are carried out and whose answer is lost.
+    /// Fraction of the commits that are executed but whose answer is lost.
     pub lost_commit_answers: f64,
-    /// Part of the commits that are carried out late, without an answer.
+    /// Fraction of the commits that are executed late, without an answer.
     pub late_commits: f64,
-    /// Part of the cloud's answers to changes that are lost.
+    /// Fraction of the cloud's answers to changes that are lost.
     pub lost_cloud_answers: f64,
-    /// How much longer each message of a controller takes.
+    /// Additional latency of each message of a controller.
     pub link_delay: Temporary<Micros>,
     /// Lost frames between controllers.
     pub frame_loss: FrameLoss,
     /// Reports kept for the next leader.
     pub kept_reports: KeptReports,
-    /// Part of the jobs that are cancelled as their last task ends.
+    /// Fraction of the jobs that are cancelled as their last task ends.
     pub cancel_at_end: Temporary<f64>,
-    /// Until when users ask all controllers right after they were told something.
+    /// Until when users query all controllers right after they learn of a change of their job.
     pub probes_until: Micros,
 }
 
 impl FaultInjection {
-    /// No faults, for so many controllers.
+    /// No faults, for this number of controllers.
     #[must_use]
     pub fn new(controllers: usize) -> FaultInjection {
         FaultInjection {
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Whether that link of a controller is cut.
+    /// Whether this link of a controller is cut.
     #[must_use]
     pub fn is_cut(&self, now: Micros, controller: usize, link: LinkKind) -> bool {
         let cut = self.link_cuts.get(&(controller, link));
@@ -202,7 +203,7 @@
         self.zone_cuts.get(zone).is_some_and(|cut| now < cut.until)
     }
 
-    /// All faults end.
+    /// Ends all faults.
     pub fn heal(&mut self, now: Micros) {
         for cut in self
             .link_cuts
--- a/crates/sim/src/fingerprint.rs
+++ b/crates/sim/src/fingerprint.rs
@@ -1,9 +1,9 @@
-//! A fingerprint of all that the controllers of a simulated cluster sent: one running
-//! hash over each message in the order in which it was sent. Two programs that decide
-//! alike have the same fingerprint of the same day, whatever their code looks like.
+//! A fingerprint of all messages that the controllers of a simulated cluster sent: one running
+//! hash over the messages in the order in which they were sent. Two builds that make the same
+//! decisions have the same fingerprint for the same day, however their code differs.
 //!
 //! Only simulated time, numbers and encoded bytes are hashed, never the names of Rust
-//! types or variants, so renaming and splitting code leaves a fingerprint as it is.
+//! types or variants, so renaming and splitting code does not change a fingerprint.
 
 pub mod days;
 
@@ -33,8 +33,8 @@
     }
 }
 
-/// The running hash. Every field is of fixed length or preceded by its length, so that
-/// different messages are never the same input.
+/// The running hash. Every field has a fixed length or is preceded by its length, so that
+/// different messages never produce the same hash input.
 #[derive(Clone, Default)]
 pub struct Fingerprinter {
     hash: Xxh3,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The fingerprint of all that was added so far.
+    /// The fingerprint of all messages added so far.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint(self.hash.digest128())
     }
--- a/crates/sim/src/fingerprint/days.rs
+++ b/crates/sim/src/fingerprint/days.rs
@@ -1,9 +1,9 @@
-//! The fixed days whose fingerprints are recorded, and the record they are compared with.
+//! The fixed days whose fingerprints are recorded, and the record that they are compared with.
 //!
 //! The record is a text file with a line `NAME FINGERPRINT` for each day. A change that
-//! is to leave all decisions as they are must leave it as it is; one that changes a
-//! decision, a stored record, a message or the package version (operators are told it)
-//! records it anew with `beamhinge-testbed days --fingerprint --record`.
+//! must not affect decisions must leave the record unchanged. A change of a decision, a stored
+//! record, a message or the package version (which is sent to operators) updates it with
+//! `beamhinge-testbed days --fingerprint --record`.
 
 use super::Fingerprint;
 use crate::combined_faults;
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// Seeds and numbers of the drawn days.
+/// Seeds and numbers of the generated days.
 const DRAWN: [(u64, u64); 4] = [(1, 0), (1, 1), (31, 2), (77, 3)];
 /// Seeds and numbers of the days of combined faults.
 const COMBINED: [(u64, u64); 3] = [(1, 0), (4, 57), (31, 14)];
@@ -36,8 +36,8 @@
     };
 }
 
-/// Ends of a leader, outages of the state service, changes of the configuration, and the
-/// decisions that the drawn days meet seldom.
+/// Scenarios with the end of a leader, outages of the key-value store, configuration changes,
+/// and decisions that are rare on the generated days.
 const SCENARIOS: [(&str, &str); 11] = [
     scenario!("ageing_service"),
     scenario!("cancel_in_pairs"),
@@ -56,21 +56,21 @@
 #[derive(Debug, thiserror::Error)]
 #[error("line {line} of the record of fingerprints is not NAME FINGERPRINT")]
 pub struct InvalidRecord {
-    /// Counted from one.
+    /// Line number, counted from one.
     pub line: usize,
 }
 
-/// Why the fingerprint of a day could not be taken.
+/// A day that could not be played.
 #[derive(Debug, thiserror::Error)]
 #[error("{day}: {source}")]
 pub struct PlayError {
     /// The day's name.
     pub day: String,
-    /// What is wrong with its text.
+    /// The error in its text.
     pub source: ScenarioError,
 }
 
-/// Fingerprints by the names of their days.
+/// Fingerprints, by the names of their days.
 pub type Record = BTreeMap<String, Fingerprint>;
 
 /// The fixed days.
@@ -87,11 +87,11 @@
     drawn.into_iter().chain(combined).chain(scenarios).collect()
 }
 
-/// Plays all days, some at the same time, and takes their fingerprints; `faults` puts
-/// faults of old back.
+/// Plays all days, up to `threads` of them in parallel, and returns their fingerprints.
+/// `faults` are past faults that are put back into the controllers.
 ///
 /// # Errors
-/// When a day's text cannot be understood.
+/// If the text of a day cannot be parsed.
 pub fn play(days: &[Day], faults: Faults, threads: usize) -> Result<Record, PlayError> {
     let (next, played) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
@@ -133,10 +133,10 @@
     text
 }
 
-/// Reads a record.
+/// Parses a record.
 ///
 /// # Errors
-/// When a line isn't a name and a fingerprint.
+/// If a line isn't a name and a fingerprint.
 pub fn read(text: &str) -> Result<Record, InvalidRecord> {
     let entry = |line: &str| {
         let (name, fingerprint) = line.split_once(' ')?;
@@ -148,7 +148,7 @@
         .collect()
 }
 
-/// The names of days that only one of the two records has, or whose fingerprints differ.
+/// The names of days that are in only one of the two records, or whose fingerprints differ.
 pub fn differences(recorded: &Record, played: &Record) -> Vec<String> {
     let names: BTreeSet<&String> = recorded.keys().chain(played.keys()).collect();
     let differs = |name: &&String| recorded.get(*name) != played.get(*name);
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,11 +1,11 @@
-//! A whole cluster in simulated time: the controllers as they are, on emulators that can be
-//! told to fail; scenarios as small text files; and days that are drawn, judged, and made
-//! smaller when one fails.
+//! Simulates a whole cluster in simulated time. The unmodified controllers run on emulators
+//! into which faults can be injected. Scenarios are small text files. Randomly generated
+//! scenarios ("days") are played, judged, and reduced when one fails.
 //!
 //! - [`scenario`] plays one text file on a [`cluster`] and judges the outcome;
-//! - [`days`] and [`combined_faults`] draw such files;
-//! - [`fingerprint`] takes a hash of all that the controllers of a day sent, so that a
-//!   change that is to leave decisions as they are can show that it does.
+//! - [`days`] and [`combined_faults`] generate such files at random;
+//! - [`fingerprint`] hashes every message that the controllers send during a day, which shows
+//!   whether a change leaves all decisions the same.
 
 pub mod cluster;
 pub mod combined_faults;
--- a/crates/sim/src/machine_contents.rs
+++ b/crates/sim/src/machine_contents.rs
@@ -1,4 +1,4 @@
-//! The protocol's rules about what may be on machines, kept up with each change.
+//! The protocol's rules about which tasks may be on machines, checked at each change.
 
 use beamhinge_emulator::job::MachineAttributes;
 use beamhinge_emulator::{job_id, JobPlan};
@@ -7,16 +7,16 @@
 /// Tolerance in comparisons of summed CPUs.
 pub(crate) const EPSILON: f64 = 1e-6;
 
-/// A rule that was broken, and by what.
+/// A broken rule and what broke it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// Name of the rule.
     pub rule: &'static str,
-    /// What broke it.
+    /// The task or team that broke it.
     pub subject: String,
 }
 
-/// Where the tasks of a job are.
+/// The tasks of a job that are on machines.
 #[derive(Default)]
 struct JobUse {
     /// Number of tasks by zone.
@@ -29,21 +29,22 @@
     task_ids: Vec<String>,
 }
 
-/// What really is on the machines, whatever the controllers believe.
+/// The actual tasks on the machines, independent of what the controllers believe.
 ///
-/// Kept by machine: a change costs what it touches, not the whole fleet.
+/// Indexed by machine, so that the cost of a change depends on the machine that changes and
+/// not on the size of the fleet.
 #[derive(Default)]
 pub struct MachineContents {
     machines: BTreeMap<u64, Contents>,
     machines_of_task: HashMap<String, BTreeSet<u64>>,
     jobs: BTreeMap<String, JobUse>,
-    /// CPUs in use by team.
+    /// CPUs in use, by team.
     teams: BTreeMap<String, f64>,
 }
 
 impl MachineContents {
-    /// These tasks are on a machine now; returns which rules that breaks. `limit`: the CPUs
-    /// that a team may use, zero for no limit.
+    /// Sets the tasks that are on a machine now; returns the rules that this breaks. `limit`
+    /// is the number of CPUs that a team may use, zero for no limit.
     pub fn set(
         &mut self,
         machine: u64,
@@ -87,7 +88,7 @@
         violations
     }
 
-    /// Counts a task to its job; returns whether it may be on such a machine.
+    /// Adds a task to the counts of its job; returns whether it may be on such a machine.
     fn place(&mut self, task_id: &str, plan: &JobPlan, attributes: &MachineAttributes) -> bool {
         let job = self.jobs.entry(job_id(task_id).to_string()).or_default();
         job.task_ids.insert(task_id.to_string());
@@ -99,7 +100,7 @@
         plan.allows(attributes) && !too_many_zones && !too_many_in_zone
     }
 
-    /// The machine is gone, with all that was on it.
+    /// Removes a machine with all tasks on it.
     pub fn remove(&mut self, machine: u64, plans: &BTreeMap<String, JobPlan>) {
         let Some(Contents { zone, task_ids }) = self.machines.remove(&machine) else {
             return;
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Takes a task in a zone from the count of its job.
+    /// Removes a task in a zone from the counts of its job.
     fn displace(&mut self, task_id: &str, zone: &str) {
         let id = job_id(task_id);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -145,7 +146,7 @@
         self.teams.get(team).copied().unwrap_or(0.0)
     }
 
-    /// Jobs with a task on a machine, and one of these tasks.
+    /// Jobs with at least one task on a machine, each with one of these tasks.
     pub fn jobs(&self) -> impl Iterator<Item = (&str, &str)> {
         self.jobs.iter().map(|(id, job)| {
             let first = job.task_ids.first();
--- a/crates/sim/src/preemptions.rs
+++ b/crates/sim/src/preemptions.rs
@@ -1,16 +1,16 @@
-//! Tasks that were preempted, and whether anybody started in their place; what each class
-//! and team was served. Judged by what really happened on machines.
+//! Preempted tasks and whether another task started in their place, and the fraction of work
+//! that each class and team got done. Judged by what actually happened on the machines.
 
 use beamhinge_emulator::worker::{TaskEvent, TaskTransition};
 use beamhinge_emulator::{job_id, JobPlan, Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A start later than this is not in the preempted task's place.
+/// A task that starts later than this after a preemption does not count as its replacement.
 const REPLACEMENT_TIME: Micros = 30 * SECOND;
-/// The largest jobs of a class are one in so many.
+/// One in this many jobs of a class counts as one of its largest.
 const LARGEST_ONE_IN: usize = 10;
 
-/// A task that was stopped by command though nobody cancelled it.
+/// A task that was stopped by a command although no user cancelled it.
 struct Preemption {
     at: Micros,
     cpus: f64,
@@ -18,26 +18,27 @@
     team: String,
 }
 
-/// What is known of a machine beside the events on it.
+/// The state of a machine apart from the events on it.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineState {
-    /// Its number.
+    /// Number of the machine.
     pub machine: u64,
-    /// It goes anyway: what is stopped there is stopped for nobody.
+    /// Whether the machine is being reclaimed: tasks stopped there are not preempted in favour
+    /// of another task.
     pub leaving: bool,
 }
 
-/// Preemptions whose outcome is open, by machine, and how many there were.
+/// Preemptions whose outcome is not yet known, by machine, and counts of all preemptions.
 #[derive(Default)]
 pub struct PreemptionTracker {
     open: BTreeMap<u64, VecDeque<Preemption>>,
-    /// Tasks preempted.
+    /// Number of preempted tasks.
     pub preempted: u64,
-    /// Of these, those in whose place nobody started who may preempt them.
+    /// Number of preempted tasks in whose place no task started that may preempt them.
     pub wasted: u64,
 }
 
-/// From the least urgent to the most.
+/// Rank of a job's urgency; higher is more urgent.
 fn urgency(plan: &JobPlan) -> u8 {
     ["best_effort", "standard", "high", "critical"]
         .iter()
@@ -46,8 +47,8 @@
 }
 
 impl PreemptionTracker {
-    /// Takes what happened on a machine, in order; `cancelled`: whether a job's user asked to
-    /// cancel it.
+    /// Handles the events on a machine, in order. `cancelled` says whether a job's user asked
+    /// to cancel it.
     pub fn on_events(
         &mut self,
         now: Micros,
@@ -75,8 +76,8 @@
         }
     }
 
-    /// A task started on a machine. Several may have made room for one, and one for several:
-    /// a start in place of a larger task settles it.
+    /// Handles the start of a task on a machine. Several victims may make way for one task, and
+    /// one victim for several tasks: any start in place of a larger victim settles that victim.
     fn on_start(&mut self, machine: u64, plan: &JobPlan) {
         let Some(open) = self.open.get_mut(&machine) else {
             return;
@@ -93,7 +94,7 @@
         });
     }
 
-    /// Counts preemptions in whose place nobody started in time.
+    /// Counts preemptions in whose place no task started in time as wasted.
     pub fn expire(&mut self, now: Micros) {
         for open in self.open.values_mut() {
             while open.front().is_some_and(|p| now > p.at + REPLACEMENT_TIME) {
@@ -104,13 +105,14 @@
         self.open.retain(|_, open| !open.is_empty());
     }
 
-    /// The machine is gone: nobody can start there.
+    /// Drops the open preemptions of a lost machine, on which no task can start any more.
     pub fn remove_machine(&mut self, machine: u64) {
         self.open.remove(&machine);
     }
 }
 
-/// Each class's largest jobs by the CPUs they take: a tenth of them, one at least.
+/// Each class's largest jobs by their total CPUs: a tenth of its jobs, at least one. `counts`
+/// selects the jobs that are considered.
 pub fn largest_jobs(
     jobs: &BTreeMap<String, JobPlan>,
     counts: impl Fn(&str, &JobPlan) -> bool,
@@ -129,14 +131,14 @@
     largest
 }
 
-/// Part of the tasks that are done, of each class, its largest jobs, and each team, the least
-/// first.
+/// Fraction of the tasks that are done, for each class, its largest jobs, and each team,
+/// lowest first. `counts` selects the jobs that are considered.
 pub fn served_fractions(
     jobs: &BTreeMap<String, JobPlan>,
     counts: impl Fn(&str, &JobPlan) -> bool,
     done: impl Fn(&str) -> u64,
 ) -> Vec<(String, f64)> {
-    /// Tasks of a group, and those of them that are done.
+    /// Number of tasks of a group, and how many of them are done.
     #[derive(Default)]
     struct Progress {
         tasks: u64,
--- a/crates/sim/src/preemptions/tests.rs
+++ b/crates/sim/src/preemptions/tests.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// A tracker and the jobs that it is told of.
+/// A tracker and the jobs of which it receives events.
 struct Machines {
     jobs: BTreeMap<String, JobPlan>,
     tracker: PreemptionTracker,
@@ -55,7 +55,8 @@
     let start = |task_id| [event(task_id, TaskTransition::Started)];
     machines.on_events(0, 1, &six);
     machines.on_events(0, 2, &six);
-    // One of twelve CPUs settles six of two; the same work again settles none.
+    // One start with twelve CPUs settles six victims with two CPUs each; a start of the same
+    // job settles none.
     machines.on_events(SECOND, 1, &start("job-2/0"));
     machines.on_events(SECOND, 2, &start("job-1/7"));
     machines.on_events(SECOND, 2, &start("job-3/0"));
@@ -66,7 +67,7 @@
         (12, 5),
         "another team's start settled one"
     );
-    // Cancelled, or on a machine that goes: for nobody's sake.
+    // Stops of cancelled tasks, and stops on a reclaimed machine, are not preemptions.
     let state = |machine, leaving| MachineState { machine, leaving };
     tracker.on_events(0, state(3, true), &six, &jobs, |_| false);
     tracker.on_events(0, state(4, false), &six, &jobs, |_| true);
@@ -75,7 +76,8 @@
 
 #[test]
 fn served_fractions_begin_with_the_least() {
-    // The wide job alone is its class's largest: it counts beside its class.
+    // The job with the most CPUs is the largest of its class: it counts in addition to the
+    // class.
     let half = |id: &str| if id == "job-2" { 1 } else { 4 };
     let parts = served_fractions(&plans(), |_, _| true, half);
     assert!(
--- a/crates/sim/src/starvation.rs
+++ b/crates/sim/src/starvation.rs
@@ -1,36 +1,38 @@
-//! Jobs that wait although a machine that fits has room and their team is under its limit,
-//! after the last fault. Judged by what really is on the machines, never by what the
-//! controllers believe.
+//! Jobs that wait, after the last fault, although a suitable machine has enough free capacity
+//! and their team is under its limit. Judged by the actual tasks on the machines, never by
+//! what the controllers believe.
 
 use beamhinge_emulator::{Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So long a job may wait beside room that fits, seconds.
+/// Longest time that a job may wait while enough free capacity fits it, seconds.
 pub const MAX_WAIT_S: u64 = 90;
 
 struct Wait {
     since: Micros,
-    /// Tasks that had started by then.
+    /// Number of tasks that had started when the job was last checked.
     started: u64,
 }
 
-/// How long jobs wait beside room that fits.
+/// Tracks how long jobs wait while enough free capacity fits them.
 #[derive(Default)]
 pub struct StarvationTracker {
     waits: BTreeMap<String, Wait>,
     /// Jobs that waited for longer than [`MAX_WAIT_S`].
     pub starved: BTreeSet<String>,
-    /// The longest that any has waited.
+    /// The longest wait of any job.
     pub longest: Micros,
 }
 
 impl StarvationTracker {
-    /// Takes the jobs that wait beside room now, with the number of their tasks that have
-    /// started. Waits count from `healed`, the end of the last fault.
+    /// Records the jobs that wait now although free capacity fits them, with the number of
+    /// their tasks that have started. Waits count from `healed`, the end of the last fault, at
+    /// the earliest.
     pub fn update(&mut self, now: Micros, healed: Micros, waiting: BTreeMap<String, u64>) {
         let before = std::mem::take(&mut self.waits);
         for (job, started) in waiting {
-            // A task more that started or ended: the job is served.
+            // If another task has started or ended, the job is being served and its wait
+            // begins again.
             let same = before.get(&job).filter(|wait| wait.started >= started);
             let since = same.map_or(now, |wait| wait.since).max(healed);
             self.longest = self.longest.max(now - since);
--- a/crates/sim/tests/fingerprint.rs
+++ b/crates/sim/tests/fingerprint.rs
@@ -1,10 +1,11 @@
-//! The controllers decide on the fixed days as recorded in `fingerprint.txt`. When a
-//! decision is changed on purpose: `beamhinge-testbed days --fingerprint --record`.
+//! The decisions of the controllers on the fixed days must match the fingerprints recorded in
+//! `fingerprint.txt`. After an intended change of a decision, update the record with
+//! `beamhinge-testbed days --fingerprint --record`.
 
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::fingerprint::days;
 
-/// Days that are played at the same time.
+/// Number of days that are played in parallel.
 const THREADS: usize = 4;
 
 #[test]
--- a/crates/sim/tests/hold_model.rs
+++ b/crates/sim/tests/hold_model.rs
@@ -1,48 +1,56 @@
-//! A model of hold, take, cancel, silence and proof, with time in coarse steps, since
-//! H and leases are the point. Two small worlds, each looked through completely:
-//! every order of what two controllers, the state service, a worker and a user do.
+//! A model of leadership, leadership acquisition, cancellation, unreachable workers and proof
+//! of absence. Time passes in coarse steps, since the model is about the serving deadline (H)
+//! and leases. Two small models are each searched exhaustively: every order of the steps of
+//! two controllers, the key-value store, a worker and a user.
 //!
-//! It is not the slices themselves: `Leader`, the mirror and `Placement` count time in
-//! microseconds and names in strings, and no two of their states are alike, so that a
-//! search would never come back to one it knows. The scenarios drive the slices; the
-//! model says that the rules they follow are enough, and with which of them left out
-//! they are not. Planted defects must be found.
+//! The model does not use the production types: `Leader`, the mirror and `Placement` use
+//! microseconds and string names, so that no two of their states are equal and a search
+//! would never return to a known state. The scenarios test the production types. The model
+//! shows that the rules which these follow are sufficient, and which rules are necessary: the
+//! search must find each injected defect.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::Hash;
 
-/// Steps that a lease lasts, that a leader answers after its last exchange, and in
-/// which a cancelled task must be gone. H + LEASE < CANCEL, with one step of margin.
+/// Duration of a worker's session lease, steps.
 const LEASE: u8 = 3;
+/// Serving deadline: how long a leader answers after its last exchange with the key-value store,
+/// steps.
 const H: u8 = 2;
+/// Steps within which a cancelled task must have ended. H + LEASE < CANCEL, with one step of
+/// margin.
 const CANCEL: u8 = 6;
-/// Steps after which the reply of an exchange is lost, and a report or its answer.
+/// Steps after which the reply of an exchange is lost.
 const REPLY: u8 = 2;
+/// Steps after which a report or its answer is lost.
 const LATE: u8 = 1;
-/// Takes that there are.
+/// Highest fencing token: number of leadership acquisitions in the cancellation model.
 const TOKENS: u8 = 3;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Defects {
-    /// No H at all.
+    /// There is no serving deadline (H).
     no_serving_deadline: bool,
-    /// H counted from the coming of the reply.
+    /// H counts from the arrival of the reply instead of the sending of the request.
     h_from_reply: bool,
-    /// H renewed by what shows the hold, however old the jobs are.
+    /// H is renewed by any reply that confirms leadership, however old the replica of the jobs is.
     serving_deadline_from_lease: bool,
-    /// Stops only with the pages read and our token shown.
+    /// A leader stops cancelled tasks only after it has read the stored pages and the worker has
+    /// shown its fencing token.
     late_cancellation_stops: bool,
-    /// Absence counts without our token.
+    /// A task's absence from a report counts although the worker has not shown this controller's
+    /// fencing token.
     proof_before_token: bool,
-    /// Silence after a take counts from our own answers alone.
+    /// After a leadership acquisition, a worker is presumed dead by this controller's own answers
+    /// alone.
     silence_from_local_replies: bool,
-    /// A report that is not newer counts.
+    /// A report that is not newer than the last one is accepted.
     stale_reports_accepted: bool,
-    /// A lower tenure counts as another, and so as newer.
+    /// A lower incarnation counts as a different one, and therefore as newer.
     lower_tenure: bool,
-    /// A stop that was sent counts as an end.
+    /// A task counts as ended as soon as a stop command has been sent.
     stop_is_end: bool,
-    /// Placements do not rest on the block.
+    /// Placements are committed without a check of the leadership block.
     placements_without_block: bool,
 }
 
@@ -50,8 +58,8 @@
     (age + 1).min(most + 1)
 }
 
-/// Looks through all that can follow; the number of states, or one that breaks a rule
-/// with the way to it.
+/// Searches all reachable states. Returns the number of states, or the steps that lead to a
+/// state that violates the invariant.
 fn explore<W: Clone + Eq + Hash>(
     begin: W,
     next: impl Fn(&W) -> Vec<(&'static str, W)>,
@@ -85,35 +93,41 @@
     Ok(seen.len())
 }
 
-// ---- the gap: hold, cancellation, stops and leases ----
+// ---- cancellation: leadership, cancellation, stop commands and leases ----
 
-/// A task runs on a worker; its job is cancelled, and leadership may move.
+/// A task runs on a worker; its job is cancelled, and leadership may change.
 mod gap {
     use super::*;
 
     #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
     struct Controller {
         token: u8,
-        /// Since the sending of the last exchange that showed the hold, and the jobs.
+        /// Steps since the request was sent whose reply last confirmed leadership.
         hold: u8,
+        /// Steps since the request was sent whose reply last showed the jobs.
         jobs: u8,
+        /// Whether it knows that the job is cancelled.
         knows: bool,
+        /// Whether it has read the stored pages since its leadership acquisition.
         read: bool,
     }
 
     #[derive(Clone, Debug, PartialEq, Eq, Hash)]
     pub(super) struct World {
+        /// Fencing token in the leadership block.
         block: u8,
-        /// Since the last take.
+        /// Steps since the last leadership acquisition.
         taken: u8,
-        /// Since the user was told.
+        /// Steps since the user was told that the job is cancelled; `None` before that.
         cancelled: Option<u8>,
         controllers: [Controller; 2],
+        /// Highest fencing token that the worker has seen.
         seen: u8,
-        /// Since the sending of the last answered report.
+        /// Steps since the worker sent the last report that was answered.
         lease: u8,
+        /// Whether the task runs.
         alive: bool,
-        /// An answer on its way: token, whether it stops the task, the report's age.
+        /// An answer in flight: fencing token, whether it stops the task, age of the report.
         answer: Option<(u8, bool, u8)>,
     }
 
@@ -151,8 +165,8 @@
         w.alive && w.cancelled.is_some_and(|at| at > CANCEL)
     }
 
-    /// The reply of an exchange that the service handled so long ago, when its request
-    /// was sent. What it shows is as old; with the jobs or without.
+    /// Handles the reply to a request that was sent, and processed by the key-value store, `age`
+    /// steps ago, so that its content has that age. `jobs` says whether it includes the jobs.
     fn reply(w: &mut World, i: usize, age: u8, jobs: bool, d: Defects) {
         let known = w.cancelled.is_some_and(|at| at > age);
         let held = w.controllers[i].token == w.block || w.taken <= age;
@@ -175,8 +189,8 @@
         }
     }
 
-    /// Every step that can come next.
-    // One entry for each step of the model: it is read as a list.
+    /// Every possible next step and the state after it.
+    // The function is long because it lists the steps of the model, one entry for each.
     #[allow(clippy::too_many_lines)]
     pub(super) fn next(w: &World, d: Defects) -> Vec<(&'static str, World)> {
         let mut out = Vec::new();
@@ -299,28 +313,31 @@
     }
 }
 
-// ---- proof: what was placed by one leader, and placed again by another ----
+// ---- proof of absence: a task placed by one leader and placed again by another ----
 
-/// A placement on a worker is committed, its `run` not yet sent; leadership may move, and
-/// the task may be placed elsewhere once it is known not to be on the worker.
+/// A placement on a worker is committed, but its `run` command is not sent yet. Leadership may
+/// change, and the task may be placed elsewhere once it is known not to be on the worker.
 mod proof {
     use super::*;
 
-    /// Since a take, as far as it matters.
+    /// Largest age of a leadership acquisition that the model distinguishes, steps.
     const TOOK: u8 = H + LEASE;
-    /// Reports that there are.
+    /// Number of reports in the model.
     const TICKS: u8 = 3;
-    /// Takes that there are, the first among them.
+    /// Number of leadership acquisitions in the model, including the initial one.
     const TAKES: u8 = 2;
 
+    /// Incarnation and sequence of a worker's report.
     type Moment = (u8, u8);
 
     #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
     enum Entry {
         Free,
+        /// The placement is committed; its `run` command has not been sent.
         Committed,
+        /// The `run` command was sent in the answer to this report.
         Sent(Moment),
-        /// Listed, or found in a page of an earlier leader.
+        /// The task is listed in a report, or was found in a stored page of an earlier leader.
         There,
         Elsewhere,
     }
@@ -328,36 +345,46 @@
     #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
     struct Controller {
         token: u8,
+        /// Steps since leadership was last confirmed.
         hold: u8,
+        /// Steps since the leadership acquisition.
         took: u8,
         entry: Entry,
-        /// Since our last answer to a newer report.
+        /// Steps since this controller last answered a newer report.
         answered: u8,
-        /// The worker has shown our token.
+        /// Whether the worker has shown this controller's fencing token.
         ever: bool,
+        /// The newest report that this controller has accepted.
         last: Moment,
     }
 
     #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
     struct Report {
+        /// Highest fencing token that the worker has seen.
         seen: u8,
         at: Moment,
+        /// Whether the report lists the task.
         lists: bool,
     }
 
     #[derive(Clone, Debug, PartialEq, Eq, Hash)]
     pub(super) struct World {
+        /// Fencing token in the leadership block.
         block: u8,
         controllers: [Controller; 2],
+        /// Highest fencing token that the worker has seen.
         seen: u8,
         at: Moment,
+        /// Steps since the worker sent the last report that was answered.
         lease: u8,
+        /// Whether the task is on the worker.
         on: bool,
-        /// How often it was placed elsewhere.
+        /// How often the task was placed elsewhere.
         elsewhere: u8,
-        /// The one report of which a copy comes at any later time.
+        /// The single report of which copies may arrive at any later time.
         copy: Option<Report>,
-        /// Token, `run`, `kill`, the session and the age of the report it answers.
+        /// An answer in flight: fencing token, `run`, `kill`, and the incarnation and age of the
+        /// report that it answers.
         answer: Option<(u8, bool, bool, u8, u8)>,
     }
 
@@ -393,12 +420,12 @@
         }
     }
 
-    /// On the worker and elsewhere at the same time, or on two others.
+    /// Whether the task is on the worker and elsewhere at the same time, or on two other workers.
     pub(super) fn broken(w: &World) -> bool {
         w.elsewhere > 1 || w.on && w.elsewhere > 0
     }
 
-    /// Takes a report in: whether `run` goes with the answer.
+    /// Handles a report; returns whether the answer contains the `run` command.
     fn take_in(c: &mut Controller, r: Report, d: Defects) -> bool {
         let newer = c.last < r.at
             || d.stale_reports_accepted
@@ -425,8 +452,8 @@
         run
     }
 
-    /// Every step that can come next.
-    // One entry for each step of the model: it is read as a list.
+    /// Every possible next step and the state after it.
+    // The function is long because it lists the steps of the model, one entry for each.
     #[allow(clippy::too_many_lines)]
     pub(super) fn next(w: &World, d: Defects) -> Vec<(&'static str, World)> {
         let mut out = Vec::new();
@@ -517,7 +544,8 @@
             }
             let silent =
                 c.answered > LEASE && (c.ever || d.silence_from_local_replies || c.took > TOOK);
-            // Our own answers have to be long ago, not to be none.
+            // With this defect, a lease must have passed since the leadership acquisition, so that
+            // the controller's last answer is old and not merely missing.
             let silent = silent && (!d.silence_from_local_replies || c.ever || c.took > LEASE);
             if c.token > 0 && silent && matches!(c.entry, Entry::There | Entry::Sent(_)) {
                 add("silence is proof", &|w| {
