--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -63,7 +63,7 @@
 pub struct Report {
     /// Number of the worker's machine.
     pub machine: u64,
-    /// Number of the controller.
+    /// Index of the controller.
     pub controller: usize,
     /// The worker's serial number of the report.
     pub serial: u64,
@@ -87,7 +87,7 @@
     }
 }
 
-/// A request of an operator, repeated while controllers answer that they are unavailable.
+/// A request of an operator, retried while the controllers are unavailable.
 #[derive(Clone, Debug)]
 pub struct OperatorRequest {
     /// The name under which its answer is stored.
@@ -198,7 +198,7 @@
         job: String,
         /// The kind of request.
         request: UserRequest,
-        /// Number of the controller.
+        /// Index of the controller.
         controller: usize,
     },
     /// A user's request, repeated until it is answered.
@@ -217,7 +217,7 @@
     },
     /// A frame reaches a controller.
     Frame {
-        /// Number of the controller.
+        /// Index of the controller.
         to: usize,
         /// Generation of the process it was sent to; `None` if any process receives it.
         generation: Option<u64>,
