--- a/crates/sim/src/cluster/checks.rs
+++ b/crates/sim/src/cluster/checks.rs
@@ -171,7 +171,7 @@
         let events = std::mem::take(&mut worker.events);
         let finished = std::mem::take(&mut worker.finished);
         let expired = std::mem::take(&mut worker.expired);
-        let leaving = worker.faults.reclaim_at.is_some();
+        let reclaimed = worker.faults.reclaim_at.is_some();
         let faulty_until = worker.faults.faulty_until();
         self.checks.started += std::mem::take(&mut worker.started);
         let violations = self.update_contents(machine);
@@ -179,7 +179,7 @@
         // Tasks that ended with an expired lease were not stopped by a command.
         if expired == 0 {
             let views = &self.users.views;
-            let state = MachineState { machine, leaving };
+            let state = MachineState { machine, reclaimed };
             self.checks
                 .preemptions
                 .on_events(self.now, state, &events, &self.jobs, |job| {
@@ -195,13 +195,13 @@
             self.on_job_ended(&job);
         }
         let started = events.iter().filter(starts);
-        let above: Vec<String> = started
+        let above_limit: Vec<String> = started
             .filter_map(|e| self.above_limit(&e.task_id))
             .collect();
         for Violation { rule, subject } in violations {
             self.checks.violate(self.now, rule, &subject);
         }
-        for subject in above {
+        for subject in above_limit {
             self.checks.violate(self.now, "limit_in_force", &subject);
         }
     }
@@ -293,7 +293,7 @@
         };
         let forgotten: Vec<String> = self.users.open.iter().filter_map(late).collect();
         for job in forgotten {
-            let subject = format!("{job}, about which nobody is told");
+            let subject = format!("{job}, about which no request was answered in time");
             self.checks.violate(self.now, "forgotten", &subject);
         }
     }
--- a/crates/sim/src/cluster/controllers.rs
+++ b/crates/sim/src/cluster/controllers.rs
@@ -211,7 +211,7 @@
         let delay = self.state_delay();
         let slow_answer = delay > 0 && self.rng.gen_bool(0.5);
         let (request_delay, answer_delay) = if slow_answer { (0, delay) } else { (delay, 0) };
-        let Some(at) = self.passes(controller, LinkEnd::State, at + request_delay) else {
+        let Some(at) = self.arrival_time(controller, LinkEnd::State, at + request_delay) else {
             return;
         };
         let is_commit = call.path == "/commit";
@@ -247,7 +247,7 @@
 
     fn send_to_cloud(&mut self, call: OutgoingCall, at: Micros) {
         let controller = call.origin.process.controller;
-        let Some(arrival) = self.passes(controller, LinkEnd::Cloud, at) else {
+        let Some(arrival) = self.arrival_time(controller, LinkEnd::Cloud, at) else {
             return;
         };
         let changes = call.method != Method::Get;
@@ -272,7 +272,7 @@
     fn send_to_worker(&mut self, call: OutgoingCall, machine: u64, at: Micros) {
         let controller = call.origin.process.controller;
         let zone = self.worker_zone(machine);
-        let Some(at) = self.passes(controller, LinkEnd::Worker(&zone), at) else {
+        let Some(at) = self.arrival_time(controller, LinkEnd::Worker(&zone), at) else {
             return;
         };
         let OutgoingCall { origin, body, .. } = call;
@@ -308,7 +308,7 @@
             }
             Some(Requester::Worker { machine, serial }) => {
                 let zone = self.worker_zone(machine);
-                let at = self.passes(controller, LinkEnd::Worker(&zone), self.now + hop);
+                let at = self.arrival_time(controller, LinkEnd::Worker(&zone), self.now + hop);
                 if let Some(at) = at {
                     let event = Event::ReportAnswered {
                         machine,
@@ -327,11 +327,11 @@
     /// `label` is `None`.
     fn send_frame(&mut self, from: usize, label: Option<&str>, frame: &[u8], hop: Micros) {
         for to in 0..self.controllers.len() {
-            let meant = label.is_none_or(|label| self.settings[to].label == label);
-            if to == from || !meant {
+            let is_receiver = label.is_none_or(|label| self.settings[to].label == label);
+            if to == from || !is_receiver {
                 continue;
             }
-            let Some(at) = self.passes(from, LinkEnd::Peer(to), self.now + hop) else {
+            let Some(at) = self.arrival_time(from, LinkEnd::Peer(to), self.now + hop) else {
                 continue;
             };
             let loss = &mut self.faults.frame_loss;
--- a/crates/sim/src/cluster/delivery.rs
+++ b/crates/sim/src/cluster/delivery.rs
@@ -164,7 +164,7 @@
 
     /// Sends the answer to a call back over the controller's link.
     fn reply(&mut self, origin: CallOrigin, end: LinkEnd, at: Micros, reply: Response) {
-        if let Some(at) = self.passes(origin.process.controller, end, at) {
+        if let Some(at) = self.arrival_time(origin.process.controller, end, at) {
             let reply = Some(reply);
             self.push(at, Event::Reply { origin, reply });
         }
@@ -182,10 +182,10 @@
         };
         let (all, jobs) = (cut(LinkKind::Refused), cut(LinkKind::Jobs));
         let configuration = cut(LinkKind::Configuration);
-        let held = |i: usize, prefix: &str| {
+        let withheld = |i: usize, prefix: &str| {
             all[i] || jobs[i] && prefix == JOBS || configuration[i] && prefix == CONFIGURATION
         };
-        let ready = self.state.ready_watches(self.now, held);
+        let ready = self.state.ready_watches(self.now, withheld);
         for (caller, body) in ready.answers {
             let at = self.now + WATCH_ANSWER_TIME;
             self.reply(origin(caller), LinkEnd::State, at, (200, body));
@@ -219,8 +219,9 @@
         for machine in self.cloud.take_released() {
             self.on_machine_returned(request.origin.process.controller, machine, request.late);
         }
-        let part = self.faults.lost_cloud_answers;
-        let lost = part > 0.0 && request.method != Method::Get && self.rng.gen_bool(part);
+        let probability = self.faults.lost_cloud_answers;
+        let lost =
+            probability > 0.0 && request.method != Method::Get && self.rng.gen_bool(probability);
         if !lost {
             let at = self.now + CLOUD_ANSWER_TIME;
             self.reply(request.origin, LinkEnd::Cloud, at, reply);
--- a/crates/sim/src/cluster/links.rs
+++ b/crates/sim/src/cluster/links.rs
@@ -30,7 +30,12 @@
 
     /// When a message over a controller's link arrives that would arrive at `at` without a
     /// fault; `None` if it is lost.
-    pub(super) fn passes(&self, controller: usize, end: LinkEnd, at: Micros) -> Option<Micros> {
+    pub(super) fn arrival_time(
+        &self,
+        controller: usize,
+        end: LinkEnd,
+        at: Micros,
+    ) -> Option<Micros> {
         let (kind, far_zone) = match end {
             LinkEnd::State => (LinkKind::State, None),
             LinkEnd::Cloud => (LinkKind::Cloud, None),
--- a/crates/sim/src/cluster/machines.rs
+++ b/crates/sim/src/cluster/machines.rs
@@ -56,7 +56,7 @@
         let (machine, controller) = (report.machine, report.controller);
         let zone = self.worker_zone(machine);
         let arrival = self.now + REPORT_TIME;
-        let Some(at) = self.passes(controller, LinkEnd::Worker(&zone), arrival) else {
+        let Some(at) = self.arrival_time(controller, LinkEnd::Worker(&zone), arrival) else {
             return;
         };
         let kept = &mut self.faults.kept_reports;
@@ -78,7 +78,7 @@
         let awake = self.now >= worker.faults.hang_until;
         self.checks.losses.faulty_returned += u64::from(faulty && awake);
         let tasks = worker.running().count() as u64;
-        let link = self.passes(controller, LinkEnd::Worker(&worker.zone), self.now);
+        let link = self.arrival_time(controller, LinkEnd::Worker(&worker.zone), self.now);
         let cut_off = link.is_none_or(|at| at > self.now);
         // Returning an idle machine without tasks does no harm.
         let idle = tasks == 0 && self.return_reason(controller, machine).as_deref() == Some("idle");
@@ -138,8 +138,8 @@
     /// `None`.
     #[must_use]
     pub fn machines_up(&self, zone: Option<&str>) -> u64 {
-        let there = |w: &&Worker| zone.is_none_or(|zone| zone == w.zone);
-        self.workers.values().filter(there).count() as u64
+        let in_zone = |w: &&Worker| zone.is_none_or(|zone| zone == w.zone);
+        self.workers.values().filter(in_zone).count() as u64
     }
 
     /// Schedules the next step and report of a machine for the time when its fault ends.
--- a/crates/sim/src/cluster/starvation.rs
+++ b/crates/sim/src/cluster/starvation.rs
@@ -28,7 +28,7 @@
             .filter(|(id, plan)| self.should_finish(id, plan))
             .filter(|(id, _)| !self.users.views.get(*id).is_some_and(|view| view.done))
             .filter_map(|(id, plan)| {
-                let started = self.waits_beside_room(id, plan, &occupation)?;
+                let started = self.waits_despite_free_capacity(id, plan, &occupation)?;
                 Some((id.clone(), started))
             })
             .collect();
@@ -60,10 +60,18 @@
     }
 
     /// How many tasks of the job have started, if another one could start now; `None` if not.
-    fn waits_beside_room(&self, id: &str, plan: &JobPlan, on: &Occupation) -> Option<u64> {
-        let workers = on.workers_of_job.get(id).map_or(&[][..], Vec::as_slice);
+    fn waits_despite_free_capacity(
+        &self,
+        id: &str,
+        plan: &JobPlan,
+        occupation: &Occupation,
+    ) -> Option<u64> {
+        let workers = occupation
+            .workers_of_job
+            .get(id)
+            .map_or(&[][..], Vec::as_slice);
         let started = self.checks.finished_tasks(id) + workers.len() as u64;
-        if started >= plan.tasks() || self.is_over_limit(plan, on) {
+        if started >= plan.tasks() || self.is_over_limit(plan, occupation) {
             return None;
         }
         let fits = |(worker, free): &(&Worker, Capacity)| {
@@ -74,11 +82,11 @@
                 && !(plan.single_zone() && zones().any(|zone| *zone != worker.zone))
                 && !(plan.spread_over_zones() && in_zone >= plan.tasks().div_ceil(2))
         };
-        on.free.iter().any(fits).then_some(started)
+        occupation.free.iter().any(fits).then_some(started)
     }
 
     /// Whether another task would bring the job's team over its limit.
-    fn is_over_limit(&self, plan: &JobPlan, on: &Occupation) -> bool {
+    fn is_over_limit(&self, plan: &JobPlan, occupation: &Occupation) -> bool {
         let team = plan.team();
         let limit = if self.checks.quotas.is_changed() {
             self.checks.quotas.current(team)
@@ -87,7 +95,7 @@
             let team = teams.iter().find(|t| t.name == team);
             team.map_or(0.0, |t| t.cpus_max)
         };
-        let used = on.used.get(team).copied().unwrap_or(0.0);
+        let used = occupation.used.get(team).copied().unwrap_or(0.0);
         limit > 0.0 && used + plan.cpus() > limit + EPSILON
     }
 }
--- a/crates/sim/src/cluster/users.rs
+++ b/crates/sim/src/cluster/users.rs
@@ -85,7 +85,7 @@
         let any = reachable[self.rng.gen_range(0..reachable.len())];
         let wanted = self.users.next_controller.take();
         let controller = wanted.filter(|w| reachable.contains(w)).unwrap_or(any);
-        self.ask(
+        self.send_user_request(
             controller,
             UserCall {
                 job,
@@ -101,7 +101,7 @@
     pub(super) fn user_probes(&mut self, job: String, request: UserRequest, controller: usize) {
         if self.controllers[controller].is_some() && self.users.is_accepted(&job) {
             let now = self.now;
-            self.ask(
+            self.send_user_request(
                 controller,
                 UserCall {
                     job,
@@ -115,7 +115,7 @@
     }
 
     /// Sends a user's request to this controller.
-    fn ask(&mut self, controller: usize, call: UserCall) {
+    fn send_user_request(&mut self, controller: usize, call: UserCall) {
         if self.healed.is_some() && !call.probe {
             let open = &mut self.users.open;
             open.entry(call.job.clone()).or_insert(self.now);
@@ -192,7 +192,7 @@
         let total = plan.and_then(JobPlan::declared_tasks).unwrap_or(0);
         let complete = self.checks.finished_tasks(job) >= total;
         if status < 500 {
-            self.close_question(job);
+            self.close_request(job);
         }
         let answer = UserAnswer {
             asked: call.sent,
@@ -203,14 +203,14 @@
             complete,
         };
         let view = self.users.views.entry(job.clone()).or_default();
-        let before = (view.accepted, view.over, view.cancelled);
+        let previous = (view.accepted, view.over, view.cancelled);
         let assessment = view.on_answer(&answer);
-        let cancelled = view.cancelled != before.2;
-        let news = (view.accepted, view.over) != (before.0, before.1);
+        let cancelled = view.cancelled != previous.2;
+        let state_changed = (view.accepted, view.over) != (previous.0, previous.1);
         if view.accepted && self.users.invalid_jobs.contains(job) {
             self.users.invalid_jobs_accepted.insert(job.clone());
         }
-        if news {
+        if state_changed {
             self.probe_all_controllers(job);
         }
         if cancelled {
@@ -225,7 +225,7 @@
     }
 
     /// Records that a request about a job was answered.
-    fn close_question(&mut self, job: &str) {
+    fn close_request(&mut self, job: &str) {
         let opened = self.users.open.remove(job);
         if let (Some(opened), Some(healed)) = (opened, self.healed) {
             let open = self.now - opened.max(healed);
--- a/crates/sim/src/days.rs
+++ b/crates/sim/src/days.rs
@@ -126,7 +126,7 @@
     run_s: f64,
     tasks: f64,
     /// Fraction of the day's load.
-    part: f64,
+    load_fraction: f64,
     words: &'static str,
 }
 
@@ -137,21 +137,21 @@
         cpus: 4.0,
         run_s: 20.0,
         tasks: 30.0,
-        part: 0.6,
+        load_fraction: 0.6,
         words: "class=a due=150",
     },
     Stream {
         cpus: 2.0,
         run_s: 12.0,
         tasks: 12.0,
-        part: 0.3,
+        load_fraction: 0.3,
         words: "class=prompt urgency=high due=40",
     },
     Stream {
         cpus: 8.0,
         run_s: 30.0,
         tasks: 4.0,
-        part: 0.1,
+        load_fraction: 0.1,
         words: "class=b",
     },
 ];
@@ -164,7 +164,7 @@
             cpus, run_s, words, ..
         } = stream;
         let tasks = (stream.tasks * day.between(0.5, 1.5)).round();
-        let jobs = (fleet_cpus * load * stream.part * arrive_s / (cpus * run_s * tasks))
+        let jobs = (fleet_cpus * load * stream.load_fraction * arrive_s / (cpus * run_s * tasks))
             .ceil()
             .clamp(2.0, 900.0);
         let every = arrive_s / jobs;
@@ -201,7 +201,7 @@
         day.fault(at);
     }
     if day.rng.gen_bool(0.6) {
-        day.guests(fleet.cpus(), fleet.large);
+        day.unguaranteed_work(fleet.cpus(), fleet.large);
     }
     if day.rng.gen_bool(0.3) {
         let at = day.between(from, to);
@@ -226,19 +226,19 @@
         let outcome = scenario::play(&(lines.join("\n") + "\n"), regressions)?;
         Ok(faulty(&outcome))
     };
-    let mut at = 0;
-    while at < lines.len() && tries > 0 {
-        if !lines[at].starts_with("at ") {
-            at += 1;
+    let mut index = 0;
+    while index < lines.len() && tries > 0 {
+        if !lines[index].starts_with("at ") {
+            index += 1;
             continue;
         }
         tries -= 1;
-        let mut fewer = lines.clone();
-        fewer.remove(at);
-        if fails(&fewer)? {
-            lines = fewer;
+        let mut reduced = lines.clone();
+        reduced.remove(index);
+        if fails(&reduced)? {
+            lines = reduced;
         } else {
-            at += 1;
+            index += 1;
         }
     }
     Ok(lines.join("\n") + "\n")
--- a/crates/sim/src/days/bench_file.rs
+++ b/crates/sim/src/days/bench_file.rs
@@ -127,7 +127,7 @@
 }
 
 /// Whether a line of a generated day belongs to its deployment or its work.
-fn is_no_fault(line: &str) -> bool {
+fn is_deployment_or_work(line: &str) -> bool {
     let is_work = line.contains(" stream ") && line.contains("class=");
     (!line.starts_with("at ") || is_work) && !line.starts_with("end ")
 }
@@ -140,7 +140,7 @@
 pub fn from_toml(text: &str, seed: u64, number: u64, size: Size) -> Result<Day, ScenarioError> {
     let file: DayFile = toml::from_str(text)?;
     let base = generate(seed, number, size);
-    let lines = base.text.lines().filter(|line| is_no_fault(line));
+    let lines = base.text.lines().filter(|line| is_deployment_or_work(line));
     let mut lines: Vec<String> = lines.map(String::from).collect();
     let mut end_s = MIN_END_S;
     let days = file.day.into_iter().flat_map(|day| day.faults);
--- a/crates/sim/src/days/generator.rs
+++ b/crates/sim/src/days/generator.rs
@@ -70,7 +70,7 @@
     /// Adds work of a team without a guarantee, of some of these kinds: one huge job array, very
     /// many single tasks, and jobs for idle large machines. Also adds invalid jobs and users who
     /// poll often. `cpus` is the total of all machines, `large` the number of large machines.
-    pub(super) fn guests(&mut self, cpus: f64, large: f64) {
+    pub(super) fn unguaranteed_work(&mut self, cpus: f64, large: f64) {
         let at = self.between(10.0, self.end_s * 0.5);
         let first = self.reserve_jobs(10_000);
         let rest = "urgency=best_effort team=two";
@@ -117,10 +117,10 @@
     /// Crashes one controller and freezes the leader, so that one controller is left.
     pub(super) fn one_controller_left(&mut self, at: f64) {
         self.counted_line(at, "alone", "crash follower");
-        let (then, stands) = (self.between(2.0, 20.0), self.between(5.0, 40.0));
-        self.line(at + then, &format!("freeze leader {stands:.1}"));
+        let (delay, freeze_s) = (self.between(2.0, 20.0), self.between(5.0, 40.0));
+        self.line(at + delay, &format!("freeze leader {freeze_s:.1}"));
         // Before the end of the day: a later line would never be played.
-        let back = (at + self.between(40.0, 90.0)).min(self.end_s - 1.0);
-        self.line(back, "start-all");
+        let restart_at = (at + self.between(40.0, 90.0)).min(self.end_s - 1.0);
+        self.line(restart_at, "start-all");
     }
 }
--- a/crates/sim/src/days/tests.rs
+++ b/crates/sim/src/days/tests.rs
@@ -1,25 +1,25 @@
 use super::*;
 
 #[test]
-fn a_day_is_always_the_same_and_days_differ() {
+fn same_seed_and_number_give_same_day_and_other_numbers_differ() {
     let (a, b) = (generate(3, 5, FULL), generate(3, 5, FULL));
     assert_eq!(a.text, b.text);
     assert_ne!(a.text, generate(3, 6, FULL).text);
-    let instance_types: BTreeMap<&str, u32> = (0..200)
+    let fault_counts: BTreeMap<&str, u32> = (0..200)
         .flat_map(|n| generate(9, n, FULL).fault_counts)
         .fold(BTreeMap::new(), |mut m, (k, n)| {
             *m.entry(k).or_default() += n;
             m
         });
     assert_eq!(
-        instance_types.len(),
+        fault_counts.len(),
         29,
-        "every kind is drawn: {instance_types:?}"
+        "every kind is drawn: {fault_counts:?}"
     );
 }
 
 #[test]
-fn a_file_of_the_benchs_form_becomes_a_day() {
+fn file_in_bench_format_becomes_a_day() {
     let text = "faults = [\n { at_s = 30.0, kind = \"zone_cut\", zone = \"south\", for_s = 20.0, mode = \"hold\" },\n { at_s = 40.0, kind = \"node_crash\", count = 1, busiest = true } ]\n";
     let day = from_toml(text, 1, 1, SMALL).expect("a day");
     assert!(
--- a/crates/sim/src/days/verdict.rs
+++ b/crates/sim/src/days/verdict.rs
@@ -8,16 +8,16 @@
 /// this many machines that were cut off.
 const ONE_IN: u64 = 50;
 /// This many wasted preemptions are always allowed.
-const FEW_PREEMPTIONS: u64 = 8;
+const ALLOWED_PREEMPTIONS: u64 = 8;
 /// This many returned healthy machines are always allowed.
-const FEW_MACHINES: u64 = 2;
+const ALLOWED_MACHINES: u64 = 2;
 /// Every class and team must get this fraction of its work done.
 const MIN_SERVED: f64 = 0.5;
 
 /// Whether a day failed.
 #[must_use]
 pub fn faulty(outcome: &Outcome) -> bool {
-    faulty_under_combined_faults(outcome) || preempts_in_vain(outcome) || starts_late(outcome)
+    faulty_under_combined_faults(outcome) || wastes_preemptions(outcome) || starts_late(outcome)
 }
 
 /// Whether a day of combined faults failed. Late starts do not count, since the faults may last
@@ -40,8 +40,8 @@
 
 /// Whether more than a fiftieth of the preemptions, and more than a few, were wasted. A few are
 /// allowed because no task starts in a victim's place if that task or the machine has a fault.
-fn preempts_in_vain(outcome: &Outcome) -> bool {
-    outcome.wasted_preemptions > (outcome.preempted / ONE_IN).max(FEW_PREEMPTIONS)
+fn wastes_preemptions(outcome: &Outcome) -> bool {
+    outcome.wasted_preemptions > (outcome.preempted / ONE_IN).max(ALLOWED_PREEMPTIONS)
 }
 
 /// Whether a class, its largest jobs or a team got less than half of its work done, in a time in
@@ -55,5 +55,5 @@
 /// were cut off.
 fn returns_healthy_machines(outcome: &Outcome) -> bool {
     let losses = &outcome.losses;
-    losses.healthy_returned > (losses.cut_off / ONE_IN).max(FEW_MACHINES)
+    losses.healthy_returned > (losses.cut_off / ONE_IN).max(ALLOWED_MACHINES)
 }
--- a/crates/sim/src/fault_injection.rs
+++ b/crates/sim/src/fault_injection.rs
@@ -96,7 +96,7 @@
     /// Longest time until a lost frame is retransmitted.
     pub max_delay: Micros,
     /// Until when each link (sender and receiver) is blocked by a retransmission.
-    held: BTreeMap<(usize, usize), Micros>,
+    blocked_until: BTreeMap<(usize, usize), Micros>,
 }
 
 impl FrameLoss {
@@ -117,9 +117,9 @@
         };
         let lost = rng.gen_bool(probability);
         let again = lost.then(|| at + rng.gen_range(MIN_RETRANSMIT..=self.max_delay));
-        let held = self.held.entry(link).or_default();
-        *held = (*held).max(again.unwrap_or(0));
-        at.max(*held)
+        let blocked_until = self.blocked_until.entry(link).or_default();
+        *blocked_until = (*blocked_until).max(again.unwrap_or(0));
+        at.max(*blocked_until)
     }
 }
 
--- a/crates/sim/src/fingerprint/days.rs
+++ b/crates/sim/src/fingerprint/days.rs
@@ -54,7 +54,7 @@
 
 /// A line of a record that isn't a name and a fingerprint.
 #[derive(Debug, thiserror::Error)]
-#[error("line {line} of the record of fingerprints is not NAME FINGERPRINT")]
+#[error("line {line} of the fingerprint record is not of the form NAME FINGERPRINT")]
 pub struct InvalidRecord {
     /// Line number, counted from one.
     pub line: usize,
@@ -98,9 +98,9 @@
         for _ in 0..threads.clamp(1, days.len().max(1)) {
             scope.spawn(|| {
                 while let Some(day) = days.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let taken = take(day, faults);
+                    let result = play_day(day, faults);
                     if let Ok(mut played) = played.lock() {
-                        played.push(taken);
+                        played.push(result);
                     }
                 }
             });
@@ -113,7 +113,7 @@
         .collect()
 }
 
-fn take(day: &Day, faults: Faults) -> Result<(String, Fingerprint), PlayError> {
+fn play_day(day: &Day, faults: Faults) -> Result<(String, Fingerprint), PlayError> {
     match scenario::play(&day.text, faults) {
         Ok(outcome) => Ok((day.name.clone(), outcome.fingerprint)),
         Err(source) => Err(PlayError {
--- a/crates/sim/src/machine_contents/tests.rs
+++ b/crates/sim/src/machine_contents/tests.rs
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn contents_that_break_a_rule_are_reported_until_they_leave() {
-    let (plans, mut on) = (plans(), MachineContents::default());
+fn tasks_that_break_a_rule_are_reported_until_removed() {
+    let (plans, mut contents) = (plans(), MachineContents::default());
     let mut set = |m: u64, zone: &str, task_ids: &[&str]| -> Vec<&'static str> {
         let task_ids = task_ids.iter().map(|p| (*p).to_string()).collect();
         let limit = |t: &str| if t == "one" { 12.0 } else { 0.0 };
@@ -50,7 +50,7 @@
             zone,
             spot: true,
         };
-        let violations = on.set(m, &attributes, task_ids, &plans, limit);
+        let violations = contents.set(m, &attributes, task_ids, &plans, limit);
         violations
             .into_iter()
             .map(|violation| violation.rule)
--- a/crates/sim/src/preemptions.rs
+++ b/crates/sim/src/preemptions.rs
@@ -25,7 +25,7 @@
     pub machine: u64,
     /// Whether the machine is being reclaimed: tasks stopped there are not preempted in favour
     /// of another task.
-    pub leaving: bool,
+    pub reclaimed: bool,
 }
 
 /// Preemptions whose outcome is not yet known, by machine, and counts of all preemptions.
@@ -52,7 +52,7 @@
     pub fn on_events(
         &mut self,
         now: Micros,
-        MachineState { machine, leaving }: MachineState,
+        MachineState { machine, reclaimed }: MachineState,
         events: &[TaskEvent],
         jobs: &BTreeMap<String, JobPlan>,
         cancelled: impl Fn(&str) -> bool,
@@ -61,7 +61,7 @@
             let job = job_id(&event.task_id);
             let Some(plan) = jobs.get(job) else { continue };
             match event.transition {
-                TaskTransition::Stopped if !leaving && !cancelled(job) => {
+                TaskTransition::Stopped if !reclaimed && !cancelled(job) => {
                     self.preempted += 1;
                     self.open.entry(machine).or_default().push_back(Preemption {
                         at: now,
@@ -111,14 +111,14 @@
     }
 }
 
-/// Each class's largest jobs by their total CPUs: a tenth of its jobs, at least one. `counts`
+/// Each class's largest jobs by their total CPUs: a tenth of its jobs, at least one. `includes`
 /// selects the jobs that are considered.
 pub fn largest_jobs(
     jobs: &BTreeMap<String, JobPlan>,
-    counts: impl Fn(&str, &JobPlan) -> bool,
+    includes: impl Fn(&str, &JobPlan) -> bool,
 ) -> BTreeSet<String> {
     let mut by_class: BTreeMap<&str, Vec<(f64, &String)>> = BTreeMap::new();
-    for (id, plan) in jobs.iter().filter(|(id, plan)| counts(id, plan)) {
+    for (id, plan) in jobs.iter().filter(|(id, plan)| includes(id, plan)) {
         let size = plan.tasks() as f64 * plan.cpus();
         by_class.entry(plan.class()).or_default().push((size, id));
     }
@@ -132,10 +132,10 @@
 }
 
 /// Fraction of the tasks that are done, for each class, its largest jobs, and each team,
-/// lowest first. `counts` selects the jobs that are considered.
+/// lowest first. `includes` selects the jobs that are considered.
 pub fn served_fractions(
     jobs: &BTreeMap<String, JobPlan>,
-    counts: impl Fn(&str, &JobPlan) -> bool,
+    includes: impl Fn(&str, &JobPlan) -> bool,
     done: impl Fn(&str) -> u64,
 ) -> Vec<(String, f64)> {
     /// Number of tasks of a group, and how many of them are done.
@@ -145,8 +145,8 @@
         done: u64,
     }
     let mut groups: BTreeMap<String, Progress> = BTreeMap::new();
-    let largest = largest_jobs(jobs, &counts);
-    for (id, plan) in jobs.iter().filter(|(id, plan)| counts(id, plan)) {
+    let largest = largest_jobs(jobs, &includes);
+    for (id, plan) in jobs.iter().filter(|(id, plan)| includes(id, plan)) {
         let (tasks, class) = (plan.tasks(), plan.class());
         let names = [
             Some(format!("class {class}")),
--- a/crates/sim/src/preemptions/tests.rs
+++ b/crates/sim/src/preemptions/tests.rs
@@ -18,11 +18,11 @@
     .into()
 }
 
-fn event(task_id: &str, what: TaskTransition) -> TaskEvent {
+fn event(task_id: &str, kind: TaskTransition) -> TaskEvent {
     TaskEvent {
         task_id: task_id.into(),
         attempt: 1,
-        transition: what,
+        transition: kind,
     }
 }
 
@@ -36,7 +36,7 @@
     fn on_events(&mut self, now: Micros, machine: u64, events: &[TaskEvent]) {
         let state = MachineState {
             machine,
-            leaving: false,
+            reclaimed: false,
         };
         self.tracker
             .on_events(now, state, events, &self.jobs, |_| false);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn preemption_is_wasted_unless_someone_entitled_starts_in_its_place() {
+fn preemption_without_start_of_an_entitled_task_is_wasted() {
     let mut machines = Machines {
         jobs: plans(),
         tracker: PreemptionTracker::default(),
@@ -68,14 +68,14 @@
         "another team's start settled one"
     );
     // Stops of cancelled tasks, and stops on a reclaimed machine, are not preemptions.
-    let state = |machine, leaving| MachineState { machine, leaving };
+    let state = |machine, reclaimed| MachineState { machine, reclaimed };
     tracker.on_events(0, state(3, true), &six, &jobs, |_| false);
     tracker.on_events(0, state(4, false), &six, &jobs, |_| true);
     assert_eq!(tracker.preempted, 12);
 }
 
 #[test]
-fn served_fractions_begin_with_the_least() {
+fn served_fractions_are_sorted_lowest_first() {
     // The job with the most CPUs is the largest of its class: it counts in addition to the
     // class.
     let half = |id: &str| if id == "job-2" { 1 } else { 4 };
--- a/crates/sim/tests/fingerprint.rs
+++ b/crates/sim/tests/fingerprint.rs
@@ -9,7 +9,7 @@
 const THREADS: usize = 4;
 
 #[test]
-fn the_controllers_decide_as_recorded() {
+fn decisions_on_fixed_days_match_the_record() {
     let recorded = days::read(include_str!("fingerprint.txt")).expect("a record");
     let played = days::play(&days::fixed(), Faults::default(), THREADS).expect("sound days");
     let differ = days::differences(&recorded, &played);
@@ -21,22 +21,22 @@
 }
 
 #[test]
-fn a_changed_decision_changes_the_fingerprint() {
-    let room: Vec<_> = days::fixed()
+fn changed_decision_changes_the_fingerprint() {
+    let preemption_day: Vec<_> = days::fixed()
         .into_iter()
         .filter(|d| d.name == "room_two_claims")
         .collect();
-    let recorded = days::play(&room, Faults::default(), 1).expect("a sound day");
+    let recorded = days::play(&preemption_day, Faults::default(), 1).expect("a sound day");
     let faults = Faults {
         scattered_preemption: true,
         ..Faults::default()
     };
-    let changed = days::play(&room, faults, 1).expect("a sound day");
+    let changed = days::play(&preemption_day, faults, 1).expect("a sound day");
     assert_eq!(days::differences(&recorded, &changed), ["room_two_claims"]);
 }
 
 #[test]
-fn a_day_that_one_record_lacks_is_a_difference() {
+fn day_missing_from_one_record_is_a_difference() {
     let digits = "0".repeat(32);
     let both = days::read(&format!("one {digits}\ntwo {digits}\n")).expect("a record");
     let one = days::read(&format!("one {digits}\n")).expect("a record");
--- a/crates/sim/tests/hold_model.rs
+++ b/crates/sim/tests/hold_model.rs
@@ -13,26 +13,26 @@
 use std::hash::Hash;
 
 /// Duration of a worker's session lease, steps.
-const LEASE: u8 = 3;
+const LEASE_STEPS: u8 = 3;
 /// Serving deadline: how long a leader answers after its last exchange with the key-value store,
 /// steps.
-const H: u8 = 2;
-/// Steps within which a cancelled task must have ended. H + LEASE < CANCEL, with one step of
-/// margin.
-const CANCEL: u8 = 6;
+const SERVING_DEADLINE_STEPS: u8 = 2;
+/// Steps within which a cancelled task must have ended.
+/// `SERVING_DEADLINE_STEPS + LEASE_STEPS < CANCEL_STEPS`, with one step of margin.
+const CANCEL_STEPS: u8 = 6;
 /// Steps after which the reply of an exchange is lost.
-const REPLY: u8 = 2;
+const MAX_REPLY_AGE: u8 = 2;
 /// Steps after which a report or its answer is lost.
-const LATE: u8 = 1;
+const MAX_ANSWER_AGE: u8 = 1;
 /// Highest fencing token: number of leadership acquisitions in the cancellation model.
-const TOKENS: u8 = 3;
+const MAX_TOKENS: u8 = 3;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Defects {
     /// There is no serving deadline (H).
     no_serving_deadline: bool,
     /// H counts from the arrival of the reply instead of the sending of the request.
-    h_from_reply: bool,
+    deadline_from_reply: bool,
     /// H is renewed by any reply that confirms leadership, however old the replica of the jobs is.
     serving_deadline_from_lease: bool,
     /// A leader stops cancelled tasks only after it has read the stored pages and the worker has
@@ -47,69 +47,70 @@
     /// A report that is not newer than the last one is accepted.
     stale_reports_accepted: bool,
     /// A lower incarnation counts as a different one, and therefore as newer.
-    lower_tenure: bool,
+    lower_incarnation_is_newer: bool,
     /// A task counts as ended as soon as a stop command has been sent.
-    stop_is_end: bool,
+    stop_counts_as_end: bool,
     /// Placements are committed without a check of the leadership block.
     placements_without_block: bool,
 }
 
-fn older(age: u8, most: u8) -> u8 {
-    (age + 1).min(most + 1)
+fn increase_age(age: u8, max: u8) -> u8 {
+    (age + 1).min(max + 1)
 }
 
 /// Searches all reachable states. Returns the number of states, or the steps that lead to a
 /// state that violates the invariant.
 fn explore<W: Clone + Eq + Hash>(
-    begin: W,
+    initial: W,
     next: impl Fn(&W) -> Vec<(&'static str, W)>,
-    broken: impl Fn(&W) -> bool,
+    violates_invariant: impl Fn(&W) -> bool,
 ) -> Result<usize, Vec<&'static str>> {
-    let mut seen: HashSet<W> = HashSet::from([begin.clone()]);
-    let mut ways: Vec<(usize, &'static str)> = vec![(0, "")];
-    let mut queue = VecDeque::from([(begin, 0)]);
-    while let Some((world, at)) = queue.pop_front() {
-        for (what, then) in next(&world) {
-            if broken(&then) {
-                let mut way = vec![what];
-                let mut back = at;
-                while back > 0 {
-                    way.push(ways[back].1);
-                    back = ways[back].0;
+    let mut visited: HashSet<W> = HashSet::from([initial.clone()]);
+    let mut predecessors: Vec<(usize, &'static str)> = vec![(0, "")];
+    let mut queue = VecDeque::from([(initial, 0)]);
+    while let Some((world, state_index)) = queue.pop_front() {
+        for (step, successor) in next(&world) {
+            if violates_invariant(&successor) {
+                let mut path = vec![step];
+                let mut index = state_index;
+                while index > 0 {
+                    path.push(predecessors[index].1);
+                    index = predecessors[index].0;
                 }
-                way.reverse();
-                return Err(way);
+                path.reverse();
+                return Err(path);
             }
-            if seen.insert(then.clone()) {
-                ways.push((at, what));
-                queue.push_back((then, ways.len() - 1));
+            if visited.insert(successor.clone()) {
+                predecessors.push((state_index, step));
+                queue.push_back((successor, predecessors.len() - 1));
             }
         }
         assert!(
-            seen.len() < 4_000_000,
-            "the world is too large to be looked through"
+            visited.len() < 4_000_000,
+            "the model is too large for an exhaustive search"
         );
     }
-    Ok(seen.len())
+    Ok(visited.len())
 }
 
 // ---- cancellation: leadership, cancellation, stop commands and leases ----
 
 /// A task runs on a worker; its job is cancelled, and leadership may change.
-mod gap {
+mod cancellation {
     use super::*;
 
     #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
     struct Controller {
+        /// Fencing token of its leadership; 0 if it is not the leader.
         token: u8,
         /// Steps since the request was sent whose reply last confirmed leadership.
-        hold: u8,
+        leadership_age: u8,
         /// Steps since the request was sent whose reply last showed the jobs.
-        jobs: u8,
+        jobs_age: u8,
         /// Whether it knows that the job is cancelled.
-        knows: bool,
+        knows_cancellation: bool,
         /// Whether it has read the stored pages since its leadership acquisition.
-        read: bool,
+        pages_read: bool,
     }
 
     #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -117,72 +118,72 @@
         /// Fencing token in the leadership block.
         block: u8,
         /// Steps since the last leadership acquisition.
-        taken: u8,
+        acquisition_age: u8,
         /// Steps since the user was told that the job is cancelled; `None` before that.
-        cancelled: Option<u8>,
+        cancellation_age: Option<u8>,
         controllers: [Controller; 2],
         /// Highest fencing token that the worker has seen.
-        seen: u8,
+        worker_token: u8,
         /// Steps since the worker sent the last report that was answered.
-        lease: u8,
+        lease_age: u8,
         /// Whether the task runs.
-        alive: bool,
+        task_runs: bool,
         /// An answer in flight: fencing token, whether it stops the task, age of the report.
         answer: Option<(u8, bool, u8)>,
     }
 
-    const NOBODY: Controller = Controller {
+    const FOLLOWER: Controller = Controller {
         token: 0,
-        hold: H + 1,
-        jobs: H + 1,
-        knows: false,
-        read: false,
+        leadership_age: SERVING_DEADLINE_STEPS + 1,
+        jobs_age: SERVING_DEADLINE_STEPS + 1,
+        knows_cancellation: false,
+        pages_read: false,
     };
 
-    pub(super) fn begin() -> World {
+    pub(super) fn initial() -> World {
         World {
             block: 1,
-            taken: REPLY + 1,
-            cancelled: None,
+            acquisition_age: MAX_REPLY_AGE + 1,
+            cancellation_age: None,
             controllers: [
                 Controller {
                     token: 1,
-                    hold: 0,
-                    jobs: 0,
-                    read: true,
-                    ..NOBODY
+                    leadership_age: 0,
+                    jobs_age: 0,
+                    pages_read: true,
+                    ..FOLLOWER
                 },
-                NOBODY,
+                FOLLOWER,
             ],
-            seen: 1,
-            lease: 0,
-            alive: true,
+            worker_token: 1,
+            lease_age: 0,
+            task_runs: true,
             answer: None,
         }
     }
 
-    pub(super) fn broken(w: &World) -> bool {
-        w.alive && w.cancelled.is_some_and(|at| at > CANCEL)
+    pub(super) fn violates_invariant(w: &World) -> bool {
+        w.task_runs && w.cancellation_age.is_some_and(|age| age > CANCEL_STEPS)
     }
 
     /// Handles the reply to a request that was sent, and processed by the key-value store, `age`
     /// steps ago, so that its content has that age. `jobs` says whether it includes the jobs.
-    fn reply(w: &mut World, i: usize, age: u8, jobs: bool, d: Defects) {
-        let known = w.cancelled.is_some_and(|at| at > age);
-        let held = w.controllers[i].token == w.block || w.taken <= age;
-        let counted = if d.h_from_reply { 0 } else { age };
+    fn reply(w: &mut World, i: usize, age: u8, includes_jobs: bool, defects: Defects) {
+        let cancellation_known = w.cancellation_age.is_some_and(|elapsed| elapsed > age);
+        let is_leader = w.controllers[i].token == w.block || w.acquisition_age <= age;
+        let content_age = if defects.deadline_from_reply { 0 } else { age };
         let c = &mut w.controllers[i];
-        if jobs {
-            c.jobs = c.jobs.min(counted);
-            c.knows |= known;
+        if includes_jobs {
+            c.jobs_age = c.jobs_age.min(content_age);
+            c.knows_cancellation |= cancellation_known;
         }
-        match held && c.token > 0 {
-            true => c.hold = c.hold.min(counted),
+        match is_leader && c.token > 0 {
+            true => c.leadership_age = c.leadership_age.min(content_age),
             false => {
                 *c = Controller {
                     token: 0,
-                    hold: H + 1,
-                    read: false,
+                    leadership_age: SERVING_DEADLINE_STEPS + 1,
+                    pages_read: false,
                     ..*c
                 }
             }
@@ -192,70 +193,82 @@
     /// Every possible next step and the state after it.
     // The function is long because it lists the steps of the model, one entry for each.
     #[allow(clippy::too_many_lines)]
-    pub(super) fn next(w: &World, d: Defects) -> Vec<(&'static str, World)> {
+    pub(super) fn next(w: &World, defects: Defects) -> Vec<(&'static str, World)> {
         let mut out = Vec::new();
-        if !w.alive {
+        if !w.task_runs {
             return out;
         }
-        let mut add = |what, change: &dyn Fn(&mut World)| {
-            let mut then = w.clone();
-            change(&mut then);
-            out.push((what, then));
+        let mut add = |step, change: &dyn Fn(&mut World)| {
+            let mut successor = w.clone();
+            change(&mut successor);
+            out.push((step, successor));
         };
         add("time passes", &|w| {
-            w.lease = older(w.lease, LEASE);
-            w.alive &= w.lease <= LEASE;
-            w.taken = older(w.taken, REPLY);
-            w.cancelled = w.cancelled.map(|at| older(at, CANCEL));
+            w.lease_age = increase_age(w.lease_age, LEASE_STEPS);
+            w.task_runs &= w.lease_age <= LEASE_STEPS;
+            w.acquisition_age = increase_age(w.acquisition_age, MAX_REPLY_AGE);
+            w.cancellation_age = w
+                .cancellation_age
+                .map(|age| increase_age(age, CANCEL_STEPS));
             for c in &mut w.controllers {
-                (c.hold, c.jobs) = (older(c.hold, H), older(c.jobs, H));
+                (c.leadership_age, c.jobs_age) = (
+                    increase_age(c.leadership_age, SERVING_DEADLINE_STEPS),
+                    increase_age(c.jobs_age, SERVING_DEADLINE_STEPS),
+                );
             }
             w.answer = w
                 .answer
                 .map(|a| (a.0, a.1, a.2 + 1))
-                .filter(|a| a.2 <= LATE);
+                .filter(|a| a.2 <= MAX_ANSWER_AGE);
         });
-        if w.cancelled.is_none() {
-            add("the user is told: cancelled", &|w| w.cancelled = Some(0));
+        if w.cancellation_age.is_none() {
+            add("the user is told of the cancellation", &|w| {
+                w.cancellation_age = Some(0)
+            });
         }
         for i in 0..2 {
             let c = w.controllers[i];
-            for age in 0..=REPLY {
-                let what = ["an exchange", "a late reply", "a very late reply"];
-                add(what[usize::from(age)], &|w| reply(w, i, age, true, d));
+            for age in 0..=MAX_REPLY_AGE {
+                let step = ["an exchange", "a late reply", "a very late reply"];
+                add(step[usize::from(age)], &|w| reply(w, i, age, true, defects));
                 if c.token > 0 {
-                    let what = "a reply, of the hold alone";
-                    add(what, &|w| reply(w, i, age, false, d));
+                    let step = "a reply without the jobs";
+                    add(step, &|w| reply(w, i, age, false, defects));
                 }
             }
-            if c.token == 0 && w.block < TOKENS {
-                add("a take", &|w| {
-                    (w.block, w.taken) = (w.block + 1, 0);
+            if c.token == 0 && w.block < MAX_TOKENS {
+                add("leadership acquisition", &|w| {
+                    (w.block, w.acquisition_age) = (w.block + 1, 0);
                     let c = &mut w.controllers[i];
-                    (c.token, c.hold, c.read) = (w.block, 0, false);
+                    (c.token, c.leadership_age, c.pages_read) = (w.block, 0, false);
                 });
             }
-            if c.token > 0 && !c.read && c.jobs == 0 {
-                add("the pages are read", &|w| w.controllers[i].read = true);
+            if c.token > 0 && !c.pages_read && c.jobs_age == 0 {
+                add("the stored pages are read", &|w| {
+                    w.controllers[i].pages_read = true
+                });
             }
             if c.token > 0 {
-                add("it begins anew", &|w| w.controllers[i] = NOBODY);
+                add("the controller restarts", &|w| w.controllers[i] = FOLLOWER);
             }
-            let fresh = (c.hold <= H && (c.jobs <= H || d.serving_deadline_from_lease))
-                || d.no_serving_deadline;
-            if c.token > 0 && fresh && w.answer.is_none() {
-                let told = c.knows && (!d.late_cancellation_stops || c.read && w.seen == c.token);
+            let may_answer = (c.leadership_age <= SERVING_DEADLINE_STEPS
+                && (c.jobs_age <= SERVING_DEADLINE_STEPS || defects.serving_deadline_from_lease))
+                || defects.no_serving_deadline;
+            if c.token > 0 && may_answer && w.answer.is_none() {
+                let stops_task = c.knows_cancellation
+                    && (!defects.late_cancellation_stops
+                        || c.pages_read && w.worker_token == c.token);
                 add("a report is answered", &|w| {
-                    w.answer = Some((c.token, told, 0))
+                    w.answer = Some((c.token, stops_task, 0))
                 });
             }
         }
         if let Some((token, stop, age)) = w.answer {
             add("the answer arrives", &|w| {
                 w.answer = None;
-                if token >= w.seen {
-                    (w.seen, w.lease) = (token, age);
-                    w.alive &= !stop;
+                if token >= w.worker_token {
+                    (w.worker_token, w.lease_age) = (token, age);
+                    w.task_runs &= !stop;
                 }
             });
             add("the answer is lost", &|w| w.answer = None);
@@ -264,52 +277,56 @@
     }
 }
 
-fn gap(d: Defects) -> Result<usize, Vec<&'static str>> {
-    explore(gap::begin(), |w| gap::next(w, d), gap::broken)
+fn check_cancellation(defects: Defects) -> Result<usize, Vec<&'static str>> {
+    explore(
+        cancellation::initial(),
+        |w| cancellation::next(w, defects),
+        cancellation::violates_invariant,
+    )
 }
 
 #[test]
-fn a_cancelled_task_is_gone_in_time_whoever_holds() {
-    let states = gap(Defects::default()).unwrap_or_else(|way| panic!("{way:#?}"));
-    println!("the gap: {states} states, all of them");
+fn cancelled_task_ends_in_time_under_any_leader() {
+    let states = check_cancellation(Defects::default()).unwrap_or_else(|path| panic!("{path:#?}"));
+    println!("cancellation: all {states} states searched");
     assert!(states > 10_000, "{states}");
 }
 
 #[test]
-fn the_gap_s_planted_defects_are_found() {
+fn injected_defects_of_cancellation_are_found() {
     let none = Defects::default();
-    for (name, d) in [
+    for (name, defects) in [
         (
-            "no H",
+            "no serving deadline",
             Defects {
                 no_serving_deadline: true,
                 ..none
             },
         ),
         (
-            "H from the reply",
+            "serving deadline from the reply",
             Defects {
-                h_from_reply: true,
+                deadline_from_reply: true,
                 ..none
             },
         ),
         (
-            "H by the hold alone",
+            "serving deadline from the lease alone",
             Defects {
                 serving_deadline_from_lease: true,
                 ..none
             },
         ),
         (
-            "late stops",
+            "late stops of cancelled tasks",
             Defects {
                 late_cancellation_stops: true,
                 ..none
             },
         ),
     ] {
-        let way = gap(d).expect_err(name);
-        println!("{name}: found after {} steps: {way:?}", way.len());
+        let path = check_cancellation(defects).expect_err(name);
+        println!("{name}: found after {} steps: {path:?}", path.len());
     }
 }
 
@@ -317,18 +334,18 @@
 
 /// A placement on a worker is committed, but its `run` command is not sent yet. Leadership may
 /// change, and the task may be placed elsewhere once it is known not to be on the worker.
-mod proof {
+mod absence_proof {
     use super::*;
 
     /// Largest age of a leadership acquisition that the model distinguishes, steps.
-    const TOOK: u8 = H + LEASE;
+    const MAX_ACQUISITION_AGE: u8 = SERVING_DEADLINE_STEPS + LEASE_STEPS;
     /// Number of reports in the model.
-    const TICKS: u8 = 3;
+    const MAX_REPORTS: u8 = 3;
     /// Number of leadership acquisitions in the model, including the initial one.
-    const TAKES: u8 = 2;
+    const MAX_ACQUISITIONS: u8 = 2;
 
     /// Incarnation and sequence of a worker's report.
-    type Moment = (u8, u8);
+    type ReportNumber = (u8, u8);
 
     #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
     enum Entry {
@@ -336,33 +353,34 @@
         /// The placement is committed; its `run` command has not been sent.
         Committed,
         /// The `run` command was sent in the answer to this report.
-        Sent(Moment),
+        Sent(ReportNumber),
         /// The task is listed in a report, or was found in a stored page of an earlier leader.
-        There,
+        OnWorker,
         Elsewhere,
     }
 
     #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
     struct Controller {
+        /// Fencing token of its leadership; 0 if it is not the leader.
         token: u8,
         /// Steps since leadership was last confirmed.
-        hold: u8,
+        leadership_age: u8,
         /// Steps since the leadership acquisition.
-        took: u8,
+        acquisition_age: u8,
         entry: Entry,
         /// Steps since this controller last answered a newer report.
-        answered: u8,
+        answer_age: u8,
         /// Whether the worker has shown this controller's fencing token.
-        ever: bool,
+        token_shown: bool,
         /// The newest report that this controller has accepted.
-        last: Moment,
+        last_report: ReportNumber,
     }
 
     #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
     struct Report {
         /// Highest fencing token that the worker has seen.
-        seen: u8,
-        at: Moment,
+        worker_token: u8,
+        number: ReportNumber,
         /// Whether the report lists the task.
         lists: bool,
     }
@@ -373,12 +391,12 @@
         block: u8,
         controllers: [Controller; 2],
         /// Highest fencing token that the worker has seen.
-        seen: u8,
-        at: Moment,
+        worker_token: u8,
+        number: ReportNumber,
         /// Steps since the worker sent the last report that was answered.
-        lease: u8,
+        lease_age: u8,
         /// Whether the task is on the worker.
-        on: bool,
+        on_worker: bool,
         /// How often the task was placed elsewhere.
         elsewhere: u8,
         /// The single report of which copies may arrive at any later time.
@@ -388,32 +406,32 @@
         answer: Option<(u8, bool, bool, u8, u8)>,
     }
 
-    const NOBODY: Controller = Controller {
+    const FOLLOWER: Controller = Controller {
         token: 0,
-        hold: H + 1,
-        took: 0,
+        leadership_age: SERVING_DEADLINE_STEPS + 1,
+        acquisition_age: 0,
         entry: Entry::Free,
-        answered: LEASE + 1,
-        ever: false,
-        last: (0, 0),
+        answer_age: LEASE_STEPS + 1,
+        token_shown: false,
+        last_report: (0, 0),
     };
 
-    pub(super) fn begin() -> World {
-        let holder = Controller {
+    pub(super) fn initial() -> World {
+        let leader = Controller {
             token: 1,
-            hold: 0,
-            took: TOOK + 1,
+            leadership_age: 0,
+            acquisition_age: MAX_ACQUISITION_AGE + 1,
             entry: Entry::Committed,
-            ever: true,
-            ..NOBODY
+            token_shown: true,
+            ..FOLLOWER
         };
         World {
             block: 1,
-            controllers: [holder, NOBODY],
-            seen: 1,
-            at: (1, 0),
-            lease: 0,
-            on: false,
+            controllers: [leader, FOLLOWER],
+            worker_token: 1,
+            number: (1, 0),
+            lease_age: 0,
+            on_worker: false,
             elsewhere: 0,
             copy: None,
             answer: None,
@@ -421,33 +439,37 @@
     }
 
     /// Whether the task is on the worker and elsewhere at the same time, or on two other workers.
-    pub(super) fn broken(w: &World) -> bool {
-        w.elsewhere > 1 || w.on && w.elsewhere > 0
+    pub(super) fn violates_invariant(w: &World) -> bool {
+        w.elsewhere > 1 || w.on_worker && w.elsewhere > 0
     }
 
     /// Handles a report; returns whether the answer contains the `run` command.
-    fn take_in(c: &mut Controller, r: Report, d: Defects) -> bool {
-        let newer = c.last < r.at
-            || d.stale_reports_accepted
-            || d.lower_tenure && r.at.0 != c.last.0 && c.last.0 > 0;
-        if !newer {
+    fn accept_report(c: &mut Controller, r: Report, defects: Defects) -> bool {
+        let is_newer = c.last_report < r.number
+            || defects.stale_reports_accepted
+            || defects.lower_incarnation_is_newer
+                && r.number.0 != c.last_report.0
+                && c.last_report.0 > 0;
+        if !is_newer {
             return false;
         }
-        let ours = r.seen == c.token;
-        let session = c.last.0 > 0 && (c.last.0 < r.at.0 || d.lower_tenure && c.last.0 != r.at.0);
-        (c.last, c.answered) = (r.at, 0);
-        c.ever |= ours;
+        let token_matches = r.worker_token == c.token;
+        let new_incarnation = c.last_report.0 > 0
+            && (c.last_report.0 < r.number.0
+                || defects.lower_incarnation_is_newer && c.last_report.0 != r.number.0);
+        (c.last_report, c.answer_age) = (r.number, 0);
+        c.token_shown |= token_matches;
         c.entry = match c.entry {
             Entry::Elsewhere => Entry::Elsewhere,
-            _ if r.lists => Entry::There,
-            Entry::Sent(_) if ours && session => Entry::Free,
-            Entry::Sent(at) if ours && r.at > at => Entry::Committed,
-            Entry::There if ours || d.proof_before_token => Entry::Free,
+            _ if r.lists => Entry::OnWorker,
+            Entry::Sent(_) if token_matches && new_incarnation => Entry::Free,
+            Entry::Sent(number) if token_matches && r.number > number => Entry::Committed,
+            Entry::OnWorker if token_matches || defects.proof_before_token => Entry::Free,
             other => other,
         };
-        let run = ours && c.entry == Entry::Committed;
+        let run = token_matches && c.entry == Entry::Committed;
         if run {
-            c.entry = Entry::Sent(r.at);
+            c.entry = Entry::Sent(r.number);
         }
         run
     }
@@ -455,32 +477,35 @@
     /// Every possible next step and the state after it.
     // The function is long because it lists the steps of the model, one entry for each.
     #[allow(clippy::too_many_lines)]
-    pub(super) fn next(w: &World, d: Defects) -> Vec<(&'static str, World)> {
+    pub(super) fn next(w: &World, defects: Defects) -> Vec<(&'static str, World)> {
         let mut out = Vec::new();
-        let mut add = |what, change: &dyn Fn(&mut World)| {
-            let mut then = w.clone();
-            change(&mut then);
-            out.push((what, then));
+        let mut add = |step, change: &dyn Fn(&mut World)| {
+            let mut successor = w.clone();
+            change(&mut successor);
+            out.push((step, successor));
         };
         add("time passes", &|w| {
-            w.lease = older(w.lease, LEASE);
-            if w.lease > LEASE {
-                (w.on, w.lease, w.at.0) = (false, 0, w.at.0 + 1);
+            w.lease_age = increase_age(w.lease_age, LEASE_STEPS);
+            if w.lease_age > LEASE_STEPS {
+                (w.on_worker, w.lease_age, w.number.0) = (false, 0, w.number.0 + 1);
             }
             for c in &mut w.controllers {
-                (c.hold, c.took) = (older(c.hold, H), older(c.took, TOOK));
-                c.answered = older(c.answered, LEASE);
+                (c.leadership_age, c.acquisition_age) = (
+                    increase_age(c.leadership_age, SERVING_DEADLINE_STEPS),
+                    increase_age(c.acquisition_age, MAX_ACQUISITION_AGE),
+                );
+                c.answer_age = increase_age(c.answer_age, LEASE_STEPS);
             }
-            let older = |a: (u8, bool, bool, u8, u8)| (a.0, a.1, a.2, a.3, a.4 + 1);
-            w.answer = w.answer.map(older).filter(|a| a.4 <= LATE);
+            let aged = |a: (u8, bool, bool, u8, u8)| (a.0, a.1, a.2, a.3, a.4 + 1);
+            w.answer = w.answer.map(aged).filter(|a| a.4 <= MAX_ANSWER_AGE);
         });
-        if w.copy.is_none() && w.at.1 < TICKS {
-            add("a report is held up", &|w| {
-                w.at.1 += 1;
+        if w.copy.is_none() && w.number.1 < MAX_REPORTS {
+            add("a report is delayed", &|w| {
+                w.number.1 += 1;
                 w.copy = Some(Report {
-                    seen: w.seen,
-                    at: w.at,
-                    lists: w.on,
+                    worker_token: w.worker_token,
+                    number: w.number,
+                    lists: w.on_worker,
                 });
             });
         }
@@ -490,150 +515,163 @@
                 add(
                     "an exchange",
                     &|w| match w.controllers[i].token == w.block {
-                        true => w.controllers[i].hold = 0,
-                        false => w.controllers[i] = NOBODY,
+                        true => w.controllers[i].leadership_age = 0,
+                        false => w.controllers[i] = FOLLOWER,
+                    },
+                );
+                add("the controller restarts", &|w| w.controllers[i] = FOLLOWER);
+            } else if w.block < MAX_ACQUISITIONS {
+                add(
+                    "leadership acquisition and read of the stored pages",
+                    &|w| {
+                        w.block += 1;
+                        let entry = if w.elsewhere > 0 {
+                            Entry::Elsewhere
+                        } else {
+                            Entry::OnWorker
+                        };
+                        w.controllers[i] = Controller {
+                            token: w.block,
+                            leadership_age: 0,
+                            entry,
+                            ..FOLLOWER
+                        };
                     },
                 );
-                add("it begins anew", &|w| w.controllers[i] = NOBODY);
-            } else if w.block < TAKES {
-                add("a take, and the pages are read", &|w| {
-                    w.block += 1;
-                    let entry = if w.elsewhere > 0 {
-                        Entry::Elsewhere
-                    } else {
-                        Entry::There
-                    };
-                    w.controllers[i] = Controller {
-                        token: w.block,
-                        hold: 0,
-                        entry,
-                        ..NOBODY
-                    };
-                });
             }
-            let entitled = c.token > 0 && c.hold <= H;
-            if entitled && w.answer.is_none() && w.at.1 < TICKS {
+            let may_answer = c.token > 0 && c.leadership_age <= SERVING_DEADLINE_STEPS;
+            if may_answer && w.answer.is_none() && w.number.1 < MAX_REPORTS {
                 for stop in [false, true] {
-                    for kept in [false, w.copy.is_none()] {
-                        let what = ["a report", "a report and a stop"][usize::from(stop)];
-                        add(what, &|w| {
-                            w.at.1 += 1;
+                    for is_copied in [false, w.copy.is_none()] {
+                        let step = ["a report", "a report and a stop"][usize::from(stop)];
+                        add(step, &|w| {
+                            w.number.1 += 1;
                             let r = Report {
-                                seen: w.seen,
-                                at: w.at,
-                                lists: w.on,
+                                worker_token: w.worker_token,
+                                number: w.number,
+                                lists: w.on_worker,
                             };
                             let c = &mut w.controllers[i];
-                            let run = take_in(c, r, d);
-                            let kill = stop && c.entry == Entry::There && r.seen == c.token;
-                            if kill && d.stop_is_end {
+                            let run = accept_report(c, r, defects);
+                            let kill =
+                                stop && c.entry == Entry::OnWorker && r.worker_token == c.token;
+                            if kill && defects.stop_counts_as_end {
                                 c.entry = Entry::Free;
                             }
-                            w.answer = Some((c.token, run, kill, w.at.0, 0));
-                            if kept {
+                            w.answer = Some((c.token, run, kill, w.number.0, 0));
+                            if is_copied {
                                 w.copy = Some(r);
                             }
                         });
                     }
                 }
             }
-            if let (Some(r), true) = (w.copy, entitled) {
+            if let (Some(r), true) = (w.copy, may_answer) {
                 add("a copy of a report", &|w| {
-                    take_in(&mut w.controllers[i], r, d);
+                    accept_report(&mut w.controllers[i], r, defects);
                 });
             }
-            let silent =
-                c.answered > LEASE && (c.ever || d.silence_from_local_replies || c.took > TOOK);
+            let presumed_dead = c.answer_age > LEASE_STEPS
+                && (c.token_shown
+                    || defects.silence_from_local_replies
+                    || c.acquisition_age > MAX_ACQUISITION_AGE);
             // With this defect, a lease must have passed since the leadership acquisition, so that
             // the controller's last answer is old and not merely missing.
-            let silent = silent && (!d.silence_from_local_replies || c.ever || c.took > LEASE);
-            if c.token > 0 && silent && matches!(c.entry, Entry::There | Entry::Sent(_)) {
-                add("silence is proof", &|w| {
+            let presumed_dead = presumed_dead
+                && (!defects.silence_from_local_replies
+                    || c.token_shown
+                    || c.acquisition_age > LEASE_STEPS);
+            if c.token > 0 && presumed_dead && matches!(c.entry, Entry::OnWorker | Entry::Sent(_)) {
+                add("the unreachable worker is presumed dead", &|w| {
                     w.controllers[i].entry = Entry::Free
                 });
             }
-            let placed = c.token > 0 && c.entry == Entry::Free;
-            if placed && (c.token == w.block || d.placements_without_block) {
-                add("it is placed elsewhere", &|w| {
+            let may_be_placed = c.token > 0 && c.entry == Entry::Free;
+            if may_be_placed && (c.token == w.block || defects.placements_without_block) {
+                add("the task is placed elsewhere", &|w| {
                     w.elsewhere += 1;
                     w.controllers[i].entry = Entry::Elsewhere;
                 });
             }
         }
-        if let Some((token, run, kill, session, age)) = w.answer {
+        if let Some((token, run, kill, incarnation, age)) = w.answer {
             add("the answer arrives", &|w| {
                 w.answer = None;
-                if token >= w.seen && session == w.at.0 {
-                    (w.seen, w.lease) = (token, age);
-                    w.on = (w.on || run) && !kill;
+                if token >= w.worker_token && incarnation == w.number.0 {
+                    (w.worker_token, w.lease_age) = (token, age);
+                    w.on_worker = (w.on_worker || run) && !kill;
                 }
             });
             add("the answer is lost", &|w| w.answer = None);
         }
-        out.retain(|(_, w)| w.at.0 <= 2);
+        out.retain(|(_, w)| w.number.0 <= 2);
         out
     }
 }
 
-fn proof(d: Defects) -> Result<usize, Vec<&'static str>> {
-    explore(proof::begin(), |w| proof::next(w, d), proof::broken)
+fn check_absence_proof(defects: Defects) -> Result<usize, Vec<&'static str>> {
+    explore(
+        absence_proof::initial(),
+        |w| absence_proof::next(w, defects),
+        absence_proof::violates_invariant,
+    )
 }
 
 #[test]
-fn a_task_is_never_on_a_worker_and_elsewhere() {
-    let states = proof(Defects::default()).unwrap_or_else(|way| panic!("{way:#?}"));
-    println!("proof: {states} states, all of them");
+fn task_is_never_on_a_worker_and_elsewhere() {
+    let states = check_absence_proof(Defects::default()).unwrap_or_else(|path| panic!("{path:#?}"));
+    println!("proof of absence: all {states} states searched");
     assert!(states > 10_000, "{states}");
 }
 
 #[test]
-fn the_planted_defects_of_proof_are_found() {
+fn injected_defects_of_absence_proof_are_found() {
     let none = Defects::default();
-    for (name, d) in [
+    for (name, defects) in [
         (
-            "proof before the token",
+            "proof of absence before the fencing token",
             Defects {
                 proof_before_token: true,
                 ..none
             },
         ),
         (
-            "own silence",
+            "unreachable by local replies alone",
             Defects {
                 silence_from_local_replies: true,
                 ..none
             },
         ),
         (
-            "old reports",
+            "stale reports accepted",
             Defects {
                 stale_reports_accepted: true,
                 ..none
             },
         ),
         (
-            "a lower tenure",
+            "lower incarnation accepted",
             Defects {
-                lower_tenure: true,
+                lower_incarnation_is_newer: true,
                 ..none
             },
         ),
         (
-            "a stop for an end",
+            "stop command counts as end",
             Defects {
-                stop_is_end: true,
+                stop_counts_as_end: true,
                 ..none
             },
         ),
         (
-            "no block",
+            "placement without the leadership block",
             Defects {
                 placements_without_block: true,
                 ..none
             },
         ),
     ] {
-        let way = proof(d).expect_err(name);
-        println!("{name}: found after {} steps: {way:?}", way.len());
+        let path = check_absence_proof(defects).expect_err(name);
+        println!("{name}: found after {} steps: {path:?}", path.len());
     }
 }
