--- a/crates/sim/src/cluster/starvation.rs
+++ b/crates/sim/src/cluster/starvation.rs
@@ -1,4 +1,5 @@
-//! Which jobs wait although a machine that fits has room and their team is under its limit.
+//! Which jobs wait although a suitable machine has enough free capacity and their team is under
+//! its limit.
 
 use super::Sim;
 use crate::machine_contents::EPSILON;
@@ -6,18 +7,18 @@
 use beamhinge_emulator::{job_id, JobPlan};
 use std::collections::BTreeMap;
 
-/// What is on all machines.
+/// The tasks and the free capacity of all machines.
 struct Occupation<'a> {
-    /// CPUs in use by team.
+    /// CPUs in use, by team.
     used: BTreeMap<&'a str, f64>,
-    /// The workers of each job's tasks, one for each task.
+    /// The workers of each job's tasks, one entry for each task.
     workers_of_job: BTreeMap<&'a str, Vec<&'a Worker>>,
-    /// Healthy machines, and what is free on them.
+    /// Healthy machines and their free capacity.
     free: Vec<(&'a Worker, Capacity)>,
 }
 
 impl Sim {
-    /// Looks once; called every second or two after the last fault.
+    /// Updates the starvation tracker; called every second or two after the last fault.
     pub(super) fn check_starvation(&mut self) {
         let Some(healed) = self.healed else { return };
         let occupation = self.occupation();
@@ -27,7 +28,7 @@
             .filter(|(id, plan)| self.should_finish(id, plan))
             .filter(|(id, _)| !self.users.views.get(*id).is_some_and(|view| view.done))
             .filter_map(|(id, plan)| {
-                let started = self.waits_beside_room(id, plan, &occupation)?;
+                let started = self.waits_despite_free_capacity(id, plan, &occupation)?;
                 Some((id.clone(), started))
             })
             .collect();
@@ -58,11 +59,19 @@
         }
     }
 
-    /// How many tasks of the job have started, if one of the others could start now.
-    fn waits_beside_room(&self, id: &str, plan: &JobPlan, on: &Occupation) -> Option<u64> {
-        let workers = on.workers_of_job.get(id).map_or(&[][..], Vec::as_slice);
+    /// How many tasks of the job have started, if another one could start now; `None` if not.
+    fn waits_despite_free_capacity(
+        &self,
+        id: &str,
+        plan: &JobPlan,
+        occupation: &Occupation,
+    ) -> Option<u64> {
+        let workers = occupation
+            .workers_of_job
+            .get(id)
+            .map_or(&[][..], Vec::as_slice);
         let started = self.checks.finished_tasks(id) + workers.len() as u64;
-        if started >= plan.tasks() || self.is_over_limit(plan, on) {
+        if started >= plan.tasks() || self.is_over_limit(plan, occupation) {
             return None;
         }
         let fits = |(worker, free): &(&Worker, Capacity)| {
@@ -73,11 +82,11 @@
                 && !(plan.single_zone() && zones().any(|zone| *zone != worker.zone))
                 && !(plan.spread_over_zones() && in_zone >= plan.tasks().div_ceil(2))
         };
-        on.free.iter().any(fits).then_some(started)
+        occupation.free.iter().any(fits).then_some(started)
     }
 
     /// Whether another task would bring the job's team over its limit.
-    fn is_over_limit(&self, plan: &JobPlan, on: &Occupation) -> bool {
+    fn is_over_limit(&self, plan: &JobPlan, occupation: &Occupation) -> bool {
         let team = plan.team();
         let limit = if self.checks.quotas.is_changed() {
             self.checks.quotas.current(team)
@@ -86,7 +95,7 @@
             let team = teams.iter().find(|t| t.name == team);
             team.map_or(0.0, |t| t.cpus_max)
         };
-        let used = on.used.get(team).copied().unwrap_or(0.0);
+        let used = occupation.used.get(team).copied().unwrap_or(0.0);
         limit > 0.0 && used + plan.cpus() > limit + EPSILON
     }
 }
--- a/crates/sim/tests/fingerprint.rs
+++ b/crates/sim/tests/fingerprint.rs
@@ -1,14 +1,15 @@
-//! The controllers decide on the fixed days as recorded in `fingerprint.txt`. When a
-//! decision is changed on purpose: `beamhinge-testbed days --fingerprint --record`.
+//! The decisions of the controllers on the fixed days must match the fingerprints recorded in
+//! `fingerprint.txt`. After an intended change of a decision, update the record with
+//! `beamhinge-testbed days --fingerprint --record`.
 
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::fingerprint::days;
 
-/// Days that are played at the same time.
+/// Number of days that are played in parallel.
 const THREADS: usize = 4;
 
 #[test]
-fn the_controllers_decide_as_recorded() {
+fn decisions_on_fixed_days_match_the_record() {
     let recorded = days::read(include_str!("fingerprint.txt")).expect("a record");
     let played = days::play(&days::fixed(), Faults::default(), THREADS).expect("sound days");
     let differ = days::differences(&recorded, &played);
@@ -20,22 +21,22 @@
 }
 
 #[test]
-fn a_changed_decision_changes_the_fingerprint() {
-    let room: Vec<_> = days::fixed()
+fn changed_decision_changes_the_fingerprint() {
+    let preemption_day: Vec<_> = days::fixed()
         .into_iter()
         .filter(|d| d.name == "room_two_claims")
         .collect();
-    let recorded = days::play(&room, Faults::default(), 1).expect("a sound day");
+    let recorded = days::play(&preemption_day, Faults::default(), 1).expect("a sound day");
     let faults = Faults {
         scattered_preemption: true,
         ..Faults::default()
     };
-    let changed = days::play(&room, faults, 1).expect("a sound day");
+    let changed = days::play(&preemption_day, faults, 1).expect("a sound day");
     assert_eq!(days::differences(&recorded, &changed), ["room_two_claims"]);
 }
 
 #[test]
-fn a_day_that_one_record_lacks_is_a_difference() {
+fn day_missing_from_one_record_is_a_difference() {
     let digits = "0".repeat(32);
     let both = days::read(&format!("one {digits}\ntwo {digits}\n")).expect("a record");
     let one = days::read(&format!("one {digits}\n")).expect("a record");
