--- a/crates/admin-api/src/auth.rs
+++ b/crates/admin-api/src/auth.rs
@@ -1,9 +1,9 @@
-//! Authentication of requests: a MAC over method, path, body, time, a nonce and the process that
-//! the request is meant for.
+//! Request authentication: each request carries a MAC over its method, path, body, time, nonce and
+//! the instance ID of the controller process that it is addressed to.
 //!
-//! The process is part of it since a nonce is remembered by one process only: a request that was
-//! overheard could otherwise be replayed to another controller, or to the same one after a
-//! restart.
+//! The MAC covers the instance ID because each process remembers only the nonces that it has
+//! accepted itself: otherwise an intercepted request could be replayed to another controller, or
+//! to the same controller after a restart.
 
 use crate::messages::Code;
 use hmac::{Hmac, KeyInit, Mac};
@@ -13,29 +13,29 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// Scheme of the `Authorization` header.
+/// Authentication scheme in the `Authorization` header.
 const SCHEME: &str = "BH1";
-/// Shortest secret that is accepted, bytes.
+/// Minimum length of a secret, bytes.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// Lengths of a nonce that are accepted, bytes.
+/// Accepted lengths of a nonce, bytes.
 const NONCE_BYTES: RangeInclusive<usize> = 16..=64;
 
-/// What the owner of a key may do; a greater role includes the lesser.
+/// Permissions of a key; each role includes the permissions of the roles below it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// May query.
+    /// May send queries.
     Viewer,
-    /// May also submit, cancel, drain and freeze.
+    /// May also submit and cancel jobs, and set drains and freezes.
     Operator,
 }
 
-/// A named secret. Its `Debug` shows the name only: a key never gets into a log.
+/// A named secret. Its `Debug` output omits the secret, so that secrets never appear in logs.
 #[derive(Clone)]
 pub struct Key {
-    /// Name of the key, as it appears in logs and directives.
+    /// Name of the key, as shown in logs and directives.
     pub name: String,
-    /// What its owner may do.
+    /// Permissions of the key.
     pub role: Role,
     secret: Vec<u8>,
 }
@@ -46,16 +46,16 @@
     }
 }
 
-/// Why a key file is not accepted. Never shows a secret.
+/// Error in a key file. The message never contains a secret.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// The file cannot be read: its path, and the error.
+    /// The file cannot be read: its path and the I/O error.
     #[error("cannot read the key file {0}: {1}")]
     Read(String, std::io::Error),
-    /// The file as a whole is not valid: its path, and the problem.
+    /// The file as a whole is invalid: its path and the problem.
     #[error("key file {0}: {1}")]
     Form(String, String),
-    /// One section is not valid.
+    /// One section is invalid.
     #[error("key file {file}, [{section}]: {problem}")]
     Section {
         /// Path of the file.
@@ -68,7 +68,8 @@
 }
 
 impl Key {
-    /// A key; `None` where its name is not plain or its secret too short.
+    /// Creates a key. Returns `None` if the name is empty or contains a character other than ASCII
+    /// letters, digits, `-`, `_` and `.`, or if the secret is too short.
     pub fn new(name: &str, role: Role, secret: Vec<u8>) -> Option<Key> {
         let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
         let sound = !name.is_empty() && name.bytes().all(plain) && secret.len() >= MIN_SECRET_BYTES;
@@ -79,20 +80,21 @@
         })
     }
 
-    /// Reads a key file: one INI section for each key, with `role` and `secret` (hex).
+    /// Reads a key file, which has one INI section for each key, with the entries `role` and
+    /// `secret` (hexadecimal).
     ///
     /// # Errors
-    /// Where the file cannot be read or is not valid.
+    /// Returns an error if the file cannot be read or is invalid.
     pub fn load_all(path: &Path) -> Result<Vec<Key>, KeyError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| KeyError::Read(file.clone(), e))?;
         Key::parse_all(&file, &text)
     }
 
-    /// Parses the text of a key file; `file` is its path, for errors.
+    /// Parses the text of a key file. `file` is the path of the file, for error messages.
     ///
     /// # Errors
-    /// Where the text is not valid.
+    /// Returns an error if the text is invalid.
     pub fn parse_all(file: &str, text: &str) -> Result<Vec<Key>, KeyError> {
         let ini = ini::Ini::load_from_str(text)
             .map_err(|e| KeyError::Form(file.into(), e.to_string()))?;
@@ -104,7 +106,7 @@
                 }
                 return Err(KeyError::Form(
                     file.into(),
-                    "a line before the first [key]".into(),
+                    "an entry precedes the first section".into(),
                 ));
             };
             let wrong = |problem| KeyError::Section {
@@ -115,21 +117,28 @@
             let role = match entries.get("role") {
                 Some("viewer") => Role::Viewer,
                 Some("operator") => Role::Operator,
-                _ => return Err(wrong("role is neither viewer nor operator")),
+                _ => return Err(wrong("role must be viewer or operator")),
             };
             let secret = entries
                 .get("secret")
                 .and_then(|s| hex::decode(s.trim()).ok());
-            let secret = secret.ok_or_else(|| wrong("secret is not hex"))?;
-            let key = Key::new(name, role, secret)
-                .ok_or_else(|| wrong("its name is not plain, or the secret below 16 bytes"))?;
+            let secret = secret.ok_or_else(|| wrong("secret is missing or not hexadecimal"))?;
+            let key = Key::new(name, role, secret).ok_or_else(|| {
+                wrong(
+                    "the name must consist of ASCII letters, digits, '-', '_' and '.', and the \
+                     secret must have at least 16 bytes",
+                )
+            })?;
             if keys.iter().any(|k| k.name == key.name) {
-                return Err(wrong("stands there twice"));
+                return Err(wrong("the section occurs more than once"));
             }
             keys.push(key);
         }
         if keys.is_empty() {
-            return Err(KeyError::Form(file.into(), "holds no key".into()));
+            return Err(KeyError::Form(
+                file.into(),
+                "the file contains no keys".into(),
+            ));
         }
         Ok(keys)
     }
@@ -137,15 +146,15 @@
     fn mac(&self, what: &SignedRequest<'_>) -> Hmac<Sha256> {
         let mut mac = match Hmac::<Sha256>::new_from_slice(&self.secret) {
             Ok(mac) => mac,
-            // This MAC accepts a key of any length; did it not, a MAC under no key would match
-            // nothing that a client could have made.
+            // HMAC accepts keys of any length, so this arm is not reached. If it were, a MAC
+            // computed with the default key would not match the MAC of any client.
             Err(_) => Hmac::<Sha256>::new(&Default::default()),
         };
         mac.update(what.text().as_bytes());
         mac
     }
 
-    /// The `Authorization` header of a request.
+    /// Returns the `Authorization` header for a request.
     pub fn sign(&self, what: &SignedRequest<'_>) -> String {
         let mac = hex::encode(self.mac(what).finalize().into_bytes());
         format!(
@@ -155,27 +164,27 @@
     }
 }
 
-/// All that a MAC covers.
+/// The parts of a request that the MAC covers.
 #[derive(Clone, Copy, Debug)]
 pub struct SignedRequest<'a> {
-    /// Name of the HTTP method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The path with its query.
+    /// Path including the query string.
     pub path: &'a str,
-    /// The body.
+    /// Request body.
     pub body: &'a [u8],
-    /// Time of day of the client, milliseconds.
+    /// Wall-clock time of the client, milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// Drawn by the client for this request.
+    /// Random value that the client draws for this request.
     pub nonce: &'a str,
-    /// The process that the request is meant for.
+    /// Instance ID of the controller process that the request is addressed to.
     pub instance: &'a str,
 }
 
 impl SignedRequest<'_> {
     fn text(&self) -> String {
-        // One field on each line, and none can hold a line break: no two requests have the
-        // same text.
+        // Each field has a line of its own and cannot contain a line break, so that different
+        // requests never have the same text.
         format!(
             "{SCHEME}\n{}\n{}\n{}\n{}\n{}\n{}\n",
             self.method,
@@ -188,42 +197,42 @@
     }
 }
 
-/// Who sent a request, once that is proven.
+/// The authenticated sender of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
     /// Name of the key.
     pub name: String,
-    /// What the key allows.
+    /// Permissions of the key.
     pub role: Role,
 }
 
-/// Why a request is not authenticated. The texts are shown to operators.
+/// Why authentication of a request failed. The messages are shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AuthError {
-    /// No signature, an unknown key, or a MAC that does not match.
+    /// The signature is missing, the key is unknown, or the MAC does not match.
     #[error("the request carries no valid signature: use a key from the controller's key file")]
     Unauthenticated,
-    /// The client's clock is too far off.
+    /// The client's clock deviates too much from the controller's.
     #[error("the client's clock is {} s {} the controller's; at most {allowed_s} s are allowed: set the clock of the machine you type on", ahead_ms.unsigned_abs() / 1000, if *ahead_ms > 0 { "ahead of" } else { "behind" })]
     Clock {
-        /// How far the client is ahead, milliseconds.
+        /// Time by which the client's clock is ahead, milliseconds; negative if it is behind.
         ahead_ms: i64,
-        /// How far it may be, seconds.
+        /// Maximum permitted clock skew, seconds.
         allowed_s: u64,
     },
     /// The same request was accepted before.
     #[error("this very request came before")]
     Replayed,
-    /// It was signed for another process.
+    /// The request was signed for another controller process.
     #[error("the request was signed for another process; ask /v1/hello again")]
     OtherInstance,
-    /// No more nonces can be remembered.
+    /// The limit on remembered nonces is reached.
     #[error("too many requests within the time that nonces are kept")]
     TooManyRequests,
 }
 
 impl AuthError {
-    /// The code of the answer.
+    /// Returns the error code of the response.
     pub fn code(&self) -> Code {
         match self {
             AuthError::Unauthenticated => Code::Unauthenticated,
@@ -235,22 +244,23 @@
     }
 }
 
-/// Checks requests against the keys, and remembers their nonces for as long as their time would
-/// be accepted.
+/// Authenticates requests with the configured keys. Remembers the nonce of each accepted request
+/// for as long as the request's time would be accepted.
 #[derive(Debug)]
 pub struct Authenticator {
     keys: Vec<Key>,
     instance: String,
     max_clock_skew_ms: u64,
-    /// Nonces that are remembered at most; beyond it requests are refused, since a forgotten
-    /// nonce could be replayed.
+    /// Maximum number of remembered nonces. Requests beyond the limit are refused, because a
+    /// request whose nonce was forgotten could be replayed.
     max_nonces: usize,
-    /// Time and digest of the nonces of accepted requests.
+    /// Time and truncated nonce digest of each accepted request.
     seen: BTreeSet<(u64, [u8; 16])>,
 }
 
 impl Authenticator {
-    /// Without keys everybody is an operator: only for a listener on loopback.
+    /// Creates an authenticator. Without keys, every caller has the operator role: use this only
+    /// for a listener on a loopback address.
     pub fn new(
         keys: Vec<Key>,
         instance: String,
@@ -267,15 +277,15 @@
         }
     }
 
-    /// The process that requests must be signed for.
+    /// Returns the instance ID that requests must be signed for.
     pub fn instance(&self) -> &str {
         &self.instance
     }
 
-    /// Authenticates a request that was received at this time of day.
+    /// Authenticates a request that was received at the wall-clock time `wall_ms`.
     ///
     /// # Errors
-    /// Why it is not accepted.
+    /// Returns the reason why the request is not accepted.
     pub fn check(
         &mut self,
         wall_ms: u64,
@@ -305,7 +315,7 @@
                 .map_err(|_| AuthError::Unauthenticated)?,
         };
         let caller = self.verify(&request, field("key")?, field("mac")?)?;
-        // Only a proven caller is told of clocks and processes.
+        // Clock and instance errors are reported only to callers whose MAC is valid.
         self.check_clock(wall_ms, request.time_ms)?;
         if request.instance != self.instance {
             return Err(AuthError::OtherInstance);
@@ -314,7 +324,7 @@
         Ok(caller)
     }
 
-    /// Verifies the MAC of a request under the key of this name.
+    /// Verifies the MAC of a request with the named key.
     fn verify(
         &self,
         request: &SignedRequest<'_>,
@@ -351,8 +361,8 @@
         })
     }
 
-    /// Remembers the nonce of a request, unless it is known; forgets those whose time would no
-    /// longer be accepted.
+    /// Records the nonce of a request and discards nonces whose request time would no longer be
+    /// accepted. Fails if the nonce was recorded before or the limit is reached.
     fn remember(
         &mut self,
         wall_ms: u64,
@@ -378,13 +388,13 @@
     }
 }
 
-/// The fields of an `Authorization` header.
+/// Parses the fields of an `Authorization` header. Returns `None` if the header is malformed.
 fn fields(header: &str) -> Option<BTreeMap<&str, &str>> {
     let rest = header.strip_prefix(SCHEME)?.strip_prefix(' ')?;
     let mut out = BTreeMap::new();
     for part in rest.split(',') {
         let (name, value) = part.trim().split_once('=')?;
-        // A field given twice would leave open which one was signed.
+        // A duplicate field would make it ambiguous which value was signed.
         if out.insert(name, value).is_some() {
             return None;
         }
--- a/crates/admin-api/src/auth/tests.rs
+++ b/crates/admin-api/src/auth/tests.rs
@@ -3,7 +3,7 @@
 const NOW: u64 = 1_700_000_000_000;
 
 fn key(role: Role) -> Key {
-    Key::new("night", role, vec![7; 32]).expect("a sound key")
+    Key::new("night", role, vec![7; 32]).expect("a valid key")
 }
 
 fn authenticator() -> Authenticator {
@@ -77,7 +77,7 @@
     }
     assert!(
         check(&mut g, &header).is_ok(),
-        "and the original still passes"
+        "the unaltered request is still accepted"
     );
 }
 
@@ -90,8 +90,8 @@
     assert!(denied.to_string().contains("600 s ahead of"), "{denied}");
 }
 
-/// A request overheard before a restart must not act after it, though the
-/// new process has never seen its nonce.
+/// Guards against replay of an intercepted request after a restart: the new process has not
+/// recorded the nonce.
 #[test]
 fn request_signed_for_another_process_is_refused() {
     let mut g = Authenticator::new(vec![key(Role::Operator)], "i2".into(), 30.0, 100);
@@ -111,7 +111,7 @@
 #[test]
 fn invalid_key_file_is_refused_without_showing_secrets() {
     let good = "[night]\nrole=operator\nsecret=000102030405060708090a0b0c0d0e0f\n";
-    let keys = Key::parse_all("k", good).expect("sound");
+    let keys = Key::parse_all("k", good).expect("a valid key file");
     assert_eq!(format!("{:?}", keys[0]), "Key(night, Operator)");
     for bad in [
         "",
--- a/crates/admin-api/src/directives.rs
+++ b/crates/admin-api/src/directives.rs
@@ -1,38 +1,38 @@
-//! Directives: drains and freezes that operators set, and that all controllers follow.
+//! Directives: drains and freezes that operators set and all controllers apply.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Version of a stored directive.
+/// Format version of a stored directive.
 pub const VERSION: u32 = 1;
 
-/// What a directive is about; there is at most one directive for each target. Machines, types,
-/// zones and controllers are drained, teams and classes frozen.
+/// Target of a directive. Each target has at most one directive: a drain for machines, machine
+/// types, zones and controllers, a freeze for teams and classes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
-    /// A machine by its name: nothing new is placed there.
+    /// The machine of this name: no new tasks are placed on it.
     Machine(String),
-    /// All machines of a type.
+    /// All machines of the machine type with this label.
     #[serde(rename = "shape")]
     MachineType(String),
-    /// All machines in a zone.
+    /// All machines in this zone.
     Zone(String),
-    /// A controller by its label.
+    /// The controller with this label.
     Node(String),
-    /// A team: none of its tasks starts.
+    /// A team: none of the tasks of its jobs are started.
     Team(String),
-    /// A class of jobs: none of its tasks starts.
+    /// A class of jobs: none of the tasks of these jobs are started.
     Class(String),
 }
 
 impl Target {
-    /// Whether its directive is a drain; else it is a freeze.
+    /// Whether a directive for this target is a drain; otherwise it is a freeze.
     pub fn is_drain(&self) -> bool {
         !matches!(self, Target::Team(_) | Target::Class(_))
     }
 
-    /// Name of the kind of target, as in keys and requests.
+    /// Name of the kind of target, as used in keys and requests.
     pub fn kind(&self) -> &'static str {
         match self {
             Target::Machine(_) => "machine",
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Name of the target itself.
+    /// Name or label of the target.
     pub fn name(&self) -> &str {
         match self {
             Target::Machine(n)
@@ -56,10 +56,10 @@
         }
     }
 
-    /// The target of this kind and name; `None` where either is not valid.
+    /// Returns the target of this kind and name, or `None` if either is invalid.
     pub fn parse(kind: &str, name: &str) -> Option<Target> {
-        // Names become part of a key: no spaces, nothing with a meaning in a path or a query,
-        // and not longer than a key may be.
+        // The name becomes part of a key: it must not contain spaces or characters with a meaning
+        // in a path or query, nor exceed the length limit of a key.
         let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b':');
         if name.is_empty() || name.len() > 120 || !name.bytes().all(plain) {
             return None;
@@ -83,66 +83,66 @@
     }
 }
 
-/// What becomes of a drained machine once it is empty.
+/// What happens to a drained machine once it has no tasks left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum Afterwards {
-    /// It is returned to the cloud.
+    /// The machine is returned to the cloud.
     #[default]
     Return,
-    /// It is kept, empty and paid for, until the drain is lifted.
+    /// The machine stays rented, and is paid for, until the drain is lifted.
     Keep,
 }
 
-/// A directive that is in force.
+/// A directive in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Directive {
-    /// What it is about.
+    /// Target of the directive.
     pub target: Target,
-    /// Time of day at which it was set, milliseconds.
+    /// Wall-clock time at which it was set, milliseconds since the Unix epoch.
     pub since_ms: u64,
-    /// Drains: tasks that have not ended after so many seconds are told to checkpoint and stop.
-    /// Absent: they are left to end.
+    /// For drains: time limit after which the remaining tasks are told to checkpoint and stop,
+    /// seconds. `None`: they run to completion.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub within_s: Option<f64>,
-    /// Drains: what becomes of a machine once it is empty.
+    /// For drains: what happens to a machine once it has no tasks left.
     #[serde(default)]
     pub afterwards: Afterwards,
     /// Name of the key that set it.
     #[serde(default)]
     pub by: String,
-    /// The operator's note.
+    /// Free-text note of the operator.
     #[serde(default)]
     pub note: String,
 }
 
-/// The body of `POST /v1/directives`: sets or lifts one directive.
+/// Body of `POST /v1/directives`: sets or lifts one directive.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-// Operators are shown the text of decoding errors, which names what is expected.
+// Decoding errors, which are shown to operators, name the expected type.
 #[serde(deny_unknown_fields, expecting = "struct Change")]
 pub struct DirectiveChange {
-    /// What the directive is about.
+    /// Target of the directive.
     pub target: Target,
-    /// `false`: lift it.
+    /// `true` sets the directive, `false` lifts it.
     pub set: bool,
-    /// As in [`Directive::within_s`].
+    /// See [`Directive::within_s`].
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// As in [`Directive::afterwards`].
+    /// See [`Directive::afterwards`].
     #[serde(default)]
     pub afterwards: Afterwards,
-    /// As in [`Directive::note`].
+    /// See [`Directive::note`].
     #[serde(default)]
     pub note: String,
 }
 
-/// The answer to a change that was made, or was in force already.
+/// Response to a change that was applied or was already in effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectiveChangeResult {
-    /// What the directive is about.
+    /// Target of the directive.
     pub target: Target,
-    /// Whether it is in force now.
+    /// Whether the directive is in force now.
     pub set: bool,
-    /// `false`: it was so already.
+    /// Whether the request changed anything; `false` if the change was already in effect.
     pub changed: bool,
 }
--- a/crates/admin-api/src/messages/decisions.rs
+++ b/crates/admin-api/src/messages/decisions.rs
@@ -1,60 +1,59 @@
-//! Decisions of the leader.
+//! The log of the leader's decisions.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A page of decisions, the newest last.
+/// A page of decisions, oldest first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Decisions {
-    /// Fencing token of the leader: serials begin anew with each.
+    /// Fencing token of the leader. Serial numbers restart in each term.
     pub token: u64,
-    /// The decisions of the page.
+    /// Decisions on this page.
     pub decisions: Vec<Decision>,
-    /// Decisions between the serial that was asked for and the first of the page that are no
-    /// longer remembered.
+    /// Number of decisions after the requested serial number that are no longer retained.
     pub missed: u64,
 }
 
 /// One decision of the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Decision {
-    /// Grows by one with each decision of one leader.
+    /// Serial number, which increases by one with each decision within a term.
     pub serial: u64,
-    /// Time of day of the leader, milliseconds.
+    /// Wall-clock time of the leader, milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What was decided.
+    /// The decision itself.
     pub what: DecisionKind,
 }
 
-/// What was decided.
+/// Kind of decision, with its details.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum DecisionKind {
     /// A task was placed on a machine.
     Placed {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// It starts once another task has ended there.
+        /// Whether the task starts only once another task on the machine has ended.
         ahead: bool,
     },
     /// A task was told to stop.
     Stopped {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// The machine.
+        /// Name of the machine.
         machine: String,
         /// The reason.
         why: String,
     },
     /// A task ended.
     Ended {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// How it ended.
+        /// Outcome of the task.
         why: String,
     },
     /// The cloud granted machines.
@@ -62,28 +61,28 @@
         /// Label of the machine type.
         #[serde(rename = "shape")]
         machine_type: String,
-        /// The zone.
+        /// Zone of the machines.
         zone: String,
-        /// Whether they are spot machines.
+        /// Whether these are spot machines.
         spot: bool,
-        /// Machines that were asked for.
+        /// Number of machines requested.
         asked: u32,
-        /// Machines that were granted.
+        /// Number of machines granted.
         got: u32,
     },
-    /// The cloud had no machine.
+    /// The cloud had no machine available.
     Refused {
         /// Label of the machine type.
         #[serde(rename = "shape")]
         machine_type: String,
-        /// The zone.
+        /// Zone of the machines.
         zone: String,
-        /// Whether spot machines were asked for.
+        /// Whether spot machines were requested.
         spot: bool,
     },
     /// A machine was returned to the cloud.
     Returned {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
         /// The reason.
         why: String,
@@ -91,17 +90,17 @@
     /// A machine was quarantined.
     #[serde(rename = "set_aside")]
     Quarantined {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
         /// The reason.
         why: String,
     },
-    /// A job is done.
+    /// All tasks of a job completed.
     Done {
-        /// The job.
+        /// ID of the job.
         job: String,
     },
-    /// The leadership was acquired.
+    /// The controller acquired leadership.
     #[serde(rename = "took")]
     LeadershipAcquired {
         /// The fencing token of the term.
@@ -109,7 +108,7 @@
     },
 }
 
-/// The market of a machine, as operators are told it.
+/// Returns the name of the market as shown to operators.
 fn market_name(spot: bool) -> &'static str {
     if spot {
         "spot"
--- a/crates/admin-api/src/messages/fleet.rs
+++ b/crates/admin-api/src/messages/fleet.rs
@@ -1,4 +1,4 @@
-//! Machines, teams, controllers and the whole service in figures.
+//! Messages about machines, teams, controllers, the capacity split and the cluster as a whole.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,90 +7,91 @@
 pub struct MachineRow {
     /// Name of the machine.
     pub machine: String,
-    /// Label of its type.
+    /// Label of the machine type.
     #[serde(rename = "shape")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// It is not rented by the service.
+    /// Whether it is an owned machine, which the scheduler does not rent.
     pub owned: bool,
-    /// `starting`, `up`, `silent`, `draining`, `drained`, `leaving`, `taken`, `sick`, `slow`.
+    /// State: `starting`, `up`, `silent`, `deaf`, `draining`, `drained`, `leaving`, `taken`, `sick`
+    /// or `slow`.
     pub state: String,
-    /// Tasks on it.
+    /// Number of tasks on the machine.
     pub tasks: u32,
-    /// CPUs it has.
+    /// CPUs of the machine.
     pub cpus: f64,
-    /// CPUs that no task uses.
+    /// Free CPUs.
     pub free_cpus: f64,
-    /// Memory that no task uses, GB.
+    /// Free memory, GB.
     pub free_memory_gb: f64,
-    /// Seconds since its last report; absent before the first.
+    /// Time since its last report, seconds; `None` before the first report.
     pub heard_s: Option<f64>,
-    /// Seconds since it was rented, as far as known.
+    /// Time since it was rented, seconds; `None` if unknown.
     pub age_s: Option<f64>,
 }
 
 /// A page of machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// The machines of the page.
+    /// Machines on this page.
     pub machines: Vec<MachineRow>,
-    /// Given as `after` for the next page; absent on the last.
+    /// Value of the `after` parameter for the next page; absent on the last page.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<String>,
 }
 
-/// What a team uses and may use.
+/// Usage and quota of a team.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TeamRow {
     /// Name of the team.
     pub team: String,
-    /// CPUs that its tasks use.
+    /// CPUs used by its tasks.
     pub cpus_used: f64,
-    /// CPUs that it is guaranteed; 0: none.
+    /// Guaranteed CPUs; 0 means no guarantee.
     pub cpus_guaranteed: f64,
-    /// CPUs that it may use at most; 0: no limit.
+    /// Limit on used CPUs; 0 means no limit.
     pub cpus_limit: f64,
-    /// GPUs that its tasks use.
+    /// GPUs used by its tasks.
     pub gpus_used: f64,
-    /// GPUs that it is guaranteed; 0: none.
+    /// Guaranteed GPUs; 0 means no guarantee.
     pub gpus_guaranteed: f64,
-    /// GPUs that it may use at most; 0: no limit.
+    /// Limit on used GPUs; 0 means no limit.
     pub gpus_limit: f64,
-    /// Its open jobs.
+    /// Number of its open jobs.
     pub jobs_open: u32,
-    /// Its tasks that wait.
+    /// Number of its waiting tasks.
     pub tasks_waiting: u32,
-    /// Whether a freeze of the team is in force.
+    /// Whether the team is frozen.
     pub frozen: bool,
 }
 
-/// One controller, as the one that answers knows it.
+/// One controller, as seen by the responding controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeRow {
     /// Label of the controller.
     pub label: String,
-    /// It is the controller that gave this answer.
+    /// Whether it is the responding controller.
     pub answering: bool,
     /// Whether it is the leader.
     #[serde(rename = "holder")]
     pub leader: bool,
-    /// The leader's fencing token.
+    /// The leader's fencing token; `None` for other controllers or if unknown.
     pub token: Option<u64>,
-    /// Seconds since its last exchange with the key-value store; absent when it was never
-    /// heard.
+    /// Time since its last successful request to the key-value store, seconds; `None` if unknown.
     #[serde(rename = "ledger_age_s")]
     pub store_age_s: Option<f64>,
-    /// Seconds since it was last heard by the controller that answers.
+    /// Time since the responding controller last received a heartbeat from it, seconds; `None` if
+    /// it never did.
     pub heard_s: Option<f64>,
-    /// Its replica of the jobs is complete: it could take over.
+    /// Whether its replica of the jobs is complete, so that it can become the leader.
     pub ready: bool,
-    /// Operators have drained it.
+    /// Whether operators have drained it.
     pub drained: bool,
-    /// Seconds since it last stalled as the leader: there was work, the key-value store
-    /// answered, and nothing was committed.
+    /// Time since it last stalled as the leader, seconds: there was work and the key-value store
+    /// responded, but nothing was committed. `None` if no stall is known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stuck_ago_s: Option<f64>,
 }
@@ -102,9 +103,9 @@
     pub beta0: f64,
     /// Assumed availability of spot machines.
     pub beta: f64,
-    /// Weight with which it is drawn.
+    /// Weight of the pair when one is drawn for a job.
     pub weight: f64,
-    /// Open jobs that drew it.
+    /// Number of open jobs that use the pair.
     pub jobs: u32,
 }
 
@@ -113,40 +114,40 @@
 pub struct Splits {
     /// Time between two updates of the weights, seconds.
     pub update_s: f64,
-    /// All pairs.
+    /// All parameter pairs.
     pub pairs: Vec<PairRow>,
 }
 
-/// The whole service in figures.
+/// Totals of the cluster.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// Label of the leader.
     #[serde(rename = "holder")]
     pub leader: String,
-    /// Its fencing token.
+    /// Fencing token of the leader.
     pub token: u64,
-    /// Open jobs.
+    /// Number of open jobs.
     pub jobs_open: u32,
-    /// Open jobs with a running task.
+    /// Number of open jobs with a running task.
     pub jobs_running: u32,
-    /// Running tasks.
+    /// Number of running tasks.
     pub tasks_running: u32,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub tasks_waiting: u32,
-    /// Age of the oldest open job with a task that waits, seconds.
+    /// Age of the oldest open job with a waiting task, seconds.
     pub oldest_wait_s: f64,
-    /// Machines that report.
+    /// Number of reachable machines.
     pub machines_up: u32,
-    /// Machines that were rented and have not reported yet.
+    /// Number of machines that were rented and have not reported yet.
     pub machines_starting: u32,
-    /// Machines whose report is overdue.
+    /// Number of unreachable machines, whose next report is overdue.
     pub machines_silent: u32,
-    /// CPUs of the machines that report.
+    /// Total CPUs of the reachable machines.
     pub cpus: f64,
-    /// CPUs that tasks use.
+    /// CPUs used by tasks.
     pub cpus_used: f64,
-    /// All teams.
+    /// Usage and quota of all teams.
     pub teams: Vec<TeamRow>,
-    /// Directives in force.
+    /// Number of directives in force.
     pub directives: u32,
 }
--- a/crates/admin-api/src/messages/jobs.rs
+++ b/crates/admin-api/src/messages/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: submissions, lists, details and explanations.
+//! Messages about jobs: submissions, lists, details and explanations.
 
 use crate::reasons::Reason;
 use beamhinge_core::job::{JobKind, JobSpec, Urgency};
@@ -9,18 +9,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Open, and none of its tasks runs.
+    /// Open, with no running task.
     Pending,
-    /// Open, and a task runs.
+    /// Open, with at least one running task.
     Running,
-    /// All of its tasks have ended well.
+    /// All tasks completed successfully.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
 impl State {
-    /// The state of this name.
+    /// Returns the state of this name, or `None` if there is none.
     pub fn parse(text: &str) -> Option<State> {
         Some(match text {
             "pending" => State::Pending,
@@ -31,7 +31,7 @@
         })
     }
 
-    /// Whether the state never changes again.
+    /// Whether the state is terminal.
     pub fn is_final(self) -> bool {
         matches!(self, State::Done | State::Cancelled)
     }
@@ -48,18 +48,18 @@
     }
 }
 
-/// A job that is to be accepted. What is left out has its default.
+/// A job to submit. Omitted fields have their default values.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobRequest {
-    /// Id of the job, drawn by the client so that a retry names the same job.
+    /// ID of the job, chosen by the client so that a retry refers to the same job.
     pub job: String,
-    /// Team whose quota it counts against.
+    /// Team to whose quota the job is charged.
     pub team: String,
-    /// Class, for freezes and statistics.
+    /// Class of the job, used for freezes and statistics.
     #[serde(default = "default_class")]
     pub class: String,
-    /// Whether its tasks end.
+    /// Whether the job is a batch job or a service.
     #[serde(default = "default_kind")]
     pub kind: JobKind,
     /// Priority class.
@@ -77,41 +77,41 @@
     /// Memory of each task, GB.
     #[serde(default = "quarter")]
     pub memory_gb: f64,
-    /// Image that the tasks need.
+    /// Name of the image that the tasks require.
     #[serde(default = "default_image")]
     pub image: String,
     /// Size of the image, GB.
     #[serde(default)]
     pub image_gb: f64,
-    /// Machine types that are allowed; absent: all.
+    /// Labels of the allowed machine types; `None` allows all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "shapes")]
     pub machine_types: Option<Vec<String>>,
-    /// The zone to run in; absent: any.
+    /// Zone to run in; `None` allows any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks run in one zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(default)]
     pub one_zone: bool,
-    /// No two tasks run on one machine.
+    /// Whether each task must run on a different machine.
     #[serde(default)]
     pub spread: bool,
-    /// Spot machines are allowed.
+    /// Whether spot machines are allowed.
     #[serde(default = "yes")]
     pub spot: bool,
     /// Expected run time of a task, seconds.
     #[serde(default = "default_run")]
     pub expect_s: f64,
-    /// Time between two checkpoints, seconds; 0: none.
+    /// Checkpoint interval, seconds; 0 means no checkpoints.
     #[serde(default)]
     pub checkpoint_s: f64,
-    /// Time that a checkpoint takes, seconds.
+    /// Duration of a checkpoint, seconds.
     #[serde(default)]
     pub save_s: f64,
-    /// Deadline, seconds after the submission; absent: none.
+    /// Deadline, seconds after the submission; `None` means no deadline.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub due_s: Option<f64>,
-    /// What each task runs, where workers run command lines.
+    /// Command line of each task; used only by workers that run command lines.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub command: Option<String>,
 }
@@ -153,7 +153,7 @@
 }
 
 impl JobRequest {
-    /// A job of one small task, with the defaults for all else.
+    /// Creates a request for a job with the default values.
     pub fn new(job: impl Into<String>, team: impl Into<String>) -> JobRequest {
         JobRequest {
             job: job.into(),
@@ -180,7 +180,8 @@
         }
     }
 
-    /// The specification of the job, submitted at this time of day (milliseconds).
+    /// Converts the request to the job specification. `submitted` is the wall-clock time of the
+    /// submission, milliseconds since the Unix epoch.
     pub fn spec(self, submitted: u64) -> JobSpec {
         JobSpec {
             class: self.class.into(),
@@ -208,21 +209,21 @@
     }
 }
 
-/// The answer to a submission or a cancellation.
+/// Response to a submission or a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobResponse {
-    /// The job.
+    /// ID of the job.
     pub job: String,
-    /// Its state now.
+    /// Current state of the job.
     pub state: State,
 }
 
-/// Which jobs a list holds: all given conditions must hold. Jobs that ended under an earlier
-/// version kept neither team, class, urgency nor age: a list that asks for one of these leaves
-/// them out.
+/// Filter of a list of jobs: a job is listed if it meets all conditions that are set. The records
+/// of jobs that ended under an earlier program version have no team, class, urgency or age: such
+/// jobs are not listed if the filter has a condition on any of these.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobFilter {
-    /// States; empty: any.
+    /// States; empty allows any.
     pub states: Vec<State>,
     /// Name of the team.
     pub team: Option<String>,
@@ -230,96 +231,97 @@
     pub class: Option<String>,
     /// Priority class.
     pub urgency: Option<Urgency>,
-    /// Least age, seconds.
+    /// Minimum age, seconds.
     pub older_s: Option<f64>,
-    /// Greatest age, seconds.
+    /// Maximum age, seconds.
     pub younger_s: Option<f64>,
-    /// The last job of the page before.
+    /// ID of the last job on the previous page.
     pub after: Option<String>,
-    /// Rows of the page.
+    /// Maximum number of rows on the page.
     pub limit: usize,
 }
 
 /// One job of a list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRow {
-    /// The job.
+    /// ID of the job.
     pub job: String,
-    /// Its state.
+    /// State of the job.
     pub state: State,
-    /// Number of its tasks.
+    /// Total number of tasks.
     pub tasks: u32,
-    /// Tasks that are done.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Its team.
+    /// Name of its team; `None` if the record does not have it.
     pub team: Option<String>,
-    /// Its class.
+    /// Name of its class; `None` if the record does not have it.
     pub class: Option<String>,
-    /// Its priority class.
+    /// Its priority class; `None` if the record does not have it.
     pub urgency: Option<Urgency>,
-    /// Seconds since its submission was first read, by this controller's time of day.
+    /// Time since a controller first received the submission, seconds, by the wall clock of the
+    /// responding controller; `None` if the record does not have it.
     pub age_s: Option<f64>,
 }
 
 /// A page of jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobPage {
-    /// The jobs of the page.
+    /// Jobs on this page.
     pub jobs: Vec<JobRow>,
-    /// Given as `after` for the next page; absent on the last.
+    /// Value of the `after` parameter for the next page; absent on the last page.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<String>,
 }
 
-/// Where one task is.
+/// Machine and state of one task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskRow {
-    /// The task.
+    /// Name of the task.
     pub task: String,
-    /// Its machine.
+    /// Name of its machine.
     pub machine: String,
-    /// `planned`, `committed`, `sent`, `fetching`, `running`, `saving`, `inherited`.
+    /// State: `planned`, `committed`, `sent`, `fetching`, `running`, `saving` or `inherited`.
     pub state: String,
-    /// Seconds since it was seen running; absent before, or when it started under an earlier
-    /// leader.
+    /// Time since it was first reported as running, seconds; `None` before that, or if it started
+    /// under an earlier leader.
     pub running_s: Option<f64>,
-    /// It has been told to stop.
+    /// Whether it has been told to stop.
     pub stopping: bool,
 }
 
-/// What only the leader knows of an open job.
+/// Placement of an open job, which only the leader knows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobPlacement {
-    /// Tasks that are done.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub waiting: u32,
-    /// Its tasks on machines, at most [`MAX_ROWS`](super::MAX_ROWS).
+    /// Tasks that are allocated to machines, at most [`MAX_ROWS`](super::MAX_ROWS).
     pub tasks: Vec<TaskRow>,
-    /// Why tasks wait.
+    /// Reasons why tasks are waiting.
     pub reasons: Vec<Reason>,
 }
 
-/// One job.
+/// Details of one job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobDetail {
-    /// What a list shows of it.
+    /// The job's row in a list.
     #[serde(flatten)]
     pub row: JobRow,
-    /// Its specification, as far as it is kept.
+    /// Specification of the job; `None` if it is no longer stored.
     pub spec: Option<SpecView>,
-    /// Where its tasks are; absent once the job is over.
+    /// Placement of the tasks; `None` once the job has ended.
     pub placed: Option<JobPlacement>,
 }
 
-/// The specification of a job.
+/// Specification of a job, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SpecView {
-    /// Whether its tasks end.
+    /// Whether the job is a batch job or a service.
     pub kind: JobKind,
     /// CPUs of each task.
     pub cpus: f64,
@@ -327,30 +329,30 @@
     pub gpus: f64,
     /// Memory of each task, GB.
     pub memory_gb: f64,
-    /// Image that the tasks need.
+    /// Name of the image that the tasks require.
     pub image: String,
     /// Size of the image, GB.
     pub image_gb: f64,
-    /// Machine types that are allowed; `None`: all.
+    /// Labels of the allowed machine types; `None` allows all.
     #[serde(rename = "shapes")]
     pub machine_types: Option<Vec<String>>,
-    /// The zone to run in; `None`: any.
+    /// Zone to run in; `None` allows any.
     pub zone: Option<String>,
-    /// All tasks run in one zone.
+    /// Whether all tasks must run in the same zone.
     pub one_zone: bool,
-    /// No two tasks run on one machine.
+    /// Whether each task must run on a different machine.
     pub spread: bool,
-    /// Spot machines are allowed.
+    /// Whether spot machines are allowed.
     pub spot: bool,
     /// Expected run time of a task, seconds.
     pub expect_s: f64,
-    /// Time between two checkpoints, seconds; 0: none.
+    /// Checkpoint interval, seconds; 0 means no checkpoints.
     pub checkpoint_s: f64,
-    /// Time that a checkpoint takes, seconds.
+    /// Duration of a checkpoint, seconds.
     pub save_s: f64,
-    /// Deadline, seconds after the submission; `None`: none.
+    /// Deadline, seconds after the submission; `None` means no deadline.
     pub due_s: Option<f64>,
-    /// What each task runs, where workers run command lines.
+    /// Command line of each task; used only by workers that run command lines.
     pub command: Option<String>,
 }
 
@@ -377,17 +379,17 @@
     }
 }
 
-/// Why the tasks of a job wait.
+/// Explanation of why tasks of a job are waiting.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The job.
+    /// ID of the job.
     pub job: String,
-    /// Its state.
+    /// State of the job.
     pub state: State,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub waiting: u32,
-    /// The reasons, the one that holds back most tasks first.
+    /// Reasons, the one that affects most tasks first.
     pub reasons: Vec<Reason>,
-    /// The same in words, one line each.
+    /// The reasons as text, one line each.
     pub text: Vec<String>,
 }
--- a/crates/admin-api/src/messages/mod.rs
+++ b/crates/admin-api/src/messages/mod.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of the operators' interface.
+//! Requests and responses of the admin API.
 
 mod configuration;
 mod decisions;
@@ -18,65 +18,66 @@
 use crate::directives::Directive;
 use serde::{Deserialize, Serialize};
 
-/// Rows of one page unless the request asks for another number.
+/// Number of rows on a page if the request does not set a limit.
 pub const DEFAULT_PAGE_ROWS: usize = 100;
-/// Rows that one page may hold, so that no answer outgrows a frame between controllers.
+/// Maximum number of rows on a page, so that every response fits into a frame between controllers.
 pub const MAX_ROWS: usize = 200;
-/// Largest body of a request, bytes.
+/// Maximum size of a request body, bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// What kind of refusal an answer is; stable, for programs.
+/// Error code of a response; stable, for use by programs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// No `Authorization`, an unknown key, or a MAC that does not match.
+    /// The `Authorization` header is missing, the key is unknown, or the MAC does not match.
     Unauthenticated,
-    /// The request's time is too far from the controller's.
+    /// The time of the request deviates too much from the controller's clock.
     Clock,
-    /// This very request came before.
+    /// The same request was accepted before.
     Replayed,
-    /// Signed for another process than the one that answers.
+    /// The request was signed for another controller process.
     OtherInstance,
-    /// The key's role does not allow it.
+    /// The role of the key does not permit the request.
     Forbidden,
-    /// There is no such path or job.
+    /// The path or job does not exist.
     NotFound,
     /// The request cannot be parsed, or a value is out of range.
     Malformed,
-    /// The body is too large.
+    /// The request body is too large.
     TooLarge,
-    /// It can never be done, or contradicts what is stored.
+    /// The request can never be fulfilled, or conflicts with stored data.
     Refused,
-    /// To be retried: an election, a restart, or too much at once.
+    /// Temporarily unavailable (election, restart or overload): the client should retry.
     Busy,
 }
 
-/// The body of every answer that is not a 2xx.
+/// Body of every response whose status is not 2xx.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// What kind of refusal it is, for programs.
+    /// Error code, for programs.
     pub code: Code,
-    /// What is wrong, for people.
+    /// Error message, for people.
     pub error: String,
-    /// With code `clock`: how far the client is ahead, milliseconds.
+    /// Only with code `clock`: time by which the client's clock is ahead, milliseconds; negative if
+    /// it is behind.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ahead_ms: Option<i64>,
 }
 
-/// The answer to `GET /v1/hello`, the one request that needs no key.
+/// Response to `GET /v1/hello`, the only request that needs no key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerInfo {
     /// Label of the controller.
     pub label: String,
-    /// Identifies the process; requests are signed for it.
+    /// Instance ID of the process, which requests must be signed for.
     pub instance: String,
-    /// Version of the program.
+    /// Program version.
     pub version: String,
-    /// Time of day of the controller, milliseconds.
+    /// Wall-clock time of the controller, milliseconds since the Unix epoch.
     pub time_ms: u64,
 }
 
-/// The answer to `GET /v1/directives`.
+/// Response to `GET /v1/directives`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Directives {
     /// All directives in force.
--- a/crates/admin-api/src/messages/query.rs
+++ b/crates/admin-api/src/messages/query.rs
@@ -1,43 +1,44 @@
-//! Queries that only the leader can answer, as they travel between controllers.
+//! Queries that only the leader can answer, and that other controllers forward to it.
 
 use serde::{Deserialize, Serialize};
 
-/// What is asked of the leader.
+/// A query to the leader.
 ///
-/// The order of variants and fields is the format. New kinds are added at the end: a controller
-/// that does not know one closes the link, and the one that asked answers 503.
+/// The binary encoding depends on the order of variants and fields, so new variants are added at
+/// the end. A controller that does not know a variant closes the connection, and the controller
+/// that sent the query responds to its client with 503.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Query {
     /// The placement of one open job.
     Job {
-        /// The job.
+        /// ID of the job.
         job: String,
     },
     /// A page of machines.
     Machines {
-        /// Only machines of this type.
+        /// Lists only machines of this type; `None` lists machines of any type.
         #[serde(rename = "shape")]
         machine_type: Option<String>,
-        /// Only machines in this zone.
+        /// Lists only machines in this zone; `None` lists machines in any zone.
         zone: Option<String>,
-        /// The last machine of the page before.
+        /// Name of the last machine on the previous page; `None` for the first page.
         after: Option<String>,
-        /// Rows of the page.
+        /// Maximum number of rows on the page.
         limit: usize,
     },
-    /// What the teams use and may use.
+    /// Usage and quota of all teams.
     Teams,
     /// The state of the capacity split.
     Splits,
-    /// The whole service in figures.
+    /// Totals of the cluster.
     Summary,
     /// A page of the leader's decisions.
     Decisions {
-        /// Fencing token of the leader whose decisions were read so far.
+        /// Fencing token of the leader whose decisions the client has read so far.
         token: u64,
-        /// The last serial that was read.
+        /// Serial number of the last decision that the client has read.
         after: u64,
-        /// Rows of the page.
+        /// Maximum number of rows on the page.
         limit: usize,
     },
 }
--- a/crates/admin-api/src/reasons.rs
+++ b/crates/admin-api/src/reasons.rs
@@ -1,107 +1,108 @@
-//! Why tasks of a job do not run. Each reason is a type with numbers; text and JSON are two
-//! renderings of it. The texts are shown to operators and are part of the interface.
+//! Reasons why tasks of a job are waiting. Each reason is a typed value with figures, and is
+//! rendered as text and as JSON. The texts are shown to operators and are part of the interface.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// How many machines cannot take a task, by reason.
+/// Number of machines that cannot run a task of the job, by reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineTally {
-    /// Of a fitting type and place, but with too little free capacity.
+    /// The machine type and zone are eligible, but the free capacity is too small.
     pub full: u32,
-    /// Their next report has not come in time.
+    /// Unreachable: the next report is overdue.
     pub silent: u32,
-    /// They have not yet reported this leader's fencing token.
+    /// They have not yet reported the current leader's fencing token, or do not respond.
     pub unsynced: u32,
-    /// They refused a task lately.
+    /// They refused a task recently.
     pub refusing: u32,
-    /// About to be reclaimed by the cloud.
+    /// The cloud is about to reclaim them.
     pub taken: u32,
     /// Being returned to the cloud.
     pub leaving: u32,
     /// Drained by operators.
     pub drained: u32,
-    /// Quarantined, since tasks failed there.
+    /// Quarantined because tasks failed on them.
     #[serde(rename = "sick")]
     pub quarantined: u32,
-    /// Slower than others of their type.
+    /// Slower than other machines of the same type.
     pub slow: u32,
     /// Spot machines, which the job does not allow.
     pub spot: u32,
-    /// Of another type than the job allows.
+    /// Of a machine type that the job does not allow.
     #[serde(rename = "other_shape")]
     pub other_machine_type: u32,
-    /// In another zone than the job allows, or than its other tasks leave it.
+    /// In a zone that the job does not allow, or that its zone rule excludes because of the tasks
+    /// already placed.
     pub other_zone: u32,
 }
 
-/// A machine with almost enough free capacity.
+/// A machine that lacks only some free capacity for a task of the job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CandidateMachine {
     /// Name of the machine.
     pub machine: String,
-    /// CPUs that it lacks.
+    /// CPUs missing for one task.
     pub lacks_cpus: f64,
-    /// GPUs that it lacks.
+    /// GPUs missing for one task.
     pub lacks_gpus: f64,
-    /// Memory that it lacks, GB.
+    /// Memory missing for one task, GB.
     pub lacks_memory_gb: f64,
 }
 
-/// One reason why tasks of a job do not run.
+/// One reason why tasks of a job are waiting.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum Reason {
-    /// A freeze of its team or class.
+    /// The job's team or class is frozen.
     Frozen {
-        /// What the directive is about.
+        /// Target of the directive.
         target: String,
-        /// For how long it has been in force, seconds.
+        /// Time since the directive was set, seconds.
         since_s: f64,
-        /// Name of the key that set it.
+        /// Name of the key that set the directive.
         by: String,
     },
-    /// Its own tasks failed on several machines: the next try waits.
+    /// Tasks of the job failed on several machines; the next attempt is delayed.
     Failures {
-        /// Failures in a row.
+        /// Consecutive failures.
         failures: u32,
-        /// Machines on which they failed.
+        /// Number of machines on which tasks of the job failed.
         machines: u32,
-        /// Time until the next try, seconds.
+        /// Time until the next attempt, seconds.
         retry_s: f64,
     },
-    /// The team's tasks use all that its quota allows.
+    /// One more task would exceed the team's quota.
     TeamLimit {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// The resource whose limit is reached.
+        /// Resource whose limit is reached.
         resource: String,
-        /// What its tasks use.
+        /// Amount that the team's tasks use.
         used: f64,
-        /// What one more task needs.
+        /// Amount that one more task needs.
         wanted: f64,
-        /// What the team may use at most.
+        /// The team's limit.
         limit: f64,
     },
-    /// No machine has enough free capacity now.
+    /// No eligible machine has enough free capacity.
     NoRoom {
-        /// Machines, by reason.
+        /// Number of machines by reason.
         tally: MachineTally,
-        /// Machines with almost enough, the nearest first.
+        /// Machines that lack only free capacity, the one that lacks least first.
         near: Vec<CandidateMachine>,
     },
-    /// Machines that would fit are starting.
+    /// Suitable machines are starting.
     Booting {
         /// Label of the machine type.
         #[serde(rename = "shape")]
         machine_type: String,
-        /// The zone.
+        /// Zone of the machines.
         zone: String,
-        /// Whether they are spot machines.
+        /// Whether these are spot machines.
         spot: bool,
-        /// Machines that are starting.
+        /// Number of machines that are starting.
         machines: u32,
-        /// Time until the first is expected, seconds.
+        /// Expected time until the first machine is ready, seconds.
         expected_s: f64,
     },
     /// Machines are being requested from the cloud.
@@ -109,119 +110,118 @@
         /// Label of the machine type.
         #[serde(rename = "shape")]
         machine_type: String,
-        /// The zone.
+        /// Zone of the machines.
         zone: String,
-        /// Whether they are spot machines.
+        /// Whether these are spot machines.
         spot: bool,
-        /// Machines that are requested.
+        /// Number of machines requested.
         machines: u32,
     },
-    /// The cloud had none; it is asked again later.
+    /// The cloud has no machines of this type; the request is retried later.
     MarketRefused {
         /// Label of the machine type.
         #[serde(rename = "shape")]
         machine_type: String,
-        /// The zone.
+        /// Zone of the machines.
         zone: String,
-        /// Whether they are spot machines.
+        /// Whether these are spot machines.
         spot: bool,
-        /// Time until the cloud is asked again, seconds.
+        /// Time until the request is retried, seconds.
         again_s: f64,
     },
-    /// Machines, types or zones that it could use, if they were not drained.
+    /// Machines, machine types or zones that the job could use are drained.
     Drained {
-        /// What the directive is about.
+        /// Target of the directive.
         target: String,
-        /// For how long it has been in force, seconds.
+        /// Time since the directive was set, seconds.
         since_s: f64,
-        /// Name of the key that set it.
+        /// Name of the key that set the directive.
         by: String,
     },
-    /// Other jobs get the next free capacity.
+    /// Other jobs precede this one in the queue.
     Behind {
-        /// Jobs that go first.
+        /// Number of jobs ahead in the queue.
         jobs: u32,
-        /// Their waiting tasks.
+        /// Number of waiting tasks of those jobs.
         tasks: u32,
-        /// The first of these jobs.
+        /// IDs of the first of those jobs.
         first: Vec<String>,
     },
-    /// How far its wait has raised its priority, where priority aging is enabled.
+    /// How far priority aging has raised the job's priority; reported only if aging is enabled.
     #[serde(rename = "ageing")]
     PriorityAging {
-        /// Its priority now.
+        /// Current priority of the job.
         priority: f64,
-        /// For how long it has waited, seconds.
+        /// Age of the job, seconds.
         age_s: f64,
-        /// Time until it is boosted, seconds: not positive for one that is, absent for one that never
-        /// will be.
+        /// Time until the job is boosted, seconds; zero or negative if it is boosted already.
+        /// `None`: the job is never boosted.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         rises_in_s: Option<f64>,
-        /// Risen jobs that go before it.
-        /// Boosted jobs that go before it.
+        /// Number of boosted jobs ahead of it.
         ahead: u32,
-        /// CPUs of the lane for boosted jobs.
+        /// Width of the priority lane for boosted jobs, CPUs.
         lane_cpus: f64,
-        /// CPUs of the lane that are in use.
+        /// CPUs of the priority lane that are in use.
         held_cpus: f64,
-        /// The machine that is reserved for its next task.
+        /// Machine that is reserved for the job's next task; `None` without a reservation.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         kept: Option<String>,
     },
-    /// Placed, and the machine still fetches the image.
+    /// The tasks are placed, and their machines are still fetching the image.
     Fetching {
-        /// Tasks.
+        /// Number of tasks.
         tasks: u32,
-        /// The image.
+        /// Name of the image.
         image: String,
         /// Size of the image, GB.
         image_gb: f64,
-        /// For how long the first of them has waited, seconds.
+        /// Longest time that any of these tasks has been waiting for the image, seconds.
         longest_s: f64,
     },
-    /// Placed; the start goes out with the machine's next report.
+    /// The tasks are placed and start with the next report of their machine.
     Starting {
-        /// Tasks.
+        /// Number of tasks.
         tasks: u32,
     },
-    /// Placed where another task is about to end.
+    /// The tasks are nominated for machines where other tasks are about to end.
     Ahead {
-        /// Tasks.
+        /// Number of tasks.
         tasks: u32,
     },
-    /// Placed by an earlier leader on machines that have not reported since.
+    /// The tasks were placed by an earlier leader on machines that have not reported since.
     Inherited {
-        /// Tasks.
+        /// Number of tasks.
         tasks: u32,
-        /// Time until they are given up, seconds.
+        /// Time until the tasks are presumed lost, seconds.
         until_s: f64,
     },
-    /// How the capacity split divides it; explains which machines are rented for it.
+    /// Capacity split of the job, which determines the machines that are rented for it.
     Split {
-        /// Assumed availability of owned machines, of the pair that the job drew.
+        /// Assumed availability of owned machines, from the parameter pair drawn for the job.
         beta0: f64,
-        /// Assumed availability of spot machines, of the pair that the job drew.
+        /// Assumed availability of spot machines, from the parameter pair drawn for the job.
         beta: f64,
-        /// Tasks on owned machines.
+        /// Number of tasks on owned machines.
         owned: f64,
-        /// Tasks on spot machines.
+        /// Number of tasks on spot machines.
         spot: f64,
-        /// Tasks on on-demand machines.
+        /// Number of tasks on on-demand machines.
         ordinary: f64,
-        /// Slack of the spot width; below 1 on-demand machines finish. Absent
-        /// when no work is left.
+        /// Slackness of the work that is not on owned machines; below 1, on-demand machines
+        /// complete the job. `None`: no work is left.
         slack: Option<f64>,
-        /// Spot machines that are bid for; absent where the number is not finite.
+        /// Number of spot machines to bid for; `None` if the number is not finite.
         nu: Option<f64>,
-        /// On-demand machines with which the last tasks finish.
+        /// Number of on-demand machines on which the last tasks finish.
         tail: f64,
     },
-    /// The leader has not examined the job since it came.
+    /// The leader has not examined the job yet.
     Undecided,
 }
 
 impl Reason {
-    /// Stable name, as in JSON.
+    /// Returns the stable name of the reason, as in JSON.
     pub fn name(&self) -> &'static str {
         match self {
             Reason::Frozen { .. } => "frozen",
@@ -244,7 +244,7 @@
     }
 }
 
-/// The market of a machine, as operators are told it.
+/// Returns the name of the market as shown to operators.
 fn market_name(spot: bool) -> &'static str {
     if spot {
         "spot"
@@ -298,7 +298,7 @@
     }
 }
 
-/// A directive that is in force, and the command that lifts it.
+/// Writes a directive that is in force, and the command that lifts it.
 fn write_directive(
     f: &mut fmt::Formatter<'_>,
     state: &str,
@@ -314,7 +314,7 @@
     write!(f, ": `beamhinge {lift_command} {target}` lifts it")
 }
 
-/// How far a job is from its priority boost, or that it has it.
+/// Writes the time until the job's priority boost, or its position among the boosted jobs.
 fn write_boost(
     f: &mut fmt::Formatter<'_>,
     rises_in_s: Option<f64>,
@@ -334,7 +334,7 @@
 }
 
 impl fmt::Display for Reason {
-    #[expect(clippy::too_many_lines, reason = "one small arm for each reason")]
+    #[expect(clippy::too_many_lines, reason = "one short arm for each reason")]
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Reason::Frozen {
--- a/crates/admin-api/src/reasons/tests.rs
+++ b/crates/admin-api/src/reasons/tests.rs
@@ -9,10 +9,10 @@
         wanted: 4.0,
         limit: 32.0,
     };
-    let json = serde_json::to_value(&reason).expect("plain data");
+    let json = serde_json::to_value(&reason).expect("serialization");
     assert_eq!(json["reason"], reason.name());
     assert_eq!(json["limit"], 32.0);
     assert!(reason.to_string().contains("30 of 32 CPUs"));
-    let back: Reason = serde_json::from_value(json).expect("its own form");
+    let back: Reason = serde_json::from_value(json).expect("deserialization");
     assert_eq!(back, reason);
 }
--- a/crates/admin-api/tests/golden.rs
+++ b/crates/admin-api/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The operators' interface as JSON: what the client sends, what controllers answer, and
-//! what `beamhinge --output json` therefore prints.
+//! JSON encodings of the admin API: requests of the client, and responses of controllers, which
+//! `beamhinge --output json` prints.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -17,7 +17,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Adds a value as JSON; it must come back as it was.
+/// Adds a value as JSON, and checks that decoding and encoding it again gives the same JSON.
 fn add<T: Serialize + DeserializeOwned>(golden: &mut Golden, name: &str, value: &T) {
     let text = serde_json::to_string(value).expect(name);
     let back: T = serde_json::from_str(&text).expect(name);
@@ -91,7 +91,7 @@
     gpus_max: 2.5,
 };
 
-/// One of each kind, each field with a value of its own.
+/// At least one reason of each kind; the fields of a reason have different values.
 #[expect(
     clippy::too_many_lines,
     reason = "one value of each reason, with every field set"
@@ -669,7 +669,7 @@
     golden.check();
 }
 
-/// What a client sends in `Authorization`, and the key file that it signs with.
+/// Checks the `Authorization` header that a client sends, and the key file that it signs with.
 #[test]
 fn signatures_and_key_files_keep_their_form() {
     let file = "[alice]\nrole = operator\nsecret = 000102030405060708090a0b0c0d0e0f\n\n\
