--- a/crates/admin-api/src/auth.rs
+++ b/crates/admin-api/src/auth.rs
@@ -54,7 +54,7 @@
     Read(String, std::io::Error),
     /// The file as a whole is invalid: its path and the problem.
     #[error("key file {0}: {1}")]
-    Form(String, String),
+    InvalidFile(String, String),
     /// One section is invalid.
     #[error("key file {file}, [{section}]: {problem}")]
     Section {
@@ -62,7 +62,7 @@
         file: String,
         /// Name of the section.
         section: String,
-        /// What is wrong.
+        /// What is invalid in the section.
         problem: &'static str,
     },
 }
@@ -71,9 +71,10 @@
     /// Creates a key. Returns `None` if the name is empty or contains a character other than ASCII
     /// letters, digits, `-`, `_` and `.`, or if the secret is too short.
     pub fn new(name: &str, role: Role, secret: Vec<u8>) -> Option<Key> {
-        let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-        let sound = !name.is_empty() && name.bytes().all(plain) && secret.len() >= MIN_SECRET_BYTES;
-        sound.then(|| Key {
+        let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+        let is_valid =
+            !name.is_empty() && name.bytes().all(is_allowed) && secret.len() >= MIN_SECRET_BYTES;
+        is_valid.then(|| Key {
             name: name.to_string(),
             role,
             secret,
@@ -97,19 +98,19 @@
     /// Returns an error if the text is invalid.
     pub fn parse_all(file: &str, text: &str) -> Result<Vec<Key>, KeyError> {
         let ini = ini::Ini::load_from_str(text)
-            .map_err(|e| KeyError::Form(file.into(), e.to_string()))?;
+            .map_err(|e| KeyError::InvalidFile(file.into(), e.to_string()))?;
         let mut keys: Vec<Key> = Vec::new();
         for (section, entries) in ini.iter() {
             let Some(name) = section else {
                 if entries.is_empty() {
                     continue;
                 }
-                return Err(KeyError::Form(
+                return Err(KeyError::InvalidFile(
                     file.into(),
                     "an entry precedes the first section".into(),
                 ));
             };
-            let wrong = |problem| KeyError::Section {
+            let section_error = |problem| KeyError::Section {
                 file: file.into(),
                 section: name.into(),
                 problem,
@@ -117,25 +118,26 @@
             let role = match entries.get("role") {
                 Some("viewer") => Role::Viewer,
                 Some("operator") => Role::Operator,
-                _ => return Err(wrong("role must be viewer or operator")),
+                _ => return Err(section_error("role must be viewer or operator")),
             };
             let secret = entries
                 .get("secret")
                 .and_then(|s| hex::decode(s.trim()).ok());
-            let secret = secret.ok_or_else(|| wrong("secret is missing or not hexadecimal"))?;
+            let secret =
+                secret.ok_or_else(|| section_error("secret is missing or not hexadecimal"))?;
             let key = Key::new(name, role, secret).ok_or_else(|| {
-                wrong(
+                section_error(
                     "the name must consist of ASCII letters, digits, '-', '_' and '.', and the \
                      secret must have at least 16 bytes",
                 )
             })?;
             if keys.iter().any(|k| k.name == key.name) {
-                return Err(wrong("the section occurs more than once"));
+                return Err(section_error("the section occurs more than once"));
             }
             keys.push(key);
         }
         if keys.is_empty() {
-            return Err(KeyError::Form(
+            return Err(KeyError::InvalidFile(
                 file.into(),
                 "the file contains no keys".into(),
             ));
@@ -143,23 +145,23 @@
         Ok(keys)
     }
 
-    fn mac(&self, what: &SignedRequest<'_>) -> Hmac<Sha256> {
+    fn mac(&self, request: &SignedRequest<'_>) -> Hmac<Sha256> {
         let mut mac = match Hmac::<Sha256>::new_from_slice(&self.secret) {
             Ok(mac) => mac,
             // HMAC accepts keys of any length, so this arm is not reached. If it were, a MAC
             // computed with the default key would not match the MAC of any client.
             Err(_) => Hmac::<Sha256>::new(&Default::default()),
         };
-        mac.update(what.text().as_bytes());
+        mac.update(request.canonical_text().as_bytes());
         mac
     }
 
     /// Returns the `Authorization` header for a request.
-    pub fn sign(&self, what: &SignedRequest<'_>) -> String {
-        let mac = hex::encode(self.mac(what).finalize().into_bytes());
+    pub fn sign(&self, request: &SignedRequest<'_>) -> String {
+        let mac = hex::encode(self.mac(request).finalize().into_bytes());
         format!(
             "{SCHEME} key={},time={},nonce={},instance={},mac={mac}",
-            self.name, what.time_ms, what.nonce, what.instance
+            self.name, request.time_ms, request.nonce, request.instance
         )
     }
 }
@@ -182,7 +184,7 @@
 }
 
 impl SignedRequest<'_> {
-    fn text(&self) -> String {
+    fn canonical_text(&self) -> String {
         // Each field has a line of its own and cannot contain a line break, so that different
         // requests never have the same text.
         format!(
@@ -255,7 +257,7 @@
     /// request whose nonce was forgotten could be replayed.
     max_nonces: usize,
     /// Time and truncated nonce digest of each accepted request.
-    seen: BTreeSet<(u64, [u8; 16])>,
+    accepted_nonces: BTreeSet<(u64, [u8; 16])>,
 }
 
 impl Authenticator {
@@ -273,7 +275,7 @@
             instance,
             max_clock_skew_ms,
             max_nonces,
-            seen: BTreeSet::new(),
+            accepted_nonces: BTreeSet::new(),
         }
     }
 
@@ -301,7 +303,7 @@
             });
         }
         let fields = authorization
-            .and_then(fields)
+            .and_then(parse_authorization)
             .ok_or(AuthError::Unauthenticated)?;
         let field = |name: &str| fields.get(name).copied().ok_or(AuthError::Unauthenticated);
         let request = SignedRequest {
@@ -314,18 +316,18 @@
                 .parse()
                 .map_err(|_| AuthError::Unauthenticated)?,
         };
-        let caller = self.verify(&request, field("key")?, field("mac")?)?;
+        let caller = self.verify_mac(&request, field("key")?, field("mac")?)?;
         // Clock and instance errors are reported only to callers whose MAC is valid.
         self.check_clock(wall_ms, request.time_ms)?;
         if request.instance != self.instance {
             return Err(AuthError::OtherInstance);
         }
-        self.remember(wall_ms, &caller.name, &request)?;
+        self.record_nonce(wall_ms, &caller.name, &request)?;
         Ok(caller)
     }
 
     /// Verifies the MAC of a request with the named key.
-    fn verify(
+    fn verify_mac(
         &self,
         request: &SignedRequest<'_>,
         key_name: &str,
@@ -363,43 +365,47 @@
 
     /// Records the nonce of a request and discards nonces whose request time would no longer be
     /// accepted. Fails if the nonce was recorded before or the limit is reached.
-    fn remember(
+    fn record_nonce(
         &mut self,
         wall_ms: u64,
         key_name: &str,
         request: &SignedRequest<'_>,
     ) -> Result<(), AuthError> {
-        let oldest = wall_ms.saturating_sub(self.max_clock_skew_ms);
-        while self.seen.first().is_some_and(|(at, _)| *at < oldest) {
-            self.seen.pop_first();
+        let oldest_accepted_ms = wall_ms.saturating_sub(self.max_clock_skew_ms);
+        while self
+            .accepted_nonces
+            .first()
+            .is_some_and(|(time_ms, _)| *time_ms < oldest_accepted_ms)
+        {
+            self.accepted_nonces.pop_first();
         }
         let digest = Sha256::digest(format!("{key_name}\n{}", request.nonce).as_bytes());
-        let mut short = [0u8; 16];
-        short.copy_from_slice(&digest[..16]);
-        let nonce = (request.time_ms, short);
-        if self.seen.contains(&nonce) {
+        let mut truncated = [0u8; 16];
+        truncated.copy_from_slice(&digest[..16]);
+        let nonce = (request.time_ms, truncated);
+        if self.accepted_nonces.contains(&nonce) {
             return Err(AuthError::Replayed);
         }
-        if self.seen.len() >= self.max_nonces {
+        if self.accepted_nonces.len() >= self.max_nonces {
             return Err(AuthError::TooManyRequests);
         }
-        self.seen.insert(nonce);
+        self.accepted_nonces.insert(nonce);
         Ok(())
     }
 }
 
 /// Parses the fields of an `Authorization` header. Returns `None` if the header is malformed.
-fn fields(header: &str) -> Option<BTreeMap<&str, &str>> {
+fn parse_authorization(header: &str) -> Option<BTreeMap<&str, &str>> {
     let rest = header.strip_prefix(SCHEME)?.strip_prefix(' ')?;
-    let mut out = BTreeMap::new();
+    let mut fields = BTreeMap::new();
     for part in rest.split(',') {
         let (name, value) = part.trim().split_once('=')?;
         // A duplicate field would make it ambiguous which value was signed.
-        if out.insert(name, value).is_some() {
+        if fields.insert(name, value).is_some() {
             return None;
         }
     }
-    Some(out)
+    Some(fields)
 }
 
 #[cfg(test)]
--- a/crates/admin-api/src/auth/tests.rs
+++ b/crates/admin-api/src/auth/tests.rs
@@ -10,7 +10,7 @@
     Authenticator::new(vec![key(Role::Operator)], "i1".into(), 30.0, 100)
 }
 
-fn signed<'a>(nonce: &'a str, time_ms: u64) -> SignedRequest<'a> {
+fn signed_request<'a>(nonce: &'a str, time_ms: u64) -> SignedRequest<'a> {
     let (method, path) = ("POST", "/v1/jobs?x=1");
     SignedRequest {
         method,
@@ -22,30 +22,36 @@
     }
 }
 
-fn check(g: &mut Authenticator, header: &str) -> Result<Caller, AuthError> {
-    g.check(NOW, Some(header), "POST", "/v1/jobs?x=1", b"{}")
+fn authenticate(authenticator: &mut Authenticator, header: &str) -> Result<Caller, AuthError> {
+    authenticator.check(NOW, Some(header), "POST", "/v1/jobs?x=1", b"{}")
 }
 
 #[test]
-fn signed_request_passes_once() {
-    let mut g = authenticator();
-    let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW));
-    assert_eq!(check(&mut g, &header).map(|c| c.name), Ok("night".into()));
-    assert_eq!(check(&mut g, &header), Err(AuthError::Replayed));
+fn signed_request_is_accepted_once() {
+    let mut authenticator = authenticator();
+    let header = key(Role::Operator).sign(&signed_request("0123456789abcdef", NOW));
+    assert_eq!(
+        authenticate(&mut authenticator, &header).map(|c| c.name),
+        Ok("night".into())
+    );
+    assert_eq!(
+        authenticate(&mut authenticator, &header),
+        Err(AuthError::Replayed)
+    );
 }
 
 #[test]
 fn altered_request_is_refused() {
-    let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW));
-    let mut g = authenticator();
-    let h = Some(header.as_str());
+    let header = key(Role::Operator).sign(&signed_request("0123456789abcdef", NOW));
+    let mut authenticator = authenticator();
+    let authorization = Some(header.as_str());
     for (method, path, body) in [
         ("GET", "/v1/jobs?x=1", &b"{}"[..]),
         ("POST", "/v1/jobs?x=2", b"{}"),
         ("POST", "/v1/jobs?x=1", b"{ }"),
     ] {
         assert_eq!(
-            g.check(NOW, h, method, path, body),
+            authenticator.check(NOW, authorization, method, path, body),
             Err(AuthError::Unauthenticated)
         );
     }
@@ -56,12 +62,12 @@
     ] {
         let altered = header.replace(from, to);
         assert_eq!(
-            check(&mut g, &altered),
+            authenticate(&mut authenticator, &altered),
             Err(AuthError::Unauthenticated),
             "{to}"
         );
     }
-    for junk in [
+    for malformed in [
         "",
         "BH1",
         "BH1 key",
@@ -70,57 +76,69 @@
         "Basic x",
     ] {
         assert_eq!(
-            check(&mut g, junk),
+            authenticate(&mut authenticator, malformed),
             Err(AuthError::Unauthenticated),
-            "{junk}"
+            "{malformed}"
         );
     }
     assert!(
-        check(&mut g, &header).is_ok(),
+        authenticate(&mut authenticator, &header).is_ok(),
         "the unaltered request is still accepted"
     );
 }
 
 #[test]
-fn clock_ten_minutes_off_is_refused_with_the_difference() {
-    let mut g = authenticator();
-    let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW + 600_000));
-    let denied = check(&mut g, &header).expect_err("too far ahead");
-    assert_eq!(denied.code(), Code::Clock);
-    assert!(denied.to_string().contains("600 s ahead of"), "{denied}");
+fn request_with_clock_ten_minutes_ahead_is_refused_and_reports_difference() {
+    let mut authenticator = authenticator();
+    let header = key(Role::Operator).sign(&signed_request("0123456789abcdef", NOW + 600_000));
+    let error = authenticate(&mut authenticator, &header).expect_err("too far ahead");
+    assert_eq!(error.code(), Code::Clock);
+    assert!(error.to_string().contains("600 s ahead of"), "{error}");
 }
 
 /// Guards against replay of an intercepted request after a restart: the new process has not
 /// recorded the nonce.
 #[test]
 fn request_signed_for_another_process_is_refused() {
-    let mut g = Authenticator::new(vec![key(Role::Operator)], "i2".into(), 30.0, 100);
-    let header = key(Role::Operator).sign(&signed("0123456789abcdef", NOW));
-    assert_eq!(check(&mut g, &header), Err(AuthError::OtherInstance));
+    let mut authenticator = Authenticator::new(vec![key(Role::Operator)], "i2".into(), 30.0, 100);
+    let header = key(Role::Operator).sign(&signed_request("0123456789abcdef", NOW));
+    assert_eq!(
+        authenticate(&mut authenticator, &header),
+        Err(AuthError::OtherInstance)
+    );
 }
 
 #[test]
-fn full_nonce_memory_refuses_and_keeps_nonces() {
-    let mut g = Authenticator::new(vec![key(Role::Operator)], "i1".into(), 30.0, 2);
-    let sign = |n: u32| key(Role::Operator).sign(&signed(&format!("{n:016}"), NOW));
-    assert!(check(&mut g, &sign(1)).is_ok() && check(&mut g, &sign(2)).is_ok());
-    assert_eq!(check(&mut g, &sign(3)), Err(AuthError::TooManyRequests));
-    assert_eq!(check(&mut g, &sign(1)), Err(AuthError::Replayed));
+fn full_nonce_store_refuses_new_requests_and_detects_replays() {
+    let mut authenticator = Authenticator::new(vec![key(Role::Operator)], "i1".into(), 30.0, 2);
+    let sign = |n: u32| key(Role::Operator).sign(&signed_request(&format!("{n:016}"), NOW));
+    assert!(
+        authenticate(&mut authenticator, &sign(1)).is_ok()
+            && authenticate(&mut authenticator, &sign(2)).is_ok()
+    );
+    assert_eq!(
+        authenticate(&mut authenticator, &sign(3)),
+        Err(AuthError::TooManyRequests)
+    );
+    assert_eq!(
+        authenticate(&mut authenticator, &sign(1)),
+        Err(AuthError::Replayed)
+    );
 }
 
 #[test]
-fn invalid_key_file_is_refused_without_showing_secrets() {
-    let good = "[night]\nrole=operator\nsecret=000102030405060708090a0b0c0d0e0f\n";
-    let keys = Key::parse_all("k", good).expect("a valid key file");
+fn invalid_key_file_is_refused_without_revealing_secrets() {
+    let valid = "[night]\nrole=operator\nsecret=000102030405060708090a0b0c0d0e0f\n";
+    let keys = Key::parse_all("k", valid).expect("a valid key file");
     assert_eq!(format!("{:?}", keys[0]), "Key(night, Operator)");
-    for bad in [
+    for invalid in [
         "",
         "[a]\nrole=king\nsecret=000102030405060708090a0b0c0d0e0f\n",
         "[a]\nrole=viewer\nsecret=0001\n",
         "[a]\nrole=viewer\nsecret=nothex\n",
         "[a]\nrole=viewer\n",
     ] {
-        let error = Key::parse_all("k", bad).expect_err(bad).to_string();
+        let error = Key::parse_all("k", invalid).expect_err(invalid).to_string();
         assert!(
             !error.contains("0001") && !error.contains("nothex"),
             "{error}"
--- a/crates/admin-api/src/directives.rs
+++ b/crates/admin-api/src/directives.rs
@@ -47,12 +47,12 @@
     /// Name or label of the target.
     pub fn name(&self) -> &str {
         match self {
-            Target::Machine(n)
-            | Target::MachineType(n)
-            | Target::Zone(n)
-            | Target::Node(n)
-            | Target::Team(n)
-            | Target::Class(n) => n,
+            Target::Machine(name)
+            | Target::MachineType(name)
+            | Target::Zone(name)
+            | Target::Node(name)
+            | Target::Team(name)
+            | Target::Class(name) => name,
         }
     }
 
@@ -60,8 +60,9 @@
     pub fn parse(kind: &str, name: &str) -> Option<Target> {
         // The name becomes part of a key: it must not contain spaces or characters with a meaning
         // in a path or query, nor exceed the length limit of a key.
-        let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b':');
-        if name.is_empty() || name.len() > 120 || !name.bytes().all(plain) {
+        let is_allowed =
+            |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b':');
+        if name.is_empty() || name.len() > 120 || !name.bytes().all(is_allowed) {
             return None;
         }
         let name = name.to_string();
--- a/crates/admin-api/src/messages/jobs.rs
+++ b/crates/admin-api/src/messages/jobs.rs
@@ -66,16 +66,16 @@
     #[serde(default = "default_urgency")]
     pub urgency: Urgency,
     /// Number of tasks.
-    #[serde(default = "one_task")]
+    #[serde(default = "default_tasks")]
     pub tasks: u32,
     /// CPUs of each task.
-    #[serde(default = "one")]
+    #[serde(default = "default_cpus")]
     pub cpus: f64,
     /// GPUs of each task.
     #[serde(default)]
     pub gpus: f64,
     /// Memory of each task, GB.
-    #[serde(default = "quarter")]
+    #[serde(default = "default_memory_gb")]
     pub memory_gb: f64,
     /// Name of the image that the tasks require.
     #[serde(default = "default_image")]
@@ -97,10 +97,10 @@
     #[serde(default)]
     pub spread: bool,
     /// Whether spot machines are allowed.
-    #[serde(default = "yes")]
+    #[serde(default = "default_spot")]
     pub spot: bool,
     /// Expected run time of a task, seconds.
-    #[serde(default = "default_run")]
+    #[serde(default = "default_expected_run_s")]
     pub expect_s: f64,
     /// Checkpoint interval, seconds; 0 means no checkpoints.
     #[serde(default)]
@@ -132,23 +132,23 @@
     "none".into()
 }
 
-fn one_task() -> u32 {
+fn default_tasks() -> u32 {
     1
 }
 
-fn one() -> f64 {
+fn default_cpus() -> f64 {
     1.0
 }
 
-fn quarter() -> f64 {
+fn default_memory_gb() -> f64 {
     0.25
 }
 
-fn default_run() -> f64 {
+fn default_expected_run_s() -> f64 {
     1.0
 }
 
-fn yes() -> bool {
+fn default_spot() -> bool {
     true
 }
 
@@ -161,18 +161,18 @@
             class: default_class(),
             kind: default_kind(),
             urgency: default_urgency(),
-            tasks: one_task(),
-            cpus: one(),
+            tasks: default_tasks(),
+            cpus: default_cpus(),
             gpus: 0.0,
-            memory_gb: quarter(),
+            memory_gb: default_memory_gb(),
             image: default_image(),
             image_gb: 0.0,
             machine_types: None,
             zone: None,
             one_zone: false,
             spread: false,
-            spot: yes(),
-            expect_s: default_run(),
+            spot: default_spot(),
+            expect_s: default_expected_run_s(),
             checkpoint_s: 0.0,
             save_s: 0.0,
             due_s: None,
--- a/crates/admin-api/src/reasons.rs
+++ b/crates/admin-api/src/reasons.rs
@@ -84,7 +84,7 @@
         /// The team's limit.
         limit: f64,
     },
-    /// No eligible machine has enough free capacity.
+    /// No eligible machine currently has enough free capacity.
     NoRoom {
         /// Number of machines by reason.
         tally: MachineTally,
@@ -255,7 +255,7 @@
 
 impl fmt::Display for MachineTally {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let parts = [
+        let counts = [
             (self.full, "too full"),
             (self.silent, "silent"),
             (self.unsynced, "not yet ours"),
@@ -269,32 +269,32 @@
             (self.other_machine_type, "of a type the job does not allow"),
             (self.other_zone, "in a zone the job cannot use"),
         ];
-        let said: Vec<String> = parts
+        let descriptions: Vec<String> = counts
             .iter()
-            .filter(|(n, _)| *n > 0)
-            .map(|(n, what)| format!("{n} {what}"))
+            .filter(|(count, _)| *count > 0)
+            .map(|(count, description)| format!("{count} {description}"))
             .collect();
-        if said.is_empty() {
+        if descriptions.is_empty() {
             f.write_str("there is no machine at all")
         } else {
-            f.write_str(&said.join(", "))
+            f.write_str(&descriptions.join(", "))
         }
     }
 }
 
 impl fmt::Display for CandidateMachine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let lacks = [
+        let amounts = [
             (self.lacks_cpus, "CPUs"),
             (self.lacks_gpus, "GPUs"),
             (self.lacks_memory_gb, "GB"),
         ];
-        let lacks: Vec<String> = lacks
+        let missing: Vec<String> = amounts
             .iter()
             .filter(|(amount, _)| *amount > 0.0)
             .map(|(amount, unit)| format!(" {amount:.2} {unit}"))
             .collect();
-        write!(f, "{}, which lacks{}", self.machine, lacks.join(","))
+        write!(f, "{}, which lacks{}", self.machine, missing.join(","))
     }
 }
 
--- a/crates/admin-api/src/reasons/tests.rs
+++ b/crates/admin-api/src/reasons/tests.rs
@@ -13,6 +13,6 @@
     assert_eq!(json["reason"], reason.name());
     assert_eq!(json["limit"], 32.0);
     assert!(reason.to_string().contains("30 of 32 CPUs"));
-    let back: Reason = serde_json::from_value(json).expect("deserialization");
-    assert_eq!(back, reason);
+    let decoded: Reason = serde_json::from_value(json).expect("deserialization");
+    assert_eq!(decoded, reason);
 }
--- a/crates/admin-api/tests/golden.rs
+++ b/crates/admin-api/tests/golden.rs
@@ -18,14 +18,14 @@
 use serde::Serialize;
 
 /// Adds a value as JSON, and checks that decoding and encoding it again gives the same JSON.
-fn add<T: Serialize + DeserializeOwned>(golden: &mut Golden, name: &str, value: &T) {
+fn add_json<T: Serialize + DeserializeOwned>(golden: &mut Golden, name: &str, value: &T) {
     let text = serde_json::to_string(value).expect(name);
-    let back: T = serde_json::from_str(&text).expect(name);
-    assert_eq!(serde_json::to_string(&back).expect(name), text, "{name}");
+    let decoded: T = serde_json::from_str(&text).expect(name);
+    assert_eq!(serde_json::to_string(&decoded).expect(name), text, "{name}");
     golden.text(name, &text);
 }
 
-fn full_request() -> JobRequest {
+fn job_request_with_all_fields() -> JobRequest {
     JobRequest {
         class: "train".into(),
         kind: JobKind::Service,
@@ -50,7 +50,7 @@
     }
 }
 
-fn row(state: State) -> JobRow {
+fn job_row(state: State) -> JobRow {
     JobRow {
         job: "job-000412".into(),
         state,
@@ -64,13 +64,13 @@
     }
 }
 
-fn empty_row() -> JobRow {
+fn minimal_job_row() -> JobRow {
     JobRow {
         team: None,
         class: None,
         urgency: None,
         age_s: None,
-        ..row(State::Pending)
+        ..job_row(State::Pending)
     }
 }
 
@@ -218,14 +218,14 @@
 }
 
 #[test]
-fn requests_keep_their_form() {
+fn requests_match_golden_json() {
     let mut golden = Golden::new("tests/golden/requests.json.txt");
     let g = &mut golden;
-    add(g, "smallest job", &JobRequest::new("job-1", "vision"));
-    add(g, "job", &full_request());
+    add_json(g, "smallest job", &JobRequest::new("job-1", "vision"));
+    add_json(g, "job", &job_request_with_all_fields());
     for (name, afterwards) in [("return", Afterwards::Return), ("keep", Afterwards::Keep)] {
         let (target, note) = (Target::Machine("n-1".into()), "fans".into());
-        add(
+        add_json(
             g,
             name,
             &DirectiveChange {
@@ -246,35 +246,35 @@
             why: "more".into(),
         }
     };
-    add(g, "set a quota", &change("vision", TeamChange::Set(QUOTA)));
-    add(g, "add a team", &change("vision", TeamChange::Add(QUOTA)));
-    add(g, "remove a team", &change("vision", TeamChange::Remove));
-    add(g, "restore a team", &change("vision", TeamChange::Restore));
-    let back = ConfigurationChange {
+    add_json(g, "set a quota", &change("vision", TeamChange::Set(QUOTA)));
+    add_json(g, "add a team", &change("vision", TeamChange::Add(QUOTA)));
+    add_json(g, "remove a team", &change("vision", TeamChange::Remove));
+    add_json(g, "restore a team", &change("vision", TeamChange::Restore));
+    let restore_version = ConfigurationChange {
         teams: Default::default(),
         restore_version: Some(Version(39)),
         ..change("vision", TeamChange::Remove)
     };
-    add(g, "restore a version", &back);
+    add_json(g, "restore a version", &restore_version);
     golden.check();
 }
 
 #[test]
-fn what_a_request_leaves_out_has_its_default() {
+fn omitted_request_fields_have_default_values() {
     let text = r#"{"job": "job-1", "team": "vision"}"#;
-    let read: JobRequest = serde_json::from_str(text).expect("a job");
-    assert_eq!(read, JobRequest::new("job-1", "vision"));
+    let decoded: JobRequest = serde_json::from_str(text).expect("valid job request");
+    assert_eq!(decoded, JobRequest::new("job-1", "vision"));
     let text = r#"{"target": {"team": "vision"}, "set": false}"#;
-    let read: DirectiveChange = serde_json::from_str(text).expect("a change");
+    let decoded: DirectiveChange = serde_json::from_str(text).expect("valid directive change");
     let (target, afterwards) = (Target::Team("vision".into()), Afterwards::Return);
-    let wanted = DirectiveChange {
+    let expected = DirectiveChange {
         target,
         set: false,
         within_s: None,
         afterwards,
         note: String::new(),
     };
-    assert_eq!(read, wanted);
+    assert_eq!(decoded, expected);
 }
 
 #[test]
@@ -282,10 +282,10 @@
     clippy::too_many_lines,
     reason = "one value of each message, with every field set"
 )]
-fn answers_about_jobs_keep_their_form() {
+fn job_responses_match_golden_json() {
     let mut golden = Golden::new("tests/golden/jobs.json.txt");
     let g = &mut golden;
-    add(
+    add_json(
         g,
         "told",
         &JobResponse {
@@ -299,7 +299,7 @@
         State::Done,
         State::Cancelled,
     ] {
-        add(g, &format!("row {state}"), &row(state));
+        add_json(g, &format!("row {state}"), &job_row(state));
     }
     for urgency in [
         Urgency::BestEffort,
@@ -307,18 +307,18 @@
         Urgency::High,
         Urgency::Critical,
     ] {
-        add(g, "urgency", &urgency);
+        add_json(g, "urgency", &urgency);
     }
     let next = Some("job-000412".to_string());
-    add(
+    add_json(
         g,
         "page",
         &JobPage {
-            jobs: vec![row(State::Running), empty_row()],
+            jobs: vec![job_row(State::Running), minimal_job_row()],
             next,
         },
     );
-    add(
+    add_json(
         g,
         "last page",
         &JobPage {
@@ -326,7 +326,7 @@
             next: None,
         },
     );
-    let spec: JobSpec = full_request().spec(1_700_000_000_123);
+    let spec: JobSpec = job_request_with_all_fields().spec(1_700_000_000_123);
     let task = TaskRow {
         task: "job-000412/3".into(),
         machine: "n-000231".into(),
@@ -334,26 +334,26 @@
         running_s: Some(1.5),
         stopping: true,
     };
-    let (tasks, reasons_of_one) = (vec![task], vec![Reason::Undecided]);
+    let (tasks, wait_reasons) = (vec![task], vec![Reason::Undecided]);
     let placed = JobPlacement {
         done: 1,
         running: 2,
         waiting: 3,
         tasks,
-        reasons: reasons_of_one,
+        reasons: wait_reasons,
     };
-    add(g, "placed", &placed);
+    add_json(g, "placed", &placed);
     let detail = JobDetail {
-        row: row(State::Running),
+        row: job_row(State::Running),
         spec: Some(SpecView::from(&spec)),
         placed: Some(placed),
     };
-    add(g, "detail", &detail);
-    add(
+    add_json(g, "detail", &detail);
+    add_json(
         g,
         "empty detail",
         &JobDetail {
-            row: empty_row(),
+            row: minimal_job_row(),
             spec: None,
             placed: None,
         },
@@ -365,16 +365,16 @@
         reasons: Vec::new(),
         text: vec!["words".into()],
     };
-    add(g, "explanation", &explanation);
+    add_json(g, "explanation", &explanation);
     for reason in reasons() {
-        add(g, reason.name(), &reason);
-        golden_words(g, reason.name(), &reason.to_string());
+        add_json(g, reason.name(), &reason);
+        add_text(g, reason.name(), &reason.to_string());
     }
     golden.check();
 }
 
-fn golden_words(golden: &mut Golden, name: &str, words: &str) {
-    golden.text(&format!("{name} in words"), words);
+fn add_text(golden: &mut Golden, name: &str, text: &str) {
+    golden.text(&format!("{name} in words"), text);
 }
 
 #[test]
@@ -382,7 +382,7 @@
     clippy::too_many_lines,
     reason = "one value of each message, with every field set"
 )]
-fn answers_about_the_cluster_keep_their_form() {
+fn cluster_responses_match_golden_json() {
     let mut golden = Golden::new("tests/golden/cluster.json.txt");
     let g = &mut golden;
     let machine = MachineRow {
@@ -399,7 +399,7 @@
         heard_s: Some(1.5),
         age_s: Some(2.5),
     };
-    let silent = MachineRow {
+    let never_reported = MachineRow {
         spot: false,
         owned: true,
         heard_s: None,
@@ -407,15 +407,15 @@
         ..machine.clone()
     };
     let next = Some("n-000231".into());
-    add(
+    add_json(
         g,
         "machines",
         &MachinePage {
-            machines: vec![machine, silent],
+            machines: vec![machine, never_reported],
             next,
         },
     );
-    add(
+    add_json(
         g,
         "last machines",
         &MachinePage {
@@ -435,8 +435,8 @@
         tasks_waiting: 8,
         frozen: true,
     };
-    add(g, "teams", &vec![team.clone()]);
-    let node = NodeRow {
+    add_json(g, "teams", &vec![team.clone()]);
+    let follower = NodeRow {
         label: "north-1".into(),
         answering: true,
         leader: false,
@@ -447,7 +447,7 @@
         drained: false,
         stuck_ago_s: Some(3.5),
     };
-    let away = NodeRow {
+    let leader = NodeRow {
         answering: false,
         leader: true,
         token: None,
@@ -456,16 +456,16 @@
         ready: false,
         drained: true,
         stuck_ago_s: None,
-        ..node.clone()
+        ..follower.clone()
     };
-    add(g, "nodes", &vec![node, away]);
+    add_json(g, "nodes", &vec![follower, leader]);
     let pair = PairRow {
         beta0: 0.25,
         beta: 0.5,
         weight: 0.75,
         jobs: 9,
     };
-    add(
+    add_json(
         g,
         "splits",
         &Splits {
@@ -489,14 +489,14 @@
         teams: vec![team],
         directives: 10,
     };
-    add(g, "summary", &summary);
+    add_json(g, "summary", &summary);
     let (task, machine) = (|| "job-1/2".to_string(), || "n-1".to_string());
     let (machine_type, zone, why) = (
         || "g8".to_string(),
         || "a".to_string(),
         || "it is sick".to_string(),
     );
-    let whats = [
+    let kinds = [
         DecisionKind::Placed {
             task: task(),
             machine: machine(),
@@ -537,10 +537,10 @@
         },
         DecisionKind::LeadershipAcquired { token: 41 },
     ];
-    for what in &whats {
-        golden_words(g, "decision", &what.to_string());
+    for kind in &kinds {
+        add_text(g, "decision", &kind.to_string());
     }
-    let decisions = whats
+    let decisions = kinds
         .into_iter()
         .enumerate()
         .map(|(i, what)| Decision {
@@ -549,7 +549,7 @@
             what,
         })
         .collect();
-    add(
+    add_json(
         g,
         "decisions",
         &Decisions {
@@ -558,7 +558,7 @@
             missed: 5,
         },
     );
-    add(
+    add_json(
         g,
         "hello",
         &ServerInfo {
@@ -576,13 +576,13 @@
     clippy::too_many_lines,
     reason = "one value of each message, with every field set"
 )]
-fn directives_configuration_and_problems_keep_their_form() {
+fn directive_configuration_and_error_responses_match_golden_json() {
     let mut golden = Golden::new("tests/golden/directives.json.txt");
     let g = &mut golden;
     let targets = ["machine", "shape", "zone", "node", "team", "class"]
         .map(|kind| Target::parse(kind, "name").expect(kind));
     for target in &targets {
-        golden_words(g, "target", &target.to_string());
+        add_text(g, "target", &target.to_string());
     }
     let directives = targets.into_iter().map(|target| Directive {
         target,
@@ -592,7 +592,7 @@
         by: "alice".into(),
         note: "fans".into(),
     });
-    add(
+    add_json(
         g,
         "directives",
         &Directives {
@@ -600,7 +600,7 @@
         },
     );
     let target = Target::Zone("a".into());
-    add(
+    add_json(
         g,
         "changed",
         &DirectiveChangeResult {
@@ -627,21 +627,21 @@
         unknown_fields: vec!["later".into()],
         teams: vec![team(false), team(true)],
     };
-    add(g, "configuration", &view);
-    let bare = ConfigurationView {
+    add_json(g, "configuration", &view);
+    let minimal_view = ConfigurationView {
         on: false,
         author: None,
         in_force_everywhere_since_ms: None,
         unknown_fields: Vec::new(),
         ..view
     };
-    add(g, "bare configuration", &bare);
-    let made = |warning| ConfigurationResponse {
+    add_json(g, "bare configuration", &minimal_view);
+    let response = |warning| ConfigurationResponse {
         version: Version(42),
         warning,
     };
-    add(g, "made", &made(Some("mind".into())));
-    add(g, "made without warning", &made(None));
+    add_json(g, "made", &response(Some("mind".into())));
+    add_json(g, "made without warning", &response(None));
     let codes = [
         Code::Unauthenticated,
         Code::Clock,
@@ -656,7 +656,7 @@
     ];
     for code in codes {
         let ahead_ms = (code == Code::Clock).then_some(-700);
-        add(
+        add_json(
             g,
             "problem",
             &Problem {
@@ -671,10 +671,10 @@
 
 /// Checks the `Authorization` header that a client sends, and the key file that it signs with.
 #[test]
-fn signatures_and_key_files_keep_their_form() {
+fn signatures_of_key_file_keys_match_golden_text() {
     let file = "[alice]\nrole = operator\nsecret = 000102030405060708090a0b0c0d0e0f\n\n\
         [bob]\nrole = viewer\nsecret = 101112131415161718191a1b1c1d1e1f\n";
-    let keys = Key::parse_all("keys", file).expect("a key file");
+    let keys = Key::parse_all("keys", file).expect("valid key file");
     assert_eq!(
         keys.iter().map(|k| k.role).collect::<Vec<_>>(),
         [Role::Operator, Role::Viewer]
