--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,6 +1,6 @@
-//! The command line: verbs and flags.
+//! Command-line arguments: subcommands (verbs) and flags.
 //!
-//! Doc comments of fields and variants are the help texts; names are the flags and verbs that
+//! Doc comments of fields and variants are the help texts. Their names are the flags and verbs that
 //! scripts use.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
@@ -10,24 +10,24 @@
 #[command(
     name = "beamhinge",
     version,
-    about = "Asks a beamhinge cluster anything, and starts one on this machine",
-    after_help = "Exit codes: 0 done, 1 other, 2 usage, 3 refused, 4 not found, 5 no controller \
-reached, 6 timed out, 7 key or clock not accepted, 8 the awaited job was cancelled.
+    about = "Queries and operates a beamhinge cluster, or starts one on this machine",
+    after_help = "Exit codes: 0 success, 1 other error, 2 usage error, 3 refused, 4 not found, \
+5 no controller reached, 6 timed out, 7 key or clock not accepted, 8 the awaited job was cancelled.
 
 Examples:
-  beamhinge up                                    a cluster on this machine
-  beamhinge submit --team home --wait -- echo hi  a first job
-  beamhinge explain job-000412                    why does it not run?
+  beamhinge up                                    start a cluster on this machine
+  beamhinge submit --team home --wait -- echo hi  run a first job
+  beamhinge explain job-000412                    show why a job waits
   beamhinge drain machine n-000007 --within-s 300"
 )]
 pub(crate) struct Arguments {
-    /// Contexts (INI); else $XDG_CONFIG_HOME/beamhinge/config.ini
+    /// File with contexts (INI) [default: $XDG_CONFIG_HOME/beamhinge/config.ini]
     #[arg(long, global = true, env = "BEAMHINGE_CONFIG", value_name = "FILE")]
     pub(crate) config: Option<PathBuf>,
-    /// Which context of the file
+    /// Name of the context to use
     #[arg(long, global = true, env = "BEAMHINGE_CONTEXT", value_name = "NAME")]
     pub(crate) context: Option<String>,
-    /// Operators' addresses, separated by commas, instead of the context's
+    /// Admin API addresses of the controllers, separated by commas; override those of the context
     #[arg(
         long,
         global = true,
@@ -35,19 +35,19 @@
         value_name = "IP:PORT,..."
     )]
     pub(crate) controllers: Option<String>,
-    /// Key file
+    /// File with the key that signs requests
     #[arg(long, global = true, env = "BEAMHINGE_KEY", value_name = "FILE")]
     pub(crate) key: Option<PathBuf>,
-    /// Which key of the file
+    /// Name of the key in the key file
     #[arg(long, global = true, env = "BEAMHINGE_KEY_NAME", value_name = "NAME")]
     pub(crate) key_name: Option<String>,
-    /// How answers look
+    /// Output format
     #[arg(long, short, global = true, value_enum, default_value = "table")]
     pub(crate) output: Output,
-    /// How long to go on trying, seconds
+    /// Time limit of a call with all its retries, seconds
     #[arg(long, global = true, default_value_t = 30.0, value_name = "S")]
     pub(crate) timeout_s: f64,
-    /// Say nothing of what is tried again
+    /// Do not report failed attempts and retries
     #[arg(long, short, global = true)]
     pub(crate) quiet: bool,
     #[command(subcommand)]
@@ -62,7 +62,7 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Verb {
-    /// Start a cluster on this machine: controllers, state service, cloud, workers
+    /// Start a cluster on this machine: controllers, key-value store, emulated cloud and workers
     #[command(after_help = "Examples:
   beamhinge up
   beamhinge up --nodes 1 --machines 8 --dir ./my-cluster")]
@@ -73,7 +73,7 @@
   beamhinge submit --team home --wait -- sh -c 'date; hostname'
   beamhinge submit --file job.toml --wait
 
-A file holds the same names with underscores:
+A file uses the names of the flags, with underscores:
   team = \"home\"
   tasks = 20
   cpus = 0.5
@@ -84,7 +84,7 @@
   beamhinge jobs --state open --team records
   beamhinge jobs --urgency high --older-s 600 --output json")]
     Jobs(JobsOptions),
-    /// One job, with its tasks and where they run
+    /// Show a job, its tasks and the machines they run on
     #[command(after_help = "Example:\n  beamhinge job job-000412")]
     Job { job: String },
     /// Cancel jobs
@@ -93,10 +93,10 @@
         #[arg(required = true)]
         jobs: Vec<String>,
     },
-    /// Why a job does not run
+    /// Explain why a job does not run
     #[command(after_help = "Example:\n  beamhinge explain job-000412")]
     Explain { job: String },
-    /// Machines, what is on them and what they have left
+    /// List machines with their tasks and free capacity
     #[command(after_help = "Example:\n  beamhinge machines --zone north")]
     Machines {
         #[arg(long)]
@@ -104,20 +104,20 @@
         #[arg(long)]
         zone: Option<String>,
     },
-    /// Teams with what they use, are guaranteed and may use at most
+    /// List teams with usage, guarantees and limits
     #[command(after_help = "Example:\n  beamhinge teams --output json")]
     Teams,
-    /// Controllers, who leads, and what they hear of each other
+    /// List controllers, the leader, and when each was last heard from
     #[command(after_help = "Example:\n  beamhinge nodes")]
     Nodes,
-    /// The learner's pairs of the split and their weights
+    /// Show the learner's parameter pairs of the capacity split and their weights
     #[command(after_help = "Example:\n  beamhinge splits")]
     Splits,
-    /// Take a machine, a type, a zone or a controller out of service
+    /// Take a machine, a machine type, a zone or a controller out of service
     #[command(
-        after_help = "Tasks that are there end; with --within-s they are told to save and stop \
-before so many seconds are over. An empty machine is returned to the cloud, or kept with --keep. \
-A drained controller hands its lead to another.
+        after_help = "Running tasks may finish; with --within-s those that have not ended after \
+that time are told to save a checkpoint and stop. An empty machine is returned to the cloud, or kept \
+with --keep. A drained controller hands leadership over to another.
 
 Examples:
   beamhinge drain machine n-000007 --within-s 300 --note 'disk errors'
@@ -125,14 +125,14 @@
   beamhinge drain node a"
     )]
     Drain(DrainOptions),
-    /// Put it back into service
+    /// Put a drained target back into service
     #[command(after_help = "Example:\n  beamhinge undrain machine n-000007")]
     Undrain {
         #[arg(value_enum)]
         kind: DrainKind,
         name: String,
     },
-    /// Start nothing new of a team or class
+    /// Stop starting new tasks of a team or class
     #[command(after_help = "Example:\n  beamhinge freeze team records --note 'audit until noon'")]
     Freeze {
         #[arg(value_enum)]
@@ -141,19 +141,19 @@
         #[arg(long, default_value = "")]
         note: String,
     },
-    /// Let it start again
+    /// Lift the freeze of a team or class
     #[command(after_help = "Example:\n  beamhinge thaw team records")]
     Thaw {
         #[arg(value_enum)]
         kind: FreezeKind,
         name: String,
     },
-    /// Teams and quotas as they count now, their version, and which controllers serve by it
+    /// Show teams and quotas in force, their version, and the controllers that do not use it yet
     #[command(after_help = "Example:\n  beamhinge quotas --output json")]
     Quotas,
-    /// Change teams and quotas, as one or not at all
+    /// Change teams and quotas atomically
     #[command(
-        after_help = "A file (TOML) names the version that you saw and what becomes of each team:
+        after_help = "A file (TOML) names the version it is based on and the change of each team:
   seen = 7
   why = \"third quarter\"
   [teams.records.set]
@@ -162,34 +162,34 @@
   [teams.audit.add]
   cpus_max = 50.0
   [teams]
-  old = \"remove\"      # or \"restore\": as the settings say
+  old = \"remove\"      # or \"restore\": back to the settings
 
 Examples:
   beamhinge set-quotas quarter.toml
   beamhinge set-quotas --restore-version 6 --seen 7 --why 'wrong file'"
     )]
     SetQuotas(SetQuotasOptions),
-    /// Drains and freezes that stand
+    /// List drains and freezes in force
     #[command(after_help = "Example:\n  beamhinge directives")]
     Directives,
-    /// The holder's recent decisions
+    /// Print recent decisions of the leader
     #[command(after_help = "Example:\n  beamhinge events --follow")]
     Events {
-        /// Go on until interrupted
+        /// Keep printing new decisions until interrupted
         #[arg(long, short)]
         follow: bool,
     },
-    /// A live screen of the whole
+    /// Show a live overview of the cluster
     #[command(after_help = "Example:\n  beamhinge top --every-s 5")]
     Top {
-        /// Seconds between looks
+        /// Refresh interval, seconds
         #[arg(long, default_value_t = 1.0)]
         every_s: f64,
     },
-    /// The figures of one controller, in the Prometheus text format
+    /// Print the metrics of one controller in the Prometheus text format
     #[command(after_help = "Example:\n  beamhinge metrics --controllers 127.0.0.1:7910")]
     Metrics,
-    /// A completion script for a shell
+    /// Generate a completion script for a shell
     #[command(
         after_help = "Example:\n  beamhinge completions bash > /etc/bash_completion.d/beamhinge"
     )]
@@ -197,7 +197,7 @@
         #[arg(value_enum)]
         shell: clap_complete::Shell,
     },
-    /// Which controllers and key are used, and where that is set
+    /// Show which controllers and key are used, and the file that sets them
     #[command(after_help = "Example:\n  beamhinge config --context plant")]
     Config,
     #[command(hide = true)]
@@ -208,32 +208,32 @@
 
 #[derive(Args)]
 pub(crate) struct UpOptions {
-    /// Controllers: 1 or 3
+    /// Number of controllers: 1 or 3
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=3))]
     pub(crate) nodes: u8,
-    /// Machines that are there from the start
+    /// Number of machines present from the start
     #[arg(long, default_value_t = 2)]
     pub(crate) machines: u16,
-    /// Machines that can be rented beside them
+    /// Number of machines that can be rented in addition
     #[arg(long, default_value_t = 6)]
     pub(crate) rentable: u16,
-    /// Where state, logs and output are kept; survives an end and a new start
+    /// Directory for state, logs and task output; kept across restarts of the cluster
     #[arg(long, value_name = "DIR")]
     pub(crate) dir: Option<PathBuf>,
-    /// First of a hundred ports on loopback
+    /// First of the 100 loopback ports that the cluster uses
     #[arg(long, default_value_t = 7_900)]
     pub(crate) port: u16,
-    /// Print no decisions
+    /// Do not print decisions
     #[arg(long)]
     pub(crate) no_events: bool,
 }
 
 #[derive(Args)]
 pub(crate) struct SubmitOptions {
-    /// A job as TOML; flags override it
+    /// File that describes the job (TOML); flags override it
     #[arg(long, short, value_name = "FILE")]
     pub(crate) file: Option<PathBuf>,
-    /// Its id, of the form job-000412; drawn if absent
+    /// Job id, for example job-000412 [default: random]
     #[arg(long)]
     pub(crate) id: Option<String>,
     #[arg(long)]
@@ -243,12 +243,12 @@
     /// critical, high, standard or best_effort
     #[arg(long)]
     pub(crate) urgency: Option<String>,
-    /// A service: its tasks run until it is cancelled
+    /// Submit a service: its tasks run until it is cancelled
     #[arg(long)]
     pub(crate) standing: bool,
     #[arg(long)]
     pub(crate) tasks: Option<u32>,
-    /// Per task
+    /// CPUs per task
     #[arg(long)]
     pub(crate) cpus: Option<f64>,
     #[arg(long)]
@@ -259,43 +259,43 @@
     pub(crate) image: Option<String>,
     #[arg(long)]
     pub(crate) image_gb: Option<f64>,
-    /// Allowed machine types; may be given several times
+    /// Allowed machine type; may be repeated
     #[arg(long = "shape")]
     pub(crate) shapes: Vec<String>,
     #[arg(long)]
     pub(crate) zone: Option<String>,
-    /// All tasks in one zone
+    /// Place all tasks in one zone
     #[arg(long)]
     pub(crate) one_zone: bool,
-    /// At most half of the tasks in one zone
+    /// Place at most half of the tasks in one zone
     #[arg(long)]
     pub(crate) spread: bool,
-    /// No spot machines
+    /// Do not use spot machines
     #[arg(long)]
     pub(crate) no_spot: bool,
-    /// Expected run time of a task, seconds; also how long it sleeps without a command
+    /// Expected run time of a task, seconds; a task without a command sleeps this long
     #[arg(long)]
     pub(crate) expect_s: Option<f64>,
-    /// Seconds of progress between checkpoints; 0: it never saves
+    /// Run time between checkpoints, seconds; 0 for no checkpoints
     #[arg(long)]
     pub(crate) checkpoint_s: Option<f64>,
-    /// Seconds a task needs to save when it is stopped
+    /// Time that a stopped task needs to save a checkpoint, seconds
     #[arg(long)]
     pub(crate) save_s: Option<f64>,
-    /// When it should be done, seconds from now
+    /// Deadline of the job, seconds from now
     #[arg(long)]
     pub(crate) due_s: Option<f64>,
-    /// Wait until it is over, with progress on standard error
+    /// Wait until the job ends, with progress on standard error
     #[arg(long, short)]
     pub(crate) wait: bool,
-    /// What each task runs
+    /// Command that each task runs
     #[arg(last = true, value_name = "COMMAND")]
     pub(crate) command: Vec<String>,
 }
 
 #[derive(Args)]
 pub(crate) struct JobsOptions {
-    /// open, pending, running, done, cancelled; several with commas
+    /// open, pending, running, done or cancelled; several are separated by commas
     #[arg(long, default_value = "")]
     pub(crate) state: String,
     #[arg(long, default_value = "")]
@@ -304,29 +304,29 @@
     pub(crate) class: String,
     #[arg(long, default_value = "")]
     pub(crate) urgency: String,
-    /// Submitted at least so many seconds ago
+    /// Only jobs submitted at least this long ago, seconds
     #[arg(long)]
     pub(crate) older_s: Option<f64>,
-    /// Submitted at most so many seconds ago
+    /// Only jobs submitted at most this long ago, seconds
     #[arg(long)]
     pub(crate) younger_s: Option<f64>,
-    /// Go on behind this job
+    /// Continue the listing after this job
     #[arg(long, default_value = "")]
     pub(crate) after: String,
-    /// Rows at most
+    /// Maximum number of rows
     #[arg(long, default_value_t = 100)]
     pub(crate) limit: usize,
 }
 
 #[derive(Args)]
 pub(crate) struct SetQuotasOptions {
-    /// What becomes of which teams
+    /// File with the change of each team (TOML)
     #[arg(value_name = "FILE", required_unless_present = "restore_version")]
     pub(crate) file: Option<PathBuf>,
-    /// Go back to what was in force at this version
+    /// Restore the teams and quotas of this version
     #[arg(long, conflicts_with = "file", requires = "seen")]
     pub(crate) restore_version: Option<u64>,
-    /// The version that you saw
+    /// Version that the change is based on
     #[arg(long)]
     pub(crate) seen: Option<u64>,
     #[arg(long, default_value = "")]
@@ -338,13 +338,13 @@
     #[arg(value_enum)]
     pub(crate) kind: DrainKind,
     pub(crate) name: String,
-    /// Stop what has not ended by then
+    /// Tell tasks that have not ended after this time to stop, seconds
     #[arg(long)]
     pub(crate) within_s: Option<f64>,
-    /// Keep the machine when it is empty
+    /// Keep the machine when it is empty instead of returning it to the cloud
     #[arg(long)]
     pub(crate) keep: bool,
-    /// For whoever reads the list
+    /// Note shown in the list of directives
     #[arg(long, default_value = "")]
     pub(crate) note: String,
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
-//! `beamhinge`: the command line of a cluster, which also starts one on the local machine.
+//! `beamhinge`: the command-line client of a cluster. It can also start a cluster on the local
+//! machine.
 //!
-//! Flags, output and exit codes are an interface that scripts rely on; golden files in `tests`
-//! hold them.
+//! Scripts rely on the flags, the output and the exit codes; golden files in `tests` record them.
 
 mod arguments;
 mod show;
@@ -15,10 +15,10 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Longest time limit of one attempt, seconds.
+/// Longest timeout of one attempt, seconds.
 const MAX_ATTEMPT_S: f64 = 5.0;
 
-/// Why a verb failed.
+/// Reason why a subcommand failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Failure {
     #[error(transparent)]
@@ -31,7 +31,7 @@
     Cancelled(String),
     #[error(transparent)]
     Up(#[from] up::UpError),
-    #[error("cannot write: {0}")]
+    #[error("cannot write output: {0}")]
     Output(#[from] std::io::Error),
 }
 
@@ -58,7 +58,7 @@
     let arguments = Arguments::parse();
     match run(arguments) {
         Ok(code) => code,
-        // The reader of a pipe has closed it, which is no error.
+        // The reader of the pipe has closed it, which is not an error.
         Err(Failure::Output(e)) if e.kind() == std::io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("beamhinge: {e}");
@@ -73,7 +73,7 @@
             up::run(&options)?;
             return Ok(ExitCode::SUCCESS);
         }
-        // Controllers and tasks of `up` end with the process that started them.
+        // Controllers and tasks of `up` terminate with the process that started them.
         Verb::Controller(options) => {
             up::end_with_parent();
             return Ok(beamhinge_daemon::run(&options));
@@ -103,11 +103,11 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// A client of the context's controllers that reports failed attempts unless `quiet`.
+/// Creates a client of the context's controllers; it reports failed attempts unless `quiet`.
 fn make_client(context: &Context, timeout_s: f64, quiet: bool) -> Result<Client, Failure> {
     if !timeout_s.is_finite() || timeout_s <= 0.0 {
         return Err(Failure::Usage(format!(
-            "--timeout-s {timeout_s} is not above 0"
+            "--timeout-s {timeout_s} is not a positive number"
         )));
     }
     let timeouts = Timeouts {
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,4 +1,4 @@
-//! Output: tables for a terminal, JSON for programs.
+//! Formats output: tables for a terminal, JSON for programs.
 
 use crate::arguments::Output;
 use crate::Failure;
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use std::io::{self, Write};
 
-/// Prints a value as JSON, or as the text that `table` makes of it.
+/// Prints a value as JSON, or as the text that `table` formats.
 pub(crate) fn either<T: Serialize>(
     output: Output,
     value: &T,
@@ -28,7 +28,7 @@
     Ok(())
 }
 
-/// A plain table; columns whose names begin with `#` hold numbers.
+/// Formats a plain table. Columns whose names begin with `#` hold numbers and are right-aligned.
 pub(crate) fn table(heads: &[&str], rows: Vec<Vec<String>>) -> String {
     let mut t = Table::new();
     t.load_preset(presets::NOTHING)
@@ -56,7 +56,7 @@
     }
 }
 
-/// A duration in its largest suitable unit; `-` if there is none.
+/// Formats a duration in its largest suitable unit; `None` gives `-`.
 pub(crate) fn age(seconds: Option<f64>) -> String {
     match seconds {
         None => "-".into(),
@@ -76,7 +76,7 @@
         .map_or("-".into(), |u| format!("{u:?}").to_lowercase())
 }
 
-/// The table of jobs.
+/// Formats the table of jobs.
 pub(crate) fn jobs(rows: &[JobRow]) -> String {
     let rows = rows
         .iter()
@@ -101,7 +101,7 @@
     )
 }
 
-/// One job with its tasks and the reasons why tasks wait.
+/// Formats one job with its tasks and the reasons why tasks wait.
 pub(crate) fn job(d: &JobDetail) -> String {
     let r = &d.row;
     let mut text = format!(
@@ -156,7 +156,7 @@
     text
 }
 
-/// The table of machines.
+/// Formats the table of machines.
 pub(crate) fn machines(rows: &[MachineRow]) -> String {
     let rows = rows
         .iter()
@@ -197,7 +197,7 @@
     table(&heads, rows)
 }
 
-/// The table of teams with use and quotas.
+/// Formats the table of teams with usage and quotas.
 pub(crate) fn teams(rows: &[TeamRow]) -> String {
     let none = |v: f64| {
         if v > 0.0 {
@@ -238,7 +238,7 @@
     table(&heads, rows)
 }
 
-/// Teams with their quotas, and whether these are in force everywhere.
+/// Formats the teams with their quotas, and whether these are in force on all controllers.
 pub(crate) fn quotas(view: &ConfigurationView) -> String {
     let none = |v: f64| {
         if v > 0.0 {
@@ -272,7 +272,7 @@
         author.unwrap_or_default()
     ));
     match (view.on, view.in_force_everywhere_since_ms) {
-        (false, _) => text.push_str("; changes are not turned on"),
+        (false, _) => text.push_str("; configuration changes are disabled"),
         (true, Some(since)) => {
             let s = beamhinge_client::wall_ms().saturating_sub(since) as f64 / 1e3;
             text.push_str(&format!(
@@ -285,13 +285,13 @@
     for behind in &view.behind {
         let version = behind
             .version
-            .map_or("none known".to_string(), |v| format!("version {v}"));
-        text.push_str(&format!("\n  {} serves by {version}", behind.label));
+            .map_or("an unknown version".to_string(), |v| format!("version {v}"));
+        text.push_str(&format!("\n  {} uses {version}", behind.label));
     }
     text
 }
 
-/// The table of controllers.
+/// Formats the table of controllers.
 pub(crate) fn nodes(rows: &[NodeRow]) -> String {
     let rows = rows
         .iter()
@@ -331,7 +331,7 @@
     )
 }
 
-/// A plot of one line, scaled to the highest value.
+/// Formats a one-line plot, scaled to the highest value.
 pub(crate) fn spark(values: &[f64]) -> String {
     const BLOCKS: [char; 8] = ['▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     let top = values.iter().copied().fold(0.0, f64::max);
@@ -344,7 +344,8 @@
         .collect()
 }
 
-/// The overview; `running` and `waiting` are earlier numbers of tasks, oldest first.
+/// Formats the overview. `running` and `waiting` are earlier task counts for the plots, oldest
+/// first.
 pub(crate) fn summary(s: &Summary, running: &[f64], waiting: &[f64]) -> String {
     let mut text = format!(
         "leader {} (token {})   jobs: {} open, {} running   machines: {} up, {} starting, {} silent   directives: {}\n",
@@ -385,7 +386,7 @@
     text
 }
 
-/// The configuration as it is printed.
+/// The client configuration as printed.
 #[derive(Serialize)]
 struct ConfigShown<'a> {
     file: Option<String>,
@@ -418,7 +419,7 @@
             "file         {}\ncontext      {}\ncontrollers  {}\nkey          {}",
             c.file
                 .as_deref()
-                .unwrap_or("none; the addresses of `beamhinge up`"),
+                .unwrap_or("none; using the addresses of `beamhinge up`"),
             c.context,
             c.controllers.join(", "),
             c.key.as_deref().unwrap_or("none; fine on loopback")
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -1,5 +1,5 @@
-//! `beamhinge up`: controllers, key-value store, cloud and workers on loopback, started together
-//! and ended together.
+//! `beamhinge up`: starts controllers, a key-value store, an emulated cloud and workers on
+//! loopback, and stops them together.
 
 use crate::arguments::UpOptions;
 use beamhinge_client::config::UP_PORTS;
@@ -17,39 +17,37 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Why no cluster could be started.
+/// Reason why the cluster cannot be started or kept running.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum UpError {
     #[error(transparent)]
     Cluster(#[from] ClusterError),
-    #[error("cannot find this program's own file: {0}")]
+    #[error("cannot determine the path of this executable: {0}")]
     Program(std::io::Error),
-    #[error("no place for the cluster's state: name one with --dir")]
+    #[error("neither XDG_STATE_HOME nor HOME is set: choose a state directory with --dir")]
     NoDir,
-    #[error(
-        "{0} is used by a running cluster: end that one, or name another with --dir and --port"
-    )]
+    #[error("{0} is used by a running cluster: stop it, or choose others with --dir and --port")]
     Used(PathBuf),
     #[error("{0}: {1}")]
     File(PathBuf, std::io::Error),
-    #[error("no controller led within {0} s; its log: {1}")]
+    #[error("no controller became leader within {0} s; see the log {1}")]
     NoLeader(u64, PathBuf),
-    #[error("cannot listen to signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(std::io::Error),
 }
 
-/// Quotas may be changed while it runs (`beamhinge set-quotas`).
+/// Operator settings that allow quota changes at run time (`beamhinge set-quotas`).
 const CONFIGURATION: &str = "[configuration]\non = yes\n";
-/// The team that the printed examples use.
+/// Team that the printed examples use.
 const TEAM: &str = "home";
-/// How often a running task is checked.
+/// Interval between checks of a running task.
 const TASK_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Pause before a controller that ended by itself is started again.
+/// Delay before a controller that exited unexpectedly is restarted.
 const RESTART_DELAY: Duration = Duration::from_secs(2);
-/// How often controllers are checked and decisions are read.
+/// Interval at which controllers are checked and decisions are read.
 const WATCH_INTERVAL: Duration = Duration::from_millis(300);
-/// How long the first leader may take, seconds: it may have to wait for tasks of an earlier run,
-/// but not for another leader's lease.
+/// Time limit for the first leadership acquisition, seconds. The leader may have to wait for tasks
+/// of an earlier run, but not for another leader's lease to expire.
 const FIRST_LEADER_TIMEOUT_S: u64 = 30;
 /// Time limits of calls to the cluster.
 const TIMEOUTS: Timeouts = Timeouts {
@@ -57,23 +55,23 @@
     per_attempt: Duration::from_secs(2),
 };
 
-/// Makes this process end when the one that started it does, however that ends.
+/// Makes the kernel kill this process when its parent process ends, however the parent ends.
 pub(crate) fn end_with_parent() {
     let _ = set_parent_process_death_signal(Some(Signal::KILL));
 }
 
-/// Runs a task's command line, and kills it with all processes that it started on `SIGTERM` or when
-/// the parent process ends.
+/// Runs a task's command line. On `SIGTERM`, or when the parent process ends, kills the task and
+/// all processes that it started.
 ///
-/// A shell that is killed leaves its children behind: this process leads the process group that
-/// they are all in, and kills the group.
+/// Killing only the shell would leave its child processes running. They are all in the process
+/// group that this process leads, so the whole group is killed.
 pub(crate) fn keep_task(line: &str) -> ExitCode {
     let terminated = Arc::new(AtomicBool::new(false));
     let is_guarded = signal_hook::flag::register(signal_hook::consts::SIGTERM, terminated.clone())
         .is_ok()
         && set_parent_process_death_signal(Some(Signal::TERM)).is_ok();
     if !is_guarded {
-        eprintln!("beamhinge: cannot watch over a task here");
+        eprintln!("beamhinge: cannot supervise the task: installing the signal handlers failed");
         return ExitCode::from(126);
     }
     let mut child = match Command::new("/bin/sh").arg("-c").arg(line).spawn() {
@@ -85,7 +83,7 @@
     };
     loop {
         match child.try_wait() {
-            // A task that was ended by a signal has no exit code; that is no success either.
+            // A task that a signal terminated has no exit code, which is a failure as well.
             Ok(Some(status)) => {
                 let code = status
                     .code()
@@ -104,7 +102,10 @@
     }
 }
 
-/// `$XDG_STATE_HOME/beamhinge/up`, or under `~/.local/state`.
+/// Default state directory: `$XDG_STATE_HOME/beamhinge/up`, or `~/.local/state/beamhinge/up` if
+/// that variable is unset or empty.
+///
+/// Returns `None` if `HOME` is not set either.
 fn default_dir() -> Option<PathBuf> {
     let base = std::env::var_os("XDG_STATE_HOME")
         .filter(|v| !v.is_empty())
@@ -113,15 +114,16 @@
     Some(base.join("beamhinge").join("up"))
 }
 
-/// Starts a cluster, prints how to use it, and serves until a signal ends it.
+/// Starts a cluster, prints how to use it, and runs it until a signal stops it.
 ///
 /// # Errors
 ///
-/// [`UpError`] if the cluster cannot be started or gets no leader in time.
+/// Returns [`UpError`] if the cluster cannot be started, no controller becomes leader in time, or a
+/// controller cannot be restarted.
 pub(crate) fn run(options: &UpOptions) -> Result<(), UpError> {
     let dir = options.dir.clone();
     let dir = dir.or_else(default_dir).ok_or(UpError::NoDir)?;
-    // Held until the cluster has ended.
+    // Held until the cluster has stopped.
     let _lock = lock_dir(&dir)?;
     let stop = stop_on_signals()?;
     let program = std::env::current_exe().map_err(UpError::Program)?;
@@ -137,21 +139,21 @@
     };
     print_usage(&endpoints, &dir, started_in);
     watch(&mut cluster, &mut client, &stop, !options.no_events)?;
-    println!("ending");
+    println!("stopping the cluster");
     drop(cluster);
     Ok(())
 }
 
-/// Addresses of the controllers.
+/// Addresses of the controllers' listeners.
 struct Endpoints {
     operators: Vec<SocketAddrV4>,
     users: Vec<SocketAddrV4>,
 }
 
-/// Creates and locks the directory of the cluster's state.
+/// Creates and locks the state directory of the cluster.
 ///
-/// Two clusters in one directory would overwrite each other's state. The lock ends when the file
-/// is closed.
+/// Two clusters in one directory would overwrite each other's state. The lock is released when the
+/// returned file is closed.
 fn lock_dir(dir: &Path) -> Result<File, UpError> {
     std::fs::create_dir_all(dir).map_err(|e| UpError::File(dir.into(), e))?;
     let path = dir.join("lock");
@@ -162,7 +164,7 @@
     Ok(file)
 }
 
-/// A flag that is set by the signals which end the cluster.
+/// Registers handlers for the signals that stop the cluster; they set the returned flag.
 fn stop_on_signals() -> Result<Arc<AtomicBool>, UpError> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
@@ -171,8 +173,8 @@
     Ok(stop)
 }
 
-/// The cluster that the options describe. `program` is this executable, which runs controllers and
-/// tasks as well.
+/// Plans the cluster that the options describe. `program` is this executable, which also runs the
+/// controllers and tasks.
 fn cluster_plan(options: &UpOptions, dir: &Path, program: PathBuf) -> ClusterPlan {
     let team = |name: &str, cpus, cpus_max| TeamPlan {
         name: name.into(),
@@ -198,7 +200,7 @@
     }
 }
 
-/// Waits until a leader answers; `None` if a signal came first.
+/// Waits until a leader responds and returns the time that took; `None` if a signal arrived first.
 fn wait_for_leader(
     client: &mut Client,
     cluster: &Cluster,
@@ -233,21 +235,21 @@
     } else {
         format!(" --controllers {operators}")
     };
-    println!("beamhinge is up, in {:.1} s", started_in.as_secs_f64());
+    println!("cluster started in {:.1} s", started_in.as_secs_f64());
     println!("  operators  {operators}");
     println!("  users      {}", joined(&endpoints.users));
-    println!("  kept in    {}", dir.display());
+    println!("  directory  {}", dir.display());
     println!("Try, in another terminal:");
     println!("  beamhinge submit{with} --team {TEAM} --wait -- echo hello");
     println!("  beamhinge submit{with} --team {TEAM} --tasks 40 --expect-s 5");
     println!("  beamhinge top{with}");
     println!(
-        "What tasks print is under {}. Ctrl-C ends it all.",
+        "Task output is written to {}. Press Ctrl-C to stop the cluster.",
         dir.join("output").display()
     );
 }
 
-/// Restarts controllers that end and, with `events`, prints decisions, until `stop` is set.
+/// Restarts controllers that exit and, with `events`, prints decisions, until `stop` is set.
 fn watch(
     cluster: &mut Cluster,
     client: &mut Client,
@@ -276,11 +278,13 @@
     Ok(())
 }
 
-/// Starts controllers again that ended by themselves, a while after their end.
+/// Restarts controllers that exited unexpectedly, [`RESTART_DELAY`] after their exit.
 fn restart_ended(cluster: &mut Cluster, ended: &mut Vec<(usize, Instant)>) -> Result<(), UpError> {
     for node in cluster.reap_exited() {
         let log = cluster.log_of(node).display().to_string();
-        eprintln!("beamhinge: a controller ended by itself; its log: {log}. Started again.");
+        eprintln!(
+            "beamhinge: a controller exited unexpectedly and will be restarted; see the log {log}"
+        );
         ended.push((node, Instant::now()));
     }
     let due: Vec<usize> = ended
--- a/crates/cli/src/verbs.rs
+++ b/crates/cli/src/verbs.rs
@@ -1,4 +1,4 @@
-//! The verbs that call a cluster: what each asks and how its answer is shown.
+//! Subcommands (verbs) that call a cluster: the request of each and the output of its response.
 
 mod directives;
 mod listing;
@@ -10,7 +10,7 @@
 use beamhinge_client::Client;
 use std::io::{self, Write};
 
-/// Runs one verb. Those that call no cluster are handled by the caller.
+/// Runs one subcommand. Those that call no cluster are handled by the caller.
 pub(crate) fn run(client: &mut Client, verb: Verb, output: Output) -> Result<(), Failure> {
     match verb {
         Verb::Submit(options) => submission::submit(client, &options, output),
--- a/crates/cli/src/verbs/directives.rs
+++ b/crates/cli/src/verbs/directives.rs
@@ -1,4 +1,4 @@
-//! Drains, freezes and quotas: what operators change.
+//! Subcommands with which operators change drains, freezes and quotas.
 
 use crate::arguments::{DrainKind, DrainOptions, FreezeKind, Output, SetQuotasOptions};
 use crate::{show, Failure};
@@ -152,12 +152,12 @@
 fn parse_target(kind: &str, name: &str) -> Result<Target, Failure> {
     Target::parse(kind, name).ok_or_else(|| {
         Failure::Usage(format!(
-            "'{name}' is no name of a {kind}: letters, digits, - _ . : only"
+            "'{name}' is not a valid {kind} name: use only letters, digits, - _ . :"
         ))
     })
 }
 
-/// The change that takes a directive back.
+/// Change that withdraws a directive.
 fn lift(target: Target) -> DirectiveChange {
     let afterwards = Afterwards::Return;
     DirectiveChange {
--- a/crates/cli/src/verbs/listing.rs
+++ b/crates/cli/src/verbs/listing.rs
@@ -1,13 +1,13 @@
-//! Lists of jobs and machines, and why a job waits.
+//! Subcommands that list jobs and machines, and explain why a job waits.
 
 use crate::arguments::{JobsOptions, Output};
 use crate::{show, Failure};
 use beamhinge_admin_api::messages::{Explanation, JobPage, MachinePage, Splits};
 use beamhinge_client::Client;
 
-/// Rows of one page, at most.
+/// Maximum number of rows in one page.
 const MAX_PAGE_ROWS: usize = 200;
-/// Width of the bar that stands for a weight of 1, characters.
+/// Width of the bar for a weight of 1, characters.
 const WEIGHT_BAR_WIDTH: f64 = 40.0;
 
 pub(super) fn machines(
@@ -24,14 +24,14 @@
     show::either(output, &page, |p| show::machines(&p.machines))
 }
 
-/// The text that explains why a job waits.
+/// Formats the explanation of why a job waits.
 pub(super) fn explanation(e: &Explanation) -> String {
     let mut text = format!("{} is {}", e.job, e.state);
     if e.waiting > 0 {
         text.push_str(&format!(", {} tasks wait", e.waiting));
     }
     if e.text.is_empty() {
-        text.push_str(": nothing holds it back");
+        text.push_str(": nothing prevents it from running");
     }
     for line in &e.text {
         text.push_str(&format!("\n  {line}"));
@@ -39,7 +39,7 @@
     text
 }
 
-/// The table of the learner's pairs.
+/// Formats the table of the learner's parameter pairs.
 pub(super) fn splits(splits: &Splits) -> String {
     let rows = splits.pairs.iter().map(|p| {
         let bar = "#".repeat((p.weight * WEIGHT_BAR_WIDTH).round() as usize);
@@ -58,7 +58,7 @@
     )
 }
 
-/// Lists jobs, page by page up to the number of rows that was asked for.
+/// Lists jobs, page by page, up to the requested number of rows.
 pub(super) fn jobs(client: &mut Client, o: &JobsOptions, output: Output) -> Result<(), Failure> {
     let number = |n: Option<f64>| n.map_or(String::new(), |n| n.to_string());
     let mut all = JobPage {
@@ -88,13 +88,13 @@
     }
     show::either(output, &all, |p| {
         let more = p.next.as_ref().map_or(String::new(), |n| {
-            format!("\nthere may be more: go on with --after {n}")
+            format!("\nthere may be more; continue with --after {n}")
         });
         show::jobs(&p.jobs) + &more
     })
 }
 
-/// All pages of machines.
+/// Fetches all pages of machines.
 fn all_machines(
     client: &mut Client,
     machine_type: &str,
--- a/crates/cli/src/verbs/submission.rs
+++ b/crates/cli/src/verbs/submission.rs
@@ -1,4 +1,4 @@
-//! Submitting and cancelling jobs.
+//! Subcommands that submit and cancel jobs.
 
 use crate::arguments::{Output, SubmitOptions};
 use crate::{show, Failure};
@@ -10,10 +10,10 @@
 
 /// Width of the progress bar, characters.
 const PROGRESS_BAR_WIDTH: usize = 30;
-/// How often a job that is waited for is looked up.
+/// Interval between queries for a job that `--wait` waits for.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Quotes a word so that a shell reads it as one.
+/// Quotes an argument so that a shell reads it as one word.
 pub(super) fn quoted(word: &str) -> String {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_./=:,+@%".contains(c);
     if !word.is_empty() && word.chars().all(plain) {
@@ -23,7 +23,7 @@
     }
 }
 
-/// The job that a file and flags describe; flags override the file.
+/// Builds the job that a file and flags describe; flags override the file.
 pub(super) fn request(o: &SubmitOptions) -> Result<JobRequest, Failure> {
     let mut table = match &o.file {
         Some(path) => {
@@ -37,7 +37,7 @@
     apply_flags(&mut table, o);
     if !table.contains_key("team") {
         return Err(Failure::Usage(
-            "name the team that it counts for: --team NAME".into(),
+            "the job names no team: set one with --team NAME".into(),
         ));
     }
     if !table.contains_key("job") {
@@ -52,7 +52,7 @@
         .map_err(|e: toml::de::Error| Failure::Usage(format!("{source}: {}", e.message())))
 }
 
-/// Puts what the flags say over what the file says.
+/// Overrides the values of the file with those of the flags.
 fn apply_flags(table: &mut toml::Table, o: &SubmitOptions) {
     let mut set = |name: &str, value: Option<toml::Value>| {
         if let Some(v) = value {
@@ -85,7 +85,7 @@
         (!o.shapes.is_empty()).then(|| o.shapes.clone().into()),
     );
     if !o.command.is_empty() {
-        // One word is a line for the shell; several are one command.
+        // A single argument is a shell command line; several are the words of one command.
         let line = match o.command.as_slice() {
             [line] => line.clone(),
             words => words
@@ -98,7 +98,7 @@
     }
 }
 
-/// Submits a job and, with `--wait`, waits for its end.
+/// Submits a job and, with `--wait`, waits until it ends.
 pub(super) fn submit(
     client: &mut Client,
     o: &SubmitOptions,
@@ -107,13 +107,16 @@
     let job = request(o)?;
     if o.wait && job.kind == JobKind::Service {
         return Err(Failure::Usage(
-            "a service runs until it is cancelled: leave --wait out".into(),
+            "a service runs until it is cancelled: omit --wait".into(),
         ));
     }
     let submitted = client.submit(&job).inspect_err(|e| {
         if e.outcome_unknown() {
-            // The id makes a repeated submission safe: it must not be lost.
-            eprintln!("beamhinge: the same again is safe: --id {}", job.job);
+            // A repeated submission is safe only with the same id, so the id must not be lost.
+            eprintln!(
+                "beamhinge: the submission can be repeated safely with --id {}",
+                job.job
+            );
         }
     })?;
     if !o.wait {
@@ -130,12 +133,12 @@
     Ok(())
 }
 
-/// Shows progress until the job has ended.
+/// Shows progress until the job ends.
 fn wait(client: &mut Client, job: &str) -> Result<JobDetail, Failure> {
     let live = io::stderr().is_terminal();
     let mut shown = String::new();
     loop {
-        // A wait outlives restarts: only a clear answer ends it.
+        // Waiting continues while controllers restart: only a definite response ends it.
         let detail = match client.job(job) {
             Ok(d) => d,
             Err(ClientError::TimedOut { .. } | ClientError::Unreachable { .. }) => continue,
@@ -169,7 +172,7 @@
     }
 }
 
-/// Cancels jobs; the first error decides the exit code.
+/// Cancels jobs. The first error determines the exit code.
 pub(super) fn cancel(client: &mut Client, jobs: &[String], output: Output) -> Result<(), Failure> {
     let mut responses = Vec::new();
     let mut first_error = None;
@@ -186,7 +189,7 @@
         let lines: Vec<String> = responses
             .iter()
             .map(|t| match t.state {
-                State::Done => format!("{} was done already", t.job),
+                State::Done => format!("{} was already done", t.job),
                 state => format!("{} is {state}", t.job),
             })
             .collect();
--- a/crates/cli/src/verbs/tests.rs
+++ b/crates/cli/src/verbs/tests.rs
@@ -8,7 +8,7 @@
     let all = ["beamhinge", "submit"].iter().chain(words).copied();
     match Arguments::parse_from(all).verb {
         Verb::Submit(o) => request(&o),
-        _ => panic!("it is a submission"),
+        _ => panic!("not a submission"),
     }
 }
 
@@ -24,7 +24,7 @@
         "echo",
         "a b",
     ]);
-    let job = job.expect("sound");
+    let job = job.expect("valid job");
     assert_eq!((job.tasks, job.spot), (3, false));
     assert_eq!(job.command.as_deref(), Some("echo 'a b'"));
     assert!(job.job.starts_with("job-") && job.job.len() == 19);
@@ -33,10 +33,12 @@
 
 #[test]
 fn invalid_submission_names_the_mistake() {
-    let error = parsed(&["--tasks", "3"]).expect_err("no team").to_string();
+    let error = parsed(&["--tasks", "3"])
+        .expect_err("missing team")
+        .to_string();
     assert!(error.contains("--team"), "{error}");
     let words = ["--team", "home", "--urgency", "soon"];
-    let error = parsed(&words).expect_err("no such urgency").to_string();
+    let error = parsed(&words).expect_err("unknown urgency").to_string();
     assert!(
         error.contains("soon") && error.contains("best_effort"),
         "{error}"
--- a/crates/cli/src/verbs/watch.rs
+++ b/crates/cli/src/verbs/watch.rs
@@ -1,4 +1,4 @@
-//! What goes on: decisions and the live overview.
+//! Subcommands that follow decisions and show the live overview.
 
 use crate::arguments::Output;
 use crate::{show, Failure};
@@ -7,9 +7,9 @@
 use std::io::{self, IsTerminal, Write};
 use std::time::Duration;
 
-/// Values that a plot remembers.
+/// Maximum number of values in a plot.
 const MAX_PLOT_VALUES: usize = 60;
-/// How often new decisions are asked for.
+/// Interval between queries for new decisions.
 const EVENTS_POLL_INTERVAL: Duration = Duration::from_millis(700);
 
 /// A decision as a line of JSON.
@@ -20,7 +20,7 @@
     decision: &'a beamhinge_admin_api::messages::Decision,
 }
 
-/// Time of the day, UTC, of milliseconds since the epoch.
+/// Formats the UTC time of day of a time in milliseconds since the Unix epoch.
 fn clock(ms: u64) -> String {
     let s = ms / 1000 % 86_400;
     format!(
@@ -32,7 +32,7 @@
     )
 }
 
-/// Prints decisions, and goes on doing so with `follow`.
+/// Prints recent decisions and, with `follow`, keeps printing new ones.
 pub(super) fn events(client: &mut Client, follow: bool, output: Output) -> Result<(), Failure> {
     let (mut token, mut after) = (0, 0);
     loop {
@@ -43,7 +43,7 @@
         let mut out = io::stdout().lock();
         if got.missed > 0 && follow {
             eprintln!(
-                "beamhinge: {} decisions were forgotten before they were read",
+                "beamhinge: {} decisions were discarded before they could be read",
                 got.missed
             );
         }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Shows the overview, again and again on a terminal.
+/// Shows the overview; on a terminal, refreshes it every `every_s` seconds.
 pub(super) fn top(client: &mut Client, every_s: f64, output: Output) -> Result<(), Failure> {
     if output == Output::Json || !io::stdout().is_terminal() {
         return show::either(output, &client.summary()?, |s| show::summary(s, &[], &[]));
@@ -90,7 +90,7 @@
                     .last_controller()
                     .map_or(String::new(), |a| a.to_string());
                 format!(
-                    "beamhinge top, asked of {from}\n\n{}",
+                    "beamhinge top, answered by {from}\n\n{}",
                     show::summary(&s, &running, &waiting)
                 )
             }
@@ -100,7 +100,7 @@
             Err(e) => return Err(e.into()),
         };
         let mut out = io::stdout().lock();
-        // Cursor home; each line is cleared to its end, then everything below.
+        // Moves the cursor home, clears each line to its end, then clears everything below.
         write!(
             out,
             "\x1b[H{}\x1b[K\n\x1b[J",
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What `beamhinge` sends and prints, byte for byte: each verb runs against a listener
-//! that answers from a table and writes down what it was asked.
+//! Compares what `beamhinge` sends and prints byte for byte with golden files: each verb runs
+//! against a fake controller that answers from a table and records the requests it receives.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -12,7 +12,7 @@
 
 const ROW: &str = r#""job":"job-7","state":"running","tasks":16,"done":3,"running":13,"team":"vision","class":"train","urgency":"best_effort","age_s":61.5"#;
 
-/// The body for a path; each field has a value of its own.
+/// Response body for a path. Each field has a distinct value, so that swapped fields are noticed.
 fn body_of(method: &str, path: &str) -> Option<String> {
     let team = r#"{"team":"vision","cpus_used":1.5,"cpus_guaranteed":2.5,"cpus_limit":3.5,"gpus_used":4.5,"gpus_guaranteed":5.5,"gpus_limit":6.5,"jobs_open":7,"tasks_waiting":8,"frozen":true}"#;
     let text = match (method, path.split('?').next().unwrap_or("")) {
@@ -43,7 +43,7 @@
     Some(text)
 }
 
-/// Answers what comes on one connection, and writes it down.
+/// Answers the requests on one connection and records them.
 fn serve(stream: TcpStream, asked: &Mutex<Vec<String>>) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     let mut writer = stream;
@@ -92,8 +92,8 @@
 
 impl Cluster {
     fn new() -> Cluster {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+        let address = listener.local_addr().expect("local address").to_string();
         let asked = Arc::new(Mutex::new(Vec::new()));
         let kept = asked.clone();
         std::thread::spawn(move || {
@@ -107,7 +107,7 @@
 
     fn run(&self, words: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_beamhinge"));
-        // Nothing of the caller's own configuration.
+        // The configuration and environment of the caller must not influence the test.
         command
             .env_clear()
             .env("HOME", "/nonexistent")
@@ -155,7 +155,7 @@
     "metrics",
 ];
 
-/// Verbs whose tables show how long ago something was by the clock of the machine.
+/// Verbs whose tables show ages computed from the wall clock; these tables are not compared.
 const BY_THE_CLOCK: [&str; 2] = ["quotas", "directives"];
 
 #[test]
@@ -172,7 +172,7 @@
             let done = cluster.run(&[&global, words.as_slice()].concat());
             let name = format!("{} {form}", words[..words.len().min(3)].join(" "));
             let asked = std::mem::take(&mut *cluster.asked.lock().expect("no panic"));
-            // What a table is made from is the same.
+            // The requests do not depend on the output format.
             if form == "json" {
                 asked
                     .iter()
@@ -190,7 +190,7 @@
     golden.check();
 }
 
-/// Names of verbs, flags and their values, as completions list them.
+/// Checks the names of verbs, flags and their values, as the shell completions list them.
 #[test]
 fn verbs_and_flags_keep_their_names() {
     let mut golden = Golden::new("tests/golden/flags.txt");
@@ -208,14 +208,14 @@
     golden.check();
 }
 
-/// A file of contexts, its keys, and the variables that go before it.
+/// Checks the keys of the contexts file, and the variables that override it.
 #[test]
 fn contexts_and_variables_keep_their_names() {
     let mut golden = Golden::new("tests/golden/contexts.txt");
     let file = std::env::temp_dir().join(format!("beamhinge-golden-{}.ini", std::process::id()));
     let text = "[client]\ncurrent = plant\n[context lab]\ncontrollers = 127.0.0.1:3\n\
         [context plant]\ncontrollers = 127.0.0.1:1, 127.0.0.1:2\nkey = /k.ini\nkey_name = alice\n";
-    std::fs::write(&file, text).expect("a file");
+    std::fs::write(&file, text).expect("write file");
     let variables = [
         ("BEAMHINGE_CONTEXT", "lab"),
         ("BEAMHINGE_CONTROLLERS", "127.0.0.1:9"),
@@ -239,6 +239,6 @@
             }
         }
     }
-    std::fs::remove_file(&file).expect("removed");
+    std::fs::remove_file(&file).expect("remove file");
     golden.check();
 }
--- a/crates/cli/tests/up.rs
+++ b/crates/cli/tests/up.rs
@@ -1,5 +1,5 @@
-//! `beamhinge up`: a first job, state that survives a restart, and no process left behind,
-//! however it ends.
+//! Tests `beamhinge up`: it runs a first job, keeps its state across a restart, and leaves no
+//! process behind, whether it stops on `SIGINT` or is killed.
 
 use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
@@ -34,7 +34,7 @@
         .arg(dir)
         .stdout(Stdio::null())
         .spawn()
-        .expect("it starts");
+        .expect("start cluster");
     Up {
         child,
         dir: dir.to_path_buf(),
@@ -48,7 +48,7 @@
         let sent = Command::new("kill")
             .args([signal, &pid])
             .status()
-            .expect("kill is there");
+            .expect("run kill");
         assert!(sent.success());
         self.child.wait().expect("it ends");
     }
@@ -61,10 +61,10 @@
     }
 }
 
-/// Processes whose command line holds a word.
+/// Command lines of all processes whose command line contains `word`.
 fn with(word: &str) -> Vec<String> {
     let mut found = Vec::new();
-    for entry in std::fs::read_dir("/proc").expect("proc").flatten() {
+    for entry in std::fs::read_dir("/proc").expect("read /proc").flatten() {
         let line = std::fs::read(entry.path().join("cmdline")).unwrap_or_default();
         let line = String::from_utf8_lossy(&line).replace('\0', " ");
         if line.contains(word) {
@@ -85,7 +85,7 @@
 #[test]
 fn up_runs_a_job_keeps_state_and_leaves_no_process_behind() {
     let dir = std::env::temp_dir().join(format!("beamhinge-up-{}", std::process::id()));
-    // Below the ports given to callers, and beside those of the lab.
+    // Below the ephemeral port range, and apart from the ports of the testbed.
     let port = 8_100 + (std::process::id() % 30) as u16 * 100;
     let up = start(&dir, port);
     let told = up.says(
@@ -102,7 +102,8 @@
         0,
     );
     assert!(told.contains("is done"), "{told}");
-    let output = std::fs::read_to_string(up.dir.join("output/job-1/0.out")).expect("its output");
+    let output =
+        std::fs::read_to_string(up.dir.join("output/job-1/0.out")).expect("read task output");
     assert_eq!(output, "hello\n");
     up.says(&["job", "job-2"], 4);
     up.says(&["submit", "--tasks", "2"], 2);
@@ -112,8 +113,8 @@
     assert_eq!(second.child.wait().expect("it ends").code(), Some(1));
     up.end("-INT");
     none_left(&dir.display().to_string());
-    // Started again it knows its jobs, and what it was running runs again. Ended
-    // without a word, it still leaves nothing: not even what a task started.
+    // After a restart the cluster knows its jobs and runs unfinished tasks again. A cluster that is
+    // killed with SIGKILL leaves no process behind either, not even the children of a task.
     let up = start(&dir, port);
     assert!(up.says(&["job", "job-1"], 0).contains("is done"));
     let mark = format!("beamhinge-mark-{}", std::process::id());
@@ -126,9 +127,9 @@
     while with(&mark).len() < 2 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert!(with(&mark).len() >= 2, "the task and what it started run");
+    assert!(with(&mark).len() >= 2, "the task and its child process run");
     up.end("-KILL");
     none_left(&mark);
     none_left(&dir.display().to_string());
-    std::fs::remove_dir_all(&dir).expect("removed");
+    std::fs::remove_dir_all(&dir).expect("remove directory");
 }
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -1,16 +1,16 @@
-//! Which controllers a client talks to, and with which key.
+//! Client configuration: the controllers' addresses and the key that signs requests.
 //!
-//! An INI file holds named contexts; environment variables override it, flags override both.
-//! Without any, the addresses are those of `beamhinge up`.
+//! An INI file defines named contexts. Environment variables override the file, and flags override
+//! both. If none of them is set, the client uses the addresses of `beamhinge up`.
 
 use beamhinge_admin_api::auth::{Key, KeyError};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
-/// Ports of the admin API's listeners of `beamhinge up`.
+/// Default ports of the admin API listeners that `beamhinge up` opens.
 pub const UP_PORTS: [u16; 3] = [7_910, 7_920, 7_930];
 
-/// Why no configuration can be used.
+/// Reason why the client configuration cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
@@ -21,7 +21,7 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The file is not INI.
+    /// The file is not valid INI.
     #[error("{file}: {source}")]
     Ini {
         /// The file.
@@ -29,86 +29,89 @@
         /// The cause.
         source: ini::ParseError,
     },
-    /// The file holds an entry that is not known, or lacks one.
+    /// The file has an unknown entry, or a required entry is missing.
     #[error("{file}: {source}")]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// The entry.
+        /// The invalid entry.
         source: InvalidEntry,
     },
-    /// The file holds no context of this name.
-    #[error("there is no context '{name}' in {file}; it has: {known}")]
+    /// The file has no context of this name.
+    #[error("{file} has no context '{name}'; it has: {known}")]
     NoContext {
-        /// The name that was asked for.
+        /// The requested name.
         name: String,
         /// The file.
         file: PathBuf,
-        /// Names of the file's contexts.
+        /// Names of the contexts in the file, separated by commas.
         known: String,
     },
-    /// Not an address.
-    #[error("'{0}' is not IP:PORT, the address of a controller's operators' interface")]
+    /// The text is not an IPv4 address with a port.
+    #[error("'{0}' is not the IP:PORT address of a controller's admin API")]
     Address(String),
     /// The key file cannot be used.
     #[error(transparent)]
     Key(#[from] KeyError),
-    /// The key file holds several keys and none is named.
-    #[error("{0} holds several keys: name one with key_name or --key-name ({1})")]
+    /// The key file contains several keys and the context names none of them.
+    #[error("{0} contains several keys ({1}); choose one with key_name or --key-name")]
     WhichKey(PathBuf, String),
-    /// The key file holds no key of this name.
-    #[error("{0} holds no key named '{1}'")]
+    /// The key file contains no key of this name.
+    #[error("{0} contains no key named '{1}'")]
     NoKey(PathBuf, String),
 }
 
-/// An entry of the file that cannot be used.
+/// An invalid entry of the configuration file.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum InvalidEntry {
     /// An unknown key.
-    #[error("[{section}] {key} is not known")]
+    #[error("[{section}] has the unknown key '{key}'")]
     UnknownKey {
-        /// Section of the entry.
+        /// Section that contains the entry.
         section: String,
-        /// Its key.
+        /// Key of the entry.
         key: String,
     },
     /// An unknown section.
     #[error("[{0}] is neither [client] nor [context NAME]")]
     UnknownSection(String),
-    /// A context without controllers.
+    /// A context that lists no controllers.
     #[error("[context {0}] names no controllers")]
     NoControllers(String),
 }
 
-/// A cluster to talk to.
+/// A cluster, and the key for requests to it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Context {
     /// Name of the context.
     pub name: String,
-    /// Addresses of the admin API of the controllers.
+    /// Admin API addresses of the controllers.
     pub controllers: Vec<SocketAddrV4>,
-    /// File with keys, if requests are signed.
+    /// Key file; `None` if requests are not signed.
     pub key: Option<PathBuf>,
-    /// Name of the key in the file.
+    /// Name of the key in the file; `None` if the file's only key is used.
     pub key_name: Option<String>,
 }
 
-/// Values from flags or the environment, which go before those of the file.
+/// Values from flags or the environment, which take precedence over the file.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
-    /// The file to read instead of the default one.
+    /// Configuration file to read instead of [`default_file`].
     pub file: Option<PathBuf>,
     /// Name of the context to use.
     pub context: Option<String>,
     /// Addresses, separated by commas or spaces.
     pub controllers: Option<String>,
-    /// File with keys.
+    /// Key file.
     pub key: Option<PathBuf>,
     /// Name of the key in the file.
     pub key_name: Option<String>,
 }
 
-/// `$XDG_CONFIG_HOME/beamhinge/config.ini`, or under `~/.config`.
+/// Path of the default configuration file: `$XDG_CONFIG_HOME/beamhinge/config.ini`, or
+/// `~/.config/beamhinge/config.ini` if that variable is unset or empty.
+///
+/// Returns `None` if `HOME` is not set either.
 pub fn default_file() -> Option<PathBuf> {
     let base = std::env::var_os("XDG_CONFIG_HOME")
         .filter(|v| !v.is_empty())
@@ -117,7 +120,7 @@
     Some(base.join("beamhinge").join("config.ini"))
 }
 
-/// Parses addresses that are separated by commas or spaces.
+/// Parses addresses separated by commas or spaces.
 fn addresses(text: &str) -> Result<Vec<SocketAddrV4>, ConfigError> {
     let words = text
         .split([',', ' '])
@@ -128,11 +131,11 @@
         .collect()
 }
 
-/// Parses all contexts of a file, and the name of its current one.
+/// Parses all contexts of a file and the name of the current context, if the file sets one.
 ///
 /// # Errors
 ///
-/// [`ConfigError`] if the text is not INI, or an entry is unknown or invalid.
+/// Returns [`ConfigError`] if the text is not valid INI, or an entry is unknown or invalid.
 pub fn parse(file: &Path, text: &str) -> Result<(Vec<Context>, Option<String>), ConfigError> {
     let invalid = |source: InvalidEntry| ConfigError::Invalid {
         file: file.to_path_buf(),
@@ -196,11 +199,12 @@
     Ok(context)
 }
 
-/// Chooses the context: flags and environment go before the file, the file before the defaults.
+/// Selects the context to use. Flags and environment variables take precedence over the file, and
+/// the file takes precedence over the defaults.
 ///
 /// # Errors
 ///
-/// [`ConfigError`] if the file cannot be used or the context does not exist.
+/// Returns [`ConfigError`] if the file cannot be used or the context does not exist.
 pub fn choose(overrides: &Overrides) -> Result<Context, ConfigError> {
     let file = overrides.file.clone().or_else(default_file);
     let named = overrides.file.is_some();
@@ -251,11 +255,12 @@
 }
 
 impl Context {
-    /// Loads the key that signs, if the context names a key file.
+    /// Loads the key that signs requests; `None` if the context names no key file.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] if the file cannot be read, or does not hold exactly one matching key.
+    /// Returns [`ConfigError`] if the file cannot be read, or does not contain exactly one matching
+    /// key.
     pub fn load_key(&self) -> Result<Option<Key>, ConfigError> {
         let Some(path) = &self.key else {
             return Ok(None);
--- a/crates/client/src/config/tests.rs
+++ b/crates/client/src/config/tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn contexts_are_parsed_and_errors_name_the_entry() {
-    let (contexts, current) = parse(Path::new("f"), FILE).expect("sound");
+    let (contexts, current) = parse(Path::new("f"), FILE).expect("valid");
     assert_eq!((contexts.len(), current.as_deref()), (2, Some("plant")));
     assert_eq!(contexts[0].controllers.len(), 2);
     for (bad, names) in [
@@ -22,9 +22,9 @@
 #[test]
 fn flags_override_the_file_and_the_file_the_defaults() {
     let dir = std::env::temp_dir().join(format!("beamhinge-config-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("create directory");
     let file = dir.join("config.ini");
-    std::fs::write(&file, FILE).expect("written");
+    std::fs::write(&file, FILE).expect("write file");
     let with = |context: Option<&str>, controllers: Option<&str>| {
         choose(&Overrides {
             file: Some(file.clone()),
@@ -33,16 +33,21 @@
             ..Overrides::default()
         })
     };
-    assert_eq!(with(None, None).expect("current").name, "plant");
+    assert_eq!(with(None, None).expect("current context").name, "plant");
     assert_eq!(
-        with(Some("lab"), None).expect("named").controllers[0].port(),
+        with(Some("lab"), None).expect("named context").controllers[0].port(),
         3
     );
     assert_eq!(
-        with(None, Some("127.0.0.1:9")).expect("given").controllers[0].port(),
+        with(None, Some("127.0.0.1:9"))
+            .expect("overridden controllers")
+            .controllers[0]
+            .port(),
         9
     );
-    let error = with(Some("mars"), None).expect_err("no such").to_string();
+    let error = with(Some("mars"), None)
+        .expect_err("unknown context")
+        .to_string();
     assert!(error.contains("plant, lab"), "{error}");
-    std::fs::remove_dir_all(&dir).expect("removed");
+    std::fs::remove_dir_all(&dir).expect("remove directory");
 }
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -1,38 +1,38 @@
-//! One request and its answer over one connection, with a deadline on all of it.
+//! Sends one HTTP request at a time over one connection; a deadline covers the whole exchange.
 
 use beamhinge_core::http::{self, Content, Method, Response};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Largest response that is accepted, bytes.
+/// Largest accepted response, bytes.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why an exchange failed.
+/// Reason why an exchange of request and response failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The connection failed.
+    /// Opening, writing to or reading from the connection failed.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The deadline passed.
-    #[error("no answer in time")]
+    #[error("no response before the deadline")]
     TimedOut,
-    /// The controller closed the connection.
-    #[error("it closed the connection without an answer")]
+    /// The controller closed the connection before it sent a complete response.
+    #[error("the controller closed the connection without a response")]
     Closed,
     /// The response cannot be parsed.
-    #[error("its answer is not HTTP as expected")]
+    #[error("the response cannot be parsed")]
     Form,
 }
 
-/// A connection for JSON, or for CBOR as the platform's users send it.
+/// A connection that sends JSON, or CBOR as the platform's users do.
 pub struct Connection {
     stream: TcpStream,
     host: String,
     content: Content,
 }
 
-/// Time until the deadline.
+/// Time until the deadline, or [`ConnectionError::TimedOut`] if it has passed.
 fn left(deadline: Instant) -> Result<Duration, ConnectionError> {
     let left = deadline.saturating_duration_since(Instant::now());
     if left.is_zero() {
@@ -43,11 +43,11 @@
 }
 
 impl Connection {
-    /// Opens a connection for JSON.
+    /// Opens a connection that sends JSON.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError`] if it cannot be opened before the deadline.
+    /// Returns [`ConnectionError`] if the connection cannot be opened before the deadline.
     pub fn open(addr: SocketAddrV4, deadline: Instant) -> Result<Connection, ConnectionError> {
         let stream = TcpStream::connect_timeout(&SocketAddr::V4(addr), left(deadline)?)?;
         stream.set_nodelay(true)?;
@@ -69,8 +69,8 @@
     ///
     /// # Errors
     ///
-    /// [`ConnectionError`] if no whole response arrives before the deadline; whether the request
-    /// was carried out is unknown then.
+    /// Returns [`ConnectionError`] if no complete response arrives before the deadline; it is then
+    /// unknown whether the request was carried out.
     pub fn exchange(
         &mut self,
         method: Method,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,8 +1,8 @@
 //! A client of the controllers' admin API.
 //!
-//! [`routing`] decides which controller is tried and when, and holds no socket; [`connection`]
-//! sends one request; [`config`] reads which controllers there are. [`Client`] puts them together
-//! and is what the command line is built on.
+//! [`routing`] decides which controller to try and when, without any I/O. [`connection`] sends one
+//! request. [`config`] loads the controllers' addresses. [`Client`] combines them; the command line
+//! is built on it.
 
 pub mod config;
 pub mod connection;
@@ -26,21 +26,21 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A body that is not of the expected form.
+/// A request or response body that cannot be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// Not JSON, or a field is missing.
+    /// The body is not valid JSON, or a field is missing.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Text that is not UTF-8.
+    /// The text is not UTF-8.
     #[error(transparent)]
     Text(#[from] std::string::FromUtf8Error),
 }
 
-/// Why a call did not succeed.
+/// Reason why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// A controller refused the request; repeating it changes nothing.
+    /// A controller refused the request; a retry would be refused as well.
     #[error("{} ({})", .problem.error, .status)]
     Refused {
         /// HTTP status.
@@ -48,35 +48,35 @@
         /// The controller's reason.
         problem: Problem,
     },
-    /// What the request names does not exist.
+    /// The object that the request names does not exist.
     #[error("{0}")]
     NotFound(String),
-    /// The key or the clock was not accepted.
+    /// The controller did not accept the key, or the client's clock.
     #[error("{}", .0.error)]
     Denied(Problem),
-    /// No controller was reached at all.
-    #[error("no controller could be reached within {waited_s:.0} s; last: {last}. Is one running? `beamhinge up` starts some on this machine; `beamhinge config` shows which addresses are tried")]
+    /// No controller could be reached.
+    #[error("no controller could be reached within {waited_s:.0} s; last error: {last}. Is one running? `beamhinge up` starts a cluster on this machine; `beamhinge config` shows the addresses that are tried")]
     Unreachable {
         /// How long the call took, seconds.
         waited_s: f64,
         /// The last error.
         last: String,
     },
-    /// Controllers were reached, but none carried the request out in time.
-    #[error("no answer within {waited_s:.0} s: {last}. A change may or may not have been made; the same call again finds out")]
+    /// Controllers were reached, but none completed the request in time.
+    #[error("timed out after {waited_s:.0} s; last error: {last}. A change may or may not have been made; repeat the same call to find out")]
     TimedOut {
         /// How long the call took, seconds.
         waited_s: f64,
         /// The last error.
         last: String,
     },
-    /// A controller answered in an unknown form.
-    #[error("the controller's answer is in a form this client does not know: {0}")]
+    /// The response of a controller cannot be decoded.
+    #[error("this client cannot decode the controller's response: {0}")]
     InvalidResponse(#[from] BodyError),
 }
 
 impl ClientError {
-    /// Whether the requested change may have been made all the same.
+    /// Whether the requested change may have been made despite the error.
     pub fn outcome_unknown(&self) -> bool {
         matches!(
             self,
@@ -88,7 +88,7 @@
 /// Time limits of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Limit for the call with all its attempts.
+    /// Limit for the call, including all attempts.
     pub total: Duration,
     /// Limit for one attempt.
     pub per_attempt: Duration,
@@ -109,23 +109,24 @@
     key: Option<Key>,
     timeouts: Timeouts,
     connections: Vec<Option<Connection>>,
-    /// The process behind each address, which signatures name.
+    /// Instance id of the controller process at each address, which signatures include; `None`
+    /// while it is unknown.
     instances: Vec<Option<String>>,
     started: Instant,
-    /// Is given lines about attempts that fail while a call goes on.
+    /// Receives progress messages about failed attempts during a call.
     on_progress: Box<dyn FnMut(&str)>,
-    /// The controller that gave the last answer.
+    /// The controller that answered the last successful call; `None` before the first one.
     last_controller: Option<SocketAddrV4>,
 }
 
-/// Milliseconds of the time of day.
+/// Wall-clock time, milliseconds since the Unix epoch.
 pub fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_millis() as u64)
 }
 
-/// Draws a new job id of the form that the protocol asks for.
+/// Generates a random job id in the format that the protocol requires.
 pub fn draw_job_id() -> String {
     format!(
         "job-{:015}",
@@ -133,25 +134,25 @@
     )
 }
 
-/// Shortest time limit of an attempt, seconds.
+/// Shortest timeout of an attempt, seconds.
 const MIN_ATTEMPT_S: f64 = 0.05;
-/// Shortest pause that is reported, seconds.
+/// Shortest pause between attempts that is reported, seconds.
 const MIN_REPORTED_PAUSE_S: f64 = 1.0;
 
-/// A request of the admin API.
+/// A request to the admin API.
 struct Request<'a> {
     method: Method,
     path: &'a str,
     body: &'a [u8],
 }
 
-/// The state of a call over its attempts.
+/// State of a call across its attempts.
 struct Call {
     started_s: f64,
     last_error: String,
     /// Whether any controller has answered.
     reached: bool,
-    /// Errors that have been reported already.
+    /// Errors that have already been reported.
     reported: BTreeSet<String>,
 }
 
@@ -159,7 +160,7 @@
     fn new(started_s: f64) -> Call {
         Call {
             started_s,
-            last_error: String::from("nothing was tried"),
+            last_error: String::from("no attempt was made"),
             reached: false,
             reported: BTreeSet::new(),
         }
@@ -175,7 +176,7 @@
     }
 }
 
-/// What a controller says is wrong, or what its status says.
+/// Decodes the problem in an error response, or derives one from the status if the body holds none.
 fn problem_of(status: u16, body: &[u8]) -> Problem {
     serde_json::from_slice(body).unwrap_or_else(|_| Problem {
         code: if status == 404 {
@@ -188,7 +189,7 @@
     })
 }
 
-/// Signs a request for one process of a controller.
+/// Signs a request for one instance (process) of a controller.
 fn sign(key: &Key, instance: &str, request: &Request) -> String {
     let mut nonce = [0u8; 16];
     rand::thread_rng().fill(&mut nonce);
@@ -204,7 +205,8 @@
 }
 
 impl Client {
-    /// Makes a client that signs with `key`. `on_progress` is given lines about failed attempts.
+    /// Creates a client that signs requests with `key`, if there is one. `on_progress` receives
+    /// messages about failed attempts.
     pub fn new(
         controllers: &[SocketAddrV4],
         key: Option<Key>,
@@ -223,7 +225,7 @@
         }
     }
 
-    /// The controller that gave the last answer.
+    /// The controller that answered the last successful call; `None` before the first one.
     pub fn last_controller(&self) -> Option<SocketAddrV4> {
         self.last_controller
     }
@@ -232,13 +234,14 @@
         self.started.elapsed().as_secs_f64()
     }
 
-    /// Sends a request until it is answered or refused, or the time runs out.
+    /// Sends a request, with retries, until a controller answers or refuses it or the total timeout
+    /// expires.
     ///
-    /// Every request of the admin API is idempotent and may be repeated.
+    /// Every request of the admin API is idempotent, so retries are safe.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] says whether any controller was reached and what it answered.
+    /// The [`ClientError`] says whether any controller was reached and how it responded.
     pub fn call(
         &mut self,
         method: Method,
@@ -275,9 +278,9 @@
     }
 
     fn pause(&mut self, seconds: f64, last_error: &str) {
-        // A pause that is hardly noticed need not be reported.
+        // Short pauses are barely noticeable and are not reported.
         if seconds >= MIN_REPORTED_PAUSE_S {
-            (self.on_progress)(&format!("{last_error}; trying again in {seconds:.0} s"));
+            (self.on_progress)(&format!("{last_error}; retrying in {seconds:.0} s"));
         }
         std::thread::sleep(Duration::from_secs_f64(seconds));
     }
@@ -291,7 +294,8 @@
         self.routing.record(now, at, Outcome::Failed);
     }
 
-    /// The body of a success, `None` if the call goes on, or the error that ends it.
+    /// Returns the body of a successful response, `None` if the call is to be retried, or the error
+    /// that ends the call.
     fn on_response(
         &mut self,
         at: usize,
@@ -309,9 +313,9 @@
         let problem = problem_of(status, &response.body);
         match (status, problem.code) {
             (401, Code::OtherInstance) => {
-                // The instance has to be asked for again before the next signature.
+                // The next signature needs the new instance id, so it must be fetched again.
                 self.instances[at] = None;
-                call.last_error = format!("{addr} has been restarted");
+                call.last_error = format!("{addr}: the controller was restarted");
                 self.routing.record(now, at, Outcome::Restarted);
             }
             (401 | 403, _) => return Err(ClientError::Denied(problem)),
@@ -327,7 +331,7 @@
         Ok(None)
     }
 
-    /// Reports the call's last error, once a call and not once an attempt.
+    /// Reports the call's last error, unless the same error was already reported during this call.
     fn report_once(&mut self, call: &mut Call) {
         if call.reported.insert(call.last_error.clone()) {
             (self.on_progress)(&call.last_error);
@@ -367,8 +371,8 @@
         deadline: Instant,
     ) -> Result<Response, ConnectionError> {
         let Request { method, path, body } = *request;
-        // A kept connection may have been closed meanwhile, which says nothing of the controller:
-        // a new one is tried at once.
+        // The controller may have closed an idle connection, which does not mean that it is
+        // unreachable: a failure on a reused connection leads to an immediate retry on a new one.
         if let Some(mut kept) = self.connections[at].take() {
             if let Ok(response) = kept.exchange(method, path, body, signature, deadline) {
                 if !response.close {
@@ -400,11 +404,11 @@
         Ok(serde_json::from_slice(&body).map_err(BodyError::from)?)
     }
 
-    /// Which process the controller is.
+    /// Label, instance id, version and clock of the controller.
     pub fn hello(&mut self) -> Result<ServerInfo, ClientError> {
         self.get("/v1/hello")
     }
-    /// Submits a job. The same id again finds the same job.
+    /// Submits a job. A repeated submission with the same id returns the existing job.
     pub fn submit(&mut self, job: &JobRequest) -> Result<JobResponse, ClientError> {
         self.post("/v1/jobs", job)
     }
@@ -416,11 +420,11 @@
     pub fn job(&mut self, job: &str) -> Result<JobDetail, ClientError> {
         self.get(&format!("/v1/jobs/{job}"))
     }
-    /// Why tasks of a job wait.
+    /// Reasons why tasks of a job wait.
     pub fn explain(&mut self, job: &str) -> Result<Explanation, ClientError> {
         self.get(&format!("/v1/jobs/{job}/explain"))
     }
-    /// One page of jobs; go on with `after` set to its `next`.
+    /// One page of jobs. For the next page, set `after` to the `next` of this one.
     pub fn jobs(&mut self, query: &[(&str, String)]) -> Result<JobPage, ClientError> {
         self.get(&with_query("/v1/jobs", query))
     }
@@ -428,7 +432,7 @@
     pub fn machines(&mut self, query: &[(&str, String)]) -> Result<MachinePage, ClientError> {
         self.get(&with_query("/v1/machines", query))
     }
-    /// Teams with quotas and use.
+    /// Teams with their quotas and usage.
     pub fn teams(&mut self) -> Result<Vec<TeamRow>, ClientError> {
         self.get("/v1/teams")
     }
@@ -436,49 +440,50 @@
     pub fn nodes(&mut self) -> Result<Vec<NodeRow>, ClientError> {
         self.get("/v1/nodes")
     }
-    /// How capacity is split, and what the learner knows.
+    /// The learner's parameter pairs of the capacity split, with their weights.
     pub fn splits(&mut self) -> Result<Splits, ClientError> {
         self.get("/v1/splits")
     }
-    /// Overview of the cluster; only a cluster with a leader gives one.
+    /// Overview of the cluster; available only while the cluster has a leader.
     pub fn summary(&mut self) -> Result<Summary, ClientError> {
         self.get("/v1/summary")
     }
-    /// Decisions of the leader with this fencing token, after a serial number.
+    /// Decisions with serial numbers above `after` of the leader with this fencing token.
     pub fn decisions(&mut self, token: u64, after: u64) -> Result<Decisions, ClientError> {
         let query = [("token", token.to_string()), ("after", after.to_string())];
         self.get(&with_query("/v1/decisions", &query))
     }
-    /// Directives of operators in force, like drains.
+    /// Operator directives in force, for example drains.
     pub fn directives(&mut self) -> Result<Directives, ClientError> {
         self.get("/v1/directives")
     }
-    /// Changes a directive.
+    /// Sets or withdraws a directive.
     pub fn change(
         &mut self,
         change: &DirectiveChange,
     ) -> Result<DirectiveChangeResult, ClientError> {
         self.post("/v1/directives", change)
     }
-    /// Teams and quotas, their version, and which controllers serve by it.
+    /// Teams and quotas, their version, and the controllers that do not use this version yet.
     pub fn configuration(&mut self) -> Result<ConfigurationView, ClientError> {
         self.get("/v1/configuration")
     }
-    /// Changes teams and quotas. After a lost answer, the version tells whether it was made.
+    /// Changes teams and quotas. If the response is lost, the version shows whether the change was
+    /// made.
     pub fn configure(
         &mut self,
         change: &ConfigurationChange,
     ) -> Result<ConfigurationResponse, ClientError> {
         self.post("/v1/configuration", change)
     }
-    /// Metrics of one controller, as text.
+    /// Metrics of one controller in the Prometheus text format.
     pub fn metrics(&mut self) -> Result<String, ClientError> {
         let body = self.call(Method::Get, "/metrics", &[])?;
         Ok(String::from_utf8(body).map_err(BodyError::from)?)
     }
 }
 
-/// A path with its query, escaped; empty values are left out.
+/// Appends an escaped query to a path; parameters with empty values are omitted.
 pub fn with_query(path: &str, query: &[(&str, String)]) -> String {
     let mut words = form_urlencoded::Serializer::new(String::new());
     let mut any = false;
--- a/crates/client/src/routing.rs
+++ b/crates/client/src/routing.rs
@@ -1,9 +1,9 @@
-//! Which controller is tried next, and when: decisions without a socket.
+//! Decides which controller to try next, and when. This module does no I/O.
 //!
-//! The controller that answered last is tried first. One that failed, or asked the client to come
-//! back later, is skipped for a time that doubles with each failure. When all are skipped, the
-//! client waits for the first that may be tried again, with jitter, so that many clients do not
-//! come back at the same moment.
+//! The client first tries the controller that answered last. A controller that failed, or replied
+//! that it is busy, is skipped for a backoff that doubles with each failure. While all controllers
+//! back off, the client waits until the first backoff ends, with jitter, so that many clients do
+//! not retry at the same moment.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -13,28 +13,29 @@
 const INITIAL_BACKOFF_S: f64 = 0.2;
 /// Longest backoff, seconds.
 const MAX_BACKOFF_S: f64 = 5.0;
-/// Longest `Retry-After` that the client obeys, seconds.
+/// Longest `Retry-After` that the client honours, seconds.
 const MAX_RETRY_AFTER_S: f64 = 30.0;
 
-/// What a call does next.
+/// Next step of a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RoutingDecision {
-    /// Try the controller in this place now.
+    /// Try the controller at this index of the address list now.
     Try(usize),
-    /// All are backing off: seconds until the first may be tried.
+    /// All controllers are backing off: seconds to wait before the next attempt.
     Wait(f64),
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
     /// The controller answered.
     Answered,
-    /// The connection was refused or reset, or no answer came in time.
+    /// The connection was refused or reset, or no response arrived before the deadline.
     Failed,
-    /// The controller is busy; the value of its `Retry-After`, seconds.
+    /// The controller is busy. Holds the value of `Retry-After` in seconds; `None` if the response
+    /// has no such header.
     Busy(Option<u32>),
-    /// The controller has been restarted and may be tried again at once, but only a few times.
+    /// The controller was restarted. It may be retried immediately, but only a few times per call.
     Restarted,
 }
 
@@ -47,7 +48,7 @@
     restarts: u32,
 }
 
-/// Chooses among the controllers of a cluster.
+/// Selects among the controllers of a cluster.
 #[derive(Debug)]
 pub struct Routing {
     endpoints: Vec<Endpoint>,
@@ -56,7 +57,7 @@
 }
 
 impl Routing {
-    /// Routes among `addrs`; `seed` is for the jitter.
+    /// Creates routing among `addrs`; `seed` seeds the jitter.
     pub fn new(addrs: &[SocketAddrV4], seed: u64) -> Routing {
         let endpoints = addrs
             .iter()
@@ -74,17 +75,17 @@
         }
     }
 
-    /// Address of the controller in this place.
+    /// Address of the controller at this index.
     pub fn addr(&self, at: usize) -> SocketAddrV4 {
         self.endpoints[at].addr
     }
 
-    /// Begins a call: restarts are counted anew.
+    /// Begins a call and resets the restart counters.
     pub fn begin(&mut self) {
         self.endpoints.iter_mut().for_each(|e| e.restarts = 0);
     }
 
-    /// What to do at `now`, seconds.
+    /// Decides the next step at time `now`, in seconds.
     pub fn next(&mut self, now: f64) -> RoutingDecision {
         let n = self.endpoints.len();
         let available = (0..n)
@@ -99,7 +100,7 @@
             .map(|e| e.retry_at)
             .fold(f64::INFINITY, f64::min);
         if soonest.is_finite() {
-            // Up to half as long again, so that clients that wait for the same controller spread.
+            // Jitter of up to 50% spreads the retries of clients that wait for the same controller.
             let wait = (soonest - now).max(0.01);
             RoutingDecision::Wait(wait * self.rng.gen_range(1.0..1.5))
         } else {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Records how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn record(&mut self, now: f64, at: usize, outcome: Outcome) {
         let Some(e) = self.endpoints.get_mut(at) else {
             return;
--- a/crates/client/src/routing/tests.rs
+++ b/crates/client/src/routing/tests.rs
@@ -20,7 +20,7 @@
     assert_eq!(
         r.next(100.0),
         RoutingDecision::Try(1),
-        "not back to the first"
+        "the preferred controller is kept"
     );
 }
 
@@ -29,7 +29,7 @@
     let mut r = routing(1);
     r.record(0.0, 0, Outcome::Busy(Some(3)));
     let RoutingDecision::Wait(s) = r.next(0.0) else {
-        panic!("it asked to be left alone")
+        panic!("the controller sent Retry-After")
     };
     assert!((3.0..4.6).contains(&s), "{s}");
     r.record(0.0, 0, Outcome::Busy(Some(86_400)));
@@ -47,7 +47,7 @@
     for _ in 0..12 {
         r.record(now, 0, Outcome::Failed);
         let RoutingDecision::Wait(s) = r.next(now) else {
-            panic!("it failed just now")
+            panic!("the controller has just failed")
         };
         waits.push(s);
         now += s;
@@ -64,11 +64,14 @@
         .collect();
     let spread =
         firsts.iter().fold(0.0f64, |a, b| a.max(*b)) - firsts.iter().fold(9.0f64, |a, b| a.min(*b));
-    assert!(spread > 0.05, "many clients come in one moment: {firsts:?}");
+    assert!(
+        spread > 0.05,
+        "clients retry at the same moment: {firsts:?}"
+    );
 }
 
-/// A controller that is restarted again and again must not hold a client
-/// in a tight loop of hellos.
+/// A controller that restarts repeatedly must not keep a client in a tight loop of `/v1/hello`
+/// requests.
 #[test]
 fn repeated_restarts_lead_to_backoff() {
     let mut r = routing(1);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon as a library: what `beamhinged` runs, and what `beamhinge up` starts for a cluster on
-//! one machine.
+//! The controller daemon as a library. `beamhinged` runs it, and so does `beamhinge up` for a
+//! cluster on one machine.
 //!
-//! It reads the settings and keys, opens the listeners and runs one controller. Nothing is decided
-//! here.
+//! It reads the settings and keys, opens the listeners and runs one controller. It makes no
+//! scheduling decisions.
 
 use beamhinge_admin_api::auth::{Key, KeyError};
 use beamhinge_controller::node::Node;
@@ -18,16 +18,16 @@
 #[allow(missing_docs)]
 #[derive(Args)]
 pub struct Options {
-    /// The platform's settings (TOML)
+    /// File with the platform's settings (TOML)
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
-    /// The operator's own settings (INI)
+    /// File with the operators' settings (INI)
     #[arg(long, value_name = "FILE.ini")]
     pub operator: Option<PathBuf>,
-    /// Check the settings and end
+    /// Check the settings and exit
     #[arg(long)]
     pub check: bool,
-    /// How lines on standard error look
+    /// Format of log lines on standard error
     #[arg(
         long,
         value_name = "FORM",
@@ -38,7 +38,7 @@
     pub log_format: LogFormat,
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum LogFormat {
     /// One line per event
@@ -47,7 +47,7 @@
     Json,
 }
 
-/// Why a controller cannot start or go on.
+/// Reason why a controller cannot start or continue to run.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
     /// The settings cannot be used.
@@ -56,12 +56,13 @@
     /// The key file cannot be used.
     #[error(transparent)]
     Keys(#[from] KeyError),
-    /// A listener cannot be opened, or events cannot be waited for.
+    /// A listener cannot be opened, or waiting for events failed.
     #[error(transparent)]
     EventLoop(#[from] EventLoopError),
 }
 
-/// Sends log lines to standard error; the variable `LOG_LEVEL` is `error`, `info` or `debug`.
+/// Initializes logging to standard error. The environment variable `LOG_LEVEL` is `error`, `info`
+/// or `debug`; `info` is the default.
 pub fn start_log(format: LogFormat) {
     let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
     let filter = EnvFilter::try_new(level).unwrap_or_else(|_| EnvFilter::new("info"));
@@ -69,7 +70,7 @@
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .with_ansi(false);
-    // A second call in one process keeps the first configuration, which is no error.
+    // A second call in one process keeps the first configuration, which is not an error.
     let _ = match format {
         LogFormat::Text => log.without_time().try_init(),
         LogFormat::Json => log.json().try_init(),
@@ -82,13 +83,13 @@
     match serve(options) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            tracing::error!(error = %e, "cannot run controller");
+            tracing::error!(error = %e, "controller failed");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Loads settings and keys, then serves.
+/// Loads the settings and keys, then runs the controller.
 fn serve(options: &Options) -> Result<(), DaemonError> {
     let settings = Settings::load(&options.config)?;
     let operator = match options.operator.as_deref() {
@@ -108,7 +109,7 @@
     if let Some(admin) = &listener {
         tracing::info!(address = %admin.listen, "serving admin API");
     }
-    // Distinguishes this process from earlier ones with the same label.
+    // Distinguishes this process from earlier processes with the same label.
     let nonce = rand::thread_rng().gen_range(1..1u64 << 52);
     let wiring = NetworkConfig::controller(
         &settings,
--- a/crates/daemon/tests/flags.rs
+++ b/crates/daemon/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The daemon's flags, as the shipped files name them.
+//! Tests that the daemon accepts its flags together with the shipped settings files.
 
 use std::process::Command;
 
