--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -115,9 +115,9 @@
     Splits,
     /// Take a machine, a machine type, a zone or a controller out of service
     #[command(
-        after_help = "Running tasks may finish; with --within-s those that have not ended after \
-that time are told to save a checkpoint and stop. An empty machine is returned to the cloud, or kept \
-with --keep. A drained controller hands leadership over to another.
+        after_help = "Running tasks may finish; with --within-s they are told early enough to save \
+a checkpoint and stop before that time has passed. An empty machine is returned to the cloud, or \
+kept with --keep. A drained controller hands leadership over to another.
 
 Examples:
   beamhinge drain machine n-000007 --within-s 300 --note 'disk errors'
@@ -338,7 +338,7 @@
     #[arg(value_enum)]
     pub(crate) kind: DrainKind,
     pub(crate) name: String,
-    /// Tell tasks that have not ended after this time to stop, seconds
+    /// Time by which tasks that have not ended are stopped, seconds
     #[arg(long)]
     pub(crate) within_s: Option<f64>,
     /// Keep the machine when it is empty instead of returning it to the cloud
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -78,7 +78,7 @@
             up::end_with_parent();
             return Ok(beamhinge_daemon::run(&options));
         }
-        Verb::Task { line } => return Ok(up::keep_task(&line)),
+        Verb::Task { line } => return Ok(up::supervise_task(&line)),
         Verb::Completions { shell } => {
             let mut command = Arguments::command();
             clap_complete::generate(shell, &mut command, "beamhinge", &mut std::io::stdout());
@@ -93,7 +93,7 @@
         key: arguments.key.clone(),
         key_name: arguments.key_name.clone(),
     };
-    let context = config::choose(&overrides)?;
+    let context = config::choose_context(&overrides)?;
     if let Verb::Config = arguments.verb {
         show::config(&overrides, &context, arguments.output)?;
         return Ok(ExitCode::SUCCESS);
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -11,7 +11,7 @@
 use std::io::{self, Write};
 
 /// Prints a value as JSON, or as the text that `table` formats.
-pub(crate) fn either<T: Serialize>(
+pub(crate) fn print_value<T: Serialize>(
     output: Output,
     value: &T,
     table: impl FnOnce(&T) -> String,
@@ -29,27 +29,27 @@
 }
 
 /// Formats a plain table. Columns whose names begin with `#` hold numbers and are right-aligned.
-pub(crate) fn table(heads: &[&str], rows: Vec<Vec<String>>) -> String {
+pub(crate) fn table(headers: &[&str], rows: Vec<Vec<String>>) -> String {
     let mut t = Table::new();
     t.load_preset(presets::NOTHING)
         .set_content_arrangement(ContentArrangement::Disabled);
     t.set_header(
-        heads
+        headers
             .iter()
             .map(|h| h.trim_start_matches('#').to_uppercase()),
     );
-    for (i, head) in heads.iter().enumerate() {
+    for (i, header) in headers.iter().enumerate() {
         if let Some(column) = t.column_mut(i) {
             column.set_padding((0, 2));
-            if head.starts_with('#') {
+            if header.starts_with('#') {
                 column.set_cell_alignment(CellAlignment::Right);
             }
         }
     }
-    let none = rows.is_empty();
+    let is_empty = rows.is_empty();
     t.add_rows(rows);
     let lines: Vec<String> = t.lines().map(|l| l.trim_end().to_string()).collect();
-    if none {
+    if is_empty {
         "none".into()
     } else {
         lines.join("\n")
@@ -182,7 +182,7 @@
             ]
         })
         .collect();
-    let heads = [
+    let headers = [
         "machine",
         "shape",
         "zone",
@@ -194,12 +194,12 @@
         "#heard",
         "#age",
     ];
-    table(&heads, rows)
+    table(&headers, rows)
 }
 
 /// Formats the table of teams with usage and quotas.
 pub(crate) fn teams(rows: &[TeamRow]) -> String {
-    let none = |v: f64| {
+    let positive_or_dash = |v: f64| {
         if v > 0.0 {
             format!("{v:.0}")
         } else {
@@ -212,8 +212,8 @@
             vec![
                 t.team.clone(),
                 format!("{:.1}", t.cpus_used),
-                none(t.cpus_guaranteed),
-                none(t.cpus_limit),
+                positive_or_dash(t.cpus_guaranteed),
+                positive_or_dash(t.cpus_limit),
                 format!("{:.1}", t.gpus_used),
                 t.jobs_open.to_string(),
                 t.tasks_waiting.to_string(),
@@ -225,7 +225,7 @@
             ]
         })
         .collect();
-    let heads = [
+    let headers = [
         "team",
         "#cpus",
         "#guarantee",
@@ -235,12 +235,12 @@
         "#waiting tasks",
         "",
     ];
-    table(&heads, rows)
+    table(&headers, rows)
 }
 
 /// Formats the teams with their quotas, and whether these are in force on all controllers.
 pub(crate) fn quotas(view: &ConfigurationView) -> String {
-    let none = |v: f64| {
+    let positive_or_dash = |v: f64| {
         if v > 0.0 {
             format!("{v:.1}")
         } else {
@@ -254,14 +254,14 @@
             String::new()
         };
         let q = &t.quota;
-        let amounts = [q.cpus, q.cpus_max, q.gpus, q.gpus_max].map(none);
+        let amounts = [q.cpus, q.cpus_max, q.gpus, q.gpus_max].map(positive_or_dash);
         std::iter::once(t.team.clone())
             .chain(amounts)
             .chain([removed])
             .collect()
     });
-    let heads = ["team", "#cpus", "#limit", "#gpus", "#limit", ""];
-    let mut text = table(&heads, rows.collect());
+    let headers = ["team", "#cpus", "#limit", "#gpus", "#limit", ""];
+    let mut text = table(&headers, rows.collect());
     let author = view
         .author
         .as_ref()
@@ -332,7 +332,7 @@
 }
 
 /// Formats a one-line plot, scaled to the highest value.
-pub(crate) fn spark(values: &[f64]) -> String {
+pub(crate) fn sparkline(values: &[f64]) -> String {
     const BLOCKS: [char; 8] = ['▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     let top = values.iter().copied().fold(0.0, f64::max);
     values
@@ -374,12 +374,12 @@
     text.push_str(&format!(
         "running {:>7} tasks  {}\n",
         s.tasks_running,
-        spark(running)
+        sparkline(running)
     ));
     text.push_str(&format!(
         "waiting {:>7} tasks  {}  oldest {}\n\n",
         s.tasks_waiting,
-        spark(waiting),
+        sparkline(waiting),
         age(Some(s.oldest_wait_s))
     ));
     text.push_str(&teams(&s.teams));
@@ -388,7 +388,7 @@
 
 /// The client configuration as printed.
 #[derive(Serialize)]
-struct ConfigShown<'a> {
+struct ClientConfigView<'a> {
     file: Option<String>,
     context: &'a str,
     controllers: Vec<String>,
@@ -403,7 +403,7 @@
     output: Output,
 ) -> Result<(), Failure> {
     let file = overrides.file.clone().or_else(config::default_file);
-    let shown = ConfigShown {
+    let shown = ClientConfigView {
         file: file.filter(|f| f.exists()).map(|f| f.display().to_string()),
         context: &context.name,
         controllers: context
@@ -414,7 +414,7 @@
         key: context.key.as_ref().map(|k| k.display().to_string()),
         key_name: context.key_name.as_deref(),
     };
-    either(output, &shown, |c| {
+    print_value(output, &shown, |c| {
         format!(
             "file         {}\ncontext      {}\ncontrollers  {}\nkey          {}",
             c.file
--- a/crates/cli/src/show/tests.rs
+++ b/crates/cli/src/show/tests.rs
@@ -1,4 +1,4 @@
-use super::{spark, table};
+use super::{sparkline, table};
 
 #[test]
 fn tables_have_neither_colours_nor_trailing_spaces() {
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn spark_scales_to_its_highest_value() {
-    assert_eq!(spark(&[0.0, 1.0, 2.0]), "▁▅█");
-    assert_eq!(spark(&[0.0, 0.0]), "▁▁");
+fn sparkline_scales_to_its_highest_value() {
+    assert_eq!(sparkline(&[0.0, 1.0, 2.0]), "▁▅█");
+    assert_eq!(sparkline(&[0.0, 0.0]), "▁▁");
 }
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -23,11 +23,11 @@
     #[error(transparent)]
     Cluster(#[from] ClusterError),
     #[error("cannot determine the path of this executable: {0}")]
-    Program(std::io::Error),
+    CurrentExe(std::io::Error),
     #[error("neither XDG_STATE_HOME nor HOME is set: choose a state directory with --dir")]
-    NoDir,
+    NoStateDir,
     #[error("{0} is used by a running cluster: stop it, or choose others with --dir and --port")]
-    Used(PathBuf),
+    DirInUse(PathBuf),
     #[error("{0}: {1}")]
     File(PathBuf, std::io::Error),
     #[error("no controller became leader within {0} s; see the log {1}")]
@@ -65,7 +65,7 @@
 ///
 /// Killing only the shell would leave its child processes running. They are all in the process
 /// group that this process leads, so the whole group is killed.
-pub(crate) fn keep_task(line: &str) -> ExitCode {
+pub(crate) fn supervise_task(line: &str) -> ExitCode {
     let terminated = Arc::new(AtomicBool::new(false));
     let is_guarded = signal_hook::flag::register(signal_hook::consts::SIGTERM, terminated.clone())
         .is_ok()
@@ -122,11 +122,11 @@
 /// controller cannot be restarted.
 pub(crate) fn run(options: &UpOptions) -> Result<(), UpError> {
     let dir = options.dir.clone();
-    let dir = dir.or_else(default_dir).ok_or(UpError::NoDir)?;
+    let dir = dir.or_else(default_dir).ok_or(UpError::NoStateDir)?;
     // Held until the cluster has stopped.
     let _lock = lock_dir(&dir)?;
-    let stop = stop_on_signals()?;
-    let program = std::env::current_exe().map_err(UpError::Program)?;
+    let stop = register_stop_signals()?;
+    let program = std::env::current_exe().map_err(UpError::CurrentExe)?;
     let plan = cluster_plan(options, &dir, program);
     let endpoints = Endpoints {
         operators: (0..plan.nodes).map(|n| plan.operators_of(n)).collect(),
@@ -159,13 +159,13 @@
     let path = dir.join("lock");
     let file = File::create(&path).map_err(|e| UpError::File(path, e))?;
     if rustix::fs::flock(&file, FlockOperation::NonBlockingLockExclusive).is_err() {
-        return Err(UpError::Used(dir.into()));
+        return Err(UpError::DirInUse(dir.into()));
     }
     Ok(file)
 }
 
 /// Registers handlers for the signals that stop the cluster; they set the returned flag.
-fn stop_on_signals() -> Result<Arc<AtomicBool>, UpError> {
+fn register_stop_signals() -> Result<Arc<AtomicBool>, UpError> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         signal_hook::flag::register(signal, stop.clone()).map_err(UpError::Signals)?;
@@ -221,28 +221,28 @@
     }
 }
 
-fn joined(addresses: &[SocketAddrV4]) -> String {
+fn join_addresses(addresses: &[SocketAddrV4]) -> String {
     let addresses: Vec<String> = addresses.iter().map(ToString::to_string).collect();
     addresses.join(",")
 }
 
 fn print_usage(endpoints: &Endpoints, dir: &Path, started_in: Duration) {
-    let operators = joined(&endpoints.operators);
+    let operators = join_addresses(&endpoints.operators);
     // The client finds the default ports without an option.
     let has_default_ports = UP_PORTS[0] == endpoints.operators[0].port();
-    let with = if has_default_ports {
+    let controllers_option = if has_default_ports {
         String::new()
     } else {
         format!(" --controllers {operators}")
     };
     println!("cluster started in {:.1} s", started_in.as_secs_f64());
     println!("  operators  {operators}");
-    println!("  users      {}", joined(&endpoints.users));
+    println!("  users      {}", join_addresses(&endpoints.users));
     println!("  directory  {}", dir.display());
     println!("Try, in another terminal:");
-    println!("  beamhinge submit{with} --team {TEAM} --wait -- echo hello");
-    println!("  beamhinge submit{with} --team {TEAM} --tasks 40 --expect-s 5");
-    println!("  beamhinge top{with}");
+    println!("  beamhinge submit{controllers_option} --team {TEAM} --wait -- echo hello");
+    println!("  beamhinge submit{controllers_option} --team {TEAM} --tasks 40 --expect-s 5");
+    println!("  beamhinge top{controllers_option}");
     println!(
         "Task output is written to {}. Press Ctrl-C to stop the cluster.",
         dir.join("output").display()
@@ -257,10 +257,10 @@
     events: bool,
 ) -> Result<(), UpError> {
     let (mut token, mut after) = (0, 0);
-    let mut ended: Vec<(usize, Instant)> = Vec::new();
+    let mut exited: Vec<(usize, Instant)> = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         std::thread::sleep(WATCH_INTERVAL);
-        restart_ended(cluster, &mut ended)?;
+        restart_exited(cluster, &mut exited)?;
         if !events {
             continue;
         }
@@ -279,20 +279,23 @@
 }
 
 /// Restarts controllers that exited unexpectedly, [`RESTART_DELAY`] after their exit.
-fn restart_ended(cluster: &mut Cluster, ended: &mut Vec<(usize, Instant)>) -> Result<(), UpError> {
+fn restart_exited(
+    cluster: &mut Cluster,
+    exited: &mut Vec<(usize, Instant)>,
+) -> Result<(), UpError> {
     for node in cluster.reap_exited() {
         let log = cluster.log_of(node).display().to_string();
         eprintln!(
             "beamhinge: a controller exited unexpectedly and will be restarted; see the log {log}"
         );
-        ended.push((node, Instant::now()));
+        exited.push((node, Instant::now()));
     }
-    let due: Vec<usize> = ended
+    let due: Vec<usize> = exited
         .iter()
-        .filter(|(_, at)| at.elapsed() > RESTART_DELAY)
+        .filter(|(_, exited_at)| exited_at.elapsed() > RESTART_DELAY)
         .map(|(n, _)| *n)
         .collect();
-    ended.retain(|(_, at)| at.elapsed() <= RESTART_DELAY);
+    exited.retain(|(_, exited_at)| exited_at.elapsed() <= RESTART_DELAY);
     for node in due {
         cluster.start_node(node)?;
     }
--- a/crates/cli/src/verbs/directives.rs
+++ b/crates/cli/src/verbs/directives.rs
@@ -63,20 +63,20 @@
     options: SetQuotasOptions,
     output: Output,
 ) -> Result<(), Failure> {
-    let made = client.configure(&quota_change(options)?)?;
-    show::either(output, &made, |made| {
-        let warning = made
+    let result = client.configure(&quota_change(options)?)?;
+    show::print_value(output, &result, |result| {
+        let warning = result
             .warning
             .as_ref()
             .map(|w| format!("; {w}"))
             .unwrap_or_default();
-        format!("version {} is made{warning}", made.version)
+        format!("version {} is made{warning}", result.version)
     })
 }
 
 /// Lists the directives in force.
 pub(super) fn list(client: &mut Client, output: Output) -> Result<(), Failure> {
-    show::either(output, &client.directives()?, |directives| {
+    show::print_value(output, &client.directives()?, |directives| {
         let now_ms = beamhinge_client::wall_ms();
         let rows = directives.directives.iter().map(|d| {
             let verb = if d.target.is_drain() {
@@ -101,8 +101,8 @@
                 d.note.clone(),
             ]
         });
-        let heads = ["what", "target", "#for", "#within", "then", "by", "note"];
-        show::table(&heads, rows.collect())
+        let headers = ["what", "target", "#for", "#within", "then", "by", "note"];
+        show::table(&headers, rows.collect())
     })
 }
 
@@ -170,15 +170,15 @@
 }
 
 fn change(client: &mut Client, change: &DirectiveChange, output: Output) -> Result<(), Failure> {
-    let made = client.change(change)?;
-    show::either(output, &made, |m| {
-        let verb = match (m.target.is_drain(), m.set) {
+    let result = client.change(change)?;
+    show::print_value(output, &result, |response| {
+        let verb = match (response.target.is_drain(), response.set) {
             (true, true) => "drained",
             (true, false) => "back in service",
             (false, true) => "frozen",
             (false, false) => "thawed",
         };
-        let already = if m.changed { "" } else { " already" };
-        format!("{} is{already} {verb}", m.target)
+        let already = if response.changed { "" } else { " already" };
+        format!("{} is{already} {verb}", response.target)
     })
 }
--- a/crates/cli/src/verbs/listing.rs
+++ b/crates/cli/src/verbs/listing.rs
@@ -21,7 +21,7 @@
         &machine_type.unwrap_or_default(),
         &zone.unwrap_or_default(),
     )?;
-    show::either(output, &page, |p| show::machines(&p.machines))
+    show::print_value(output, &page, |p| show::machines(&p.machines))
 }
 
 /// Formats the explanation of why a job waits.
@@ -50,43 +50,47 @@
         ];
         cells.into_iter().chain([p.jobs.to_string(), bar]).collect()
     });
-    let heads = ["#beta0", "#beta", "#weight", "#open jobs", ""];
+    let headers = ["#beta0", "#beta", "#weight", "#open jobs", ""];
     format!(
         "update every {} s\n{}",
         splits.update_s,
-        show::table(&heads, rows.collect())
+        show::table(&headers, rows.collect())
     )
 }
 
 /// Lists jobs, page by page, up to the requested number of rows.
-pub(super) fn jobs(client: &mut Client, o: &JobsOptions, output: Output) -> Result<(), Failure> {
+pub(super) fn jobs(
+    client: &mut Client,
+    options: &JobsOptions,
+    output: Output,
+) -> Result<(), Failure> {
     let number = |n: Option<f64>| n.map_or(String::new(), |n| n.to_string());
     let mut all = JobPage {
         jobs: Vec::new(),
         next: None,
     };
-    let mut after = o.after.clone();
+    let mut after = options.after.clone();
     loop {
-        let left = o.limit.saturating_sub(all.jobs.len()).max(1);
+        let remaining = options.limit.saturating_sub(all.jobs.len()).max(1);
         let query = [
-            ("state", o.state.clone()),
-            ("team", o.team.clone()),
-            ("class", o.class.clone()),
-            ("urgency", o.urgency.clone()),
-            ("older_s", number(o.older_s)),
-            ("younger_s", number(o.younger_s)),
+            ("state", options.state.clone()),
+            ("team", options.team.clone()),
+            ("class", options.class.clone()),
+            ("urgency", options.urgency.clone()),
+            ("older_s", number(options.older_s)),
+            ("younger_s", number(options.younger_s)),
             ("after", after),
-            ("limit", left.min(MAX_PAGE_ROWS).to_string()),
+            ("limit", remaining.min(MAX_PAGE_ROWS).to_string()),
         ];
         let page = client.jobs(&query)?;
         all.jobs.extend(page.jobs);
         all.next = page.next;
         match &all.next {
-            Some(next) if all.jobs.len() < o.limit => after = next.clone(),
+            Some(next) if all.jobs.len() < options.limit => after = next.clone(),
             _ => break,
         }
     }
-    show::either(output, &all, |p| {
+    show::print_value(output, &all, |p| {
         let more = p.next.as_ref().map_or(String::new(), |n| {
             format!("\nthere may be more; continue with --after {n}")
         });
--- a/crates/cli/src/verbs/submission.rs
+++ b/crates/cli/src/verbs/submission.rs
@@ -3,7 +3,7 @@
 use crate::arguments::{Output, SubmitOptions};
 use crate::{show, Failure};
 use beamhinge_admin_api::messages::{JobDetail, JobRequest, State};
-use beamhinge_client::{draw_job_id, Client, ClientError};
+use beamhinge_client::{generate_job_id, Client, ClientError};
 use beamhinge_core::job::JobKind;
 use std::io::{self, IsTerminal};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Quotes an argument so that a shell reads it as one word.
-pub(super) fn quoted(word: &str) -> String {
+pub(super) fn shell_quote(word: &str) -> String {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_./=:,+@%".contains(c);
     if !word.is_empty() && word.chars().all(plain) {
         word.to_string()
@@ -24,8 +24,8 @@
 }
 
 /// Builds the job that a file and flags describe; flags override the file.
-pub(super) fn request(o: &SubmitOptions) -> Result<JobRequest, Failure> {
-    let mut table = match &o.file {
+pub(super) fn job_request(options: &SubmitOptions) -> Result<JobRequest, Failure> {
+    let mut table = match &options.file {
         Some(path) => {
             let text = std::fs::read_to_string(path)
                 .map_err(|e| Failure::Usage(format!("{}: {e}", path.display())))?;
@@ -34,16 +34,16 @@
         }
         None => toml::Table::new(),
     };
-    apply_flags(&mut table, o);
+    apply_flags(&mut table, options);
     if !table.contains_key("team") {
         return Err(Failure::Usage(
             "the job names no team: set one with --team NAME".into(),
         ));
     }
     if !table.contains_key("job") {
-        table.insert("job".into(), draw_job_id().into());
+        table.insert("job".into(), generate_job_id().into());
     }
-    let source = o
+    let source = options
         .file
         .as_ref()
         .map_or("the flags".into(), |f| f.display().to_string());
@@ -53,7 +53,7 @@
 }
 
 /// Overrides the values of the file with those of the flags.
-fn apply_flags(table: &mut toml::Table, o: &SubmitOptions) {
+fn apply_flags(table: &mut toml::Table, options: &SubmitOptions) {
     let mut set = |name: &str, value: Option<toml::Value>| {
         if let Some(v) = value {
             table.insert(name.into(), v);
@@ -61,36 +61,39 @@
     };
     let text = |v: &Option<String>| v.clone().map(toml::Value::from);
     let number = |v: Option<f64>| v.map(toml::Value::from);
-    set("job", text(&o.id));
-    set("team", text(&o.team));
-    set("class", text(&o.class));
-    set("urgency", text(&o.urgency));
-    set("tasks", o.tasks.map(|t| toml::Value::from(i64::from(t))));
-    set("cpus", number(o.cpus));
-    set("gpus", number(o.gpus));
-    set("memory_gb", number(o.memory_gb));
-    set("image", text(&o.image));
-    set("image_gb", number(o.image_gb));
-    set("zone", text(&o.zone));
-    set("expect_s", number(o.expect_s));
-    set("checkpoint_s", number(o.checkpoint_s));
-    set("save_s", number(o.save_s));
-    set("due_s", number(o.due_s));
-    set("kind", o.standing.then(|| "standing".into()));
-    set("one_zone", o.one_zone.then_some(true.into()));
-    set("spread", o.spread.then_some(true.into()));
-    set("spot", o.no_spot.then_some(false.into()));
+    set("job", text(&options.id));
+    set("team", text(&options.team));
+    set("class", text(&options.class));
+    set("urgency", text(&options.urgency));
+    set(
+        "tasks",
+        options.tasks.map(|t| toml::Value::from(i64::from(t))),
+    );
+    set("cpus", number(options.cpus));
+    set("gpus", number(options.gpus));
+    set("memory_gb", number(options.memory_gb));
+    set("image", text(&options.image));
+    set("image_gb", number(options.image_gb));
+    set("zone", text(&options.zone));
+    set("expect_s", number(options.expect_s));
+    set("checkpoint_s", number(options.checkpoint_s));
+    set("save_s", number(options.save_s));
+    set("due_s", number(options.due_s));
+    set("kind", options.standing.then(|| "standing".into()));
+    set("one_zone", options.one_zone.then_some(true.into()));
+    set("spread", options.spread.then_some(true.into()));
+    set("spot", options.no_spot.then_some(false.into()));
     set(
         "shapes",
-        (!o.shapes.is_empty()).then(|| o.shapes.clone().into()),
+        (!options.shapes.is_empty()).then(|| options.shapes.clone().into()),
     );
-    if !o.command.is_empty() {
+    if !options.command.is_empty() {
         // A single argument is a shell command line; several are the words of one command.
-        let line = match o.command.as_slice() {
+        let line = match options.command.as_slice() {
             [line] => line.clone(),
             words => words
                 .iter()
-                .map(|w| quoted(w))
+                .map(|w| shell_quote(w))
                 .collect::<Vec<_>>()
                 .join(" "),
         };
@@ -101,11 +104,11 @@
 /// Submits a job and, with `--wait`, waits until it ends.
 pub(super) fn submit(
     client: &mut Client,
-    o: &SubmitOptions,
+    options: &SubmitOptions,
     output: Output,
 ) -> Result<(), Failure> {
-    let job = request(o)?;
-    if o.wait && job.kind == JobKind::Service {
+    let job = job_request(options)?;
+    if options.wait && job.kind == JobKind::Service {
         return Err(Failure::Usage(
             "a service runs until it is cancelled: omit --wait".into(),
         ));
@@ -119,14 +122,14 @@
             );
         }
     })?;
-    if !o.wait {
-        return show::either(output, &submitted, |t| format!("{} is {}", t.job, t.state));
+    if !options.wait {
+        return show::print_value(output, &submitted, |t| format!("{} is {}", t.job, t.state));
     }
     if output == Output::Table {
         println!("{} is {}", submitted.job, submitted.state);
     }
     let detail = wait(client, &job.job)?;
-    show::either(output, &detail, show::job)?;
+    show::print_value(output, &detail, show::job)?;
     if detail.row.state == State::Cancelled {
         return Err(Failure::Cancelled(job.job));
     }
@@ -135,7 +138,7 @@
 
 /// Shows progress until the job ends.
 fn wait(client: &mut Client, job: &str) -> Result<JobDetail, Failure> {
-    let live = io::stderr().is_terminal();
+    let redraws_line = io::stderr().is_terminal();
     let mut shown = String::new();
     loop {
         // Waiting continues while controllers restart: only a definite response ends it.
@@ -155,7 +158,7 @@
             r.running
         );
         if line != shown {
-            if live {
+            if redraws_line {
                 eprint!("\r{line}  ");
             } else {
                 eprintln!("{line}");
@@ -163,7 +166,7 @@
             shown = line;
         }
         if r.state.is_final() {
-            if live {
+            if redraws_line {
                 eprintln!();
             }
             return Ok(detail);
@@ -185,7 +188,7 @@
             }
         }
     }
-    show::either(output, &responses, |responses| {
+    show::print_value(output, &responses, |responses| {
         let lines: Vec<String> = responses
             .iter()
             .map(|t| match t.state {
--- a/crates/cli/src/verbs/watch.rs
+++ b/crates/cli/src/verbs/watch.rs
@@ -21,7 +21,7 @@
 }
 
 /// Formats the UTC time of day of a time in milliseconds since the Unix epoch.
-fn clock(ms: u64) -> String {
+fn utc_time_of_day(ms: u64) -> String {
     let s = ms / 1000 % 86_400;
     format!(
         "{:02}:{:02}:{:02}.{:03}",
@@ -36,18 +36,18 @@
 pub(super) fn events(client: &mut Client, follow: bool, output: Output) -> Result<(), Failure> {
     let (mut token, mut after) = (0, 0);
     loop {
-        let got = client.decisions(token, after)?;
-        if got.token != token {
-            (token, after) = (got.token, 0);
+        let decisions = client.decisions(token, after)?;
+        if decisions.token != token {
+            (token, after) = (decisions.token, 0);
         }
         let mut out = io::stdout().lock();
-        if got.missed > 0 && follow {
+        if decisions.missed > 0 && follow {
             eprintln!(
                 "beamhinge: {} decisions were discarded before they could be read",
-                got.missed
+                decisions.missed
             );
         }
-        for decision in &got.decisions {
+        for decision in &decisions.decisions {
             after = after.max(decision.serial);
             match output {
                 Output::Json => {
@@ -55,12 +55,17 @@
                         .map_err(io::Error::other)?;
                     writeln!(out, "{line}")?;
                 }
-                Output::Table => writeln!(out, "{} UTC  {}", clock(decision.at_ms), decision.what)?,
+                Output::Table => writeln!(
+                    out,
+                    "{} UTC  {}",
+                    utc_time_of_day(decision.at_ms),
+                    decision.what
+                )?,
             }
         }
         out.flush()?;
         drop(out);
-        if got.decisions.is_empty() {
+        if decisions.decisions.is_empty() {
             if !follow {
                 return Ok(());
             }
@@ -72,7 +77,7 @@
 /// Shows the overview; on a terminal, refreshes it every `every_s` seconds.
 pub(super) fn top(client: &mut Client, every_s: f64, output: Output) -> Result<(), Failure> {
     if output == Output::Json || !io::stdout().is_terminal() {
-        return show::either(output, &client.summary()?, |s| show::summary(s, &[], &[]));
+        return show::print_value(output, &client.summary()?, |s| show::summary(s, &[], &[]));
     }
     let (mut running, mut waiting) = (Vec::new(), Vec::new());
     let push = |list: &mut Vec<f64>, v: u32| {
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -44,7 +44,7 @@
 }
 
 /// Answers the requests on one connection and records them.
-fn serve(stream: TcpStream, asked: &Mutex<Vec<String>>) -> Option<()> {
+fn serve(stream: TcpStream, requests: &Mutex<Vec<String>>) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     let mut writer = stream;
     loop {
@@ -67,15 +67,15 @@
         let (method, path) = (*words.first()?, *words.get(1)?);
         if path != "/v1/hello" {
             let body = String::from_utf8_lossy(&body);
-            asked
+            requests
                 .lock()
                 .expect("no panic")
                 .push(format!("{method} {path} {body}"));
         }
-        let missing = r#"{"code":"not_found","error":"no such thing"}"#.to_string();
+        let not_found_body = r#"{"code":"not_found","error":"no such thing"}"#.to_string();
         let (status, body) = match body_of(method, path) {
             Some(body) => ("200 OK", body),
-            None => ("404 Not Found", missing),
+            None => ("404 Not Found", not_found_body),
         };
         let head = format!(
             "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n",
@@ -85,24 +85,24 @@
     }
 }
 
-struct Cluster {
+struct FakeController {
     address: String,
-    asked: Arc<Mutex<Vec<String>>>,
+    requests: Arc<Mutex<Vec<String>>>,
 }
 
-impl Cluster {
-    fn new() -> Cluster {
+impl FakeController {
+    fn new() -> FakeController {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
         let address = listener.local_addr().expect("local address").to_string();
-        let asked = Arc::new(Mutex::new(Vec::new()));
-        let kept = asked.clone();
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let shared_requests = requests.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let asked = kept.clone();
-                std::thread::spawn(move || serve(stream, &asked));
+                let requests = shared_requests.clone();
+                std::thread::spawn(move || serve(stream, &requests));
             }
         });
-        Cluster { address, asked }
+        FakeController { address, requests }
     }
 
     fn run(&self, words: &[&str]) -> Output {
@@ -156,33 +156,33 @@
 ];
 
 /// Verbs whose tables show ages computed from the wall clock; these tables are not compared.
-const BY_THE_CLOCK: [&str; 2] = ["quotas", "directives"];
+const CLOCK_DEPENDENT_VERBS: [&str; 2] = ["quotas", "directives"];
 
 #[test]
-fn verbs_send_and_print_what_is_recorded() {
-    let cluster = Cluster::new();
+fn requests_and_output_of_verbs_match_golden_file() {
+    let controller = FakeController::new();
     let mut golden = Golden::new("tests/golden/verbs.txt");
     for verb in VERBS {
         let words: Vec<&str> = verb.split_whitespace().collect();
-        for form in ["json", "table"] {
-            if form == "table" && BY_THE_CLOCK.contains(&verb) {
+        for format_name in ["json", "table"] {
+            if format_name == "table" && CLOCK_DEPENDENT_VERBS.contains(&verb) {
                 continue;
             }
-            let global = ["--timeout-s", "5", "--output", form];
-            let done = cluster.run(&[&global, words.as_slice()].concat());
-            let name = format!("{} {form}", words[..words.len().min(3)].join(" "));
-            let asked = std::mem::take(&mut *cluster.asked.lock().expect("no panic"));
+            let global = ["--timeout-s", "5", "--output", format_name];
+            let output = controller.run(&[&global, words.as_slice()].concat());
+            let name = format!("{} {format_name}", words[..words.len().min(3)].join(" "));
+            let requests = std::mem::take(&mut *controller.requests.lock().expect("no panic"));
             // The requests do not depend on the output format.
-            if form == "json" {
-                asked
+            if format_name == "json" {
+                requests
                     .iter()
                     .for_each(|line| golden.text(&format!("{name} asks"), line));
             }
             golden.text(
                 &format!("{name} ends"),
-                &format!("{:?}", done.status.code()),
+                &format!("{:?}", output.status.code()),
             );
-            for line in String::from_utf8_lossy(&done.stdout).lines() {
+            for line in String::from_utf8_lossy(&output.stdout).lines() {
                 golden.text(&name, line);
             }
         }
@@ -192,10 +192,10 @@
 
 /// Checks the names of verbs, flags and their values, as the shell completions list them.
 #[test]
-fn verbs_and_flags_keep_their_names() {
+fn names_of_verbs_and_flags_match_golden_file() {
     let mut golden = Golden::new("tests/golden/flags.txt");
-    let done = Cluster::new().run(&["completions", "bash"]);
-    let text = String::from_utf8_lossy(&done.stdout).into_owned();
+    let output = FakeController::new().run(&["completions", "bash"]);
+    let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let mut verb = "";
     for line in text.lines().map(str::trim) {
         if line.starts_with("beamhinge") {
@@ -210,7 +210,7 @@
 
 /// Checks the keys of the contexts file, and the variables that override it.
 #[test]
-fn contexts_and_variables_keep_their_names() {
+fn names_of_contexts_and_variables_match_golden_file() {
     let mut golden = Golden::new("tests/golden/contexts.txt");
     let file = std::env::temp_dir().join(format!("beamhinge-golden-{}.ini", std::process::id()));
     let text = "[client]\ncurrent = plant\n[context lab]\ncontrollers = 127.0.0.1:3\n\
@@ -223,17 +223,17 @@
         ("BEAMHINGE_KEY_NAME", "bob"),
     ];
     for count in 0..=variables.len() {
-        for form in ["json", "table"] {
+        for format_name in ["json", "table"] {
             let mut command = Command::new(env!("CARGO_BIN_EXE_beamhinge"));
             command
                 .env_clear()
                 .env("BEAMHINGE_CONFIG", &file)
                 .envs(variables[..count].to_vec());
-            let done = command
-                .args(["config", "--output", form])
+            let output = command
+                .args(["config", "--output", format_name])
                 .output()
                 .expect("it runs");
-            let shown = String::from_utf8_lossy(&done.stdout).into_owned();
+            let shown = String::from_utf8_lossy(&output.stdout).into_owned();
             for line in shown.replace(&file.display().to_string(), "FILE").lines() {
                 golden.text(&format!("{count} variables"), line);
             }
--- a/crates/cli/tests/up.rs
+++ b/crates/cli/tests/up.rs
@@ -5,13 +5,13 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-struct Up {
+struct RunningCluster {
     child: Child,
     dir: PathBuf,
     port: u16,
 }
 
-fn beamhinge(port: u16, words: &[&str]) -> Output {
+fn run_client(port: u16, words: &[&str]) -> Output {
     let listener = format!("127.0.0.1:{}", port + 10);
     Command::new(env!("CARGO_BIN_EXE_beamhinge"))
         .args(["--quiet", "--timeout-s", "40", "--controllers", &listener])
@@ -20,7 +20,7 @@
         .expect("the client starts")
 }
 
-fn start(dir: &std::path::Path, port: u16) -> Up {
+fn start(dir: &std::path::Path, port: u16) -> RunningCluster {
     let child = Command::new(env!("CARGO_BIN_EXE_beamhinge"))
         .args([
             "up",
@@ -35,15 +35,15 @@
         .stdout(Stdio::null())
         .spawn()
         .expect("start cluster");
-    Up {
+    RunningCluster {
         child,
         dir: dir.to_path_buf(),
         port,
     }
 }
 
-impl Up {
-    fn end(mut self, signal: &str) {
+impl RunningCluster {
+    fn stop(mut self, signal: &str) {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill")
             .args([signal, &pid])
@@ -52,17 +52,21 @@
         assert!(sent.success());
         self.child.wait().expect("it ends");
     }
-    fn says(&self, words: &[&str], code: i32) -> String {
-        let o = beamhinge(self.port, words);
-        let text = String::from_utf8_lossy(&o.stdout).into_owned();
-        let why = String::from_utf8_lossy(&o.stderr).into_owned();
-        assert_eq!(o.status.code(), Some(code), "{words:?}: {text} {why}");
-        text
+    fn run_expecting_code(&self, words: &[&str], code: i32) -> String {
+        let output = run_client(self.port, words);
+        let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(
+            output.status.code(),
+            Some(code),
+            "{words:?}: {stdout} {stderr}"
+        );
+        stdout
     }
 }
 
 /// Command lines of all processes whose command line contains `word`.
-fn with(word: &str) -> Vec<String> {
+fn processes_with(word: &str) -> Vec<String> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir("/proc").expect("read /proc").flatten() {
         let line = std::fs::read(entry.path().join("cmdline")).unwrap_or_default();
@@ -74,12 +78,12 @@
     found
 }
 
-fn none_left(word: &str) {
-    let until = Instant::now() + Duration::from_secs(15);
-    while !with(word).is_empty() && Instant::now() < until {
+fn assert_no_process_left(word: &str) {
+    let deadline = Instant::now() + Duration::from_secs(15);
+    while !processes_with(word).is_empty() && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert_eq!(with(word), Vec::<String>::new());
+    assert_eq!(processes_with(word), Vec::<String>::new());
 }
 
 #[test]
@@ -87,8 +91,8 @@
     let dir = std::env::temp_dir().join(format!("beamhinge-up-{}", std::process::id()));
     // Below the ephemeral port range, and apart from the ports of the testbed.
     let port = 8_100 + (std::process::id() % 30) as u16 * 100;
-    let up = start(&dir, port);
-    let told = up.says(
+    let cluster = start(&dir, port);
+    let stdout = cluster.run_expecting_code(
         &[
             "submit",
             "--team",
@@ -101,35 +105,40 @@
         ],
         0,
     );
-    assert!(told.contains("is done"), "{told}");
+    assert!(stdout.contains("is done"), "{stdout}");
     let output =
-        std::fs::read_to_string(up.dir.join("output/job-1/0.out")).expect("read task output");
+        std::fs::read_to_string(cluster.dir.join("output/job-1/0.out")).expect("read task output");
     assert_eq!(output, "hello\n");
-    up.says(&["job", "job-2"], 4);
-    up.says(&["submit", "--tasks", "2"], 2);
-    up.says(&["submit", "--team", "nobody"], 3);
+    cluster.run_expecting_code(&["job", "job-2"], 4);
+    cluster.run_expecting_code(&["submit", "--tasks", "2"], 2);
+    cluster.run_expecting_code(&["submit", "--team", "nobody"], 3);
     // A second cluster in the same directory is refused.
     let mut second = start(&dir, port + 50);
     assert_eq!(second.child.wait().expect("it ends").code(), Some(1));
-    up.end("-INT");
-    none_left(&dir.display().to_string());
+    cluster.stop("-INT");
+    assert_no_process_left(&dir.display().to_string());
     // After a restart the cluster knows its jobs and runs unfinished tasks again. A cluster that is
     // killed with SIGKILL leaves no process behind either, not even the children of a task.
-    let up = start(&dir, port);
-    assert!(up.says(&["job", "job-1"], 0).contains("is done"));
-    let mark = format!("beamhinge-mark-{}", std::process::id());
-    let line = format!("sh -c 'sleep 300; : {mark}' & sleep 300; : {mark}");
-    up.says(
+    let cluster = start(&dir, port);
+    assert!(cluster
+        .run_expecting_code(&["job", "job-1"], 0)
+        .contains("is done"));
+    let marker = format!("beamhinge-mark-{}", std::process::id());
+    let line = format!("sh -c 'sleep 300; : {marker}' & sleep 300; : {marker}");
+    cluster.run_expecting_code(
         &["submit", "--team", "home", "--id", "job-3", "--", &line],
         0,
     );
-    let until = Instant::now() + Duration::from_secs(30);
-    while with(&mark).len() < 2 && Instant::now() < until {
+    let deadline = Instant::now() + Duration::from_secs(30);
+    while processes_with(&marker).len() < 2 && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert!(with(&mark).len() >= 2, "the task and its child process run");
-    up.end("-KILL");
-    none_left(&mark);
-    none_left(&dir.display().to_string());
+    assert!(
+        processes_with(&marker).len() >= 2,
+        "the task and its child process run"
+    );
+    cluster.stop("-KILL");
+    assert_no_process_left(&marker);
+    assert_no_process_left(&dir.display().to_string());
     std::fs::remove_dir_all(&dir).expect("remove directory");
 }
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -39,7 +39,7 @@
     },
     /// The file has no context of this name.
     #[error("{file} has no context '{name}'; it has: {known}")]
-    NoContext {
+    UnknownContext {
         /// The requested name.
         name: String,
         /// The file.
@@ -49,16 +49,16 @@
     },
     /// The text is not an IPv4 address with a port.
     #[error("'{0}' is not the IP:PORT address of a controller's admin API")]
-    Address(String),
+    InvalidAddress(String),
     /// The key file cannot be used.
     #[error(transparent)]
     Key(#[from] KeyError),
     /// The key file contains several keys and the context names none of them.
     #[error("{0} contains several keys ({1}); choose one with key_name or --key-name")]
-    WhichKey(PathBuf, String),
+    AmbiguousKey(PathBuf, String),
     /// The key file contains no key of this name.
     #[error("{0} contains no key named '{1}'")]
-    NoKey(PathBuf, String),
+    KeyNotFound(PathBuf, String),
 }
 
 /// An invalid entry of the configuration file.
@@ -121,13 +121,13 @@
 }
 
 /// Parses addresses separated by commas or spaces.
-fn addresses(text: &str) -> Result<Vec<SocketAddrV4>, ConfigError> {
+fn parse_addresses(text: &str) -> Result<Vec<SocketAddrV4>, ConfigError> {
     let words = text
         .split([',', ' '])
         .map(str::trim)
         .filter(|w| !w.is_empty());
     words
-        .map(|w| w.parse().map_err(|_| ConfigError::Address(w.into())))
+        .map(|w| w.parse().map_err(|_| ConfigError::InvalidAddress(w.into())))
         .collect()
 }
 
@@ -182,7 +182,7 @@
     };
     for (key, value) in entries.iter() {
         match key {
-            "controllers" => context.controllers = addresses(value)?,
+            "controllers" => context.controllers = parse_addresses(value)?,
             "key" => context.key = Some(PathBuf::from(value.trim())),
             "key_name" => context.key_name = Some(value.trim().into()),
             other => {
@@ -205,11 +205,11 @@
 /// # Errors
 ///
 /// Returns [`ConfigError`] if the file cannot be used or the context does not exist.
-pub fn choose(overrides: &Overrides) -> Result<Context, ConfigError> {
+pub fn choose_context(overrides: &Overrides) -> Result<Context, ConfigError> {
     let file = overrides.file.clone().or_else(default_file);
-    let named = overrides.file.is_some();
+    let is_explicit = overrides.file.is_some();
     let (contexts, current) = match &file {
-        Some(path) if named || path.exists() => {
+        Some(path) if is_explicit || path.exists() => {
             let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
                 file: path.clone(),
                 source,
@@ -218,13 +218,13 @@
         }
         _ => (Vec::new(), None),
     };
-    let wanted = overrides.context.clone().or(current);
-    let mut context = match wanted {
+    let requested = overrides.context.clone().or(current);
+    let mut context = match requested {
         Some(name) => {
             let known: Vec<&str> = contexts.iter().map(|c| c.name.as_str()).collect();
             let known = known.join(", ");
             let found = contexts.iter().find(|c| c.name == name).cloned();
-            found.ok_or_else(|| ConfigError::NoContext {
+            found.ok_or_else(|| ConfigError::UnknownContext {
                 name,
                 file: file.unwrap_or_default(),
                 known,
@@ -240,9 +240,9 @@
         }),
     };
     if let Some(text) = &overrides.controllers {
-        context.controllers = addresses(text)?;
+        context.controllers = parse_addresses(text)?;
         if context.controllers.is_empty() {
-            return Err(ConfigError::Address(text.clone()));
+            return Err(ConfigError::InvalidAddress(text.clone()));
         }
     }
     if overrides.key.is_some() {
@@ -274,9 +274,9 @@
         match &self.key_name {
             Some(name) => match keys.into_iter().find(|k| k.name == *name) {
                 Some(key) => Ok(Some(key)),
-                None => Err(ConfigError::NoKey(path.clone(), name.clone())),
+                None => Err(ConfigError::KeyNotFound(path.clone(), name.clone())),
             },
-            None if keys.len() > 1 => Err(ConfigError::WhichKey(path.clone(), names)),
+            None if keys.len() > 1 => Err(ConfigError::AmbiguousKey(path.clone(), names)),
             None => Ok(keys.pop()),
         }
     }
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -22,7 +22,7 @@
     Closed,
     /// The response cannot be parsed.
     #[error("the response cannot be parsed")]
-    Form,
+    MalformedResponse,
 }
 
 /// A connection that sends JSON, or CBOR as the platform's users do.
@@ -33,12 +33,12 @@
 }
 
 /// Time until the deadline, or [`ConnectionError::TimedOut`] if it has passed.
-fn left(deadline: Instant) -> Result<Duration, ConnectionError> {
-    let left = deadline.saturating_duration_since(Instant::now());
-    if left.is_zero() {
+fn remaining_time(deadline: Instant) -> Result<Duration, ConnectionError> {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if remaining.is_zero() {
         Err(ConnectionError::TimedOut)
     } else {
-        Ok(left)
+        Ok(remaining)
     }
 }
 
@@ -49,7 +49,7 @@
     ///
     /// Returns [`ConnectionError`] if the connection cannot be opened before the deadline.
     pub fn open(addr: SocketAddrV4, deadline: Instant) -> Result<Connection, ConnectionError> {
-        let stream = TcpStream::connect_timeout(&SocketAddr::V4(addr), left(deadline)?)?;
+        let stream = TcpStream::connect_timeout(&SocketAddr::V4(addr), remaining_time(deadline)?)?;
         stream.set_nodelay(true)?;
         Ok(Connection {
             stream,
@@ -79,7 +79,7 @@
         authorization: Option<&str>,
         deadline: Instant,
     ) -> Result<Response, ConnectionError> {
-        let mut out = Vec::with_capacity(512 + body.len());
+        let mut encoded = Vec::with_capacity(512 + body.len());
         let head = http::RequestHead {
             method,
             path,
@@ -87,20 +87,22 @@
             content: self.content,
             authorization,
         };
-        http::write_request(&mut out, &head, body);
-        self.stream.set_write_timeout(Some(left(deadline)?))?;
-        self.stream.write_all(&out)?;
-        let (mut buf, mut chunk) = (Vec::new(), [0u8; 16 * 1024]);
+        http::write_request(&mut encoded, &head, body);
+        self.stream
+            .set_write_timeout(Some(remaining_time(deadline)?))?;
+        self.stream.write_all(&encoded)?;
+        let (mut received, mut chunk) = (Vec::new(), [0u8; 16 * 1024]);
         loop {
-            if let Some(r) = http::take_response(&mut buf, MAX_RESPONSE_BYTES)
-                .map_err(|_| ConnectionError::Form)?
+            if let Some(r) = http::take_response(&mut received, MAX_RESPONSE_BYTES)
+                .map_err(|_| ConnectionError::MalformedResponse)?
             {
                 return Ok(r);
             }
-            self.stream.set_read_timeout(Some(left(deadline)?))?;
+            self.stream
+                .set_read_timeout(Some(remaining_time(deadline)?))?;
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Err(ConnectionError::Closed),
-                Ok(n) => buf.extend_from_slice(&chunk[..n]),
+                Ok(n) => received.extend_from_slice(&chunk[..n]),
                 Err(e)
                     if matches!(
                         e.kind(),
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -127,7 +127,7 @@
 }
 
 /// Generates a random job id in the format that the protocol requires.
-pub fn draw_job_id() -> String {
+pub fn generate_job_id() -> String {
     format!(
         "job-{:015}",
         rand::thread_rng().gen_range(1..1_000_000_000_000_000u64)
@@ -251,28 +251,28 @@
         let request = Request { method, path, body };
         let total_s = self.timeouts.total.as_secs_f64();
         let mut call = Call::new(self.now_s());
-        self.routing.begin();
+        self.routing.begin_call();
         loop {
             let waited_s = self.now_s() - call.started_s;
             if waited_s >= total_s {
                 return Err(call.timed_out(waited_s));
             }
-            let at = match self.routing.next(self.now_s()) {
-                RoutingDecision::Try(at) => at,
+            let index = match self.routing.next(self.now_s()) {
+                RoutingDecision::Try(index) => index,
                 RoutingDecision::Wait(seconds) => {
                     self.pause(seconds.min(total_s - waited_s).max(0.0), &call.last_error);
                     continue;
                 }
             };
-            let left = Duration::from_secs_f64((total_s - waited_s).max(MIN_ATTEMPT_S));
-            match self.attempt(at, &request, left.min(self.timeouts.per_attempt)) {
+            let remaining = Duration::from_secs_f64((total_s - waited_s).max(MIN_ATTEMPT_S));
+            match self.attempt(index, &request, remaining.min(self.timeouts.per_attempt)) {
                 Ok(response) => {
                     call.reached = true;
-                    if let Some(body) = self.on_response(at, response, &mut call)? {
+                    if let Some(body) = self.on_response(index, response, &mut call)? {
                         return Ok(body);
                     }
                 }
-                Err(error) => self.on_failed_attempt(at, &error, &mut call),
+                Err(error) => self.on_failed_attempt(index, &error, &mut call),
             }
         }
     }
@@ -285,28 +285,28 @@
         std::thread::sleep(Duration::from_secs_f64(seconds));
     }
 
-    fn on_failed_attempt(&mut self, at: usize, error: &ConnectionError, call: &mut Call) {
-        call.last_error = format!("{}: {error}", self.routing.addr(at));
+    fn on_failed_attempt(&mut self, index: usize, error: &ConnectionError, call: &mut Call) {
+        call.last_error = format!("{}: {error}", self.routing.addr(index));
         self.report_once(call);
-        self.connections[at] = None;
-        self.instances[at] = None;
+        self.connections[index] = None;
+        self.instances[index] = None;
         let now = self.now_s();
-        self.routing.record(now, at, Outcome::Failed);
+        self.routing.record(now, index, Outcome::Failed);
     }
 
     /// Returns the body of a successful response, `None` if the call is to be retried, or the error
     /// that ends the call.
     fn on_response(
         &mut self,
-        at: usize,
+        index: usize,
         response: Response,
         call: &mut Call,
     ) -> Result<Option<Vec<u8>>, ClientError> {
-        let addr = self.routing.addr(at);
+        let addr = self.routing.addr(index);
         let now = self.now_s();
         let status = response.status;
         if (200..300).contains(&status) {
-            self.routing.record(now, at, Outcome::Answered);
+            self.routing.record(now, index, Outcome::Answered);
             self.last_controller = Some(addr);
             return Ok(Some(response.body));
         }
@@ -314,9 +314,9 @@
         match (status, problem.code) {
             (401, Code::OtherInstance) => {
                 // The next signature needs the new instance id, so it must be fetched again.
-                self.instances[at] = None;
+                self.instances[index] = None;
                 call.last_error = format!("{addr}: the controller was restarted");
-                self.routing.record(now, at, Outcome::Restarted);
+                self.routing.record(now, index, Outcome::Restarted);
             }
             (401 | 403, _) => return Err(ClientError::Denied(problem)),
             (404, _) => return Err(ClientError::NotFound(problem.error)),
@@ -324,7 +324,7 @@
                 call.last_error = format!("{addr}: {}", problem.error);
                 self.report_once(call);
                 let outcome = Outcome::Busy(response.retry_after);
-                self.routing.record(now, at, outcome);
+                self.routing.record(now, index, outcome);
             }
             _ => return Err(ClientError::Refused { status, problem }),
         }
@@ -340,32 +340,32 @@
 
     fn attempt(
         &mut self,
-        at: usize,
+        index: usize,
         request: &Request,
         timeout: Duration,
     ) -> Result<Response, ConnectionError> {
         let deadline = Instant::now() + timeout;
-        if self.key.is_some() && self.instances[at].is_none() {
+        if self.key.is_some() && self.instances[index].is_none() {
             let hello = Request {
                 method: Method::Get,
                 path: "/v1/hello",
                 body: &[],
             };
-            let response = self.send(at, &hello, None, deadline)?;
-            let hello: ServerInfo =
-                serde_json::from_slice(&response.body).map_err(|_| ConnectionError::Form)?;
-            self.instances[at] = Some(hello.instance);
+            let response = self.send(index, &hello, None, deadline)?;
+            let hello: ServerInfo = serde_json::from_slice(&response.body)
+                .map_err(|_| ConnectionError::MalformedResponse)?;
+            self.instances[index] = Some(hello.instance);
         }
-        let signature = match (&self.key, &self.instances[at]) {
+        let signature = match (&self.key, &self.instances[index]) {
             (Some(key), Some(instance)) => Some(sign(key, instance, request)),
             _ => None,
         };
-        self.send(at, request, signature.as_deref(), deadline)
+        self.send(index, request, signature.as_deref(), deadline)
     }
 
     fn send(
         &mut self,
-        at: usize,
+        index: usize,
         request: &Request,
         signature: Option<&str>,
         deadline: Instant,
@@ -373,18 +373,18 @@
         let Request { method, path, body } = *request;
         // The controller may have closed an idle connection, which does not mean that it is
         // unreachable: a failure on a reused connection leads to an immediate retry on a new one.
-        if let Some(mut kept) = self.connections[at].take() {
-            if let Ok(response) = kept.exchange(method, path, body, signature, deadline) {
+        if let Some(mut reused) = self.connections[index].take() {
+            if let Ok(response) = reused.exchange(method, path, body, signature, deadline) {
                 if !response.close {
-                    self.connections[at] = Some(kept);
+                    self.connections[index] = Some(reused);
                 }
                 return Ok(response);
             }
         }
-        let mut opened = Connection::open(self.routing.addr(at), deadline)?;
-        let response = opened.exchange(method, path, body, signature, deadline)?;
+        let mut new_connection = Connection::open(self.routing.addr(index), deadline)?;
+        let response = new_connection.exchange(method, path, body, signature, deadline)?;
         if !response.close {
-            self.connections[at] = Some(opened);
+            self.connections[index] = Some(new_connection);
         }
         Ok(response)
     }
@@ -485,14 +485,14 @@
 
 /// Appends an escaped query to a path; parameters with empty values are omitted.
 pub fn with_query(path: &str, query: &[(&str, String)]) -> String {
-    let mut words = form_urlencoded::Serializer::new(String::new());
-    let mut any = false;
+    let mut pairs = form_urlencoded::Serializer::new(String::new());
+    let mut has_pairs = false;
     for (name, value) in query.iter().filter(|(_, v)| !v.is_empty()) {
-        words.append_pair(name, value);
-        any = true;
+        pairs.append_pair(name, value);
+        has_pairs = true;
     }
-    if any {
-        format!("{path}?{}", words.finish())
+    if has_pairs {
+        format!("{path}?{}", pairs.finish())
     } else {
         path.to_string()
     }
--- a/crates/client/src/routing.rs
+++ b/crates/client/src/routing.rs
@@ -76,32 +76,34 @@
     }
 
     /// Address of the controller at this index.
-    pub fn addr(&self, at: usize) -> SocketAddrV4 {
-        self.endpoints[at].addr
+    pub fn addr(&self, index: usize) -> SocketAddrV4 {
+        self.endpoints[index].addr
     }
 
     /// Begins a call and resets the restart counters.
-    pub fn begin(&mut self) {
-        self.endpoints.iter_mut().for_each(|e| e.restarts = 0);
+    pub fn begin_call(&mut self) {
+        self.endpoints
+            .iter_mut()
+            .for_each(|endpoint| endpoint.restarts = 0);
     }
 
     /// Decides the next step at time `now`, in seconds.
     pub fn next(&mut self, now: f64) -> RoutingDecision {
-        let n = self.endpoints.len();
-        let available = (0..n)
-            .map(|i| (self.preferred + i) % n)
+        let count = self.endpoints.len();
+        let available = (0..count)
+            .map(|i| (self.preferred + i) % count)
             .find(|i| self.endpoints[*i].retry_at <= now);
-        if let Some(at) = available {
-            return RoutingDecision::Try(at);
+        if let Some(index) = available {
+            return RoutingDecision::Try(index);
         }
-        let soonest = self
+        let earliest = self
             .endpoints
             .iter()
-            .map(|e| e.retry_at)
+            .map(|endpoint| endpoint.retry_at)
             .fold(f64::INFINITY, f64::min);
-        if soonest.is_finite() {
+        if earliest.is_finite() {
             // Jitter of up to 50% spreads the retries of clients that wait for the same controller.
-            let wait = (soonest - now).max(0.01);
+            let wait = (earliest - now).max(0.01);
             RoutingDecision::Wait(wait * self.rng.gen_range(1.0..1.5))
         } else {
             RoutingDecision::Wait(MAX_BACKOFF_S)
@@ -109,8 +111,8 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn record(&mut self, now: f64, at: usize, outcome: Outcome) {
-        let Some(e) = self.endpoints.get_mut(at) else {
+    pub fn record(&mut self, now: f64, index: usize, outcome: Outcome) {
+        let Some(endpoint) = self.endpoints.get_mut(index) else {
             return;
         };
         let backoff = |failures: u32| {
@@ -118,23 +120,23 @@
         };
         match outcome {
             Outcome::Answered => {
-                (e.failures, e.retry_at) = (0, 0.0);
-                self.preferred = at;
+                (endpoint.failures, endpoint.retry_at) = (0, 0.0);
+                self.preferred = index;
             }
             Outcome::Failed => {
-                e.retry_at = now + backoff(e.failures) * self.rng.gen_range(0.5..1.0);
-                e.failures += 1;
+                endpoint.retry_at = now + backoff(endpoint.failures) * self.rng.gen_range(0.5..1.0);
+                endpoint.failures += 1;
             }
             Outcome::Busy(retry_after) => {
-                let asked = retry_after.map_or(0.0, f64::from).min(MAX_RETRY_AFTER_S);
-                let own = backoff(e.failures) * self.rng.gen_range(0.5..1.0);
-                e.retry_at = now + asked.max(own);
-                e.failures += 1;
+                let requested = retry_after.map_or(0.0, f64::from).min(MAX_RETRY_AFTER_S);
+                let computed = backoff(endpoint.failures) * self.rng.gen_range(0.5..1.0);
+                endpoint.retry_at = now + requested.max(computed);
+                endpoint.failures += 1;
             }
             Outcome::Restarted => {
-                e.restarts += 1;
-                if e.restarts > 2 {
-                    e.retry_at = now + backoff(e.restarts);
+                endpoint.restarts += 1;
+                if endpoint.restarts > 2 {
+                    endpoint.retry_at = now + backoff(endpoint.restarts);
                 }
             }
         }
--- a/crates/client/src/routing/tests.rs
+++ b/crates/client/src/routing/tests.rs
@@ -12,13 +12,13 @@
 
 #[test]
 fn failure_moves_on_and_the_answering_controller_is_preferred() {
-    let mut r = routing(3);
-    assert_eq!(r.next(0.0), RoutingDecision::Try(0));
-    r.record(0.0, 0, Outcome::Failed);
-    assert_eq!(r.next(0.0), RoutingDecision::Try(1));
-    r.record(0.0, 1, Outcome::Answered);
+    let mut router = routing(3);
+    assert_eq!(router.next(0.0), RoutingDecision::Try(0));
+    router.record(0.0, 0, Outcome::Failed);
+    assert_eq!(router.next(0.0), RoutingDecision::Try(1));
+    router.record(0.0, 1, Outcome::Answered);
     assert_eq!(
-        r.next(100.0),
+        router.next(100.0),
         RoutingDecision::Try(1),
         "the preferred controller is kept"
     );
@@ -26,27 +26,27 @@
 
 #[test]
 fn retry_after_is_obeyed_up_to_the_maximum() {
-    let mut r = routing(1);
-    r.record(0.0, 0, Outcome::Busy(Some(3)));
-    let RoutingDecision::Wait(s) = r.next(0.0) else {
+    let mut router = routing(1);
+    router.record(0.0, 0, Outcome::Busy(Some(3)));
+    let RoutingDecision::Wait(s) = router.next(0.0) else {
         panic!("the controller sent Retry-After")
     };
     assert!((3.0..4.6).contains(&s), "{s}");
-    r.record(0.0, 0, Outcome::Busy(Some(86_400)));
+    router.record(0.0, 0, Outcome::Busy(Some(86_400)));
     assert!(matches!(
-        r.next(MAX_RETRY_AFTER_S + 0.1),
+        router.next(MAX_RETRY_AFTER_S + 0.1),
         RoutingDecision::Try(0)
     ));
 }
 
 #[test]
 fn backoff_grows_to_the_maximum_with_jitter() {
-    let mut r = routing(1);
+    let mut router = routing(1);
     let mut waits = Vec::new();
     let mut now = 0.0;
     for _ in 0..12 {
-        r.record(now, 0, Outcome::Failed);
-        let RoutingDecision::Wait(s) = r.next(now) else {
+        router.record(now, 0, Outcome::Failed);
+        let RoutingDecision::Wait(s) = router.next(now) else {
             panic!("the controller has just failed")
         };
         waits.push(s);
@@ -54,19 +54,19 @@
     }
     assert!(waits[0] < 0.35 && waits[11] > 1.0, "{waits:?}");
     assert!(waits.iter().all(|s| *s <= MAX_BACKOFF_S * 1.5), "{waits:?}");
-    let firsts: Vec<f64> = (0..20)
+    let first_retries: Vec<f64> = (0..20)
         .map(|seed| {
-            let mut r = routing(1);
-            r.rng = SmallRng::seed_from_u64(seed);
-            r.record(0.0, 0, Outcome::Failed);
-            r.endpoints[0].retry_at
+            let mut router = routing(1);
+            router.rng = SmallRng::seed_from_u64(seed);
+            router.record(0.0, 0, Outcome::Failed);
+            router.endpoints[0].retry_at
         })
         .collect();
-    let spread =
-        firsts.iter().fold(0.0f64, |a, b| a.max(*b)) - firsts.iter().fold(9.0f64, |a, b| a.min(*b));
+    let spread = first_retries.iter().fold(0.0f64, |a, b| a.max(*b))
+        - first_retries.iter().fold(9.0f64, |a, b| a.min(*b));
     assert!(
         spread > 0.05,
-        "clients retry at the same moment: {firsts:?}"
+        "clients retry at the same moment: {first_retries:?}"
     );
 }
 
@@ -74,10 +74,10 @@
 /// requests.
 #[test]
 fn repeated_restarts_lead_to_backoff() {
-    let mut r = routing(1);
+    let mut router = routing(1);
     for _ in 0..3 {
-        assert_eq!(r.next(0.0), RoutingDecision::Try(0));
-        r.record(0.0, 0, Outcome::Restarted);
+        assert_eq!(router.next(0.0), RoutingDecision::Try(0));
+        router.record(0.0, 0, Outcome::Restarted);
     }
-    assert!(matches!(r.next(0.0), RoutingDecision::Wait(_)));
+    assert!(matches!(router.next(0.0), RoutingDecision::Wait(_)));
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -111,11 +111,11 @@
     }
     // Distinguishes this process from earlier processes with the same label.
     let nonce = rand::thread_rng().gen_range(1..1u64 << 52);
-    let wiring = NetworkConfig::controller(
+    let network = NetworkConfig::controller(
         &settings,
         listener.map(|admin| (admin.listen, admin.max_connections)),
     );
-    EventLoop::new(wiring, move |now| {
+    EventLoop::new(network, move |now| {
         Node::new(settings, operator, keys, nonce, now)
     })?
     .run()?;
--- a/crates/daemon/tests/flags.rs
+++ b/crates/daemon/tests/flags.rs
@@ -5,20 +5,20 @@
 #[test]
 fn daemon_accepts_its_flags() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
-    for form in ["text", "json"] {
-        let done = Command::new(env!("CARGO_BIN_EXE_beamhinged"))
-            .args(["--check", "--log-format", form])
+    for log_format in ["text", "json"] {
+        let output = Command::new(env!("CARGO_BIN_EXE_beamhinged"))
+            .args(["--check", "--log-format", log_format])
             .args(["--config", &format!("{root}/crates/core/sample.toml")])
             .args(["--operator", &format!("{root}/deploy/operators.ini")])
             .output()
             .expect("the daemon runs");
         assert!(
-            done.status.success(),
+            output.status.success(),
             "{}",
-            String::from_utf8_lossy(&done.stderr)
+            String::from_utf8_lossy(&output.stderr)
         );
         assert_eq!(
-            String::from_utf8_lossy(&done.stdout),
+            String::from_utf8_lossy(&output.stdout),
             "settings are sound\n"
         );
     }
