--- a/crates/dev-cluster/src/controllers.rs
+++ b/crates/dev-cluster/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers as processes of this machine: started, stopped, ended by their ids.
+//! Runs controllers as local processes: starts, pauses and kills them by process id.
 
 use crate::ClusterError;
 use rustix::process::{kill_process, Pid, Signal};
@@ -10,27 +10,27 @@
 
 /// How controllers are started.
 pub struct ControllerProgram {
-    /// The program, and its first arguments.
+    /// Path of the program and its first arguments.
     pub program: (PathBuf, Vec<String>),
-    /// Where their files are: settings, operators' files and logs.
+    /// Directory of their settings files, operators' files and logs.
     pub dir: PathBuf,
-    /// What they log: a level or a filter.
+    /// Log level or filter of the controllers.
     pub log_level: String,
 }
 
-/// The files of one controller.
+/// Contents of the files of one controller.
 pub struct ControllerFiles<'a> {
     /// Its label.
     pub label: &'a str,
     /// The platform's settings (TOML).
     pub settings: &'a str,
-    /// Where it serves operators.
+    /// Address on which it serves operators.
     pub operators: SocketAddrV4,
-    /// Lines of the operators' INI after that.
+    /// Lines of the operators' INI file after the `listen` line.
     pub operator_lines: &'a str,
 }
 
-/// The controllers of one cluster, by their place. Dropping them ends their processes.
+/// The controllers of one cluster, by index. Dropping it kills their processes.
 pub struct Controllers {
     program: ControllerProgram,
     labels: Vec<String>,
@@ -46,7 +46,7 @@
 }
 
 impl Controllers {
-    /// No controllers yet.
+    /// Creates an empty set of controllers.
     #[must_use]
     pub fn new(program: ControllerProgram) -> Controllers {
         Controllers {
@@ -56,10 +56,10 @@
         }
     }
 
-    /// Writes the files of one more controller; returns its place.
+    /// Adds a controller and writes its files; returns its index.
     ///
     /// # Errors
-    /// When a file cannot be written.
+    /// If a file cannot be written.
     pub fn add(&mut self, files: &ControllerFiles) -> Result<usize, ClusterError> {
         let (dir, label) = (&self.program.dir, files.label);
         write(dir.join(format!("{label}.toml")), files.settings)?;
@@ -73,10 +73,10 @@
         Ok(self.labels.len() - 1)
     }
 
-    /// Starts one, if it does not run.
+    /// Starts a controller, if it does not run.
     ///
     /// # Errors
-    /// When its log cannot be opened or its program cannot be started.
+    /// If its log cannot be opened or its program cannot be started.
     pub fn start(&mut self, node: usize) -> Result<(), ClusterError> {
         if self.children[node].is_some() {
             return Ok(());
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Ends a controller as a power cut would.
+    /// Kills a controller without a shutdown, as a power failure would.
     pub fn kill(&mut self, node: usize) {
         if let Some(mut child) = self.children[node].take() {
             let _ = child.kill();
@@ -109,19 +109,19 @@
         }
     }
 
-    /// Lets a controller stand still, or go on.
+    /// Pauses a controller, or resumes it if `paused` is false.
     pub fn pause(&self, node: usize, paused: bool) {
         let signal = if paused { Signal::STOP } else { Signal::CONT };
         let pid = self
             .pid(node)
             .and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         if let Some(pid) = pid {
-            // One that has just ended needs no signal.
+            // The signal fails if the process has just exited, which is harmless.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Controllers that ended by themselves, which they never should.
+    /// Returns the controllers that have exited without being killed, which is always a fault.
     pub fn reap_exited(&mut self) -> Vec<usize> {
         let mut exited = Vec::new();
         for (node, child) in self.children.iter_mut().enumerate() {
@@ -136,19 +136,19 @@
         exited
     }
 
-    /// Where a controller logs.
+    /// Path of a controller's log file.
     #[must_use]
     pub fn log_of(&self, node: usize) -> PathBuf {
         self.program.dir.join(format!("{}.log", self.labels[node]))
     }
 
-    /// Process id of a controller that runs.
+    /// Process id of a controller; `None` if it does not run.
     #[must_use]
     pub fn pid(&self, node: usize) -> Option<u32> {
         self.children[node].as_ref().map(Child::id)
     }
 
-    /// Process ids of the controllers that run.
+    /// Process ids of the running controllers.
     #[must_use]
     pub fn pids(&self) -> Vec<u32> {
         self.children.iter().flatten().map(Child::id).collect()
--- a/crates/dev-cluster/src/deployment.rs
+++ b/crates/dev-cluster/src/deployment.rs
@@ -1,22 +1,22 @@
-//! What a deployment on loopback is made of, and the platform's settings file of each of its
+//! Describes a deployment on loopback and generates the platform's settings file of each of its
 //! controllers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 use std::net::SocketAddrV4;
 
-/// One controller: where it is and where it listens.
+/// The zone and addresses of one controller.
 #[derive(Clone, Debug)]
 pub struct NodePlace {
     /// Its label, a single letter.
     pub label: String,
-    /// The zone it stands in.
+    /// Its zone.
     pub zone: String,
-    /// Where it serves users and workers.
+    /// Address on which it serves users and workers.
     pub users: SocketAddrV4,
-    /// Where it serves other controllers.
+    /// Address on which it serves its peers.
     pub peers: SocketAddrV4,
-    /// Where it serves operators.
+    /// Address on which it serves operators.
     pub operators: SocketAddrV4,
 }
 
@@ -25,48 +25,49 @@
 pub struct TeamPlan {
     /// Its name.
     pub name: String,
-    /// CPUs that it is guaranteed.
+    /// Guaranteed CPUs.
     pub cpus: f64,
-    /// CPUs that it may use; zero: no limit.
+    /// Limit of CPUs; 0 means no limit.
     pub cpus_max: f64,
 }
 
-/// The published limits of the platform, as tables of scale runs have them too.
+/// The published limits of the platform. The tables of scale runs contain the same fields.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformLimits {
-    /// The workers' lease, seconds.
+    /// Duration of a worker's lease, seconds.
     pub lease_s: f64,
-    /// Time within which a cancelled task has to be gone, seconds.
+    /// Time within which a cancelled task must have stopped, seconds.
     pub cancel_s: f64,
-    /// Requests a second to the state service.
+    /// Maximum requests per second to the state service.
     pub state_rps: f64,
-    /// Writes a second to the state service.
+    /// Maximum writes per second to the state service.
     pub state_write_rps: f64,
-    /// Largest value in the state service, KB.
+    /// Maximum size of a value in the state service, KB.
     pub value_kb: f64,
-    /// Writes of one transaction.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: u32,
-    /// Requests a second to the cloud.
+    /// Maximum requests per second to the cloud.
     pub cloud_rps: f64,
-    /// How old the cloud's list is in the mean, seconds.
+    /// Mean age of the cloud's list of instances, seconds.
     pub list_lag_s: f64,
-    /// Memory of a controller, MB.
+    /// Memory limit of a controller, MB.
     pub ram_mb: f64,
 }
 
-/// Addresses at which one controller finds the others and what it needs.
+/// Addresses that one controller connects to.
 #[derive(Clone, Debug)]
 pub struct Links {
-    /// The state service.
+    /// Address of the state service.
     pub state: SocketAddrV4,
-    /// The cloud.
+    /// Address of the cloud.
     pub cloud: SocketAddrV4,
-    /// By the other controller's place in the deployment's list; its own is not used.
+    /// Addresses of the peers, by index in [`Deployment::nodes`]; the controller's own entry is
+    /// not used.
     pub peers: Vec<SocketAddrV4>,
 }
 
-/// All controllers and what they are told of the platform.
+/// All controllers and the parameters of the platform in their settings.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// The controllers.
@@ -79,22 +80,22 @@
     pub limits: PlatformLimits,
     /// Time between a worker's reports, seconds.
     pub report_s: f64,
-    /// Sockets that a controller may have open.
+    /// Maximum number of open connections of a controller.
     pub max_connections: u32,
 }
 
 impl Deployment {
-    /// The platform's settings (TOML) of one controller.
+    /// Generates the platform's settings (TOML) of one controller.
     #[must_use]
     pub fn settings(&self, node: usize, links: &Links) -> String {
         let mut text = String::new();
-        // Writing to a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = self.write_node(&mut text, node, links);
         let _ = self.write_parameters(&mut text);
         text
     }
 
-    /// Who the controller is, and whom it talks to.
+    /// Writes the controller's identity, its own addresses and the addresses it connects to.
     fn write_node(&self, text: &mut String, node: usize, links: &Links) -> std::fmt::Result {
         let own = &self.nodes[node];
         writeln!(text, "# Written by the program that starts this cluster.")?;
@@ -110,7 +111,7 @@
         writeln!(text, "state = \"{}\"", links.state)
     }
 
-    /// The platform's parameters, the same for all controllers.
+    /// Writes the platform's parameters, which are the same for all controllers.
     fn write_parameters(&self, text: &mut String) -> std::fmt::Result {
         let zones: Vec<String> = self.zones.iter().map(|z| format!("\"{z}\"")).collect();
         writeln!(text, "[params]\nzones = [{}]", zones.join(", "))?;
--- a/crates/dev-cluster/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -1,5 +1,5 @@
-//! A whole cluster on loopback: controllers as processes of their own, and the platform that
-//! they need in this process. What a newcomer starts and what the testbed kills are the same.
+//! A complete cluster on loopback: each controller is a separate process, and the emulated
+//! platform runs in this process. The local cluster of the CLI and the testbed both use it.
 
 pub mod controllers;
 pub mod deployment;
@@ -30,64 +30,67 @@
     #[error("cannot start {0}: {1}")]
     Start(PathBuf, io::Error),
     /// The platform cannot listen.
-    #[error("the stand-ins cannot start: {0}. Is another cluster running on these ports?")]
+    #[error("cannot start the emulated platform: {0}. Is another cluster running on these ports?")]
     Platform(#[from] EventLoopError),
-    /// The state service's log cannot be used.
-    #[error("the stand-ins cannot start: {0}")]
+    /// The log of the state service cannot be read or written.
+    #[error("cannot start the emulated platform: log of the state service: {0}")]
     Kept(io::Error),
-    /// The settings that were written are not accepted.
-    #[error("the stand-ins cannot start: {0}")]
+    /// The generated settings are invalid.
+    #[error("cannot start the emulated platform: {0}")]
     Settings(#[from] settings::SettingsError),
 }
 
-/// How a cluster is made.
+/// Configuration of a cluster.
 pub struct ClusterPlan {
-    /// Controllers, named by letters from `a`.
+    /// Number of controllers; their labels are letters starting at `a`.
     pub nodes: usize,
-    /// Machines that are there from the start, all of one type.
+    /// Number of owned machines, all of one type.
     pub machines: usize,
-    /// Machines of each zone that can be rented beside them.
+    /// Number of spot machines that can be rented in each zone, in addition to the owned ones; half
+    /// as many on-demand machines can be rented.
     pub rentable: u32,
     /// CPUs of a machine.
     pub cpus: f64,
     /// Boot time of a machine, seconds.
     pub boot_s: f64,
-    /// Where settings, logs and state are written.
+    /// Directory of the settings, logs and state.
     pub dir: PathBuf,
-    /// First of a hundred ports.
+    /// First of 100 consecutive ports that the cluster uses.
     pub port: u16,
-    /// Keep the state over an end.
+    /// Whether the state survives a restart of the cluster.
     pub kept: bool,
-    /// The program that is a controller, and its first arguments.
+    /// Path of the controller's program and its first arguments.
     pub controller: (PathBuf, Vec<String>),
-    /// How tasks' command lines are run; without it every task sleeps.
+    /// Program and first arguments that run the command lines of tasks; if `None`, tasks are
+    /// timers.
     pub keeper: Option<Vec<String>>,
     /// All teams.
     pub teams: Vec<TeamPlan>,
-    /// Violations of the protocol by the emulators that are asked for.
+    /// Protocol violations that the emulators commit deliberately.
     pub protocol_faults: ProtocolFaults,
-    /// Beside `[operators] listen`, lines of the operators' INI.
+    /// Lines of the operators' INI file after `[operators] listen`.
     pub operators: String,
-    /// What controllers log: a level or a filter.
+    /// Log level or filter of the controllers.
     pub log_level: String,
-    /// Of all draws of the platform.
+    /// Seed of the platform's random number generator.
     pub seed: u64,
 }
 
-/// Machines that may be there at once: so many addresses are kept for workers.
+/// Number of addresses reserved for workers, and so the maximum number of running machines.
 const MAX_WORKERS: u16 = 58;
 const ZONES: [&str; 2] = ["north", "south"];
-/// The one type of machine.
+/// Label of the only machine type.
 const MACHINE_TYPE: &str = "m";
-/// Memory of a machine, GB for each CPU.
+/// Memory of a machine, GB per CPU.
 const MEMORY_PER_CPU_GB: f64 = 4.0;
-/// Sockets that the platform may have open.
+/// Maximum number of open connections of the platform.
 const MAX_PLATFORM_CONNECTIONS: usize = 2_000;
 /// Time between a worker's reports, seconds.
 const REPORT_S: f64 = 0.5;
-/// Sockets that a controller may have open.
+/// Maximum number of open connections of a controller.
 const MAX_CONNECTIONS: u32 = 600;
-/// The platform of a newcomer's cluster: quick, so that a first look shows something.
+/// Limits of the platform of a local cluster. Its timings are short, so that a new user sees
+/// results quickly.
 const LIMITS: PlatformLimits = PlatformLimits {
     lease_s: 4.0,
     cancel_s: 14.0,
@@ -100,13 +103,13 @@
     ram_mb: 256.0,
 };
 
-/// A cluster that runs; dropping it ends everything.
+/// A running cluster; dropping it stops all its processes and the platform.
 pub struct Cluster {
     plan: ClusterPlan,
     controllers: Controllers,
     running: Arc<AtomicBool>,
     platform: Option<JoinHandle<()>>,
-    /// Faults for the platform.
+    /// Channel for faults to inject into the platform.
     faults: mpsc::Sender<PlatformFault>,
 }
 
@@ -123,13 +126,13 @@
         loopback(self.port + 10 * (node as u16 + 1) + listener)
     }
 
-    /// Where a controller serves operators.
+    /// Address on which a controller serves operators.
     #[must_use]
     pub fn operators_of(&self, node: usize) -> SocketAddrV4 {
         self.address_of(node, 0)
     }
 
-    /// Where a controller serves users and workers.
+    /// Address on which a controller serves users and workers.
     #[must_use]
     pub fn users_of(&self, node: usize) -> SocketAddrV4 {
         self.address_of(node, 1)
@@ -139,13 +142,13 @@
         self.address_of(node, 2)
     }
 
-    /// Where the state service listens.
+    /// Address of the state service.
     #[must_use]
     pub fn state(&self) -> SocketAddrV4 {
         loopback(self.port + 1)
     }
 
-    /// Where the cloud listens.
+    /// Address of the cloud.
     #[must_use]
     pub fn cloud(&self) -> SocketAddrV4 {
         loopback(self.port + 2)
@@ -178,7 +181,7 @@
         }
     }
 
-    /// What the platform listens on.
+    /// The listeners and network settings of the platform.
     fn network(&self, platform: &PlatformConfig) -> NetworkConfig {
         let mut addresses = vec![self.state(), self.cloud()];
         addresses.extend(&platform.worker_addresses);
@@ -240,11 +243,11 @@
 }
 
 impl Cluster {
-    /// Writes the settings, starts the platform and all controllers. `observer` hears of what
-    /// happens on machines.
+    /// Writes the settings and starts the platform and all controllers. `observer` is called for
+    /// every task event on the machines.
     ///
     /// # Errors
-    /// When a file cannot be written, the platform cannot listen, or a controller's program
+    /// If a file cannot be written, the platform cannot listen, or a controller's program
     /// cannot be started.
     pub fn start(plan: ClusterPlan, observer: MachineObserver) -> Result<Cluster, ClusterError> {
         std::fs::create_dir_all(&plan.dir).map_err(|e| ClusterError::File(plan.dir.clone(), e))?;
@@ -265,7 +268,7 @@
         Ok(cluster)
     }
 
-    /// How the cluster was made.
+    /// The configuration of the cluster.
     #[must_use]
     pub fn plan(&self) -> &ClusterPlan {
         &self.plan
@@ -274,34 +277,34 @@
     /// Starts a controller, if it does not run.
     ///
     /// # Errors
-    /// When its program cannot be started.
+    /// If its log cannot be opened or its program cannot be started.
     pub fn start_node(&mut self, node: usize) -> Result<(), ClusterError> {
         self.controllers.start(node)
     }
 
-    /// Ends a controller as a power cut would.
+    /// Kills a controller without a shutdown, as a power failure would.
     pub fn kill_node(&mut self, node: usize) {
         self.controllers.kill(node);
     }
 
-    /// Has the platform suffer a fault.
+    /// Injects a fault into the platform.
     pub fn inject(&self, fault: PlatformFault) {
-        // A platform that is gone has no more faults.
+        // Sending fails if the platform has stopped, in which case the fault has no effect.
         let _ = self.faults.send(fault);
     }
 
-    /// Controllers that ended by themselves, which they never should.
+    /// Returns the controllers that have exited without being killed, which is always a fault.
     pub fn reap_exited(&mut self) -> Vec<usize> {
         self.controllers.reap_exited()
     }
 
-    /// Where a controller logs.
+    /// Path of a controller's log file.
     #[must_use]
     pub fn log_of(&self, node: usize) -> PathBuf {
         self.controllers.log_of(node)
     }
 
-    /// Process ids of the controllers that run.
+    /// Process ids of the running controllers.
     #[must_use]
     pub fn processes(&self) -> Vec<u32> {
         self.controllers.pids()
@@ -318,7 +321,7 @@
     }
 }
 
-/// Writes the files of all controllers.
+/// Writes the settings files and operators' files of all controllers.
 fn write_settings(plan: &ClusterPlan) -> Result<Controllers, ClusterError> {
     let (deployment, links) = (plan.deployment(), plan.links());
     let mut controllers = Controllers::new(ControllerProgram {
@@ -338,7 +341,7 @@
     Ok(controllers)
 }
 
-/// Starts the platform on a thread of its own, until `running` is false.
+/// Starts the platform on a new thread, where it runs until `running` is false.
 fn start_platform(
     plan: &ClusterPlan,
     faults: mpsc::Receiver<PlatformFault>,
@@ -353,7 +356,8 @@
     };
     let network = plan.network(&platform);
     let (started, outcome) = mpsc::channel();
-    // The loop is made where it runs: what it holds stays on one thread.
+    // The event loop is created on the thread that runs it, so that its contents stay on one
+    // thread.
     let thread = std::thread::spawn(move || {
         let made = EventLoop::try_new(network, |now| Platform::new(platform, observer, now));
         let event_loop = match made {
--- a/crates/emulator/src/cloud.rs
+++ b/crates/emulator/src/cloud.rs
@@ -1,5 +1,5 @@
 //! Emulator of the cloud: finite capacity, boot times, a rate limit, and a list of instances
-//! that lags behind and may go back in time.
+//! that is stale and may show an older state than the previous list did.
 
 pub(crate) mod protocol;
 
@@ -12,37 +12,37 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Instances on one page of the list (PROTOCOL).
+/// Maximum number of instances on one page of the list (PROTOCOL).
 const MAX_PAGE: usize = 500;
-/// The list is exact until then: simulated time begins after one hour, and the cluster's
-/// first look finds the machines that were there before it.
+/// Until this time the list is exact. Simulated time starts at one hour, and the controllers'
+/// first request must find the machines that existed before.
 const EXACT_UNTIL: Micros = 3_600 * SECOND + 5 * SECOND;
-/// Boot time of an instance whose type is not offered, seconds.
+/// Boot time of an instance whose type is unknown, seconds.
 const DEFAULT_BOOT_S: f64 = 10.0;
-/// Boot times are drawn evenly between these parts of the stated one.
+/// Range of the uniformly distributed factor applied to the type's boot time.
 const BOOT_SPREAD: std::ops::Range<f64> = 0.6..1.5;
 
-/// One machine of the cloud.
+/// One machine rented from the cloud or owned.
 #[derive(Clone, Debug)]
 pub struct Instance {
     /// Label of its type.
     pub machine_type: String,
-    /// Zone it stands in.
+    /// Its zone.
     pub zone: String,
     /// Whether the cloud may reclaim it.
     pub spot: bool,
     /// When it was created.
     pub created: Micros,
-    /// From when on it is up; never for one whose boot is stuck.
+    /// When it has booted; `Micros::MAX` if its boot is stuck.
     pub up: Micros,
-    /// From when on the list calls it failed: it stopped by itself.
+    /// When it failed, after which the list reports it as failed; `None` if it has not failed.
     pub failed_at: Option<Micros>,
 }
 
 /// A type of machine that the cloud offers.
 #[derive(Clone, Debug)]
 pub struct InstanceType {
-    /// Its name.
+    /// Its label.
     pub label: String,
     /// CPUs.
     pub cpus: f64,
@@ -52,23 +52,23 @@
     pub price: f64,
     /// Price of a spot instance.
     pub spot_price: f64,
-    /// Mean boot time, seconds.
+    /// Nominal boot time, seconds.
     pub boot_s: f64,
 }
 
-/// Instances of one type and zone that are sold alike.
+/// Instances that share a capacity limit: of one type and zone, all spot or all on-demand.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CapacityPool {
     /// Label of the type.
     pub machine_type: String,
     /// The zone.
     pub zone: String,
-    /// Spot or on-demand.
+    /// Whether its instances are spot; else they are on-demand.
     pub spot: bool,
 }
 
 impl CapacityPool {
-    /// The pool of that type, zone and kind of sale.
+    /// Creates a pool of this type and zone, spot or on-demand.
     pub fn new(machine_type: impl Into<String>, zone: impl Into<String>, spot: bool) -> Self {
         CapacityPool {
             machine_type: machine_type.into(),
@@ -84,43 +84,43 @@
     }
 }
 
-/// The cloud.
+/// The emulated cloud.
 pub struct Cloud {
-    /// What it offers.
+    /// The instance types that it offers.
     pub instance_types: Vec<InstanceType>,
     /// Its zones.
     pub zones: Vec<String>,
-    /// How many instances of each pool there can be at once.
+    /// Maximum number of instances of each pool at the same time.
     pub capacity: BTreeMap<CapacityPool, u32>,
     /// All instances, by number.
     pub instances: BTreeMap<u64, Instance>,
     next: u64,
-    /// Answers to scale-outs by their idempotency keys.
+    /// Names returned for each scale-out request, by its idempotency key.
     answers: BTreeMap<String, Vec<String>>,
     rps: f64,
-    /// Requests that may come at once now.
+    /// Tokens of the rate limit.
     tokens: f64,
     refilled: Micros,
     list_lag: Micros,
-    /// Earlier states that a list may still show, oldest first.
+    /// Past states that a list may still show, oldest first.
     snapshots: VecDeque<(Micros, BTreeMap<u64, Instance>)>,
-    /// Where a machine's worker listens, when it is not the simulated address.
+    /// Endpoints of the workers that do not use the simulated endpoint, by machine number.
     pub endpoints: BTreeMap<u64, String>,
-    /// Created since they were last taken, and when they are up.
+    /// Instances created since the last [`Cloud::take_created`], and when they have booted.
     created: Vec<(u64, Micros)>,
-    /// Gone since they were last taken.
+    /// Instances released since the last [`Cloud::take_released`].
     gone: Vec<u64>,
-    /// So many of the next instances never come up.
+    /// Number of upcoming instances that never finish booting.
     pub stuck_boots: u32,
-    /// The part of its capacity that the cloud has to give.
+    /// Fraction of the capacity that is available.
     pub capacity_fraction: f64,
-    /// It answers 503 until then.
+    /// The cloud answers 503 until this time.
     pub down_until: Micros,
-    /// Scale-outs are called malformed until then.
+    /// Scale-out requests are rejected as malformed until this time.
     pub rejects_scale_out_until: Micros,
-    /// The most instances that there ever were at once.
+    /// Highest number of instances that existed at the same time.
     pub peak_instances: u32,
-    /// What a controller did against the protocol.
+    /// Protocol violations by controllers, as text.
     pub violations: Vec<String>,
 }
 
@@ -129,14 +129,14 @@
     format!("n-{id:06}")
 }
 
-/// The number of the machine with this name.
+/// The number of the machine with this name; `None` if the name is invalid.
 fn number(name: &str) -> Option<u64> {
     name.strip_prefix("n-")?.parse().ok()
 }
 
 impl Cloud {
-    /// An empty cloud; `rps`: requests a second that it serves, `list_lag_s`: how old its
-    /// list is in the mean.
+    /// Creates a cloud without instances. `rps` is its rate limit in requests per second,
+    /// `list_lag_s` the mean age of its list in seconds.
     #[must_use]
     pub fn new(rps: f64, list_lag_s: f64) -> Cloud {
         Cloud {
@@ -163,7 +163,8 @@
         }
     }
 
-    /// Creates an instance; its boot takes `boot`, or for ever. Returns its number.
+    /// Creates an instance that boots for `boot`, or never finishes booting if that is `None`.
+    /// Returns its number.
     pub fn add(&mut self, now: Micros, pool: &CapacityPool, boot: Option<Micros>) -> u64 {
         let id = self.next;
         self.next += 1;
@@ -191,7 +192,7 @@
         self.gone.push(id);
     }
 
-    /// The instance with this number and its type, if it is up.
+    /// The instance with this number and its type; `None` if it is not running.
     #[must_use]
     pub fn booted(&self, now: Micros, id: u64) -> Option<(Instance, InstanceType)> {
         let instance = self
@@ -203,23 +204,23 @@
         Some((instance.clone(), instance_type.clone()))
     }
 
-    /// The number of the next machine: no name is ever given twice.
+    /// The number of the next machine. Names of machines are never reused.
     #[must_use]
     pub fn next_machine(&self) -> u64 {
         self.next
     }
 
-    /// Numbers below this one are not given any more.
+    /// Excludes numbers below `next` from being assigned to new machines.
     pub fn skip_machines_below(&mut self, next: u64) {
         self.next = self.next.max(next);
     }
 
-    /// Instances created since the last call, and when they are up.
+    /// Returns the instances created since the last call, and when they have booted.
     pub fn take_created(&mut self) -> Vec<(u64, Micros)> {
         std::mem::take(&mut self.created)
     }
 
-    /// Instances released since the last call.
+    /// Returns the instances released since the last call.
     pub fn take_released(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.gone)
     }
@@ -263,7 +264,7 @@
         response(status, &body)
     }
 
-    /// Whether the rate limit allows a request now.
+    /// Takes a token for a request; `false` if the rate limit rejects it.
     fn take_token(&mut self, now: Micros) -> bool {
         let passed = now.saturating_sub(self.refilled) as f64 / 1e6;
         self.refilled = now;
@@ -277,7 +278,7 @@
 
     fn keep_snapshot(&mut self, now: Micros) {
         self.snapshots.push_back((now, self.instances.clone()));
-        // The oldest state that a list may still show is kept, and none before it.
+        // Keep the oldest state that a list may still show, and drop all before it.
         let oldest = now.saturating_sub(2 * self.list_lag);
         while self.snapshots.get(1).is_some_and(|(at, _)| *at <= oldest) {
             self.snapshots.pop_front();
@@ -285,7 +286,7 @@
     }
 
     fn list(&mut self, now: Micros, page: &PageQuery, rng: &mut StdRng) -> Value {
-        // The list is as old as it likes, up to twice its lag.
+        // The age of the list is uniformly distributed up to twice the mean lag.
         let age = rng.gen_range(0..=2 * self.list_lag);
         let at = now.saturating_sub(age);
         let empty = BTreeMap::new();
--- a/crates/emulator/src/cloud/protocol.rs
+++ b/crates/emulator/src/cloud/protocol.rs
@@ -1,4 +1,4 @@
-//! The cloud's protocol. Its wire words and the terms used elsewhere:
+//! The protocol of the cloud. Its wire words and the terms used elsewhere:
 //!
 //! | wire | term |
 //! | --- | --- |
@@ -15,7 +15,7 @@
 use beamhinge_core::http::Method;
 use serde_json::{json, Value};
 
-/// A call as the cloud understands it.
+/// The request types of the cloud.
 pub(super) enum Call {
     ListInstanceTypes,
     ListInstances,
@@ -34,9 +34,9 @@
     }
 }
 
-/// Which page of the instances is asked for.
+/// The requested page of the list of instances.
 pub(super) struct PageQuery<'a> {
-    /// Name of the last instance of the page before.
+    /// Name of the last instance of the previous page; `None` for the first page.
     pub(super) after: Option<&'a str>,
     pub(super) size: Option<usize>,
 }
@@ -51,16 +51,16 @@
     }
 }
 
-/// A request for more instances.
+/// A request for additional instances.
 pub(super) struct ScaleOut {
-    /// Requests with the same key get the same answer.
+    /// Idempotency key: requests with the same key get the same answer.
     pub(super) key: String,
     pub(super) pool: CapacityPool,
     pub(super) count: u64,
 }
 
 impl ScaleOut {
-    /// Reads a request; none for one that lacks a field.
+    /// Decodes a request; `None` if a field is missing or malformed.
     pub(super) fn decode(body: &Value) -> Option<ScaleOut> {
         Some(ScaleOut {
             key: body["rental"].as_str()?.to_string(),
@@ -74,7 +74,7 @@
     }
 }
 
-/// Names of the instances to be returned.
+/// Names of the instances to release.
 pub(super) fn instances_to_release(body: &Value) -> impl Iterator<Item = &str> {
     let names = body["hosts"].as_array().into_iter().flatten();
     names.filter_map(Value::as_str)
@@ -92,7 +92,7 @@
     json!({ "shapes": types })
 }
 
-/// An instance as it was at `at`.
+/// Encodes an instance with its status at time `at`.
 pub(super) fn encode_instance(
     name: &str,
     endpoint: &str,
--- a/crates/emulator/src/job.rs
+++ b/crates/emulator/src/job.rs
@@ -1,6 +1,6 @@
 //! Jobs as their users submit them.
 //!
-//! The submission is kept as the JSON that goes over the wire; this module alone knows its
+//! The submission is stored as the JSON that is sent over the wire; only this module uses its
 //! field names:
 //!
 //! | wire | term |
@@ -18,18 +18,18 @@
 use crate::Micros;
 use serde_json::Value;
 
-/// A job as its user means it, and how its tasks behave when they run.
+/// A job as its user submits it, and the behaviour of its tasks when they run.
 #[derive(Clone, Debug)]
 pub struct JobPlan {
-    /// The submission.
+    /// The submission as JSON.
     pub body: Value,
-    /// How long a task runs on a healthy machine, seconds.
+    /// Run time of a task on a healthy machine, seconds.
     pub run_s: f64,
-    /// Every task fails shortly after its start.
+    /// Whether every task fails shortly after its start.
     pub fails: bool,
-    /// What a task runs where workers run commands; else it sleeps.
+    /// Command line of a task where workers run processes; if `None`, the task is a timer.
     pub command: Option<String>,
-    /// When its user submits it first.
+    /// When its user first submits it.
     pub submitted_at: Micros,
 }
 
@@ -58,67 +58,67 @@
         self.number("memoryGb")
     }
 
-    /// Number of tasks, if the submission states it.
+    /// Number of tasks; `None` if the submission does not state it.
     #[must_use]
     pub fn declared_tasks(&self) -> Option<u64> {
         self.body["pieces"].as_u64()
     }
 
-    /// Number of tasks; zero for a submission that lacks it.
+    /// Number of tasks; 0 if the submission does not state it.
     #[must_use]
     pub fn tasks(&self) -> u64 {
         self.declared_tasks().unwrap_or(0)
     }
 
-    /// The image its tasks run in, if the submission names one.
+    /// The container image of its tasks; `None` if the submission does not state it.
     #[must_use]
     pub fn image(&self) -> Option<&str> {
         self.body["bundle"].as_str()
     }
 
-    /// The team that pays for it, if the submission names one.
+    /// The team whose quota it uses; `None` if the submission does not state it.
     #[must_use]
     pub fn declared_team(&self) -> Option<&str> {
         self.body["owner"].as_str()
     }
 
-    /// The team that pays for it; empty for a submission that lacks it.
+    /// The team whose quota it uses; empty if the submission does not state it.
     #[must_use]
     pub fn team(&self) -> &str {
         self.text("owner")
     }
 
-    /// The class of jobs it belongs to.
+    /// The job class; empty if the submission does not state it.
     #[must_use]
     pub fn class(&self) -> &str {
         self.text("jobClass")
     }
 
-    /// The urgency as the wire names it.
+    /// The urgency in its wire form; empty if the submission does not state it.
     #[must_use]
     pub fn urgency(&self) -> &str {
         self.text("urgency")
     }
 
-    /// Its tasks end by themselves.
+    /// Whether it is a batch job, whose tasks finish without being stopped.
     #[must_use]
     pub fn is_batch(&self) -> bool {
         self.body["jobKind"] == "batch"
     }
 
-    /// Its tasks run until they are stopped.
+    /// Whether it is a service, whose tasks run until they are stopped.
     #[must_use]
     pub fn is_service(&self) -> bool {
         self.body["jobKind"] == "standing"
     }
 
-    /// All tasks must run in one zone.
+    /// Whether all its tasks must run in one zone.
     #[must_use]
     pub fn single_zone(&self) -> bool {
         self.flag("oneZone")
     }
 
-    /// Its tasks must be spread over two zones.
+    /// Whether its tasks must be spread over two zones.
     #[must_use]
     pub fn spread_over_zones(&self) -> bool {
         self.flag("apart")
@@ -139,13 +139,13 @@
 pub struct MachineAttributes<'a> {
     /// Label of its instance type.
     pub machine_type: &'a str,
-    /// Zone it stands in.
+    /// Its zone.
     pub zone: &'a str,
     /// Whether the cloud may reclaim it.
     pub spot: bool,
 }
 
-/// The job of a task id (`JOB/INDEX`).
+/// The job id in a task id (`JOB/INDEX`).
 #[must_use]
 pub fn job_id(task_id: &str) -> &str {
     task_id.split('/').next().unwrap_or("")
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,12 +1,12 @@
-//! Emulators of what beamhinge meets outside: the state service, the cloud, the workers
-//! and the users, written from the published protocol.
+//! Emulators of the systems that beamhinge interacts with: the state service, the cloud, the
+//! workers and the users, implemented from the published protocol.
 //!
-//! The models ([`state`], [`cloud`], [`worker`], [`user`]) do no input or output and take
-//! the time as an argument, so that the same models serve simulated time (`beamhinge-sim`)
-//! and real processes ([`platform`], [`state_server`], [`worker_pool`]). They know nothing
-//! of the controller: what they check and report is a second opinion on the protocol.
+//! The models ([`state`], [`cloud`], [`worker`], [`user`]) perform no I/O and take the time as
+//! an argument, so that the same models serve simulated time (`beamhinge-sim`) and real
+//! processes ([`platform`], [`state_server`], [`worker_pool`]). They share no code with the
+//! controller, so that their checks are an independent interpretation of the protocol.
 //!
-//! The wire's words are confined to one module a protocol: `worker::protocol`,
+//! The wire words are confined to one module per protocol: `worker::protocol`,
 //! `state::protocol`, `cloud::protocol` and [`job`].
 
 use beamhinge_core::messages::Effect;
@@ -32,16 +32,16 @@
 /// One second on the emulated clock.
 pub const SECOND: Micros = 1_000_000;
 
-/// An answer as an emulated service gives it: HTTP status and encoded body.
+/// The response of an emulated service: HTTP status and encoded body.
 pub type Response = (u16, Vec<u8>);
 
-/// A time of the event loop on the emulated clock.
+/// Converts a time of the event loop to the emulated clock.
 #[must_use]
 pub fn micros(now: Time) -> Micros {
     (now.since(Time::default()) * 1e6) as Micros
 }
 
-/// Emits the answer to a request.
+/// Adds the answer to a request to the effects.
 pub fn respond(out: &mut Vec<Effect>, to: RequestId, (status, body): Response) {
     out.push(Effect::Answer {
         to,
@@ -56,8 +56,8 @@
     respond(out, to, response(status, &json!({})));
 }
 
-/// Decodes a CBOR body into a JSON value; null for anything else, which no model takes for
-/// a request.
+/// Decodes a CBOR body into a JSON value. Returns null for a body that cannot be decoded; the
+/// models do not accept null as a request.
 #[must_use]
 pub fn decode(body: &[u8]) -> Value {
     let value = wire::decode::<ciborium::Value>(body).ok();
@@ -66,12 +66,12 @@
         .unwrap_or(Value::Null)
 }
 
-/// A response with an encoded body.
+/// Creates a response and encodes its body.
 fn response(status: u16, body: &Value) -> Response {
     (status, wire::encode(body))
 }
 
-/// Deliberate violations of the protocol by the emulators, to prove that the checks of the
+/// Deliberate protocol violations by the emulators, which prove that the checks of the
 /// experiments can fail.
 #[derive(Default, Clone, Copy, Debug)]
 pub struct ProtocolFaults {
@@ -79,7 +79,7 @@
     pub hide_tasks: bool,
     /// Workers ignore commands to kill a task.
     pub ignore_kill: bool,
-    /// The state service loses job records some seconds after they were written.
+    /// The state service drops job records some seconds after they were written.
     pub forgets_jobs: bool,
     /// Workers report running tasks as done.
     pub early_done: bool,
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -1,6 +1,5 @@
-//! The whole platform as one service on loopback: state service, cloud and workers, each
-//! behind a listener of its own, made of the same models that the scenarios use in simulated
-//! time.
+//! The emulated platform as one service on loopback: state service, cloud and workers, each
+//! with its own listener, built from the models that the scenarios use in simulated time.
 
 use crate::cloud::{CapacityPool, Cloud, InstanceType};
 use crate::job::JobPlan;
@@ -23,76 +22,76 @@
 use std::path::PathBuf;
 use std::sync::mpsc::Receiver;
 
-/// Number of the state service's listener.
+/// Index of the state service's listener.
 pub const STATE_LISTENER: usize = 0;
-/// Number of the cloud's listener.
+/// Index of the cloud's listener.
 pub const CLOUD_LISTENER: usize = 1;
-/// Number of the first worker's listener; the others follow.
+/// Index of the first worker's listener; the other workers' listeners follow.
 pub const FIRST_WORKER_LISTENER: usize = 2;
 
-/// Boot time of the machines that are there from the start.
+/// Boot time of the owned machines.
 const OWNED_BOOT: Micros = SECOND / 5;
-/// How often job records are lost, where that is asked for.
+/// Interval at which job records are dropped, if that fault is enabled.
 const FORGET_INTERVAL: Micros = SECOND;
 
-/// What a platform is made of.
+/// Configuration of a platform.
 pub struct PlatformConfig {
     /// The controllers' public addresses, in the order of their labels, which are single
-    /// letters from `a`.
+    /// letters starting at `a`.
     pub controllers: Vec<SocketAddrV4>,
-    /// One address for each machine that may be there at once.
+    /// Addresses of workers, which limit the number of running machines.
     pub worker_addresses: Vec<SocketAddrV4>,
-    /// The workers' published timing.
+    /// The published timings of workers.
     pub workers: settings::WorkerTimings,
-    /// The state service's published limits.
+    /// The published limits of the state service.
     pub state: settings::StateLimits,
-    /// The cloud's published limits.
+    /// The published limits of the cloud.
     pub cloud: settings::CloudLimits,
-    /// What the cloud offers.
+    /// The instance types that the cloud offers.
     pub instance_types: Vec<InstanceType>,
     /// The cloud's zones.
     pub zones: Vec<String>,
-    /// How many instances of each pool there can be at once.
+    /// Maximum number of instances of each pool at the same time.
     pub capacity: Vec<(CapacityPool, u32)>,
-    /// On-demand machines that are there from the start.
+    /// The pool of each owned machine; they boot when the platform starts.
     pub owned: Vec<CapacityPool>,
-    /// The state service's log; without one it forgets everything with the process.
+    /// Path of the state service's log; if `None`, its state is lost when the process exits.
     pub state_log: Option<PathBuf>,
-    /// Where tasks run commands.
+    /// Runs the command lines of tasks; if `None`, tasks are timers.
     pub processes: Option<Processes>,
-    /// Violations of the protocol that are asked for.
+    /// Protocol violations that the emulators commit deliberately.
     pub protocol_faults: ProtocolFaults,
-    /// Of all draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Faults are taken from here while the platform runs.
+    /// Faults to inject while the platform runs.
     pub faults: Option<Receiver<PlatformFault>>,
 }
 
-/// Faults that a running platform can be told to have.
+/// Faults that can be injected into a running platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlatformFault {
-    /// The cloud answers 503 for so many seconds.
+    /// The cloud answers 503 for this number of seconds.
     CloudDown(f64),
-    /// The state service answers 503 for so many seconds.
+    /// The state service answers 503 for this number of seconds.
     StateDown(f64),
-    /// A machine neither reports nor listens.
+    /// A machine hangs: its worker sends no reports and its tasks make no progress.
     Hang {
-        /// Its number.
+        /// Number of the machine.
         machine: u64,
-        /// For how long.
+        /// Duration of the fault.
         seconds: f64,
     },
 }
 
-/// The platform.
+/// The emulated platform.
 pub struct Platform {
     state: StateServer,
     cloud: Cloud,
     pool: WorkerPool,
-    /// The machine whose worker has the address of that index.
+    /// The machine whose worker uses the address with the same index; `None` for a free address.
     slots: Vec<Option<u64>>,
     worker_addresses: Vec<SocketAddrV4>,
-    /// Machines without an address yet, and when they are up.
+    /// Machines that have no address yet, and when they have booted.
     booting: BTreeMap<u64, Micros>,
     protocol_faults: ProtocolFaults,
     rng: StdRng,
@@ -101,10 +100,10 @@
 }
 
 impl Platform {
-    /// A platform with its owned machines booting.
+    /// Creates a platform whose owned machines are booting.
     ///
     /// # Errors
-    /// When the state service's log cannot be read or written.
+    /// If the state service's log cannot be read or written.
     pub fn new(
         config: PlatformConfig,
         observer: MachineObserver,
@@ -114,8 +113,8 @@
         cloud.instance_types = config.instance_types;
         cloud.zones = config.zones;
         cloud.capacity.extend(config.capacity);
-        // Machines that are there from the start have the same names each time: whatever
-        // ran on them ended with the last process.
+        // Owned machines have the same names after each start: all tasks on them ended with
+        // the previous process.
         let (state, next_machine) = match &config.state_log {
             Some(path) => StateServer::from_log(&config.state, path)?,
             None => (StateServer::new(&config.state), 0),
@@ -173,7 +172,7 @@
         }
     }
 
-    /// Machines that are up get an address and a worker.
+    /// Assigns an address and a worker to each machine that has booted.
     fn start_booted(&mut self, now: Micros) {
         let ready: Vec<u64> = self
             .booting
@@ -182,7 +181,7 @@
             .map(|(id, _)| *id)
             .collect();
         for machine in ready {
-            // Without a free address it goes on booting.
+            // Without a free address the machine stays in the booting state.
             let Some(slot) = self.slots.iter().position(Option::is_none) else {
                 return;
             };
@@ -211,7 +210,8 @@
     }
 }
 
-/// A job's description for the workers, from its record in the state service.
+/// Builds the description of a job for the workers from its record in the state service; `None`
+/// if the record is missing or has no specification.
 fn describe(state: &StateService, job: &str) -> Option<JobPlan> {
     let record = state.get(&format!("{PREFIX}{job}")).cloned();
     let spec = record
--- a/crates/emulator/src/platform/tests.rs
+++ b/crates/emulator/src/platform/tests.rs
@@ -10,10 +10,10 @@
     Time::from_micros(SECOND)
 }
 
-/// A platform with nothing but a state service that is durable.
+/// Creates a platform that has only a durable state service.
 fn platform(state_log: &Path) -> Platform {
     let state = settings::Settings::parse("t", settings::SAMPLE)
-        .expect("sound")
+        .expect("valid sample settings")
         .params
         .state;
     let config = PlatformConfig {
@@ -39,10 +39,10 @@
         seed: 1,
         faults: None,
     };
-    Platform::new(config, Box::new(|_| {}), now()).expect("made")
+    Platform::new(config, Box::new(|_| {}), now()).expect("platform created")
 }
 
-/// Sends a request to the state service; its status and decoded answer.
+/// Sends a request to the state service; returns the status and the decoded answer.
 fn request(platform: &mut Platform, method: Method, path: &str, body: &Value) -> (u16, Value) {
     let mut out = Vec::new();
     let id = RequestId {
@@ -72,7 +72,7 @@
 #[test]
 fn restarted_state_service_has_its_revisions_and_no_leases() {
     let dir = std::env::temp_dir().join(format!("beamhinge-kept-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("directory created");
     let path = dir.join("state.log");
     let mut p = platform(&path);
     let lease = request(&mut p, Method::Post, "/holds", &json!({"lifeMs": 5000}));
@@ -80,9 +80,9 @@
     assert_eq!(put(&mut p, "lead/now", &lease.1["permit"]), 200);
     drop(p);
     let torn = std::fs::OpenOptions::new().append(true).open(&path);
-    torn.expect("there")
+    torn.expect("log exists")
         .write_all(b"{\"rev\": 9, \"ke")
-        .expect("written");
+        .expect("truncated line written");
     for _ in 0..2 {
         let mut p = platform(&path);
         let (status, found) = request(&mut p, Method::Get, "/store?under=", &json!({}));
@@ -91,7 +91,7 @@
             (200, Some(1))
         );
         assert_eq!(found["pairs"][0]["stamp"], 1);
-        assert_eq!(found["ledgerRev"], 2, "a revision is never given twice");
+        assert_eq!(found["ledgerRev"], 2, "a revision is never assigned twice");
     }
-    std::fs::remove_dir_all(&dir).expect("removed");
+    std::fs::remove_dir_all(&dir).expect("directory removed");
 }
--- a/crates/emulator/src/processes.rs
+++ b/crates/emulator/src/processes.rs
@@ -1,5 +1,5 @@
-//! Tasks as processes of this machine: started, watched, and ended with everything that
-//! they started themselves.
+//! Runs tasks as local processes: starts them, detects their exit, and kills them together with
+//! their child processes.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -7,32 +7,32 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// Processes at once; beyond it a task fails, as on a full machine.
+/// Maximum number of processes; a task started beyond it fails, as on a full machine.
 const MAX_PROCESSES: usize = 512;
 
-/// A process that ended by itself.
+/// The exit of a process that was not stopped.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProcessExit {
-    /// Of its task.
+    /// Id of its task.
     pub task_id: String,
     /// Number of the attempt.
     pub attempt: u64,
-    /// Whether its status was zero.
+    /// Whether its exit status was 0.
     pub success: bool,
 }
 
-/// The processes of tasks, by task id and attempt. All are ended when this is dropped.
+/// The processes of tasks, by task id and attempt. Dropping it kills all of them.
 pub struct Processes {
     running: BTreeMap<(String, u64), Child>,
-    /// Where each task's output goes; nowhere when there is none.
+    /// Directory of the output files of tasks; if `None`, output is discarded.
     output: Option<PathBuf>,
-    /// Program and first arguments that run the command line behind them and end with this
-    /// process; a plain shell when there is none.
+    /// Program and first arguments that run the command line given as the last argument and exit
+    /// when this process exits; if empty, a shell runs the command line.
     supervisor: Vec<String>,
 }
 
 impl Processes {
-    /// No processes yet.
+    /// Creates an empty set of processes.
     #[must_use]
     pub fn new(output: Option<PathBuf>, supervisor: Vec<String>) -> Processes {
         Processes {
@@ -56,7 +56,7 @@
             .env("BEAMHINGE_TASK", index)
             .env("BEAMHINGE_ATTEMPT", attempt.to_string())
             .stdin(Stdio::null())
-            // A group of its own, so that what it starts ends with it.
+            // A new process group, so that its child processes are killed with it.
             .process_group(0);
         match self.output_files(job, index) {
             Some((out, err)) => command.stdout(out).stderr(err),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// What runs a command line that follows as its last argument.
+    /// Creates the command that runs a command line given as its last argument.
     fn shell(&self) -> Command {
         match self.supervisor.split_first() {
             Some((program, arguments)) => {
@@ -87,7 +87,8 @@
         }
     }
 
-    /// One file for both outputs of a task; none if there is no place for it.
+    /// Creates one file for both output streams of a task; `None` if there is no output directory
+    /// or the file cannot be created.
     fn output_files(&self, job: &str, index: &str) -> Option<(File, File)> {
         let folder = self.output.as_ref()?.join(job);
         std::fs::create_dir_all(&folder).ok()?;
@@ -95,14 +96,14 @@
         Some((file.try_clone().ok()?, file))
     }
 
-    /// Ends a task's process, if it runs.
+    /// Kills the process of a task, if it runs.
     pub fn stop(&mut self, task_id: &str, attempt: u64) {
         if let Some(child) = self.running.remove(&(task_id.to_string(), attempt)) {
             end(child);
         }
     }
 
-    /// The processes that have ended by themselves since the last call.
+    /// Returns the processes that have exited without being stopped since the last call.
     pub fn take_exited(&mut self) -> Vec<ProcessExit> {
         let mut exited = Vec::new();
         for ((task_id, attempt), child) in &mut self.running {
--- a/crates/emulator/src/processes/tests.rs
+++ b/crates/emulator/src/processes/tests.rs
@@ -21,11 +21,11 @@
     assert_eq!(seen, want);
 }
 
-/// What a task started in the background once outlived its task.
+/// Background processes of a task used to outlive the task.
 #[test]
 fn background_process_ends_with_its_task() {
     let dir = std::env::temp_dir().join(format!("beamhinge-group-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("directory created");
     let file = dir.join("pid");
     let mut p = Processes::new(None, Vec::new());
     let line = format!(
@@ -38,18 +38,18 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     let pid: u32 = std::fs::read_to_string(&file)
-        .expect("written")
+        .expect("pid file is readable")
         .trim()
         .parse()
-        .expect("pid");
+        .expect("pid file holds a number");
     p.stop("job-1/0", 1);
     let gone = || {
-        // A process nobody waits for may stay as a zombie for a moment.
+        // An orphan process may remain as a zombie until it is reaped.
         std::fs::read_to_string(format!("/proc/{pid}/stat")).map_or(true, |s| s.contains(") Z "))
     };
     while !gone() && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(gone(), "the background process is still there");
-    std::fs::remove_dir_all(&dir).expect("removed");
+    assert!(gone(), "the background process still runs");
+    std::fs::remove_dir_all(&dir).expect("directory removed");
 }
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -1,8 +1,8 @@
 //! Emulator of the state service: a key-value store with revisions, transactions, leases and
 //! watches, with the published limits and outages.
 //!
-//! Invariants: a revision is never given twice; a key that is bound to a lease is gone when
-//! the lease expires; a transaction is applied as a whole or not at all.
+//! Invariants: a revision is never assigned twice; a key that is bound to a lease is deleted
+//! when the lease expires; a transaction is applied atomically.
 
 mod protocol;
 
@@ -15,51 +15,51 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes that a watch can go back to.
+/// Number of past changes from which a watch can resume.
 const HISTORY: usize = 10_000;
-/// Largest transaction, bytes as text.
+/// Maximum size of a transaction, bytes of its JSON text.
 const MAX_TRANSACTION: usize = 64 * 1024;
-/// Conditions of a transaction, for each write that it may have.
+/// Maximum number of conditions of a transaction, per write that the limits allow.
 const MAX_CONDITIONS_PER_WRITE: usize = 4;
-/// [`StateService::forget_jobs`] loses records that are older.
+/// [`StateService::forget_jobs`] drops job records older than this.
 const FORGOTTEN_AFTER: Micros = 8 * SECOND;
-/// Keys of job records begin so.
+/// Prefix of the keys of job records.
 const JOB_PREFIX: &str = "j/";
-/// The expiry of a lease is noticed this long after it.
+/// Delay between the expiry of a lease and the check that processes it.
 const EXPIRY_MARGIN: Micros = 1_000;
 
-/// Who waits for an answer. The state service only hands it back.
+/// Identifies the client that waits for an answer. The state service returns it unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// The connection, or the controller in simulated time.
+    /// Index of the connection, or of the controller in simulated time.
     pub connection: usize,
-    /// Tells users of the same connection apart, one after the other.
+    /// Distinguishes successive clients that reuse the same connection index.
     pub generation: u64,
-    /// The call.
+    /// Id of the call.
     pub call: CallId,
 }
 
-/// A change of a key; without a value it was deleted.
+/// A change of a key.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// Revision of the store after it.
+    /// Revision of the store after the change.
     pub revision: u64,
-    /// The key.
+    /// The changed key.
     pub key: String,
-    /// Its new value.
+    /// Its new value; `None` if the key was deleted.
     pub value: Option<Value>,
 }
 
 /// The published limits of the state service.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Writes a second.
+    /// Writes per second.
     pub write_rps: f64,
-    /// Largest value, bytes as text.
+    /// Maximum size of a value, bytes of its JSON text.
     pub value_bytes: usize,
-    /// Writes of a transaction.
+    /// Maximum number of writes in a transaction.
     pub transaction_writes: usize,
 }
 
@@ -74,21 +74,21 @@
     }
 }
 
-/// Writes of keys with a prefix are called malformed for a while.
+/// Fault injection: writes to keys with a prefix are rejected as malformed for some time.
 #[derive(Clone, Copy, Debug)]
 pub struct RejectedWrites {
-    /// The prefix.
+    /// Prefix of the affected keys.
     pub prefix: &'static str,
-    /// Until when.
+    /// Time at which the rejection ends.
     pub until: Micros,
 }
 
-/// What can be answered to watches now.
+/// The watches that can be answered now.
 #[derive(Debug, Default)]
 pub struct ReadyWatches {
     /// The encoded answers, all with status 200.
     pub answers: Vec<(Caller, Vec<u8>)>,
-    /// When to look again.
+    /// When to check again; `None` if no watch and no lease is pending.
     pub next_due: Option<Micros>,
 }
 
@@ -115,35 +115,35 @@
 pub struct StateService {
     keys: BTreeMap<String, Entry>,
     revision: u64,
-    /// The last changes, oldest first.
+    /// The most recent changes, oldest first.
     history: VecDeque<Change>,
-    /// Changes up to this revision are no longer in the history.
+    /// Changes up to this revision have been dropped from the history.
     compacted: u64,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
     watches: Vec<PendingWatch>,
-    /// It answers 503 until then.
+    /// The service answers 503 until this time.
     pub down_until: Micros,
-    /// Writes that are called malformed.
+    /// Writes that are rejected as malformed.
     pub rejected_writes: RejectedWrites,
     limits: Limits,
-    /// Requests and writes that may come at once now.
+    /// Tokens of the rate limits: for requests and for writes.
     tokens: (f64, f64),
     refilled: Micros,
-    /// What a controller did against the protocol.
+    /// Protocol violations by controllers, as text.
     pub violations: Vec<String>,
-    /// Requests beyond the rate limit.
+    /// Number of requests rejected by the rate limits.
     pub throttled: u64,
-    /// Puts and deletes that were applied.
+    /// Number of puts and deletes applied.
     pub writes: u64,
-    /// Changes that a watch can go back to.
+    /// Number of past changes from which a watch can resume.
     pub history_limit: usize,
-    /// Changes that are to be made durable; none where nobody does that.
+    /// Changes not yet written to the log; `None` if the state is not durable.
     journal: Option<Vec<Change>>,
 }
 
 impl StateService {
-    /// An empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new(limits: Limits) -> StateService {
         StateService {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// An outage that begins now; leases get their full time again after it.
+    /// Starts an outage that lasts until `until`. After it, leases have their full duration again.
     pub fn outage(&mut self, until: Micros) {
         self.down_until = until;
         for lease in self.leases.values_mut() {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Removes expired leases and the keys that are bound to them.
+    /// Removes expired leases and the keys bound to them.
     fn expire(&mut self, now: Micros) {
         if now < self.down_until {
             return;
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Applies a change that was made durable earlier. No lease outlives the process that
-    /// granted it, so keys that were bound to one were never made durable.
+    /// Applies a change read from the log. A lease does not outlive the process that granted
+    /// it, so keys bound to a lease are never logged with a value.
     pub fn restore(&mut self, change: Change) {
         self.revision = self.revision.max(change.revision);
         self.compacted = self.revision;
@@ -228,12 +228,12 @@
         }
     }
 
-    /// From now on changes are collected for [`StateService::take_journal`].
+    /// Starts to collect changes for [`StateService::take_journal`].
     pub fn enable_journal(&mut self) {
         self.journal = Some(Vec::new());
     }
 
-    /// Changes that are to be made durable, since the last call.
+    /// Returns the changes since the last call that must be made durable.
     pub fn take_journal(&mut self) -> Vec<Change> {
         self.journal
             .as_mut()
@@ -241,7 +241,7 @@
             .unwrap_or_default()
     }
 
-    /// All durable keys with their revisions and values, for a journal that begins anew.
+    /// All durable keys with their revisions and values, to start a new log.
     pub fn durable(&self) -> impl Iterator<Item = (u64, &String, &Value)> {
         let durable = self.keys.iter().filter(|(_, e)| e.lease_id.is_none());
         durable.map(|(key, entry)| (entry.revision, key, &entry.value))
@@ -259,13 +259,13 @@
         self.keys.get(key).map(|entry| &entry.value)
     }
 
-    /// How many keys have that prefix.
+    /// Number of keys with the prefix.
     #[must_use]
     pub fn keys_under(&self, prefix: &str) -> usize {
         self.keys.keys().filter(|k| k.starts_with(prefix)).count()
     }
 
-    /// Stores a value as another program would have left it.
+    /// Stores a value directly, as if another program had written it.
     pub fn plant(&mut self, key: &str, value: Value) {
         self.revision += 1;
         let entry = Entry {
@@ -278,7 +278,7 @@
         self.record(key.to_string(), Some(value));
     }
 
-    /// Notes a change of the present revision, after it was applied.
+    /// Records an applied change at the current revision in the history and the journal.
     fn record(&mut self, key: String, value: Option<Value>) {
         let revision = self.revision;
         if let Some(journal) = &mut self.journal {
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Loses job records that are not new, without a trace: for the checks.
+    /// Drops older job records and their history, to prove that the checks detect the loss.
     pub fn forget_jobs(&mut self, now: Micros) {
         let old: Vec<String> = self
             .keys
@@ -315,7 +315,8 @@
         }
     }
 
-    /// Whether the rate limits allow a request with so many writes now.
+    /// Takes tokens for a request with this number of writes; `false` if the rate limits reject
+    /// it.
     fn take_tokens(&mut self, now: Micros, writes: f64) -> bool {
         let passed = now.saturating_sub(self.refilled) as f64 / 1e6;
         self.refilled = now;
@@ -331,7 +332,8 @@
         true
     }
 
-    /// Serves a request; none when its answer comes later, from [`StateService::ready_watches`].
+    /// Serves a request. Returns `None` if the answer comes later, from
+    /// [`StateService::ready_watches`].
     pub fn handle(
         &mut self,
         now: Micros,
@@ -432,8 +434,8 @@
         }
     }
 
-    /// The encoded last change of each key with the prefix after a revision; none if there
-    /// is none and the answer need not be `immediate`.
+    /// Encodes the last change after a revision of each key with the prefix. Returns `None` if
+    /// there is no change and `immediate` is false.
     fn events(&self, prefix: &str, after_revision: u64, immediate: bool) -> Option<Vec<u8>> {
         let from = self
             .history
@@ -453,8 +455,8 @@
         Some(protocol::watch_events(&events, self.revision))
     }
 
-    /// Watches that can be answered. Those that are `held`, by their connection and prefix,
-    /// wait as in an outage.
+    /// Returns the answers to watches that can be answered now. `held` selects, by connection
+    /// and prefix, the watches that are delayed as in an outage.
     pub fn ready_watches(
         &mut self,
         now: Micros,
@@ -525,7 +527,7 @@
         protocol::committed(self.revision)
     }
 
-    /// The refusal of a transaction that is beyond a limit or malformed.
+    /// Validates a transaction; returns the error response if it exceeds a limit or is malformed.
     fn reject(&mut self, now: Micros, transaction: &Transaction) -> Option<Response> {
         let (writes, conditions) = (transaction.writes.len(), transaction.condition_count());
         let max_writes = self.limits.transaction_writes;
--- a/crates/emulator/src/state/protocol.rs
+++ b/crates/emulator/src/state/protocol.rs
@@ -1,24 +1,24 @@
-//! The state service's protocol. Its wire words and the terms used elsewhere:
+//! The protocol of the state service. Its wire words and the terms used elsewhere:
 //!
 //! | wire | term |
 //! | --- | --- |
 //! | `ledgerRev`, `stamp` | revision of the store, revision of a key |
 //! | `holds`, `permit`, `lifeMs` | leases, lease id, time to live |
 //! | `commit`: `when`, `then` | transaction: conditions on revisions, writes |
-//! | `store`: `under`, `since`, `most` | scan: key prefix, last key of the page before, page size |
-//! | `watch`: `under`, `since`, `waitMs`, `news` | watch: key prefix, revision, longest wait, events |
+//! | `store`: `under`, `since`, `most` | scan: key prefix, last key of previous page, page size |
+//! | `watch`: `under`, `since`, `waitMs`, `news` | watch: key prefix, revision, max wait, events |
 
 use crate::{Micros, Response};
 use beamhinge_core::http::Method;
 use beamhinge_core::wire;
 use serde_json::{json, Value};
 
-/// Where transactions are sent.
+/// Path to which transactions are sent.
 pub(crate) const COMMIT_PATH: &str = "/commit";
 const DEFAULT_LEASE_MS: u64 = 1_000;
 const DEFAULT_PAGE: usize = 1_000;
 
-/// A request as the state service understands it.
+/// The request types of the state service.
 pub(super) enum Call {
     Commit,
     GrantLease,
@@ -29,7 +29,7 @@
     Unknown,
 }
 
-/// Which request this is; an unreadable lease id is one that was never granted.
+/// Determines the request type. An invalid lease id is read as 0, which is never granted.
 pub(super) fn call(method: Method, path: &str) -> Call {
     let lease_id = |path: &str| {
         let id = path.trim_start_matches("/holds/");
@@ -55,10 +55,10 @@
         .map(|(_, value)| value.to_string())
 }
 
-/// A page of the keys with a prefix.
+/// A request for one page of the keys with a prefix.
 pub(super) struct ScanQuery {
     pub(super) prefix: String,
-    /// Last key of the page before.
+    /// Last key of the previous page; `None` for the first page.
     pub(super) after: Option<String>,
     pub(super) page_size: usize,
 }
@@ -74,11 +74,11 @@
     }
 }
 
-/// Changes of the keys with a prefix after a revision.
+/// A request for the changes of keys with a prefix after a revision.
 pub(super) struct WatchQuery {
     pub(super) prefix: String,
     pub(super) after_revision: u64,
-    /// How long the answer may wait for a change.
+    /// Maximum time to wait for a change.
     pub(super) wait: Micros,
 }
 
@@ -95,27 +95,27 @@
     }
 }
 
-/// The time to live that a request for a lease asks for.
+/// The time to live in a request for a lease.
 pub(super) fn lease_duration(body: &Value) -> Micros {
     body["lifeMs"].as_u64().unwrap_or(DEFAULT_LEASE_MS) * 1_000
 }
 
-/// What a write of a transaction does to its key.
+/// The kind of a write in a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteKind {
     Put,
     Delete,
-    /// Neither: it changes nothing.
+    /// Neither a put nor a delete: it changes nothing.
     Malformed,
 }
 
-/// A write of a transaction.
+/// One write of a transaction.
 pub(super) struct Write<'a> {
     pub(super) kind: WriteKind,
     pub(super) key: &'a str,
-    /// Null for a delete.
+    /// The new value; null for a delete.
     pub(super) value: &'a Value,
-    /// The lease that the key is bound to.
+    /// The lease that the key is bound to; `None` for a durable key.
     pub(super) lease_id: Option<u64>,
 }
 
@@ -136,11 +136,11 @@
     }
 }
 
-/// A transaction: it is carried out if all keys have the revisions that it states.
+/// A transaction: its writes are applied if every condition on a key's revision holds.
 pub(super) struct Transaction<'a> {
     conditions: Vec<&'a Value>,
     pub(super) writes: Vec<Write<'a>>,
-    /// Its size as text, bytes.
+    /// Size of its JSON text, bytes.
     pub(super) size: usize,
 }
 
@@ -154,17 +154,17 @@
         }
     }
 
-    /// How many conditions it has, sound ones or not.
+    /// Number of conditions, including malformed ones.
     pub(super) fn condition_count(&self) -> usize {
         self.conditions.len()
     }
 
-    /// Whether it has a condition on that key.
+    /// Whether it has a condition on the key.
     pub(super) fn guards(&self, key: &str) -> bool {
         self.conditions.iter().any(|c| c["path"] == key)
     }
 
-    /// Keys and the revisions that they must have; zero for a key that must not exist.
+    /// Keys and their required revisions; 0 for a key that must not exist.
     pub(super) fn conditions(&self) -> impl Iterator<Item = (&'a str, u64)> + '_ {
         self.conditions
             .iter()
@@ -172,7 +172,7 @@
     }
 }
 
-/// An answer without content.
+/// A response with an empty body.
 pub(super) fn empty(status: u16) -> Response {
     crate::response(status, &json!({}))
 }
@@ -189,7 +189,7 @@
     crate::response(200, &json!({ "ledgerRev": revision }))
 }
 
-/// Conditions on these keys did not hold.
+/// A conflict: the conditions on these keys do not hold.
 pub(super) fn conflict(keys: &[&str], revision: u64) -> Response {
     crate::response(409, &json!({"failed": keys, "ledgerRev": revision}))
 }
@@ -203,7 +203,7 @@
     crate::response(200, &body)
 }
 
-/// A change of a key; without a value it was deleted.
+/// Encodes a change of a key; `None` as the value means that the key was deleted.
 pub(super) fn watch_event(key: &str, value: Option<&Value>, revision: u64) -> Value {
     match value {
         Some(value) => json!({"write": key, "value": value, "stamp": revision}),
@@ -211,7 +211,7 @@
     }
 }
 
-/// The encoded answer to a watch.
+/// Encodes the answer to a watch.
 pub(super) fn watch_events(events: &[Value], revision: u64) -> Vec<u8> {
     wire::encode(&json!({"ledgerRev": revision, "news": events}))
 }
--- a/crates/emulator/src/state_server.rs
+++ b/crates/emulator/src/state_server.rs
@@ -1,9 +1,9 @@
-//! The emulated state service behind an HTTP address, with an optional log of changes so
-//! that its state outlives the process.
+//! HTTP server of the emulated state service, with an optional log of changes that preserves
+//! its state across restarts of the process.
 //!
-//! Invariant: a change is in the log before anybody is told of it. The log has a JSON object
-//! a line: `{"rev", "key", "value"}` for a change, `{"machine"}` for the number of the
-//! cloud's next machine.
+//! Invariant: a change is written to the log before any client is told of it. The log has one
+//! JSON object per line: `{"rev", "key", "value"}` for a change, `{"machine"}` for the number
+//! of the next machine that the cloud creates.
 
 use crate::state::{Caller, Change, ReadyWatches, StateService, COMMIT_PATH};
 use crate::{micros, refuse, respond, Micros};
@@ -18,7 +18,7 @@
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::Path;
 
-/// A key that never exists: its deletion keeps the revision of the store in the log.
+/// A key that never exists: an entry that deletes it stores the current revision in the log.
 const REVISION_KEY: &str = "kept/rev";
 
 fn caller(id: RequestId) -> Caller {
@@ -45,7 +45,7 @@
 }
 
 impl StateServer {
-    /// A server that forgets everything with its process.
+    /// Creates a server without a log: its state is lost when the process exits.
     #[must_use]
     pub fn new(limits: &settings::StateLimits) -> StateServer {
         StateServer {
@@ -55,10 +55,11 @@
         }
     }
 
-    /// A server that goes on from what a log holds; also the number of the next machine.
+    /// Creates a server that restores its state from a log and appends to it. Also returns the
+    /// number of the next machine.
     ///
     /// # Errors
-    /// When the log cannot be read or written.
+    /// If the log cannot be read or written.
     pub fn from_log(limits: &settings::StateLimits, path: &Path) -> io::Result<(StateServer, u64)> {
         let mut server = StateServer::new(limits);
         let next_machine = restore(path, &mut server.state)?;
@@ -67,7 +68,7 @@
         Ok((server, next_machine))
     }
 
-    /// Writes what changed before anybody is told of it.
+    /// Writes new changes to the log, before any client is told of them.
     pub fn write_log(&mut self, next_machine: u64) {
         let changes = self.state.take_journal();
         let Some(file) = &mut self.log else { return };
@@ -85,12 +86,12 @@
             push_line(&mut lines, &json!({ "machine": next_machine }));
         }
         if !lines.is_empty() && file.write_all(lines.as_bytes()).is_err() {
-            // What cannot be made durable must not be answered: an outage for good.
+            // A change that is not durable must not be acknowledged, so the service stays down.
             self.state.down_until = Micros::MAX;
         }
     }
 
-    /// Answers a request now, or keeps it as an open watch.
+    /// Answers a request now, or registers it as a pending watch.
     pub fn on_request(
         &mut self,
         now: Time,
@@ -120,7 +121,7 @@
         self.answer_watches(now, out);
     }
 
-    /// Answers the watches that have events or whose time is up.
+    /// Answers the watches that have events or whose wait has expired.
     pub fn answer_watches(&mut self, now: Time, out: &mut Vec<Effect>) {
         let ReadyWatches { answers, .. } = self.state.ready_watches(micros(now), |_, _| false);
         for (caller, body) in answers {
@@ -131,7 +132,7 @@
 }
 
 fn push_line(text: &mut String, line: &Value) {
-    // Writing to a string cannot fail.
+    // Writing to a `String` cannot fail.
     let _ = writeln!(text, "{line}");
 }
 
@@ -139,7 +140,7 @@
     push_line(text, &json!({"rev": revision, "key": key, "value": value}));
 }
 
-/// Reads a log into the store; returns the number of the next machine.
+/// Replays a log into the store; returns the number of the next machine, 0 without a log.
 fn restore(path: &Path, state: &mut StateService) -> io::Result<u64> {
     let file = match File::open(path) {
         Ok(file) => file,
@@ -148,7 +149,7 @@
     };
     let mut next_machine = 0;
     for line in BufReader::new(file).lines() {
-        // A line that was cut short is the last, and was never answered.
+        // A truncated line is the last one, and its change was never acknowledged.
         let Ok(entry) = serde_json::from_str::<Value>(&line?) else {
             break;
         };
@@ -165,8 +166,8 @@
     Ok(next_machine)
 }
 
-/// A log that holds what is there now and is then appended to; put in place in one step, so
-/// that an end in between loses nothing.
+/// Writes a new log with the current state and opens it for appending. The new file replaces
+/// the old one by an atomic rename, so that a crash in between loses nothing.
 fn begin_log(path: &Path, state: &StateService, next_machine: u64) -> io::Result<File> {
     let new = path.with_extension("new");
     let mut text = String::new();
@@ -174,7 +175,7 @@
     for (revision, key, value) in state.durable() {
         push_change(&mut text, revision, key, Some(value));
     }
-    // The revision itself must not go back, whatever was deleted last.
+    // The revision must not decrease after a restart, even if the last change was a deletion.
     push_change(&mut text, state.revision(), REVISION_KEY, None);
     std::fs::write(&new, text)?;
     std::fs::rename(&new, path)?;
--- a/crates/emulator/src/user.rs
+++ b/crates/emulator/src/user.rs
@@ -1,30 +1,30 @@
-//! Emulator of a user: what one was told of a job, what the user does next, and which rule
-//! of the protocol an answer breaks.
+//! Emulator of a user: tracks the answers that the user got about a job, decides the user's next
+//! request, and detects answers that violate a rule of the protocol.
 
 use crate::Micros;
 
-/// How often a user asks for a job that is not over, seconds.
+/// Interval at which a user polls a job that is not in a final state, seconds.
 const POLL_S: f64 = 5.0;
-/// After how long a user repeats a request that was not answered, seconds.
+/// Delay before a user retries a request that was answered with 503, seconds.
 const RETRY_S: f64 = 1.0;
 
-/// A request of a user about a job.
+/// The kinds of requests that a user sends about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UserRequest {
-    /// To run it.
+    /// Submits the job.
     Submit,
-    /// How it goes.
+    /// Queries the state of the job.
     Poll,
-    /// To stop it for good.
+    /// Cancels the job.
     Cancel,
 }
 
-/// What a user does after an answer.
+/// The user's next action after an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FollowUp {
-    /// Repeats the request after so many seconds.
+    /// Retries the request after this number of seconds.
     Retry(f64),
-    /// Polls after so many seconds.
+    /// Polls after this number of seconds.
     Poll(f64),
 }
 
@@ -33,48 +33,48 @@
 pub struct UserAnswer<'a> {
     /// When the request was sent.
     pub asked: Micros,
-    /// When the answer came.
+    /// When the answer was received.
     pub received: Micros,
-    /// What it answers.
+    /// The kind of the answered request.
     pub request: UserRequest,
     /// HTTP status.
     pub status: u16,
-    /// The job's state as it was told; empty if it was not.
+    /// The job's state in the answer; empty if the answer has none.
     pub state: &'a str,
-    /// Whether all tasks of the job have really ended.
+    /// Whether all tasks of the job have in fact finished.
     pub complete: bool,
 }
 
-/// What an answer means.
+/// The evaluation of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assessment {
-    /// Names of the rules that it breaks.
+    /// Names of the rules that it violates.
     pub violations: Vec<&'static str>,
-    /// What the user does next, if anything.
+    /// The user's next action; `None` if the user sends no further request.
     pub follow_up: Option<FollowUp>,
 }
 
-/// What a user was told of one job.
+/// The state of one job according to the answers that its user got.
 #[derive(Clone, Default, Debug)]
 pub struct UserJobView {
-    /// It was accepted.
+    /// Whether it was accepted.
     pub accepted: bool,
-    /// It is done.
+    /// Whether an answer reported it as done.
     pub done: bool,
-    /// When the user was first told that it is cancelled.
+    /// When an answer first reported it as cancelled; `None` if none did.
     pub cancelled: Option<Micros>,
-    /// When the user was first told that it is done or cancelled.
+    /// When an answer first reported it as done or cancelled; `None` if none did.
     pub over: Option<Micros>,
-    /// The user asked to cancel it.
+    /// Whether the user requested its cancellation.
     pub cancel_requested: bool,
-    /// The state that was told last.
+    /// The state in the last answer.
     pub last_state: String,
-    /// HTTP status of the last answer to the submission.
+    /// HTTP status of the last answer to the submission; `None` before the first.
     pub submit_status: Option<u16>,
-    /// The user submitted it.
+    /// Whether the user submitted it.
     pub submitted: bool,
-    /// The longest after the user was told its end that an older answer still came, though
-    /// to a question asked before.
+    /// Longest time after the first answer with a final state at which an answer with an older
+    /// state was received. Such an answer is allowed if its request was sent before that.
     pub late_older: Micros,
 }
 
@@ -83,11 +83,12 @@
 }
 
 impl UserJobView {
-    /// Takes an answer.
+    /// Processes an answer and evaluates it.
     ///
-    /// A user who asks twice at the same time, here to cancel and there how it goes, is told
-    /// both: what was asked before the user was told "cancelled" may have been answered
-    /// before that was so, and be on its way. What is asked after it may not be older.
+    /// A user may send a cancellation to one controller and a poll to another at the same time.
+    /// The answer to a request that was sent before the user received "cancelled" may have been
+    /// generated before the cancellation and may still be in transit, so an older state is
+    /// allowed in it. The answer to a request sent after that must not have an older state.
     #[must_use]
     pub fn on_answer(&mut self, answer: &UserAnswer) -> Assessment {
         let mut violations = Vec::new();
@@ -123,7 +124,7 @@
         }
         self.accepted = true;
         let final_state = is_final(state);
-        // Of two ends one is wrong, whenever it was asked.
+        // Two different final states are a violation, whenever the request was sent.
         let after = final_state || self.over.is_some_and(|over| answer.asked >= over);
         if !final_state {
             let since = self.over.map_or(0, |over| received - over);
--- a/crates/emulator/src/user/tests.rs
+++ b/crates/emulator/src/user/tests.rs
@@ -47,8 +47,8 @@
     );
 }
 
-/// Day meet-41-189: a poll that waited out an outage was answered a millisecond after
-/// the cancellation that the same user sent to another controller meanwhile.
+/// Found on simulated day meet-41-189: a poll that was delayed by an outage was answered 1 ms
+/// after the cancellation that the same user had sent to another controller in the meantime.
 #[test]
 fn older_answer_breaks_a_rule_only_if_asked_after_the_end_was_told() {
     for (asked, broken) in [(4, false), (5, true), (9, true)] {
@@ -66,7 +66,7 @@
         let found = told((10, asked), UserRequest::Poll, (200, "running"), false);
         assert_eq!(found == ["went_back"], broken, "{asked}");
         let found = told((11, 4), UserRequest::Poll, (200, "done"), true);
-        assert_eq!(found, ["went_back"], "one of two ends is wrong");
+        assert_eq!(found, ["went_back"], "only one final state is right");
         let found = told((13, 12), UserRequest::Poll, (200, "running"), false);
         assert_eq!(found, ["went_back"]);
     }
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -1,13 +1,14 @@
-//! Emulator of a worker: its incarnation, fencing token, lease, images and tasks.
+//! Emulator of a worker, the agent on a rented machine: its incarnation, fencing token, lease,
+//! cached images and tasks.
 //!
-//! A worker reports to one controller at a time and moves on to the next when it gets no
-//! answer. Its lease is renewed by each answer that it accepts, from the time at which the
-//! answered report was sent; when it expires, everything on the machine ends and a new
-//! incarnation begins. Invariants that the controllers rely on (PROTOCOL, "Workers"):
+//! A worker reports to one controller at a time and switches to the next one when a report is
+//! not answered. Each answer that it accepts renews its lease, counted from the time at which
+//! the answered report was sent. When the lease expires, the worker terminates all tasks and
+//! starts a new incarnation. Invariants that the controllers rely on (PROTOCOL, "Workers"):
 //!
 //! - an answer or a direct message with an older fencing token changes nothing;
 //! - an answer to a report of an earlier incarnation changes nothing;
-//! - one attempt of a task runs at most once.
+//! - each attempt of a task runs at most once.
 
 pub(crate) mod protocol;
 
@@ -20,41 +21,41 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tolerance in comparisons of summed resources.
+/// Rounding tolerance for comparisons of summed resources.
 const EPSILON: f64 = 1e-6;
-/// How long it takes to start a task whose image is on the machine.
+/// Start time of a task whose image is already on the machine.
 const CACHED_IMAGE_START: Micros = SECOND / 100;
-/// How long it takes to fetch an image.
+/// Time to fetch an image.
 const IMAGE_FETCH: Micros = SECOND;
-/// After this long a task that fails has failed.
+/// Delay between the start of a failing task and its failure.
 const FAILURE_DELAY: Micros = SECOND / 2;
-/// The tasks of a service are looked at again after this long.
+/// Interval at which a running service task, which never finishes, is re-examined.
 const SERVICE_CHECK: Micros = 3_600 * SECOND;
-/// An answer that changed something is followed by a report after this long.
+/// Delay of the next report after an answer that changed the worker's state.
 const PROMPT_REPORT: Micros = SECOND / 2;
-/// A redirected worker reports to the leader after this long.
+/// Delay before a redirected worker reports to the leader.
 const REDIRECT_DELAY: Micros = SECOND / 10;
-/// Shortest time between two reports that nothing triggered.
+/// Minimum time between two reports that no event triggered.
 const MIN_REPORT_GAP: Micros = SECOND / 2;
-/// A worker that got no answer reports to the next controller after this long.
+/// Delay before a worker reports to the next controller after a failed or unanswered report.
 const NEXT_CONTROLLER_DELAY: Micros = SECOND;
-/// The expiry of a lease is noticed this long after it.
+/// Delay between the expiry of a lease and the step that processes it.
 const EXPIRY_MARGIN: Micros = 1_000;
-/// Port of the simulated address of machine number zero.
+/// Port of the simulated endpoint of machine 0.
 const BASE_PORT: u64 = 10_000;
 
-/// Why a task is no longer on the machine.
+/// Why a task has exited or was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ExitReason {
     Done,
     Error,
-    /// By a command.
+    /// Stopped by a `kill` command.
     Stopped,
-    /// Refused: another attempt of the task is there.
+    /// Refused: another attempt of the task is on the machine.
     AlreadyOnMachine,
     /// Refused: the worker does not know the job.
     UnknownJob,
-    /// Refused: too little is free.
+    /// Refused: insufficient free capacity.
     NoCapacity,
 }
 
@@ -73,7 +74,7 @@
     /// Number of the attempt, counted by the controllers.
     pub attempt: u64,
     status: TaskStatus,
-    /// When its status changes next by itself.
+    /// When its status changes next without a command.
     until: Micros,
 }
 
@@ -95,7 +96,7 @@
     }
 }
 
-/// A task started or ended on a machine.
+/// A task started, finished or was stopped on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskEvent {
     /// `JOB/INDEX`.
@@ -109,32 +110,35 @@
 /// What happened to a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskTransition {
-    /// It runs from here on.
+    /// It started to run.
     #[serde(rename = "Began")]
     Started,
-    /// It came to its own end.
+    /// It finished without being stopped, successfully or not.
     #[serde(rename = "Ended")]
     Finished,
-    /// It was stopped, by command or since the lease expired.
+    /// It was stopped by a command, or because the lease expired or the machine went down.
     Stopped,
 }
 
-/// Faults of one machine and its links.
+/// Injected faults of one machine and its network links.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineFaults {
-    /// The machine has no network until then.
+    /// The machine is disconnected in both directions until this time.
     pub cut_until: Micros,
-    /// The machine stands still until then.
+    /// The machine hangs until this time.
     pub hang_until: Micros,
-    /// Its reports go out, and neither answers nor commands reach it until then.
+    /// Inbound traffic is cut until this time: the worker's reports are delivered, but neither
+    /// answers nor commands reach it.
     pub inbound_cut_until: Micros,
-    /// Its reports reach no controller, while direct commands reach it, until then.
+    /// Outbound traffic is cut until this time: the worker's reports are lost, but direct
+    /// commands reach it.
     pub outbound_cut_until: Micros,
-    /// When the cloud reclaims it, as it was told.
+    /// When the cloud reclaims the machine, as announced to the worker; `None` if no reclaim is
+    /// announced.
     pub reclaim_at: Option<Micros>,
-    /// Every task fails on it.
+    /// Every task on the machine fails.
     pub tasks_fail: bool,
-    /// Tasks take this many times as long.
+    /// Factor by which run times of tasks are multiplied.
     pub slowdown: f64,
 }
 
@@ -153,19 +157,19 @@
 }
 
 impl MachineFaults {
-    /// Until when messages to the worker are lost.
+    /// The time until which messages to the worker are lost.
     #[must_use]
     pub fn unreachable_until(&self) -> Micros {
         self.cut_until.max(self.inbound_cut_until)
     }
 
-    /// Until when its reports are lost.
+    /// The time until which the worker's reports are lost.
     #[must_use]
     pub fn silent_until(&self) -> Micros {
         self.cut_until.max(self.outbound_cut_until)
     }
 
-    /// Until when it hangs or one of its links is cut.
+    /// The time until which the machine hangs or one of its links is cut.
     #[must_use]
     pub fn faulty_until(&self) -> Micros {
         let cut = self
@@ -175,7 +179,7 @@
         self.hang_until.max(cut)
     }
 
-    /// Nothing is wrong with the machine at that time.
+    /// Whether no fault affects the machine at `now`.
     #[must_use]
     pub fn is_healthy(&self, now: Micros) -> bool {
         now >= self.faulty_until()
@@ -195,25 +199,25 @@
 }
 
 impl Capacity {
-    /// Whether a task of the job fits into it.
+    /// Whether one task of the job fits into this capacity.
     #[must_use]
     pub fn fits(&self, plan: &JobPlan) -> bool {
         plan.cpus() <= self.cpus + EPSILON && plan.memory_gb() <= self.memory_gb + EPSILON
     }
 }
 
-/// What a worker remembers of its exchange with the controllers.
+/// State of the worker's report protocol.
 struct Session {
     incarnation: u64,
-    /// Of the last report within the incarnation.
+    /// Sequence number of the last report of this incarnation.
     sequence: u64,
-    /// The highest that it has seen.
+    /// The highest fencing token that the worker has seen.
     fencing_token: u64,
-    /// When the last report that was answered had been sent; the lease runs from then.
+    /// When the last report whose answer was accepted was sent; the lease runs from this time.
     renewed: Micros,
 }
 
-/// A report that is not answered yet.
+/// A report that has not been answered yet.
 #[derive(Clone, Copy)]
 struct InFlightReport {
     serial: u64,
@@ -221,33 +225,33 @@
     incarnation: u64,
 }
 
-/// What a worker needs to know beside its own state.
+/// Inputs of a worker that are not part of its state.
 #[derive(Clone, Copy)]
 pub struct Environment<'a> {
-    /// The present.
+    /// The current time.
     pub now: Micros,
     /// The jobs whose descriptions the worker can read.
     pub jobs: &'a BTreeMap<String, JobPlan>,
-    /// How many controllers there are.
+    /// Number of controllers.
     pub controllers: usize,
-    /// Violations of the protocol that are asked for.
+    /// Protocol violations that the emulators commit deliberately.
     pub protocol_faults: ProtocolFaults,
 }
 
-/// A report to be sent.
+/// A report to send.
 pub struct OutgoingReport {
-    /// Number of the controller; reduced to their count by the sender.
+    /// Index of the controller; the sender takes it modulo the number of controllers.
     pub controller: usize,
-    /// Identifies the report when its answer comes.
+    /// Matches the answer to this report.
     pub serial: u64,
-    /// The report.
+    /// The message body, not yet encoded.
     pub body: Value,
 }
 
 /// The answer to a report.
 #[derive(Clone, Copy)]
 pub struct ReportAnswer<'a> {
-    /// Of the report.
+    /// Serial number of the answered report.
     pub serial: u64,
     /// HTTP status.
     pub status: u16,
@@ -271,29 +275,30 @@
     session: Session,
     tasks: Vec<Task>,
     images: BTreeSet<String>,
-    /// Number of the controller that it reports to.
+    /// Index of the controller that the worker reports to.
     controller: usize,
     in_flight: Option<InFlightReport>,
     last_serial: u64,
     next_report: Micros,
-    /// Faults of its machine.
+    /// Injected faults of its machine.
     pub faults: MachineFaults,
-    /// Tasks that started.
+    /// Number of tasks that started.
     pub started: u64,
-    /// Tasks that ended since the lease expired or the machine restarted.
+    /// Number of running tasks that were terminated by a lease expiry or a machine restart.
     pub expired: u64,
-    /// Ids of tasks that ended well.
+    /// Ids of tasks that finished successfully.
     pub finished: Vec<String>,
-    /// What started and ended on the machine, for whoever runs or watches it.
+    /// Task events that the caller has not taken yet.
     pub events: Vec<TaskEvent>,
-    /// What a controller did against the protocol.
+    /// Protocol violations by controllers, as text.
     pub violations: Vec<String>,
-    /// Commands run outside: a running task ends when [`Worker::on_process_exit`] says so.
+    /// Tasks with a command line run as processes: such a task finishes when
+    /// [`Worker::on_process_exit`] is called.
     pub runs_commands: bool,
 }
 
 impl Worker {
-    /// A worker whose machine is up and empty.
+    /// Creates the worker of a machine that is up and runs no task.
     #[must_use]
     pub fn new(
         id: u64,
@@ -335,24 +340,24 @@
         }
     }
 
-    /// Reports this address instead of the simulated one.
+    /// Sets the endpoint that the worker reports, in place of the simulated one.
     pub fn set_endpoint(&mut self, endpoint: String) {
         self.endpoint = endpoint;
     }
 
-    /// Tasks that run on this machine in the protocol's sense.
+    /// Tasks whose status in the protocol is `running`.
     pub fn running(&self) -> impl Iterator<Item = &Task> {
         self.tasks
             .iter()
             .filter(|t| t.status == TaskStatus::Running)
     }
 
-    /// Tasks that occupy resources: also those that still fetch their image.
+    /// Tasks that occupy resources: those that run and those that still fetch their image.
     pub fn occupying(&self) -> impl Iterator<Item = &Task> {
         self.tasks.iter().filter(|t| !t.has_exited())
     }
 
-    /// What is left beside the tasks that occupy resources.
+    /// Capacity that no task occupies.
     #[must_use]
     pub fn free(&self, jobs: &BTreeMap<String, JobPlan>) -> Capacity {
         self.occupying().fold(self.capacity, |free, task| {
@@ -364,7 +369,7 @@
         })
     }
 
-    /// What a job may constrain of its machine.
+    /// The attributes of the machine that a job may constrain.
     #[must_use]
     pub fn attributes(&self) -> MachineAttributes<'_> {
         MachineAttributes {
@@ -374,24 +379,24 @@
         }
     }
 
-    /// The highest fencing token that it has seen.
+    /// The highest fencing token that the worker has seen.
     #[must_use]
     pub fn fencing_token(&self) -> u64 {
         self.session.fencing_token
     }
 
-    /// Whether a controller has answered a report that was sent later than this.
+    /// Whether the worker has accepted an answer to a report sent after `at`.
     #[must_use]
     pub fn answered_since(&self, at: Micros) -> bool {
         self.session.renewed > at
     }
 
-    /// When the lease runs out.
+    /// When the lease expires.
     fn lease_end(&self) -> Micros {
         self.session.renewed + self.lease
     }
 
-    /// Ends everything on the machine if the lease has expired.
+    /// Terminates all tasks and starts a new incarnation if the lease has expired.
     fn expire(&mut self, now: Micros) {
         if now > self.lease_end() {
             self.drop_tasks();
@@ -401,7 +406,7 @@
         }
     }
 
-    /// All tasks end, without a command of a controller.
+    /// Terminates all tasks without a command from a controller.
     fn drop_tasks(&mut self) {
         for task in self.tasks.drain(..) {
             if task.status == TaskStatus::Running {
@@ -416,7 +421,7 @@
         protocol::encode_report(self, now, protocol_faults)
     }
 
-    /// The next report, if one may go out now.
+    /// Returns the next report, or `None` if none may be sent now.
     pub fn next_report(
         &mut self,
         now: Micros,
@@ -444,7 +449,8 @@
         })
     }
 
-    /// Takes the answer to a report; returns when to report next, if that is soon.
+    /// Processes the answer to a report. Returns when to report next if that is earlier than the
+    /// regular interval.
     pub fn on_answer(&mut self, answer: ReportAnswer, environment: &Environment) -> Option<Micros> {
         let now = environment.now;
         if now < self.faults.hang_until {
@@ -471,7 +477,9 @@
         }
     }
 
-    /// A controller accepted the report: the lease is renewed, its commands are executed.
+    /// Processes the answer of a controller that accepted the report: renews the lease and
+    /// executes the commands. An answer with an older fencing token, or to a report of an
+    /// earlier incarnation, is ignored.
     fn on_accepted(
         &mut self,
         report: InFlightReport,
@@ -499,14 +507,14 @@
         Some(now + NEXT_CONTROLLER_DELAY)
     }
 
-    /// No answer to a report came in time; returns when to report next.
+    /// Processes the timeout of a report; returns when to report next.
     pub fn on_timeout(&mut self, now: Micros, serial: u64, controllers: usize) -> Option<Micros> {
         self.in_flight.filter(|r| r.serial == serial)?;
         self.in_flight = None;
         self.next_controller(now, controllers)
     }
 
-    /// Takes commands that a controller sent directly; returns the answer.
+    /// Processes commands that a controller sent directly; returns the answer.
     pub fn on_direct_command(&mut self, body: &[u8], environment: &Environment) -> Response {
         let now = environment.now;
         self.expire(now);
@@ -520,7 +528,8 @@
         self.session.fencing_token = self.session.fencing_token.max(token);
         if current {
             for order in protocol::commands(&message) {
-                // Guard 2: `run` must never come this way, since it could act late.
+                // Guard 2: `run` must never be sent directly, since a delayed message could
+                // start a task late.
                 if let Some(task) = protocol::task_to_run(order) {
                     self.violations.push(format!("a direct `run` of {task}"));
                     continue;
@@ -548,7 +557,7 @@
         }
     }
 
-    /// Starts to fetch the image of a task, or refuses it.
+    /// Starts to fetch the image of a task, or refuses the task.
     fn run(&mut self, task_id: &str, attempt: u64, environment: &Environment) {
         if self.tasks.iter().any(|t| t.is(task_id, attempt)) {
             return;
@@ -589,7 +598,7 @@
 
     /// Advances the tasks to `now`; returns whether something changed.
     pub fn step(&mut self, now: Micros, jobs: &BTreeMap<String, JobPlan>) -> bool {
-        // A machine that hangs beyond its lease resumes without its tasks.
+        // A machine that hangs past its lease expiry resumes without its tasks.
         self.expire(now);
         if now < self.faults.hang_until {
             return false;
@@ -613,7 +622,7 @@
         changed
     }
 
-    /// The image of a task is there: it runs from now on.
+    /// Starts a task whose image has been fetched.
     fn start(&mut self, index: usize, now: Micros, plan: Option<&JobPlan>) {
         if let Some(image) = plan.and_then(JobPlan::image) {
             self.images.insert(image.into());
@@ -625,7 +634,7 @@
         task.status = TaskStatus::Running;
         self.events.push(task.event(TaskTransition::Started));
         task.until = if self.runs_commands && plan.is_some_and(|p| p.command.is_some()) {
-            // Until its process ends.
+            // The task finishes when its process exits.
             Micros::MAX
         } else if fails {
             now + FAILURE_DELAY
@@ -634,7 +643,8 @@
         };
     }
 
-    /// The time of a running task is over; returns whether that ends it.
+    /// Finishes a running task whose run time has elapsed; returns `false` for a service, which
+    /// keeps running.
     fn finish(&mut self, index: usize, now: Micros, plan: Option<&JobPlan>) -> bool {
         let task = &mut self.tasks[index];
         if plan.is_some_and(JobPlan::is_service) {
@@ -646,7 +656,7 @@
         true
     }
 
-    /// A running task ends by itself.
+    /// Marks a running task as exited without a stop command.
     fn exit(&mut self, index: usize, success: bool) {
         let task = &mut self.tasks[index];
         task.status = TaskStatus::Exited(if success {
@@ -660,7 +670,7 @@
         }
     }
 
-    /// The process of a task has ended.
+    /// Marks the task as exited after its process has exited.
     pub fn on_process_exit(&mut self, task_id: &str, attempt: u64, success: bool) {
         let running = |t: &Task| t.is(task_id, attempt) && t.status == TaskStatus::Running;
         if let Some(index) = self.tasks.iter().position(running) {
@@ -668,12 +678,12 @@
         }
     }
 
-    /// The machine restarts: its worker knows nothing of its tasks, its images or any
-    /// fencing token, and begins its next incarnation.
+    /// Restarts the machine: its worker loses its tasks, images and fencing token, and starts
+    /// its next incarnation.
     pub fn reboot(&mut self, now: Micros) {
-        // Counted like those that a lease ends: no controller stopped them.
+        // Counted like tasks terminated by a lease expiry: no controller stopped them.
         self.drop_tasks();
-        // Away for a moment, which explains the loss.
+        // Records that the machine was down at `now`, which explains the lost tasks.
         self.faults.hang_until = now;
         self.images.clear();
         self.session.incarnation += 1;
@@ -683,21 +693,23 @@
         self.next_report = now;
     }
 
-    /// As [`Worker::reboot`], and its counts begin anew as well: what it reports looks old.
+    /// Restarts the machine as [`Worker::reboot`] does and also resets the incarnation and the
+    /// sequence number, so that its reports appear to be older than earlier ones.
     pub fn reset(&mut self, now: Micros) {
         self.reboot(now);
         self.session.incarnation = 1;
         self.session.sequence = 0;
     }
 
-    /// The machine goes: whatever runs on it ends with it.
+    /// Terminates all tasks because the machine is removed; returns the pending task events.
     pub fn shut_down(&mut self) -> Vec<TaskEvent> {
         self.session.renewed = 0;
         self.expire(Micros::MAX / 2);
         std::mem::take(&mut self.events)
     }
 
-    /// When [`Worker::step`] has something to do next.
+    /// The next time after `now` at which [`Worker::step`] has work to do; `None` if there is
+    /// none.
     #[must_use]
     pub fn next_step(&self, now: Micros) -> Option<Micros> {
         let tasks = self.occupying().map(|t| t.until);
@@ -707,19 +719,20 @@
     }
 }
 
-/// Where the worker of a machine listens in simulated time.
+/// The endpoint of a machine's worker in simulated time.
 #[must_use]
 pub fn simulated_endpoint(machine: u64) -> String {
     format!("127.0.0.1:{}", BASE_PORT + machine)
 }
 
-/// The machine whose worker listens on that port in simulated time.
+/// The number of the machine whose worker listens on `port` in simulated time.
 #[must_use]
 pub fn machine_at_port(port: u16) -> u64 {
     u64::from(port) - BASE_PORT
 }
 
-/// The number of the controller with this label: labels are single letters from `a`.
+/// The index of the controller with this label; labels are single letters starting at `a`.
+/// `None` for any other label.
 fn controller_number(label: &str) -> Option<usize> {
     let letter = label.bytes().next()?;
     (label.len() == 1 && letter.is_ascii_lowercase()).then(|| usize::from(letter - b'a'))
--- a/crates/emulator/src/worker/protocol.rs
+++ b/crates/emulator/src/worker/protocol.rs
@@ -16,21 +16,21 @@
 use crate::{Micros, ProtocolFaults};
 use serde_json::{json, Value};
 
-/// Where workers send their reports.
+/// Path to which workers send their reports.
 pub(crate) const REPORT_PATH: &str = "/hello";
-/// Where workers take commands that are sent to them directly.
+/// Path on which workers accept direct commands.
 pub(crate) const COMMAND_PATH: &str = "/do";
 
-/// What a command asks for.
+/// The operation that a command requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Verb {
     Run,
     Kill,
-    /// Forget a task that has exited.
+    /// Remove a task that has exited from the worker's reports.
     Clear,
 }
 
-/// A command about one attempt of a task.
+/// A command that concerns one attempt of a task.
 pub(super) struct Command<'a> {
     pub(super) verb: Verb,
     pub(super) task_id: &'a str,
@@ -38,7 +38,7 @@
 }
 
 impl<'a> Command<'a> {
-    /// Reads a command; none for one that is incomplete or not known.
+    /// Decodes a command; `None` if it is incomplete or unknown.
     pub(super) fn decode(order: &'a Value) -> Option<Command<'a>> {
         let verb = match order["verb"].as_str()? {
             "run" => Verb::Run,
@@ -54,17 +54,17 @@
     }
 }
 
-/// The commands of an answer or of a direct message, not decoded.
+/// The encoded commands of an answer or a direct message.
 pub(super) fn commands(message: &Value) -> impl Iterator<Item = &Value> {
     message["orders"].as_array().into_iter().flatten()
 }
 
-/// The task that a command asks to run, as the wire has it; none for other commands.
+/// The id of the task that a command asks to run, as sent; `None` for other commands.
 pub(super) fn task_to_run(order: &Value) -> Option<&Value> {
     (order["verb"] == "run").then(|| &order["piece"])
 }
 
-/// Ids of the tasks that an answer asks to run.
+/// Ids of the tasks that an answer asks the worker to run.
 pub(crate) fn tasks_to_run(answer: &Value) -> impl Iterator<Item = &str> {
     commands(answer).filter_map(|order| Some(task_to_run(order)?.as_str().unwrap_or("")))
 }
@@ -77,12 +77,12 @@
     message["tenure"].as_u64()
 }
 
-/// The label of the controller to report to, in an answer that redirects the worker.
+/// The label of the leader in an answer that redirects the worker; `None` if it has none.
 pub(super) fn leader_label(answer: &Value) -> Option<&str> {
     answer["foreman"].as_str()
 }
 
-/// A report of everything on the machine.
+/// Encodes a report of the machine and all its tasks.
 pub(super) fn encode_report(worker: &Worker, now: Micros, faults: ProtocolFaults) -> Value {
     let tasks: Vec<Value> = worker
         .tasks
@@ -117,7 +117,7 @@
         fencing_token,
         ..
     } = worker.session;
-    // Receivers must ignore fields that they do not know: `surprise` is one.
+    // `surprise` tests that receivers ignore unknown fields.
     json!({"host": worker.name, "endpoint": worker.endpoint, "shape": worker.machine_type,
         "yard": worker.zone, "loaners": worker.spot, "tenure": incarnation, "tick": sequence,
         "baton": fencing_token, "reclaimInS": reclaim_in_s, "pieces": tasks,
--- a/crates/emulator/src/worker_pool.rs
+++ b/crates/emulator/src/worker_pool.rs
@@ -1,8 +1,8 @@
-//! The workers of one process: each with a connection and an address of its own, and with
-//! the timers, incarnation, fencing token, images and lease of the model.
+//! The workers of one process. Each has its own connection and address, and the timers,
+//! incarnation, fencing token, images and lease of the model.
 //!
-//! Where [`Processes`] are given, tasks run command lines; else they are timers. Nothing
-//! else differs between the two.
+//! With [`Processes`], tasks run command lines; without, tasks are timers. The two modes do not
+//! differ otherwise.
 
 use crate::cloud::{Instance, InstanceType};
 use crate::job::{job_id, JobPlan};
@@ -18,51 +18,51 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Jobs whose descriptions are kept for the workers.
+/// Maximum number of job descriptions cached for the workers.
 const MAX_PLANS: usize = 20_000;
-/// How long a worker waits for an answer, seconds (PROTOCOL, "Workers").
+/// Time that a worker waits for an answer, seconds (PROTOCOL, "Workers").
 const ANSWER_TIMEOUT_S: f64 = 4.0;
-/// A worker reports this long after a direct command.
+/// Delay between a direct command and the worker's next report.
 const REPORT_AFTER_COMMAND: Micros = SECOND / 10;
 
-/// Something happened on a machine; for whoever keeps a history.
+/// A task event on a machine, for an observer that records a history.
 #[derive(Clone, Debug)]
 pub struct MachineEvent {
-    /// When.
+    /// Time of the event.
     pub at: Micros,
     /// Number of the machine.
     pub machine: u64,
-    /// What.
+    /// The task event.
     pub event: TaskEvent,
 }
 
-/// Is called with everything that happens on machines.
+/// Callback for every task event on the machines.
 pub type MachineObserver = Box<dyn FnMut(MachineEvent) + Send>;
 
-/// A report that is not answered yet.
+/// A report that has not been answered yet.
 struct InFlightReport {
     machine: u64,
     serial: u64,
 }
 
-/// What a pool of workers is made of.
+/// Configuration of a pool of workers.
 pub struct WorkerPoolConfig {
     /// The controllers' public addresses, in the order of their labels.
     pub controllers: Vec<SocketAddrV4>,
-    /// The workers' published timing.
+    /// The published timings of workers.
     pub settings: settings::WorkerTimings,
-    /// Where tasks run commands.
+    /// Runs the command lines of tasks; if `None`, tasks are timers.
     pub processes: Option<Processes>,
-    /// Violations of the protocol that are asked for.
+    /// Protocol violations that the workers commit deliberately.
     pub protocol_faults: ProtocolFaults,
-    /// Hears of what happens on machines.
+    /// Called for every task event on the machines.
     pub observer: MachineObserver,
 }
 
-/// Workers by the number of their machine.
+/// The workers of a platform, by machine number.
 pub struct WorkerPool {
     workers: BTreeMap<u64, Worker>,
-    /// When each worker reports next.
+    /// When each worker sends its next report.
     report_due: BTreeMap<u64, Micros>,
     plans: BTreeMap<String, JobPlan>,
     controllers: Vec<SocketAddrV4>,
@@ -75,7 +75,7 @@
 }
 
 impl WorkerPool {
-    /// A pool without workers.
+    /// Creates a pool without workers.
     #[must_use]
     pub fn new(config: WorkerPoolConfig) -> WorkerPool {
         WorkerPool {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// A machine is up: its worker begins to report.
+    /// Adds the worker of a machine that has booted; it starts to report.
     pub fn add(
         &mut self,
         now: Micros,
@@ -107,7 +107,7 @@
         self.report_due.insert(machine, now);
     }
 
-    /// The machine is gone, with everything on it.
+    /// Removes a machine and terminates its tasks.
     pub fn remove(&mut self, now: Micros, machine: u64) {
         if let Some(mut worker) = self.workers.remove(&machine) {
             for event in worker.shut_down() {
@@ -117,17 +117,17 @@
         self.report_due.remove(&machine);
     }
 
-    /// The worker of a machine.
+    /// The worker of a machine; `None` if the pool has no such machine.
     pub fn worker_mut(&mut self, machine: u64) -> Option<&mut Worker> {
         self.workers.get_mut(&machine)
     }
 
-    /// All workers, by the number of their machine.
+    /// All workers, by machine number.
     pub fn workers(&self) -> impl Iterator<Item = (&u64, &Worker)> {
         self.workers.iter()
     }
 
-    /// The machine restarts.
+    /// Restarts a machine.
     pub fn reboot(&mut self, now: Micros, machine: u64) {
         if let Some(worker) = self.workers.get_mut(&machine) {
             worker.reboot(now);
@@ -136,7 +136,8 @@
         self.report_by(machine, now);
     }
 
-    /// Commands begin and end with what happens to their tasks.
+    /// Starts or stops the process of a task according to an event, and passes the event to the
+    /// observer.
     fn on_event(&mut self, at: Micros, machine: u64, event: TaskEvent) {
         if let Some(processes) = &mut self.processes {
             let plan = self.plans.get(job_id(&event.task_id));
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Keeps the descriptions of the jobs that an answer asks to run.
+    /// Caches the descriptions of the jobs whose tasks an answer asks to run.
     fn learn_jobs(&mut self, answer: &[u8], describe: &mut dyn FnMut(&str) -> Option<JobPlan>) {
         for job in tasks_to_run(&decode(answer)).map(job_id) {
             if self.plans.contains_key(job) {
@@ -209,7 +210,7 @@
         });
     }
 
-    /// Answers a request that came to the address of a machine's worker.
+    /// Answers a request sent to the address of a machine's worker.
     pub fn on_request(&mut self, now: Micros, machine: u64, request: &Request) -> Response {
         if request.path != COMMAND_PATH || wire::decode::<ciborium::Value>(&request.body).is_err() {
             return crate::response(400, &serde_json::json!({}));
@@ -229,7 +230,8 @@
         answer
     }
 
-    /// Takes the answer to a report, or none in time; `describe` knows the jobs.
+    /// Processes the answer to a report; `None` as the result means that the report timed out.
+    /// `describe` looks up the description of a job.
     pub fn on_reply(
         &mut self,
         now: Micros,
@@ -270,7 +272,7 @@
         }
     }
 
-    /// Advances all machines to `now`; reports that are due go out.
+    /// Advances all machines to `now` and sends the reports that are due.
     pub fn step(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let exited = self
             .processes
@@ -298,7 +300,7 @@
         }
     }
 
-    /// The machine's worker reports at that time, or before.
+    /// Schedules the next report of the machine's worker no later than `at`.
     fn report_by(&mut self, machine: u64, at: Micros) {
         let due = self.report_due.entry(machine).or_insert(at);
         *due = (*due).min(at);
--- a/crates/emulator/src/worker_pool/tests.rs
+++ b/crates/emulator/src/worker_pool/tests.rs
@@ -5,11 +5,11 @@
 
 const TOKEN: u64 = 5;
 
-/// A pool of one worker and what was seen of it, without times.
+/// A pool of one worker and its observed events and reports, without times.
 struct Watched {
     pool: WorkerPool,
     events: Arc<Mutex<Vec<(String, u64, TaskTransition)>>>,
-    /// Each change of what it reports.
+    /// The reported tasks, recorded at each change.
     reported: Vec<String>,
     answered: usize,
 }
@@ -19,7 +19,7 @@
     let seen = events.clone();
     let observer = Box::new(move |s: MachineEvent| {
         let event = (s.event.task_id, s.event.attempt, s.event.transition);
-        seen.lock().expect("one thread").push(event);
+        seen.lock().expect("mutex not poisoned").push(event);
     });
     let settings = settings::WorkerTimings {
         report_s: 0.2,
@@ -59,7 +59,8 @@
     }
 }
 
-/// Three jobs: one that ends, one that is killed, one whose lease runs out.
+/// Three jobs: one that finishes, one that is killed, one that is terminated by the expiry of the
+/// lease.
 fn describe(job: &str) -> Option<JobPlan> {
     let run_s = match job {
         "job-1" => 0.3,
@@ -77,7 +78,8 @@
     })
 }
 
-/// What a controller answers, by the number of the answer; none from some time on.
+/// The commands in the controller's answer with this number; `None` (no answer) from number 14
+/// on.
 fn orders(answer: usize) -> Option<Value> {
     let order = |verb: &str, task_id: &str| json!({"verb": verb, "piece": task_id, "try": 1});
     Some(match answer {
@@ -121,15 +123,15 @@
     }
 }
 
-/// Workers whose tasks are timers report and do the same as workers whose tasks are
-/// processes, to the end of their lease.
+/// Workers whose tasks are timers send the same reports and events as workers whose tasks are
+/// processes, until their lease expires.
 #[test]
 fn emulated_and_real_tasks_behave_alike_on_the_same_script() {
     let (mut emulated, mut real) = (watched(false), watched(true));
     let began = Instant::now();
     let both_ended = |a: &Watched, b: &Watched| {
         let stopped = |w: &Watched| {
-            let events = w.events.lock().expect("one thread");
+            let events = w.events.lock().expect("mutex not poisoned");
             events
                 .iter()
                 .any(|(p, _, what)| p == "job-3/0" && *what == TaskTransition::Stopped)
@@ -142,7 +144,7 @@
         real.turn(now);
         std::thread::sleep(Duration::from_millis(5));
     }
-    let events = |w: &Watched| w.events.lock().expect("one thread").clone();
+    let events = |w: &Watched| w.events.lock().expect("mutex not poisoned").clone();
     let (of_emulated, of_real) = (events(&emulated), events(&real));
     assert_eq!(of_emulated, of_real);
     assert_eq!(emulated.reported, real.reported);
