--- a/crates/dev-cluster/src/controllers.rs
+++ b/crates/dev-cluster/src/controllers.rs
@@ -37,7 +37,7 @@
     children: Vec<Option<Child>>,
 }
 
-fn write(path: PathBuf, text: &str) -> Result<(), ClusterError> {
+fn write_file(path: PathBuf, text: &str) -> Result<(), ClusterError> {
     std::fs::write(&path, text).map_err(|e| ClusterError::File(path, e))
 }
 
@@ -62,12 +62,12 @@
     /// If a file cannot be written.
     pub fn add(&mut self, files: &ControllerFiles) -> Result<usize, ClusterError> {
         let (dir, label) = (&self.program.dir, files.label);
-        write(dir.join(format!("{label}.toml")), files.settings)?;
+        write_file(dir.join(format!("{label}.toml")), files.settings)?;
         let ini = format!(
             "[operators]\nlisten = {}\n{}",
             files.operators, files.operator_lines
         );
-        write(dir.join(format!("{label}.ini")), &ini)?;
+        write_file(dir.join(format!("{label}.ini")), &ini)?;
         self.labels.push(label.to_string());
         self.children.push(None);
         Ok(self.labels.len() - 1)
@@ -77,16 +77,16 @@
     ///
     /// # Errors
     /// If its log cannot be opened or its program cannot be started.
-    pub fn start(&mut self, node: usize) -> Result<(), ClusterError> {
-        if self.children[node].is_some() {
+    pub fn start(&mut self, controller: usize) -> Result<(), ClusterError> {
+        if self.children[controller].is_some() {
             return Ok(());
         }
-        let (dir, label) = (&self.program.dir, &self.labels[node]);
-        let log = self.log_of(node);
+        let (dir, label) = (&self.program.dir, &self.labels[controller]);
+        let log = self.log_of(controller);
         let file = open_log(&log).map_err(|e| ClusterError::File(log.clone(), e))?;
-        let (program, first) = &self.program.program;
+        let (program, arguments) = &self.program.program;
         let child = Command::new(program)
-            .args(first)
+            .args(arguments)
             .arg("--operator")
             .arg(dir.join(format!("{label}.ini")))
             .arg("--config")
@@ -97,23 +97,23 @@
             .stderr(file)
             .spawn()
             .map_err(|e| ClusterError::Start(program.clone(), e))?;
-        self.children[node] = Some(child);
+        self.children[controller] = Some(child);
         Ok(())
     }
 
     /// Kills a controller without a shutdown, as a power failure would.
-    pub fn kill(&mut self, node: usize) {
-        if let Some(mut child) = self.children[node].take() {
+    pub fn kill(&mut self, controller: usize) {
+        if let Some(mut child) = self.children[controller].take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
     /// Pauses a controller, or resumes it if `paused` is false.
-    pub fn pause(&self, node: usize, paused: bool) {
+    pub fn pause(&self, controller: usize, paused: bool) {
         let signal = if paused { Signal::STOP } else { Signal::CONT };
         let pid = self
-            .pid(node)
+            .pid(controller)
             .and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         if let Some(pid) = pid {
             // The signal fails if the process has just exited, which is harmless.
@@ -124,13 +124,13 @@
     /// Returns the controllers that have exited without being killed, which is always a fault.
     pub fn reap_exited(&mut self) -> Vec<usize> {
         let mut exited = Vec::new();
-        for (node, child) in self.children.iter_mut().enumerate() {
-            let over = child
+        for (controller, child) in self.children.iter_mut().enumerate() {
+            let has_exited = child
                 .as_mut()
                 .is_some_and(|c| !matches!(c.try_wait(), Ok(None)));
-            if over {
+            if has_exited {
                 *child = None;
-                exited.push(node);
+                exited.push(controller);
             }
         }
         exited
@@ -138,14 +138,16 @@
 
     /// Path of a controller's log file.
     #[must_use]
-    pub fn log_of(&self, node: usize) -> PathBuf {
-        self.program.dir.join(format!("{}.log", self.labels[node]))
+    pub fn log_of(&self, controller: usize) -> PathBuf {
+        self.program
+            .dir
+            .join(format!("{}.log", self.labels[controller]))
     }
 
     /// Process id of a controller; `None` if it does not run.
     #[must_use]
-    pub fn pid(&self, node: usize) -> Option<u32> {
-        self.children[node].as_ref().map(Child::id)
+    pub fn pid(&self, controller: usize) -> Option<u32> {
+        self.children[controller].as_ref().map(Child::id)
     }
 
     /// Process ids of the running controllers.
@@ -157,6 +159,6 @@
 
 impl Drop for Controllers {
     fn drop(&mut self) {
-        (0..self.children.len()).for_each(|node| self.kill(node));
+        (0..self.children.len()).for_each(|controller| self.kill(controller));
     }
 }
--- a/crates/dev-cluster/src/deployment.rs
+++ b/crates/dev-cluster/src/deployment.rs
@@ -87,25 +87,35 @@
 impl Deployment {
     /// Generates the platform's settings (TOML) of one controller.
     #[must_use]
-    pub fn settings(&self, node: usize, links: &Links) -> String {
+    pub fn settings(&self, controller: usize, links: &Links) -> String {
         let mut text = String::new();
         // Writing to a `String` cannot fail.
-        let _ = self.write_node(&mut text, node, links);
+        let _ = self.write_identity(&mut text, controller, links);
         let _ = self.write_parameters(&mut text);
         text
     }
 
     /// Writes the controller's identity, its own addresses and the addresses it connects to.
-    fn write_node(&self, text: &mut String, node: usize, links: &Links) -> std::fmt::Result {
-        let own = &self.nodes[node];
+    fn write_identity(
+        &self,
+        text: &mut String,
+        controller: usize,
+        links: &Links,
+    ) -> std::fmt::Result {
+        let this = &self.nodes[controller];
         writeln!(text, "# Written by the program that starts this cluster.")?;
-        writeln!(text, "label = \"{}\"\narea = \"{}\"", own.label, own.zone)?;
-        writeln!(text, "public_addr = \"{}\"", own.users)?;
-        writeln!(text, "peer_bind = \"{}\"", own.peers)?;
-        for (place, other) in self.nodes.iter().enumerate().filter(|(p, _)| *p != node) {
+        writeln!(text, "label = \"{}\"\narea = \"{}\"", this.label, this.zone)?;
+        writeln!(text, "public_addr = \"{}\"", this.users)?;
+        writeln!(text, "peer_bind = \"{}\"", this.peers)?;
+        for (index, other) in self
+            .nodes
+            .iter()
+            .enumerate()
+            .filter(|(i, _)| *i != controller)
+        {
             writeln!(text, "[[members]]\nlabel = \"{}\"", other.label)?;
             writeln!(text, "area = \"{}\"", other.zone)?;
-            writeln!(text, "addr = \"{}\"", links.peers[place])?;
+            writeln!(text, "addr = \"{}\"", links.peers[index])?;
         }
         writeln!(text, "[external]\ncloud = \"{}\"", links.cloud)?;
         writeln!(text, "state = \"{}\"", links.state)
--- a/crates/dev-cluster/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -34,7 +34,7 @@
     Platform(#[from] EventLoopError),
     /// The log of the state service cannot be read or written.
     #[error("cannot start the emulated platform: log of the state service: {0}")]
-    Kept(io::Error),
+    StateLog(io::Error),
     /// The generated settings are invalid.
     #[error("cannot start the emulated platform: {0}")]
     Settings(#[from] settings::SettingsError),
@@ -117,29 +117,29 @@
     SocketAddrV4::new([127, 0, 0, 1].into(), port)
 }
 
-fn label(i: usize) -> char {
+fn controller_label(i: usize) -> char {
     char::from(b'a' + (i % 26) as u8)
 }
 
 impl ClusterPlan {
-    fn address_of(&self, node: usize, listener: u16) -> SocketAddrV4 {
-        loopback(self.port + 10 * (node as u16 + 1) + listener)
+    fn address_of(&self, controller: usize, listener: u16) -> SocketAddrV4 {
+        loopback(self.port + 10 * (controller as u16 + 1) + listener)
     }
 
     /// Address on which a controller serves operators.
     #[must_use]
-    pub fn operators_of(&self, node: usize) -> SocketAddrV4 {
-        self.address_of(node, 0)
+    pub fn operators_of(&self, controller: usize) -> SocketAddrV4 {
+        self.address_of(controller, 0)
     }
 
     /// Address on which a controller serves users and workers.
     #[must_use]
-    pub fn users_of(&self, node: usize) -> SocketAddrV4 {
-        self.address_of(node, 1)
+    pub fn users_of(&self, controller: usize) -> SocketAddrV4 {
+        self.address_of(controller, 1)
     }
 
-    fn peers_of(&self, node: usize) -> SocketAddrV4 {
-        self.address_of(node, 2)
+    fn peers_of(&self, controller: usize) -> SocketAddrV4 {
+        self.address_of(controller, 2)
     }
 
     /// Address of the state service.
@@ -155,12 +155,12 @@
     }
 
     fn deployment(&self) -> Deployment {
-        let place = |node: usize| NodePlace {
-            label: label(node).to_string(),
-            zone: ZONES[node % 2].to_string(),
-            users: self.users_of(node),
-            peers: self.peers_of(node),
-            operators: self.operators_of(node),
+        let place = |controller: usize| NodePlace {
+            label: controller_label(controller).to_string(),
+            zone: ZONES[controller % 2].to_string(),
+            users: self.users_of(controller),
+            peers: self.peers_of(controller),
+            operators: self.operators_of(controller),
         };
         Deployment {
             nodes: (0..self.nodes).map(place).collect(),
@@ -204,7 +204,7 @@
     fn platform(&self, settings: &settings::Settings) -> PlatformConfig {
         let p = &settings.params;
         let zone = |i: usize| ZONES[i % 2].to_string();
-        let each = |spot: bool, n: u32| {
+        let pools = |spot: bool, n: u32| {
             (0..2).map(move |z| (CapacityPool::new(MACHINE_TYPE, zone(z), spot), n))
         };
         PlatformConfig {
@@ -224,8 +224,8 @@
                 boot_s: self.boot_s,
             }],
             zones: ZONES.map(String::from).to_vec(),
-            capacity: each(true, self.rentable)
-                .chain(each(false, self.rentable / 2))
+            capacity: pools(true, self.rentable)
+                .chain(pools(false, self.rentable / 2))
                 .collect(),
             owned: (0..self.machines)
                 .map(|i| CapacityPool::new(MACHINE_TYPE, zone(i), false))
@@ -252,9 +252,9 @@
     pub fn start(plan: ClusterPlan, observer: MachineObserver) -> Result<Cluster, ClusterError> {
         std::fs::create_dir_all(&plan.dir).map_err(|e| ClusterError::File(plan.dir.clone(), e))?;
         let controllers = write_settings(&plan)?;
-        let (faults, incoming) = mpsc::channel();
+        let (faults, fault_receiver) = mpsc::channel();
         let running = Arc::new(AtomicBool::new(true));
-        let platform = start_platform(&plan, incoming, observer, running.clone())?;
+        let platform = start_platform(&plan, fault_receiver, observer, running.clone())?;
         let mut cluster = Cluster {
             plan,
             controllers,
@@ -262,8 +262,8 @@
             platform: Some(platform),
             faults,
         };
-        for node in 0..cluster.plan.nodes {
-            cluster.start_node(node)?;
+        for controller in 0..cluster.plan.nodes {
+            cluster.start_node(controller)?;
         }
         Ok(cluster)
     }
@@ -278,13 +278,13 @@
     ///
     /// # Errors
     /// If its log cannot be opened or its program cannot be started.
-    pub fn start_node(&mut self, node: usize) -> Result<(), ClusterError> {
-        self.controllers.start(node)
+    pub fn start_node(&mut self, controller: usize) -> Result<(), ClusterError> {
+        self.controllers.start(controller)
     }
 
     /// Kills a controller without a shutdown, as a power failure would.
-    pub fn kill_node(&mut self, node: usize) {
-        self.controllers.kill(node);
+    pub fn kill_node(&mut self, controller: usize) {
+        self.controllers.kill(controller);
     }
 
     /// Injects a fault into the platform.
@@ -300,8 +300,8 @@
 
     /// Path of a controller's log file.
     #[must_use]
-    pub fn log_of(&self, node: usize) -> PathBuf {
-        self.controllers.log_of(node)
+    pub fn log_of(&self, controller: usize) -> PathBuf {
+        self.controllers.log_of(controller)
     }
 
     /// Process ids of the running controllers.
@@ -313,7 +313,7 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        (0..self.plan.nodes).for_each(|node| self.kill_node(node));
+        (0..self.plan.nodes).for_each(|controller| self.kill_node(controller));
         self.running.store(false, Ordering::Relaxed);
         if let Some(thread) = self.platform.take() {
             let _ = thread.join();
@@ -329,10 +329,10 @@
         dir: plan.dir.clone(),
         log_level: plan.log_level.clone(),
     });
-    for (node, place) in deployment.nodes.iter().enumerate() {
+    for (controller, place) in deployment.nodes.iter().enumerate() {
         let files = ControllerFiles {
             label: &place.label,
-            settings: &deployment.settings(node, &links),
+            settings: &deployment.settings(controller, &links),
             operators: place.operators,
             operator_lines: &plan.operators,
         };
@@ -359,11 +359,11 @@
     // The event loop is created on the thread that runs it, so that its contents stay on one
     // thread.
     let thread = std::thread::spawn(move || {
-        let made = EventLoop::try_new(network, |now| Platform::new(platform, observer, now));
-        let event_loop = match made {
+        let created = EventLoop::try_new(network, |now| Platform::new(platform, observer, now));
+        let event_loop = match created {
             Ok(Ok(event_loop)) => event_loop,
             Ok(Err(error)) => {
-                let _ = started.send(Err(ClusterError::Kept(error)));
+                let _ = started.send(Err(ClusterError::StateLog(error)));
                 return;
             }
             Err(error) => {
--- a/crates/emulator/src/cloud.rs
+++ b/crates/emulator/src/cloud.rs
@@ -13,14 +13,14 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Maximum number of instances on one page of the list (PROTOCOL).
-const MAX_PAGE: usize = 500;
+const MAX_PAGE_SIZE: usize = 500;
 /// Until this time the list is exact. Simulated time starts at one hour, and the controllers'
 /// first request must find the machines that existed before.
-const EXACT_UNTIL: Micros = 3_600 * SECOND + 5 * SECOND;
+const EXACT_LIST_UNTIL: Micros = 3_600 * SECOND + 5 * SECOND;
 /// Boot time of an instance whose type is unknown, seconds.
 const DEFAULT_BOOT_S: f64 = 10.0;
 /// Range of the uniformly distributed factor applied to the type's boot time.
-const BOOT_SPREAD: std::ops::Range<f64> = 0.6..1.5;
+const BOOT_TIME_FACTORS: std::ops::Range<f64> = 0.6..1.5;
 
 /// One machine rented from the cloud or owned.
 #[derive(Clone, Debug)]
@@ -35,7 +35,8 @@
     pub created: Micros,
     /// When it has booted; `Micros::MAX` if its boot is stuck.
     pub up: Micros,
-    /// When it failed, after which the list reports it as failed; `None` if it has not failed.
+    /// When it failed, that is, stopped without being released. From then on the list reports it
+    /// as failed. `None` if it has not failed.
     pub failed_at: Option<Micros>,
 }
 
@@ -94,13 +95,13 @@
     pub capacity: BTreeMap<CapacityPool, u32>,
     /// All instances, by number.
     pub instances: BTreeMap<u64, Instance>,
-    next: u64,
+    next_id: u64,
     /// Names returned for each scale-out request, by its idempotency key.
-    answers: BTreeMap<String, Vec<String>>,
+    scale_out_answers: BTreeMap<String, Vec<String>>,
     rps: f64,
     /// Tokens of the rate limit.
     tokens: f64,
-    refilled: Micros,
+    refilled_at: Micros,
     list_lag: Micros,
     /// Past states that a list may still show, oldest first.
     snapshots: VecDeque<(Micros, BTreeMap<u64, Instance>)>,
@@ -109,7 +110,7 @@
     /// Instances created since the last [`Cloud::take_created`], and when they have booted.
     created: Vec<(u64, Micros)>,
     /// Instances released since the last [`Cloud::take_released`].
-    gone: Vec<u64>,
+    released: Vec<u64>,
     /// Number of upcoming instances that never finish booting.
     pub stuck_boots: u32,
     /// Fraction of the capacity that is available.
@@ -125,12 +126,12 @@
 }
 
 /// The name of a machine.
-pub(crate) fn name(id: u64) -> String {
+pub(crate) fn machine_name(id: u64) -> String {
     format!("n-{id:06}")
 }
 
 /// The number of the machine with this name; `None` if the name is invalid.
-fn number(name: &str) -> Option<u64> {
+fn machine_number(name: &str) -> Option<u64> {
     name.strip_prefix("n-")?.parse().ok()
 }
 
@@ -144,16 +145,16 @@
             zones: Vec::new(),
             capacity: BTreeMap::new(),
             instances: BTreeMap::new(),
-            next: 0,
-            answers: BTreeMap::new(),
+            next_id: 0,
+            scale_out_answers: BTreeMap::new(),
             rps,
             tokens: rps,
-            refilled: 0,
+            refilled_at: 0,
             list_lag: (list_lag_s * 1e6) as Micros,
             snapshots: VecDeque::new(),
             endpoints: BTreeMap::new(),
             created: Vec::new(),
-            gone: Vec::new(),
+            released: Vec::new(),
             stuck_boots: 0,
             capacity_fraction: 1.0,
             down_until: 0,
@@ -166,8 +167,8 @@
     /// Creates an instance that boots for `boot`, or never finishes booting if that is `None`.
     /// Returns its number.
     pub fn add(&mut self, now: Micros, pool: &CapacityPool, boot: Option<Micros>) -> u64 {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let up = boot.map_or(Micros::MAX, |boot| now + boot);
         self.instances.insert(
             id,
@@ -189,7 +190,7 @@
 
     fn remove(&mut self, id: u64) {
         self.instances.remove(&id);
-        self.gone.push(id);
+        self.released.push(id);
     }
 
     /// The instance with this number and its type; `None` if it is not running.
@@ -207,12 +208,12 @@
     /// The number of the next machine. Names of machines are never reused.
     #[must_use]
     pub fn next_machine(&self) -> u64 {
-        self.next
+        self.next_id
     }
 
     /// Excludes numbers below `next` from being assigned to new machines.
     pub fn skip_machines_below(&mut self, next: u64) {
-        self.next = self.next.max(next);
+        self.next_id = self.next_id.max(next);
     }
 
     /// Returns the instances created since the last call, and when they have booted.
@@ -222,7 +223,7 @@
 
     /// Returns the instances released since the last call.
     pub fn take_released(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.gone)
+        std::mem::take(&mut self.released)
     }
 
     /// Serves a request.
@@ -250,7 +251,7 @@
             Call::ScaleOut => self.scale_out(now, &decode(body), rng),
             Call::ScaleIn => {
                 let body = decode(body);
-                for id in protocol::instances_to_release(&body).filter_map(number) {
+                for id in protocol::instances_to_release(&body).filter_map(machine_number) {
                     self.remove(id);
                 }
                 (200, json!({}))
@@ -260,14 +261,14 @@
                 (404, json!({}))
             }
         };
-        self.keep_snapshot(now);
+        self.record_snapshot(now);
         response(status, &body)
     }
 
     /// Takes a token for a request; `false` if the rate limit rejects it.
     fn take_token(&mut self, now: Micros) -> bool {
-        let passed = now.saturating_sub(self.refilled) as f64 / 1e6;
-        self.refilled = now;
+        let passed = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.refilled_at = now;
         self.tokens = (self.tokens + passed * self.rps).min(2.0 * self.rps);
         if self.tokens < 1.0 {
             return false;
@@ -276,7 +277,7 @@
         true
     }
 
-    fn keep_snapshot(&mut self, now: Micros) {
+    fn record_snapshot(&mut self, now: Micros) {
         self.snapshots.push_back((now, self.instances.clone()));
         // Keep the oldest state that a list may still show, and drop all before it.
         let oldest = now.saturating_sub(2 * self.list_lag);
@@ -290,24 +291,24 @@
         let age = rng.gen_range(0..=2 * self.list_lag);
         let at = now.saturating_sub(age);
         let empty = BTreeMap::new();
-        let snapshot = if now < EXACT_UNTIL {
+        let snapshot = if now < EXACT_LIST_UNTIL {
             &self.instances
         } else {
             let snapshot = self.snapshots.iter().rev().find(|(taken, _)| *taken <= at);
             snapshot.map_or(&empty, |(_, instances)| instances)
         };
-        let after = page.after.and_then(number);
-        let size = page.size.unwrap_or(MAX_PAGE).clamp(1, MAX_PAGE);
-        let rest = snapshot
+        let after = page.after.and_then(machine_number);
+        let size = page.size.unwrap_or(MAX_PAGE_SIZE).clamp(1, MAX_PAGE_SIZE);
+        let remaining = snapshot
             .iter()
             .filter(|(id, _)| after.is_none_or(|after| **id > after));
-        let more = rest.clone().count() > size;
-        let instances: Vec<Value> = rest
+        let more = remaining.clone().count() > size;
+        let instances: Vec<Value> = remaining
             .take(size)
             .map(|(id, instance)| {
                 let endpoint = self.endpoints.get(id).cloned();
                 let endpoint = endpoint.unwrap_or_else(|| simulated_endpoint(*id));
-                protocol::encode_instance(&name(*id), &endpoint, instance, at)
+                protocol::encode_instance(&machine_name(*id), &endpoint, instance, at)
             })
             .collect();
         protocol::encode_page(&instances, more)
@@ -315,10 +316,11 @@
 
     fn scale_out(&mut self, now: Micros, body: &Value, rng: &mut StdRng) -> (u16, Value) {
         let Some(request) = ScaleOut::decode(body) else {
-            self.violations.push(format!("rental {body}"));
+            self.violations
+                .push(format!("malformed scale-out request {body}"));
             return (400, json!({}));
         };
-        if let Some(names) = self.answers.get(&request.key) {
+        if let Some(names) = self.scale_out_answers.get(&request.key) {
             return (200, protocol::encode_names(names));
         }
         let pool = &request.pool;
@@ -337,14 +339,14 @@
             .map_or(DEFAULT_BOOT_S, |t| t.boot_s);
         let names: Vec<String> = (0..count)
             .map(|_| {
-                let boot = (boot_s * rng.gen_range(BOOT_SPREAD) * 1e6) as Micros;
+                let boot = (boot_s * rng.gen_range(BOOT_TIME_FACTORS) * 1e6) as Micros;
                 let stuck = self.stuck_boots > 0;
                 self.stuck_boots = self.stuck_boots.saturating_sub(1);
-                name(self.add(now, pool, (!stuck).then_some(boot)))
+                machine_name(self.add(now, pool, (!stuck).then_some(boot)))
             })
             .collect();
         let answer = protocol::encode_names(&names);
-        self.answers.insert(request.key, names);
+        self.scale_out_answers.insert(request.key, names);
         (200, answer)
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The models ([`state`], [`cloud`], [`worker`], [`user`]) perform no I/O and take the time as
 //! an argument, so that the same models serve simulated time (`beamhinge-sim`) and real
-//! processes ([`platform`], [`state_server`], [`worker_pool`]). They share no code with the
+//! processes ([`platform`], [`state_server`], [`worker_pool`]). They do not depend on the
 //! controller, so that their checks are an independent interpretation of the protocol.
 //!
 //! The wire words are confined to one module per protocol: `worker::protocol`,
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -30,7 +30,7 @@
 pub const FIRST_WORKER_LISTENER: usize = 2;
 
 /// Boot time of the owned machines.
-const OWNED_BOOT: Micros = SECOND / 5;
+const OWNED_BOOT_TIME: Micros = SECOND / 5;
 /// Interval at which job records are dropped, if that fault is enabled.
 const FORGET_INTERVAL: Micros = SECOND;
 
@@ -95,7 +95,7 @@
     booting: BTreeMap<u64, Micros>,
     protocol_faults: ProtocolFaults,
     rng: StdRng,
-    forgot_at: Micros,
+    last_forget_at: Micros,
     faults: Option<Receiver<PlatformFault>>,
 }
 
@@ -120,7 +120,7 @@
             None => (StateServer::new(&config.state), 0),
         };
         for pool in &config.owned {
-            cloud.add(micros(now), pool, Some(OWNED_BOOT));
+            cloud.add(micros(now), pool, Some(OWNED_BOOT_TIME));
         }
         cloud.skip_machines_below(next_machine);
         let pool = WorkerPool::new(WorkerPoolConfig {
@@ -139,7 +139,7 @@
             booting: BTreeMap::new(),
             protocol_faults: config.protocol_faults,
             rng: StdRng::seed_from_u64(config.seed),
-            forgot_at: 0,
+            last_forget_at: 0,
             faults: config.faults,
         };
         platform.booting.extend(platform.cloud.take_created());
@@ -156,8 +156,8 @@
             &mut self.rng,
         );
         self.booting.extend(self.cloud.take_created());
-        for gone in self.cloud.take_released() {
-            self.remove(now, gone);
+        for released in self.cloud.take_released() {
+            self.remove(now, released);
         }
         self.state.write_log(self.cloud.next_machine());
         answer
@@ -212,7 +212,7 @@
 
 /// Builds the description of a job for the workers from its record in the state service; `None`
 /// if the record is missing or has no specification.
-fn describe(state: &StateService, job: &str) -> Option<JobPlan> {
+fn describe_job(state: &StateService, job: &str) -> Option<JobPlan> {
     let record = state.get(&format!("{PREFIX}{job}")).cloned();
     let spec = record
         .and_then(|value| serde_json::from_value::<JobRecord>(value).ok())
@@ -273,7 +273,7 @@
         let state = &self.state.state;
         self.pool
             .on_reply(micros(now), id, result.as_ref(), &mut |job| {
-                describe(state, job)
+                describe_job(state, job)
             });
     }
 
@@ -284,8 +284,8 @@
         }
         self.start_booted(now_us);
         self.pool.step(now_us, out);
-        if self.protocol_faults.forgets_jobs && now_us > self.forgot_at + FORGET_INTERVAL {
-            self.forgot_at = now_us;
+        if self.protocol_faults.forgets_jobs && now_us > self.last_forget_at + FORGET_INTERVAL {
+            self.last_forget_at = now_us;
             self.state.state.forget_jobs(now_us);
         }
         self.state.answer_watches(now, out);
--- a/crates/emulator/src/platform/tests.rs
+++ b/crates/emulator/src/platform/tests.rs
@@ -11,7 +11,7 @@
 }
 
 /// Creates a platform that has only a durable state service.
-fn platform(state_log: &Path) -> Platform {
+fn durable_platform(state_log: &Path) -> Platform {
     let state = settings::Settings::parse("t", settings::SAMPLE)
         .expect("valid sample settings")
         .params
@@ -70,22 +70,27 @@
 }
 
 #[test]
-fn restarted_state_service_has_its_revisions_and_no_leases() {
+fn restarted_state_service_keeps_revisions_and_drops_leases() {
     let dir = std::env::temp_dir().join(format!("beamhinge-kept-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("directory created");
     let path = dir.join("state.log");
-    let mut p = platform(&path);
-    let lease = request(&mut p, Method::Post, "/holds", &json!({"lifeMs": 5000}));
-    assert_eq!(put(&mut p, "a/b", &Value::Null), 200);
-    assert_eq!(put(&mut p, "lead/now", &lease.1["permit"]), 200);
-    drop(p);
-    let torn = std::fs::OpenOptions::new().append(true).open(&path);
-    torn.expect("log exists")
+    let mut platform = durable_platform(&path);
+    let lease = request(
+        &mut platform,
+        Method::Post,
+        "/holds",
+        &json!({"lifeMs": 5000}),
+    );
+    assert_eq!(put(&mut platform, "a/b", &Value::Null), 200);
+    assert_eq!(put(&mut platform, "lead/now", &lease.1["permit"]), 200);
+    drop(platform);
+    let log = std::fs::OpenOptions::new().append(true).open(&path);
+    log.expect("log exists")
         .write_all(b"{\"rev\": 9, \"ke")
         .expect("truncated line written");
     for _ in 0..2 {
-        let mut p = platform(&path);
-        let (status, found) = request(&mut p, Method::Get, "/store?under=", &json!({}));
+        let mut platform = durable_platform(&path);
+        let (status, found) = request(&mut platform, Method::Get, "/store?under=", &json!({}));
         assert_eq!(
             (status, found["pairs"].as_array().map(Vec::len)),
             (200, Some(1))
--- a/crates/emulator/src/processes.rs
+++ b/crates/emulator/src/processes.rs
@@ -90,16 +90,16 @@
     /// Creates one file for both output streams of a task; `None` if there is no output directory
     /// or the file cannot be created.
     fn output_files(&self, job: &str, index: &str) -> Option<(File, File)> {
-        let folder = self.output.as_ref()?.join(job);
-        std::fs::create_dir_all(&folder).ok()?;
-        let file = File::create(folder.join(format!("{index}.out"))).ok()?;
+        let directory = self.output.as_ref()?.join(job);
+        std::fs::create_dir_all(&directory).ok()?;
+        let file = File::create(directory.join(format!("{index}.out"))).ok()?;
         Some((file.try_clone().ok()?, file))
     }
 
     /// Kills the process of a task, if it runs.
     pub fn stop(&mut self, task_id: &str, attempt: u64) {
         if let Some(child) = self.running.remove(&(task_id.to_string(), attempt)) {
-            end(child);
+            kill_group(child);
         }
     }
 
@@ -125,7 +125,7 @@
     }
 }
 
-fn end(mut child: Child) {
+fn kill_group(mut child: Child) {
     use rustix::process::{kill_process_group, Pid, Signal};
     if let Some(group) = i32::try_from(child.id()).ok().and_then(Pid::from_raw) {
         let _ = kill_process_group(group, Signal::KILL);
@@ -137,7 +137,7 @@
 impl Drop for Processes {
     fn drop(&mut self) {
         for (_, child) in std::mem::take(&mut self.running) {
-            end(child);
+            kill_group(child);
         }
     }
 }
--- a/crates/emulator/src/processes/tests.rs
+++ b/crates/emulator/src/processes/tests.rs
@@ -2,13 +2,13 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn command_that_ends_is_returned_with_its_success() {
-    let mut p = Processes::new(None, Vec::new());
-    assert!(p.start("job-1/0", 1, "exit 0") && p.start("job-1/1", 2, "exit 3"));
-    let until = Instant::now() + Duration::from_secs(20);
+fn exited_command_is_returned_with_its_success() {
+    let mut processes = Processes::new(None, Vec::new());
+    assert!(processes.start("job-1/0", 1, "exit 0") && processes.start("job-1/1", 2, "exit 3"));
+    let deadline = Instant::now() + Duration::from_secs(20);
     let mut seen = Vec::new();
-    while seen.len() < 2 && Instant::now() < until {
-        seen.extend(p.take_exited());
+    while seen.len() < 2 && Instant::now() < deadline {
+        seen.extend(processes.take_exited());
         std::thread::sleep(Duration::from_millis(5));
     }
     seen.sort();
@@ -27,14 +27,14 @@
     let dir = std::env::temp_dir().join(format!("beamhinge-group-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("directory created");
     let file = dir.join("pid");
-    let mut p = Processes::new(None, Vec::new());
+    let mut processes = Processes::new(None, Vec::new());
     let line = format!(
         "sleep 300 & echo $! > {}.new; mv {0}.new {0}; wait",
         file.display()
     );
-    assert!(p.start("job-1/0", 1, &line));
-    let until = Instant::now() + Duration::from_secs(20);
-    while !file.exists() && Instant::now() < until {
+    assert!(processes.start("job-1/0", 1, &line));
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while !file.exists() && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(5));
     }
     let pid: u32 = std::fs::read_to_string(&file)
@@ -42,14 +42,14 @@
         .trim()
         .parse()
         .expect("pid file holds a number");
-    p.stop("job-1/0", 1);
-    let gone = || {
+    processes.stop("job-1/0", 1);
+    let has_exited = || {
         // An orphan process may remain as a zombie until it is reaped.
         std::fs::read_to_string(format!("/proc/{pid}/stat")).map_or(true, |s| s.contains(") Z "))
     };
-    while !gone() && Instant::now() < until {
+    while !has_exited() && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(gone(), "the background process still runs");
+    assert!(has_exited(), "the background process still runs");
     std::fs::remove_dir_all(&dir).expect("directory removed");
 }
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -16,17 +16,17 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Number of past changes from which a watch can resume.
-const HISTORY: usize = 10_000;
+const DEFAULT_HISTORY_LIMIT: usize = 10_000;
 /// Maximum size of a transaction, bytes of its JSON text.
-const MAX_TRANSACTION: usize = 64 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 /// Maximum number of conditions of a transaction, per write that the limits allow.
 const MAX_CONDITIONS_PER_WRITE: usize = 4;
 /// [`StateService::forget_jobs`] drops job records older than this.
-const FORGOTTEN_AFTER: Micros = 8 * SECOND;
+const FORGET_AGE: Micros = 8 * SECOND;
 /// Prefix of the keys of job records.
 const JOB_PREFIX: &str = "j/";
 /// Delay between the expiry of a lease and the check that processes it.
-const EXPIRY_MARGIN: Micros = 1_000;
+const EXPIRY_CHECK_DELAY: Micros = 1_000;
 
 /// Identifies the client that waits for an answer. The state service returns it unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -96,11 +96,11 @@
     value: Value,
     revision: u64,
     lease_id: Option<u64>,
-    created: Micros,
+    created_at: Micros,
 }
 
 struct Lease {
-    expires: Micros,
+    expires_at: Micros,
     duration: Micros,
 }
 
@@ -108,7 +108,7 @@
     caller: Caller,
     prefix: String,
     after_revision: u64,
-    until: Micros,
+    deadline: Micros,
 }
 
 /// The state service.
@@ -129,7 +129,7 @@
     limits: Limits,
     /// Tokens of the rate limits: for requests and for writes.
     tokens: (f64, f64),
-    refilled: Micros,
+    refilled_at: Micros,
     /// Protocol violations by controllers, as text.
     pub violations: Vec<String>,
     /// Number of requests rejected by the rate limits.
@@ -161,11 +161,11 @@
             },
             limits,
             tokens: (limits.rps, limits.write_rps),
-            refilled: 0,
+            refilled_at: 0,
             violations: Vec::new(),
             throttled: 0,
             writes: 0,
-            history_limit: HISTORY,
+            history_limit: DEFAULT_HISTORY_LIMIT,
             journal: None,
         }
     }
@@ -174,33 +174,33 @@
     pub fn outage(&mut self, until: Micros) {
         self.down_until = until;
         for lease in self.leases.values_mut() {
-            lease.expires = until + lease.duration;
+            lease.expires_at = until + lease.duration;
         }
     }
 
     /// Removes expired leases and the keys bound to them.
-    fn expire(&mut self, now: Micros) {
+    fn expire_leases(&mut self, now: Micros) {
         if now < self.down_until {
             return;
         }
         let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.expires < now)
+            .filter(|(_, lease)| lease.expires_at < now)
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
             self.leases.remove(&id);
-            let bound: Vec<String> = self
+            let bound_keys: Vec<String> = self
                 .keys
                 .iter()
                 .filter(|(_, entry)| entry.lease_id == Some(id))
                 .map(|(key, _)| key.clone())
                 .collect();
-            if !bound.is_empty() {
+            if !bound_keys.is_empty() {
                 self.revision += 1;
             }
-            for key in bound {
+            for key in bound_keys {
                 self.keys.remove(&key);
                 self.record(key, None);
             }
@@ -218,7 +218,7 @@
                     value,
                     revision: change.revision,
                     lease_id: None,
-                    created: 0,
+                    created_at: 0,
                 };
                 self.keys.insert(change.key, entry);
             }
@@ -272,7 +272,7 @@
             value: value.clone(),
             revision: self.revision,
             lease_id: None,
-            created: 0,
+            created_at: 0,
         };
         self.keys.insert(key.to_string(), entry);
         self.record(key.to_string(), Some(value));
@@ -282,11 +282,11 @@
     fn record(&mut self, key: String, value: Option<Value>) {
         let revision = self.revision;
         if let Some(journal) = &mut self.journal {
-            let bound = self.keys.get(&key).is_some_and(|e| e.lease_id.is_some());
+            let bound_to_lease = self.keys.get(&key).is_some_and(|e| e.lease_id.is_some());
             journal.push(Change {
                 revision,
                 key: key.clone(),
-                value: if bound { None } else { value.clone() },
+                value: if bound_to_lease { None } else { value.clone() },
             });
         }
         self.history.push_back(Change {
@@ -306,7 +306,7 @@
         let old: Vec<String> = self
             .keys
             .iter()
-            .filter(|(key, e)| key.starts_with(JOB_PREFIX) && now > e.created + FORGOTTEN_AFTER)
+            .filter(|(key, e)| key.starts_with(JOB_PREFIX) && now > e.created_at + FORGET_AGE)
             .map(|(key, _)| key.clone())
             .collect();
         for key in old {
@@ -318,8 +318,8 @@
     /// Takes tokens for a request with this number of writes; `false` if the rate limits reject
     /// it.
     fn take_tokens(&mut self, now: Micros, writes: f64) -> bool {
-        let passed = now.saturating_sub(self.refilled) as f64 / 1e6;
-        self.refilled = now;
+        let passed = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.refilled_at = now;
         let Limits { rps, write_rps, .. } = self.limits;
         self.tokens.0 = (self.tokens.0 + passed * rps).min(rps);
         self.tokens.1 = (self.tokens.1 + passed * write_rps).min(write_rps);
@@ -342,7 +342,7 @@
         path: &str,
         body: &[u8],
     ) -> Option<Response> {
-        self.expire(now);
+        self.expire_leases(now);
         if now < self.down_until {
             return Some(protocol::empty(503));
         }
@@ -375,7 +375,7 @@
     fn grant_lease(&mut self, now: Micros, duration: Micros) -> Response {
         self.last_lease += 1;
         let lease = Lease {
-            expires: now + duration,
+            expires_at: now + duration,
             duration,
         };
         self.leases.insert(self.last_lease, lease);
@@ -385,7 +385,7 @@
     fn renew_lease(&mut self, now: Micros, id: u64) -> Response {
         match self.leases.get_mut(&id) {
             Some(lease) => {
-                lease.expires = now + lease.duration;
+                lease.expires_at = now + lease.duration;
                 protocol::lease(id)
             }
             None => protocol::empty(404),
@@ -394,9 +394,9 @@
 
     fn revoke_lease(&mut self, now: Micros, id: u64) -> Response {
         if let Some(lease) = self.leases.get_mut(&id) {
-            lease.expires = 0;
+            lease.expires_at = 0;
         }
-        self.expire(now);
+        self.expire_leases(now);
         protocol::empty(200)
     }
 
@@ -427,7 +427,7 @@
                     caller,
                     prefix: query.prefix,
                     after_revision: query.after_revision,
-                    until: now + query.wait,
+                    deadline: now + query.wait,
                 });
                 None
             }
@@ -441,50 +441,53 @@
             .history
             .partition_point(|change| change.revision <= after_revision);
         let changes = self.history.range(from..);
-        let last: BTreeMap<&String, &Change> = changes
+        let last_changes: BTreeMap<&String, &Change> = changes
             .filter(|change| change.key.starts_with(prefix))
             .map(|change| (&change.key, change))
             .collect();
-        if last.is_empty() && !immediate {
+        if last_changes.is_empty() && !immediate {
             return None;
         }
-        let events: Vec<Value> = last
+        let events: Vec<Value> = last_changes
             .into_iter()
             .map(|(key, change)| protocol::watch_event(key, change.value.as_ref(), change.revision))
             .collect();
         Some(protocol::watch_events(&events, self.revision))
     }
 
-    /// Returns the answers to watches that can be answered now. `held` selects, by connection
+    /// Returns the answers to watches that can be answered now. `delayed` selects, by connection
     /// and prefix, the watches that are delayed as in an outage.
     pub fn ready_watches(
         &mut self,
         now: Micros,
-        held: impl Fn(usize, &str) -> bool,
+        delayed: impl Fn(usize, &str) -> bool,
     ) -> ReadyWatches {
-        self.expire(now);
+        self.expire_leases(now);
         if now < self.down_until {
             return ReadyWatches {
                 answers: Vec::new(),
                 next_due: Some(self.down_until),
             };
         }
-        let is_held = |watch: &PendingWatch| held(watch.caller.connection, &watch.prefix);
+        let is_delayed = |watch: &PendingWatch| delayed(watch.caller.connection, &watch.prefix);
         let mut answers = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
-            let body = if is_held(&watch) {
+            let body = if is_delayed(&watch) {
                 None
             } else {
-                self.events(&watch.prefix, watch.after_revision, now >= watch.until)
+                self.events(&watch.prefix, watch.after_revision, now >= watch.deadline)
             };
             match body {
                 Some(body) => answers.push((watch.caller, body)),
                 None => self.watches.push(watch),
             }
         }
-        let leases = self.leases.values().map(|l| l.expires + EXPIRY_MARGIN);
-        let open = self.watches.iter().filter(|watch| !is_held(watch));
-        let next_due = open.map(|watch| watch.until).chain(leases).min();
+        let leases = self
+            .leases
+            .values()
+            .map(|l| l.expires_at + EXPIRY_CHECK_DELAY);
+        let pending = self.watches.iter().filter(|watch| !is_delayed(watch));
+        let next_due = pending.map(|watch| watch.deadline).chain(leases).min();
         ReadyWatches { answers, next_due }
     }
 
@@ -512,7 +515,7 @@
                         value: write.value.clone(),
                         revision: self.revision,
                         lease_id: write.lease_id,
-                        created: self.keys.get(write.key).map_or(now, |e| e.created),
+                        created_at: self.keys.get(write.key).map_or(now, |e| e.created_at),
                     };
                     self.keys.insert(write.key.to_string(), entry);
                     self.record(write.key.to_string(), Some(write.value.clone()));
@@ -533,10 +536,10 @@
         let max_writes = self.limits.transaction_writes;
         if writes > max_writes
             || conditions > MAX_CONDITIONS_PER_WRITE * max_writes
-            || transaction.size > MAX_TRANSACTION
+            || transaction.size > MAX_TRANSACTION_BYTES
         {
             self.violations.push(format!(
-                "a transaction of {writes} writes and {conditions} conditions"
+                "transaction of {writes} writes and {conditions} conditions exceeds a limit"
             ));
             return Some(protocol::error(400, "too large"));
         }
@@ -546,13 +549,14 @@
             if now < rejected.until && key.starts_with(rejected.prefix) {
                 return Some(protocol::error(400, "so it is"));
             }
-            if !transaction.guards(key) {
-                self.violations
-                    .push(format!("{key} is written without a condition on it"));
+            if !transaction.has_condition_on(key) {
+                self.violations.push(format!(
+                    "write to {key} without a condition on its revision"
+                ));
             }
             if write.value.to_string().len() > self.limits.value_bytes {
                 self.violations
-                    .push(format!("{key} is larger than a value may be"));
+                    .push(format!("value of {key} exceeds the size limit"));
                 return Some(protocol::error(400, "too large"));
             }
             let lease = write.lease_id;
--- a/crates/emulator/src/state/protocol.rs
+++ b/crates/emulator/src/state/protocol.rs
@@ -16,7 +16,7 @@
 /// Path to which transactions are sent.
 pub(crate) const COMMIT_PATH: &str = "/commit";
 const DEFAULT_LEASE_MS: u64 = 1_000;
-const DEFAULT_PAGE: usize = 1_000;
+const DEFAULT_PAGE_SIZE: usize = 1_000;
 
 /// The request types of the state service.
 pub(super) enum Call {
@@ -69,7 +69,7 @@
         Some(ScanQuery {
             prefix: query(path, "under")?,
             after: query(path, "since"),
-            page_size: page_size.unwrap_or(DEFAULT_PAGE),
+            page_size: page_size.unwrap_or(DEFAULT_PAGE_SIZE),
         })
     }
 }
@@ -160,7 +160,7 @@
     }
 
     /// Whether it has a condition on the key.
-    pub(super) fn guards(&self, key: &str) -> bool {
+    pub(super) fn has_condition_on(&self, key: &str) -> bool {
         self.conditions.iter().any(|c| c["path"] == key)
     }
 
--- a/crates/emulator/src/state_server.rs
+++ b/crates/emulator/src/state_server.rs
@@ -63,7 +63,7 @@
     pub fn from_log(limits: &settings::StateLimits, path: &Path) -> io::Result<(StateServer, u64)> {
         let mut server = StateServer::new(limits);
         let next_machine = restore(path, &mut server.state)?;
-        server.log = Some(begin_log(path, &server.state, next_machine)?);
+        server.log = Some(start_log(path, &server.state, next_machine)?);
         server.state.enable_journal();
         Ok((server, next_machine))
     }
@@ -168,8 +168,8 @@
 
 /// Writes a new log with the current state and opens it for appending. The new file replaces
 /// the old one by an atomic rename, so that a crash in between loses nothing.
-fn begin_log(path: &Path, state: &StateService, next_machine: u64) -> io::Result<File> {
-    let new = path.with_extension("new");
+fn start_log(path: &Path, state: &StateService, next_machine: u64) -> io::Result<File> {
+    let new_path = path.with_extension("new");
     let mut text = String::new();
     push_line(&mut text, &json!({ "machine": next_machine }));
     for (revision, key, value) in state.durable() {
@@ -177,7 +177,7 @@
     }
     // The revision must not decrease after a restart, even if the last change was a deletion.
     push_change(&mut text, state.revision(), REVISION_KEY, None);
-    std::fs::write(&new, text)?;
-    std::fs::rename(&new, path)?;
+    std::fs::write(&new_path, text)?;
+    std::fs::rename(&new_path, path)?;
     OpenOptions::new().append(true).open(path)
 }
--- a/crates/emulator/src/user.rs
+++ b/crates/emulator/src/user.rs
@@ -108,10 +108,10 @@
             self.submit_status = Some(answer.status);
         }
         let open = matches!(answer.status, 200 | 201) && !is_final(answer.state);
-        let polls = open && answer.request != UserRequest::Cancel;
+        let poll_again = open && answer.request != UserRequest::Cancel;
         Assessment {
             violations,
-            follow_up: polls.then_some(FollowUp::Poll(POLL_S)),
+            follow_up: poll_again.then_some(FollowUp::Poll(POLL_S)),
         }
     }
 
@@ -123,17 +123,18 @@
             violations.push("invented");
         }
         self.accepted = true;
-        let final_state = is_final(state);
+        let is_final_state = is_final(state);
         // Two different final states are a violation, whenever the request was sent.
-        let after = final_state || self.over.is_some_and(|over| answer.asked >= over);
-        if !final_state {
-            let since = self.over.map_or(0, |over| received - over);
-            self.late_older = self.late_older.max(since);
+        let must_match_final_state =
+            is_final_state || self.over.is_some_and(|final_at| answer.asked >= final_at);
+        if !is_final_state {
+            let delay = self.over.map_or(0, |final_at| received - final_at);
+            self.late_older = self.late_older.max(delay);
         }
-        let went_back = (after && self.done && state != "done")
-            || (after && self.cancelled.is_some() && state != "cancelled")
+        let regressed = (must_match_final_state && self.done && state != "done")
+            || (must_match_final_state && self.cancelled.is_some() && state != "cancelled")
             || (state == "cancelled" && !self.cancel_requested);
-        if went_back {
+        if regressed {
             violations.push("went_back");
         }
         if state == "done" {
@@ -144,7 +145,7 @@
         } else if state == "cancelled" {
             self.cancelled.get_or_insert(received);
         }
-        if final_state {
+        if is_final_state {
             self.over.get_or_insert(received);
         }
     }
--- a/crates/emulator/src/user/tests.rs
+++ b/crates/emulator/src/user/tests.rs
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn answer_that_breaks_a_rule_is_reported_by_its_name() {
-    let case = |first: (u16, &str), then: (u16, &str), complete| {
+fn answer_that_violates_a_rule_is_reported_by_the_rule_name() {
+    let case = |first: (u16, &str), second: (u16, &str), complete| {
         let mut view = UserJobView {
             submitted: true,
             ..UserJobView::default()
@@ -27,7 +27,7 @@
             .on_answer(&answer((1, 0), UserRequest::Submit, first, true))
             .violations;
         assert!(violations.is_empty(), "{violations:?}");
-        view.on_answer(&answer((2, 1), UserRequest::Poll, then, complete))
+        view.on_answer(&answer((2, 1), UserRequest::Poll, second, complete))
             .violations
     };
     assert_eq!(case((201, "pending"), (404, ""), true), ["forgotten"]);
@@ -50,24 +50,24 @@
 /// Found on simulated day meet-41-189: a poll that was delayed by an outage was answered 1 ms
 /// after the cancellation that the same user had sent to another controller in the meantime.
 #[test]
-fn older_answer_breaks_a_rule_only_if_asked_after_the_end_was_told() {
-    for (asked, broken) in [(4, false), (5, true), (9, true)] {
+fn older_answer_violates_a_rule_only_if_requested_after_the_final_state() {
+    for (asked, violates) in [(4, false), (5, true), (9, true)] {
         let mut view = UserJobView {
             submitted: true,
             cancel_requested: true,
             ..UserJobView::default()
         };
-        let mut told = |times, request, reply, complete| {
+        let mut violations_of = |times, request, reply, complete| {
             view.on_answer(&answer(times, request, reply, complete))
                 .violations
         };
-        told((2, 1), UserRequest::Submit, (201, "pending"), false);
-        told((5, 3), UserRequest::Cancel, (200, "cancelled"), false);
-        let found = told((10, asked), UserRequest::Poll, (200, "running"), false);
-        assert_eq!(found == ["went_back"], broken, "{asked}");
-        let found = told((11, 4), UserRequest::Poll, (200, "done"), true);
+        violations_of((2, 1), UserRequest::Submit, (201, "pending"), false);
+        violations_of((5, 3), UserRequest::Cancel, (200, "cancelled"), false);
+        let found = violations_of((10, asked), UserRequest::Poll, (200, "running"), false);
+        assert_eq!(found == ["went_back"], violates, "{asked}");
+        let found = violations_of((11, 4), UserRequest::Poll, (200, "done"), true);
         assert_eq!(found, ["went_back"], "only one final state is right");
-        let found = told((13, 12), UserRequest::Poll, (200, "running"), false);
+        let found = violations_of((13, 12), UserRequest::Poll, (200, "running"), false);
         assert_eq!(found, ["went_back"]);
     }
 }
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -22,17 +22,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Rounding tolerance for comparisons of summed resources.
-const EPSILON: f64 = 1e-6;
+const RESOURCE_TOLERANCE: f64 = 1e-6;
 /// Start time of a task whose image is already on the machine.
-const CACHED_IMAGE_START: Micros = SECOND / 100;
+const CACHED_IMAGE_START_TIME: Micros = SECOND / 100;
 /// Time to fetch an image.
-const IMAGE_FETCH: Micros = SECOND;
+const IMAGE_FETCH_TIME: Micros = SECOND;
 /// Delay between the start of a failing task and its failure.
 const FAILURE_DELAY: Micros = SECOND / 2;
 /// Interval at which a running service task, which never finishes, is re-examined.
-const SERVICE_CHECK: Micros = 3_600 * SECOND;
+const SERVICE_CHECK_INTERVAL: Micros = 3_600 * SECOND;
 /// Delay of the next report after an answer that changed the worker's state.
-const PROMPT_REPORT: Micros = SECOND / 2;
+const PROMPT_REPORT_DELAY: Micros = SECOND / 2;
 /// Delay before a redirected worker reports to the leader.
 const REDIRECT_DELAY: Micros = SECOND / 10;
 /// Minimum time between two reports that no event triggered.
@@ -40,7 +40,7 @@
 /// Delay before a worker reports to the next controller after a failed or unanswered report.
 const NEXT_CONTROLLER_DELAY: Micros = SECOND;
 /// Delay between the expiry of a lease and the step that processes it.
-const EXPIRY_MARGIN: Micros = 1_000;
+const EXPIRY_CHECK_DELAY: Micros = 1_000;
 /// Port of the simulated endpoint of machine 0.
 const BASE_PORT: u64 = 10_000;
 
@@ -75,11 +75,11 @@
     pub attempt: u64,
     status: TaskStatus,
     /// When its status changes next without a command.
-    until: Micros,
+    next_change_at: Micros,
 }
 
 impl Task {
-    fn is(&self, task_id: &str, attempt: u64) -> bool {
+    fn is_attempt(&self, task_id: &str, attempt: u64) -> bool {
         self.task_id == task_id && self.attempt == attempt
     }
 
@@ -136,7 +136,7 @@
     /// When the cloud reclaims the machine, as announced to the worker; `None` if no reclaim is
     /// announced.
     pub reclaim_at: Option<Micros>,
-    /// Every task on the machine fails.
+    /// Whether every task on the machine fails.
     pub tasks_fail: bool,
     /// Factor by which run times of tasks are multiplied.
     pub slowdown: f64,
@@ -202,7 +202,8 @@
     /// Whether one task of the job fits into this capacity.
     #[must_use]
     pub fn fits(&self, plan: &JobPlan) -> bool {
-        plan.cpus() <= self.cpus + EPSILON && plan.memory_gb() <= self.memory_gb + EPSILON
+        plan.cpus() <= self.cpus + RESOURCE_TOLERANCE
+            && plan.memory_gb() <= self.memory_gb + RESOURCE_TOLERANCE
     }
 }
 
@@ -214,14 +215,14 @@
     /// The highest fencing token that the worker has seen.
     fencing_token: u64,
     /// When the last report whose answer was accepted was sent; the lease runs from this time.
-    renewed: Micros,
+    renewed_at: Micros,
 }
 
 /// A report that has not been answered yet.
 #[derive(Clone, Copy)]
 struct InFlightReport {
     serial: u64,
-    sent: Micros,
+    sent_at: Micros,
     incarnation: u64,
 }
 
@@ -271,7 +272,7 @@
     capacity: Capacity,
     /// Time between reports, seconds.
     pub report_s: f64,
-    lease: Micros,
+    lease_duration: Micros,
     session: Session,
     tasks: Vec<Task>,
     images: BTreeSet<String>,
@@ -307,7 +308,7 @@
         now: Micros,
     ) -> Worker {
         Worker {
-            name: crate::cloud::name(id),
+            name: crate::cloud::machine_name(id),
             endpoint: simulated_endpoint(id),
             machine_type: instance.machine_type,
             zone: instance.zone,
@@ -317,12 +318,12 @@
                 memory_gb: instance_type.memory_gb,
             },
             report_s: settings.report_s,
-            lease: (settings.lease_s * 1e6) as Micros,
+            lease_duration: (settings.lease_s * 1e6) as Micros,
             session: Session {
                 incarnation: 1,
                 sequence: 0,
                 fencing_token: 0,
-                renewed: now,
+                renewed_at: now,
             },
             tasks: Vec::new(),
             images: BTreeSet::new(),
@@ -388,26 +389,26 @@
     /// Whether the worker has accepted an answer to a report sent after `at`.
     #[must_use]
     pub fn answered_since(&self, at: Micros) -> bool {
-        self.session.renewed > at
+        self.session.renewed_at > at
     }
 
     /// When the lease expires.
     fn lease_end(&self) -> Micros {
-        self.session.renewed + self.lease
+        self.session.renewed_at + self.lease_duration
     }
 
     /// Terminates all tasks and starts a new incarnation if the lease has expired.
-    fn expire(&mut self, now: Micros) {
+    fn expire_lease(&mut self, now: Micros) {
         if now > self.lease_end() {
-            self.drop_tasks();
+            self.terminate_tasks();
             self.session.incarnation += 1;
-            self.session.renewed = now;
+            self.session.renewed_at = now;
             self.in_flight = None;
         }
     }
 
     /// Terminates all tasks without a command from a controller.
-    fn drop_tasks(&mut self) {
+    fn terminate_tasks(&mut self) {
         for task in self.tasks.drain(..) {
             if task.status == TaskStatus::Running {
                 self.events.push(task.event(TaskTransition::Stopped));
@@ -431,14 +432,14 @@
             self.next_report = self.faults.hang_until;
             return None;
         }
-        self.expire(now);
+        self.expire_lease(now);
         if self.in_flight.is_some() || now < self.next_report {
             return None;
         }
         self.last_serial += 1;
         self.in_flight = Some(InFlightReport {
             serial: self.last_serial,
-            sent: now,
+            sent_at: now,
             incarnation: self.session.incarnation,
         });
         self.next_report = now + MIN_REPORT_GAP;
@@ -456,7 +457,7 @@
         if now < self.faults.hang_until {
             return None;
         }
-        self.expire(now);
+        self.expire_lease(now);
         let report = self.in_flight.filter(|r| r.serial == answer.serial)?;
         self.in_flight = None;
         let message = decode(answer.body);
@@ -470,16 +471,16 @@
                         self.next_report = now;
                         Some(now + REDIRECT_DELAY)
                     }
-                    _ => self.next_controller(now, environment.controllers),
+                    _ => self.switch_controller(now, environment.controllers),
                 }
             }
-            _ => self.next_controller(now, environment.controllers),
+            _ => self.switch_controller(now, environment.controllers),
         }
     }
 
     /// Processes the answer of a controller that accepted the report: renews the lease and
-    /// executes the commands. An answer with an older fencing token, or to a report of an
-    /// earlier incarnation, is ignored.
+    /// executes the commands. An answer with an older or missing fencing token, or to a report of
+    /// an earlier incarnation, is ignored.
     fn on_accepted(
         &mut self,
         report: InFlightReport,
@@ -491,17 +492,18 @@
         if stale_token || report.incarnation != self.session.incarnation {
             return None;
         }
-        let higher = token > self.session.fencing_token;
+        let token_increased = token > self.session.fencing_token;
         self.session.fencing_token = token;
-        self.session.renewed = report.sent;
-        let before = self.tasks.len();
-        for order in protocol::commands(message) {
-            self.execute(order, environment);
+        self.session.renewed_at = report.sent_at;
+        let tasks_before = self.tasks.len();
+        for encoded in protocol::commands(message) {
+            self.execute(encoded, environment);
         }
-        (higher || before != self.tasks.len()).then_some(environment.now + PROMPT_REPORT)
+        (token_increased || tasks_before != self.tasks.len())
+            .then_some(environment.now + PROMPT_REPORT_DELAY)
     }
 
-    fn next_controller(&mut self, now: Micros, controllers: usize) -> Option<Micros> {
+    fn switch_controller(&mut self, now: Micros, controllers: usize) -> Option<Micros> {
         self.controller = (self.controller + 1) % controllers;
         self.next_report = now + NEXT_CONTROLLER_DELAY;
         Some(now + NEXT_CONTROLLER_DELAY)
@@ -511,13 +513,13 @@
     pub fn on_timeout(&mut self, now: Micros, serial: u64, controllers: usize) -> Option<Micros> {
         self.in_flight.filter(|r| r.serial == serial)?;
         self.in_flight = None;
-        self.next_controller(now, controllers)
+        self.switch_controller(now, controllers)
     }
 
     /// Processes commands that a controller sent directly; returns the answer.
     pub fn on_direct_command(&mut self, body: &[u8], environment: &Environment) -> Response {
         let now = environment.now;
-        self.expire(now);
+        self.expire_lease(now);
         let message = decode(body);
         let token = protocol::fencing_token(&message);
         let (Some(token), Some(incarnation)) = (token, protocol::incarnation(&message)) else {
@@ -527,22 +529,23 @@
             token >= self.session.fencing_token && incarnation == self.session.incarnation;
         self.session.fencing_token = self.session.fencing_token.max(token);
         if current {
-            for order in protocol::commands(&message) {
+            for encoded in protocol::commands(&message) {
                 // Guard 2: `run` must never be sent directly, since a delayed message could
                 // start a task late.
-                if let Some(task) = protocol::task_to_run(order) {
-                    self.violations.push(format!("a direct `run` of {task}"));
+                if let Some(task) = protocol::task_to_run(encoded) {
+                    self.violations
+                        .push(format!("direct command to run {task}"));
                     continue;
                 }
-                self.execute(order, environment);
+                self.execute(encoded, environment);
             }
         }
         let status = if current { 200 } else { 409 };
         response(status, &self.report(now, ProtocolFaults::default()))
     }
 
-    fn execute(&mut self, order: &Value, environment: &Environment) {
-        let Some(command) = Command::decode(order) else {
+    fn execute(&mut self, encoded: &Value, environment: &Environment) {
+        let Some(command) = Command::decode(encoded) else {
             return;
         };
         match command.verb {
@@ -553,13 +556,13 @@
             Verb::Kill => {}
             Verb::Clear => self
                 .tasks
-                .retain(|t| !(t.is(command.task_id, command.attempt) && t.has_exited())),
+                .retain(|t| !(t.is_attempt(command.task_id, command.attempt) && t.has_exited())),
         }
     }
 
     /// Starts to fetch the image of a task, or refuses the task.
     fn run(&mut self, task_id: &str, attempt: u64, environment: &Environment) {
-        if self.tasks.iter().any(|t| t.is(task_id, attempt)) {
+        if self.tasks.iter().any(|t| t.is_attempt(task_id, attempt)) {
             return;
         }
         let plan = environment.jobs.get(job_id(task_id));
@@ -573,22 +576,22 @@
             None
         };
         let image = plan.and_then(JobPlan::image).unwrap_or("");
-        let fetch = if self.images.contains(image) {
-            CACHED_IMAGE_START
+        let start_delay = if self.images.contains(image) {
+            CACHED_IMAGE_START_TIME
         } else {
-            IMAGE_FETCH
+            IMAGE_FETCH_TIME
         };
         self.tasks.push(Task {
             task_id: task_id.into(),
             attempt,
             status: refusal.map_or(TaskStatus::FetchingImage, TaskStatus::Exited),
-            until: environment.now + fetch,
+            next_change_at: environment.now + start_delay,
         });
     }
 
     fn kill(&mut self, task_id: &str, attempt: u64) {
-        let live = |t: &&mut Task| t.is(task_id, attempt) && !t.has_exited();
-        for task in self.tasks.iter_mut().filter(live) {
+        let is_live = |t: &&mut Task| t.is_attempt(task_id, attempt) && !t.has_exited();
+        for task in self.tasks.iter_mut().filter(is_live) {
             if task.status == TaskStatus::Running {
                 self.events.push(task.event(TaskTransition::Stopped));
             }
@@ -599,14 +602,14 @@
     /// Advances the tasks to `now`; returns whether something changed.
     pub fn step(&mut self, now: Micros, jobs: &BTreeMap<String, JobPlan>) -> bool {
         // A machine that hangs past its lease expiry resumes without its tasks.
-        self.expire(now);
+        self.expire_lease(now);
         if now < self.faults.hang_until {
             return false;
         }
         let mut changed = false;
         for index in 0..self.tasks.len() {
             let task = &self.tasks[index];
-            if task.until > now {
+            if task.next_change_at > now {
                 continue;
             }
             let plan = jobs.get(job_id(&task.task_id));
@@ -633,7 +636,7 @@
         let task = &mut self.tasks[index];
         task.status = TaskStatus::Running;
         self.events.push(task.event(TaskTransition::Started));
-        task.until = if self.runs_commands && plan.is_some_and(|p| p.command.is_some()) {
+        task.next_change_at = if self.runs_commands && plan.is_some_and(|p| p.command.is_some()) {
             // The task finishes when its process exits.
             Micros::MAX
         } else if fails {
@@ -648,7 +651,7 @@
     fn finish(&mut self, index: usize, now: Micros, plan: Option<&JobPlan>) -> bool {
         let task = &mut self.tasks[index];
         if plan.is_some_and(JobPlan::is_service) {
-            task.until = now + SERVICE_CHECK;
+            task.next_change_at = now + SERVICE_CHECK_INTERVAL;
             return false;
         }
         let fails = self.faults.tasks_fail || plan.is_some_and(|p| p.fails);
@@ -672,7 +675,7 @@
 
     /// Marks the task as exited after its process has exited.
     pub fn on_process_exit(&mut self, task_id: &str, attempt: u64, success: bool) {
-        let running = |t: &Task| t.is(task_id, attempt) && t.status == TaskStatus::Running;
+        let running = |t: &Task| t.is_attempt(task_id, attempt) && t.status == TaskStatus::Running;
         if let Some(index) = self.tasks.iter().position(running) {
             self.exit(index, success);
         }
@@ -682,13 +685,13 @@
     /// its next incarnation.
     pub fn reboot(&mut self, now: Micros) {
         // Counted like tasks terminated by a lease expiry: no controller stopped them.
-        self.drop_tasks();
+        self.terminate_tasks();
         // Records that the machine was down at `now`, which explains the lost tasks.
         self.faults.hang_until = now;
         self.images.clear();
         self.session.incarnation += 1;
         self.session.fencing_token = 0;
-        self.session.renewed = now;
+        self.session.renewed_at = now;
         self.in_flight = None;
         self.next_report = now;
     }
@@ -703,8 +706,8 @@
 
     /// Terminates all tasks because the machine is removed; returns the pending task events.
     pub fn shut_down(&mut self) -> Vec<TaskEvent> {
-        self.session.renewed = 0;
-        self.expire(Micros::MAX / 2);
+        self.session.renewed_at = 0;
+        self.expire_lease(Micros::MAX / 2);
         std::mem::take(&mut self.events)
     }
 
@@ -712,8 +715,8 @@
     /// none.
     #[must_use]
     pub fn next_step(&self, now: Micros) -> Option<Micros> {
-        let tasks = self.occupying().map(|t| t.until);
-        let lease = (!self.tasks.is_empty()).then_some(self.lease_end() + EXPIRY_MARGIN);
+        let tasks = self.occupying().map(|t| t.next_change_at);
+        let lease = (!self.tasks.is_empty()).then_some(self.lease_end() + EXPIRY_CHECK_DELAY);
         let hang = (self.faults.hang_until > now).then_some(self.faults.hang_until);
         tasks.chain(lease).chain(hang).filter(|t| *t > now).min()
     }
--- a/crates/emulator/src/worker/protocol.rs
+++ b/crates/emulator/src/worker/protocol.rs
@@ -39,8 +39,8 @@
 
 impl<'a> Command<'a> {
     /// Decodes a command; `None` if it is incomplete or unknown.
-    pub(super) fn decode(order: &'a Value) -> Option<Command<'a>> {
-        let verb = match order["verb"].as_str()? {
+    pub(super) fn decode(encoded: &'a Value) -> Option<Command<'a>> {
+        let verb = match encoded["verb"].as_str()? {
             "run" => Verb::Run,
             "kill" => Verb::Kill,
             "clear" => Verb::Clear,
@@ -48,8 +48,8 @@
         };
         Some(Command {
             verb,
-            task_id: order["piece"].as_str()?,
-            attempt: order["try"].as_u64()?,
+            task_id: encoded["piece"].as_str()?,
+            attempt: encoded["try"].as_u64()?,
         })
     }
 }
@@ -60,13 +60,13 @@
 }
 
 /// The id of the task that a command asks to run, as sent; `None` for other commands.
-pub(super) fn task_to_run(order: &Value) -> Option<&Value> {
-    (order["verb"] == "run").then(|| &order["piece"])
+pub(super) fn task_to_run(encoded: &Value) -> Option<&Value> {
+    (encoded["verb"] == "run").then(|| &encoded["piece"])
 }
 
 /// Ids of the tasks that an answer asks the worker to run.
 pub(crate) fn tasks_to_run(answer: &Value) -> impl Iterator<Item = &str> {
-    commands(answer).filter_map(|order| Some(task_to_run(order)?.as_str().unwrap_or("")))
+    commands(answer).filter_map(|encoded| Some(task_to_run(encoded)?.as_str().unwrap_or("")))
 }
 
 pub(super) fn fencing_token(message: &Value) -> Option<u64> {
--- a/crates/emulator/src/worker_pool.rs
+++ b/crates/emulator/src/worker_pool.rs
@@ -169,7 +169,7 @@
     }
 
     /// Caches the descriptions of the jobs whose tasks an answer asks to run.
-    fn learn_jobs(&mut self, answer: &[u8], describe: &mut dyn FnMut(&str) -> Option<JobPlan>) {
+    fn cache_plans(&mut self, answer: &[u8], describe: &mut dyn FnMut(&str) -> Option<JobPlan>) {
         for job in tasks_to_run(&decode(answer)).map(job_id) {
             if self.plans.contains_key(job) {
                 continue;
@@ -243,7 +243,7 @@
             return;
         };
         if let Some((200, body)) = result {
-            self.learn_jobs(body, describe);
+            self.cache_plans(body, describe);
         }
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
--- a/crates/emulator/src/worker_pool/tests.rs
+++ b/crates/emulator/src/worker_pool/tests.rs
@@ -3,22 +3,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const TOKEN: u64 = 5;
+const FENCING_TOKEN: u64 = 5;
 
 /// A pool of one worker and its observed events and reports, without times.
-struct Watched {
+struct ObservedPool {
     pool: WorkerPool,
     events: Arc<Mutex<Vec<(String, u64, TaskTransition)>>>,
     /// The reported tasks, recorded at each change.
     reported: Vec<String>,
-    answered: usize,
+    answer_count: usize,
 }
 
-fn watched(real: bool) -> Watched {
+fn observed_pool(real: bool) -> ObservedPool {
     let events: Arc<Mutex<Vec<(String, u64, TaskTransition)>>> = Arc::default();
     let seen = events.clone();
-    let observer = Box::new(move |s: MachineEvent| {
-        let event = (s.event.task_id, s.event.attempt, s.event.transition);
+    let observer = Box::new(move |machine_event: MachineEvent| {
+        let event = (
+            machine_event.event.task_id,
+            machine_event.event.attempt,
+            machine_event.event.transition,
+        );
         seen.lock().expect("mutex not poisoned").push(event);
     });
     let settings = settings::WorkerTimings {
@@ -51,17 +55,17 @@
         boot_s: 0.0,
     };
     pool.add(SECOND, 1, (instance, instance_type), "127.0.0.1:2".into());
-    Watched {
+    ObservedPool {
         pool,
         events,
         reported: Vec::new(),
-        answered: 0,
+        answer_count: 0,
     }
 }
 
 /// Three jobs: one that finishes, one that is killed, one that is terminated by the expiry of the
 /// lease.
-fn describe(job: &str) -> Option<JobPlan> {
+fn describe_job(job: &str) -> Option<JobPlan> {
     let run_s = match job {
         "job-1" => 0.3,
         "job-2" | "job-3" => 60.0,
@@ -80,27 +84,27 @@
 
 /// The commands in the controller's answer with this number; `None` (no answer) from number 14
 /// on.
-fn orders(answer: usize) -> Option<Value> {
-    let order = |verb: &str, task_id: &str| json!({"verb": verb, "piece": task_id, "try": 1});
+fn scripted_commands(answer: usize) -> Option<Value> {
+    let command = |verb: &str, task_id: &str| json!({"verb": verb, "piece": task_id, "try": 1});
     Some(match answer {
         0 => json!([
-            order("run", "job-1/0"),
-            order("run", "job-2/0"),
-            order("run", "job-9/0")
+            command("run", "job-1/0"),
+            command("run", "job-2/0"),
+            command("run", "job-9/0")
         ]),
         6 => json!([
-            order("kill", "job-2/0"),
-            order("run", "job-2/0"),
-            order("run", "job-3/0")
+            command("kill", "job-2/0"),
+            command("run", "job-2/0"),
+            command("run", "job-3/0")
         ]),
-        10 => json!([order("clear", "job-1/0"), order("clear", "job-2/0")]),
+        10 => json!([command("clear", "job-1/0"), command("clear", "job-2/0")]),
         n if n < 14 => json!([]),
         _ => return None,
     })
 }
 
-impl Watched {
-    fn turn(&mut self, now: Micros) {
+impl ObservedPool {
+    fn advance(&mut self, now: Micros) {
         let mut out = Vec::new();
         self.pool.step(now, &mut out);
         for call in out {
@@ -111,14 +115,15 @@
             if self.reported.last() != Some(&task_ids) {
                 self.reported.push(task_ids);
             }
-            let answer = orders(self.answered).map(|orders| {
+            let answer = scripted_commands(self.answer_count).map(|scripted_commands| {
                 (
                     200,
-                    wire::encode(&json!({"baton": TOKEN, "orders": orders})),
+                    wire::encode(&json!({"baton": FENCING_TOKEN, "orders": scripted_commands})),
                 )
             });
-            self.answered += 1;
-            self.pool.on_reply(now, id, answer.as_ref(), &mut describe);
+            self.answer_count += 1;
+            self.pool
+                .on_reply(now, id, answer.as_ref(), &mut describe_job);
         }
     }
 }
@@ -127,28 +132,33 @@
 /// processes, until their lease expires.
 #[test]
 fn emulated_and_real_tasks_behave_alike_on_the_same_script() {
-    let (mut emulated, mut real) = (watched(false), watched(true));
-    let began = Instant::now();
-    let both_ended = |a: &Watched, b: &Watched| {
-        let stopped = |w: &Watched| {
+    let (mut emulated, mut real) = (observed_pool(false), observed_pool(true));
+    let started_at = Instant::now();
+    let both_ended = |a: &ObservedPool, b: &ObservedPool| {
+        let stopped = |w: &ObservedPool| {
             let events = w.events.lock().expect("mutex not poisoned");
             events
                 .iter()
-                .any(|(p, _, what)| p == "job-3/0" && *what == TaskTransition::Stopped)
+                .any(|(p, _, transition)| p == "job-3/0" && *transition == TaskTransition::Stopped)
         };
         stopped(a) && stopped(b)
     };
-    while !both_ended(&emulated, &real) && began.elapsed() < Duration::from_secs(30) {
-        let now = SECOND + began.elapsed().as_micros() as Micros;
-        emulated.turn(now);
-        real.turn(now);
+    while !both_ended(&emulated, &real) && started_at.elapsed() < Duration::from_secs(30) {
+        let now = SECOND + started_at.elapsed().as_micros() as Micros;
+        emulated.advance(now);
+        real.advance(now);
         std::thread::sleep(Duration::from_millis(5));
     }
-    let events = |w: &Watched| w.events.lock().expect("mutex not poisoned").clone();
-    let (of_emulated, of_real) = (events(&emulated), events(&real));
-    assert_eq!(of_emulated, of_real);
+    let events = |w: &ObservedPool| w.events.lock().expect("mutex not poisoned").clone();
+    let (emulated_events, real_events) = (events(&emulated), events(&real));
+    assert_eq!(emulated_events, real_events);
     assert_eq!(emulated.reported, real.reported);
-    let count = |what| of_emulated.iter().filter(|(_, _, w)| *w == what).count();
+    let count = |transition| {
+        emulated_events
+            .iter()
+            .filter(|(_, _, w)| *w == transition)
+            .count()
+    };
     assert_eq!(
         (
             count(TaskTransition::Started),
@@ -156,6 +166,6 @@
             count(TaskTransition::Stopped)
         ),
         (3, 1, 2),
-        "{of_emulated:?}"
+        "{emulated_events:?}"
     );
 }
