--- a/crates/emulator/src/cloud.rs
+++ b/crates/emulator/src/cloud.rs
@@ -1,5 +1,5 @@
 //! Emulator of the cloud: finite capacity, boot times, a rate limit, and a list of instances
-//! that lags behind and may go back in time.
+//! that is stale and may show an older state than the previous list did.
 
 pub(crate) mod protocol;
 
@@ -12,37 +12,38 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Instances on one page of the list (PROTOCOL).
-const MAX_PAGE: usize = 500;
-/// The list is exact until then: simulated time begins after one hour, and the cluster's
-/// first look finds the machines that were there before it.
-const EXACT_UNTIL: Micros = 3_600 * SECOND + 5 * SECOND;
-/// Boot time of an instance whose type is not offered, seconds.
+/// Maximum number of instances on one page of the list (PROTOCOL).
+const MAX_PAGE_SIZE: usize = 500;
+/// Until this time the list is exact. Simulated time starts at one hour, and the controllers'
+/// first request must find the machines that existed before.
+const EXACT_LIST_UNTIL: Micros = 3_600 * SECOND + 5 * SECOND;
+/// Boot time of an instance whose type is unknown, seconds.
 const DEFAULT_BOOT_S: f64 = 10.0;
-/// Boot times are drawn evenly between these parts of the stated one.
-const BOOT_SPREAD: std::ops::Range<f64> = 0.6..1.5;
+/// Range of the uniformly distributed factor applied to the type's boot time.
+const BOOT_TIME_FACTORS: std::ops::Range<f64> = 0.6..1.5;
 
-/// One machine of the cloud.
+/// One machine rented from the cloud or owned.
 #[derive(Clone, Debug)]
 pub struct Instance {
     /// Label of its type.
     pub machine_type: String,
-    /// Zone it stands in.
+    /// Its zone.
     pub zone: String,
     /// Whether the cloud may reclaim it.
     pub spot: bool,
     /// When it was created.
     pub created: Micros,
-    /// From when on it is up; never for one whose boot is stuck.
+    /// When it has booted; `Micros::MAX` if its boot is stuck.
     pub up: Micros,
-    /// From when on the list calls it failed: it stopped by itself.
+    /// When it failed, that is, stopped without being released. From then on the list reports it
+    /// as failed. `None` if it has not failed.
     pub failed_at: Option<Micros>,
 }
 
 /// A type of machine that the cloud offers.
 #[derive(Clone, Debug)]
 pub struct InstanceType {
-    /// Its name.
+    /// Its label.
     pub label: String,
     /// CPUs.
     pub cpus: f64,
@@ -52,23 +53,23 @@
     pub price: f64,
     /// Price of a spot instance.
     pub spot_price: f64,
-    /// Mean boot time, seconds.
+    /// Nominal boot time, seconds.
     pub boot_s: f64,
 }
 
-/// Instances of one type and zone that are sold alike.
+/// Instances that share a capacity limit: of one type and zone, all spot or all on-demand.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CapacityPool {
     /// Label of the type.
     pub machine_type: String,
     /// The zone.
     pub zone: String,
-    /// Spot or on-demand.
+    /// Whether its instances are spot; else they are on-demand.
     pub spot: bool,
 }
 
 impl CapacityPool {
-    /// The pool of that type, zone and kind of sale.
+    /// Creates a pool of this type and zone, spot or on-demand.
     pub fn new(machine_type: impl Into<String>, zone: impl Into<String>, spot: bool) -> Self {
         CapacityPool {
             machine_type: machine_type.into(),
@@ -84,59 +85,59 @@
     }
 }
 
-/// The cloud.
+/// The emulated cloud.
 pub struct Cloud {
-    /// What it offers.
+    /// The instance types that it offers.
     pub instance_types: Vec<InstanceType>,
     /// Its zones.
     pub zones: Vec<String>,
-    /// How many instances of each pool there can be at once.
+    /// Maximum number of instances of each pool at the same time.
     pub capacity: BTreeMap<CapacityPool, u32>,
     /// All instances, by number.
     pub instances: BTreeMap<u64, Instance>,
-    next: u64,
-    /// Answers to scale-outs by their idempotency keys.
-    answers: BTreeMap<String, Vec<String>>,
+    next_id: u64,
+    /// Names returned for each scale-out request, by its idempotency key.
+    scale_out_answers: BTreeMap<String, Vec<String>>,
     rps: f64,
-    /// Requests that may come at once now.
+    /// Tokens of the rate limit.
     tokens: f64,
-    refilled: Micros,
+    refilled_at: Micros,
     list_lag: Micros,
-    /// Earlier states that a list may still show, oldest first.
+    /// Past states that a list may still show, oldest first.
     snapshots: VecDeque<(Micros, BTreeMap<u64, Instance>)>,
-    /// Where a machine's worker listens, when it is not the simulated address.
+    /// Endpoints of the workers that do not use the simulated endpoint, by machine number.
     pub endpoints: BTreeMap<u64, String>,
-    /// Created since they were last taken, and when they are up.
+    /// Instances created since the last [`Cloud::take_created`], and when they have booted.
     created: Vec<(u64, Micros)>,
-    /// Gone since they were last taken.
-    gone: Vec<u64>,
-    /// So many of the next instances never come up.
+    /// Instances released since the last [`Cloud::take_released`].
+    released: Vec<u64>,
+    /// Number of upcoming instances that never finish booting.
     pub stuck_boots: u32,
-    /// The part of its capacity that the cloud has to give.
+    /// Fraction of the capacity that is available.
     pub capacity_fraction: f64,
-    /// It answers 503 until then.
+    /// The cloud answers 503 until this time.
     pub down_until: Micros,
-    /// Scale-outs are called malformed until then.
+    /// Scale-out requests are rejected as malformed until this time.
     pub rejects_scale_out_until: Micros,
-    /// The most instances that there ever were at once.
+    /// Highest number of instances that existed at the same time.
     pub peak_instances: u32,
-    /// What a controller did against the protocol.
+    /// Protocol violations by controllers, as text.
     pub violations: Vec<String>,
 }
 
 /// The name of a machine.
-pub(crate) fn name(id: u64) -> String {
+pub(crate) fn machine_name(id: u64) -> String {
     format!("n-{id:06}")
 }
 
-/// The number of the machine with this name.
-fn number(name: &str) -> Option<u64> {
+/// The number of the machine with this name; `None` if the name is invalid.
+fn machine_number(name: &str) -> Option<u64> {
     name.strip_prefix("n-")?.parse().ok()
 }
 
 impl Cloud {
-    /// An empty cloud; `rps`: requests a second that it serves, `list_lag_s`: how old its
-    /// list is in the mean.
+    /// Creates a cloud without instances. `rps` is its rate limit in requests per second,
+    /// `list_lag_s` the mean age of its list in seconds.
     #[must_use]
     pub fn new(rps: f64, list_lag_s: f64) -> Cloud {
         Cloud {
@@ -144,16 +145,16 @@
             zones: Vec::new(),
             capacity: BTreeMap::new(),
             instances: BTreeMap::new(),
-            next: 0,
-            answers: BTreeMap::new(),
+            next_id: 0,
+            scale_out_answers: BTreeMap::new(),
             rps,
             tokens: rps,
-            refilled: 0,
+            refilled_at: 0,
             list_lag: (list_lag_s * 1e6) as Micros,
             snapshots: VecDeque::new(),
             endpoints: BTreeMap::new(),
             created: Vec::new(),
-            gone: Vec::new(),
+            released: Vec::new(),
             stuck_boots: 0,
             capacity_fraction: 1.0,
             down_until: 0,
@@ -163,10 +164,11 @@
         }
     }
 
-    /// Creates an instance; its boot takes `boot`, or for ever. Returns its number.
+    /// Creates an instance that boots for `boot`, or never finishes booting if that is `None`.
+    /// Returns its number.
     pub fn add(&mut self, now: Micros, pool: &CapacityPool, boot: Option<Micros>) -> u64 {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let up = boot.map_or(Micros::MAX, |boot| now + boot);
         self.instances.insert(
             id,
@@ -188,10 +190,10 @@
 
     fn remove(&mut self, id: u64) {
         self.instances.remove(&id);
-        self.gone.push(id);
+        self.released.push(id);
     }
 
-    /// The instance with this number and its type, if it is up.
+    /// The instance with this number and its type; `None` if it is not running.
     #[must_use]
     pub fn booted(&self, now: Micros, id: u64) -> Option<(Instance, InstanceType)> {
         let instance = self
@@ -203,25 +205,25 @@
         Some((instance.clone(), instance_type.clone()))
     }
 
-    /// The number of the next machine: no name is ever given twice.
+    /// The number of the next machine. Names of machines are never reused.
     #[must_use]
     pub fn next_machine(&self) -> u64 {
-        self.next
+        self.next_id
     }
 
-    /// Numbers below this one are not given any more.
+    /// Excludes numbers below `next` from being assigned to new machines.
     pub fn skip_machines_below(&mut self, next: u64) {
-        self.next = self.next.max(next);
+        self.next_id = self.next_id.max(next);
     }
 
-    /// Instances created since the last call, and when they are up.
+    /// Returns the instances created since the last call, and when they have booted.
     pub fn take_created(&mut self) -> Vec<(u64, Micros)> {
         std::mem::take(&mut self.created)
     }
 
-    /// Instances released since the last call.
+    /// Returns the instances released since the last call.
     pub fn take_released(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.gone)
+        std::mem::take(&mut self.released)
     }
 
     /// Serves a request.
@@ -249,7 +251,7 @@
             Call::ScaleOut => self.scale_out(now, &decode(body), rng),
             Call::ScaleIn => {
                 let body = decode(body);
-                for id in protocol::instances_to_release(&body).filter_map(number) {
+                for id in protocol::instances_to_release(&body).filter_map(machine_number) {
                     self.remove(id);
                 }
                 (200, json!({}))
@@ -259,14 +261,14 @@
                 (404, json!({}))
             }
         };
-        self.keep_snapshot(now);
+        self.record_snapshot(now);
         response(status, &body)
     }
 
-    /// Whether the rate limit allows a request now.
+    /// Takes a token for a request; `false` if the rate limit rejects it.
     fn take_token(&mut self, now: Micros) -> bool {
-        let passed = now.saturating_sub(self.refilled) as f64 / 1e6;
-        self.refilled = now;
+        let passed = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.refilled_at = now;
         self.tokens = (self.tokens + passed * self.rps).min(2.0 * self.rps);
         if self.tokens < 1.0 {
             return false;
@@ -275,9 +277,9 @@
         true
     }
 
-    fn keep_snapshot(&mut self, now: Micros) {
+    fn record_snapshot(&mut self, now: Micros) {
         self.snapshots.push_back((now, self.instances.clone()));
-        // The oldest state that a list may still show is kept, and none before it.
+        // Keep the oldest state that a list may still show, and drop all before it.
         let oldest = now.saturating_sub(2 * self.list_lag);
         while self.snapshots.get(1).is_some_and(|(at, _)| *at <= oldest) {
             self.snapshots.pop_front();
@@ -285,28 +287,28 @@
     }
 
     fn list(&mut self, now: Micros, page: &PageQuery, rng: &mut StdRng) -> Value {
-        // The list is as old as it likes, up to twice its lag.
+        // The age of the list is uniformly distributed up to twice the mean lag.
         let age = rng.gen_range(0..=2 * self.list_lag);
         let at = now.saturating_sub(age);
         let empty = BTreeMap::new();
-        let snapshot = if now < EXACT_UNTIL {
+        let snapshot = if now < EXACT_LIST_UNTIL {
             &self.instances
         } else {
             let snapshot = self.snapshots.iter().rev().find(|(taken, _)| *taken <= at);
             snapshot.map_or(&empty, |(_, instances)| instances)
         };
-        let after = page.after.and_then(number);
-        let size = page.size.unwrap_or(MAX_PAGE).clamp(1, MAX_PAGE);
-        let rest = snapshot
+        let after = page.after.and_then(machine_number);
+        let size = page.size.unwrap_or(MAX_PAGE_SIZE).clamp(1, MAX_PAGE_SIZE);
+        let remaining = snapshot
             .iter()
             .filter(|(id, _)| after.is_none_or(|after| **id > after));
-        let more = rest.clone().count() > size;
-        let instances: Vec<Value> = rest
+        let more = remaining.clone().count() > size;
+        let instances: Vec<Value> = remaining
             .take(size)
             .map(|(id, instance)| {
                 let endpoint = self.endpoints.get(id).cloned();
                 let endpoint = endpoint.unwrap_or_else(|| simulated_endpoint(*id));
-                protocol::encode_instance(&name(*id), &endpoint, instance, at)
+                protocol::encode_instance(&machine_name(*id), &endpoint, instance, at)
             })
             .collect();
         protocol::encode_page(&instances, more)
@@ -314,10 +316,11 @@
 
     fn scale_out(&mut self, now: Micros, body: &Value, rng: &mut StdRng) -> (u16, Value) {
         let Some(request) = ScaleOut::decode(body) else {
-            self.violations.push(format!("rental {body}"));
+            self.violations
+                .push(format!("malformed scale-out request {body}"));
             return (400, json!({}));
         };
-        if let Some(names) = self.answers.get(&request.key) {
+        if let Some(names) = self.scale_out_answers.get(&request.key) {
             return (200, protocol::encode_names(names));
         }
         let pool = &request.pool;
@@ -336,14 +339,14 @@
             .map_or(DEFAULT_BOOT_S, |t| t.boot_s);
         let names: Vec<String> = (0..count)
             .map(|_| {
-                let boot = (boot_s * rng.gen_range(BOOT_SPREAD) * 1e6) as Micros;
+                let boot = (boot_s * rng.gen_range(BOOT_TIME_FACTORS) * 1e6) as Micros;
                 let stuck = self.stuck_boots > 0;
                 self.stuck_boots = self.stuck_boots.saturating_sub(1);
-                name(self.add(now, pool, (!stuck).then_some(boot)))
+                machine_name(self.add(now, pool, (!stuck).then_some(boot)))
             })
             .collect();
         let answer = protocol::encode_names(&names);
-        self.answers.insert(request.key, names);
+        self.scale_out_answers.insert(request.key, names);
         (200, answer)
     }
 }
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -1,6 +1,5 @@
-//! The whole platform as one service on loopback: state service, cloud and workers, each
-//! behind a listener of its own, made of the same models that the scenarios use in simulated
-//! time.
+//! The emulated platform as one service on loopback: state service, cloud and workers, each
+//! with its own listener, built from the models that the scenarios use in simulated time.
 
 use crate::cloud::{CapacityPool, Cloud, InstanceType};
 use crate::job::JobPlan;
@@ -23,88 +22,88 @@
 use std::path::PathBuf;
 use std::sync::mpsc::Receiver;
 
-/// Number of the state service's listener.
+/// Index of the state service's listener.
 pub const STATE_LISTENER: usize = 0;
-/// Number of the cloud's listener.
+/// Index of the cloud's listener.
 pub const CLOUD_LISTENER: usize = 1;
-/// Number of the first worker's listener; the others follow.
+/// Index of the first worker's listener; the other workers' listeners follow.
 pub const FIRST_WORKER_LISTENER: usize = 2;
 
-/// Boot time of the machines that are there from the start.
-const OWNED_BOOT: Micros = SECOND / 5;
-/// How often job records are lost, where that is asked for.
+/// Boot time of the owned machines.
+const OWNED_BOOT_TIME: Micros = SECOND / 5;
+/// Interval at which job records are dropped, if that fault is enabled.
 const FORGET_INTERVAL: Micros = SECOND;
 
-/// What a platform is made of.
+/// Configuration of a platform.
 pub struct PlatformConfig {
     /// The controllers' public addresses, in the order of their labels, which are single
-    /// letters from `a`.
+    /// letters starting at `a`.
     pub controllers: Vec<SocketAddrV4>,
-    /// One address for each machine that may be there at once.
+    /// Addresses of workers, which limit the number of running machines.
     pub worker_addresses: Vec<SocketAddrV4>,
-    /// The workers' published timing.
+    /// The published timings of workers.
     pub workers: settings::WorkerTimings,
-    /// The state service's published limits.
+    /// The published limits of the state service.
     pub state: settings::StateLimits,
-    /// The cloud's published limits.
+    /// The published limits of the cloud.
     pub cloud: settings::CloudLimits,
-    /// What the cloud offers.
+    /// The instance types that the cloud offers.
     pub instance_types: Vec<InstanceType>,
     /// The cloud's zones.
     pub zones: Vec<String>,
-    /// How many instances of each pool there can be at once.
+    /// Maximum number of instances of each pool at the same time.
     pub capacity: Vec<(CapacityPool, u32)>,
-    /// On-demand machines that are there from the start.
+    /// The pool of each owned machine; they boot when the platform starts.
     pub owned: Vec<CapacityPool>,
-    /// The state service's log; without one it forgets everything with the process.
+    /// Path of the state service's log; if `None`, its state is lost when the process exits.
     pub state_log: Option<PathBuf>,
-    /// Where tasks run commands.
+    /// Runs the command lines of tasks; if `None`, tasks are timers.
     pub processes: Option<Processes>,
-    /// Violations of the protocol that are asked for.
+    /// Protocol violations that the emulators commit deliberately.
     pub protocol_faults: ProtocolFaults,
-    /// Of all draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Faults are taken from here while the platform runs.
+    /// Faults to inject while the platform runs.
     pub faults: Option<Receiver<PlatformFault>>,
 }
 
-/// Faults that a running platform can be told to have.
+/// Faults that can be injected into a running platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlatformFault {
-    /// The cloud answers 503 for so many seconds.
+    /// The cloud answers 503 for this number of seconds.
     CloudDown(f64),
-    /// The state service answers 503 for so many seconds.
+    /// The state service answers 503 for this number of seconds.
     StateDown(f64),
-    /// A machine neither reports nor listens.
+    /// A machine hangs: its worker sends no reports and its tasks make no progress.
     Hang {
-        /// Its number.
+        /// Number of the machine.
         machine: u64,
-        /// For how long.
+        /// Duration of the fault.
         seconds: f64,
     },
 }
 
-/// The platform.
+/// The emulated platform.
 pub struct Platform {
     state: StateServer,
     cloud: Cloud,
     pool: WorkerPool,
-    /// The machine whose worker has the address of that index.
+    /// The machine whose worker uses the address with the same index; `None` for a free address.
     slots: Vec<Option<u64>>,
     worker_addresses: Vec<SocketAddrV4>,
-    /// Machines without an address yet, and when they are up.
+    /// Machines that have no address yet, and when they have booted.
     booting: BTreeMap<u64, Micros>,
     protocol_faults: ProtocolFaults,
     rng: StdRng,
-    forgot_at: Micros,
+    last_forget_at: Micros,
     faults: Option<Receiver<PlatformFault>>,
 }
 
 impl Platform {
-    /// A platform with its owned machines booting.
+    /// Creates a platform whose owned machines are booting.
     ///
     /// # Errors
-    /// When the state service's log cannot be read or written.
+    /// If the state service's log cannot be read or written.
     pub fn new(
         config: PlatformConfig,
         observer: MachineObserver,
@@ -114,14 +113,14 @@
         cloud.instance_types = config.instance_types;
         cloud.zones = config.zones;
         cloud.capacity.extend(config.capacity);
-        // Machines that are there from the start have the same names each time: whatever
-        // ran on them ended with the last process.
+        // Owned machines have the same names after each start: all tasks on them ended with
+        // the previous process.
         let (state, next_machine) = match &config.state_log {
             Some(path) => StateServer::from_log(&config.state, path)?,
             None => (StateServer::new(&config.state), 0),
         };
         for pool in &config.owned {
-            cloud.add(micros(now), pool, Some(OWNED_BOOT));
+            cloud.add(micros(now), pool, Some(OWNED_BOOT_TIME));
         }
         cloud.skip_machines_below(next_machine);
         let pool = WorkerPool::new(WorkerPoolConfig {
@@ -140,7 +139,7 @@
             booting: BTreeMap::new(),
             protocol_faults: config.protocol_faults,
             rng: StdRng::seed_from_u64(config.seed),
-            forgot_at: 0,
+            last_forget_at: 0,
             faults: config.faults,
         };
         platform.booting.extend(platform.cloud.take_created());
@@ -157,8 +156,8 @@
             &mut self.rng,
         );
         self.booting.extend(self.cloud.take_created());
-        for gone in self.cloud.take_released() {
-            self.remove(now, gone);
+        for released in self.cloud.take_released() {
+            self.remove(now, released);
         }
         self.state.write_log(self.cloud.next_machine());
         answer
@@ -173,7 +172,7 @@
         }
     }
 
-    /// Machines that are up get an address and a worker.
+    /// Assigns an address and a worker to each machine that has booted.
     fn start_booted(&mut self, now: Micros) {
         let ready: Vec<u64> = self
             .booting
@@ -182,7 +181,7 @@
             .map(|(id, _)| *id)
             .collect();
         for machine in ready {
-            // Without a free address it goes on booting.
+            // Without a free address the machine stays in the booting state.
             let Some(slot) = self.slots.iter().position(Option::is_none) else {
                 return;
             };
@@ -211,8 +210,9 @@
     }
 }
 
-/// A job's description for the workers, from its record in the state service.
-fn describe(state: &StateService, job: &str) -> Option<JobPlan> {
+/// Builds the description of a job for the workers from its record in the state service; `None`
+/// if the record is missing or has no specification.
+fn describe_job(state: &StateService, job: &str) -> Option<JobPlan> {
     let record = state.get(&format!("{PREFIX}{job}")).cloned();
     let spec = record
         .and_then(|value| serde_json::from_value::<JobRecord>(value).ok())
@@ -273,7 +273,7 @@
         let state = &self.state.state;
         self.pool
             .on_reply(micros(now), id, result.as_ref(), &mut |job| {
-                describe(state, job)
+                describe_job(state, job)
             });
     }
 
@@ -284,8 +284,8 @@
         }
         self.start_booted(now_us);
         self.pool.step(now_us, out);
-        if self.protocol_faults.forgets_jobs && now_us > self.forgot_at + FORGET_INTERVAL {
-            self.forgot_at = now_us;
+        if self.protocol_faults.forgets_jobs && now_us > self.last_forget_at + FORGET_INTERVAL {
+            self.last_forget_at = now_us;
             self.state.state.forget_jobs(now_us);
         }
         self.state.answer_watches(now, out);
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -1,8 +1,8 @@
 //! Emulator of the state service: a key-value store with revisions, transactions, leases and
 //! watches, with the published limits and outages.
 //!
-//! Invariants: a revision is never given twice; a key that is bound to a lease is gone when
-//! the lease expires; a transaction is applied as a whole or not at all.
+//! Invariants: a revision is never assigned twice; a key that is bound to a lease is deleted
+//! when the lease expires; a transaction is applied atomically.
 
 mod protocol;
 
@@ -15,51 +15,51 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes that a watch can go back to.
-const HISTORY: usize = 10_000;
-/// Largest transaction, bytes as text.
-const MAX_TRANSACTION: usize = 64 * 1024;
-/// Conditions of a transaction, for each write that it may have.
+/// Number of past changes from which a watch can resume.
+const DEFAULT_HISTORY_LIMIT: usize = 10_000;
+/// Maximum size of a transaction, bytes of its JSON text.
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
+/// Maximum number of conditions of a transaction, per write that the limits allow.
 const MAX_CONDITIONS_PER_WRITE: usize = 4;
-/// [`StateService::forget_jobs`] loses records that are older.
-const FORGOTTEN_AFTER: Micros = 8 * SECOND;
-/// Keys of job records begin so.
+/// [`StateService::forget_jobs`] drops job records older than this.
+const FORGET_AGE: Micros = 8 * SECOND;
+/// Prefix of the keys of job records.
 const JOB_PREFIX: &str = "j/";
-/// The expiry of a lease is noticed this long after it.
-const EXPIRY_MARGIN: Micros = 1_000;
+/// Delay between the expiry of a lease and the check that processes it.
+const EXPIRY_CHECK_DELAY: Micros = 1_000;
 
-/// Who waits for an answer. The state service only hands it back.
+/// Identifies the client that waits for an answer. The state service returns it unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// The connection, or the controller in simulated time.
+    /// Index of the connection, or of the controller in simulated time.
     pub connection: usize,
-    /// Tells users of the same connection apart, one after the other.
+    /// Distinguishes successive clients that reuse the same connection index.
     pub generation: u64,
-    /// The call.
+    /// Id of the call.
     pub call: CallId,
 }
 
-/// A change of a key; without a value it was deleted.
+/// A change of a key.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// Revision of the store after it.
+    /// Revision of the store after the change.
     pub revision: u64,
-    /// The key.
+    /// The changed key.
     pub key: String,
-    /// Its new value.
+    /// Its new value; `None` if the key was deleted.
     pub value: Option<Value>,
 }
 
 /// The published limits of the state service.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Writes a second.
+    /// Writes per second.
     pub write_rps: f64,
-    /// Largest value, bytes as text.
+    /// Maximum size of a value, bytes of its JSON text.
     pub value_bytes: usize,
-    /// Writes of a transaction.
+    /// Maximum number of writes in a transaction.
     pub transaction_writes: usize,
 }
 
@@ -74,21 +74,21 @@
     }
 }
 
-/// Writes of keys with a prefix are called malformed for a while.
+/// Fault injection: writes to keys with a prefix are rejected as malformed for some time.
 #[derive(Clone, Copy, Debug)]
 pub struct RejectedWrites {
-    /// The prefix.
+    /// Prefix of the affected keys.
     pub prefix: &'static str,
-    /// Until when.
+    /// Time at which the rejection ends.
     pub until: Micros,
 }
 
-/// What can be answered to watches now.
+/// The watches that can be answered now.
 #[derive(Debug, Default)]
 pub struct ReadyWatches {
     /// The encoded answers, all with status 200.
     pub answers: Vec<(Caller, Vec<u8>)>,
-    /// When to look again.
+    /// When to check again; `None` if no watch and no lease is pending.
     pub next_due: Option<Micros>,
 }
 
@@ -96,11 +96,11 @@
     value: Value,
     revision: u64,
     lease_id: Option<u64>,
-    created: Micros,
+    created_at: Micros,
 }
 
 struct Lease {
-    expires: Micros,
+    expires_at: Micros,
     duration: Micros,
 }
 
@@ -108,42 +108,42 @@
     caller: Caller,
     prefix: String,
     after_revision: u64,
-    until: Micros,
+    deadline: Micros,
 }
 
 /// The state service.
 pub struct StateService {
     keys: BTreeMap<String, Entry>,
     revision: u64,
-    /// The last changes, oldest first.
+    /// The most recent changes, oldest first.
     history: VecDeque<Change>,
-    /// Changes up to this revision are no longer in the history.
+    /// Changes up to this revision have been dropped from the history.
     compacted: u64,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
     watches: Vec<PendingWatch>,
-    /// It answers 503 until then.
+    /// The service answers 503 until this time.
     pub down_until: Micros,
-    /// Writes that are called malformed.
+    /// Writes that are rejected as malformed.
     pub rejected_writes: RejectedWrites,
     limits: Limits,
-    /// Requests and writes that may come at once now.
+    /// Tokens of the rate limits: for requests and for writes.
     tokens: (f64, f64),
-    refilled: Micros,
-    /// What a controller did against the protocol.
+    refilled_at: Micros,
+    /// Protocol violations by controllers, as text.
     pub violations: Vec<String>,
-    /// Requests beyond the rate limit.
+    /// Number of requests rejected by the rate limits.
     pub throttled: u64,
-    /// Puts and deletes that were applied.
+    /// Number of puts and deletes applied.
     pub writes: u64,
-    /// Changes that a watch can go back to.
+    /// Number of past changes from which a watch can resume.
     pub history_limit: usize,
-    /// Changes that are to be made durable; none where nobody does that.
+    /// Changes not yet written to the log; `None` if the state is not durable.
     journal: Option<Vec<Change>>,
 }
 
 impl StateService {
-    /// An empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new(limits: Limits) -> StateService {
         StateService {
@@ -161,54 +161,54 @@
             },
             limits,
             tokens: (limits.rps, limits.write_rps),
-            refilled: 0,
+            refilled_at: 0,
             violations: Vec::new(),
             throttled: 0,
             writes: 0,
-            history_limit: HISTORY,
+            history_limit: DEFAULT_HISTORY_LIMIT,
             journal: None,
         }
     }
 
-    /// An outage that begins now; leases get their full time again after it.
+    /// Starts an outage that lasts until `until`. After it, leases have their full duration again.
     pub fn outage(&mut self, until: Micros) {
         self.down_until = until;
         for lease in self.leases.values_mut() {
-            lease.expires = until + lease.duration;
+            lease.expires_at = until + lease.duration;
         }
     }
 
-    /// Removes expired leases and the keys that are bound to them.
-    fn expire(&mut self, now: Micros) {
+    /// Removes expired leases and the keys bound to them.
+    fn expire_leases(&mut self, now: Micros) {
         if now < self.down_until {
             return;
         }
         let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.expires < now)
+            .filter(|(_, lease)| lease.expires_at < now)
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
             self.leases.remove(&id);
-            let bound: Vec<String> = self
+            let bound_keys: Vec<String> = self
                 .keys
                 .iter()
                 .filter(|(_, entry)| entry.lease_id == Some(id))
                 .map(|(key, _)| key.clone())
                 .collect();
-            if !bound.is_empty() {
+            if !bound_keys.is_empty() {
                 self.revision += 1;
             }
-            for key in bound {
+            for key in bound_keys {
                 self.keys.remove(&key);
                 self.record(key, None);
             }
         }
     }
 
-    /// Applies a change that was made durable earlier. No lease outlives the process that
-    /// granted it, so keys that were bound to one were never made durable.
+    /// Applies a change read from the log. A lease does not outlive the process that granted
+    /// it, so keys bound to a lease are never logged with a value.
     pub fn restore(&mut self, change: Change) {
         self.revision = self.revision.max(change.revision);
         self.compacted = self.revision;
@@ -218,7 +218,7 @@
                     value,
                     revision: change.revision,
                     lease_id: None,
-                    created: 0,
+                    created_at: 0,
                 };
                 self.keys.insert(change.key, entry);
             }
@@ -228,12 +228,12 @@
         }
     }
 
-    /// From now on changes are collected for [`StateService::take_journal`].
+    /// Starts to collect changes for [`StateService::take_journal`].
     pub fn enable_journal(&mut self) {
         self.journal = Some(Vec::new());
     }
 
-    /// Changes that are to be made durable, since the last call.
+    /// Returns the changes since the last call that must be made durable.
     pub fn take_journal(&mut self) -> Vec<Change> {
         self.journal
             .as_mut()
@@ -241,7 +241,7 @@
             .unwrap_or_default()
     }
 
-    /// All durable keys with their revisions and values, for a journal that begins anew.
+    /// All durable keys with their revisions and values, to start a new log.
     pub fn durable(&self) -> impl Iterator<Item = (u64, &String, &Value)> {
         let durable = self.keys.iter().filter(|(_, e)| e.lease_id.is_none());
         durable.map(|(key, entry)| (entry.revision, key, &entry.value))
@@ -259,34 +259,34 @@
         self.keys.get(key).map(|entry| &entry.value)
     }
 
-    /// How many keys have that prefix.
+    /// Number of keys with the prefix.
     #[must_use]
     pub fn keys_under(&self, prefix: &str) -> usize {
         self.keys.keys().filter(|k| k.starts_with(prefix)).count()
     }
 
-    /// Stores a value as another program would have left it.
+    /// Stores a value directly, as if another program had written it.
     pub fn plant(&mut self, key: &str, value: Value) {
         self.revision += 1;
         let entry = Entry {
             value: value.clone(),
             revision: self.revision,
             lease_id: None,
-            created: 0,
+            created_at: 0,
         };
         self.keys.insert(key.to_string(), entry);
         self.record(key.to_string(), Some(value));
     }
 
-    /// Notes a change of the present revision, after it was applied.
+    /// Records an applied change at the current revision in the history and the journal.
     fn record(&mut self, key: String, value: Option<Value>) {
         let revision = self.revision;
         if let Some(journal) = &mut self.journal {
-            let bound = self.keys.get(&key).is_some_and(|e| e.lease_id.is_some());
+            let bound_to_lease = self.keys.get(&key).is_some_and(|e| e.lease_id.is_some());
             journal.push(Change {
                 revision,
                 key: key.clone(),
-                value: if bound { None } else { value.clone() },
+                value: if bound_to_lease { None } else { value.clone() },
             });
         }
         self.history.push_back(Change {
@@ -301,12 +301,12 @@
         }
     }
 
-    /// Loses job records that are not new, without a trace: for the checks.
+    /// Drops older job records and their history, to prove that the checks detect the loss.
     pub fn forget_jobs(&mut self, now: Micros) {
         let old: Vec<String> = self
             .keys
             .iter()
-            .filter(|(key, e)| key.starts_with(JOB_PREFIX) && now > e.created + FORGOTTEN_AFTER)
+            .filter(|(key, e)| key.starts_with(JOB_PREFIX) && now > e.created_at + FORGET_AGE)
             .map(|(key, _)| key.clone())
             .collect();
         for key in old {
@@ -315,10 +315,11 @@
         }
     }
 
-    /// Whether the rate limits allow a request with so many writes now.
+    /// Takes tokens for a request with this number of writes; `false` if the rate limits reject
+    /// it.
     fn take_tokens(&mut self, now: Micros, writes: f64) -> bool {
-        let passed = now.saturating_sub(self.refilled) as f64 / 1e6;
-        self.refilled = now;
+        let passed = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.refilled_at = now;
         let Limits { rps, write_rps, .. } = self.limits;
         self.tokens.0 = (self.tokens.0 + passed * rps).min(rps);
         self.tokens.1 = (self.tokens.1 + passed * write_rps).min(write_rps);
@@ -331,7 +332,8 @@
         true
     }
 
-    /// Serves a request; none when its answer comes later, from [`StateService::ready_watches`].
+    /// Serves a request. Returns `None` if the answer comes later, from
+    /// [`StateService::ready_watches`].
     pub fn handle(
         &mut self,
         now: Micros,
@@ -340,7 +342,7 @@
         path: &str,
         body: &[u8],
     ) -> Option<Response> {
-        self.expire(now);
+        self.expire_leases(now);
         if now < self.down_until {
             return Some(protocol::empty(503));
         }
@@ -373,7 +375,7 @@
     fn grant_lease(&mut self, now: Micros, duration: Micros) -> Response {
         self.last_lease += 1;
         let lease = Lease {
-            expires: now + duration,
+            expires_at: now + duration,
             duration,
         };
         self.leases.insert(self.last_lease, lease);
@@ -383,7 +385,7 @@
     fn renew_lease(&mut self, now: Micros, id: u64) -> Response {
         match self.leases.get_mut(&id) {
             Some(lease) => {
-                lease.expires = now + lease.duration;
+                lease.expires_at = now + lease.duration;
                 protocol::lease(id)
             }
             None => protocol::empty(404),
@@ -392,9 +394,9 @@
 
     fn revoke_lease(&mut self, now: Micros, id: u64) -> Response {
         if let Some(lease) = self.leases.get_mut(&id) {
-            lease.expires = 0;
+            lease.expires_at = 0;
         }
-        self.expire(now);
+        self.expire_leases(now);
         protocol::empty(200)
     }
 
@@ -425,64 +427,67 @@
                     caller,
                     prefix: query.prefix,
                     after_revision: query.after_revision,
-                    until: now + query.wait,
+                    deadline: now + query.wait,
                 });
                 None
             }
         }
     }
 
-    /// The encoded last change of each key with the prefix after a revision; none if there
-    /// is none and the answer need not be `immediate`.
+    /// Encodes the last change after a revision of each key with the prefix. Returns `None` if
+    /// there is no change and `immediate` is false.
     fn events(&self, prefix: &str, after_revision: u64, immediate: bool) -> Option<Vec<u8>> {
         let from = self
             .history
             .partition_point(|change| change.revision <= after_revision);
         let changes = self.history.range(from..);
-        let last: BTreeMap<&String, &Change> = changes
+        let last_changes: BTreeMap<&String, &Change> = changes
             .filter(|change| change.key.starts_with(prefix))
             .map(|change| (&change.key, change))
             .collect();
-        if last.is_empty() && !immediate {
+        if last_changes.is_empty() && !immediate {
             return None;
         }
-        let events: Vec<Value> = last
+        let events: Vec<Value> = last_changes
             .into_iter()
             .map(|(key, change)| protocol::watch_event(key, change.value.as_ref(), change.revision))
             .collect();
         Some(protocol::watch_events(&events, self.revision))
     }
 
-    /// Watches that can be answered. Those that are `held`, by their connection and prefix,
-    /// wait as in an outage.
+    /// Returns the answers to watches that can be answered now. `delayed` selects, by connection
+    /// and prefix, the watches that are delayed as in an outage.
     pub fn ready_watches(
         &mut self,
         now: Micros,
-        held: impl Fn(usize, &str) -> bool,
+        delayed: impl Fn(usize, &str) -> bool,
     ) -> ReadyWatches {
-        self.expire(now);
+        self.expire_leases(now);
         if now < self.down_until {
             return ReadyWatches {
                 answers: Vec::new(),
                 next_due: Some(self.down_until),
             };
         }
-        let is_held = |watch: &PendingWatch| held(watch.caller.connection, &watch.prefix);
+        let is_delayed = |watch: &PendingWatch| delayed(watch.caller.connection, &watch.prefix);
         let mut answers = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
-            let body = if is_held(&watch) {
+            let body = if is_delayed(&watch) {
                 None
             } else {
-                self.events(&watch.prefix, watch.after_revision, now >= watch.until)
+                self.events(&watch.prefix, watch.after_revision, now >= watch.deadline)
             };
             match body {
                 Some(body) => answers.push((watch.caller, body)),
                 None => self.watches.push(watch),
             }
         }
-        let leases = self.leases.values().map(|l| l.expires + EXPIRY_MARGIN);
-        let open = self.watches.iter().filter(|watch| !is_held(watch));
-        let next_due = open.map(|watch| watch.until).chain(leases).min();
+        let leases = self
+            .leases
+            .values()
+            .map(|l| l.expires_at + EXPIRY_CHECK_DELAY);
+        let pending = self.watches.iter().filter(|watch| !is_delayed(watch));
+        let next_due = pending.map(|watch| watch.deadline).chain(leases).min();
         ReadyWatches { answers, next_due }
     }
 
@@ -510,7 +515,7 @@
                         value: write.value.clone(),
                         revision: self.revision,
                         lease_id: write.lease_id,
-                        created: self.keys.get(write.key).map_or(now, |e| e.created),
+                        created_at: self.keys.get(write.key).map_or(now, |e| e.created_at),
                     };
                     self.keys.insert(write.key.to_string(), entry);
                     self.record(write.key.to_string(), Some(write.value.clone()));
@@ -525,16 +530,16 @@
         protocol::committed(self.revision)
     }
 
-    /// The refusal of a transaction that is beyond a limit or malformed.
+    /// Validates a transaction; returns the error response if it exceeds a limit or is malformed.
     fn reject(&mut self, now: Micros, transaction: &Transaction) -> Option<Response> {
         let (writes, conditions) = (transaction.writes.len(), transaction.condition_count());
         let max_writes = self.limits.transaction_writes;
         if writes > max_writes
             || conditions > MAX_CONDITIONS_PER_WRITE * max_writes
-            || transaction.size > MAX_TRANSACTION
+            || transaction.size > MAX_TRANSACTION_BYTES
         {
             self.violations.push(format!(
-                "a transaction of {writes} writes and {conditions} conditions"
+                "transaction of {writes} writes and {conditions} conditions exceeds a limit"
             ));
             return Some(protocol::error(400, "too large"));
         }
@@ -544,13 +549,14 @@
             if now < rejected.until && key.starts_with(rejected.prefix) {
                 return Some(protocol::error(400, "so it is"));
             }
-            if !transaction.guards(key) {
-                self.violations
-                    .push(format!("{key} is written without a condition on it"));
+            if !transaction.has_condition_on(key) {
+                self.violations.push(format!(
+                    "write to {key} without a condition on its revision"
+                ));
             }
             if write.value.to_string().len() > self.limits.value_bytes {
                 self.violations
-                    .push(format!("{key} is larger than a value may be"));
+                    .push(format!("value of {key} exceeds the size limit"));
                 return Some(protocol::error(400, "too large"));
             }
             let lease = write.lease_id;
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -1,13 +1,14 @@
-//! Emulator of a worker: its incarnation, fencing token, lease, images and tasks.
+//! Emulator of a worker, the agent on a rented machine: its incarnation, fencing token, lease,
+//! cached images and tasks.
 //!
-//! A worker reports to one controller at a time and moves on to the next when it gets no
-//! answer. Its lease is renewed by each answer that it accepts, from the time at which the
-//! answered report was sent; when it expires, everything on the machine ends and a new
-//! incarnation begins. Invariants that the controllers rely on (PROTOCOL, "Workers"):
+//! A worker reports to one controller at a time and switches to the next one when a report is
+//! not answered. Each answer that it accepts renews its lease, counted from the time at which
+//! the answered report was sent. When the lease expires, the worker terminates all tasks and
+//! starts a new incarnation. Invariants that the controllers rely on (PROTOCOL, "Workers"):
 //!
 //! - an answer or a direct message with an older fencing token changes nothing;
 //! - an answer to a report of an earlier incarnation changes nothing;
-//! - one attempt of a task runs at most once.
+//! - each attempt of a task runs at most once.
 
 pub(crate) mod protocol;
 
@@ -20,41 +21,41 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tolerance in comparisons of summed resources.
-const EPSILON: f64 = 1e-6;
-/// How long it takes to start a task whose image is on the machine.
-const CACHED_IMAGE_START: Micros = SECOND / 100;
-/// How long it takes to fetch an image.
-const IMAGE_FETCH: Micros = SECOND;
-/// After this long a task that fails has failed.
+/// Rounding tolerance for comparisons of summed resources.
+const RESOURCE_TOLERANCE: f64 = 1e-6;
+/// Start time of a task whose image is already on the machine.
+const CACHED_IMAGE_START_TIME: Micros = SECOND / 100;
+/// Time to fetch an image.
+const IMAGE_FETCH_TIME: Micros = SECOND;
+/// Delay between the start of a failing task and its failure.
 const FAILURE_DELAY: Micros = SECOND / 2;
-/// The tasks of a service are looked at again after this long.
-const SERVICE_CHECK: Micros = 3_600 * SECOND;
-/// An answer that changed something is followed by a report after this long.
-const PROMPT_REPORT: Micros = SECOND / 2;
-/// A redirected worker reports to the leader after this long.
+/// Interval at which a running service task, which never finishes, is re-examined.
+const SERVICE_CHECK_INTERVAL: Micros = 3_600 * SECOND;
+/// Delay of the next report after an answer that changed the worker's state.
+const PROMPT_REPORT_DELAY: Micros = SECOND / 2;
+/// Delay before a redirected worker reports to the leader.
 const REDIRECT_DELAY: Micros = SECOND / 10;
-/// Shortest time between two reports that nothing triggered.
+/// Minimum time between two reports that no event triggered.
 const MIN_REPORT_GAP: Micros = SECOND / 2;
-/// A worker that got no answer reports to the next controller after this long.
+/// Delay before a worker reports to the next controller after a failed or unanswered report.
 const NEXT_CONTROLLER_DELAY: Micros = SECOND;
-/// The expiry of a lease is noticed this long after it.
-const EXPIRY_MARGIN: Micros = 1_000;
-/// Port of the simulated address of machine number zero.
+/// Delay between the expiry of a lease and the step that processes it.
+const EXPIRY_CHECK_DELAY: Micros = 1_000;
+/// Port of the simulated endpoint of machine 0.
 const BASE_PORT: u64 = 10_000;
 
-/// Why a task is no longer on the machine.
+/// Why a task has exited or was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ExitReason {
     Done,
     Error,
-    /// By a command.
+    /// Stopped by a `kill` command.
     Stopped,
-    /// Refused: another attempt of the task is there.
+    /// Refused: another attempt of the task is on the machine.
     AlreadyOnMachine,
     /// Refused: the worker does not know the job.
     UnknownJob,
-    /// Refused: too little is free.
+    /// Refused: insufficient free capacity.
     NoCapacity,
 }
 
@@ -73,12 +74,12 @@
     /// Number of the attempt, counted by the controllers.
     pub attempt: u64,
     status: TaskStatus,
-    /// When its status changes next by itself.
-    until: Micros,
+    /// When its status changes next without a command.
+    next_change_at: Micros,
 }
 
 impl Task {
-    fn is(&self, task_id: &str, attempt: u64) -> bool {
+    fn is_attempt(&self, task_id: &str, attempt: u64) -> bool {
         self.task_id == task_id && self.attempt == attempt
     }
 
@@ -95,7 +96,7 @@
     }
 }
 
-/// A task started or ended on a machine.
+/// A task started, finished or was stopped on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskEvent {
     /// `JOB/INDEX`.
@@ -109,32 +110,35 @@
 /// What happened to a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskTransition {
-    /// It runs from here on.
+    /// It started to run.
     #[serde(rename = "Began")]
     Started,
-    /// It came to its own end.
+    /// It finished without being stopped, successfully or not.
     #[serde(rename = "Ended")]
     Finished,
-    /// It was stopped, by command or since the lease expired.
+    /// It was stopped by a command, or because the lease expired or the machine went down.
     Stopped,
 }
 
-/// Faults of one machine and its links.
+/// Injected faults of one machine and its network links.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineFaults {
-    /// The machine has no network until then.
+    /// The machine is disconnected in both directions until this time.
     pub cut_until: Micros,
-    /// The machine stands still until then.
+    /// The machine hangs until this time.
     pub hang_until: Micros,
-    /// Its reports go out, and neither answers nor commands reach it until then.
+    /// Inbound traffic is cut until this time: the worker's reports are delivered, but neither
+    /// answers nor commands reach it.
     pub inbound_cut_until: Micros,
-    /// Its reports reach no controller, while direct commands reach it, until then.
+    /// Outbound traffic is cut until this time: the worker's reports are lost, but direct
+    /// commands reach it.
     pub outbound_cut_until: Micros,
-    /// When the cloud reclaims it, as it was told.
+    /// When the cloud reclaims the machine, as announced to the worker; `None` if no reclaim is
+    /// announced.
     pub reclaim_at: Option<Micros>,
-    /// Every task fails on it.
+    /// Whether every task on the machine fails.
     pub tasks_fail: bool,
-    /// Tasks take this many times as long.
+    /// Factor by which run times of tasks are multiplied.
     pub slowdown: f64,
 }
 
@@ -153,19 +157,19 @@
 }
 
 impl MachineFaults {
-    /// Until when messages to the worker are lost.
+    /// The time until which messages to the worker are lost.
     #[must_use]
     pub fn unreachable_until(&self) -> Micros {
         self.cut_until.max(self.inbound_cut_until)
     }
 
-    /// Until when its reports are lost.
+    /// The time until which the worker's reports are lost.
     #[must_use]
     pub fn silent_until(&self) -> Micros {
         self.cut_until.max(self.outbound_cut_until)
     }
 
-    /// Until when it hangs or one of its links is cut.
+    /// The time until which the machine hangs or one of its links is cut.
     #[must_use]
     pub fn faulty_until(&self) -> Micros {
         let cut = self
@@ -175,7 +179,7 @@
         self.hang_until.max(cut)
     }
 
-    /// Nothing is wrong with the machine at that time.
+    /// Whether no fault affects the machine at `now`.
     #[must_use]
     pub fn is_healthy(&self, now: Micros) -> bool {
         now >= self.faulty_until()
@@ -195,59 +199,60 @@
 }
 
 impl Capacity {
-    /// Whether a task of the job fits into it.
+    /// Whether one task of the job fits into this capacity.
     #[must_use]
     pub fn fits(&self, plan: &JobPlan) -> bool {
-        plan.cpus() <= self.cpus + EPSILON && plan.memory_gb() <= self.memory_gb + EPSILON
+        plan.cpus() <= self.cpus + RESOURCE_TOLERANCE
+            && plan.memory_gb() <= self.memory_gb + RESOURCE_TOLERANCE
     }
 }
 
-/// What a worker remembers of its exchange with the controllers.
+/// State of the worker's report protocol.
 struct Session {
     incarnation: u64,
-    /// Of the last report within the incarnation.
+    /// Sequence number of the last report of this incarnation.
     sequence: u64,
-    /// The highest that it has seen.
+    /// The highest fencing token that the worker has seen.
     fencing_token: u64,
-    /// When the last report that was answered had been sent; the lease runs from then.
-    renewed: Micros,
+    /// When the last report whose answer was accepted was sent; the lease runs from this time.
+    renewed_at: Micros,
 }
 
-/// A report that is not answered yet.
+/// A report that has not been answered yet.
 #[derive(Clone, Copy)]
 struct InFlightReport {
     serial: u64,
-    sent: Micros,
+    sent_at: Micros,
     incarnation: u64,
 }
 
-/// What a worker needs to know beside its own state.
+/// Inputs of a worker that are not part of its state.
 #[derive(Clone, Copy)]
 pub struct Environment<'a> {
-    /// The present.
+    /// The current time.
     pub now: Micros,
     /// The jobs whose descriptions the worker can read.
     pub jobs: &'a BTreeMap<String, JobPlan>,
-    /// How many controllers there are.
+    /// Number of controllers.
     pub controllers: usize,
-    /// Violations of the protocol that are asked for.
+    /// Protocol violations that the emulators commit deliberately.
     pub protocol_faults: ProtocolFaults,
 }
 
-/// A report to be sent.
+/// A report to send.
 pub struct OutgoingReport {
-    /// Number of the controller; reduced to their count by the sender.
+    /// Index of the controller; the sender takes it modulo the number of controllers.
     pub controller: usize,
-    /// Identifies the report when its answer comes.
+    /// Matches the answer to this report.
     pub serial: u64,
-    /// The report.
+    /// The message body, not yet encoded.
     pub body: Value,
 }
 
 /// The answer to a report.
 #[derive(Clone, Copy)]
 pub struct ReportAnswer<'a> {
-    /// Of the report.
+    /// Serial number of the answered report.
     pub serial: u64,
     /// HTTP status.
     pub status: u16,
@@ -267,33 +272,34 @@
     capacity: Capacity,
     /// Time between reports, seconds.
     pub report_s: f64,
-    lease: Micros,
+    lease_duration: Micros,
     session: Session,
     tasks: Vec<Task>,
     images: BTreeSet<String>,
-    /// Number of the controller that it reports to.
+    /// Index of the controller that the worker reports to.
     controller: usize,
     in_flight: Option<InFlightReport>,
     last_serial: u64,
     next_report: Micros,
-    /// Faults of its machine.
+    /// Injected faults of its machine.
     pub faults: MachineFaults,
-    /// Tasks that started.
+    /// Number of tasks that started.
     pub started: u64,
-    /// Tasks that ended since the lease expired or the machine restarted.
+    /// Number of running tasks that were terminated by a lease expiry or a machine restart.
     pub expired: u64,
-    /// Ids of tasks that ended well.
+    /// Ids of tasks that finished successfully.
     pub finished: Vec<String>,
-    /// What started and ended on the machine, for whoever runs or watches it.
+    /// Task events that the caller has not taken yet.
     pub events: Vec<TaskEvent>,
-    /// What a controller did against the protocol.
+    /// Protocol violations by controllers, as text.
     pub violations: Vec<String>,
-    /// Commands run outside: a running task ends when [`Worker::on_process_exit`] says so.
+    /// Tasks with a command line run as processes: such a task finishes when
+    /// [`Worker::on_process_exit`] is called.
     pub runs_commands: bool,
 }
 
 impl Worker {
-    /// A worker whose machine is up and empty.
+    /// Creates the worker of a machine that is up and runs no task.
     #[must_use]
     pub fn new(
         id: u64,
@@ -302,7 +308,7 @@
         now: Micros,
     ) -> Worker {
         Worker {
-            name: crate::cloud::name(id),
+            name: crate::cloud::machine_name(id),
             endpoint: simulated_endpoint(id),
             machine_type: instance.machine_type,
             zone: instance.zone,
@@ -312,12 +318,12 @@
                 memory_gb: instance_type.memory_gb,
             },
             report_s: settings.report_s,
-            lease: (settings.lease_s * 1e6) as Micros,
+            lease_duration: (settings.lease_s * 1e6) as Micros,
             session: Session {
                 incarnation: 1,
                 sequence: 0,
                 fencing_token: 0,
-                renewed: now,
+                renewed_at: now,
             },
             tasks: Vec::new(),
             images: BTreeSet::new(),
@@ -335,24 +341,24 @@
         }
     }
 
-    /// Reports this address instead of the simulated one.
+    /// Sets the endpoint that the worker reports, in place of the simulated one.
     pub fn set_endpoint(&mut self, endpoint: String) {
         self.endpoint = endpoint;
     }
 
-    /// Tasks that run on this machine in the protocol's sense.
+    /// Tasks whose status in the protocol is `running`.
     pub fn running(&self) -> impl Iterator<Item = &Task> {
         self.tasks
             .iter()
             .filter(|t| t.status == TaskStatus::Running)
     }
 
-    /// Tasks that occupy resources: also those that still fetch their image.
+    /// Tasks that occupy resources: those that run and those that still fetch their image.
     pub fn occupying(&self) -> impl Iterator<Item = &Task> {
         self.tasks.iter().filter(|t| !t.has_exited())
     }
 
-    /// What is left beside the tasks that occupy resources.
+    /// Capacity that no task occupies.
     #[must_use]
     pub fn free(&self, jobs: &BTreeMap<String, JobPlan>) -> Capacity {
         self.occupying().fold(self.capacity, |free, task| {
@@ -364,7 +370,7 @@
         })
     }
 
-    /// What a job may constrain of its machine.
+    /// The attributes of the machine that a job may constrain.
     #[must_use]
     pub fn attributes(&self) -> MachineAttributes<'_> {
         MachineAttributes {
@@ -374,35 +380,35 @@
         }
     }
 
-    /// The highest fencing token that it has seen.
+    /// The highest fencing token that the worker has seen.
     #[must_use]
     pub fn fencing_token(&self) -> u64 {
         self.session.fencing_token
     }
 
-    /// Whether a controller has answered a report that was sent later than this.
+    /// Whether the worker has accepted an answer to a report sent after `at`.
     #[must_use]
     pub fn answered_since(&self, at: Micros) -> bool {
-        self.session.renewed > at
+        self.session.renewed_at > at
     }
 
-    /// When the lease runs out.
+    /// When the lease expires.
     fn lease_end(&self) -> Micros {
-        self.session.renewed + self.lease
+        self.session.renewed_at + self.lease_duration
     }
 
-    /// Ends everything on the machine if the lease has expired.
-    fn expire(&mut self, now: Micros) {
+    /// Terminates all tasks and starts a new incarnation if the lease has expired.
+    fn expire_lease(&mut self, now: Micros) {
         if now > self.lease_end() {
-            self.drop_tasks();
+            self.terminate_tasks();
             self.session.incarnation += 1;
-            self.session.renewed = now;
+            self.session.renewed_at = now;
             self.in_flight = None;
         }
     }
 
-    /// All tasks end, without a command of a controller.
-    fn drop_tasks(&mut self) {
+    /// Terminates all tasks without a command from a controller.
+    fn terminate_tasks(&mut self) {
         for task in self.tasks.drain(..) {
             if task.status == TaskStatus::Running {
                 self.events.push(task.event(TaskTransition::Stopped));
@@ -416,7 +422,7 @@
         protocol::encode_report(self, now, protocol_faults)
     }
 
-    /// The next report, if one may go out now.
+    /// Returns the next report, or `None` if none may be sent now.
     pub fn next_report(
         &mut self,
         now: Micros,
@@ -426,14 +432,14 @@
             self.next_report = self.faults.hang_until;
             return None;
         }
-        self.expire(now);
+        self.expire_lease(now);
         if self.in_flight.is_some() || now < self.next_report {
             return None;
         }
         self.last_serial += 1;
         self.in_flight = Some(InFlightReport {
             serial: self.last_serial,
-            sent: now,
+            sent_at: now,
             incarnation: self.session.incarnation,
         });
         self.next_report = now + MIN_REPORT_GAP;
@@ -444,13 +450,14 @@
         })
     }
 
-    /// Takes the answer to a report; returns when to report next, if that is soon.
+    /// Processes the answer to a report. Returns when to report next if that is earlier than the
+    /// regular interval.
     pub fn on_answer(&mut self, answer: ReportAnswer, environment: &Environment) -> Option<Micros> {
         let now = environment.now;
         if now < self.faults.hang_until {
             return None;
         }
-        self.expire(now);
+        self.expire_lease(now);
         let report = self.in_flight.filter(|r| r.serial == answer.serial)?;
         self.in_flight = None;
         let message = decode(answer.body);
@@ -464,14 +471,16 @@
                         self.next_report = now;
                         Some(now + REDIRECT_DELAY)
                     }
-                    _ => self.next_controller(now, environment.controllers),
+                    _ => self.switch_controller(now, environment.controllers),
                 }
             }
-            _ => self.next_controller(now, environment.controllers),
+            _ => self.switch_controller(now, environment.controllers),
         }
     }
 
-    /// A controller accepted the report: the lease is renewed, its commands are executed.
+    /// Processes the answer of a controller that accepted the report: renews the lease and
+    /// executes the commands. An answer with an older or missing fencing token, or to a report of
+    /// an earlier incarnation, is ignored.
     fn on_accepted(
         &mut self,
         report: InFlightReport,
@@ -483,33 +492,34 @@
         if stale_token || report.incarnation != self.session.incarnation {
             return None;
         }
-        let higher = token > self.session.fencing_token;
+        let token_increased = token > self.session.fencing_token;
         self.session.fencing_token = token;
-        self.session.renewed = report.sent;
-        let before = self.tasks.len();
-        for order in protocol::commands(message) {
-            self.execute(order, environment);
+        self.session.renewed_at = report.sent_at;
+        let tasks_before = self.tasks.len();
+        for encoded in protocol::commands(message) {
+            self.execute(encoded, environment);
         }
-        (higher || before != self.tasks.len()).then_some(environment.now + PROMPT_REPORT)
+        (token_increased || tasks_before != self.tasks.len())
+            .then_some(environment.now + PROMPT_REPORT_DELAY)
     }
 
-    fn next_controller(&mut self, now: Micros, controllers: usize) -> Option<Micros> {
+    fn switch_controller(&mut self, now: Micros, controllers: usize) -> Option<Micros> {
         self.controller = (self.controller + 1) % controllers;
         self.next_report = now + NEXT_CONTROLLER_DELAY;
         Some(now + NEXT_CONTROLLER_DELAY)
     }
 
-    /// No answer to a report came in time; returns when to report next.
+    /// Processes the timeout of a report; returns when to report next.
     pub fn on_timeout(&mut self, now: Micros, serial: u64, controllers: usize) -> Option<Micros> {
         self.in_flight.filter(|r| r.serial == serial)?;
         self.in_flight = None;
-        self.next_controller(now, controllers)
+        self.switch_controller(now, controllers)
     }
 
-    /// Takes commands that a controller sent directly; returns the answer.
+    /// Processes commands that a controller sent directly; returns the answer.
     pub fn on_direct_command(&mut self, body: &[u8], environment: &Environment) -> Response {
         let now = environment.now;
-        self.expire(now);
+        self.expire_lease(now);
         let message = decode(body);
         let token = protocol::fencing_token(&message);
         let (Some(token), Some(incarnation)) = (token, protocol::incarnation(&message)) else {
@@ -519,21 +529,23 @@
             token >= self.session.fencing_token && incarnation == self.session.incarnation;
         self.session.fencing_token = self.session.fencing_token.max(token);
         if current {
-            for order in protocol::commands(&message) {
-                // Guard 2: `run` must never come this way, since it could act late.
-                if let Some(task) = protocol::task_to_run(order) {
-                    self.violations.push(format!("a direct `run` of {task}"));
+            for encoded in protocol::commands(&message) {
+                // Guard 2: `run` must never be sent directly, since a delayed message could
+                // start a task late.
+                if let Some(task) = protocol::task_to_run(encoded) {
+                    self.violations
+                        .push(format!("direct command to run {task}"));
                     continue;
                 }
-                self.execute(order, environment);
+                self.execute(encoded, environment);
             }
         }
         let status = if current { 200 } else { 409 };
         response(status, &self.report(now, ProtocolFaults::default()))
     }
 
-    fn execute(&mut self, order: &Value, environment: &Environment) {
-        let Some(command) = Command::decode(order) else {
+    fn execute(&mut self, encoded: &Value, environment: &Environment) {
+        let Some(command) = Command::decode(encoded) else {
             return;
         };
         match command.verb {
@@ -544,13 +556,13 @@
             Verb::Kill => {}
             Verb::Clear => self
                 .tasks
-                .retain(|t| !(t.is(command.task_id, command.attempt) && t.has_exited())),
+                .retain(|t| !(t.is_attempt(command.task_id, command.attempt) && t.has_exited())),
         }
     }
 
-    /// Starts to fetch the image of a task, or refuses it.
+    /// Starts to fetch the image of a task, or refuses the task.
     fn run(&mut self, task_id: &str, attempt: u64, environment: &Environment) {
-        if self.tasks.iter().any(|t| t.is(task_id, attempt)) {
+        if self.tasks.iter().any(|t| t.is_attempt(task_id, attempt)) {
             return;
         }
         let plan = environment.jobs.get(job_id(task_id));
@@ -564,22 +576,22 @@
             None
         };
         let image = plan.and_then(JobPlan::image).unwrap_or("");
-        let fetch = if self.images.contains(image) {
-            CACHED_IMAGE_START
+        let start_delay = if self.images.contains(image) {
+            CACHED_IMAGE_START_TIME
         } else {
-            IMAGE_FETCH
+            IMAGE_FETCH_TIME
         };
         self.tasks.push(Task {
             task_id: task_id.into(),
             attempt,
             status: refusal.map_or(TaskStatus::FetchingImage, TaskStatus::Exited),
-            until: environment.now + fetch,
+            next_change_at: environment.now + start_delay,
         });
     }
 
     fn kill(&mut self, task_id: &str, attempt: u64) {
-        let live = |t: &&mut Task| t.is(task_id, attempt) && !t.has_exited();
-        for task in self.tasks.iter_mut().filter(live) {
+        let is_live = |t: &&mut Task| t.is_attempt(task_id, attempt) && !t.has_exited();
+        for task in self.tasks.iter_mut().filter(is_live) {
             if task.status == TaskStatus::Running {
                 self.events.push(task.event(TaskTransition::Stopped));
             }
@@ -589,15 +601,15 @@
 
     /// Advances the tasks to `now`; returns whether something changed.
     pub fn step(&mut self, now: Micros, jobs: &BTreeMap<String, JobPlan>) -> bool {
-        // A machine that hangs beyond its lease resumes without its tasks.
-        self.expire(now);
+        // A machine that hangs past its lease expiry resumes without its tasks.
+        self.expire_lease(now);
         if now < self.faults.hang_until {
             return false;
         }
         let mut changed = false;
         for index in 0..self.tasks.len() {
             let task = &self.tasks[index];
-            if task.until > now {
+            if task.next_change_at > now {
                 continue;
             }
             let plan = jobs.get(job_id(&task.task_id));
@@ -613,7 +625,7 @@
         changed
     }
 
-    /// The image of a task is there: it runs from now on.
+    /// Starts a task whose image has been fetched.
     fn start(&mut self, index: usize, now: Micros, plan: Option<&JobPlan>) {
         if let Some(image) = plan.and_then(JobPlan::image) {
             self.images.insert(image.into());
@@ -624,8 +636,8 @@
         let task = &mut self.tasks[index];
         task.status = TaskStatus::Running;
         self.events.push(task.event(TaskTransition::Started));
-        task.until = if self.runs_commands && plan.is_some_and(|p| p.command.is_some()) {
-            // Until its process ends.
+        task.next_change_at = if self.runs_commands && plan.is_some_and(|p| p.command.is_some()) {
+            // The task finishes when its process exits.
             Micros::MAX
         } else if fails {
             now + FAILURE_DELAY
@@ -634,11 +646,12 @@
         };
     }
 
-    /// The time of a running task is over; returns whether that ends it.
+    /// Finishes a running task whose run time has elapsed; returns `false` for a service, which
+    /// keeps running.
     fn finish(&mut self, index: usize, now: Micros, plan: Option<&JobPlan>) -> bool {
         let task = &mut self.tasks[index];
         if plan.is_some_and(JobPlan::is_service) {
-            task.until = now + SERVICE_CHECK;
+            task.next_change_at = now + SERVICE_CHECK_INTERVAL;
             return false;
         }
         let fails = self.faults.tasks_fail || plan.is_some_and(|p| p.fails);
@@ -646,7 +659,7 @@
         true
     }
 
-    /// A running task ends by itself.
+    /// Marks a running task as exited without a stop command.
     fn exit(&mut self, index: usize, success: bool) {
         let task = &mut self.tasks[index];
         task.status = TaskStatus::Exited(if success {
@@ -660,66 +673,69 @@
         }
     }
 
-    /// The process of a task has ended.
+    /// Marks the task as exited after its process has exited.
     pub fn on_process_exit(&mut self, task_id: &str, attempt: u64, success: bool) {
-        let running = |t: &Task| t.is(task_id, attempt) && t.status == TaskStatus::Running;
+        let running = |t: &Task| t.is_attempt(task_id, attempt) && t.status == TaskStatus::Running;
         if let Some(index) = self.tasks.iter().position(running) {
             self.exit(index, success);
         }
     }
 
-    /// The machine restarts: its worker knows nothing of its tasks, its images or any
-    /// fencing token, and begins its next incarnation.
+    /// Restarts the machine: its worker loses its tasks, images and fencing token, and starts
+    /// its next incarnation.
     pub fn reboot(&mut self, now: Micros) {
-        // Counted like those that a lease ends: no controller stopped them.
-        self.drop_tasks();
-        // Away for a moment, which explains the loss.
+        // Counted like tasks terminated by a lease expiry: no controller stopped them.
+        self.terminate_tasks();
+        // Records that the machine was down at `now`, which explains the lost tasks.
         self.faults.hang_until = now;
         self.images.clear();
         self.session.incarnation += 1;
         self.session.fencing_token = 0;
-        self.session.renewed = now;
+        self.session.renewed_at = now;
         self.in_flight = None;
         self.next_report = now;
     }
 
-    /// As [`Worker::reboot`], and its counts begin anew as well: what it reports looks old.
+    /// Restarts the machine as [`Worker::reboot`] does and also resets the incarnation and the
+    /// sequence number, so that its reports appear to be older than earlier ones.
     pub fn reset(&mut self, now: Micros) {
         self.reboot(now);
         self.session.incarnation = 1;
         self.session.sequence = 0;
     }
 
-    /// The machine goes: whatever runs on it ends with it.
+    /// Terminates all tasks because the machine is removed; returns the pending task events.
     pub fn shut_down(&mut self) -> Vec<TaskEvent> {
-        self.session.renewed = 0;
-        self.expire(Micros::MAX / 2);
+        self.session.renewed_at = 0;
+        self.expire_lease(Micros::MAX / 2);
         std::mem::take(&mut self.events)
     }
 
-    /// When [`Worker::step`] has something to do next.
+    /// The next time after `now` at which [`Worker::step`] has work to do; `None` if there is
+    /// none.
     #[must_use]
     pub fn next_step(&self, now: Micros) -> Option<Micros> {
-        let tasks = self.occupying().map(|t| t.until);
-        let lease = (!self.tasks.is_empty()).then_some(self.lease_end() + EXPIRY_MARGIN);
+        let tasks = self.occupying().map(|t| t.next_change_at);
+        let lease = (!self.tasks.is_empty()).then_some(self.lease_end() + EXPIRY_CHECK_DELAY);
         let hang = (self.faults.hang_until > now).then_some(self.faults.hang_until);
         tasks.chain(lease).chain(hang).filter(|t| *t > now).min()
     }
 }
 
-/// Where the worker of a machine listens in simulated time.
+/// The endpoint of a machine's worker in simulated time.
 #[must_use]
 pub fn simulated_endpoint(machine: u64) -> String {
     format!("127.0.0.1:{}", BASE_PORT + machine)
 }
 
-/// The machine whose worker listens on that port in simulated time.
+/// The number of the machine whose worker listens on `port` in simulated time.
 #[must_use]
 pub fn machine_at_port(port: u16) -> u64 {
     u64::from(port) - BASE_PORT
 }
 
-/// The number of the controller with this label: labels are single letters from `a`.
+/// The index of the controller with this label; labels are single letters starting at `a`.
+/// `None` for any other label.
 fn controller_number(label: &str) -> Option<usize> {
     let letter = label.bytes().next()?;
     (label.len() == 1 && letter.is_ascii_lowercase()).then(|| usize::from(letter - b'a'))
