--- a/crates/preemption/src/victim_selection.rs
+++ b/crates/preemption/src/victim_selection.rs
@@ -1,4 +1,4 @@
-//! Which tasks of one machine have to end so that another task fits there, at the least loss.
+//! Selects the tasks of one machine to preempt so that another task fits there, at the least loss.
 
 use beamhinge_core::resources::{Resources, EPSILON};
 use beamhinge_core::types::TaskId;
@@ -8,49 +8,49 @@
 pub struct PreemptibleTask {
     /// The task.
     pub task: TaskId,
-    /// What it takes of its machine.
+    /// Resources that it uses on its machine.
     pub resources: Resources,
-    /// What is lost when it is preempted, CPU seconds.
+    /// Work lost if it is preempted, CPU seconds.
     pub lost_cpu_s: f64,
-    /// The caller's index for what else there is to know about it.
+    /// The caller's index of further data about the task.
     pub profile: u32,
 }
 
 impl PreemptibleTask {
-    /// What is lost for each CPU that its end frees, seconds.
+    /// Work lost for each CPU that its end frees, seconds.
     pub(crate) fn lost_s_per_cpu(&self) -> f64 {
         self.lost_cpu_s / self.resources.cpus.max(EPSILON)
     }
 }
 
-/// Tasks that have to end so that another fits.
+/// Tasks of one machine that have to end so that another task fits there.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VictimSet {
-    /// What is lost with them all, CPU seconds.
+    /// Work lost if all of them are preempted, CPU seconds.
     pub lost_cpu_s: f64,
-    /// The tasks; empty where there is room already.
+    /// The victims; empty if the task fits without any.
     pub tasks: Vec<PreemptibleTask>,
 }
 
-/// The cheapest set found whose end leaves room for `wanted`; none when not even the end of all
-/// `preemptible` tasks does.
+/// The cheapest victim set found that frees enough capacity for `requested`; `None` if preempting
+/// all of the `preemptible` tasks is not enough.
 ///
-/// One victim that suffices alone is weighed against the small ones in the order of what a CPU of
-/// theirs costs, without those that prove not to be needed. That is not always the very cheapest
-/// set, which is a knapsack problem; it never has one victim more than needed, since without any
+/// Compares two sets: the cheapest single victim that suffices alone, and the tasks in ascending
+/// order of loss per CPU, less those that prove redundant. The result is not always the optimum,
+/// since finding that is a knapsack problem. It never contains a redundant victim: without any one
 /// of them the task does not fit.
 pub(crate) fn cheapest_victims(
     free: Resources,
     preemptible: &[PreemptibleTask],
-    wanted: Resources,
+    requested: Resources,
 ) -> Option<VictimSet> {
-    if wanted.fits(&free) {
+    if requested.fits(&free) {
         return Some(VictimSet::default());
     }
-    let (freed, mut victims) = cheapest_per_cpu(free, preemptible, wanted)?;
-    drop_superfluous(freed, &mut victims, wanted);
+    let (free_after, mut victims) = cheapest_victims_by_loss_per_cpu(free, preemptible, requested)?;
+    drop_redundant_victims(free_after, &mut victims, requested);
     let lost_cpu_s = victims.iter().map(|victim| victim.lost_cpu_s).sum();
-    match cheapest_single(free, preemptible, wanted) {
+    match cheapest_single_victim(free, preemptible, requested) {
         Some(single) if single.lost_cpu_s <= lost_cpu_s => Some(VictimSet {
             lost_cpu_s: single.lost_cpu_s,
             tasks: vec![*single],
@@ -62,56 +62,60 @@
     }
 }
 
-/// The cheapest task whose end alone leaves room.
-fn cheapest_single(
+/// The cheapest task whose end alone frees enough capacity.
+fn cheapest_single_victim(
     free: Resources,
     preemptible: &[PreemptibleTask],
-    wanted: Resources,
+    requested: Resources,
 ) -> Option<&PreemptibleTask> {
-    let suffices = |candidate: &&PreemptibleTask| {
-        let mut freed = free;
-        freed.add(&candidate.resources);
-        wanted.fits(&freed)
+    let frees_enough = |candidate: &&PreemptibleTask| {
+        let mut free_after = free;
+        free_after.add(&candidate.resources);
+        requested.fits(&free_after)
     };
     preemptible
         .iter()
-        .filter(suffices)
+        .filter(frees_enough)
         .min_by(|a, b| a.lost_cpu_s.total_cmp(&b.lost_cpu_s))
 }
 
-/// Tasks in the order of what a CPU of theirs costs, until there is room; with what is free once
-/// they have ended.
-fn cheapest_per_cpu(
+/// Tasks in ascending order of loss per CPU, as many as are needed until `requested` fits, with the
+/// resources that are free once they have ended; `None` if all of them are not enough.
+fn cheapest_victims_by_loss_per_cpu(
     free: Resources,
     preemptible: &[PreemptibleTask],
-    wanted: Resources,
+    requested: Resources,
 ) -> Option<(Resources, Vec<PreemptibleTask>)> {
-    let mut by_price: Vec<&PreemptibleTask> = preemptible.iter().collect();
-    by_price.sort_by(|a, b| a.lost_s_per_cpu().total_cmp(&b.lost_s_per_cpu()));
-    let (mut freed, mut victims) = (free, Vec::new());
-    for candidate in by_price {
-        if wanted.fits(&freed) {
+    let mut by_loss_per_cpu: Vec<&PreemptibleTask> = preemptible.iter().collect();
+    by_loss_per_cpu.sort_by(|a, b| a.lost_s_per_cpu().total_cmp(&b.lost_s_per_cpu()));
+    let (mut free_after, mut victims) = (free, Vec::new());
+    for candidate in by_loss_per_cpu {
+        if requested.fits(&free_after) {
             break;
         }
-        freed.add(&candidate.resources);
+        free_after.add(&candidate.resources);
         victims.push(*candidate);
     }
-    wanted.fits(&freed).then_some((freed, victims))
+    requested.fits(&free_after).then_some((free_after, victims))
 }
 
-/// Drops the victims that others make superfluous, the dearest first. `freed`: what is free once
-/// all of them have ended.
-fn drop_superfluous(freed: Resources, victims: &mut Vec<PreemptibleTask>, wanted: Resources) {
-    let mut freed = freed;
+/// Drops victims without which `requested` still fits, the most expensive first. `free_after` is
+/// the free capacity once all victims have ended.
+fn drop_redundant_victims(
+    free_after: Resources,
+    victims: &mut Vec<PreemptibleTask>,
+    requested: Resources,
+) {
+    let mut free_after = free_after;
     victims.sort_by(|a, b| b.lost_cpu_s.total_cmp(&a.lost_cpu_s));
     victims.retain(|victim| {
-        let mut without = freed;
-        without.sub(&victim.resources);
-        let superfluous = wanted.fits(&without);
-        if superfluous {
-            freed = without;
+        let mut free_without = free_after;
+        free_without.sub(&victim.resources);
+        let redundant = requested.fits(&free_without);
+        if redundant {
+            free_after = free_without;
         }
-        !superfluous
+        !redundant
     });
 }
 
