--- a/crates/sim/src/preemptions/tests.rs
+++ b/crates/sim/src/preemptions/tests.rs
@@ -18,15 +18,15 @@
     .into()
 }
 
-fn event(task_id: &str, what: TaskTransition) -> TaskEvent {
+fn event(task_id: &str, kind: TaskTransition) -> TaskEvent {
     TaskEvent {
         task_id: task_id.into(),
         attempt: 1,
-        transition: what,
+        transition: kind,
     }
 }
 
-/// A tracker and the jobs that it is told of.
+/// A tracker and the jobs of which it receives events.
 struct Machines {
     jobs: BTreeMap<String, JobPlan>,
     tracker: PreemptionTracker,
@@ -36,7 +36,7 @@
     fn on_events(&mut self, now: Micros, machine: u64, events: &[TaskEvent]) {
         let state = MachineState {
             machine,
-            leaving: false,
+            reclaimed: false,
         };
         self.tracker
             .on_events(now, state, events, &self.jobs, |_| false);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn preemption_is_wasted_unless_someone_entitled_starts_in_its_place() {
+fn preemption_without_start_of_an_entitled_task_is_wasted() {
     let mut machines = Machines {
         jobs: plans(),
         tracker: PreemptionTracker::default(),
@@ -55,7 +55,8 @@
     let start = |task_id| [event(task_id, TaskTransition::Started)];
     machines.on_events(0, 1, &six);
     machines.on_events(0, 2, &six);
-    // One of twelve CPUs settles six of two; the same work again settles none.
+    // One start with twelve CPUs settles six victims with two CPUs each; a start of the same
+    // job settles none.
     machines.on_events(SECOND, 1, &start("job-2/0"));
     machines.on_events(SECOND, 2, &start("job-1/7"));
     machines.on_events(SECOND, 2, &start("job-3/0"));
@@ -66,16 +67,17 @@
         (12, 5),
         "another team's start settled one"
     );
-    // Cancelled, or on a machine that goes: for nobody's sake.
-    let state = |machine, leaving| MachineState { machine, leaving };
+    // Stops of cancelled tasks, and stops on a reclaimed machine, are not preemptions.
+    let state = |machine, reclaimed| MachineState { machine, reclaimed };
     tracker.on_events(0, state(3, true), &six, &jobs, |_| false);
     tracker.on_events(0, state(4, false), &six, &jobs, |_| true);
     assert_eq!(tracker.preempted, 12);
 }
 
 #[test]
-fn served_fractions_begin_with_the_least() {
-    // The wide job alone is its class's largest: it counts beside its class.
+fn served_fractions_are_sorted_lowest_first() {
+    // The job with the most CPUs is the largest of its class: it counts in addition to the
+    // class.
     let half = |id: &str| if id == "job-2" { 1 } else { 4 };
     let parts = served_fractions(&plans(), |_, _| true, half);
     assert!(
