--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -1,55 +1,55 @@
-//! One request and its answer over one connection, with a deadline on all of it.
+//! Sends one HTTP request at a time over one connection; a deadline covers the whole exchange.
 
 use beamhinge_core::http::{self, Content, Method, Response};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Largest response that is accepted, bytes.
+/// Largest accepted response, bytes.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why an exchange failed.
+/// Reason why an exchange of request and response failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The connection failed.
+    /// Opening, writing to or reading from the connection failed.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The deadline passed.
-    #[error("no answer in time")]
+    #[error("no response before the deadline")]
     TimedOut,
-    /// The controller closed the connection.
-    #[error("it closed the connection without an answer")]
+    /// The controller closed the connection before it sent a complete response.
+    #[error("the controller closed the connection without a response")]
     Closed,
     /// The response cannot be parsed.
-    #[error("its answer is not HTTP as expected")]
-    Form,
+    #[error("the response cannot be parsed")]
+    MalformedResponse,
 }
 
-/// A connection for JSON, or for CBOR as the platform's users send it.
+/// A connection that sends JSON, or CBOR as the platform's users do.
 pub struct Connection {
     stream: TcpStream,
     host: String,
     content: Content,
 }
 
-/// Time until the deadline.
-fn left(deadline: Instant) -> Result<Duration, ConnectionError> {
-    let left = deadline.saturating_duration_since(Instant::now());
-    if left.is_zero() {
+/// Time until the deadline, or [`ConnectionError::TimedOut`] if it has passed.
+fn remaining_time(deadline: Instant) -> Result<Duration, ConnectionError> {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if remaining.is_zero() {
         Err(ConnectionError::TimedOut)
     } else {
-        Ok(left)
+        Ok(remaining)
     }
 }
 
 impl Connection {
-    /// Opens a connection for JSON.
+    /// Opens a connection that sends JSON.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError`] if it cannot be opened before the deadline.
+    /// Returns [`ConnectionError`] if the connection cannot be opened before the deadline.
     pub fn open(addr: SocketAddrV4, deadline: Instant) -> Result<Connection, ConnectionError> {
-        let stream = TcpStream::connect_timeout(&SocketAddr::V4(addr), left(deadline)?)?;
+        let stream = TcpStream::connect_timeout(&SocketAddr::V4(addr), remaining_time(deadline)?)?;
         stream.set_nodelay(true)?;
         Ok(Connection {
             stream,
@@ -69,8 +69,8 @@
     ///
     /// # Errors
     ///
-    /// [`ConnectionError`] if no whole response arrives before the deadline; whether the request
-    /// was carried out is unknown then.
+    /// Returns [`ConnectionError`] if no complete response arrives before the deadline; it is then
+    /// unknown whether the request was carried out.
     pub fn exchange(
         &mut self,
         method: Method,
@@ -79,7 +79,7 @@
         authorization: Option<&str>,
         deadline: Instant,
     ) -> Result<Response, ConnectionError> {
-        let mut out = Vec::with_capacity(512 + body.len());
+        let mut encoded = Vec::with_capacity(512 + body.len());
         let head = http::RequestHead {
             method,
             path,
@@ -87,20 +87,22 @@
             content: self.content,
             authorization,
         };
-        http::write_request(&mut out, &head, body);
-        self.stream.set_write_timeout(Some(left(deadline)?))?;
-        self.stream.write_all(&out)?;
-        let (mut buf, mut chunk) = (Vec::new(), [0u8; 16 * 1024]);
+        http::write_request(&mut encoded, &head, body);
+        self.stream
+            .set_write_timeout(Some(remaining_time(deadline)?))?;
+        self.stream.write_all(&encoded)?;
+        let (mut received, mut chunk) = (Vec::new(), [0u8; 16 * 1024]);
         loop {
-            if let Some(r) = http::take_response(&mut buf, MAX_RESPONSE_BYTES)
-                .map_err(|_| ConnectionError::Form)?
+            if let Some(r) = http::take_response(&mut received, MAX_RESPONSE_BYTES)
+                .map_err(|_| ConnectionError::MalformedResponse)?
             {
                 return Ok(r);
             }
-            self.stream.set_read_timeout(Some(left(deadline)?))?;
+            self.stream
+                .set_read_timeout(Some(remaining_time(deadline)?))?;
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Err(ConnectionError::Closed),
-                Ok(n) => buf.extend_from_slice(&chunk[..n]),
+                Ok(n) => received.extend_from_slice(&chunk[..n]),
                 Err(e)
                     if matches!(
                         e.kind(),
