--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -313,7 +313,7 @@
             if one_in_flight || !pending.is_decidable(fresh) {
                 let reason = "the state service does not answer, or other changes go first";
                 return pending
-                    .is_late(now)
+                    .has_timed_out(now)
                     .then(|| ChangeResponse::Busy(reason.into()));
             }
             let response = self.decide(now, wall, pending, store);
@@ -342,7 +342,7 @@
                 warning: self.warning(requested),
             });
         }
-        if pending.is_late(now) {
+        if pending.has_timed_out(now) {
             let reason = "others change it at the same time";
             return Some(ChangeResponse::Busy(reason.into()));
         }
--- a/crates/controller/src/directives.rs
+++ b/crates/controller/src/directives.rs
@@ -161,7 +161,7 @@
             if pending.is_decidable(fresh) {
                 return self.decide(now, wall, pending, store);
             }
-            let timed_out = !pending.in_flight && pending.is_late(now);
+            let timed_out = !pending.in_flight && pending.has_timed_out(now);
             timed_out.then_some(DirectiveResponse::Busy("the state service does not answer"))
         }));
         self.pending = queue;
@@ -177,7 +177,7 @@
         pending: &mut PendingChange<RequestedChange>,
         store: &mut StoreClient<Tag>,
     ) -> Option<DirectiveResponse> {
-        let late = pending.is_late(now);
+        let late = pending.has_timed_out(now);
         let RequestedChange { change, by, sent } = &mut pending.change;
         let stored = self.entries.get(&change.target);
         let in_force = stored.and_then(|(_, directive)| directive.as_deref());
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -114,7 +114,7 @@
                 self.configuration.request_refresh();
                 self.job_store.request_refresh();
             }
-            CommitOutcome::Deposed => {
+            CommitOutcome::LeadershipLost => {
                 let change = self.election.step_down_deposed(now);
                 self.on_leadership_change(now, change);
             }
--- a/crates/controller/src/pending_changes.rs
+++ b/crates/controller/src/pending_changes.rs
@@ -6,7 +6,7 @@
 //! condition fails or the outcome of the transaction is unknown, the change is decided on again
 //! with a replica that is read afterwards ([`PendingChanges::retry`]). The length of the queue is
 //! bounded ([`MAX_PENDING`]); the owner of the queue decides how a change that has waited for too
-//! long ends ([`PendingChange::is_late`]).
+//! long ends ([`PendingChange::has_timed_out`]).
 
 use beamhinge_core::types::{RequestId, Time};
 use std::collections::VecDeque;
@@ -34,7 +34,7 @@
 
 impl<T> PendingChange<T> {
     /// Whether the change has waited for longer than the timeout.
-    pub(crate) fn is_late(&self, now: Time) -> bool {
+    pub(crate) fn has_timed_out(&self, now: Time) -> bool {
         now.since(self.started) > TIMEOUT_S
     }
 
--- a/crates/controller/src/scheduler/aging.rs
+++ b/crates/controller/src/scheduler/aging.rs
@@ -211,7 +211,7 @@
         if !is_feasible(&job.spec, machine_type, machine) {
             return None;
         }
-        let free = machine.unpromised(cycle.machine_types);
+        let free = machine.unallocated(cycle.machine_types);
         let mut running = self.running_tasks(now, machine);
         earliest_fit_s(free, &mut running, job.resources())
     }
--- a/crates/controller/src/scheduler/cycle.rs
+++ b/crates/controller/src/scheduler/cycle.rs
@@ -162,7 +162,7 @@
         machine: &Machine,
         cycle: &mut SchedulingCycle,
     ) {
-        let free = machine.unpromised(cycle.machine_types);
+        let free = machine.unallocated(cycle.machine_types);
         let Some(machine_type) = machine
             .identity
             .machine_type
--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -251,7 +251,7 @@
                 let until = self
                     .fault_attribution
                     .job_retry_at(id)
-                    .map_or(job.hold_until, |until| until.max(job.hold_until));
+                    .map_or(job.backoff_until, |until| until.max(job.backoff_until));
                 let (failures, machines) = self.fault_attribution.failures(id);
                 Some(Reason::Failures {
                     failures,
@@ -464,7 +464,7 @@
     machine_types: &[MachineType],
 ) -> Option<CandidateMachine> {
     let resources = job.resources();
-    let free = machine.unpromised(machine_types);
+    let free = machine.unallocated(machine_types);
     if resources.fits(&free) {
         return None;
     }
--- a/crates/controller/src/scheduler/feasibility.rs
+++ b/crates/controller/src/scheduler/feasibility.rs
@@ -99,12 +99,12 @@
         let alive = machine
             .liveness
             .last_heartbeat
-            .is_some_and(|at| now.since(at) < self.silence_timeout_s());
+            .is_some_and(|at| now.since(at) < self.report_timeout_s());
         let conditions = [
             (machine.lifecycle.drain.is_some(), BlockingReason::Drained),
             (machine.lifecycle.returning, BlockingReason::Returning),
             (
-                !alive || !machine.liveness.regular,
+                !alive || !machine.liveness.reports_regularly,
                 BlockingReason::Unreachable,
             ),
             (
@@ -117,7 +117,10 @@
             ),
             (machine.health.quarantined, BlockingReason::Quarantined),
             (machine.health.slow, BlockingReason::Slow),
-            (now < machine.health.refuses_until, BlockingReason::Refusing),
+            (
+                now < machine.health.refuses_tasks_until,
+                BlockingReason::Refusing,
+            ),
             (
                 machine.acknowledgement.tracker.in_backoff(now),
                 BlockingReason::Unresponsive,
--- a/crates/controller/src/scheduler/job.rs
+++ b/crates/controller/src/scheduler/job.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 /// Resources assumed for a task whose job specification is unknown: a whole machine.
-pub(super) const UNKNOWN_NEED: Resources = Resources {
+pub(super) const UNKNOWN_RESOURCES: Resources = Resources {
     cpus: 1e9,
     gpus: 0.0,
     memory_gb: 0.0,
@@ -55,7 +55,7 @@
     /// How far its run times deviate from the estimate.
     pub(super) run_time_ratios: RunTimeRatios,
     /// Earliest time at which its tasks may be placed.
-    pub(super) hold_until: Time,
+    pub(super) backoff_until: Time,
 }
 
 impl Job {
@@ -70,7 +70,7 @@
             retry_at: BTreeMap::new(),
             attempts_by_task: BTreeMap::new(),
             run_time_ratios: RunTimeRatios::default(),
-            hold_until: now,
+            backoff_until: now,
         }
     }
 
--- a/crates/controller/src/scheduler/machine.rs
+++ b/crates/controller/src/scheduler/machine.rs
@@ -39,7 +39,7 @@
     /// Its last report followed the previous one in time. A worker that receives no answers
     /// rotates through all controllers, so it reports to each one only rarely: it looks reachable
     /// right after a report, but is not until the next one.
-    pub(super) regular: bool,
+    pub(super) reports_regularly: bool,
 }
 
 /// What a machine's reports prove about the answers that its worker received.
@@ -52,7 +52,7 @@
     /// Its newest report carried the fencing token of this term.
     pub(super) has_current_token: bool,
     /// One of its reports carried it, so its worker no longer accepts an earlier leader.
-    pub(super) ever_had_current_token: bool,
+    pub(super) has_reported_current_token: bool,
     /// It reported without this term's fencing token after an answer that contained the token.
     pub(super) stale_token: bool,
     /// Tracks whether its reports acknowledge the commands sent to it.
@@ -77,7 +77,7 @@
 pub(super) struct Health {
     /// It refused a task although its allocations left enough free capacity. It gets no tasks until
     /// this time.
-    pub(super) refuses_until: Time,
+    pub(super) refuses_tasks_until: Time,
     /// Tasks fail on it that succeed on other machines.
     pub(super) quarantined: bool,
     /// Its run times compared with those of other machines.
@@ -135,7 +135,7 @@
                 first_report: None,
                 last_heartbeat: None,
                 last_answered: None,
-                regular: true,
+                reports_regularly: true,
             },
             acknowledgement: Acknowledgement::default(),
             lifecycle: Lifecycle {
@@ -246,11 +246,11 @@
 
     /// Free capacity minus the allocations whose `run` was not sent yet. Of nominated ones, only
     /// those with reserved capacity are subtracted.
-    pub(super) fn unpromised(&self, machine_types: &[MachineType]) -> Resources {
+    pub(super) fn unallocated(&self, machine_types: &[MachineType]) -> Resources {
         let mut free = self.free(machine_types);
-        let promised =
+        let is_allocated =
             |a: &&Allocation| (a.nominated_at.is_none() || a.reserved) && !a.may_be_on_machine();
-        for allocation in self.resident.allocations.values().filter(promised) {
+        for allocation in self.resident.allocations.values().filter(is_allocated) {
             free.sub(&allocation.resources);
         }
         free
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -434,10 +434,10 @@
             {
                 self.reload();
             }
-            self.drive_load(now, store);
+            self.send_next_scan(now, store);
             return;
         }
-        self.drive_load(now, store);
+        self.send_next_scan(now, store);
         self.event_log.set_time(wall);
         self.store_reachable = store
             .last_success()
@@ -446,7 +446,7 @@
         // the whole fleet each time.
         if now.since(self.last_reachability_check) >= REACHABILITY_CHECK_INTERVAL_S {
             self.last_reachability_check = now;
-            self.check_silence(now);
+            self.check_reachability(now);
             self.log_orphans(now);
         }
         if now.since(self.last_cycle) >= MIN_CYCLE_INTERVAL_S
--- a/crates/controller/src/scheduler/nomination.rs
+++ b/crates/controller/src/scheduler/nomination.rs
@@ -25,14 +25,14 @@
 impl Scheduler {
     /// The period within which task exits are predicted, in seconds. It is as long as a machine
     /// stands idle if it gets work only after its next report.
-    pub(super) fn horizon_s(&self) -> f64 {
+    pub(super) fn exit_prediction_horizon_s(&self) -> f64 {
         self.report_s * 2.0 + 1.0
     }
 
     /// Turns nominations whose tasks fit by now into ordinary allocations, and returns tasks that
     /// have waited too long to the queue, which is safe because `run` was never sent for them.
     pub(super) fn settle_nominations(&mut self, now: Time, machine_types: &[MachineType]) {
-        let max_wait_s = self.horizon_s() * 2.0;
+        let max_wait_s = self.exit_prediction_horizon_s() * 2.0;
         let mut expired = Vec::new();
         for (id, machine) in &mut self.machines {
             if machine
@@ -184,7 +184,7 @@
 
     /// Tasks on one machine that are expected to end soon.
     fn expected_exits(&self, now: Time, machine: &Machine) -> Vec<ExpectedExit> {
-        let horizon_s = self.horizon_s();
+        let horizon_s = self.exit_prediction_horizon_s();
         let mut exits = Vec::new();
         for (task, allocation) in &machine.resident.allocations {
             let (Some(job), TaskState::Observed(TaskPhase::Running), Some(started)) = (
@@ -219,10 +219,10 @@
     }
 }
 
-/// The resources of a machine that nominated tasks may use: unpromised capacity and the capacity
+/// The resources of a machine that nominated tasks may use: unallocated capacity and the capacity
 /// reserved for them.
 fn free_for_nominated(machine: &Machine, machine_types: &[MachineType]) -> Resources {
-    let mut free = machine.unpromised(machine_types);
+    let mut free = machine.unallocated(machine_types);
     let reserved =
         |allocation: &&Allocation| allocation.reserved && !allocation.may_be_on_machine();
     for allocation in machine.resident.allocations.values().filter(reserved) {
--- a/crates/controller/src/scheduler/persistence.rs
+++ b/crates/controller/src/scheduler/persistence.rs
@@ -54,7 +54,7 @@
     /// Nothing has to be done.
     Unchanged,
     /// Step down: another controller is the leader.
-    Deposed,
+    LeadershipLost,
     /// The leadership was confirmed as of this time.
     Confirmed(Time),
     /// Refresh the replica of the jobs.
--- a/crates/controller/src/scheduler/persistence/outcome.rs
+++ b/crates/controller/src/scheduler/persistence/outcome.rs
@@ -78,7 +78,7 @@
     ) -> CommitOutcome {
         self.on_not_committed(now, in_flight);
         if failed_keys.iter().any(|key| key == BLOCK_KEY) {
-            return CommitOutcome::Deposed;
+            return CommitOutcome::LeadershipLost;
         }
         let is_configuration = |key: &String| key.starts_with(configuration::PREFIX);
         let is_page = |key: &String| !key.starts_with(job_store::PREFIX) && !is_configuration(key);
@@ -92,7 +92,7 @@
         for id in changed_jobs {
             self.release_planned_allocations(now, id);
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.hold_until = now.plus(CONFLICT_BACKOFF_S);
+                job.backoff_until = now.plus(CONFLICT_BACKOFF_S);
             }
         }
         if failed_keys.iter().any(is_configuration) {
@@ -148,7 +148,7 @@
     pub(super) fn defer_job(&mut self, now: Time, id: JobId) {
         self.release_planned_allocations(now, id);
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.hold_until = now.plus(DEFERRAL_S);
+            job.backoff_until = now.plus(DEFERRAL_S);
         }
     }
 
--- a/crates/controller/src/scheduler/persistence/recovery.rs
+++ b/crates/controller/src/scheduler/persistence/recovery.rs
@@ -6,7 +6,7 @@
 use crate::job_store::{JobState, JobStore};
 use crate::placement_pages::{self, PageId, PlacementRow};
 use crate::scheduler::allocation::{Allocation, TaskState};
-use crate::scheduler::job::{resources_of, UNKNOWN_NEED};
+use crate::scheduler::job::{resources_of, UNKNOWN_RESOURCES};
 use crate::scheduler::machine::Machine;
 use crate::scheduler::Scheduler;
 use crate::store::{KeyValue, Outcome, Priority, Reply, ScanResponse, StoreClient};
@@ -41,7 +41,7 @@
     }
 
     /// Sends the next scan of the load in progress.
-    pub(in crate::scheduler) fn drive_load(&mut self, now: Time, store: &mut StoreClient<Tag>) {
+    pub(in crate::scheduler) fn send_next_scan(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         let Some(load) = &mut self.recovery else {
             return;
         };
@@ -259,7 +259,7 @@
             // as full.
             let resources = spec
                 .as_ref()
-                .map_or(UNKNOWN_NEED, |spec| resources_of(spec));
+                .map_or(UNKNOWN_RESOURCES, |spec| resources_of(spec));
             let team = spec.as_ref().and_then(|spec| self.team_index(spec));
             let mut allocation = Allocation::inherited(row.attempt, resources, team, now, page);
             allocation.kill_grace_s = is_terminated.then_some(0.0);
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -67,7 +67,7 @@
         }
         // Idle-time work must not block a job that is at risk of being late: by its deadline, by
         // its class's objective or, without either, because it has waited as long as its run
-        // time. A job that is late already waits for exits within `horizon_s`.
+        // time. A job that is late already waits for exits within `exit_prediction_horizon_s`.
         if spec.urgency == Urgency::BestEffort || !pending.pressing {
             return None;
         }
@@ -77,7 +77,7 @@
         Some(PreemptionClaim {
             job: pending.id,
             reason: PreemptionReason::Deadline,
-            within_s: slack_s.max(self.horizon_s()),
+            within_s: slack_s.max(self.exit_prediction_horizon_s()),
         })
     }
 
@@ -176,9 +176,12 @@
         // Tasks for which exits in time suffice wait for these. A guarantee claim does not, as it
         // has no time to wait.
         if claim.reason != PreemptionReason::Guarantee {
-            remaining_tasks -=
-                plan.candidates
-                    .claim_exits(resources, remaining_tasks, claim.within_s, allowed);
+            remaining_tasks -= plan.candidates.reserve_expected_exits(
+                resources,
+                remaining_tasks,
+                claim.within_s,
+                allowed,
+            );
         }
         let mut preempting = 0;
         let mut offers = Vec::new();
@@ -187,7 +190,7 @@
         };
         while remaining_tasks > 0 && within_budget(preempting, offers.len()) {
             let victims = &plan.victims;
-            let Some(offer) = plan.candidates.take_best(
+            let Some(offer) = plan.candidates.accept_best_offer(
                 resources,
                 |task| victims.may_preempt(task, claim, &preemptor.scope, preemptor.above_ceiling),
                 allowed,
--- a/crates/controller/src/scheduler/queue.rs
+++ b/crates/controller/src/scheduler/queue.rs
@@ -103,7 +103,7 @@
         }
         // A job that fails on all machines is retried with one task at a time.
         let retry_at = self.fault_attribution.job_retry_at(id);
-        if job.hold_until > now
+        if job.backoff_until > now
             || retry_at.is_some_and(|until| until > now || job.active_tasks() > 0)
         {
             return Some(PauseReason::Failures);
@@ -162,7 +162,7 @@
     ) -> Vec<PendingJob> {
         let prompt_s = settings
             .tightest_objective_s("guarantee", "")
-            .unwrap_or(self.horizon_s());
+            .unwrap_or(self.exit_prediction_horizon_s());
         let mut queue: Vec<PendingJob> = self
             .jobs
             .iter()
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -106,7 +106,7 @@
         } = *context;
         let version = report.version();
         let current_token = report.fencing_token == self.fencing_token.0;
-        let silence_timeout_s = self.silence_timeout_s();
+        let report_timeout_s = self.report_timeout_s();
         // Reports that were queued while this controller was suspended say nothing about the
         // worker's connection.
         let resumed_recently = self
@@ -151,7 +151,7 @@
         if is_heartbeat || fault_injected!(self.faults, first_report_proves_life) {
             liveness.last_heartbeat = Some(now);
         }
-        liveness.regular = resumed_recently || gap_s <= silence_timeout_s;
+        liveness.reports_regularly = resumed_recently || gap_s <= report_timeout_s;
         Some(AcceptedReport {
             version,
             new_incarnation,
@@ -194,7 +194,7 @@
             acknowledgement.has_current_token = accepted.current_token;
             self.replan = true;
         }
-        acknowledgement.ever_had_current_token |= accepted.current_token;
+        acknowledgement.has_reported_current_token |= accepted.current_token;
     }
 
     /// Whether the response to a direct command overtook the report. The task list of the report
@@ -239,10 +239,10 @@
     ) -> Option<AcceptedReport> {
         let version = report.version();
         let current_token = report.fencing_token == self.fencing_token.0;
-        let silence_timeout_s = self.silence_timeout_s();
+        let report_timeout_s = self.report_timeout_s();
         let machine = self.machines.get_mut(&id)?;
         let last_heartbeat = machine.liveness.last_heartbeat;
-        let is_unreachable = last_heartbeat.is_none_or(|last| now.since(last) > silence_timeout_s);
+        let is_unreachable = last_heartbeat.is_none_or(|last| now.since(last) > report_timeout_s);
         if !is_unreachable || !current_token || !self.loaded {
             return None;
         }
@@ -275,7 +275,7 @@
 
     /// Time without a report after which a machine counts as unreachable, in seconds: a little
     /// more than two report intervals.
-    pub(super) fn silence_timeout_s(&self) -> f64 {
+    pub(super) fn report_timeout_s(&self) -> f64 {
         self.report_s * 2.0 + 1.0
     }
 }
--- a/crates/controller/src/scheduler/reconciliation/direct_calls.rs
+++ b/crates/controller/src/scheduler/reconciliation/direct_calls.rs
@@ -73,7 +73,10 @@
     /// Probe calls to unreachable machines with tasks, which the caller probes in turn. Such a
     /// machine may be unable to reach any controller and yet be reachable itself. The calls repeat
     /// the kills of tasks that are to be stopped there.
-    pub fn silent_machines_with_tasks(&self, now: Time) -> impl Iterator<Item = DirectCall> + '_ {
+    pub fn unreachable_machines_with_tasks(
+        &self,
+        now: Time,
+    ) -> impl Iterator<Item = DirectCall> + '_ {
         self.machines
             .iter()
             .filter(move |(_, machine)| self.is_unreachable(now, machine))
@@ -88,7 +91,7 @@
         let acknowledgement = &machine.acknowledgement;
         match machine.liveness.last_heartbeat {
             Some(at) => {
-                acknowledgement.has_current_token && now.since(at) > self.silence_timeout_s()
+                acknowledgement.has_current_token && now.since(at) > self.report_timeout_s()
             }
             // Since the failover the machine has only responded to direct calls.
             None => acknowledgement.last_direct_response.is_some(),
--- a/crates/controller/src/scheduler/reconciliation/exits.rs
+++ b/crates/controller/src/scheduler/reconciliation/exits.rs
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Marks the machine as refusing tasks for `silence_timeout_s`, because it has less free
+    /// Marks the machine as refusing tasks for `report_timeout_s`, because it has less free
     /// capacity than its allocations imply.
     fn on_refusal(&mut self, now: Time, id: MachineId) {
-        let until = now.plus(self.silence_timeout_s());
+        let until = now.plus(self.report_timeout_s());
         if let Some(machine) = self.machines.get_mut(&id) {
-            machine.health.refuses_until = until;
+            machine.health.refuses_tasks_until = until;
         }
     }
 
--- a/crates/controller/src/scheduler/reconciliation/observed.rs
+++ b/crates/controller/src/scheduler/reconciliation/observed.rs
@@ -8,7 +8,7 @@
 use crate::faults::fault_injected;
 use crate::job_store::JobStore;
 use crate::scheduler::allocation::{OrphanTask, TaskPhase, TaskState};
-use crate::scheduler::job::{resources_of, UNKNOWN_NEED};
+use crate::scheduler::job::{resources_of, UNKNOWN_RESOURCES};
 use crate::scheduler::Scheduler;
 use crate::worker_protocol::{ReportedStatus, ReportedTask};
 use beamhinge_core::types::{Attempt, MachineId, TaskId, Time};
@@ -282,7 +282,7 @@
         OrphanTask {
             task,
             attempt,
-            resources: spec.map_or(UNKNOWN_NEED, resources_of),
+            resources: spec.map_or(UNKNOWN_RESOURCES, resources_of),
             team: spec.and_then(|spec| self.team_index(spec)),
         }
     }
--- a/crates/controller/src/scheduler/reconciliation/silence.rs
+++ b/crates/controller/src/scheduler/reconciliation/silence.rs
@@ -66,7 +66,7 @@
     /// Guard 3, silence: a worker whose last answered report is more than `lease_s` old has
     /// killed all its tasks. This controller's last answer gives the upper bound of that time;
     /// after a failover the earlier leader's answers do.
-    pub(in crate::scheduler) fn check_silence(&mut self, now: Time) {
+    pub(in crate::scheduler) fn check_reachability(&mut self, now: Time) {
         let UnreachableSurvey { unsent, outcomes } = self.survey_unreachable(now);
         for (machine, task) in unsent {
             self.release_allocation(now, machine, task, false, 0.0);
@@ -118,7 +118,7 @@
         // Until the worker has reported this term's fencing token, this controller's answers may
         // have been lost, and an earlier leader's answers may still renew its lease.
         match answered_until {
-            Some(until) if !machine.acknowledgement.ever_had_current_token => {
+            Some(until) if !machine.acknowledgement.has_reported_current_token => {
                 until.max(previous_until)
             }
             Some(until) => until,
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -379,7 +379,7 @@
             // A reachable machine sends the same in its reports, which are answered.
             scheduler.on_direct_response(at(NOW + 0.5), &incoming, &job_store);
             assert!(!scheduler.machine(machine_id()).expect("known").is_empty());
-            let after_timeout = at(NOW + scheduler.silence_timeout_s() + 1.0);
+            let after_timeout = at(NOW + scheduler.report_timeout_s() + 1.0);
             scheduler.on_direct_response(after_timeout, &incoming, &job_store);
             let machine = scheduler.machine(machine_id()).expect("known");
             let remaining = machine.resident.allocations.get(&task).map(|a| a.state);
@@ -419,10 +419,10 @@
     let (job_store, mut scheduler) = scheduler_with_cancelled_job("job-1");
     scheduler.loaded = true;
     scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
-    let after_timeout = at(NOW + scheduler.silence_timeout_s() + 0.1);
+    let after_timeout = at(NOW + scheduler.report_timeout_s() + 0.1);
     assert!(
         scheduler
-            .silent_machines_with_tasks(after_timeout)
+            .unreachable_machines_with_tasks(after_timeout)
             .next()
             .is_none(),
         "the machine has no tasks"
@@ -437,13 +437,13 @@
     machine.resident.allocations.insert(task, allocation);
     assert!(
         scheduler
-            .silent_machines_with_tasks(at(NOW + 1.0))
+            .unreachable_machines_with_tasks(at(NOW + 1.0))
             .next()
             .is_none(),
         "the machine is reachable"
     );
     let calls: Vec<_> = scheduler
-        .silent_machines_with_tasks(after_timeout)
+        .unreachable_machines_with_tasks(after_timeout)
         .collect();
     let [call] = calls.as_slice() else {
         panic!("{calls:?}")
@@ -570,7 +570,7 @@
         scheduler.loaded = loaded;
         assert!(
             scheduler
-                .silent_machines_with_tasks(at(NOW + 60.0))
+                .unreachable_machines_with_tasks(at(NOW + 60.0))
                 .next()
                 .is_none(),
             "the endpoint of the machine is unknown"
@@ -582,10 +582,10 @@
         assert!(
             machine.liveness.last_heartbeat.is_none()
                 && machine.liveness.last_answered.is_none()
-                && !machine.acknowledgement.ever_had_current_token,
+                && !machine.acknowledgement.has_reported_current_token,
             "the machine stays unreachable"
         );
-        let calls: Vec<_> = scheduler.silent_machines_with_tasks(at(NOW)).collect();
+        let calls: Vec<_> = scheduler.unreachable_machines_with_tasks(at(NOW)).collect();
         assert_eq!(calls.len(), usize::from(listed));
         assert!(calls
             .iter()
--- a/crates/controller/src/scheduler/victims.rs
+++ b/crates/controller/src/scheduler/victims.rs
@@ -224,7 +224,7 @@
             wall,
             machine_types,
             guaranteed,
-            exit_horizon_s: self.horizon_s().max(MIN_EXIT_HORIZON_S),
+            exit_horizon_s: self.exit_prediction_horizon_s().max(MIN_EXIT_HORIZON_S),
         };
         let mut victims = Victims {
             profiles: Vec::new(),
@@ -265,7 +265,7 @@
         machine: &Machine,
         victims: &mut Victims,
     ) -> CandidateMachine {
-        let mut free = machine.unpromised(survey.machine_types);
+        let mut free = machine.unallocated(survey.machine_types);
         let (mut preemptible, mut exits) = (Vec::new(), Vec::new());
         for (task, allocation) in &machine.resident.allocations {
             let Some(job) = self.jobs.get(&task.job) else {
--- a/crates/preemption/src/candidates.rs
+++ b/crates/preemption/src/candidates.rs
@@ -152,7 +152,7 @@
     /// Assigns the capacity of exits that are expected within `within_s` seconds to up to
     /// `max_tasks` tasks, and returns how many of them fit. Later calls do not use this capacity
     /// again.
-    pub fn claim_exits(
+    pub fn reserve_expected_exits(
         &mut self,
         requested: Resources,
         max_tasks: u32,
@@ -177,7 +177,7 @@
     /// Chooses the cheapest offer for one task among the first machines that have one, and assigns
     /// that capacity to the task; `None` if no machine has an offer. `extra_cost` is the cost of a
     /// start on a machine in addition to the loss of its victims, CPU seconds.
-    pub fn take_best(
+    pub fn accept_best_offer(
         &mut self,
         requested: Resources,
         may_preempt: impl Fn(&PreemptibleTask) -> bool,
--- a/crates/preemption/src/candidates/tests.rs
+++ b/crates/preemption/src/candidates/tests.rs
@@ -39,7 +39,7 @@
 }
 
 fn take_best_offer(candidates: &mut CandidateMachines, cpus: f64) -> Option<PreemptionOffer> {
-    candidates.take_best(resources(cpus), |_| true, |_| true, |_| 0.0)
+    candidates.accept_best_offer(resources(cpus), |_| true, |_| true, |_| 0.0)
 }
 
 /// Guards against a former fault: freed CPUs were summed over the whole fleet, so a dozen
@@ -89,7 +89,8 @@
     };
     with_exits.exits = vec![exit(1, 1.0), exit(2, 4.0)];
     let mut candidates = CandidateMachines::new(vec![with_exits]);
-    let mut claim = |cpus, within_s| candidates.claim_exits(resources(cpus), 5, within_s, |_| true);
+    let mut claim =
+        |cpus, within_s| candidates.reserve_expected_exits(resources(cpus), 5, within_s, |_| true);
     assert_eq!(claim(4.0, 3.0), 0);
     assert_eq!(claim(4.0, 5.0), 1);
     assert_eq!(claim(2.0, 5.0), 0);
