--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -40,7 +40,7 @@
 
 /// Time for which a leader that stepped down does not try to acquire leadership, in seconds.
 const YIELD_S: f64 = 8.0;
-/// Time for which [`LeaderElection::defer`] postpones an acquisition, in seconds.
+/// Time for which [`LeaderElection::defer_acquisition`] postpones an acquisition, in seconds.
 const DEFER_S: f64 = 2.0;
 /// Pause after an acquisition that the store rejects as malformed, in seconds. Other
 /// controllers may acquire leadership during the pause.
@@ -239,7 +239,7 @@
     /// higher fencing token, or a comparison with the key failed.
     ///
     /// Guard 1: after this call, no request of a worker is answered with status 200.
-    pub fn step_down_deposed(&mut self, now: Time) -> LeadershipChange {
+    pub fn end_superseded_term(&mut self, now: Time) -> LeadershipChange {
         let Some(token) = self.token.take() else {
             return LeadershipChange::Unchanged;
         };
@@ -266,7 +266,7 @@
             return LeadershipChange::Unchanged;
         }
         self.claims.term_ending_token = token;
-        self.step_down_deposed(now)
+        self.end_superseded_term(now)
     }
 
     /// Ends the term because other controllers are better able to lead: revokes the lease at
@@ -277,13 +277,13 @@
         }
         self.revoke_lease(now, store);
         self.yield_until = now.plus(YIELD_S);
-        self.step_down_deposed(now)
+        self.end_superseded_term(now)
     }
 
     /// Starts a transfer of leadership: revokes the lease so that another controller can
     /// acquire leadership at once. This controller continues to lead with its current token
     /// until the successor's transaction ends the term, as any other acquisition does.
-    pub fn transfer(&mut self, now: Time, store: &mut StoreClient<Tag>) {
+    pub fn transfer_leadership(&mut self, now: Time, store: &mut StoreClient<Tag>) {
         if self.token.is_none() || now < self.yield_until {
             return;
         }
@@ -311,7 +311,7 @@
 
     /// Postpones this controller's next attempt to acquire leadership, because it should not
     /// lead at present. Has no effect while this controller is the leader.
-    pub fn defer(&mut self, now: Time) {
+    pub fn defer_acquisition(&mut self, now: Time) {
         if self.token.is_none() {
             self.yield_until = self.yield_until.max(now.plus(DEFER_S));
         }
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -39,7 +39,7 @@
         self.store
             .set_rate_share(leader_share(&self.settings), LEADER_ADMISSION_SHARE);
         self.token_announced_at.clear();
-        self.peers.last_sent = Time::default();
+        self.peers.heartbeat_sent_at = Time::default();
         self.leader_heartbeat_sent_at = Time::default();
         self.job_store.request_refresh();
     }
--- a/crates/controller/src/node/supervision.rs
+++ b/crates/controller/src/node/supervision.rs
@@ -22,9 +22,9 @@
             return;
         }
         if self.scheduler.is_some() {
-            self.election.transfer(now, &mut self.store);
+            self.election.transfer_leadership(now, &mut self.store);
         } else {
-            self.election.defer(now);
+            self.election.defer_acquisition(now);
         }
     }
 
@@ -112,7 +112,7 @@
                 silent = unreachable,
                 "offered leadership: most workers are unreachable"
             );
-            self.election.transfer(now, &mut self.store);
+            self.election.transfer_leadership(now, &mut self.store);
         }
     }
 
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -37,8 +37,8 @@
         }
         // Checked on every tick: another half second would noticeably delay urgent task starts.
         self.fail_over_early(now);
-        if now.since(self.peers.last_sent) >= PEER_HEARTBEAT_INTERVAL_S {
-            self.peers.last_sent = now;
+        if now.since(self.peers.heartbeat_sent_at) >= PEER_HEARTBEAT_INTERVAL_S {
+            self.peers.heartbeat_sent_at = now;
             self.broadcast_heartbeat(now, out);
         }
         if now.since(self.misrouted_announced_at) >= MISROUTED_INTERVAL_S {
--- a/crates/controller/src/node/user_requests.rs
+++ b/crates/controller/src/node/user_requests.rs
@@ -137,7 +137,10 @@
         !refused
             && !self.settings.members.is_empty()
             && now.since(self.started) > STARTUP_S
-            && self.peers.silence_s(now).is_none_or(|s| s > 2.5)
+            && self
+                .peers
+                .newest_heartbeat_age_s(now)
+                .is_none_or(|s| s > 2.5)
     }
 
     fn submit(
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -60,7 +60,7 @@
     heartbeats: BTreeMap<String, Heartbeat>,
     readiness: BTreeMap<String, Readiness>,
     /// When this controller last sent a heartbeat.
-    pub last_sent: Time,
+    pub heartbeat_sent_at: Time,
     /// Assembles the progress of jobs from the frames of the leader.
     pub progress: ProgressAssembler,
     leader: Option<LeaderAnnouncement>,
@@ -155,7 +155,7 @@
     }
 
     /// Time since the latest heartbeat of any peer, in seconds; `None` if none has arrived.
-    pub fn silence_s(&self, now: Time) -> Option<f64> {
+    pub fn newest_heartbeat_age_s(&self, now: Time) -> Option<f64> {
         self.heartbeats
             .values()
             .map(|heartbeat| now.since(heartbeat.received_at))
