--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -205,7 +205,7 @@
 /// The total of all CPU guarantees if it exceeds the CPUs of the fleet, else `None`. An excess
 /// causes a warning; the change is not refused.
 #[must_use]
-pub fn guarantees_above(teams: &[EffectiveTeam], fleet_cpus: f64) -> Option<f64> {
+pub fn guaranteed_cpus_above_fleet(teams: &[EffectiveTeam], fleet_cpus: f64) -> Option<f64> {
     let guaranteed: f64 = teams
         .iter()
         .filter(|team| !team.removed)
--- a/crates/configuration/src/plan/tests.rs
+++ b/crates/configuration/src/plan/tests.rs
@@ -282,8 +282,8 @@
 #[test]
 fn guarantees_above_fleet_are_reported() {
     let teams = Snapshot::default().effective(&base());
-    assert_eq!(guarantees_above(&teams, 9.0), Some(10.0));
-    assert_eq!(guarantees_above(&teams, 10.0), None);
+    assert_eq!(guaranteed_cpus_above_fleet(&teams, 9.0), Some(10.0));
+    assert_eq!(guaranteed_cpus_above_fleet(&teams, 10.0), None);
 }
 
 /// Guards against a former fault: restoring a version from before a team was added deleted the
--- a/crates/controller/src/admin_api/responses.rs
+++ b/crates/controller/src/admin_api/responses.rs
@@ -15,7 +15,7 @@
         tracing::error!(%error, "cannot encode answer of the admin API");
         Vec::new()
     });
-    out.push(Effect::OperatorAnswer {
+    out.push(Effect::AdminAnswer {
         to,
         status,
         retry_after: matches!(status, 429 | 503).then_some(RETRY_AFTER_S),
--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -17,7 +17,7 @@
 use crate::replica::{Freshness, ReplicaCache, ReplicaConfig};
 use crate::replica_scan::ScanCoverage;
 use crate::store::{CommitResponse, Outcome, Priority, Reply, StoreClient};
-use beamhinge_configuration::plan::guarantees_above;
+use beamhinge_configuration::plan::guaranteed_cpus_above_fleet;
 use beamhinge_configuration::stored::{Author, Snapshot, FORMAT_VERSION};
 use beamhinge_configuration::{ChangeError, ConfigurationChange, EffectiveTeam, Version};
 use beamhinge_core::settings::{Settings, Team};
@@ -413,7 +413,7 @@
     /// A warning if the guarantees of all teams exceed the CPUs of the fleet; `None` otherwise.
     fn warning(&self, requested: &RequestedChange) -> Option<String> {
         let fleet_cpus = requested.fleet_cpus?;
-        let above = guarantees_above(&self.effective.teams, fleet_cpus)?;
+        let above = guaranteed_cpus_above_fleet(&self.effective.teams, fleet_cpus)?;
         Some(format!(
             "{above} CPUs are guaranteed in all, and the fleet has {fleet_cpus}"
         ))
--- a/crates/controller/src/directives/active.rs
+++ b/crates/controller/src/directives/active.rs
@@ -44,12 +44,12 @@
             return None;
         }
         self.get(&Target::Machine(machine.to_string()))
-            .or_else(|| self.market(machine_type, zone))
+            .or_else(|| self.market_drain(machine_type, zone))
     }
 
     /// The drain that forbids adding machines of a type in a zone, or `None`. A drain of the type
     /// takes precedence over one of the zone.
-    pub fn market(&self, machine_type: &str, zone: &str) -> Option<&Rc<Directive>> {
+    pub fn market_drain(&self, machine_type: &str, zone: &str) -> Option<&Rc<Directive>> {
         if self.is_empty() {
             return None;
         }
--- a/crates/controller/src/fleet/forecast.rs
+++ b/crates/controller/src/fleet/forecast.rs
@@ -179,7 +179,7 @@
     }
 
     /// The learner's parameter pairs, for the admin API.
-    pub fn render_splits(&self) -> SplitPage {
+    pub fn render_parameter_pairs(&self) -> SplitPage {
         let Some(term) = &self.term else {
             return SplitPage {
                 update_s: 0.0,
@@ -313,7 +313,7 @@
             t.zones.iter().any(|zone| {
                 requirements.are_met_by(t, zone, false)
                     && directives
-                        .market(&t.label, zone)
+                        .market_drain(&t.label, zone)
                         .is_some_and(|d| is_target(&d.target))
             })
         });
--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -3,7 +3,7 @@
 
 use super::instance::{Instance, InstanceStatus, ScaleInReason, ScaleInState};
 use super::term::LeaderTerm;
-use super::{silence_thresholds, LivenessView, TickContext};
+use super::{silence_thresholds, LivenessInputs, TickContext};
 use crate::scheduler::{Machine, Scheduler};
 use crate::split::{MachineClass, MachineType};
 use beamhinge_core::settings::Settings;
@@ -330,12 +330,12 @@
     silent_since: Time,
 ) -> MachineObservation {
     let TickContext { now, settings, .. } = *context;
-    let LivenessView {
+    let LivenessInputs {
         pause_detector,
         peer_observations,
         ..
     } = context.liveness;
-    let mut silent_s = now.since(pause_detector.silence_counts_from(silent_since));
+    let mut silent_s = now.since(pause_detector.missing_reports_count_from(silent_since));
     // An owned machine is not rented by the service: it is returned only after the longer time
     // after which a machine is presumed dead in any case.
     if instance.owned && silent_s < settings.params.workers.lease_s * PRESUMED_DEAD_LEASES {
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -66,7 +66,7 @@
 }
 
 /// State of this controller that the assessment of machine liveness depends on.
-pub struct LivenessView<'a> {
+pub struct LivenessInputs<'a> {
     /// Detects pauses of this process.
     pub pause_detector: &'a PauseDetector,
     /// Machines that report to peers.
@@ -86,7 +86,7 @@
     /// The platform's settings.
     pub settings: &'a Settings,
     /// State of this controller that the liveness assessment depends on.
-    pub liveness: &'a LivenessView<'a>,
+    pub liveness: &'a LivenessInputs<'a>,
 }
 
 /// The fleet controller. Every controller keeps the machine types; only the leader keeps the rest.
--- a/crates/controller/src/fleet/scale_plan.rs
+++ b/crates/controller/src/fleet/scale_plan.rs
@@ -306,7 +306,7 @@
         let label = machine_type.label.clone();
         machine_type
             .zones
-            .retain(|zone| active_directives.market(&label, zone).is_none());
+            .retain(|zone| active_directives.market_drain(&label, zone).is_none());
         if machine_type.zones.is_empty() {
             machine_type.cpus = 0.0;
             machine_type.gpus = 0.0;
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -101,7 +101,7 @@
         }
         for effect in effects {
             match effect {
-                Effect::Answer { to, status, .. } | Effect::OperatorAnswer { to, status, .. } => {
+                Effect::Answer { to, status, .. } | Effect::AdminAnswer { to, status, .. } => {
                     self.on_answer(now, *to, *status);
                 }
                 Effect::Call {
--- a/crates/controller/src/node/admin.rs
+++ b/crates/controller/src/node/admin.rs
@@ -76,7 +76,7 @@
                 let info = self.server_info(wall);
                 admin_api::respond(out, id, 200, &info);
             }
-            Route::Metrics => out.push(Effect::OperatorAnswer {
+            Route::Metrics => out.push(Effect::AdminAnswer {
                 to: id,
                 status: 200,
                 retry_after: None,
--- a/crates/controller/src/node/admin/delegated.rs
+++ b/crates/controller/src/node/admin/delegated.rs
@@ -19,7 +19,7 @@
 
 impl Node {
     /// Rewrites the answers among these effects that belong to delegated operator requests.
-    pub(in crate::node) fn rewrite_delegated(&mut self, effects: &mut [Effect]) {
+    pub(in crate::node) fn convert_delegated_answers(&mut self, effects: &mut [Effect]) {
         let Some(admin_api) = &mut self.admin_api else {
             return;
         };
@@ -37,8 +37,8 @@
                 continue;
             }
             let (to, status, retry_after) = (*to, *status, *retry_after);
-            if let Some(Effect::OperatorAnswer { content, body, .. }) = rewrite(to, status, body) {
-                *effect = Effect::OperatorAnswer {
+            if let Some(Effect::AdminAnswer { content, body, .. }) = rewrite(to, status, body) {
+                *effect = Effect::AdminAnswer {
                     to,
                     status,
                     retry_after,
--- a/crates/controller/src/node/admin/leader_queries.rs
+++ b/crates/controller/src/node/admin/leader_queries.rs
@@ -181,7 +181,7 @@
             Query::Teams => {
                 LeaderResponse::json(&scheduler.describe_teams(now, &self.settings, machine_types))
             }
-            Query::Splits => LeaderResponse::json(&self.fleet.render_splits()),
+            Query::Splits => LeaderResponse::json(&self.fleet.render_parameter_pairs()),
             Query::Summary => LeaderResponse::json(&self.summary(now, wall, scheduler)),
             Query::Decisions {
                 token,
@@ -263,7 +263,7 @@
         return admin_api::busy(out, request, "the holder cannot answer just now");
     }
     match merge {
-        ResponseMerge::PassThrough => out.push(Effect::OperatorAnswer {
+        ResponseMerge::PassThrough => out.push(Effect::AdminAnswer {
             to: request,
             status: 200,
             retry_after: None,
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -27,7 +27,7 @@
 use crate::configuration::Configuration;
 use crate::directives::Directives;
 use crate::faults::{fault_injected, Faults};
-use crate::fleet::{Fleet, LivenessView, TickContext};
+use crate::fleet::{Fleet, LivenessInputs, TickContext};
 use crate::job_store::JobStore;
 use crate::leader_election::LeaderElection;
 use crate::metrics::Metrics;
@@ -201,7 +201,7 @@
     /// Announces ended jobs and post-processes the effects of an event. Called at the end of each
     /// event; `before` is the index in `out` of the event's first effect.
     fn end_event(&mut self, now: Time, before: usize, out: &mut Vec<Effect>) {
-        let ended_jobs = self.user_api.take_announcements();
+        let ended_jobs = self.user_api.take_ended_jobs();
         if !ended_jobs.is_empty() && !fault_injected!(self.faults, job_ends_not_announced) {
             // Announce to peers before sending the answers that report these ends to users.
             let frames = Frame::jobs_ended(&ended_jobs).into_iter();
@@ -212,7 +212,7 @@
             out.splice(before..before, effects);
         }
         let effects = &mut out[before..];
-        self.rewrite_delegated(effects);
+        self.convert_delegated_answers(effects);
         self.metrics.on_effects(now, effects);
     }
 
@@ -294,7 +294,7 @@
     }
 
     fn tick_fleet(&mut self, now: Time, wall: WallMs) {
-        let liveness = LivenessView {
+        let liveness = LivenessInputs {
             pause_detector: &self.pause_detector,
             peer_observations: &self.peer_observations,
             leadership_confirmed: self.leadership_confirmed(now),
--- a/crates/controller/src/node/supervision.rs
+++ b/crates/controller/src/node/supervision.rs
@@ -101,7 +101,7 @@
         if since_stepped_down_s.is_some_and(|s| s < loss_proof_s * 3.0 + 30.0) {
             return;
         }
-        let (reachable, unreachable) = scheduler.liveness_counts(now);
+        let (reachable, unreachable) = scheduler.reachability_counts(now);
         if unreachable >= 2 && unreachable > reachable * 2 {
             self.stepped_down_at = Some(now);
             // No peer is known to receive more reports. A peer that does acquires the leadership
--- a/crates/controller/src/node/timers.rs
+++ b/crates/controller/src/node/timers.rs
@@ -6,7 +6,7 @@
 use beamhinge_core::messages::Effect;
 use beamhinge_core::peers::{encode, Frame};
 use beamhinge_core::types::{Time, WallMs};
-use beamhinge_standby::HEARTBEAT_S;
+use beamhinge_standby::HEARTBEAT_INTERVAL_S;
 
 /// Time between two heartbeats to the peers, seconds.
 const PEER_HEARTBEAT_INTERVAL_S: f64 = 1.0;
@@ -31,7 +31,7 @@
 impl Node {
     /// Runs the periodic work that is due at `now`.
     pub(super) fn advance_timers(&mut self, now: Time, wall: WallMs, out: &mut Vec<Effect>) {
-        if now.since(self.leader_heartbeat_sent_at) >= HEARTBEAT_S {
+        if now.since(self.leader_heartbeat_sent_at) >= HEARTBEAT_INTERVAL_S {
             self.leader_heartbeat_sent_at = now;
             self.broadcast_leader_heartbeat(out);
         }
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -287,7 +287,7 @@
 
     /// Takes the jobs whose end was told to a user during this event; the caller announces them
     /// to the peers.
-    pub fn take_announcements(&mut self) -> Vec<JobId> {
+    pub fn take_ended_jobs(&mut self) -> Vec<JobId> {
         self.announcements.take_unsent()
     }
 
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -320,7 +320,7 @@
         user_api.on_replica_refresh(at(1.4), fresh, &replica.job_store, &NoCounts, &mut out);
         let expected: &[(u16, String)] = &[(200, "pending".into())];
         assert_eq!(answers_in(&mut out), if announced { &[] } else { expected });
-        assert!(user_api.take_announcements().is_empty());
+        assert!(user_api.take_ended_jobs().is_empty());
         if !announced {
             continue;
         }
@@ -333,14 +333,14 @@
         user_api.on_replica_refresh(at(1.6), fresh, &replica.job_store, &NoCounts, &mut out);
         assert_eq!(answers_in(&mut out), [(200, "cancelled".into())]);
         assert_eq!(
-            user_api.take_announcements(),
+            user_api.take_ended_jobs(),
             [id],
             "the end is announced to the peers"
         );
         user_api.poll(at(2.0), request(2), id, &replica.job_store, &mut out);
         assert_eq!(answers_in(&mut out), [(200, "cancelled".into())]);
         assert!(
-            user_api.take_announcements().is_empty(),
+            user_api.take_ended_jobs().is_empty(),
             "each end is announced once"
         );
     }
@@ -358,7 +358,7 @@
     for n in 0..MAX_RECENT * 3 {
         user_api.announcements.announce(id(n));
     }
-    assert_eq!(user_api.take_announcements().len(), MAX_RECENT * 3);
+    assert_eq!(user_api.take_ended_jobs().len(), MAX_RECENT * 3);
     assert_eq!(user_api.announcements.recent.len(), MAX_RECENT);
     // An announcement does not extend the timeout of a waiting poll.
     user_api.poll(
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -56,7 +56,7 @@
         body: Vec<u8>,
     },
     /// Answers a client of the admin API.
-    OperatorAnswer {
+    AdminAnswer {
         /// The request to answer.
         to: RequestId,
         /// HTTP status.
--- a/crates/failure-detection/src/pause_detector.rs
+++ b/crates/failure-detection/src/pause_detector.rs
@@ -38,7 +38,7 @@
 
     /// The time from which missing reports since `last_heartbeat` are counted: not before the end
     /// of the last pause.
-    pub fn silence_counts_from(&self, last_heartbeat: Time) -> Time {
+    pub fn missing_reports_count_from(&self, last_heartbeat: Time) -> Time {
         self.resumed_at
             .map_or(last_heartbeat, |at| last_heartbeat.max(at))
     }
--- a/crates/sim/src/cluster/controllers.rs
+++ b/crates/sim/src/cluster/controllers.rs
@@ -196,7 +196,7 @@
             Effect::Answer {
                 to, status, body, ..
             } => self.answer(controller, to, (status, body), hop),
-            Effect::OperatorAnswer {
+            Effect::AdminAnswer {
                 to, status, body, ..
             } => self.answer_operator(controller, to, status, &body),
             Effect::SendFrame { to, frame } => {
--- a/crates/sim/src/fingerprint.rs
+++ b/crates/sim/src/fingerprint.rs
@@ -73,7 +73,7 @@
                 self.answer(*to, *status, *retry_after);
                 self.bytes(body);
             }
-            Effect::OperatorAnswer {
+            Effect::AdminAnswer {
                 to,
                 status,
                 retry_after,
--- a/crates/standby/src/failure_detector.rs
+++ b/crates/standby/src/failure_detector.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// How often a leader sends heartbeats to its peers, seconds.
-pub const HEARTBEAT_S: f64 = 0.5;
+pub const HEARTBEAT_INTERVAL_S: f64 = 0.5;
 /// Minimum time without a heartbeat after which a leader is suspected, seconds. Three heartbeats
 /// must be missing, because TCP retransmits a lost one only after a few tenths of a second.
 const MIN_HEARTBEAT_TIMEOUT_S: f64 = 1.5;
@@ -92,7 +92,7 @@
             token: FencingToken(0),
             heartbeats_since: Time::default(),
             last_heartbeat: Time::default(),
-            interval_s: HEARTBEAT_S,
+            interval_s: HEARTBEAT_INTERVAL_S,
             misrouted_machines: BTreeSet::new(),
             first_misrouted_at: Time::default(),
             last_suspicion: None,
@@ -113,7 +113,7 @@
         }
         if changed || gap_s > MAX_GAP_S {
             self.heartbeats_since = now;
-            self.interval_s = HEARTBEAT_S;
+            self.interval_s = HEARTBEAT_INTERVAL_S;
         } else {
             self.interval_s += INTERVAL_WEIGHT * (gap_s - self.interval_s);
         }
--- a/crates/standby/src/failure_detector/tests.rs
+++ b/crates/standby/src/failure_detector/tests.rs
@@ -43,7 +43,7 @@
 /// controller a second later.
 fn detector_with_failed_leader() -> FailureDetector {
     let mut detector = FailureDetector::default();
-    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
+    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_INTERVAL_S);
     report_misrouted(&mut detector, 11.1, 0..4, TOKEN);
     detector
 }
@@ -99,7 +99,7 @@
 fn one_kind_of_evidence_is_not_enough() {
     // A network partition between controllers: no heartbeats, and no misrouted workers.
     let mut detector = FailureDetector::default();
-    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
+    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_INTERVAL_S);
     assert_eq!(detector.suspect(at(20.0), OBSERVER), None);
     // Repeated reports of one worker whose link to the leader is broken.
     (11..20).for_each(|s| detector.on_misrouted_report(at(f64::from(s)), machine(1), TOKEN));
@@ -111,7 +111,7 @@
     // A slow leader: its heartbeats are late, and workers report here after their
     // timeout.
     let mut detector = FailureDetector::default();
-    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
+    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_INTERVAL_S);
     report_misrouted(&mut detector, 14.5, 0..200, TOKEN);
     assert_eq!(detector.suspect(at(15.0), OBSERVER), None);
     // Old reports are evidence of another failure.
@@ -124,7 +124,7 @@
 #[test]
 fn workers_without_the_leaders_token_are_no_evidence() {
     let mut detector = FailureDetector::default();
-    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
+    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_INTERVAL_S);
     report_misrouted(&mut detector, 11.1, 0..40, FencingToken(0));
     report_misrouted(&mut detector, 11.1, 40..80, FencingToken(6));
     assert_eq!(detector.suspect(at(11.6), OBSERVER), None);
@@ -156,7 +156,7 @@
     }
     // A leader that has sent heartbeats only for a short time.
     let mut detector = FailureDetector::default();
-    send_heartbeats(&mut detector, "b", TOKEN, 0.0, 2.0, HEARTBEAT_S);
+    send_heartbeats(&mut detector, "b", TOKEN, 0.0, 2.0, HEARTBEAT_INTERVAL_S);
     report_misrouted(&mut detector, 3.1, 0..4, TOKEN);
     assert_eq!(detector.suspect(at(3.7), OBSERVER), None);
 }
@@ -175,14 +175,28 @@
 fn suspicions_are_rate_limited() {
     let mut detector = detector_with_failed_leader();
     assert!(detector.suspect(at(11.6), OBSERVER).is_some());
-    send_heartbeats(&mut detector, "b", FencingToken(8), 12.0, 22.0, HEARTBEAT_S);
+    send_heartbeats(
+        &mut detector,
+        "b",
+        FencingToken(8),
+        12.0,
+        22.0,
+        HEARTBEAT_INTERVAL_S,
+    );
     report_misrouted(&mut detector, 23.1, 0..4, FencingToken(8));
     assert_eq!(
         detector.suspect(at(23.7), OBSERVER),
         None,
         "twelve seconds after the previous suspicion"
     );
-    send_heartbeats(&mut detector, "b", FencingToken(8), 24.0, 28.0, HEARTBEAT_S);
+    send_heartbeats(
+        &mut detector,
+        "b",
+        FencingToken(8),
+        24.0,
+        28.0,
+        HEARTBEAT_INTERVAL_S,
+    );
     report_misrouted(&mut detector, 29.1, 0..4, FencingToken(8));
     assert_eq!(detector.suspect(at(29.7), OBSERVER), Some("b"));
 }
@@ -192,8 +206,15 @@
 #[test]
 fn further_changes_of_leader_lengthen_the_heartbeat_timeout() {
     let mut detector = FailureDetector::default();
-    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
-    send_heartbeats(&mut detector, "b", FencingToken(8), 12.0, 16.0, HEARTBEAT_S);
+    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_INTERVAL_S);
+    send_heartbeats(
+        &mut detector,
+        "b",
+        FencingToken(8),
+        12.0,
+        16.0,
+        HEARTBEAT_INTERVAL_S,
+    );
     report_misrouted(&mut detector, 17.1, 0..4, FencingToken(8));
     assert_eq!(
         detector.suspect(at(17.6), OBSERVER),
@@ -201,9 +222,23 @@
         "the first change causes no delay"
     );
     let mut detector = FailureDetector::default();
-    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_S);
-    send_heartbeats(&mut detector, "b", FencingToken(8), 12.0, 16.0, HEARTBEAT_S);
-    send_heartbeats(&mut detector, "c", FencingToken(9), 18.0, 22.0, HEARTBEAT_S);
+    send_heartbeats(&mut detector, "a", TOKEN, 0.0, 10.0, HEARTBEAT_INTERVAL_S);
+    send_heartbeats(
+        &mut detector,
+        "b",
+        FencingToken(8),
+        12.0,
+        16.0,
+        HEARTBEAT_INTERVAL_S,
+    );
+    send_heartbeats(
+        &mut detector,
+        "c",
+        FencingToken(9),
+        18.0,
+        22.0,
+        HEARTBEAT_INTERVAL_S,
+    );
     report_misrouted(&mut detector, 23.1, 0..4, FencingToken(9));
     assert_eq!(detector.suspect(at(23.7), OBSERVER), None);
     assert_eq!(detector.suspect(at(24.3), OBSERVER), Some("c"));
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -10,4 +10,4 @@
 
 mod failure_detector;
 
-pub use failure_detector::{takeover_rank, FailureDetector, Observer, HEARTBEAT_S};
+pub use failure_detector::{takeover_rank, FailureDetector, Observer, HEARTBEAT_INTERVAL_S};
--- a/crates/transport/src/input.rs
+++ b/crates/transport/src/input.rs
@@ -167,7 +167,7 @@
         };
         if self.is_admin(listener) {
             let body = format!("{{\"error\":\"{error}\",\"code\":\"{code}\"}}");
-            return Effect::OperatorAnswer {
+            return Effect::AdminAnswer {
                 to,
                 status,
                 retry_after: None,
--- a/crates/transport/src/output.rs
+++ b/crates/transport/src/output.rs
@@ -32,7 +32,7 @@
                     retry_after,
                     body,
                 } => self.answer(to, status, retry_after, Content::Cbor, &body),
-                Effect::OperatorAnswer {
+                Effect::AdminAnswer {
                     to,
                     status,
                     retry_after,
--- a/crates/transport/src/tests.rs
+++ b/crates/transport/src/tests.rs
@@ -23,7 +23,7 @@
     ) {
         self.0.fetch_add(1, Ordering::Relaxed);
         let (content, body) = (Content::Text, vec![b'x'; 512 * 1024]);
-        out.push(Effect::OperatorAnswer {
+        out.push(Effect::AdminAnswer {
             to,
             status: 200,
             retry_after: None,
