--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 //! | `rentals`, `rental_record` | open and recent rentals, and their stored record |
 //! | `scale_plan` | compares existing capacity with target capacity |
 //! | `scale_out`, `scale_in` | request and release machines |
-//! | `forecast` | machine, pending-job and capacity-planning views of the admin API |
+//! | `admin_views` | machine, pending-job and capacity-planning views of the admin API |
 //!
 //! The cloud's machine list is eventually consistent: it lags, and a later read may return an older
 //! state. A machine that the cloud named in a reply to a rental therefore counts from that reply
@@ -33,9 +33,9 @@
 use std::net::SocketAddrV4;
 use term::LeaderTerm;
 
+mod admin_views;
 mod cloud_calls;
 mod cloud_protocol;
-mod forecast;
 mod instance;
 mod inventory;
 mod machine_health;
@@ -46,7 +46,7 @@
 mod scale_plan;
 mod term;
 
-pub use forecast::MachineQuery;
+pub use admin_views::MachineQuery;
 
 /// Interval between two comparisons of the fleet with the target capacity, seconds.
 const PLAN_INTERVAL_S: f64 = 0.5;
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -3,7 +3,7 @@
 //! This module decides whether a report is accepted (guard 3 of `docs/safety.md`), records what it
 //! says about its machine, and passes its tasks on. The submodules: [`observed`] compares the
 //! listed tasks with the allocations, [`exits`] handles tasks that ended, [`commands`] builds the
-//! answer, [`direct_calls`] builds calls to workers outside the answers, and [`silence`] proves
+//! answer, [`direct_calls`] builds calls to workers outside the answers, and [`lease_expiry`] proves
 //! by the expiry of worker leases that the tasks of an unreachable machine have ended.
 
 use super::machine::Machine;
@@ -17,8 +17,8 @@
 mod commands;
 mod direct_calls;
 mod exits;
+mod lease_expiry;
 mod observed;
-mod silence;
 
 pub use direct_calls::DirectCall;
 pub(super) use observed::OrphanSummary;
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -1,4 +1,4 @@
-use super::silence::MAX_REMOVED_MACHINES;
+use super::lease_expiry::MAX_REMOVED_MACHINES;
 use super::*;
 use crate::calls::SchedulerCall;
 use crate::event_log::EventLog;
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -9,10 +9,10 @@
 //! - No request waits for longer than its client does: a late request is answered 503, and the
 //!   client's retry finds its outcome.
 
-mod accepts;
 mod announcements;
 mod cancellations;
 mod feasibility;
+mod pending_submissions;
 mod submission;
 
 pub use feasibility::{assess, Feasibility};
@@ -23,12 +23,12 @@
 use crate::job_store::{self, JobSpec, JobState, JobStore};
 use crate::replica::Freshness;
 use crate::store::{Reply, StoreClient};
-use accepts::SubmissionQueue;
 use announcements::EndAnnouncements;
 use beamhinge_core::messages::{Effect, TaskCounts};
 use beamhinge_core::types::{JobId, RequestId, Time};
 use beamhinge_core::wire::{self, error_body};
 use cancellations::Cancellation;
+use pending_submissions::SubmissionQueue;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
