--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -3,8 +3,8 @@
 //! This module decides whether a report is accepted (guard 3 of `docs/safety.md`), records what it
 //! says about its machine, and passes its tasks on. The submodules: [`observed`] compares the
 //! listed tasks with the allocations, [`exits`] handles tasks that ended, [`commands`] builds the
-//! answer, [`direct_calls`] builds calls to workers outside the answers, and [`lease_expiry`] proves
-//! by the expiry of worker leases that the tasks of an unreachable machine have ended.
+//! answer, [`direct_calls`] builds calls to workers outside the answers, and [`lease_expiry`]
+//! proves by the expiry of worker leases that the tasks of an unreachable machine have ended.
 
 use super::machine::Machine;
 use super::Scheduler;
--- a/crates/preemption/src/candidates/tests.rs
+++ b/crates/preemption/src/candidates/tests.rs
@@ -89,9 +89,9 @@
     };
     with_exits.exits = vec![exit(1, 1.0), exit(2, 4.0)];
     let mut candidates = CandidateMachines::new(vec![with_exits]);
-    let mut claim =
+    let mut reserve =
         |cpus, within_s| candidates.reserve_expected_exits(resources(cpus), 5, within_s, |_| true);
-    assert_eq!(claim(4.0, 3.0), 0);
-    assert_eq!(claim(4.0, 5.0), 1);
-    assert_eq!(claim(2.0, 5.0), 0);
+    assert_eq!(reserve(4.0, 3.0), 0);
+    assert_eq!(reserve(4.0, 5.0), 1);
+    assert_eq!(reserve(2.0, 5.0), 0);
 }
