--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -114,8 +114,8 @@
                 self.configuration.request_refresh();
                 self.job_store.request_refresh();
             }
-            CommitOutcome::Deposed => {
-                let change = self.election.step_down_deposed(now);
+            CommitOutcome::LeadershipLost => {
+                let change = self.election.end_superseded_term(now);
                 self.on_leadership_change(now, change);
             }
         }
--- a/crates/controller/src/node/supervision.rs
+++ b/crates/controller/src/node/supervision.rs
@@ -22,9 +22,9 @@
             return;
         }
         if self.scheduler.is_some() {
-            self.election.transfer(now, &mut self.store);
+            self.election.transfer_leadership(now, &mut self.store);
         } else {
-            self.election.defer(now);
+            self.election.defer_acquisition(now);
         }
     }
 
@@ -101,7 +101,7 @@
         if since_stepped_down_s.is_some_and(|s| s < loss_proof_s * 3.0 + 30.0) {
             return;
         }
-        let (reachable, unreachable) = scheduler.liveness_counts(now);
+        let (reachable, unreachable) = scheduler.reachability_counts(now);
         if unreachable >= 2 && unreachable > reachable * 2 {
             self.stepped_down_at = Some(now);
             // No peer is known to receive more reports. A peer that does acquires the leadership
@@ -112,7 +112,7 @@
                 silent = unreachable,
                 "offered leadership: most workers are unreachable"
             );
-            self.election.transfer(now, &mut self.store);
+            self.election.transfer_leadership(now, &mut self.store);
         }
     }
 
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -318,7 +318,7 @@
     }
 
     /// Number of machines that report on time, and of machines that may have tasks but do not.
-    pub fn liveness_counts(&self, now: Time) -> (u32, u32) {
+    pub fn reachability_counts(&self, now: Time) -> (u32, u32) {
         let timeout_s = self.report_s * 2.5 + 2.0;
         let (mut reporting, mut unreachable) = (0, 0);
         let may_have_tasks = |machine: &Machine| {
@@ -434,10 +434,10 @@
             {
                 self.reload();
             }
-            self.drive_load(now, store);
+            self.send_next_scan(now, store);
             return;
         }
-        self.drive_load(now, store);
+        self.send_next_scan(now, store);
         self.event_log.set_time(wall);
         self.store_reachable = store
             .last_success()
@@ -446,7 +446,7 @@
         // the whole fleet each time.
         if now.since(self.last_reachability_check) >= REACHABILITY_CHECK_INTERVAL_S {
             self.last_reachability_check = now;
-            self.check_silence(now);
+            self.check_reachability(now);
             self.log_orphans(now);
         }
         if now.since(self.last_cycle) >= MIN_CYCLE_INTERVAL_S
