--- a/crates/testbed/src/scale/checker.rs
+++ b/crates/testbed/src/scale/checker.rs
@@ -1,5 +1,5 @@
-//! The rules of the protocol, judged by what workers did and users were told, never by
-//! what controllers believe.
+//! Checks the rules of the protocol against what workers did and what users were told, never
+//! against the state of the controllers.
 
 use super::messages::{Record, TaskTransition, UserEvent, WallUs};
 use super::workload::{ScaleJob, Workload};
@@ -7,14 +7,14 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Records of several processes are put in order of their times; so long one may be on
-/// its way, microseconds.
+/// Records of several processes are sorted by time; a record may arrive this much later than its
+/// time, microseconds.
 const REORDER_US: WallUs = 2_000_000;
-/// Differences that come from adding decimal numbers.
+/// Tolerance for rounding errors of floating-point sums.
 const ROUNDING: f64 = 1e-6;
 const LONGEST_WAIT_MS: u64 = 3_600_000;
 
-/// A rule that was broken: how often, and by what first.
+/// Violations of one rule: their number, and what caused the first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub(super) struct RuleViolation {
     pub times: u64,
@@ -29,12 +29,12 @@
     ended: BTreeSet<String>,
 }
 
-/// Where an attempt runs.
+/// Machine and attempt number.
 type Attempt = (u64, u64);
 
 pub(super) struct Checker {
     workload: Workload,
-    /// CPUs that each team may use.
+    /// CPU limit of each team.
     team_limit: f64,
     cancel_us: WallUs,
     waiting: BTreeMap<(WallUs, u64), Record>,
@@ -42,19 +42,19 @@
     jobs: BTreeMap<u64, JobSeen>,
     live: BTreeMap<String, BTreeSet<Attempt>>,
     use_of_teams: BTreeMap<String, f64>,
-    /// Cancelled jobs with tasks on machines.
+    /// Cancelled jobs that may still have tasks on machines, and when they were cancelled.
     leaving: BTreeMap<u64, WallUs>,
     pub broken: BTreeMap<String, RuleViolation>,
-    /// Starts by the second of the day.
+    /// Task starts by second of wall-clock time.
     pub starts: BTreeMap<u64, u64>,
-    /// Waits of urgent jobs by the second of their acceptance, milliseconds.
+    /// Time of acceptance of each urgent job, and its wait for the first start, milliseconds.
     pub urgent_waits: Vec<(WallUs, f64)>,
-    /// Tasks that began after their user was told that their job is cancelled.
+    /// Tasks that started after the user was told that the job is cancelled.
     pub late_starts: u64,
     pub counts: JobCounts,
 }
 
-/// How many jobs came how far.
+/// Number of jobs that reached each state, and of tasks started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct JobCounts {
     pub accepted: u64,
@@ -87,7 +87,7 @@
         &self.workload
     }
 
-    /// Takes a record of a worker or a user; others are not its business.
+    /// Adds a record of a worker or a user; ignores records of other kinds.
     pub(super) fn take(&mut self, record: Record) {
         if let Record::Task { at, .. } | Record::User { at, .. } = &record {
             self.next += 1;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Judges all that is old enough to be in order.
+    /// Checks all records that are old enough for none earlier to arrive.
     pub(super) fn check_until(&mut self, now: WallUs) {
         while let Some(entry) = self.waiting.first_entry() {
             if entry.key().0 + REORDER_US > now {
@@ -171,7 +171,7 @@
         let first = seen.started.is_none();
         seen.started.get_or_insert(at);
         if first && urgent {
-            // One that starts before its user has the answer did not wait.
+            // A job that starts before its user gets the response has not waited.
             let accepted = accepted.unwrap_or(at);
             self.urgent_waits
                 .push((accepted, at.saturating_sub(accepted) as f64 / 1e3));
@@ -190,7 +190,7 @@
             self.late_starts += 1;
             self.leaving.insert(number, cancelled);
             if at > cancelled + self.cancel_us {
-                self.break_rule("ran_cancelled", format!("{task_id} began"));
+                self.break_rule("ran_cancelled", format!("{task_id} started"));
             }
         }
     }
@@ -212,7 +212,10 @@
             *used -= cpus;
         }
         if cancelled.is_some_and(|told| at > told + self.cancel_us) {
-            self.break_rule("ran_cancelled", format!("{task_id} was there until then"));
+            self.break_rule(
+                "ran_cancelled",
+                format!("{task_id} ended after the deadline"),
+            );
         }
     }
 
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Cancelled jobs must have left all machines in time.
+    /// Checks that cancelled jobs have no tasks on machines after the deadline.
     fn judge_leaving(&mut self, now: WallUs) {
         let late: Vec<u64> = self
             .leaving
@@ -257,12 +260,12 @@
                 .map(|(p, _)| p.clone())
                 .filter(|p| p.starts_with(&prefix))
             {
-                self.break_rule("ran_cancelled", format!("{task_id} is still there"));
+                self.break_rule("ran_cancelled", format!("{task_id} is still running"));
             }
         }
     }
 
-    /// Waits of urgent jobs accepted since then.
+    /// Histogram of the waits of urgent jobs accepted at `since` or later, milliseconds.
     pub(super) fn urgent_histogram(
         &self,
         since: WallUs,
--- a/crates/testbed/src/scale/checker/tests.rs
+++ b/crates/testbed/src/scale/checker/tests.rs
@@ -42,7 +42,7 @@
     checker.broken.keys().cloned().collect()
 }
 
-/// A job of that kind, by its number.
+/// Number of the first job that matches the predicate.
 fn job_where(want: impl Fn(&ScaleJob) -> bool) -> u64 {
     let checker = checker();
     (0..10_000)
@@ -58,7 +58,7 @@
     task(&mut c, 3, 2, "job-000001/0", 2, TaskTransition::Started);
     assert!(broken(c).is_empty());
     let mut c = checker();
-    // Told in another order than it happened.
+    // Records arrive in a different order than the events happened.
     task(&mut c, 3, 2, "job-000001/0", 2, TaskTransition::Started);
     task(&mut c, 1, 1, "job-000001/0", 1, TaskTransition::Started);
     task(&mut c, 4, 1, "job-000001/0", 1, TaskTransition::Stopped);
--- a/crates/testbed/src/scale/children.rs
+++ b/crates/testbed/src/scale/children.rs
@@ -1,5 +1,5 @@
-//! The children of a scale run: started with their plan, spoken to by lines, ended by
-//! their ids.
+//! Child processes of a scale run: started with a plan, controlled by one command per line, and
+//! stopped by process ID.
 
 use super::messages::{Command, Record, RolePlan};
 use crate::TestbedError;
@@ -9,7 +9,7 @@
 use std::sync::mpsc::Sender;
 use std::thread::JoinHandle;
 
-/// Tells the children of a run apart, by their place in it.
+/// Identifies a child of a run by its role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum RoleId {
     State,
@@ -37,7 +37,7 @@
 }
 
 impl RoleChild {
-    /// Starts this program once more with a role; its records go to `records`.
+    /// Starts this program again with a role; its records go to `records`.
     pub(super) fn start(
         id: RoleId,
         plan: &RolePlan,
@@ -77,7 +77,7 @@
 
     fn write_line(&mut self, line: &str) {
         let Some(input) = &mut self.input else { return };
-        // A child that has ended is found by `has_ended`.
+        // `has_ended` finds a child that has exited.
         if writeln!(input, "{line}")
             .and_then(|()| input.flush())
             .is_err()
@@ -103,7 +103,7 @@
 
 impl Drop for RoleChild {
     fn drop(&mut self) {
-        // Its input ends, which ends it; what does not heed that is killed.
+        // The end of its input stops the child; it is killed if it is still running after 1 s.
         self.input = None;
         for _ in 0..40 {
             if self.has_ended() {
--- a/crates/testbed/src/scale/config_changes.rs
+++ b/crates/testbed/src/scale/config_changes.rs
@@ -1,5 +1,5 @@
-//! Operators of a scale run, who change quotas: how soon each change is in force
-//! everywhere.
+//! Operators of a scale run: they change quotas and measure how soon each change is in force on all
+//! controllers.
 
 use super::figures::ConfigurationFigures;
 use super::histograms::{answer_histogram, times};
@@ -18,30 +18,30 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Operators who change quotas at the same time.
+/// Number of operators that change quotas at the same time.
 const OPERATORS: u64 = 4;
-/// Each pauses so long between two changes, seconds.
+/// Mean pause of an operator between two changes, seconds.
 const PAUSE_S: f64 = 1.0;
-/// How often one asks whether the change is in force.
+/// Interval between requests whether the change is in force.
 const ASK: Duration = Duration::from_millis(100);
-/// One gives up on a change after this, seconds.
+/// Time after which an operator gives up on a change, seconds.
 const GIVE_UP_S: f64 = 60.0;
-/// How long one answer may take, seconds.
+/// Timeout of a request, seconds.
 const ANSWER_TIMEOUT_S: f64 = 10.0;
-/// Guarantees move between these parts of what they were.
+/// A new guarantee is drawn between these fractions of the initial one.
 const MOVES: (f64, f64) = (0.5, 1.0);
 
 #[derive(Default)]
 struct Tally {
     made: u64,
-    /// Told that another was first, or to come back.
+    /// Changes that failed: another change was first, or the operator was told to retry later.
     refused: u64,
-    /// Not in force everywhere when their author gave up.
+    /// Changes that were not in force on all controllers when their operator gave up.
     missed: u64,
     micros: Option<Histogram<u64>>,
 }
 
-/// Operators at work until they are stopped.
+/// Operators that make changes until they are stopped.
 pub(super) struct Operators {
     go: Arc<AtomicBool>,
     tally: Arc<Mutex<Tally>>,
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Ends their work; what it came to.
+    /// Stops the operators and returns the figures of their changes.
     pub(super) fn stop(mut self) -> ConfigurationFigures {
         let seconds = self.began.elapsed().as_secs_f64();
         self.go.store(false, Ordering::Relaxed);
@@ -123,7 +123,8 @@
         }
     }
 
-    /// Moves one team's guarantee; the version that this made, and when.
+    /// Changes the guarantee of one team. Returns the new configuration version and the time of the
+    /// response, or `None` if the change failed.
     fn change(&mut self) -> Option<(u64, Instant)> {
         let view = self.client.configuration().ok()?;
         let team = &view.teams[self.rng.gen_range(0..view.teams.len().max(1))];
@@ -159,7 +160,7 @@
                     }
                 });
             }
-            // At the end of the run what is not in force yet is not counted.
+            // Changes that are not yet in force at the end of the run are not counted.
             if !go.load(Ordering::Relaxed) {
                 return;
             }
--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/testbed/src/scale/faults.rs
@@ -1,5 +1,5 @@
-//! Faults of a scale run: named with their time, or drawn by the operators' rates and
-//! speeded up.
+//! Faults of a scale run: given by name and time, or drawn at random at the operators' rates times
+//! a factor.
 
 use super::size::{Rates, Size};
 use rand::rngs::StdRng;
@@ -7,15 +7,17 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Machines of a rack, which fail together.
+/// Number of machines of a rack; they fail together.
 pub(super) const RACK: usize = 40;
-/// How long a link is cut, and how long a controller stands still, seconds.
+/// Duration of a network partition, seconds.
 pub(super) const CUT_S: f64 = 60.0;
+/// Duration of a pause of the leader, seconds.
 pub(super) const STOPPED_S: f64 = 5.0;
-/// How long the state service is slow or refuses, and by how much it is slow, seconds.
+/// Duration of a fault of the key-value store, slow or refusing, seconds.
 pub(super) const STATE_S: f64 = 5.0;
+/// Extra delay of each response while the key-value store is slow, seconds.
 pub(super) const STATE_DELAY_S: f64 = 0.3;
-/// When a killed controller is started again, seconds.
+/// Time after which a killed controller is restarted, seconds.
 pub(super) const RESTART_S: f64 = 3.0;
 
 const DAY_S: f64 = 86_400.0;
@@ -26,13 +28,13 @@
     MachineFails,
     MachineRestarts,
     RackFails,
-    /// A zone with its workers and controllers loses all others for a while.
+    /// A zone, with its workers and controllers, is partitioned from all others for a while.
     ZoneCut,
-    /// Two regions lose each other.
+    /// Two regions are partitioned from each other.
     RegionsApart,
-    /// The controller that leads is killed.
+    /// The leader is killed.
     LeaderKilled,
-    /// The controller that leads stands still and goes on.
+    /// The leader is paused and resumed.
     LeaderStopped,
     StateSlow,
     StateRefuses,
@@ -60,7 +62,7 @@
     }
 }
 
-/// A fault and when it comes, seconds after the load's beginning.
+/// A fault and when it is injected, seconds after the start of the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Fault {
     pub kind: FaultKind,
@@ -69,9 +71,12 @@
 
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub(super) enum FaultError {
-    #[error("'{0}' is not KIND@SECONDS")]
+    #[error("fault '{0}' is not of the form KIND@SECONDS")]
     Form(String),
-    #[error("no fault is called '{0}'; there are {names}", names = NAMES.map(|(n, _)| n).join(", "))]
+    #[error(
+        "unknown fault '{0}'; the faults are {names}",
+        names = NAMES.map(|(n, _)| n).join(", ")
+    )]
     Kind(String),
 }
 
@@ -96,7 +101,7 @@
     }
 }
 
-/// How often a second each kind comes at the operators' rates.
+/// The operators' rate of each kind of fault, per second.
 fn per_second(rates: &Rates, regions: usize) -> Vec<(FaultKind, f64)> {
     let apart = if regions > 1 {
         rates.region_splits_per_year / YEAR_S
@@ -112,7 +117,7 @@
     ]
 }
 
-/// Faults of `seconds` at the operators' rates times `speed_up`, in order.
+/// Draws the faults of `seconds` at the operators' rates times `speed_up`, sorted by time.
 pub(super) fn drawn(size: &Size, seconds: f64, speed_up: f64, seed: u64) -> Vec<Fault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut faults = Vec::new();
@@ -123,7 +128,7 @@
         }
         let mut at_s = 0.0;
         loop {
-            // Waits between events of a Poisson process.
+            // Exponential interval between events of a Poisson process.
             at_s += -rng.gen_range(f64::MIN_POSITIVE..1.0f64).ln() / rate;
             if at_s >= seconds {
                 break;
--- a/crates/testbed/src/scale/faults/tests.rs
+++ b/crates/testbed/src/scale/faults/tests.rs
@@ -26,7 +26,7 @@
         .to_string();
     assert!(
         error.contains("leader-killed"),
-        "it names what there is: {error}"
+        "the error lists the faults: {error}"
     );
 }
 
--- a/crates/testbed/src/scale/figures.rs
+++ b/crates/testbed/src/scale/figures.rs
@@ -1,11 +1,11 @@
-//! What a scale run measured, by role, and the operators' budgets against it.
+//! Figures that a scale run measures, by role, and their comparison with the operators' budgets.
 
 use super::checker::{JobCounts, RuleViolation};
 use super::size::Size;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Times in milliseconds.
+/// Distribution of times, milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct Times {
     pub count: u64,
@@ -15,76 +15,75 @@
     pub most: f64,
 }
 
-/// Processor time, in parts of a core, and memory of one role's processes together.
+/// Total processor time, as a fraction of a core, and memory of one role's processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct RoleUse {
     pub processes: usize,
     pub core: f64,
-    /// The most of any second.
+    /// The highest value of any second.
     pub core_peak: f64,
     pub resident_mb: f64,
 }
 
-/// Messages and bytes a second.
+/// Messages and bytes per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct Rate {
     pub messages_per_s: f64,
     pub bytes_per_s: f64,
 }
 
-/// Changes of configuration in a run.
+/// Configuration changes in a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct ConfigurationFigures {
     pub made: u64,
-    /// Told that another was first, or to come back.
+    /// Changes that failed: another change was first, or the operator was told to retry later.
     pub refused: u64,
-    /// Not in force everywhere when their author gave up.
+    /// Changes that were not in force on all controllers when their operator gave up.
     pub missed: u64,
-    /// At this rate, so many a day.
+    /// Changes per day at the rate of the run.
     pub a_day: f64,
-    /// From the answer until every controller served by it.
+    /// From the response until the change is in force on every controller.
     pub in_force_ms: Times,
 }
 
-/// All of one run, over its steady part where nothing else is said.
+/// All figures of one run, over its steady phase unless stated otherwise.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct Figures {
-    /// The steady part, seconds.
+    /// Duration of the steady phase, seconds.
     pub seconds: f64,
     pub workers: usize,
     pub starts_per_s: f64,
-    /// Tasks a second of the jobs that were due then, without cancelled ones.
+    /// Tasks per second of the jobs that were due in the steady phase, without cancelled jobs.
     pub offered_per_s: f64,
-    /// Tasks started in all of the run, a while after the load's end too, as a part of
-    /// those offered in it.
+    /// Tasks started in the whole run, including a short time after the end of the load, as a
+    /// fraction of those offered in it.
     pub kept_up: f64,
-    /// Tasks that would run if each began when it is due.
+    /// Mean number of running tasks if each started when it is due.
     pub offered_running: f64,
     pub running: f64,
     pub urgent_start_ms: Times,
-    /// Part of the urgent jobs that started within the time that is asked.
+    /// Fraction of the urgent jobs that started within the required time.
     pub urgent_in_time: f64,
     pub submit_ms: Times,
-    /// By the name of the role: the controller that leads, one of the others, and so on.
+    /// Usage by name of the role: the leader, one of the other controllers, and so on.
     pub roles: BTreeMap<String, RoleUse>,
-    /// The longest time for which the controller that leads used four fifths of a core,
+    /// The longest time for which the leader used at least four fifths of a core without a break,
     /// seconds.
     pub leader_busy_s: f64,
-    /// By role, kind and direction.
+    /// Rates of messages by role, kind and direction.
     pub flows: BTreeMap<String, Rate>,
-    /// Gauges that the roles told last.
+    /// Last values of the gauges that the roles reported.
     pub gauges: BTreeMap<String, f64>,
     pub state_changes_per_s: f64,
     pub state_requests_per_s: f64,
     pub lead_changes: u64,
-    /// The longest time without any start, seconds, over all of the run after its first
-    /// start.
+    /// The longest time without a task start, seconds, over the whole run after its first start.
     pub longest_without_start_s: f64,
     pub configuration: ConfigurationFigures,
     pub jobs: JobCounts,
     pub late_starts: u64,
     pub broken: BTreeMap<String, RuleViolation>,
-    /// Controllers that ended by themselves.
+    /// Number of unexpected exits of controllers.
     pub fallen: u64,
     pub processes: usize,
     pub memory_mb: f64,
@@ -93,7 +92,7 @@
 }
 
 impl Figures {
-    /// The figures of a role, by its name.
+    /// Usage of a role by name; zero if it was not measured.
     fn role(&self, name: &str) -> RoleUse {
         self.roles.get(name).copied().unwrap_or_default()
     }
@@ -107,18 +106,18 @@
 pub(super) const CLOUD: &str = "cloud";
 pub(super) const USERS: &str = "users";
 
-/// Part of the offered starts that have to be made by the end.
+/// Fraction of the offered task starts that must be made by the end of the run.
 const START_TOLERANCE: f64 = 0.98;
-/// Part of the tasks that have to run at the same time: those that wait do not.
+/// Fraction of the offered running tasks that must actually run; waiting tasks don't run.
 const RUNNING_TOLERANCE: f64 = 0.9;
-/// Processes that a run may have.
+/// Most processes of a run.
 pub(super) const MAX_PROCESSES: usize = 200;
-/// Part of urgent jobs that have to start in time.
+/// Fraction of urgent jobs that must start in time.
 const URGENT_SHARE: f64 = 0.99;
-/// Most of a core that the leader may use for so long, seconds.
+/// The leader must not be busy for this long without a break, seconds.
 const BUSY_S: f64 = 10.0;
 
-/// One line of the operators' table against what was measured.
+/// One budget of the operators' table compared with its measured value.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(super) struct BudgetLine {
     pub name: String,
@@ -136,7 +135,7 @@
     }
 }
 
-/// The operators' table against the figures, line by line.
+/// Compares each budget of the operators' table with the figures.
 pub(super) fn budget(size: &Size, figures: &Figures) -> Vec<BudgetLine> {
     let mut lines = Vec::from(load_lines(size, figures));
     lines.extend(worker_lines(size, figures));
@@ -148,7 +147,7 @@
     lines
 }
 
-/// The work, and how soon it starts.
+/// Throughput, and how soon urgent jobs start.
 fn load_lines(size: &Size, f: &Figures) -> [BudgetLine; 3] {
     [
         line(
@@ -187,7 +186,7 @@
     ]
 }
 
-/// What one worker costs.
+/// Resource usage of one worker.
 fn worker_lines(size: &Size, f: &Figures) -> [BudgetLine; 3] {
     let worker = f.role(WORKER);
     let flows = [
@@ -222,7 +221,7 @@
     ]
 }
 
-/// The machines of the controllers.
+/// Machines and processor time of the controllers.
 fn control_line(size: &Size, f: &Figures) -> BudgetLine {
     line(
         "machines set aside",
@@ -237,7 +236,7 @@
     )
 }
 
-/// Rules, processes, and what the machine of the run can bear.
+/// Rule violations, unexpected exits, and the limits of the computer that carries the run.
 fn health_lines(f: &Figures) -> [BudgetLine; 4] {
     let broken: Vec<String> = f.broken.keys().cloned().collect();
     let half_mb = f.machine_memory_mb / 2.0;
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -1,21 +1,22 @@
-//! Straight lines through measured points, by least squares.
+//! Least-squares fits of straight lines to measured points.
 
 use serde::Serialize;
 
-/// A line y = intercept + slope · x and how well it fits, within the range of its points.
+/// A line y = intercept + slope · x, its goodness of fit, and the range of its points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(super) struct Fit {
     pub slope: f64,
     pub intercept: f64,
-    /// Root of the mean squared distance of the points from the line, in units of y.
+    /// Root mean square deviation of the points from the line, in units of y.
     pub residual: f64,
-    /// The smallest and largest x: the line holds between them.
+    /// Smallest x; the line is valid from here to `to`.
     pub from: f64,
     pub to: f64,
     pub points: usize,
 }
 
-/// The line through at least three points with different x.
+/// Fits a line to at least three points; `None` if there are fewer, if all have the same x, or if
+/// a value is not finite.
 pub(super) fn least_squares(points: &[(f64, f64)]) -> Option<Fit> {
     let sound = points.iter().all(|(x, y)| x.is_finite() && y.is_finite());
     if points.len() < 3 || !sound {
--- a/crates/testbed/src/scale/flows.rs
+++ b/crates/testbed/src/scale/flows.rs
@@ -1,14 +1,14 @@
-//! Counting what a child sends and receives.
+//! Counts the messages that a child sends and receives.
 
 use super::messages::{Flow, Flows};
 use beamhinge_core::http::{self, Content, Method};
 use beamhinge_core::types::RequestId;
 use std::collections::BTreeMap;
 
-/// Requests under way whose kind is remembered; guards memory.
+/// Most unanswered requests whose kind is stored; bounds memory.
 const MAX_OPEN: usize = 50_000;
 
-/// Counters of one child, and the kinds of the requests that it has not answered.
+/// Message counters of one child, and the kinds of the requests that it has not yet answered.
 #[derive(Default)]
 pub(super) struct FlowCounter {
     flows: Flows,
@@ -24,7 +24,7 @@
         };
     }
 
-    /// A request came in.
+    /// Counts a request that was received.
     pub(super) fn request(
         &mut self,
         id: RequestId,
@@ -39,19 +39,19 @@
         self.add(kind, "in", request_bytes(method, path, body));
     }
 
-    /// It is answered.
+    /// Counts the response that was sent to it.
     pub(super) fn answer(&mut self, id: RequestId, status: u16, body: usize) {
         if let Some(kind) = self.open.remove(&(id.slot, id.generation)) {
             self.add(kind, "out", answer_bytes(status, body));
         }
     }
 
-    /// We called.
+    /// Counts a request that was sent.
     pub(super) fn call(&mut self, kind: &str, (method, path): (Method, &str), body: usize) {
         self.add(kind, "out", request_bytes(method, path, body));
     }
 
-    /// And were answered.
+    /// Counts the response that was received to it.
     pub(super) fn reply(&mut self, kind: &str, status: u16, body: usize) {
         self.add(kind, "in", answer_bytes(status, body));
     }
@@ -61,7 +61,7 @@
     }
 }
 
-/// Bytes of a request with its head, as this project's own writer makes it.
+/// Size of a request with its header, as the HTTP writer of `beamhinge-core` encodes it, bytes.
 fn request_bytes(method: Method, path: &str, body: usize) -> usize {
     let host = "127.0.0.1:12000";
     let head = http::RequestHead {
@@ -76,6 +76,7 @@
     bytes.len() + body
 }
 
+/// Size of a response with its header, bytes.
 fn answer_bytes(status: u16, body: usize) -> usize {
     let mut bytes = Vec::new();
     let head = http::ResponseHead {
--- a/crates/testbed/src/scale/layout.rs
+++ b/crates/testbed/src/scale/layout.rs
@@ -1,33 +1,32 @@
-//! Where everything of a scale run listens, and which zone is whose: loopback addresses
-//! alone, a network of them for the workers of each process.
+//! Addresses and zones of all processes of a scale run. Everything listens on loopback addresses;
+//! each worker process has a loopback network for its workers.
 
 use super::size::Size;
 use super::workload::team_name;
 use beamhinge_dev_cluster::deployment::{Deployment, Links, NodePlace, TeamPlan};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 
-/// Workers of one process; more are too many for one thread.
+/// Most workers of one process; one thread can't serve more.
 const WORKERS_A_PROCESS: usize = 525;
-/// Addresses more than workers, for machines that replace others.
+/// Additional addresses for replacement machines, as a fraction of the workers.
 const SPARE_PLACES: f64 = 0.1;
 /// Second byte of the first loopback network for workers.
 const WORKER_NETWORK: u8 = 64;
-/// Hosts of one network that are used, so that neither 0 nor 255 is.
+/// Addresses used per /24 network, so that neither .0 nor .255 is used.
 const HOSTS: usize = 250;
-/// Ports from the base on, by what listens there.
+/// Offsets of ports from the base port.
 const STATE_PORTS: u16 = 30;
 const CLOUD_PORTS: u16 = 60;
 const WORKER_PORT: u16 = 99;
 
-/// The part of the fleet that a team is guaranteed, and the limit of each, as parts of
-/// the fleet over all teams.
+/// Guarantee of a team, and its limit, as multiples of an equal share of the fleet for each team.
 pub(super) const GUARANTEED: f64 = 0.5;
 pub(super) const LIMIT: f64 = 20.0;
 
 pub(super) struct Layout {
     pub size: Size,
     base_port: u16,
-    /// Workers whose tasks are processes, on a process of their own.
+    /// Workers that run tasks as processes; they share a separate worker process.
     pub real_workers: usize,
 }
 
@@ -45,8 +44,8 @@
         }
     }
 
-    /// Processes that hold workers: one for the real ones, if there are any, and the
-    /// others by the thousand in a few.
+    /// Number of worker processes: one for the workers that run tasks as processes, if there are
+    /// any, and a few with many workers each for the others.
     pub(super) fn worker_processes(&self) -> usize {
         usize::from(self.real_workers > 0) + self.timer_processes()
     }
@@ -59,7 +58,7 @@
         self.real_workers > 0 && process == 0
     }
 
-    /// How many workers a process has at the start.
+    /// Number of workers of a worker process at the start.
     fn workers_of(&self, process: usize) -> usize {
         if self.is_real(process) {
             return self.real_workers;
@@ -67,7 +66,7 @@
         (self.size.workers - self.real_workers).div_ceil(self.timer_processes())
     }
 
-    /// The process of a machine by its number.
+    /// Index of the worker process that has the worker of a machine.
     pub(super) fn process_of(&self, machine: u64) -> usize {
         let machine = machine as usize;
         if machine < self.real_workers {
@@ -76,7 +75,7 @@
         usize::from(self.real_workers > 0) + (machine - self.real_workers) % self.timer_processes()
     }
 
-    /// The addresses of a process's workers.
+    /// Addresses for the workers of a process, including spare ones.
     pub(super) fn worker_addresses(&self, process: usize) -> Vec<SocketAddrV4> {
         let spare = (self.workers_of(process) as f64 * SPARE_PLACES).ceil() as usize + 2;
         let places = 0..self.workers_of(process) + spare;
@@ -85,7 +84,7 @@
             .collect()
     }
 
-    /// One of them, by its place.
+    /// The address of a worker process at an index.
     pub(super) fn worker_address(&self, process: usize, place: usize) -> SocketAddrV4 {
         let (third, fourth) = ((place / HOSTS) as u8, (place % HOSTS) as u8 + 1);
         let port = self.base_port + WORKER_PORT;
@@ -107,7 +106,7 @@
             .collect()
     }
 
-    /// Where frames from one controller to another pass.
+    /// Address of the relay for frames from one controller to another.
     pub(super) fn relay_address(&self, from: usize, to: usize) -> SocketAddrV4 {
         loopback(1, 0, from as u8 + 1, self.base_port + to as u16)
     }
@@ -118,7 +117,8 @@
             .collect()
     }
 
-    /// The zone of a controller: they are spread over the regions first.
+    /// Zone of a controller. Controllers are spread over the regions first, then over the zones of
+    /// each region.
     pub(super) fn zone_of_controller(&self, node: usize) -> usize {
         let region = node % self.size.regions;
         let zones: Vec<usize> = (0..self.size.zones)
@@ -140,7 +140,7 @@
             .collect()
     }
 
-    /// Zones of the machines that are there from the start.
+    /// Zones of the machines that exist from the start, one entry per machine.
     pub(super) fn owned(&self) -> Vec<String> {
         (0..self.size.workers)
             .map(|machine| self.size.zone_name(machine % self.size.zones))
@@ -172,8 +172,8 @@
         }
     }
 
-    /// Sockets that a controller may have: one for each worker, and room for users,
-    /// peers and what is about to close.
+    /// Most sockets of a controller: one for each worker, and a reserve for users, peers and
+    /// connections that are about to close.
     pub(super) fn connections(&self) -> usize {
         self.size.workers * 3 / 2 + 1_000
     }
@@ -188,7 +188,8 @@
         }
     }
 
-    /// An address that somebody else listens on already.
+    /// The first address that another program already listens on, if any. Of each worker process,
+    /// only the first address is checked.
     pub(super) fn taken(&self) -> Option<SocketAddrV4> {
         let deployment = self.deployment();
         let nodes = deployment
--- a/crates/testbed/src/scale/layout/tests.rs
+++ b/crates/testbed/src/scale/layout/tests.rs
@@ -26,7 +26,7 @@
     assert!(seen.len() > 2_100);
     assert!(
         (0..4).all(|m| layout.process_of(m) == 0),
-        "real ones are by themselves"
+        "workers that run processes have their own worker process"
     );
 }
 
@@ -41,7 +41,7 @@
         let mut seen = BTreeSet::new();
         for process in 0..layout.worker_processes() {
             let addresses = layout.worker_addresses(process);
-            // The sockets of a child don't depend on the fleet's size.
+            // The number of sockets of a child doesn't depend on the size of the fleet.
             assert!(addresses.len() < 1_000 && addresses.iter().all(|a| a.ip().is_loopback()));
             seen.extend(addresses);
         }
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -1,5 +1,5 @@
-//! Measuring a run as it goes: processor time and memory by role each second, counts of
-//! messages at the ends of the steady part, times of answers.
+//! Measures a run while it executes: processor time and memory by role each second, message counts
+//! at the start and end of the steady phase, and response times.
 
 use super::children::RoleId;
 use super::figures::{self, Figures, Rate, RoleUse};
@@ -10,16 +10,16 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// How often processes are looked at, seconds.
+/// Interval between samples of all processes, seconds.
 const SAMPLE_S: f64 = 1.0;
-/// Part of a core above which the leader counts as busy.
+/// Fraction of a core from which on the leader counts as busy.
 const BUSY: f64 = 0.8;
-/// Histogram counts are microseconds.
+/// Milliseconds per microsecond, the unit of the histograms.
 const MS: f64 = 1e-3;
-/// Complaints that are kept.
+/// Most protocol violations that are recorded.
 const MAX_ABUSED: usize = 20;
 
-/// Sums over the steady part.
+/// Resource usage of one role, summed over samples.
 #[derive(Clone, Copy, Default)]
 struct RoleSum {
     processes: usize,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Counts of one child as it told them last.
+/// The last counts that a child reported.
 #[derive(Clone, Default)]
 struct Counts {
     flows: Flows,
@@ -77,7 +77,7 @@
     abused: Vec<String>,
 }
 
-/// The name of the role of a child's processes.
+/// Name of a child's role in [`Figures::roles`].
 fn role_name(id: RoleId) -> &'static str {
     match id {
         RoleId::State => figures::STATE,
@@ -87,7 +87,7 @@
     }
 }
 
-/// How a role is called in the names of its flows and gauges.
+/// Prefix of a role's flows and gauges.
 fn short_name(id: RoleId) -> &'static str {
     match id {
         RoleId::State => "state",
@@ -169,13 +169,13 @@
         self.started_at_end = started;
     }
 
-    /// When the steady part began, seconds after `began`.
+    /// Start of the steady phase, seconds after `began`; 0 if it has not started.
     pub(super) fn steady_from_s(&self, began: Instant) -> f64 {
         self.steady_from
             .map_or(0.0, |at| at.saturating_duration_since(began).as_secs_f64())
     }
 
-    /// Tasks on machines, as workers told it last.
+    /// Number of tasks on machines, by the last reports of the workers.
     pub(super) fn running(&self) -> f64 {
         let told = self
             .counts
@@ -184,7 +184,8 @@
         told.filter_map(|(_, c)| c.gauges.get("running")).sum()
     }
 
-    /// Looks at all processes once a second; all memory in use, MB, when it did.
+    /// Samples all processes at most once a second. Returns their total memory, MB, or `None` if no
+    /// sample was due.
     pub(super) fn sample_processes(
         &mut self,
         controllers: &[(usize, u32)],
@@ -274,7 +275,7 @@
         gauges
     }
 
-    /// The figures that are measured here; the others are left as they are by default.
+    /// The figures measured here; all others have their default values.
     pub(super) fn figures(&self) -> Figures {
         let from = self.steady_from.unwrap_or_else(Instant::now);
         let to = self.steady_to.unwrap_or_else(Instant::now);
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -1,6 +1,6 @@
-//! What the processes of a scale run tell each other, a JSON line each: the one that
-//! runs it sends a plan and then commands to a child's standard input, and a child sends
-//! records on its standard output.
+//! Messages between the processes of a scale run, one JSON document per line: the parent sends a
+//! plan and then commands to a child's standard input, and the child sends records on its
+//! standard output.
 
 use super::workload::Workload;
 pub(super) use beamhinge_emulator::worker::TaskTransition;
@@ -9,7 +9,8 @@
 use std::net::SocketAddrV4;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Microseconds of the time of day: all processes are on one machine.
+/// Wall-clock time, microseconds since the Unix epoch. All processes run on one computer and
+/// share its clock.
 pub(super) type WallUs = u64;
 
 pub(super) fn wall_us() -> WallUs {
@@ -18,7 +19,7 @@
         .map_or(0, |d| d.as_micros() as u64)
 }
 
-/// The published limits of the state service (PROTOCOL, "Limits and errors").
+/// The published limits of the key-value store (PROTOCOL, "Limits and errors").
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct StateLimits {
     pub rps: f64,
@@ -27,23 +28,23 @@
     pub txn_ops: usize,
 }
 
-/// A kind of machine and where it is.
+/// The machine type and the machines available in each zone.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct MachinePlan {
     pub cpus: f64,
     pub memory_gb: f64,
     pub boot_s: f64,
-    /// Machines that are there from the start, by their zone.
+    /// Zones of the machines that exist from the start, one entry per machine.
     pub owned: Vec<String>,
-    /// Machines more that can be rented in each zone.
+    /// Additional machines that can be rented in each zone.
     pub spare: u32,
 }
 
-/// What a child is.
+/// Role of a child and its parameters.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum RolePlan {
     State {
-        /// An address for each controller, so that each can be cut off alone.
+        /// One address for each controller, so that each can be partitioned separately.
         addresses: Vec<SocketAddrV4>,
         limits: StateLimits,
     },
@@ -57,28 +58,28 @@
     },
     Workers {
         controllers: Vec<SocketAddrV4>,
-        /// One for each worker that may be there at once.
+        /// One address for each worker that may exist at the same time.
         addresses: Vec<SocketAddrV4>,
         report_s: f64,
         lease_s: f64,
         cancel_s: f64,
         workload: Workload,
-        /// Tasks are processes; else they are timers.
+        /// Whether tasks run as processes; otherwise they are simulated with timers.
         real: bool,
     },
     Users {
         controllers: Vec<SocketAddrV4>,
         workload: Workload,
-        /// For how long jobs are submitted, seconds.
+        /// How long jobs are submitted, seconds.
         seconds: f64,
         seed: u64,
     },
 }
 
-/// Sent to a child while it runs.
+/// Command to a running child.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Command {
-    /// To workers: a machine is up, and listens on the address at that place.
+    /// To workers: a machine is up, and its worker listens on the address at index `place`.
     Boot {
         machine: u64,
         zone: String,
@@ -87,11 +88,11 @@
         memory_gb: f64,
         place: usize,
     },
-    /// To workers: it is gone with all that is on it.
+    /// To workers: a machine is lost with all its tasks.
     Remove { machine: u64 },
-    /// To workers: it is off and on again.
+    /// To workers: a machine restarts.
     Reboot { machine: u64 },
-    /// To workers: machines of these zones neither reach these controllers nor hear them.
+    /// To workers: the machines of these zones and these controllers can't reach each other.
     CutZones {
         zones: Vec<String>,
         controllers: Vec<usize>,
@@ -99,50 +100,50 @@
     },
     /// To the cloud: where a machine's worker listens.
     Endpoint { machine: u64, address: SocketAddrV4 },
-    /// To the cloud: a machine stopped by itself.
+    /// To the cloud: a machine has failed.
     Failed { machine: u64 },
-    /// To the state service and the cloud: requests of these controllers are held up.
+    /// To the key-value store and the cloud: these controllers are partitioned from them.
     HoldControllers {
         controllers: Vec<usize>,
         seconds: f64,
     },
-    /// To the state service: every answer takes so much longer.
+    /// To the key-value store: every response is delayed by `delay_s`.
     Slow { delay_s: f64, seconds: f64 },
-    /// To the state service: it answers 503.
+    /// To the key-value store: it answers with status 503.
     Refuse { seconds: f64 },
-    /// To users: no further job is submitted.
+    /// To users: submit no more jobs.
     StopSubmitting,
 }
 
-/// Messages of one kind and direction, and their bytes with heads.
+/// Number of messages of one kind and direction, and their bytes including headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Flow {
     pub messages: u64,
     pub bytes: u64,
 }
 
-/// Counts since a child began, by kind: `report in`, `report out` and so on, seen from
-/// the child.
+/// Counts since the child started, by kind and direction as seen from the child: `report in`,
+/// `report out` and so on.
 pub(super) type Flows = BTreeMap<String, Flow>;
 
 /// What a user was told or did.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum UserEvent {
     Accepted,
-    /// The user asks to cancel it.
+    /// The user sent the cancellation.
     CancelSent,
-    /// The user was told that it is cancelled.
+    /// The user was told that the job is cancelled.
     Cancelled,
     Done,
-    /// The answer breaks a rule of the protocol.
+    /// The response violates a rule of the protocol.
     #[serde(rename = "Broken")]
     RuleViolation(String),
 }
 
-/// Sent by a child.
+/// Record sent by a child.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Record {
-    /// It listens.
+    /// The child listens.
     Ready,
     Task {
         at: WallUs,
@@ -157,35 +158,26 @@
         job: u64,
         event: UserEvent,
     },
-    /// How long a request took from when it was due, milliseconds, and how it ended.
-    Answered {
-        kind: String,
-        ms: f64,
-        status: u16,
-    },
-    /// From the state service: who leads now.
+    /// A user's request has ended: its latency since it was due, milliseconds, and the HTTP status,
+    /// or 0 if the user gave up.
+    Answered { kind: String, ms: f64, status: u16 },
+    /// From the key-value store: the leader changed.
     #[serde(rename = "Lead")]
-    LeaderChanged {
-        at: WallUs,
-        label: Option<String>,
-    },
-    /// From the cloud: a machine is up, or gone.
+    LeaderChanged { at: WallUs, label: Option<String> },
+    /// From the cloud: a machine is up.
     Booted {
         machine: u64,
         zone: String,
         spot: bool,
     },
-    Gone {
-        machine: u64,
-    },
-    /// Each second.
+    /// From the cloud: a machine was released.
+    Gone { machine: u64 },
+    /// Counts of a child, sent each second.
     Counts {
         flows: Flows,
         gauges: BTreeMap<String, f64>,
     },
-    /// What a controller did that the protocol does not allow.
+    /// A controller violated the protocol of the key-value store or of the cloud.
     #[serde(rename = "Abused")]
-    ProtocolViolation {
-        what: String,
-    },
+    ProtocolViolation { what: String },
 }
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,6 +1,8 @@
-//! A scale run: real controllers, workers whose tasks are timers by the thousand beside a few
-//! whose tasks are processes,
-//! emulators and users in processes of their own, on loopback and in real time.
+//! The scale experiment: real controllers under load, on loopback and in real time.
+//!
+//! Thousands of workers simulate their tasks with timers, and a few run them as processes. The
+//! workers, the emulated key-value store, the emulated cloud and the users each run in separate
+//! processes.
 
 mod checker;
 mod children;
@@ -36,16 +38,16 @@
 use std::sync::Arc;
 use sweep::{Axis, Series};
 
-/// Longest load, minutes.
+/// Upper limit of `--minutes`.
 const MAX_MINUTES: f64 = 60.0;
 const REAL_WORKERS: usize = 4;
 
 #[derive(Args)]
 pub(crate) struct Options {
-    /// The size as a file (TOML) instead of the operators' table
+    /// TOML file with the size of the run, instead of the operators' table
     #[arg(long, value_name = "FILE")]
     table: Option<PathBuf>,
-    /// Workers; as with all of these, else as the table says
+    /// Number of workers; this and the following options default to the values of the table
     #[arg(long)]
     workers: Option<usize>,
     #[arg(long)]
@@ -56,39 +58,39 @@
     regions: Option<usize>,
     #[arg(long)]
     zones: Option<usize>,
-    /// Task starts a second
+    /// Task starts per second
     #[arg(long)]
     starts_per_s: Option<f64>,
     /// Tasks running at the same time
     #[arg(long)]
     running: Option<usize>,
-    /// Changes of configuration a day; 0 leaves that line out
+    /// Configuration changes per day; 0 omits that line of the budget
     #[arg(long)]
     config_changes: Option<u32>,
     /// Seconds between a worker's reports
     #[arg(long)]
     report_s: Option<f64>,
-    /// How long jobs arrive
+    /// Duration of the load, minutes
     #[arg(long, default_value_t = 3.0)]
     minutes: f64,
-    /// Workers that run processes, among the others
+    /// How many of the workers run their tasks as processes
     #[arg(long, default_value_t = REAL_WORKERS)]
     real: usize,
-    /// A fault and when it comes; may be repeated
+    /// Fault to inject and its time after the start of the load; may be repeated
     #[arg(long = "fault", value_name = "KIND@SECONDS")]
     faults: Vec<Fault>,
-    /// Draw faults at the operators' rates, so many times as often
+    /// Also inject random faults at the operators' rates times this factor
     #[arg(long, value_name = "TIMES", default_value_t = 0.0)]
     speed_up: f64,
-    /// Vary one of these over several sizes and fit slopes
+    /// Vary this dimension over several sizes and fit a line to each figure
     #[arg(long, value_enum)]
     sweep: Option<Axis>,
-    /// Write JSON and plots (SVG) there
+    /// Write JSON and plots (SVG) to this folder
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
 }
 
-/// A size for a first look, and for CI: seconds, and a hundred workers.
+/// Reduces a size to a short run with 100 workers, for a first try and for CI.
 fn quick(size: &mut Size) {
     size.workers = 100;
     size.controllers = 3;
@@ -133,8 +135,7 @@
             self.minutes
         };
         if !(minutes > 0.0 && minutes <= MAX_MINUTES) {
-            let wrong =
-                format!("--minutes {minutes}: it must be above 0 and {MAX_MINUTES} at most");
+            let wrong = format!("--minutes {minutes}: must be above 0 and at most {MAX_MINUTES}");
             return Err(TestbedError::Other(wrong));
         }
         Ok(minutes * 60.0)
@@ -262,7 +263,7 @@
     for s in &series {
         if let Some(fit) = s.fit {
             eprintln!(
-                "{:28} {:+.3e} {} for each of {}, from {:.3e}; residual {:.1e}",
+                "{:28} {:+.3e} {} per unit of {}, intercept {:.3e}; residual {:.1e}",
                 s.name,
                 fit.slope,
                 s.unit,
--- a/crates/testbed/src/scale/plots.rs
+++ b/crates/testbed/src/scale/plots.rs
@@ -1,5 +1,5 @@
-//! Plots of a scale run (SVG): starts and urgent waits over time with the faults marked,
-//! and slopes with their points.
+//! Plots of a scale run (SVG): task starts and waits of urgent jobs over time, with the faults
+//! marked, and the fitted lines of a sweep with their points.
 
 use super::fit::Fit;
 use crate::TestbedError;
@@ -7,21 +7,21 @@
 use std::path::Path;
 
 const SIZE: (u32, u32) = (900, 420);
-/// Room above the highest point.
+/// Upper end of an axis as a multiple of its largest value.
 const HEADROOM: f64 = 1.1;
 
-/// A series over seconds, with the times of faults.
+/// A series over time in seconds, with the faults marked.
 pub(super) struct TimePlot<'a> {
     pub title: &'a str,
     pub unit: &'a str,
     pub points: &'a [(f64, f64)],
-    /// Drawn as dots instead of a line.
+    /// Whether to draw dots instead of a line.
     pub dots: bool,
     pub marks: &'a [(f64, String)],
 }
 
 fn failed(e: impl std::fmt::Display) -> TestbedError {
-    TestbedError::Other(format!("cannot draw: {e}"))
+    TestbedError::Other(format!("cannot draw the plot: {e}"))
 }
 
 fn most(values: impl Iterator<Item = f64>) -> f64 {
@@ -33,6 +33,7 @@
     }
 }
 
+/// Draws a series over time.
 pub(super) fn over_time(path: &Path, plot: &TimePlot) -> Result<(), TestbedError> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(failed)?;
@@ -76,7 +77,7 @@
     area.present().map_err(failed)
 }
 
-/// Measured points and the line through them.
+/// Draws measured points and the line fitted to them.
 pub(super) fn slope(
     path: &Path,
     title: &str,
--- a/crates/testbed/src/scale/relay.rs
+++ b/crates/testbed/src/scale/relay.rs
@@ -1,6 +1,6 @@
-//! Relays between controllers: what one sends to another passes here, so that a link can
-//! be cut without any privilege. What is sent into a cut is held and delivered late, as
-//! TCP does.
+//! Relays between controllers: the traffic from one to another passes through a relay, so that a
+//! link can be cut without privileges. Data sent while the link is cut is delivered late, as with
+//! TCP.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -10,11 +10,11 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How often listeners and switches are looked at.
+/// Interval at which listeners and links are polled.
 const LOOK: Duration = Duration::from_millis(20);
 const READ_WAIT: Duration = Duration::from_millis(200);
 const CONNECT_WAIT: Duration = Duration::from_millis(500);
-/// Connections that all relays may have at once.
+/// Most connections of all relays together.
 const MAX_CONNECTIONS: usize = 1_000;
 
 /// One direction between two controllers.
@@ -37,7 +37,8 @@
 }
 
 impl Relays {
-    /// Listens at the first address of each and passes on to the second.
+    /// Starts a relay for each direction that listens on the first address and forwards to the
+    /// second.
     pub(super) fn start(
         directions: Vec<(Direction, SocketAddrV4, SocketAddrV4)>,
     ) -> io::Result<Relays> {
@@ -64,7 +65,7 @@
         })
     }
 
-    /// Cuts a link in both directions, or mends it.
+    /// Cuts or restores a link in both directions.
     pub(super) fn set_cut(&self, a: usize, b: usize, cut: bool) {
         for direction in [Direction { from: a, to: b }, Direction { from: b, to: a }] {
             if let Some(switch) = self.cut.get(&direction) {
@@ -94,7 +95,7 @@
                 }
                 let (target, cut, go) = (l.target, l.cut.clone(), go.clone());
                 connections.push(thread::spawn(move || {
-                    // A connection that fails ends here: its controller opens another.
+                    // An error ends the connection: the controller opens another.
                     let _ = pass_on(stream, target, &cut, &go);
                 }));
             }
@@ -125,7 +126,7 @@
         match from.read(&mut chunk) {
             Ok(0) => return Ok(()),
             Ok(n) => {
-                // What was read as the cut began is held with the rest.
+                // Data that was read when the link was cut waits like the rest.
                 while cut.load(Ordering::Relaxed) && go.load(Ordering::Relaxed) {
                     thread::sleep(LOOK);
                 }
--- a/crates/testbed/src/scale/relay/tests.rs
+++ b/crates/testbed/src/scale/relay/tests.rs
@@ -9,7 +9,7 @@
     }
 }
 
-/// What is sent into a cut comes after it, in order, and nothing is lost.
+/// Data sent while the link is cut arrives in order once the link is restored, without loss.
 #[test]
 fn a_cut_link_holds_what_is_sent_and_delivers_it_late() {
     let (target, to) = free();
@@ -23,11 +23,14 @@
         .expect("set");
     let mut got = [0u8; 16];
     sender.write_all(b"one").expect("sent");
-    assert_eq!(receiver.read(&mut got).expect("it comes"), 3);
+    assert_eq!(receiver.read(&mut got).expect("delivered"), 3);
     relays.set_cut(0, 1, true);
     sender.write_all(b"two").expect("sent");
-    assert!(receiver.read(&mut got).is_err(), "nothing passes a cut");
+    assert!(
+        receiver.read(&mut got).is_err(),
+        "a cut link delivers nothing"
+    );
     relays.set_cut(0, 1, false);
-    assert_eq!(receiver.read(&mut got).expect("it comes late"), 3);
+    assert_eq!(receiver.read(&mut got).expect("delivered late"), 3);
     assert_eq!(&got[..3], b"two");
 }
--- a/crates/testbed/src/scale/role/cloud.rs
+++ b/crates/testbed/src/scale/role/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud of a scale run, with an address for each controller.
+//! The cloud role of a scale run, with an address for each controller.
 
 use super::{HeldControllers, Links};
 use crate::scale::flows::FlowCounter;
@@ -12,9 +12,9 @@
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 
-/// Label of the one type of machine.
+/// Label of the only machine type.
 pub(super) const SHAPE: &str = "m";
-/// A machine that stopped by itself is listed so after this long.
+/// Delay after which the cloud lists a failed machine as failed.
 const FAILED_LISTED: Micros = 30 * SECOND;
 
 pub(super) struct CloudRole {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Tells which machines are up or gone.
+    /// Reports machines that are up or were released.
     fn report_machines(&mut self, now: Micros) {
         self.booting.extend(self.cloud.take_created());
         for machine in self.cloud.take_released() {
@@ -114,7 +114,7 @@
     }
 }
 
-/// The one type of machine.
+/// The only machine type.
 pub(super) fn instance_type(cpus: f64, memory_gb: f64, boot_s: f64) -> InstanceType {
     InstanceType {
         label: SHAPE.into(),
@@ -149,7 +149,8 @@
         self.flows
             .request(id, kind(method, path), (method, path), request.body.len());
         let us = micros(now);
-        // What is held here is never carried out: the caller's time runs out.
+        // The request of a partitioned controller is dropped: it is never executed, and the
+        // caller times out.
         if self.cut_off.is_held(door, us) {
             return;
         }
--- a/crates/testbed/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -1,8 +1,8 @@
-//! The children of a scale run: each is this program once more, with one role.
+//! Child processes of a scale run: each runs this program again with one role.
 //!
 //! A child reads its plan from the first line of its standard input and commands from
-//! the following ones; it ends when that input ends, so that it never outlives who
-//! started it.
+//! the following lines. It exits at the end of its input, so that it never outlives its
+//! parent.
 
 mod cloud;
 mod state;
@@ -23,19 +23,19 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Sockets that a child may have open. A process of workers has some hundred workers whatever
-/// the size of the fleet, and the stand-ins of the state service and of the cloud serve the
-/// controllers alone, so this does not grow with the workers. What does are a controller's
-/// sockets, and those are set by the layout.
+/// Most sockets that a child may have open. A worker process has a few hundred workers whatever
+/// the size of the fleet, and the emulated key-value store and cloud serve only the controllers,
+/// so this doesn't grow with the number of workers. The sockets of a controller do; the layout
+/// sets their limit.
 pub(crate) const MAX_CONNECTIONS: usize = 18_000;
-/// How often a child tells its counts, seconds.
+/// Interval between the count reports of a child, seconds.
 const COUNTS_S: f64 = 1.0;
 
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RoleError {
-    #[error("no plan on standard input: this is for `beamhinge-testbed scale` alone")]
+    #[error("no plan on standard input: only `beamhinge-testbed scale` starts this subcommand")]
     NoPlan,
-    #[error("the plan is not understood: {0}")]
+    #[error("cannot parse the plan: {0}")]
     Plan(#[from] serde_json::Error),
     #[error(transparent)]
     EventLoop(#[from] EventLoopError),
@@ -43,7 +43,7 @@
     Io(#[from] io::Error),
 }
 
-/// Standard output as a channel of records.
+/// Writes records to standard output.
 #[derive(Clone)]
 pub(crate) struct Recorder(Arc<Mutex<BufWriter<Stdout>>>);
 
@@ -52,7 +52,8 @@
         Recorder(Arc::new(Mutex::new(BufWriter::new(io::stdout()))))
     }
 
-    /// What cannot be written has no reader any more: the child's input ends then too.
+    /// Writes a record. Errors are ignored: they mean that the parent is gone, and then the
+    /// child's input ends too.
     pub(crate) fn send(&self, record: &Record) {
         let mut out = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let _ = serde_json::to_writer(&mut *out, record);
@@ -68,7 +69,8 @@
     }
 }
 
-/// What every role has: commands, records, and the time of the last counts.
+/// Connections of a role to its parent: commands, records, and the time of the last count
+/// report.
 pub(crate) struct Links {
     commands: Receiver<Command>,
     pub records: Recorder,
@@ -76,12 +78,12 @@
 }
 
 impl Links {
-    /// The next command, if one came.
+    /// The next command; `None` if none is pending.
     pub(crate) fn command(&self) -> Option<Command> {
         self.commands.try_recv().ok()
     }
 
-    /// Tells the counts if they are due, and sends what was recorded.
+    /// Reports the counts if they are due, and flushes all records.
     pub(crate) fn report_counts(&mut self, now: Time, flows: &Flows, gauges: &[(&str, f64)]) {
         if now.since(self.counted) >= COUNTS_S {
             self.counted = now;
@@ -98,7 +100,7 @@
     }
 }
 
-/// Controllers whose requests are held up, and until when.
+/// Controllers whose requests don't arrive because of a network partition, and until when.
 #[derive(Default)]
 pub(crate) struct HeldControllers {
     until: Vec<Micros>,
@@ -119,7 +121,7 @@
     }
 }
 
-/// Runs one role until its input ends.
+/// Runs one role until the end of its input.
 pub(crate) fn run() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
@@ -145,7 +147,8 @@
     run_role(plan, &running, links)
 }
 
-/// Reads commands on a thread of its own; `running` is false when there are no more.
+/// Reads commands on a separate thread; sets `running` to false at the end of the input or at an
+/// invalid command.
 fn read_commands(running: Arc<AtomicBool>) -> Receiver<Command> {
     let (sender, commands) = channel();
     std::thread::spawn(move || {
@@ -222,7 +225,7 @@
     Ok(())
 }
 
-/// A process that listens there and calls only controllers.
+/// Network configuration of a process that listens on `addresses` and calls only controllers.
 fn network(addresses: &[SocketAddrV4]) -> NetworkConfig {
     let nowhere = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
     let listener = |addr: &SocketAddrV4| Listener {
--- a/crates/testbed/src/scale/role/state.rs
+++ b/crates/testbed/src/scale/role/state.rs
@@ -1,4 +1,4 @@
-//! The state service of a scale run, with an address for each controller.
+//! The key-value store role of a scale run, with an address for each controller.
 
 use super::{HeldControllers, Links};
 use crate::scale::flows::FlowCounter;
@@ -11,9 +11,9 @@
 use beamhinge_emulator::{micros, Micros};
 use std::collections::VecDeque;
 
-/// The key that says who leads.
+/// Key that names the leader.
 const LEAD_KEY: &str = "lead/now";
-/// Requests of controllers that are cut off, held until the cut ends.
+/// Most requests of partitioned controllers that are queued until the partition ends.
 const MAX_HELD: usize = 10_000;
 
 pub(super) struct StateRole {
@@ -23,7 +23,7 @@
     lead: Option<String>,
     cut_off: HeldControllers,
     held: VecDeque<(usize, RequestId, Request)>,
-    /// Answers take so much longer, until when.
+    /// Extra delay of responses, and the time until which it applies.
     delay: (Micros, Micros),
     delayed: VecDeque<(Micros, Effect)>,
 }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Requests of controllers whose cut has ended are carried out now: late.
+    /// Executes the queued requests of controllers whose network partition has ended.
     fn release_held(&mut self, now: Time, out: &mut Vec<Effect>) {
         let us = micros(now);
         for _ in 0..self.held.len() {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Counts answers, and holds back those that are to be late.
+    /// Counts the responses since `before`, and delays them while the store is slow.
     fn pass(&mut self, now: Micros, before: usize, out: &mut Vec<Effect>) {
         let (delay, until) = self.delay;
         for answer in out.split_off(before) {
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -1,5 +1,5 @@
-//! The users of a scale run: an open loop. Jobs are submitted when they are due, however
-//! slow the service is, and times count from then.
+//! The users role of a scale run: an open-loop load. Jobs are submitted when they are due, however
+//! slow the service is, and latencies are measured from that time.
 
 use super::Links;
 use crate::scale::flows::FlowCounter;
@@ -19,32 +19,33 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddrV4;
 
-/// How long a user waits for an answer (PROTOCOL), seconds.
+/// Timeout of a user's request (PROTOCOL), seconds.
 const SUBMIT_WAIT_S: f64 = 5.0;
 const POLL_WAIT_S: f64 = 2.0;
-/// A failed request is repeated after this, seconds.
+/// Delay before a failed request is retried, seconds.
 const RETRY_S: f64 = 1.0;
-/// A submission or cancellation is given up after this, seconds.
+/// Time after which a submission or cancellation is no longer retried, seconds.
 const GIVE_UP_S: f64 = 60.0;
 const POLL_S: f64 = 5.0;
-/// An accepted job is forgotten when nothing is told of it for so long, seconds.
+/// An accepted job counts as forgotten when its user gets no response about it for this long,
+/// seconds.
 const FORGOTTEN_S: f64 = 75.0;
-/// Connections on which users call.
+/// Number of connections from which users send requests.
 const CALLERS: u64 = 512;
-/// The load balancer tries so many nodes before a connection counts as failed.
+/// Number of controllers that the load balancer tries before a connection counts as failed.
 const NODES_TRIED: u32 = 3;
-/// A connection that fails sooner than this was refused, seconds.
+/// A connection that fails sooner than this counts as refused, seconds.
 const REFUSED_S: f64 = 0.5;
 
-/// A request that is due at some time.
+/// Request that is due at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Ask {
     at: Micros,
     job: u64,
     kind: UserRequest,
-    /// When it was due first.
+    /// When it was first due.
     due: Micros,
-    /// How many nodes refused the connection.
+    /// Number of controllers that refused the connection.
     refused: u32,
 }
 
@@ -73,7 +74,7 @@
     in_flight: BTreeMap<CallId, InFlight>,
     next_call: u64,
     told: BTreeMap<u64, UserJobView>,
-    /// Accepted jobs that are not over, and when their user was last told anything.
+    /// Accepted jobs that have not ended, and when their user last got a response.
     last_told: BTreeMap<u64, Micros>,
     open: usize,
     rng: StdRng,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Jobs that are due are submitted, whatever became of those before them.
+    /// Queues the submissions of all jobs that are due, whatever happened to earlier ones.
     fn submit_due(&mut self, now: Micros) {
         loop {
             let job = self.workload.job(self.next_job);
@@ -205,7 +206,7 @@
             return;
         }
         let at = now + (after_s * 1e6) as Micros;
-        // A poll is a new question each time.
+        // Each poll is a new request, so its latency is measured from its own time.
         let due = if ask.kind == UserRequest::Poll && refused == 0 {
             at
         } else {
@@ -240,7 +241,7 @@
         };
         self.flows.reply(name(ask.kind), status, body.len());
         let retried = !matches!(status, 200 | 201 | 400 | 404 | 422);
-        // A cancellation may be there before its submission: it comes again.
+        // A cancellation may arrive before its submission: it is retried.
         let early = status == 404
             && ask.kind == UserRequest::Cancel
             && self.told.get(&ask.job).is_some_and(|t| !t.accepted);
@@ -251,7 +252,7 @@
         self.on_final_answer(now, sent, ask, status, &body);
     }
 
-    /// An accepted job about which nothing was told for so long counts as forgotten.
+    /// Reports accepted jobs whose user got no response for [`FORGOTTEN_S`] as forgotten.
     fn check_forgotten(&mut self, now: Micros) {
         let late = (FORGOTTEN_S * 1e6) as Micros;
         let forgotten: Vec<u64> = self
@@ -281,7 +282,7 @@
             return;
         };
         let before = (told.accepted, told.over, told.done);
-        // Whether all tasks have ended is for the checker, who sees the machines.
+        // The checker verifies that all tasks have ended, from the records of the machines.
         let Assessment {
             violations: broken,
             follow_up: next,
--- a/crates/testbed/src/scale/role/workers.rs
+++ b/crates/testbed/src/scale/role/workers.rs
@@ -1,4 +1,4 @@
-//! Workers of a scale run: a pool, and the links of theirs that are cut.
+//! The workers role of a scale run: a worker pool and the network partitions that affect it.
 
 use super::cloud::{instance_type, SHAPE};
 use super::Links;
@@ -16,14 +16,14 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
-/// Machines of these zones and these controllers do not reach each other until then.
+/// Network partition between the machines of some zones and some controllers, until a given time.
 struct Cut {
     zones: Vec<String>,
     controllers: Vec<SocketAddrV4>,
     until: Micros,
 }
 
-/// A report under way: whose, and to whom.
+/// Report in flight: its machine and the controller that it was sent to.
 struct Report {
     machine: u64,
     to: SocketAddrV4,
@@ -33,13 +33,13 @@
     pool: WorkerPool,
     controllers: Vec<SocketAddrV4>,
     addresses: Vec<SocketAddrV4>,
-    /// Machines by the place of their address.
+    /// Machine at each of `addresses`, by index; `None` if the address is free.
     places: Vec<Option<u64>>,
     zones: BTreeMap<u64, String>,
-    /// Which controller last answered a machine's report with 200.
+    /// The controller that last answered the machine's report with status 200.
     served_by: BTreeMap<u64, SocketAddrV4>,
     reports: BTreeMap<CallId, Report>,
-    /// Reports into a cut: they get no answer, from then on.
+    /// Reports lost in a network partition, and when each times out.
     lost: VecDeque<(Micros, CallId)>,
     cuts: Vec<Cut>,
     workload: Workload,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A machine is up, and its worker listens on the address at that place.
+    /// Starts the worker of a machine that is up; it listens on the address at index `place`.
     fn boot(&mut self, now: Micros, machine: u64, booted: (Instance, InstanceType), place: usize) {
         let Some(address) = self.addresses.get(place) else {
             return;
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Counts reports, and keeps back those whose way is cut.
+    /// Counts the reports sent since `before`, and drops those to partitioned controllers.
     fn send(&mut self, now: Micros, before: usize, out: &mut Vec<Effect>) {
         for call in out.split_off(before) {
             if let Effect::Call {
@@ -227,7 +227,8 @@
         let Some(machine) = self.places.get(door).copied().flatten() else {
             return refuse(out, id, 404);
         };
-        // Only the controller that serves the machine commands it.
+        // Only the controller that serves the machine sends commands to it, so a partition from
+        // that controller drops them.
         if self
             .served_by
             .get(&machine)
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! One scale run: starts everything, plays the load and the faults, and measures.
+//! One scale run: starts all processes, generates the load, injects the faults and measures.
 
 mod faults;
 mod plans;
@@ -30,27 +30,28 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long everything may take to listen.
+/// Timeout for all processes to listen, and again for all machines to be registered.
 const READY_S: f64 = 30.0;
-/// How long machines may take to be known, before the load begins.
+/// Time for machines to be registered with the controllers before the load begins.
 const SETTLE_S: f64 = 4.0;
-/// After the load, for last answers and records.
+/// Time after the load for the last responses and records to arrive.
 const DRAIN_S: f64 = 6.0;
 const LOOK: Duration = Duration::from_millis(20);
 const PROGRESS_S: f64 = 5.0;
-/// The fleet is there all the time: what stands idle before the load, or between two
-/// jobs, is not given back (operators' INI).
+/// Operators' INI that keeps the fleet constant: machines that are idle before the load or
+/// between two jobs are not released.
 const STANDING_FLEET: &str = "[fleet]\nidle_s = 86400\n";
-/// Operators ask often whether their changes are in force.
+/// Operators' INI with a request limit for operators who poll often whether their changes are
+/// in force.
 const OPERATORS: &str = "rps = 500\n";
 const CONFIGURATION: &str = "[configuration]\non = yes\n";
-/// The load has built up after so many run times and seconds.
+/// The load has built up after this many mean run times, plus [`BUILD_UP_S`].
 const BUILD_UP_RUNS: f64 = 1.3;
 const BUILD_UP_S: f64 = 3.0;
-/// The steady part is no less than this of the load's time.
+/// Smallest fraction of the load's duration that the steady phase takes.
 const STEADY_PART: f64 = 0.4;
 
-/// How a run is played.
+/// Parameters of a run.
 pub(super) struct RunPlan {
     pub size: Size,
     pub seconds: f64,
@@ -59,7 +60,7 @@
     pub base_port: u16,
 }
 
-/// What a run came to: its figures, and its course by seconds.
+/// Results of a run: its figures, and its time series in seconds since the load began.
 pub(super) struct Played {
     pub figures: Figures,
     pub starts: Vec<(f64, f64)>,
@@ -67,7 +68,7 @@
     pub marks: Vec<(f64, String)>,
 }
 
-/// What is done later because of a fault.
+/// Action that ends a fault, run at a scheduled time.
 enum ScheduledAction {
     StartController(usize),
     Resume(usize),
@@ -84,8 +85,9 @@
     records: Receiver<(RoleId, Record)>,
     checker: Checker,
     measurement: Measurement,
-    /// Places of each worker process's addresses that are free, and who has which.
+    /// Indexes of the free addresses of each worker process.
     free_places: Vec<BTreeSet<usize>>,
+    /// Address index and zone of each machine that is up.
     machines: BTreeMap<u64, (usize, String)>,
     leader: Option<usize>,
     schedule: Vec<(Instant, ScheduledAction)>,
@@ -97,35 +99,35 @@
     lead_changes: u64,
     marks: Vec<(f64, String)>,
     stop: Arc<AtomicBool>,
-    /// Removed with all its files at the end.
+    /// Deleted with all its files when the run is dropped.
     _folder: Folder,
 }
 
-/// Checks that this machine can play it; what to do where it cannot.
+/// Checks that this computer can carry the run. The error says what to change if it cannot.
 fn check_machine(layout: &Layout) -> Result<(), TestbedError> {
     let needed = layout.connections().max(MAX_CONNECTIONS) as u64 + 200;
     if usage::file_limit().is_some_and(|limit| limit < needed) {
         return Err(TestbedError::Other(format!(
-            "a process may open {} files here, and {needed} are needed: \
-             run it after `ulimit -n {needed}`, or with fewer workers",
+            "the open file limit is {}, and the run needs {needed}: \
+             raise it with `ulimit -n {needed}`, or use fewer workers",
             usage::file_limit().unwrap_or_default()
         )));
     }
     let processes = layout.size.controllers + layout.worker_processes() + 4;
     if processes > MAX_PROCESSES {
         return Err(TestbedError::Other(format!(
-            "{processes} processes; {MAX_PROCESSES} is the most"
+            "the run needs {processes} processes; the limit is {MAX_PROCESSES}"
         )));
     }
     match layout.taken() {
         Some(address) => Err(TestbedError::Other(format!(
-            "{address} is used by another program"
+            "{address} is already in use by another program"
         ))),
         None => Ok(()),
     }
 }
 
-/// Plays one run.
+/// Executes one run.
 pub(super) fn play(
     context: &TestContext,
     plan: RunPlan,
@@ -190,7 +192,8 @@
         })
     }
 
-    /// Everything listens, controllers are started, and machines are known.
+    /// Waits until all processes listen, starts the controllers, and waits until there is a
+    /// leader and all machines are up.
     fn wait_until_ready(&mut self) -> Result<(), TestbedError> {
         let until = Instant::now() + Duration::from_secs_f64(READY_S);
         let mut ready = BTreeSet::new();
@@ -199,7 +202,7 @@
                 let missing = self.roles.keys().find(|id| !ready.contains(*id));
                 let name = missing.map_or(String::new(), |id| id.name());
                 return Err(TestbedError::Other(format!(
-                    "the {name} did not start in {READY_S} s"
+                    "process \"{name}\" did not listen within {READY_S} s"
                 )));
             }
             self.check_running()?;
@@ -221,7 +224,8 @@
                 let log = std::fs::read_to_string(self.controllers.log_of(0)).unwrap_or_default();
                 let end: Vec<&str> = log.lines().rev().take(5).collect();
                 return Err(TestbedError::Other(format!(
-                    "no controller leads after {READY_S} s; the first one's last lines: {end:?}"
+                    "no leader, or machines still missing, after {READY_S} s; \
+                     last log lines of the first controller, newest first: {end:?}"
                 )));
             }
             self.poll()?;
@@ -231,14 +235,16 @@
 
     fn check_running(&mut self) -> Result<(), TestbedError> {
         if self.stop.load(Ordering::Relaxed) {
-            return Err(TestbedError::Other("stopped by a signal".into()));
+            return Err(TestbedError::Other("interrupted by a signal".into()));
         }
         let ended = self
             .roles
             .values_mut()
             .find_map(|r| r.has_ended().then(|| r.id.name()));
         match ended {
-            Some(name) => Err(TestbedError::Other(format!("the {name} ended by itself"))),
+            Some(name) => Err(TestbedError::Other(format!(
+                "process \"{name}\" exited unexpectedly"
+            ))),
             None => Ok(()),
         }
     }
@@ -251,7 +257,7 @@
         Ok(())
     }
 
-    /// Takes records for a moment, and does what is due.
+    /// Handles records for one poll interval, then runs the scheduled actions that are due.
     fn poll(&mut self) -> Result<(), TestbedError> {
         self.check_running()?;
         let until = Instant::now() + LOOK;
@@ -292,7 +298,8 @@
         let half = usage::machine_memory_mb() / 2.0;
         if memory_mb > half {
             return Err(TestbedError::Other(format!(
-                "{memory_mb:.0} MB are in use, more than half of this machine's: use fewer workers"
+                "the run uses {memory_mb:.0} MB, more than half of this computer's memory: \
+                 use fewer workers"
             )));
         }
         Ok(())
@@ -331,7 +338,7 @@
             self.lead_changes += u64::from(self.leader.is_some());
             self.leader = node;
             let at = self.began.elapsed().as_secs_f64();
-            eprintln!("{at:6.1} s  {label} leads");
+            eprintln!("{at:6.1} s  controller {label} is the leader");
         }
     }
 
@@ -367,7 +374,7 @@
         self.tell(RoleId::Workers(process), &Command::Remove { machine });
     }
 
-    /// Jobs arrive, and faults come when they are due.
+    /// Runs the load, and injects each fault when it is due.
     fn play_load(&mut self) -> Result<(), TestbedError> {
         let (id, role) = users_plan(&self.plan, &self.layout, self.checker.workload());
         let users = RoleChild::start(id, &role, self.sender.clone())?;
@@ -420,7 +427,7 @@
     fn print_progress(&self, at: f64) {
         let counts = self.checker.counts;
         eprintln!(
-            "{at:6.1} s  {} jobs accepted, {} done, {} tasks started, {:.0} run; {} machines{}",
+            "{at:6.1} s  {} jobs accepted, {} done, {} tasks started, {:.0} running; {} machines{}",
             counts.accepted,
             counts.done,
             counts.tasks_started,
@@ -428,13 +435,13 @@
             self.machines.len(),
             match self.checker.broken.is_empty() {
                 true => String::new(),
-                false => format!("; broken: {:?}", self.checker.broken.keys()),
+                false => format!("; rules violated: {:?}", self.checker.broken.keys()),
             }
         );
     }
 }
 
-/// Relays for the frames between each two controllers, so that they can be cut.
+/// Starts a relay for each direction between two controllers, so that links can be cut.
 fn start_relays(layout: &Layout, deployment: &Deployment) -> Result<Relays, TestbedError> {
     let count = deployment.nodes.len();
     let pairs = (0..count).flat_map(|from| (0..count).map(move |to| Direction { from, to }));
@@ -449,7 +456,7 @@
     Ok(Relays::start(directions)?)
 }
 
-/// Writes the files of all controllers.
+/// Writes the configuration files of all controllers.
 fn write_controllers(
     context: &TestContext,
     plan: &RunPlan,
--- a/crates/testbed/src/scale/run/faults.rs
+++ b/crates/testbed/src/scale/run/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a scale run: what is done to processes, links and machines when one is due.
+//! Injects the faults of a scale run into processes, links and machines.
 
 use super::{Run, ScheduledAction};
 use crate::scale::children::RoleId;
@@ -28,7 +28,7 @@
         Ok(())
     }
 
-    /// A fault strikes now, so many seconds after the load began.
+    /// Injects a fault now; `at` is the time since the load began, seconds.
     pub(super) fn inject(&mut self, at: f64, kind: FaultKind) {
         eprintln!("{at:6.1} s  fault: {kind}");
         self.marks.push((at, kind.to_string()));
@@ -79,7 +79,7 @@
         self.plan.size.zone_name(zone)
     }
 
-    /// Machines stop by themselves; the cloud lists them as failed after a while.
+    /// Makes random machines fail, in one zone or in any; the cloud lists them as failed later.
     fn fail_machines(&mut self, count: usize, zone: Option<&str>) {
         let there = self
             .machines
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A zone with its workers and controllers loses everything outside.
+    /// Partitions a zone, with its workers and controllers, from everything outside it.
     fn cut_zone(&mut self) {
         let zone = self.rng.gen_range(0..self.plan.size.zones);
         let all: Vec<usize> = (0..self.plan.size.controllers).collect();
@@ -105,11 +105,13 @@
         let (within, without): (Vec<String>, Vec<String>) =
             self.layout.zones().into_iter().partition(|z| *z == name);
         self.cut(&inside, &outside, within, without);
-        // The state service and the cloud are in no zone: what is cut off loses them.
+        // The key-value store and the cloud are in no zone: the partitioned controllers can't
+        // reach them.
         self.hold_controllers(inside);
     }
 
-    /// Two regions lose each other. The state service and the cloud are in the first.
+    /// Partitions two regions from each other. The key-value store and the cloud are in the first
+    /// region.
     fn cut_regions(&mut self) {
         let regions = self.plan.size.regions;
         if regions < 2 {
@@ -159,6 +161,7 @@
         }
     }
 
+    /// Partitions controllers from the key-value store and the cloud.
     fn hold_controllers(&mut self, controllers: Vec<usize>) {
         let command = Command::HoldControllers {
             controllers,
--- a/crates/testbed/src/scale/run/plans.rs
+++ b/crates/testbed/src/scale/run/plans.rs
@@ -1,4 +1,4 @@
-//! What the processes of a scale run are told to be.
+//! Role plans for the child processes of a scale run.
 
 use super::RunPlan;
 use crate::scale::children::RoleId;
@@ -7,10 +7,10 @@
 use crate::scale::workload::Workload;
 use std::net::SocketAddrV4;
 
-/// Machines that can be rented beside those that are there, as a part of them.
+/// Machines that can be rented in addition to the initial ones, as a fraction of them.
 const SPARE: f64 = 0.05;
 
-/// The state service, the cloud, and all processes of workers.
+/// Plans of the key-value store, the cloud, and all worker processes.
 pub(super) fn role_plans(
     plan: &RunPlan,
     layout: &Layout,
@@ -60,7 +60,7 @@
         .collect()
 }
 
-/// The users.
+/// Plan of the users.
 pub(super) fn users_plan(
     plan: &RunPlan,
     layout: &Layout,
--- a/crates/testbed/src/scale/run/report.rs
+++ b/crates/testbed/src/scale/run/report.rs
@@ -1,4 +1,4 @@
-//! What a scale run came to: its figures and its course.
+//! Results of a scale run: its figures and its time series.
 
 use super::{Played, Run};
 use crate::scale::figures::Figures;
@@ -7,15 +7,16 @@
 use crate::scale::usage;
 use crate::TestbedError;
 
-/// Between a job's submission and its starts, in report intervals.
+/// Typical delay between a job's submission and the start of its tasks, in report intervals.
 const START_LAG: f64 = 1.5;
-/// Orders that the checker waits for are there after this long, microseconds.
+/// Time after which the checker has all records and can process them in order, microseconds.
 const ORDER_TIME_US: u64 = 10_000_000;
 
 impl Run {
-    /// Ends the run.
+    /// Completes the checks and collects the results of the run.
     pub(super) fn finish(mut self) -> Result<Played, TestbedError> {
-        // What is not in order yet is so by now.
+        // All records have arrived by now: process those that the checker still holds for
+        // reordering.
         self.checker.check_until(wall_us() + ORDER_TIME_US);
         let began_us = wall_us().saturating_sub(self.began.elapsed().as_micros() as u64);
         let since_load = |at: u64| (at as f64 - began_us as f64) / 1e6;
@@ -45,7 +46,7 @@
         let limit_ms = (self.plan.size.urgent_start_s * 1e3) as u64;
         let in_time = waits.count_between(0, limit_ms) as f64 / waits.len().max(1) as f64;
         let measured = self.measurement.figures();
-        // Jobs start a while after they are due.
+        // Jobs start some time after they are due.
         let from_s = steady_from_s - START_LAG * self.plan.size.report_s;
         let workload = self.checker.workload();
         let offered = workload.offered(from_s, from_s + measured.seconds);
@@ -75,7 +76,7 @@
     }
 }
 
-/// The longest time between seconds with starts.
+/// The longest time between two seconds with task starts, or until the end of the run.
 fn longest_gap(starts: &[(f64, f64)], until: f64) -> f64 {
     let mut times: Vec<f64> = starts
         .iter()
@@ -86,7 +87,7 @@
         return until;
     }
     times.push(until);
-    // Starts are counted by whole seconds: neighbours are no gap.
+    // Starts are counted in whole seconds: two consecutive seconds have no gap between them.
     times
         .windows(2)
         .map(|w| (w[1] - w[0] - 1.0).max(0.0))
--- a/crates/testbed/src/scale/size.rs
+++ b/crates/testbed/src/scale/size.rs
@@ -1,19 +1,19 @@
-//! What a scale run has to carry: the operators' table, and what the command line changes
-//! of it. Checked before anything starts.
+//! Size of a scale run: the operators' table, with changes from the command line. It is validated
+//! before anything starts.
 
 use beamhinge_dev_cluster::deployment::PlatformLimits;
 use serde::{Deserialize, Serialize};
 use std::fmt::Display;
 use std::path::{Path, PathBuf};
 
-/// The operators' table as it was given.
+/// The operators' table, unchanged.
 pub(super) const OPERATORS_TABLE: &str = include_str!("operators_table.toml");
 
-/// Controllers are named by single letters.
+/// Controllers are named with single letters.
 const MAX_CONTROLLERS: usize = 26;
-/// Workers of one run. A controller has a socket for each and half as many again; 12,000 need
-/// 19,200 open files in a process, and more are beyond what a usual machine allows. The run
-/// itself checks what this machine allows, before it starts.
+/// Most workers of one run. A controller has a socket for each worker and half as many again.
+/// 12,000 workers need 19,200 open files in a process; more exceed the limit of a usual computer.
+/// The run itself checks the limit of this computer before it starts.
 const MAX_WORKERS: usize = 12_000;
 const MAX_TEAMS: usize = 2_000;
 const MAX_STARTS_PER_S: f64 = 2_000.0;
@@ -32,21 +32,21 @@
     },
 }
 
-/// What is spent on control at most.
+/// Upper limits of the cost of scheduling.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Budget {
-    /// Part of a core, for each worker.
+    /// Processor time of a worker, as a fraction of a core.
     pub worker_core: f64,
     /// Resident memory of a worker, MB.
     pub worker_mb: f64,
-    /// Bytes a second of a worker, both ways, KB.
+    /// Traffic of a worker in both directions together, KB per second.
     pub worker_kb_per_s: f64,
-    /// Machines set aside for control.
+    /// Machines reserved for controllers.
     pub machines: usize,
 }
 
-/// How often faults occur.
+/// Rates of faults.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Rates {
@@ -57,7 +57,7 @@
     pub region_splits_per_year: f64,
 }
 
-/// One machine of the fleet: CPUs, GB, seconds until it is up.
+/// Machine type of the fleet: CPUs, memory in GB, and boot time in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct MachineTable {
@@ -66,7 +66,7 @@
     pub boot_s: f64,
 }
 
-/// The whole table.
+/// The whole table of the operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Size {
@@ -75,11 +75,11 @@
     pub teams: usize,
     pub regions: usize,
     pub zones: usize,
-    /// Task starts a second.
+    /// Task starts per second.
     pub starts_per_s: f64,
     /// Tasks running at the same time.
     pub running: usize,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub config_changes: u32,
     pub config_in_force_s: f64,
     pub urgent_start_s: f64,
@@ -100,7 +100,7 @@
 }
 
 impl Size {
-    /// Reads a table; unknown keys are refused with their line.
+    /// Parses a table. An unknown key is an error that names its line.
     pub(super) fn parse(name: &str, text: &str) -> Result<Size, SizeError> {
         toml::from_str(text).map_err(|e| SizeError::Form(name.to_string(), e))
     }
@@ -111,7 +111,7 @@
         Size::parse(&path.display().to_string(), &text)
     }
 
-    /// Whether it can be played at all.
+    /// Checks that a run of this size is possible.
     pub(super) fn check(&self) -> Result<(), SizeError> {
         let counts = [
             ("workers", self.workers, MAX_WORKERS),
@@ -122,14 +122,18 @@
         ];
         for (field, value, most) in counts {
             if value == 0 {
-                return Err(refuse(field, value, "there must be at least one"));
+                return Err(refuse(field, value, "must be at least 1"));
             }
             if value > most {
-                return Err(refuse(field, value, "more than this machine can play"));
+                return Err(refuse(field, value, "exceeds the maximum of the testbed"));
             }
         }
         if self.zones < self.regions {
-            return Err(refuse("zones", self.zones, "fewer than regions"));
+            return Err(refuse(
+                "zones",
+                self.zones,
+                "must be at least the number of regions",
+            ));
         }
         let positive = [
             ("starts_per_s", self.starts_per_s),
@@ -143,14 +147,14 @@
         ];
         for (field, value) in positive {
             if !(value.is_finite() && value > 0.0) {
-                return Err(refuse(field, value, "it must be above zero"));
+                return Err(refuse(field, value, "must be above zero"));
             }
         }
         if self.starts_per_s > MAX_STARTS_PER_S {
             return Err(refuse(
                 "starts_per_s",
                 self.starts_per_s,
-                "more than can be played",
+                "exceeds the maximum of the testbed",
             ));
         }
         if self.running < self.starts_per_s.ceil() as usize {
@@ -164,25 +168,24 @@
             return Err(refuse(
                 "running",
                 self.running,
-                "tasks would be smaller than 0.05 CPUs",
+                "tasks would need less than 0.05 CPUs",
             ));
         }
         Ok(())
     }
 
-    /// What a task takes of its machine so that all that run fill seven tenths of the
-    /// fleet, CPUs.
+    /// CPUs of a task such that the running tasks fill seven tenths of the fleet.
     pub(super) fn task_cpus(&self) -> f64 {
         let fleet = self.workers as f64 * self.machine.cpus;
         (fleet * FILLED / self.running as f64 * 100.0).floor() / 100.0
     }
 
-    /// How long a task runs in the mean, seconds.
+    /// Mean run time of a task, seconds.
     pub(super) fn run_s(&self) -> f64 {
         self.running as f64 / self.starts_per_s
     }
 
-    /// The region of a zone, both by their places: neighbouring zones share one.
+    /// Index of the region of a zone; neighbouring zones share a region.
     pub(super) fn region_of(&self, zone: usize) -> usize {
         zone * self.regions / self.zones
     }
@@ -192,7 +195,7 @@
     }
 }
 
-/// Part of the fleet that the tasks fill.
+/// Fraction of the fleet's CPUs that the running tasks fill.
 const FILLED: f64 = 0.7;
 
 #[cfg(test)]
--- a/crates/testbed/src/scale/sweep.rs
+++ b/crates/testbed/src/scale/sweep.rs
@@ -1,4 +1,4 @@
-//! Slopes: the same run at several sizes, one thing varied, and a line through each
+//! Sweeps: the same run at several sizes that differ in one dimension, and a line fitted to each
 //! figure.
 
 use super::figures::{self, Figures};
@@ -7,7 +7,7 @@
 use clap::ValueEnum;
 use serde::Serialize;
 
-/// What is varied.
+/// The dimension that is varied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(super) enum Axis {
     Workers,
@@ -16,7 +16,7 @@
     Teams,
 }
 
-/// Sizes of a sweep as parts of the full one.
+/// Sizes of a sweep as fractions of the full size.
 const PARTS: [f64; 4] = [0.25, 0.5, 0.75, 1.0];
 
 impl Axis {
@@ -29,8 +29,9 @@
         }
     }
 
-    /// The sizes that are played: this one is varied, all others stay. What cannot stay
-    /// is the length of the runs, which is running tasks by starts.
+    /// The sizes of the sweep. Only this dimension varies, except that the mean run time follows
+    /// from the number of running tasks and the rate of task starts. For workers, the number of
+    /// running tasks varies too.
     pub(super) fn sizes(self, full: &Size) -> Vec<(f64, Size)> {
         PARTS.iter().map(|part| self.part(full, *part)).collect()
     }
@@ -41,7 +42,7 @@
         let x = match self {
             Axis::Workers => {
                 size.workers = of(full.workers);
-                // Fewer machines have room for fewer tasks of the same size.
+                // Fewer machines have capacity for fewer tasks of the same size.
                 size.running = of(full.running).max(full.starts_per_s.ceil() as usize);
                 size.workers as f64
             }
@@ -62,7 +63,7 @@
     }
 }
 
-/// One figure over the sizes.
+/// Values of one figure at all sizes.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Series {
     pub name: String,
@@ -115,7 +116,7 @@
     ("worker processor", "core", |f| core(f, figures::WORKER)),
 ];
 
-/// A line through each figure.
+/// Fits a line to each figure.
 pub(super) fn series(points: &[(f64, Figures)]) -> Vec<Series> {
     SERIES
         .iter()
--- a/crates/testbed/src/scale/usage.rs
+++ b/crates/testbed/src/scale/usage.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of processes, from the system's process files.
+//! Processor time and memory of processes, from `/proc`.
 
 use procfs::process::Process;
 use procfs::{Current, Meminfo};
@@ -6,18 +6,18 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Of one process since it was first seen.
+/// Resource usage of one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct Usage {
-    /// Processor time, seconds.
+    /// Processor time since the process started, seconds.
     pub cpu_s: f64,
-    /// Resident memory now, MB.
+    /// Resident memory, MB.
     pub resident_mb: f64,
 }
 
 const MB: f64 = 1024.0 * 1024.0;
 
-/// What a process has used; none if it is gone.
+/// Resource usage of a process; `None` if it can't be read, as after the process has exited.
 pub(super) fn of(pid: u32) -> Option<Usage> {
     let process = Process::new(i32::try_from(pid).ok()?).ok()?;
     let stat = process.stat().ok()?;
@@ -28,24 +28,24 @@
     })
 }
 
-/// All memory of the machine, MB.
+/// Total memory of this computer, MB; 0 if it can't be read.
 pub(super) fn machine_memory_mb() -> f64 {
     Meminfo::current().map_or(0.0, |m| m.mem_total as f64 / MB)
 }
 
-/// How many files a process of this user may have open; none: no limit.
+/// Limit of open files per process; `None` if there is no limit.
 pub(super) fn file_limit() -> Option<u64> {
     getrlimit(Resource::Nofile).current
 }
 
-/// Differences between two looks at the same processes.
+/// Processor time of processes between successive samples.
 #[derive(Default)]
 pub(super) struct Meter {
     last: BTreeMap<u32, f64>,
 }
 
 impl Meter {
-    /// Processor seconds since the last look; 0 at the first look at a process.
+    /// Processor seconds since the last sample of the process; 0 at its first sample.
     pub(super) fn spent(&mut self, pid: u32, usage: Usage) -> f64 {
         let before = self.last.insert(pid, usage.cpu_s);
         before.map_or(0.0, |b| (usage.cpu_s - b).max(0.0))
--- a/crates/testbed/src/scale/workload.rs
+++ b/crates/testbed/src/scale/workload.rs
@@ -1,5 +1,5 @@
-//! The load of a scale run: jobs that follow from their numbers, so that users and
-//! workers know the same of each without telling each other.
+//! The workload of a scale run. Each job is derived from its number and the seed, so that users and
+//! workers generate identical jobs without communication.
 
 use super::size::Size;
 use beamhinge_emulator::JobPlan;
@@ -8,25 +8,25 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-/// Part of all task starts that are urgent.
+/// Fraction of task starts that belong to urgent jobs.
 const URGENT_STARTS: f64 = 0.05;
-/// Tasks of an urgent job, fewest and most.
+/// Fewest and most tasks of an urgent job.
 const URGENT_TASKS: (u32, u32) = (1, 11);
-/// Tasks of another job, fewest and most, as parts of the starts of a second: so many
-/// jobs come each second whatever the starts.
+/// Fewest and most tasks of a bulk job, as fractions of the task starts per second: the number of
+/// jobs per second then doesn't depend on the rate of task starts.
 const BULK_TASKS: (f64, f64) = (0.07, 0.35);
-/// How long urgent tasks run in the mean, seconds, where others run longer.
+/// Mean run time of urgent tasks, seconds; at most the mean of all tasks.
 const URGENT_RUN_S: f64 = 20.0;
-/// Runs are drawn evenly between these parts of the mean.
+/// Run times are uniformly distributed between these multiples of the mean.
 const RUN_SPREAD: (f64, f64) = (0.5, 1.5);
-/// Part of the jobs that are cancelled.
+/// Fraction of the jobs that are cancelled.
 const CANCELLED: f64 = 0.02;
 const IMAGES: u64 = 12;
 const IMAGE_GB: f64 = 0.5;
 /// Memory of a task, GB for each CPU.
 const MEMORY_PER_CPU_GB: f64 = 4.0;
 
-/// What all processes of a run know of its load.
+/// Parameters of the workload, known to all processes of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Workload {
     pub seed: u64,
@@ -36,7 +36,7 @@
     pub teams: usize,
 }
 
-/// One job as its user means it.
+/// One job as its user submits it.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ScaleJob {
     pub id: String,
@@ -46,14 +46,14 @@
     pub cpus: f64,
     pub run_s: f64,
     pub image: String,
-    /// When it is due to be submitted, seconds from the load's beginning.
+    /// When the job is due to be submitted, seconds after the start of the load.
     pub due_s: f64,
-    /// When its user calls it off, seconds after that.
+    /// When the user cancels the job, seconds after `due_s`; `None` if it is not cancelled.
     pub cancel_s: Option<f64>,
 }
 
-/// Tasks that are due in a span, and how many would run in the mean if each began when
-/// it is due.
+/// Number of tasks that are due in a time span, and the mean number of running tasks if each
+/// started when it is due.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Offered {
     pub tasks: u64,
@@ -70,7 +70,7 @@
         (tasks(BULK_TASKS.0), tasks(BULK_TASKS.1))
     }
 
-    /// Part of the jobs that are urgent so that their tasks are [`URGENT_STARTS`] of all.
+    /// Fraction of jobs that must be urgent so that their tasks are [`URGENT_STARTS`] of all.
     fn urgent_jobs(&self) -> f64 {
         let (urgent, bulk) = (mean(URGENT_TASKS), mean(self.bulk_tasks()));
         URGENT_STARTS * bulk / (urgent - URGENT_STARTS * urgent + URGENT_STARTS * bulk)
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Seconds between jobs.
+    /// Mean time between jobs, seconds.
     pub(super) fn gap_s(&self) -> f64 {
         let part = self.urgent_jobs();
         let tasks = part * mean(URGENT_TASKS) + (1.0 - part) * mean(self.bulk_tasks());
@@ -121,9 +121,9 @@
         }
     }
 
-    /// What the jobs that are due in a span of seconds offer, without cancelled ones.
+    /// Load offered in a time span, seconds, without cancelled jobs.
     pub(super) fn offered(&self, from_s: f64, to_s: f64) -> Offered {
-        // No run is longer than this, so that earlier jobs are over.
+        // No task runs longer than this, so earlier jobs have ended.
         let longest_s = self.run_s * 2.0 * RUN_SPREAD.1;
         let first = ((from_s - longest_s) / self.gap_s() - 1.0).max(0.0) as u64;
         let last = (to_s / self.gap_s() + 1.0).max(0.0) as u64;
@@ -142,13 +142,13 @@
         offered
     }
 
-    /// The run time of other tasks, so that the mean over all starts is as asked.
+    /// Mean run time of bulk tasks such that the mean over all tasks is `run_s`.
     fn bulk_run_s(&self) -> f64 {
         let urgent_s = URGENT_RUN_S.min(self.run_s);
         (self.run_s - URGENT_STARTS * urgent_s) / (1.0 - URGENT_STARTS)
     }
 
-    /// The job of that name, as a worker knows it; none for a name of another form.
+    /// The job with this ID as the workers run it; `None` if the ID is not of this workload.
     pub(super) fn plan(&self, id: &str, real: bool) -> Option<JobPlan> {
         let job = self.job(id.strip_prefix("job-")?.parse().ok()?);
         let command = real.then(|| format!("exec sleep {:.2}", job.run_s));
@@ -171,7 +171,7 @@
         self.cpus * MEMORY_PER_CPU_GB
     }
 
-    /// The submission (PROTOCOL, `POST /api/jobs`).
+    /// Body of the submission (PROTOCOL, `POST /api/jobs`).
     pub(super) fn body(&self) -> Value {
         let (class, urgency) = if self.urgent {
             ("urgent", "critical")
