--- a/crates/testbed/src/scale/checker.rs
+++ b/crates/testbed/src/scale/checker.rs
@@ -12,7 +12,7 @@
 const REORDER_US: WallUs = 2_000_000;
 /// Tolerance for rounding errors of floating-point sums.
 const ROUNDING: f64 = 1e-6;
-const LONGEST_WAIT_MS: u64 = 3_600_000;
+const MAX_WAIT_MS: u64 = 3_600_000;
 
 /// Violations of one rule: their number, and what caused the first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -21,7 +21,7 @@
     pub first: String,
 }
 
-struct JobSeen {
+struct ObservedJob {
     job: ScaleJob,
     accepted: Option<WallUs>,
     cancelled: Option<WallUs>,
@@ -35,16 +35,16 @@
 pub(super) struct Checker {
     workload: Workload,
     /// CPU limit of each team.
-    team_limit: f64,
-    cancel_us: WallUs,
-    waiting: BTreeMap<(WallUs, u64), Record>,
-    next: u64,
-    jobs: BTreeMap<u64, JobSeen>,
-    live: BTreeMap<String, BTreeSet<Attempt>>,
-    use_of_teams: BTreeMap<String, f64>,
+    team_cpu_limit: f64,
+    cancel_grace_us: WallUs,
+    pending_records: BTreeMap<(WallUs, u64), Record>,
+    next_sequence: u64,
+    jobs: BTreeMap<u64, ObservedJob>,
+    running_attempts: BTreeMap<String, BTreeSet<Attempt>>,
+    cpus_by_team: BTreeMap<String, f64>,
     /// Cancelled jobs that may still have tasks on machines, and when they were cancelled.
-    leaving: BTreeMap<u64, WallUs>,
-    pub broken: BTreeMap<String, RuleViolation>,
+    cancelled_jobs: BTreeMap<u64, WallUs>,
+    pub violations: BTreeMap<String, RuleViolation>,
     /// Task starts by second of wall-clock time.
     pub starts: BTreeMap<u64, u64>,
     /// Time of acceptance of each urgent job, and its wait for the first start, milliseconds.
@@ -64,18 +64,18 @@
 }
 
 impl Checker {
-    pub(super) fn new(workload: Workload, team_limit: f64, cancel_s: f64) -> Checker {
+    pub(super) fn new(workload: Workload, team_cpu_limit: f64, cancel_s: f64) -> Checker {
         Checker {
             workload,
-            team_limit,
-            cancel_us: (cancel_s * 1e6) as WallUs,
-            waiting: BTreeMap::new(),
-            next: 0,
+            team_cpu_limit,
+            cancel_grace_us: (cancel_s * 1e6) as WallUs,
+            pending_records: BTreeMap::new(),
+            next_sequence: 0,
             jobs: BTreeMap::new(),
-            live: BTreeMap::new(),
-            use_of_teams: BTreeMap::new(),
-            leaving: BTreeMap::new(),
-            broken: BTreeMap::new(),
+            running_attempts: BTreeMap::new(),
+            cpus_by_team: BTreeMap::new(),
+            cancelled_jobs: BTreeMap::new(),
+            violations: BTreeMap::new(),
             starts: BTreeMap::new(),
             urgent_waits: Vec::new(),
             late_starts: 0,
@@ -88,16 +88,17 @@
     }
 
     /// Adds a record of a worker or a user; ignores records of other kinds.
-    pub(super) fn take(&mut self, record: Record) {
+    pub(super) fn add_record(&mut self, record: Record) {
         if let Record::Task { at, .. } | Record::User { at, .. } = &record {
-            self.next += 1;
-            self.waiting.insert((*at, self.next), record);
+            self.next_sequence += 1;
+            self.pending_records
+                .insert((*at, self.next_sequence), record);
         }
     }
 
     /// Checks all records that are old enough for none earlier to arrive.
     pub(super) fn check_until(&mut self, now: WallUs) {
-        while let Some(entry) = self.waiting.first_entry() {
+        while let Some(entry) = self.pending_records.first_entry() {
             if entry.key().0 + REORDER_US > now {
                 break;
             }
@@ -109,26 +110,26 @@
                     attempt,
                     event,
                 } => {
-                    self.task(at, (machine, attempt), task_id, event);
+                    self.on_task_event(at, (machine, attempt), task_id, event);
                 }
-                Record::User { at, job, event } => self.user(at, job, event),
+                Record::User { at, job, event } => self.on_user_event(at, job, event),
                 _ => {}
             }
         }
-        self.judge_leaving(now.saturating_sub(REORDER_US));
+        self.check_cancelled_jobs(now.saturating_sub(REORDER_US));
     }
 
-    fn break_rule(&mut self, rule: &str, what: String) {
-        let broken = self.broken.entry(rule.to_string()).or_default();
-        if broken.times == 0 {
-            broken.first = what;
+    fn record_violation(&mut self, rule: &str, what: String) {
+        let violation = self.violations.entry(rule.to_string()).or_default();
+        if violation.times == 0 {
+            violation.first = what;
         }
-        broken.times += 1;
+        violation.times += 1;
     }
 
-    fn seen(&mut self, number: u64) -> &mut JobSeen {
+    fn observed_job(&mut self, number: u64) -> &mut ObservedJob {
         let workload = &self.workload;
-        self.jobs.entry(number).or_insert_with(|| JobSeen {
+        self.jobs.entry(number).or_insert_with(|| ObservedJob {
             job: workload.job(number),
             accepted: None,
             cancelled: None,
@@ -137,130 +138,145 @@
         })
     }
 
-    fn task(&mut self, at: WallUs, attempt: Attempt, task_id: String, event: TaskTransition) {
+    fn on_task_event(
+        &mut self,
+        at: WallUs,
+        attempt: Attempt,
+        task_id: String,
+        event: TaskTransition,
+    ) {
         let id = task_id.split('/').next().unwrap_or("");
         let Some(number) = id.strip_prefix("job-").and_then(|n| n.parse::<u64>().ok()) else {
-            return self.break_rule("invented", task_id);
+            return self.record_violation("invented", task_id);
         };
         match event {
-            TaskTransition::Started => self.began(at, number, attempt, &task_id),
+            TaskTransition::Started => self.on_task_started(at, number, attempt, &task_id),
             TaskTransition::Finished | TaskTransition::Stopped => {
-                self.left(at, number, attempt, &task_id);
+                self.on_task_ended(at, number, attempt, &task_id);
                 if event == TaskTransition::Finished {
-                    self.seen(number).ended.insert(task_id);
+                    self.observed_job(number).ended.insert(task_id);
                 }
             }
         }
     }
 
-    fn began(&mut self, at: WallUs, number: u64, attempt: Attempt, task_id: &str) {
+    fn on_task_started(&mut self, at: WallUs, number: u64, attempt: Attempt, task_id: &str) {
         *self.starts.entry(at / 1_000_000).or_default() += 1;
         self.counts.tasks_started += 1;
-        let live = self.live.entry(task_id.to_string()).or_default();
-        let elsewhere: Vec<Attempt> = live.iter().copied().collect();
-        live.insert(attempt);
-        if !elsewhere.is_empty() {
-            self.break_rule(
+        let running_attempts = self
+            .running_attempts
+            .entry(task_id.to_string())
+            .or_default();
+        let other_attempts: Vec<Attempt> = running_attempts.iter().copied().collect();
+        running_attempts.insert(attempt);
+        if !other_attempts.is_empty() {
+            self.record_violation(
                 "ran_twice",
-                format!("{task_id} on {attempt:?} and {elsewhere:?}"),
+                format!("{task_id} on {attempt:?} and {other_attempts:?}"),
             );
         }
-        let seen = self.seen(number);
-        let (team, cpus, urgent) = (seen.job.team.clone(), seen.job.cpus, seen.job.urgent);
-        let (accepted, cancelled) = (seen.accepted, seen.cancelled);
-        let first = seen.started.is_none();
-        seen.started.get_or_insert(at);
-        if first && urgent {
+        let observed = self.observed_job(number);
+        let (team, cpus, urgent) = (
+            observed.job.team.clone(),
+            observed.job.cpus,
+            observed.job.urgent,
+        );
+        let (accepted, cancelled) = (observed.accepted, observed.cancelled);
+        let is_first_start = observed.started.is_none();
+        observed.started.get_or_insert(at);
+        if is_first_start && urgent {
             // A job that starts before its user gets the response has not waited.
             let accepted = accepted.unwrap_or(at);
             self.urgent_waits
                 .push((accepted, at.saturating_sub(accepted) as f64 / 1e3));
         }
-        let used = self.use_of_teams.entry(team.clone()).or_default();
+        let used = self.cpus_by_team.entry(team.clone()).or_default();
         *used += cpus;
         let used = *used;
-        if used > self.team_limit + ROUNDING {
-            let limit = self.team_limit;
-            self.break_rule(
+        if used > self.team_cpu_limit + ROUNDING {
+            let limit = self.team_cpu_limit;
+            self.record_violation(
                 "quota",
                 format!("{team} uses {used:.2} of {limit:.2} by {task_id}"),
             );
         }
         if let Some(cancelled) = cancelled {
             self.late_starts += 1;
-            self.leaving.insert(number, cancelled);
-            if at > cancelled + self.cancel_us {
-                self.break_rule("ran_cancelled", format!("{task_id} started"));
+            self.cancelled_jobs.insert(number, cancelled);
+            if at > cancelled + self.cancel_grace_us {
+                self.record_violation("ran_cancelled", format!("{task_id} started"));
             }
         }
     }
 
-    fn left(&mut self, at: WallUs, number: u64, attempt: Attempt, task_id: &str) {
-        let Some(live) = self.live.get_mut(task_id) else {
+    fn on_task_ended(&mut self, at: WallUs, number: u64, attempt: Attempt, task_id: &str) {
+        let Some(running_attempts) = self.running_attempts.get_mut(task_id) else {
             return;
         };
-        if !live.remove(&attempt) {
+        if !running_attempts.remove(&attempt) {
             return;
         }
-        if live.is_empty() {
-            self.live.remove(task_id);
+        if running_attempts.is_empty() {
+            self.running_attempts.remove(task_id);
         }
-        let seen = self.seen(number);
-        let (team, cpus) = (seen.job.team.clone(), seen.job.cpus);
-        let cancelled = seen.cancelled;
-        if let Some(used) = self.use_of_teams.get_mut(&team) {
+        let observed = self.observed_job(number);
+        let (team, cpus) = (observed.job.team.clone(), observed.job.cpus);
+        let cancelled = observed.cancelled;
+        if let Some(used) = self.cpus_by_team.get_mut(&team) {
             *used -= cpus;
         }
-        if cancelled.is_some_and(|told| at > told + self.cancel_us) {
-            self.break_rule(
+        if cancelled.is_some_and(|cancelled_at| at > cancelled_at + self.cancel_grace_us) {
+            self.record_violation(
                 "ran_cancelled",
                 format!("{task_id} ended after the deadline"),
             );
         }
     }
 
-    fn user(&mut self, at: WallUs, number: u64, event: UserEvent) {
+    fn on_user_event(&mut self, at: WallUs, number: u64, event: UserEvent) {
         match event {
             UserEvent::Accepted => {
                 self.counts.accepted += 1;
-                self.seen(number).accepted.get_or_insert(at);
+                self.observed_job(number).accepted.get_or_insert(at);
             }
             UserEvent::Cancelled => {
                 self.counts.cancelled += 1;
-                self.seen(number).cancelled.get_or_insert(at);
-                self.leaving.insert(number, at);
+                self.observed_job(number).cancelled.get_or_insert(at);
+                self.cancelled_jobs.insert(number, at);
             }
             UserEvent::Done => {
                 self.counts.done += 1;
-                let seen = self.seen(number);
-                let (ended, tasks) = (seen.ended.len(), seen.job.tasks as usize);
+                let observed = self.observed_job(number);
+                let (ended, tasks) = (observed.ended.len(), observed.job.tasks as usize);
                 if ended < tasks {
                     let what = format!("job-{number:06} with {ended} of {tasks} tasks");
-                    self.break_rule("not_done", what);
+                    self.record_violation("not_done", what);
                 }
             }
-            UserEvent::RuleViolation(rule) => self.break_rule(&rule, format!("job-{number:06}")),
+            UserEvent::RuleViolation(rule) => {
+                self.record_violation(&rule, format!("job-{number:06}"))
+            }
             UserEvent::CancelSent => {}
         }
     }
 
     /// Checks that cancelled jobs have no tasks on machines after the deadline.
-    fn judge_leaving(&mut self, now: WallUs) {
-        let late: Vec<u64> = self
-            .leaving
+    fn check_cancelled_jobs(&mut self, now: WallUs) {
+        let overdue: Vec<u64> = self
+            .cancelled_jobs
             .iter()
-            .filter(|(_, at)| now > **at + self.cancel_us)
+            .filter(|(_, at)| now > **at + self.cancel_grace_us)
             .map(|(number, _)| *number)
             .collect();
-        for number in late {
-            self.leaving.remove(&number);
+        for number in overdue {
+            self.cancelled_jobs.remove(&number);
             let prefix = format!("job-{number:06}/");
-            let left = self.live.range(prefix.clone()..).next();
-            if let Some(task_id) = left
+            let remaining = self.running_attempts.range(prefix.clone()..).next();
+            if let Some(task_id) = remaining
                 .map(|(p, _)| p.clone())
                 .filter(|p| p.starts_with(&prefix))
             {
-                self.break_rule("ran_cancelled", format!("{task_id} is still running"));
+                self.record_violation("ran_cancelled", format!("{task_id} is still running"));
             }
         }
     }
@@ -270,7 +286,7 @@
         &self,
         since: WallUs,
     ) -> Result<Histogram<u64>, hdrhistogram::CreationError> {
-        let mut waits = Histogram::new_with_max(LONGEST_WAIT_MS, 3)?;
+        let mut waits = Histogram::new_with_max(MAX_WAIT_MS, 3)?;
         for (_, ms) in self.urgent_waits.iter().filter(|(at, _)| *at >= since) {
             waits.saturating_record(ms.round() as u64);
         }
--- a/crates/testbed/src/scale/children.rs
+++ b/crates/testbed/src/scale/children.rs
@@ -77,7 +77,7 @@
 
     fn write_line(&mut self, line: &str) {
         let Some(input) = &mut self.input else { return };
-        // `has_ended` finds a child that has exited.
+        // `has_exited` finds a child that has exited.
         if writeln!(input, "{line}")
             .and_then(|()| input.flush())
             .is_err()
@@ -86,7 +86,7 @@
         }
     }
 
-    pub(super) fn tell(&mut self, command: &Command) {
+    pub(super) fn send(&mut self, command: &Command) {
         if let Ok(line) = serde_json::to_string(command) {
             self.write_line(&line);
         }
@@ -96,7 +96,7 @@
         self.child.id()
     }
 
-    pub(super) fn has_ended(&mut self) -> bool {
+    pub(super) fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 }
@@ -106,7 +106,7 @@
         // The end of its input stops the child; it is killed if it is still running after 1 s.
         self.input = None;
         for _ in 0..40 {
-            if self.has_ended() {
+            if self.has_exited() {
                 break;
             }
             std::thread::sleep(std::time::Duration::from_millis(25));
--- a/crates/testbed/src/scale/figures.rs
+++ b/crates/testbed/src/scale/figures.rs
@@ -7,7 +7,7 @@
 
 /// Distribution of times, milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub(super) struct Times {
+pub(super) struct TimeSummary {
     pub count: u64,
     pub p50: f64,
     pub p90: f64,
@@ -17,7 +17,7 @@
 
 /// Total processor time, as a fraction of a core, and memory of one role's processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub(super) struct RoleUse {
+pub(super) struct RoleUsage {
     pub processes: usize,
     pub core: f64,
     /// The highest value of any second.
@@ -43,7 +43,7 @@
     /// Changes per day at the rate of the run.
     pub a_day: f64,
     /// From the response until the change is in force on every controller.
-    pub in_force_ms: Times,
+    pub in_force_ms: TimeSummary,
 }
 
 /// All figures of one run, over its steady phase unless stated otherwise.
@@ -61,12 +61,12 @@
     /// Mean number of running tasks if each started when it is due.
     pub offered_running: f64,
     pub running: f64,
-    pub urgent_start_ms: Times,
+    pub urgent_start_ms: TimeSummary,
     /// Fraction of the urgent jobs that started within the required time.
     pub urgent_in_time: f64,
-    pub submit_ms: Times,
+    pub submit_ms: TimeSummary,
     /// Usage by name of the role: the leader, one of the other controllers, and so on.
-    pub roles: BTreeMap<String, RoleUse>,
+    pub roles: BTreeMap<String, RoleUsage>,
     /// The longest time for which the leader used at least four fifths of a core without a break,
     /// seconds.
     pub leader_busy_s: f64,
@@ -93,7 +93,7 @@
 
 impl Figures {
     /// Usage of a role by name; zero if it was not measured.
-    fn role(&self, name: &str) -> RoleUse {
+    fn role(&self, name: &str) -> RoleUsage {
         self.roles.get(name).copied().unwrap_or_default()
     }
 }
@@ -107,15 +107,15 @@
 pub(super) const USERS: &str = "users";
 
 /// Fraction of the offered task starts that must be made by the end of the run.
-const START_TOLERANCE: f64 = 0.98;
+const MIN_STARTED_FRACTION: f64 = 0.98;
 /// Fraction of the offered running tasks that must actually run; waiting tasks don't run.
-const RUNNING_TOLERANCE: f64 = 0.9;
+const MIN_RUNNING_FRACTION: f64 = 0.9;
 /// Most processes of a run.
 pub(super) const MAX_PROCESSES: usize = 200;
 /// Fraction of urgent jobs that must start in time.
-const URGENT_SHARE: f64 = 0.99;
+const MIN_URGENT_IN_TIME_FRACTION: f64 = 0.99;
 /// The leader must not be busy for this long without a break, seconds.
-const BUSY_S: f64 = 10.0;
+const MAX_BUSY_S: f64 = 10.0;
 
 /// One budget of the operators' table compared with its measured value.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -126,7 +126,7 @@
     pub holds: bool,
 }
 
-fn line(name: &str, budget: String, measured: String, holds: bool) -> BudgetLine {
+fn budget_line(name: &str, budget: String, measured: String, holds: bool) -> BudgetLine {
     BudgetLine {
         name: name.into(),
         budget,
@@ -136,10 +136,10 @@
 }
 
 /// Compares each budget of the operators' table with the figures.
-pub(super) fn budget(size: &Size, figures: &Figures) -> Vec<BudgetLine> {
+pub(super) fn compare_with_budget(size: &Size, figures: &Figures) -> Vec<BudgetLine> {
     let mut lines = Vec::from(load_lines(size, figures));
     lines.extend(worker_lines(size, figures));
-    lines.push(control_line(size, figures));
+    lines.push(controller_line(size, figures));
     lines.extend(health_lines(figures));
     if size.config_changes > 0 {
         lines.push(configuration_line(size, &figures.configuration));
@@ -150,7 +150,7 @@
 /// Throughput, and how soon urgent jobs start.
 fn load_lines(size: &Size, f: &Figures) -> [BudgetLine; 3] {
     [
-        line(
+        budget_line(
             "starts a second",
             format!(
                 "{:.0} in the mean, {:.1} were drawn",
@@ -161,18 +161,18 @@
                 f.starts_per_s,
                 f.kept_up * 1e2
             ),
-            f.kept_up >= START_TOLERANCE,
+            f.kept_up >= MIN_STARTED_FRACTION,
         ),
-        line(
+        budget_line(
             "tasks running",
             format!(
                 "{} in the mean, {:.0} were drawn",
                 size.running, f.offered_running
             ),
             format!("{:.0}", f.running),
-            f.running > 0.0 && f.running >= f.offered_running * RUNNING_TOLERANCE,
+            f.running > 0.0 && f.running >= f.offered_running * MIN_RUNNING_FRACTION,
         ),
-        line(
+        budget_line(
             "urgent work starts in time",
             format!("{:.1} s, 99 of 100", size.urgent_start_s),
             format!(
@@ -181,7 +181,7 @@
                 f.urgent_start_ms.p99 / 1e3,
                 f.urgent_in_time * 1e2
             ),
-            f.urgent_start_ms.count > 0 && f.urgent_in_time >= URGENT_SHARE,
+            f.urgent_start_ms.count > 0 && f.urgent_in_time >= MIN_URGENT_IN_TIME_FRACTION,
         ),
     ]
 }
@@ -200,19 +200,19 @@
     let worker_kb = bytes_per_s / f.workers.max(1) as f64 / 1e3;
     let budget = &size.budget;
     [
-        line(
+        budget_line(
             "a worker's processor",
             format!("{:.3} of a core", budget.worker_core),
             format!("{:.4}", worker.core),
             worker.core <= budget.worker_core,
         ),
-        line(
+        budget_line(
             "a worker's memory",
             format!("{:.0} MB", budget.worker_mb),
             format!("{:.2} MB", worker.resident_mb),
             worker.resident_mb <= budget.worker_mb,
         ),
-        line(
+        budget_line(
             "a worker's traffic",
             format!("{:.0} KB a second", budget.worker_kb_per_s),
             format!("{worker_kb:.2}"),
@@ -222,8 +222,8 @@
 }
 
 /// Machines and processor time of the controllers.
-fn control_line(size: &Size, f: &Figures) -> BudgetLine {
-    line(
+fn controller_line(size: &Size, f: &Figures) -> BudgetLine {
+    budget_line(
         "machines set aside",
         size.budget.machines.to_string(),
         format!(
@@ -232,16 +232,16 @@
             f.role(LEADER).core,
             f.leader_busy_s
         ),
-        size.controllers <= size.budget.machines && f.leader_busy_s < BUSY_S,
+        size.controllers <= size.budget.machines && f.leader_busy_s < MAX_BUSY_S,
     )
 }
 
 /// Rule violations, unexpected exits, and the limits of the computer that carries the run.
 fn health_lines(f: &Figures) -> [BudgetLine; 4] {
     let broken: Vec<String> = f.broken.keys().cloned().collect();
-    let half_mb = f.machine_memory_mb / 2.0;
+    let memory_limit_mb = f.machine_memory_mb / 2.0;
     [
-        line(
+        budget_line(
             "rules",
             "none broken".into(),
             if broken.is_empty() {
@@ -251,30 +251,30 @@
             },
             broken.is_empty() && f.jobs.tasks_started > 0,
         ),
-        line(
+        budget_line(
             "controllers that end by themselves",
             "0".into(),
             f.fallen.to_string(),
             f.fallen == 0,
         ),
-        line(
+        budget_line(
             "processes",
             MAX_PROCESSES.to_string(),
             f.processes.to_string(),
             f.processes <= MAX_PROCESSES,
         ),
-        line(
+        budget_line(
             "memory of this machine",
-            format!("{half_mb:.0} MB"),
+            format!("{memory_limit_mb:.0} MB"),
             format!("{:.0} MB", f.memory_mb),
-            f.memory_mb <= half_mb,
+            f.memory_mb <= memory_limit_mb,
         ),
     ]
 }
 
 fn configuration_line(size: &Size, changes: &ConfigurationFigures) -> BudgetLine {
     let in_force = &changes.in_force_ms;
-    line(
+    budget_line(
         "changes of configuration",
         format!(
             "{} a day, each in force within {} s",
--- a/crates/testbed/src/scale/figures/tests.rs
+++ b/crates/testbed/src/scale/figures/tests.rs
@@ -3,8 +3,8 @@
 
 type Change = fn(&mut Figures);
 
-fn sound() -> (Size, Figures) {
-    let mut size = Size::parse("t", OPERATORS_TABLE).expect("sound");
+fn passing_run() -> (Size, Figures) {
+    let mut size = Size::parse("t", OPERATORS_TABLE).expect("valid");
     size.config_changes = 0;
     let mut figures = Figures {
         workers: 2_100,
@@ -13,7 +13,7 @@
         kept_up: 0.995,
         offered_running: 14_000.0,
         running: 13_800.0,
-        urgent_start_ms: Times {
+        urgent_start_ms: TimeSummary {
             count: 100,
             p50: 900.0,
             p90: 2_000.0,
@@ -30,7 +30,7 @@
         machine_memory_mb: 24_000.0,
         ..Figures::default()
     };
-    let worker = RoleUse {
+    let worker = RoleUsage {
         processes: 5,
         core: 0.001,
         core_peak: 0.002,
@@ -41,7 +41,7 @@
 }
 
 fn failing(size: &Size, figures: &Figures) -> Vec<String> {
-    budget(size, figures)
+    compare_with_budget(size, figures)
         .into_iter()
         .filter(|l| !l.holds)
         .map(|l| l.name)
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn each_line_that_does_not_hold_is_named() {
-    let (size, figures) = sound();
+fn budget_line_that_does_not_hold_is_named() {
+    let (size, figures) = passing_run();
     assert!(
         failing(&size, &figures).is_empty(),
         "{:?}",
@@ -64,7 +64,7 @@
             f.urgent_start_ms.count = 0
         }),
         ("a worker's processor", |f| {
-            f.roles.get_mut(WORKER).expect("there").core = 0.03
+            f.roles.get_mut(WORKER).expect("present").core = 0.03
         }),
         ("machines set aside", |f| f.leader_busy_s = 10.0),
         ("rules", |f| {
@@ -74,22 +74,22 @@
         ("memory of this machine", |f| f.memory_mb = 12_001.0),
     ];
     for (name, change) in cases {
-        let (size, mut figures) = sound();
+        let (size, mut figures) = passing_run();
         change(&mut figures);
         assert_eq!(failing(&size, &figures), [name]);
     }
 }
 
 #[test]
-fn changes_of_configuration_have_to_be_in_force_in_time() {
-    let (mut size, mut figures) = sound();
+fn configuration_change_not_in_force_in_time_fails_its_budget_line() {
+    let (mut size, mut figures) = passing_run();
     size.config_changes = 1_700;
     assert_eq!(
         failing(&size, &figures),
         ["changes of configuration"],
         "none was made"
     );
-    let in_force_ms = Times {
+    let in_force_ms = TimeSummary {
         count: 40,
         p50: 900.0,
         p90: 1_500.0,
@@ -104,21 +104,21 @@
     };
     figures.configuration = made;
     assert!(failing(&size, &figures).is_empty());
-    for wrong in [
+    for failing_changes in [
         ConfigurationFigures { missed: 1, ..made },
         ConfigurationFigures {
             a_day: 1_000.0,
             ..made
         },
         ConfigurationFigures {
-            in_force_ms: Times {
+            in_force_ms: TimeSummary {
                 p99: 11_001.0,
                 ..in_force_ms
             },
             ..made
         },
     ] {
-        figures.configuration = wrong;
+        figures.configuration = failing_changes;
         assert_eq!(failing(&size, &figures), ["changes of configuration"]);
     }
 }
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -18,42 +18,42 @@
 /// Fits a line to at least three points; `None` if there are fewer, if all have the same x, or if
 /// a value is not finite.
 pub(super) fn least_squares(points: &[(f64, f64)]) -> Option<Fit> {
-    let sound = points.iter().all(|(x, y)| x.is_finite() && y.is_finite());
-    if points.len() < 3 || !sound {
+    let all_finite = points.iter().all(|(x, y)| x.is_finite() && y.is_finite());
+    if points.len() < 3 || !all_finite {
         return None;
     }
     let n = points.len() as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
     let (mean_x, mean_y) = (mean(|p| p.0), mean(|p| p.1));
-    let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    if spread <= f64::EPSILON {
+    let sum_xx: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    if sum_xx <= f64::EPSILON {
         return None;
     }
-    let joint: f64 = points
+    let sum_xy: f64 = points
         .iter()
         .map(|(x, y)| (x - mean_x) * (y - mean_y))
         .sum();
-    let slope = joint / spread;
+    let slope = sum_xy / sum_xx;
     let intercept = mean_y - slope * mean_x;
-    let squares: f64 = points
+    let sum_squared_error: f64 = points
         .iter()
         .map(|(x, y)| (y - intercept - slope * x).powi(2))
         .sum();
-    let least = points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min);
-    let most = points.iter().map(|p| p.0).fold(f64::NEG_INFINITY, f64::max);
-    let residual = (squares / n).sqrt();
+    let min_x = points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min);
+    let max_x = points.iter().map(|p| p.0).fold(f64::NEG_INFINITY, f64::max);
+    let residual = (sum_squared_error / n).sqrt();
     Some(Fit {
         slope,
         intercept,
         residual,
-        from: least,
-        to: most,
+        from: min_x,
+        to: max_x,
         points: points.len(),
     })
 }
 
 impl Fit {
-    pub(super) fn at(&self, x: f64) -> f64 {
+    pub(super) fn y_at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
@@ -63,17 +63,17 @@
     use super::*;
 
     #[test]
-    fn a_line_is_found_with_its_residual_and_its_range() {
+    fn fit_gives_line_residual_and_range() {
         let exact = least_squares(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("a line");
         assert!((exact.slope - 2.0).abs() < 1e-9 && (exact.intercept - 3.0).abs() < 1e-9);
-        assert!(exact.residual < 1e-9 && (exact.at(3.0) - 9.0).abs() < 1e-9);
+        assert!(exact.residual < 1e-9 && (exact.y_at(3.0) - 9.0).abs() < 1e-9);
         assert_eq!((exact.from, exact.to, exact.points), (1.0, 4.0, 3));
         let rough = least_squares(&[(0.0, 0.0), (1.0, 3.0), (2.0, 0.0)]).expect("a line");
         assert!(rough.slope.abs() < 1e-9 && (rough.residual - 2.0f64.sqrt()).abs() < 1e-9);
     }
 
     #[test]
-    fn too_few_points_give_no_line() {
+    fn too_few_distinct_points_give_no_line() {
         assert_eq!(least_squares(&[(1.0, 1.0), (2.0, 2.0)]), None);
         assert_eq!(least_squares(&[(1.0, 1.0), (1.0, 2.0), (1.0, 3.0)]), None);
         assert_eq!(
--- a/crates/testbed/src/scale/flows.rs
+++ b/crates/testbed/src/scale/flows.rs
@@ -6,13 +6,13 @@
 use std::collections::BTreeMap;
 
 /// Most unanswered requests whose kind is stored; bounds memory.
-const MAX_OPEN: usize = 50_000;
+const MAX_UNANSWERED: usize = 50_000;
 
 /// Message counters of one child, and the kinds of the requests that it has not yet answered.
 #[derive(Default)]
 pub(super) struct FlowCounter {
     flows: Flows,
-    open: BTreeMap<(usize, u64), &'static str>,
+    unanswered: BTreeMap<(usize, u64), &'static str>,
 }
 
 impl FlowCounter {
@@ -25,35 +25,40 @@
     }
 
     /// Counts a request that was received.
-    pub(super) fn request(
+    pub(super) fn request_received(
         &mut self,
         id: RequestId,
         kind: &'static str,
         (method, path): (Method, &str),
-        body: usize,
+        body_bytes: usize,
     ) {
-        if self.open.len() >= MAX_OPEN {
-            self.open.pop_first();
+        if self.unanswered.len() >= MAX_UNANSWERED {
+            self.unanswered.pop_first();
         }
-        self.open.insert((id.slot, id.generation), kind);
-        self.add(kind, "in", request_bytes(method, path, body));
+        self.unanswered.insert((id.slot, id.generation), kind);
+        self.add(kind, "in", request_bytes(method, path, body_bytes));
     }
 
     /// Counts the response that was sent to it.
-    pub(super) fn answer(&mut self, id: RequestId, status: u16, body: usize) {
-        if let Some(kind) = self.open.remove(&(id.slot, id.generation)) {
-            self.add(kind, "out", answer_bytes(status, body));
+    pub(super) fn response_sent(&mut self, id: RequestId, status: u16, body_bytes: usize) {
+        if let Some(kind) = self.unanswered.remove(&(id.slot, id.generation)) {
+            self.add(kind, "out", response_bytes(status, body_bytes));
         }
     }
 
     /// Counts a request that was sent.
-    pub(super) fn call(&mut self, kind: &str, (method, path): (Method, &str), body: usize) {
-        self.add(kind, "out", request_bytes(method, path, body));
+    pub(super) fn request_sent(
+        &mut self,
+        kind: &str,
+        (method, path): (Method, &str),
+        body_bytes: usize,
+    ) {
+        self.add(kind, "out", request_bytes(method, path, body_bytes));
     }
 
     /// Counts the response that was received to it.
-    pub(super) fn reply(&mut self, kind: &str, status: u16, body: usize) {
-        self.add(kind, "in", answer_bytes(status, body));
+    pub(super) fn response_received(&mut self, kind: &str, status: u16, body_bytes: usize) {
+        self.add(kind, "in", response_bytes(status, body_bytes));
     }
 
     pub(super) fn flows(&self) -> &Flows {
@@ -62,7 +67,7 @@
 }
 
 /// Size of a request with its header, as the HTTP writer of `beamhinge-core` encodes it, bytes.
-fn request_bytes(method: Method, path: &str, body: usize) -> usize {
+fn request_bytes(method: Method, path: &str, body_bytes: usize) -> usize {
     let host = "127.0.0.1:12000";
     let head = http::RequestHead {
         method,
@@ -73,11 +78,11 @@
     };
     let mut bytes = Vec::new();
     http::write_request(&mut bytes, &head, &[]);
-    bytes.len() + body
+    bytes.len() + body_bytes
 }
 
 /// Size of a response with its header, bytes.
-fn answer_bytes(status: u16, body: usize) -> usize {
+fn response_bytes(status: u16, body_bytes: usize) -> usize {
     let mut bytes = Vec::new();
     let head = http::ResponseHead {
         status,
@@ -86,5 +91,5 @@
         content: Content::Cbor,
     };
     http::write_response(&mut bytes, &head, &[]);
-    bytes.len() + body
+    bytes.len() + body_bytes
 }
--- a/crates/testbed/src/scale/layout.rs
+++ b/crates/testbed/src/scale/layout.rs
@@ -7,21 +7,21 @@
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 
 /// Most workers of one process; one thread can't serve more.
-const WORKERS_A_PROCESS: usize = 525;
+const MAX_WORKERS_PER_PROCESS: usize = 525;
 /// Additional addresses for replacement machines, as a fraction of the workers.
-const SPARE_PLACES: f64 = 0.1;
+const SPARE_ADDRESS_FRACTION: f64 = 0.1;
 /// Second byte of the first loopback network for workers.
 const WORKER_NETWORK: u8 = 64;
 /// Addresses used per /24 network, so that neither .0 nor .255 is used.
-const HOSTS: usize = 250;
+const ADDRESSES_PER_NETWORK: usize = 250;
 /// Offsets of ports from the base port.
-const STATE_PORTS: u16 = 30;
-const CLOUD_PORTS: u16 = 60;
-const WORKER_PORT: u16 = 99;
+const STATE_PORT_OFFSET: u16 = 30;
+const CLOUD_PORT_OFFSET: u16 = 60;
+const WORKER_PORT_OFFSET: u16 = 99;
 
 /// Guarantee of a team, and its limit, as multiples of an equal share of the fleet for each team.
-pub(super) const GUARANTEED: f64 = 0.5;
-pub(super) const LIMIT: f64 = 20.0;
+pub(super) const GUARANTEE_FACTOR: f64 = 0.5;
+pub(super) const LIMIT_FACTOR: f64 = 20.0;
 
 pub(super) struct Layout {
     pub size: Size,
@@ -51,16 +51,16 @@
     }
 
     fn timer_processes(&self) -> usize {
-        (self.size.workers - self.real_workers).div_ceil(WORKERS_A_PROCESS)
+        (self.size.workers - self.real_workers).div_ceil(MAX_WORKERS_PER_PROCESS)
     }
 
-    pub(super) fn is_real(&self, process: usize) -> bool {
+    pub(super) fn runs_processes(&self, process: usize) -> bool {
         self.real_workers > 0 && process == 0
     }
 
     /// Number of workers of a worker process at the start.
-    fn workers_of(&self, process: usize) -> usize {
-        if self.is_real(process) {
+    fn initial_workers(&self, process: usize) -> usize {
+        if self.runs_processes(process) {
             return self.real_workers;
         }
         (self.size.workers - self.real_workers).div_ceil(self.timer_processes())
@@ -77,26 +77,30 @@
 
     /// Addresses for the workers of a process, including spare ones.
     pub(super) fn worker_addresses(&self, process: usize) -> Vec<SocketAddrV4> {
-        let spare = (self.workers_of(process) as f64 * SPARE_PLACES).ceil() as usize + 2;
-        let places = 0..self.workers_of(process) + spare;
-        places
-            .map(|place| self.worker_address(process, place))
+        let spare =
+            (self.initial_workers(process) as f64 * SPARE_ADDRESS_FRACTION).ceil() as usize + 2;
+        let indexes = 0..self.initial_workers(process) + spare;
+        indexes
+            .map(|index| self.worker_address(process, index))
             .collect()
     }
 
-    /// The address of a worker process at an index.
-    pub(super) fn worker_address(&self, process: usize, place: usize) -> SocketAddrV4 {
-        let (third, fourth) = ((place / HOSTS) as u8, (place % HOSTS) as u8 + 1);
-        let port = self.base_port + WORKER_PORT;
+    /// The address at `index` of a worker process.
+    pub(super) fn worker_address(&self, process: usize, index: usize) -> SocketAddrV4 {
+        let (third, fourth) = (
+            (index / ADDRESSES_PER_NETWORK) as u8,
+            (index % ADDRESSES_PER_NETWORK) as u8 + 1,
+        );
+        let port = self.base_port + WORKER_PORT_OFFSET;
         loopback(WORKER_NETWORK + process as u8, third, fourth, port)
     }
 
     pub(super) fn state_addresses(&self) -> Vec<SocketAddrV4> {
-        self.control_addresses(STATE_PORTS)
+        self.control_addresses(STATE_PORT_OFFSET)
     }
 
     pub(super) fn cloud_addresses(&self) -> Vec<SocketAddrV4> {
-        self.control_addresses(CLOUD_PORTS)
+        self.control_addresses(CLOUD_PORT_OFFSET)
     }
 
     fn control_addresses(&self, first: u16) -> Vec<SocketAddrV4> {
@@ -128,20 +132,21 @@
     }
 
     pub(super) fn controllers_in_region(&self, region: usize) -> Vec<usize> {
-        let of = |node: &usize| self.size.region_of(self.zone_of_controller(*node)) == region;
-        (0..self.size.controllers).filter(of).collect()
+        let in_region =
+            |node: &usize| self.size.region_of(self.zone_of_controller(*node)) == region;
+        (0..self.size.controllers).filter(in_region).collect()
     }
 
     pub(super) fn zones_in_region(&self, region: usize) -> Vec<String> {
-        let of = |zone: &usize| self.size.region_of(*zone) == region;
+        let in_region = |zone: &usize| self.size.region_of(*zone) == region;
         (0..self.size.zones)
-            .filter(of)
+            .filter(in_region)
             .map(|zone| self.size.zone_name(zone))
             .collect()
     }
 
     /// Zones of the machines that exist from the start, one entry per machine.
-    pub(super) fn owned(&self) -> Vec<String> {
+    pub(super) fn initial_machine_zones(&self) -> Vec<String> {
         (0..self.size.workers)
             .map(|machine| self.size.zone_name(machine % self.size.zones))
             .collect()
@@ -149,7 +154,7 @@
 
     pub(super) fn deployment(&self) -> Deployment {
         let size = &self.size;
-        let place = |node: usize| NodePlace {
+        let node_place = |node: usize| NodePlace {
             label: char::from(b'a' + node as u8).to_string(),
             zone: size.zone_name(self.zone_of_controller(node)),
             operators: loopback(0, 0, 2, self.base_port + node as u16),
@@ -159,22 +164,22 @@
         let share = size.workers as f64 * size.machine.cpus / size.teams as f64;
         let team = |n| TeamPlan {
             name: team_name(n),
-            cpus: share * GUARANTEED,
-            cpus_max: share * LIMIT,
+            cpus: share * GUARANTEE_FACTOR,
+            cpus_max: share * LIMIT_FACTOR,
         };
         Deployment {
-            nodes: (0..size.controllers).map(place).collect(),
+            nodes: (0..size.controllers).map(node_place).collect(),
             zones: self.zones(),
             teams: (0..size.teams).map(team).collect(),
             limits: size.platform,
             report_s: size.report_s,
-            max_connections: self.connections() as u32,
+            max_connections: self.max_connections() as u32,
         }
     }
 
     /// Most sockets of a controller: one for each worker, and a reserve for users, peers and
     /// connections that are about to close.
-    pub(super) fn connections(&self) -> usize {
+    pub(super) fn max_connections(&self) -> usize {
         self.size.workers * 3 / 2 + 1_000
     }
 
@@ -190,7 +195,7 @@
 
     /// The first address that another program already listens on, if any. Of each worker process,
     /// only the first address is checked.
-    pub(super) fn taken(&self) -> Option<SocketAddrV4> {
+    pub(super) fn address_in_use(&self) -> Option<SocketAddrV4> {
         let deployment = self.deployment();
         let nodes = deployment
             .nodes
--- a/crates/testbed/src/scale/layout/tests.rs
+++ b/crates/testbed/src/scale/layout/tests.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeSet;
 
 fn layout() -> Layout {
-    Layout::new(Size::parse("t", OPERATORS_TABLE).expect("sound"), 20_000, 4)
+    Layout::new(Size::parse("t", OPERATORS_TABLE).expect("valid"), 20_000, 4)
 }
 
 #[test]
-fn every_worker_has_an_address_of_its_own_on_loopback() {
+fn each_worker_has_a_distinct_loopback_address() {
     let layout = layout();
     let mut seen = BTreeSet::new();
     for process in 0..layout.worker_processes() {
@@ -31,11 +31,11 @@
 }
 
 #[test]
-fn a_large_fleet_has_its_addresses_and_its_sockets() {
+fn large_fleet_has_enough_addresses_and_sockets() {
     for workers in [4_000, 8_192, 12_000] {
         let size = Size {
             workers,
-            ..Size::parse("t", OPERATORS_TABLE).expect("sound")
+            ..Size::parse("t", OPERATORS_TABLE).expect("valid")
         };
         let layout = Layout::new(size, 20_000, 4);
         let mut seen = BTreeSet::new();
@@ -46,7 +46,7 @@
             seen.extend(addresses);
         }
         assert!(seen.len() > workers);
-        assert!(layout.connections() > workers);
+        assert!(layout.max_connections() > workers);
     }
 }
 
@@ -62,12 +62,12 @@
 }
 
 #[test]
-fn the_settings_of_each_controller_are_sound() {
+fn settings_of_each_controller_are_valid() {
     let layout = layout();
     let deployment = layout.deployment();
     for node in 0..7 {
         let text = deployment.settings(node, &layout.links(node));
-        let settings = beamhinge_core::settings::Settings::parse("t", &text).expect("sound");
+        let settings = beamhinge_core::settings::Settings::parse("t", &text).expect("valid");
         assert_eq!(
             (settings.members.len(), settings.params.teams.len()),
             (6, 240)
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -79,14 +79,15 @@
 /// Command to a running child.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Command {
-    /// To workers: a machine is up, and its worker listens on the address at index `place`.
+    /// To workers: a machine is up, and its worker listens on the address at `address_index`.
     Boot {
         machine: u64,
         zone: String,
         spot: bool,
         cpus: f64,
         memory_gb: f64,
-        place: usize,
+        #[serde(rename = "place")]
+        address_index: usize,
     },
     /// To workers: a machine is lost with all its tasks.
     Remove { machine: u64 },
@@ -103,7 +104,8 @@
     /// To the cloud: a machine has failed.
     Failed { machine: u64 },
     /// To the key-value store and the cloud: these controllers are partitioned from them.
-    HoldControllers {
+    #[serde(rename = "HoldControllers")]
+    PartitionControllers {
         controllers: Vec<usize>,
         seconds: f64,
     },
@@ -171,7 +173,8 @@
         spot: bool,
     },
     /// From the cloud: a machine was released.
-    Gone { machine: u64 },
+    #[serde(rename = "Gone")]
+    Released { machine: u64 },
     /// Counts of a child, sent each second.
     Counts {
         flows: Flows,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -29,7 +29,7 @@
 use clap::Args;
 use faults::Fault;
 use figures::{BudgetLine, Figures};
-use run::{Played, RunPlan};
+use run::{RunPlan, RunResult};
 use serde_json::{json, Value};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use size::{Size, OPERATORS_TABLE};
@@ -91,7 +91,7 @@
 }
 
 /// Reduces a size to a short run with 100 workers, for a first try and for CI.
-fn quick(size: &mut Size) {
+fn reduce_to_quick_run(size: &mut Size) {
     size.workers = 100;
     size.controllers = 3;
     size.teams = 12;
@@ -106,13 +106,13 @@
 
 impl Options {
     fn size(&self, is_quick: bool) -> Result<Size, TestbedError> {
-        let wrong = |e: size::SizeError| TestbedError::Other(e.to_string());
+        let to_error = |e: size::SizeError| TestbedError::Other(e.to_string());
         let mut size = match &self.table {
-            Some(path) => Size::load(path).map_err(wrong)?,
-            None => Size::parse("the operators' table", OPERATORS_TABLE).map_err(wrong)?,
+            Some(path) => Size::load(path).map_err(to_error)?,
+            None => Size::parse("the operators' table", OPERATORS_TABLE).map_err(to_error)?,
         };
         if is_quick {
-            quick(&mut size);
+            reduce_to_quick_run(&mut size);
         }
         let set = |field: &mut usize, value: Option<usize>| *field = value.unwrap_or(*field);
         set(&mut size.workers, self.workers);
@@ -124,7 +124,7 @@
         size.starts_per_s = self.starts_per_s.unwrap_or(size.starts_per_s);
         size.report_s = self.report_s.unwrap_or(size.report_s);
         size.config_changes = self.config_changes.unwrap_or(size.config_changes);
-        size.check().map_err(wrong)?;
+        size.validate().map_err(to_error)?;
         Ok(size)
     }
 
@@ -135,15 +135,15 @@
             self.minutes
         };
         if !(minutes > 0.0 && minutes <= MAX_MINUTES) {
-            let wrong = format!("--minutes {minutes}: must be above 0 and at most {MAX_MINUTES}");
-            return Err(TestbedError::Other(wrong));
+            let error = format!("--minutes {minutes}: must be above 0 and at most {MAX_MINUTES}");
+            return Err(TestbedError::Other(error));
         }
         Ok(minutes * 60.0)
     }
 
     fn plan(&self, context: &TestContext, size: Size, seconds: f64) -> RunPlan {
         let mut faults = self.faults.clone();
-        faults.extend(faults::drawn(
+        faults.extend(faults::draw(
             &size,
             seconds,
             self.speed_up.max(0.0),
@@ -177,13 +177,14 @@
     match options.sweep {
         Some(axis) => run_sweep(context, options, axis, &size, seconds, &stop),
         None => {
-            let played = run::play(context, options.plan(context, size.clone(), seconds), &stop)?;
-            let lines = figures::budget(&size, &played.figures);
+            let result =
+                run::execute(context, options.plan(context, size.clone(), seconds), &stop)?;
+            let lines = figures::compare_with_budget(&size, &result.figures);
             print_budget(&lines);
             if let Some(folder) = &options.out {
-                write_run(folder, &played, &lines)?;
+                write_run(folder, &result, &lines)?;
             }
-            Ok(summary(context.seed, &size, &played.figures, &lines))
+            Ok(summary(context.seed, &size, &result.figures, &lines))
         }
     }
 }
@@ -211,22 +212,22 @@
     })
 }
 
-fn write_run(folder: &Path, played: &Played, lines: &[BudgetLine]) -> Result<(), TestbedError> {
-    let text = json!({"budget": lines, "figures": played.figures});
+fn write_run(folder: &Path, result: &RunResult, lines: &[BudgetLine]) -> Result<(), TestbedError> {
+    let text = json!({"budget": lines, "figures": result.figures});
     std::fs::write(folder.join("scale.json"), format!("{text:#}\n"))?;
     let plots = [
         (
             "starts.svg",
             "Starts a second",
             "starts",
-            &played.starts,
+            &result.starts,
             false,
         ),
         (
             "urgent.svg",
             "Urgent jobs: from acceptance to the first start",
             "seconds",
-            &played.urgent,
+            &result.urgent,
             true,
         ),
     ];
@@ -236,9 +237,9 @@
             unit,
             points,
             dots,
-            marks: &played.marks,
+            marks: &result.fault_marks,
         };
-        plots::over_time(&folder.join(file), &plot)?;
+        plots::plot_over_time(&folder.join(file), &plot)?;
     }
     Ok(())
 }
@@ -252,14 +253,14 @@
     stop: &Arc<AtomicBool>,
 ) -> Result<Value, TestbedError> {
     let mut points = Vec::new();
-    let mut broken = false;
+    let mut has_violations = false;
     for (x, size) in axis.sizes(full) {
         eprintln!("{}: {x}", axis.name());
-        let played = run::play(context, options.plan(context, size, seconds), stop)?;
-        broken |= !played.figures.broken.is_empty();
-        points.push((x, played.figures));
+        let result = run::execute(context, options.plan(context, size, seconds), stop)?;
+        has_violations |= !result.figures.broken.is_empty();
+        points.push((x, result.figures));
     }
-    let series = sweep::series(&points);
+    let series = sweep::fit_series(&points);
     for s in &series {
         if let Some(fit) = s.fit {
             eprintln!(
@@ -277,7 +278,7 @@
         write_sweep(folder, axis, &series, &points)?;
     }
     Ok(json!({
-        "ok": !broken, "experiment": "scale", "seed": context.seed, "sweep": axis.name(),
+        "ok": !has_violations, "experiment": "scale", "seed": context.seed, "sweep": axis.name(),
         "series": series,
     }))
 }
@@ -297,7 +298,7 @@
     for s in series {
         let file = format!("{}.svg", s.name.replace(' ', "-"));
         let names = (axis.name(), s.unit);
-        plots::slope(&folder.join(file), &s.name, names, &s.points, s.fit)?;
+        plots::plot_fit(&folder.join(file), &s.name, names, &s.points, s.fit)?;
     }
     Ok(())
 }
--- a/crates/testbed/src/scale/relay.rs
+++ b/crates/testbed/src/scale/relay.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 /// Interval at which listeners and links are polled.
-const LOOK: Duration = Duration::from_millis(20);
-const READ_WAIT: Duration = Duration::from_millis(200);
-const CONNECT_WAIT: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Most connections of all relays together.
 const MAX_CONNECTIONS: usize = 1_000;
 
@@ -26,11 +26,11 @@
 
 pub(super) struct Relays {
     cut: BTreeMap<Direction, Arc<AtomicBool>>,
-    go: Arc<AtomicBool>,
+    running: Arc<AtomicBool>,
     acceptor: Option<JoinHandle<()>>,
 }
 
-struct Listening {
+struct RelayListener {
     listener: TcpListener,
     target: SocketAddrV4,
     cut: Arc<AtomicBool>,
@@ -43,24 +43,24 @@
         directions: Vec<(Direction, SocketAddrV4, SocketAddrV4)>,
     ) -> io::Result<Relays> {
         let mut cut = BTreeMap::new();
-        let mut listening = Vec::new();
-        for (direction, at, target) in directions {
-            let listener = TcpListener::bind(at)?;
+        let mut listeners = Vec::new();
+        for (direction, address, target) in directions {
+            let listener = TcpListener::bind(address)?;
             listener.set_nonblocking(true)?;
-            let switch = Arc::new(AtomicBool::new(false));
-            cut.insert(direction, switch.clone());
-            listening.push(Listening {
+            let is_cut = Arc::new(AtomicBool::new(false));
+            cut.insert(direction, is_cut.clone());
+            listeners.push(RelayListener {
                 listener,
                 target,
-                cut: switch,
+                cut: is_cut,
             });
         }
-        let go = Arc::new(AtomicBool::new(true));
-        let running = go.clone();
-        let acceptor = thread::spawn(move || accept_all(&listening, &running));
+        let running = Arc::new(AtomicBool::new(true));
+        let acceptor_running = running.clone();
+        let acceptor = thread::spawn(move || accept_all(&listeners, &acceptor_running));
         Ok(Relays {
             cut,
-            go,
+            running,
             acceptor: Some(acceptor),
         })
     }
@@ -68,8 +68,8 @@
     /// Cuts or restores a link in both directions.
     pub(super) fn set_cut(&self, a: usize, b: usize, cut: bool) {
         for direction in [Direction { from: a, to: b }, Direction { from: b, to: a }] {
-            if let Some(switch) = self.cut.get(&direction) {
-                switch.store(cut, Ordering::Relaxed);
+            if let Some(is_cut) = self.cut.get(&direction) {
+                is_cut.store(cut, Ordering::Relaxed);
             }
         }
     }
@@ -77,58 +77,58 @@
 
 impl Drop for Relays {
     fn drop(&mut self) {
-        self.go.store(false, Ordering::Relaxed);
+        self.running.store(false, Ordering::Relaxed);
         if let Some(acceptor) = self.acceptor.take() {
             let _ = acceptor.join();
         }
     }
 }
 
-fn accept_all(listening: &[Listening], go: &Arc<AtomicBool>) {
+fn accept_all(listeners: &[RelayListener], running: &Arc<AtomicBool>) {
     let mut connections: Vec<JoinHandle<()>> = Vec::new();
-    while go.load(Ordering::Relaxed) {
-        for l in listening {
-            while let Ok((stream, _)) = l.listener.accept() {
+    while running.load(Ordering::Relaxed) {
+        for relay in listeners {
+            while let Ok((stream, _)) = relay.listener.accept() {
                 connections.retain(|c| !c.is_finished());
                 if connections.len() >= MAX_CONNECTIONS {
                     continue;
                 }
-                let (target, cut, go) = (l.target, l.cut.clone(), go.clone());
+                let (target, cut, running) = (relay.target, relay.cut.clone(), running.clone());
                 connections.push(thread::spawn(move || {
                     // An error ends the connection: the controller opens another.
-                    let _ = pass_on(stream, target, &cut, &go);
+                    let _ = forward(stream, target, &cut, &running);
                 }));
             }
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     for connection in connections {
         let _ = connection.join();
     }
 }
 
-fn pass_on(
+fn forward(
     mut from: TcpStream,
     target: SocketAddrV4,
     cut: &AtomicBool,
-    go: &AtomicBool,
+    running: &AtomicBool,
 ) -> io::Result<()> {
     from.set_nonblocking(false)?;
-    from.set_read_timeout(Some(READ_WAIT))?;
-    let mut to = TcpStream::connect_timeout(&target.into(), CONNECT_WAIT)?;
+    from.set_read_timeout(Some(READ_TIMEOUT))?;
+    let mut to = TcpStream::connect_timeout(&target.into(), CONNECT_TIMEOUT)?;
     to.set_nodelay(true)?;
     let mut chunk = [0u8; 16 * 1024];
-    while go.load(Ordering::Relaxed) {
+    while running.load(Ordering::Relaxed) {
         if cut.load(Ordering::Relaxed) {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
         match from.read(&mut chunk) {
             Ok(0) => return Ok(()),
             Ok(n) => {
                 // Data that was read when the link was cut waits like the rest.
-                while cut.load(Ordering::Relaxed) && go.load(Ordering::Relaxed) {
-                    thread::sleep(LOOK);
+                while cut.load(Ordering::Relaxed) && running.load(Ordering::Relaxed) {
+                    thread::sleep(POLL_INTERVAL);
                 }
                 to.write_all(&chunk[..n])?;
             }
--- a/crates/testbed/src/scale/role/cloud.rs
+++ b/crates/testbed/src/scale/role/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud role of a scale run, with an address for each controller.
 
-use super::{HeldControllers, Links};
+use super::{ParentConnection, PartitionedControllers};
 use crate::scale::flows::FlowCounter;
 use crate::scale::messages::{Command, MachinePlan, Record};
 use beamhinge_core::http::{Method, Request};
@@ -13,17 +13,17 @@
 use std::collections::BTreeMap;
 
 /// Label of the only machine type.
-pub(super) const SHAPE: &str = "m";
+pub(super) const MACHINE_TYPE: &str = "m";
 /// Delay after which the cloud lists a failed machine as failed.
-const FAILED_LISTED: Micros = 30 * SECOND;
+const FAILURE_LISTING_DELAY: Micros = 30 * SECOND;
 
 pub(super) struct CloudRole {
     cloud: Cloud,
     rng: StdRng,
     booting: BTreeMap<u64, Micros>,
     flows: FlowCounter,
-    links: Links,
-    cut_off: HeldControllers,
+    parent: ParentConnection,
+    partitioned_controllers: PartitionedControllers,
 }
 
 impl CloudRole {
@@ -33,7 +33,7 @@
         zones: Vec<String>,
         seed: u64,
         now: Time,
-        links: Links,
+        parent: ParentConnection,
     ) -> CloudRole {
         let mut cloud = Cloud::new(rps, list_lag_s);
         cloud.instance_types = vec![instance_type(
@@ -43,25 +43,29 @@
         )];
         for zone in &zones {
             let owned = machines.owned.iter().filter(|z| *z == zone).count() as u32;
-            let key = |spot| CapacityPool::new(SHAPE, zone.clone(), spot);
-            cloud.capacity.insert(key(false), owned + machines.spare);
-            cloud.capacity.insert(key(true), machines.spare);
+            let pool = |spot| CapacityPool::new(MACHINE_TYPE, zone.clone(), spot);
+            cloud.capacity.insert(pool(false), owned + machines.spare);
+            cloud.capacity.insert(pool(true), machines.spare);
         }
         cloud.zones = zones;
         for zone in &machines.owned {
-            cloud.add(micros(now), &CapacityPool::new(SHAPE, zone, false), Some(0));
+            cloud.add(
+                micros(now),
+                &CapacityPool::new(MACHINE_TYPE, zone, false),
+                Some(0),
+            );
         }
         let rng = StdRng::seed_from_u64(seed);
         let flows = FlowCounter::default();
         let booting = BTreeMap::new();
-        let cut_off = HeldControllers::default();
+        let partitioned_controllers = PartitionedControllers::default();
         CloudRole {
             cloud,
             rng,
             booting,
             flows,
-            links,
-            cut_off,
+            parent,
+            partitioned_controllers,
         }
     }
 
@@ -71,16 +75,16 @@
                 self.cloud.endpoints.insert(machine, address.to_string());
             }
             Command::Failed { machine } => {
-                if let Some(host) = self.cloud.instances.get_mut(&machine) {
-                    host.failed_at = Some(now + FAILED_LISTED);
+                if let Some(instance) = self.cloud.instances.get_mut(&machine) {
+                    instance.failed_at = Some(now + FAILURE_LISTING_DELAY);
                 }
             }
-            Command::HoldControllers {
+            Command::PartitionControllers {
                 controllers,
                 seconds,
             } => {
-                self.cut_off
-                    .hold(&controllers, now + (seconds * 1e6) as Micros);
+                self.partitioned_controllers
+                    .partition(&controllers, now + (seconds * 1e6) as Micros);
             }
             _ => {}
         }
@@ -92,7 +96,7 @@
         for machine in self.cloud.take_released() {
             self.booting.remove(&machine);
             self.cloud.endpoints.remove(&machine);
-            self.links.records.send(&Record::Gone { machine });
+            self.parent.records.send(&Record::Released { machine });
         }
         let ready: Vec<u64> = self
             .booting
@@ -102,9 +106,9 @@
             .collect();
         for machine in ready {
             self.booting.remove(&machine);
-            if let Some((host, _)) = self.cloud.booted(now, machine) {
-                let (zone, spot) = (host.zone, host.spot);
-                self.links.records.send(&Record::Booted {
+            if let Some((instance, _)) = self.cloud.booted(now, machine) {
+                let (zone, spot) = (instance.zone, instance.spot);
+                self.parent.records.send(&Record::Booted {
                     machine,
                     zone,
                     spot,
@@ -117,7 +121,7 @@
 /// The only machine type.
 pub(super) fn instance_type(cpus: f64, memory_gb: f64, boot_s: f64) -> InstanceType {
     InstanceType {
-        label: SHAPE.into(),
+        label: MACHINE_TYPE.into(),
         cpus,
         memory_gb,
         price: 1.0,
@@ -126,7 +130,7 @@
     }
 }
 
-fn kind(method: Method, path: &str) -> &'static str {
+fn request_kind(method: Method, path: &str) -> &'static str {
     match (method, path) {
         (Method::Get, p) if p.starts_with("/hosts") => "list",
         (Method::Get, _) => "flavors",
@@ -140,38 +144,44 @@
         &mut self,
         now: Time,
         _wall: WallMs,
-        door: usize,
+        listener: usize,
         id: RequestId,
         request: Request,
         out: &mut Vec<Effect>,
     ) {
         let (method, path) = (request.method, request.path.as_str());
-        self.flows
-            .request(id, kind(method, path), (method, path), request.body.len());
+        self.flows.request_received(
+            id,
+            request_kind(method, path),
+            (method, path),
+            request.body.len(),
+        );
         let us = micros(now);
         // The request of a partitioned controller is dropped: it is never executed, and the
         // caller times out.
-        if self.cut_off.is_held(door, us) {
+        if self.partitioned_controllers.is_partitioned(listener, us) {
             return;
         }
         let (status, body) = self
             .cloud
             .handle(us, method, path, &request.body, &mut self.rng);
-        self.flows.answer(id, status, body.len());
+        self.flows.response_sent(id, status, body.len());
         respond(out, id, (status, body));
         self.report_machines(us);
     }
 
     fn on_tick(&mut self, now: Time, _wall: WallMs, _out: &mut Vec<Effect>) {
         let us = micros(now);
-        while let Some(command) = self.links.command() {
+        while let Some(command) = self.parent.next_command() {
             self.apply_command(us, command);
         }
         self.report_machines(us);
         for what in self.cloud.violations.drain(..) {
-            self.links.records.send(&Record::ProtocolViolation { what });
+            self.parent
+                .records
+                .send(&Record::ProtocolViolation { what });
         }
         let gauges = [("machines", self.cloud.instances.len() as f64)];
-        self.links.report_counts(now, self.flows.flows(), &gauges);
+        self.parent.report_counts(now, self.flows.flows(), &gauges);
     }
 }
--- a/crates/testbed/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -29,7 +29,7 @@
 /// sets their limit.
 pub(crate) const MAX_CONNECTIONS: usize = 18_000;
 /// Interval between the count reports of a child, seconds.
-const COUNTS_S: f64 = 1.0;
+const COUNTS_INTERVAL_S: f64 = 1.0;
 
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RoleError {
@@ -71,22 +71,22 @@
 
 /// Connections of a role to its parent: commands, records, and the time of the last count
 /// report.
-pub(crate) struct Links {
+pub(crate) struct ParentConnection {
     commands: Receiver<Command>,
     pub records: Recorder,
-    counted: Time,
+    counts_reported_at: Time,
 }
 
-impl Links {
+impl ParentConnection {
     /// The next command; `None` if none is pending.
-    pub(crate) fn command(&self) -> Option<Command> {
+    pub(crate) fn next_command(&self) -> Option<Command> {
         self.commands.try_recv().ok()
     }
 
     /// Reports the counts if they are due, and flushes all records.
     pub(crate) fn report_counts(&mut self, now: Time, flows: &Flows, gauges: &[(&str, f64)]) {
-        if now.since(self.counted) >= COUNTS_S {
-            self.counted = now;
+        if now.since(self.counts_reported_at) >= COUNTS_INTERVAL_S {
+            self.counts_reported_at = now;
             let gauges: BTreeMap<String, f64> = gauges
                 .iter()
                 .map(|(name, value)| (name.to_string(), *value))
@@ -102,12 +102,12 @@
 
 /// Controllers whose requests don't arrive because of a network partition, and until when.
 #[derive(Default)]
-pub(crate) struct HeldControllers {
+pub(crate) struct PartitionedControllers {
     until: Vec<Micros>,
 }
 
-impl HeldControllers {
-    pub(crate) fn hold(&mut self, controllers: &[usize], until: Micros) {
+impl PartitionedControllers {
+    pub(crate) fn partition(&mut self, controllers: &[usize], until: Micros) {
         for controller in controllers {
             if self.until.len() <= *controller {
                 self.until.resize(controller + 1, 0);
@@ -116,7 +116,7 @@
         }
     }
 
-    pub(crate) fn is_held(&self, controller: usize, now: Micros) -> bool {
+    pub(crate) fn is_partitioned(&self, controller: usize, now: Micros) -> bool {
         self.until.get(controller).is_some_and(|until| now < *until)
     }
 }
@@ -133,18 +133,18 @@
 }
 
 fn serve() -> Result<(), RoleError> {
-    let mut first = String::new();
-    if io::stdin().read_line(&mut first)? == 0 {
+    let mut plan_line = String::new();
+    if io::stdin().read_line(&mut plan_line)? == 0 {
         return Err(RoleError::NoPlan);
     }
-    let plan: RolePlan = serde_json::from_str(&first)?;
+    let plan: RolePlan = serde_json::from_str(&plan_line)?;
     let running = Arc::new(AtomicBool::new(true));
-    let links = Links {
+    let parent = ParentConnection {
         commands: read_commands(running.clone()),
         records: Recorder::new(),
-        counted: Time::default(),
+        counts_reported_at: Time::default(),
     };
-    run_role(plan, &running, links)
+    run_role(plan, &running, parent)
 }
 
 /// Reads commands on a separate thread; sets `running` to false at the end of the input or at an
@@ -165,11 +165,15 @@
 }
 
 /// Runs one role until `running` is false.
-fn run_role(plan: RolePlan, running: &AtomicBool, links: Links) -> Result<(), RoleError> {
+fn run_role(
+    plan: RolePlan,
+    running: &AtomicBool,
+    parent: ParentConnection,
+) -> Result<(), RoleError> {
     match plan {
         RolePlan::State { addresses, limits } => {
-            run_service(network(&addresses), running, links, |links, _| {
-                state::StateRole::new(&limits, links)
+            run_service(network(&addresses), running, parent, |parent, _| {
+                state::StateRole::new(&limits, parent)
             })
         }
         RolePlan::Cloud {
@@ -179,8 +183,8 @@
             machines,
             zones,
             seed,
-        } => run_service(network(&addresses), running, links, |links, now| {
-            cloud::CloudRole::new((rps, list_lag_s), &machines, zones, seed, now, links)
+        } => run_service(network(&addresses), running, parent, |parent, now| {
+            cloud::CloudRole::new((rps, list_lag_s), &machines, zones, seed, now, parent)
         }),
         RolePlan::Workers {
             controllers,
@@ -196,8 +200,8 @@
                 lease_s,
                 cancel_s,
             };
-            run_service(network(&addresses), running, links, |links, _| {
-                workers::WorkersRole::new(controllers, addresses, settings, workload, real, links)
+            run_service(network(&addresses), running, parent, |parent, _| {
+                workers::WorkersRole::new(controllers, addresses, settings, workload, real, parent)
             })
         }
         RolePlan::Users {
@@ -205,8 +209,8 @@
             workload,
             seconds,
             seed,
-        } => run_service(network(&[]), running, links, |links, now| {
-            users::UsersRole::new(controllers, workload, seconds, seed, now, links)
+        } => run_service(network(&[]), running, parent, |parent, now| {
+            users::UsersRole::new(controllers, workload, seconds, seed, now, parent)
         }),
     }
 }
@@ -214,11 +218,11 @@
 fn run_service<S: Service>(
     network: NetworkConfig,
     running: &AtomicBool,
-    links: Links,
-    make: impl FnOnce(Links, Time) -> S,
+    parent: ParentConnection,
+    make: impl FnOnce(ParentConnection, Time) -> S,
 ) -> Result<(), RoleError> {
-    let records = links.records.clone();
-    let event_loop = EventLoop::new(network, |now| make(links, now))?;
+    let records = parent.records.clone();
+    let event_loop = EventLoop::new(network, |now| make(parent, now))?;
     records.send(&Record::Ready);
     records.flush();
     event_loop.run_while(|| running.load(Ordering::Relaxed))?;
@@ -227,7 +231,7 @@
 
 /// Network configuration of a process that listens on `addresses` and calls only controllers.
 fn network(addresses: &[SocketAddrV4]) -> NetworkConfig {
-    let nowhere = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
+    let unused_address = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
     let listener = |addr: &SocketAddrV4| Listener {
         addr: *addr,
         kind: ListenerKind::Platform,
@@ -237,8 +241,8 @@
         peers: None,
         members: Vec::new(),
         external: ExternalServices {
-            cloud: nowhere,
-            state: nowhere,
+            cloud: unused_address,
+            state: unused_address,
         },
         max_connections: MAX_CONNECTIONS,
     }
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -1,7 +1,7 @@
 //! The users role of a scale run: an open-loop load. Jobs are submitted when they are due, however
 //! slow the service is, and latencies are measured from that time.
 
-use super::Links;
+use super::ParentConnection;
 use crate::scale::flows::FlowCounter;
 use crate::scale::messages::{wall_us, Command, Record, UserEvent};
 use crate::scale::workload::Workload;
@@ -20,26 +20,26 @@
 use std::net::SocketAddrV4;
 
 /// Timeout of a user's request (PROTOCOL), seconds.
-const SUBMIT_WAIT_S: f64 = 5.0;
-const POLL_WAIT_S: f64 = 2.0;
+const SUBMIT_TIMEOUT_S: f64 = 5.0;
+const POLL_TIMEOUT_S: f64 = 2.0;
 /// Delay before a failed request is retried, seconds.
-const RETRY_S: f64 = 1.0;
+const RETRY_DELAY_S: f64 = 1.0;
 /// Time after which a submission or cancellation is no longer retried, seconds.
-const GIVE_UP_S: f64 = 60.0;
-const POLL_S: f64 = 5.0;
+const GIVE_UP_AFTER_S: f64 = 60.0;
+const POLL_INTERVAL_S: f64 = 5.0;
 /// An accepted job counts as forgotten when its user gets no response about it for this long,
 /// seconds.
-const FORGOTTEN_S: f64 = 75.0;
+const FORGOTTEN_AFTER_S: f64 = 75.0;
 /// Number of connections from which users send requests.
-const CALLERS: u64 = 512;
+const CONNECTIONS: u64 = 512;
 /// Number of controllers that the load balancer tries before a connection counts as failed.
-const NODES_TRIED: u32 = 3;
+const MAX_CONNECT_ATTEMPTS: u32 = 3;
 /// A connection that fails sooner than this counts as refused, seconds.
-const REFUSED_S: f64 = 0.5;
+const MAX_REFUSAL_S: f64 = 0.5;
 
 /// Request that is due at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Ask {
+struct ScheduledRequest {
     at: Micros,
     job: u64,
     kind: UserRequest,
@@ -50,8 +50,8 @@
 }
 
 /// The name of a request in records and flows.
-fn name(request: UserRequest) -> &'static str {
-    match request {
+fn request_name(kind: UserRequest) -> &'static str {
+    match kind {
         UserRequest::Submit => "submit",
         UserRequest::Poll => "poll",
         UserRequest::Cancel => "cancel",
@@ -59,27 +59,27 @@
 }
 
 struct InFlight {
-    ask: Ask,
+    request: ScheduledRequest,
     sent: Micros,
 }
 
 pub(super) struct UsersRole {
     controllers: Vec<SocketAddrV4>,
     workload: Workload,
-    began: Micros,
+    started_at: Micros,
     /// No job is due after this.
-    until: Micros,
+    submit_until: Micros,
     next_job: u64,
-    queue: BinaryHeap<Reverse<Ask>>,
+    queue: BinaryHeap<Reverse<ScheduledRequest>>,
     in_flight: BTreeMap<CallId, InFlight>,
     next_call: u64,
-    told: BTreeMap<u64, UserJobView>,
+    job_views: BTreeMap<u64, UserJobView>,
     /// Accepted jobs that have not ended, and when their user last got a response.
-    last_told: BTreeMap<u64, Micros>,
-    open: usize,
+    last_response_at: BTreeMap<u64, Micros>,
+    open_jobs: usize,
     rng: StdRng,
     flows: FlowCounter,
-    links: Links,
+    parent: ParentConnection,
 }
 
 impl UsersRole {
@@ -89,24 +89,24 @@
         seconds: f64,
         seed: u64,
         now: Time,
-        links: Links,
+        parent: ParentConnection,
     ) -> UsersRole {
-        let began = micros(now);
+        let started_at = micros(now);
         UsersRole {
             controllers,
             workload,
-            began,
-            until: began + (seconds * 1e6) as Micros,
+            started_at,
+            submit_until: started_at + (seconds * 1e6) as Micros,
             next_job: 0,
             queue: BinaryHeap::new(),
             in_flight: BTreeMap::new(),
             next_call: 0,
-            told: BTreeMap::new(),
-            last_told: BTreeMap::new(),
-            open: 0,
+            job_views: BTreeMap::new(),
+            last_response_at: BTreeMap::new(),
+            open_jobs: 0,
             rng: StdRng::seed_from_u64(seed),
             flows: FlowCounter::default(),
-            links,
+            parent,
         }
     }
 
@@ -114,22 +114,22 @@
     fn submit_due(&mut self, now: Micros) {
         loop {
             let job = self.workload.job(self.next_job);
-            let due = self.began + (job.due_s * 1e6) as Micros;
-            if due > now || due > self.until {
+            let due = self.started_at + (job.due_s * 1e6) as Micros;
+            if due > now || due > self.submit_until {
                 return;
             }
             let number = self.next_job;
             self.next_job += 1;
-            self.open += 1;
-            self.told.insert(
+            self.open_jobs += 1;
+            self.job_views.insert(
                 number,
                 UserJobView {
                     submitted: true,
                     ..UserJobView::default()
                 },
             );
-            let ask = |at, kind| {
-                Reverse(Ask {
+            let request = |at, kind| {
+                Reverse(ScheduledRequest {
                     at,
                     job: number,
                     kind,
@@ -137,41 +137,49 @@
                     refused: 0,
                 })
             };
-            self.queue.push(ask(due, UserRequest::Submit));
+            self.queue.push(request(due, UserRequest::Submit));
             if let Some(after_s) = job.cancel_s {
-                self.queue
-                    .push(ask(due + (after_s * 1e6) as Micros, UserRequest::Cancel));
+                self.queue.push(request(
+                    due + (after_s * 1e6) as Micros,
+                    UserRequest::Cancel,
+                ));
             }
         }
     }
 
-    fn send(&mut self, now: Micros, ask: Ask, out: &mut Vec<Effect>) {
-        let job = self.workload.job(ask.job);
-        let (method, path, body, timeout_s) = match ask.kind {
+    fn send(&mut self, now: Micros, request: ScheduledRequest, out: &mut Vec<Effect>) {
+        let job = self.workload.job(request.job);
+        let (method, path, body, timeout_s) = match request.kind {
             UserRequest::Submit => (
                 Method::Post,
                 "/api/jobs".into(),
                 wire::encode(&job.body()),
-                SUBMIT_WAIT_S,
+                SUBMIT_TIMEOUT_S,
             ),
             UserRequest::Cancel => {
-                self.note_cancel(ask.job);
+                self.record_cancel(request.job);
                 let path = format!("/api/jobs/{}/cancel", job.id);
-                (Method::Post, path, wire::encode(&json!({})), SUBMIT_WAIT_S)
+                (
+                    Method::Post,
+                    path,
+                    wire::encode(&json!({})),
+                    SUBMIT_TIMEOUT_S,
+                )
             }
             UserRequest::Poll => (
                 Method::Get,
                 format!("/api/jobs/{}", job.id),
                 Vec::new(),
-                POLL_WAIT_S,
+                POLL_TIMEOUT_S,
             ),
         };
         self.next_call += 1;
         let id = CallId(self.next_call);
-        self.in_flight.insert(id, InFlight { ask, sent: now });
+        self.in_flight.insert(id, InFlight { request, sent: now });
         let address = self.controllers[self.rng.gen_range(0..self.controllers.len())];
-        let caller = self.rng.gen_range(0..CALLERS);
-        self.flows.call(name(ask.kind), (method, &path), body.len());
+        let caller = self.rng.gen_range(0..CONNECTIONS);
+        self.flows
+            .request_sent(request_name(request.kind), (method, &path), body.len());
         let destination = Destination::Node { address, caller };
         out.push(Effect::Call {
             id,
@@ -183,133 +191,144 @@
         });
     }
 
-    fn note_cancel(&mut self, job: u64) {
-        let told = self.told.entry(job).or_default();
-        if !told.cancel_requested {
-            told.cancel_requested = true;
+    fn record_cancel(&mut self, job: u64) {
+        let view = self.job_views.entry(job).or_default();
+        if !view.cancel_requested {
+            view.cancel_requested = true;
             self.record(job, UserEvent::CancelSent);
         }
     }
 
     fn record(&self, job: u64, event: UserEvent) {
-        self.links.records.send(&Record::User {
+        self.parent.records.send(&Record::User {
             at: wall_us(),
             job,
             event,
         });
     }
 
-    fn again(&mut self, now: Micros, ask: Ask, after_s: f64, refused: u32) {
-        let too_late = now > ask.due + (GIVE_UP_S * 1e6) as Micros;
-        if ask.kind != UserRequest::Poll && too_late {
-            self.record_answer(now, ask, 0);
+    fn reschedule(&mut self, now: Micros, request: ScheduledRequest, after_s: f64, refused: u32) {
+        let too_late = now > request.due + (GIVE_UP_AFTER_S * 1e6) as Micros;
+        if request.kind != UserRequest::Poll && too_late {
+            self.record_answer(now, request, 0);
             return;
         }
         let at = now + (after_s * 1e6) as Micros;
         // Each poll is a new request, so its latency is measured from its own time.
-        let due = if ask.kind == UserRequest::Poll && refused == 0 {
+        let due = if request.kind == UserRequest::Poll && refused == 0 {
             at
         } else {
-            ask.due
+            request.due
         };
-        self.queue.push(Reverse(Ask {
+        self.queue.push(Reverse(ScheduledRequest {
             at,
             due,
             refused,
-            ..ask
+            ..request
         }));
     }
 
-    fn record_answer(&self, now: Micros, ask: Ask, status: u16) {
-        let ms = now.saturating_sub(ask.due) as f64 / 1e3;
-        let kind = name(ask.kind).to_string();
-        self.links
+    fn record_answer(&self, now: Micros, request: ScheduledRequest, status: u16) {
+        let ms = now.saturating_sub(request.due) as f64 / 1e3;
+        let kind = request_name(request.kind).to_string();
+        self.parent
             .records
             .send(&Record::Answered { kind, ms, status });
     }
 
-    fn on_reply_to(&mut self, now: Micros, id: CallId, result: Option<(u16, Vec<u8>)>) {
-        let Some(InFlight { ask, sent }) = self.in_flight.remove(&id) else {
+    fn handle_reply(&mut self, now: Micros, id: CallId, result: Option<(u16, Vec<u8>)>) {
+        let Some(InFlight { request, sent }) = self.in_flight.remove(&id) else {
             return;
         };
         let Some((status, body)) = result else {
-            let refused = now.saturating_sub(sent) < (REFUSED_S * 1e6) as Micros;
-            return match refused && ask.refused + 1 < NODES_TRIED {
-                true => self.again(now, ask, 0.0, ask.refused + 1),
-                false => self.again(now, ask, self.pause_s(ask.kind), 0),
+            let refused = now.saturating_sub(sent) < (MAX_REFUSAL_S * 1e6) as Micros;
+            return match refused && request.refused + 1 < MAX_CONNECT_ATTEMPTS {
+                true => self.reschedule(now, request, 0.0, request.refused + 1),
+                false => self.reschedule(now, request, self.retry_delay_s(request.kind), 0),
             };
         };
-        self.flows.reply(name(ask.kind), status, body.len());
+        self.flows
+            .response_received(request_name(request.kind), status, body.len());
         let retried = !matches!(status, 200 | 201 | 400 | 404 | 422);
         // A cancellation may arrive before its submission: it is retried.
-        let early = status == 404
-            && ask.kind == UserRequest::Cancel
-            && self.told.get(&ask.job).is_some_and(|t| !t.accepted);
-        if retried || early {
-            return self.again(now, ask, self.pause_s(ask.kind), 0);
+        let before_acceptance = status == 404
+            && request.kind == UserRequest::Cancel
+            && self
+                .job_views
+                .get(&request.job)
+                .is_some_and(|view| !view.accepted);
+        if retried || before_acceptance {
+            return self.reschedule(now, request, self.retry_delay_s(request.kind), 0);
         }
-        self.record_answer(now, ask, status);
-        self.on_final_answer(now, sent, ask, status, &body);
+        self.record_answer(now, request, status);
+        self.on_final_answer(now, sent, request, status, &body);
     }
 
-    /// Reports accepted jobs whose user got no response for [`FORGOTTEN_S`] as forgotten.
+    /// Reports accepted jobs whose user got no response for [`FORGOTTEN_AFTER_S`] as forgotten.
     fn check_forgotten(&mut self, now: Micros) {
-        let late = (FORGOTTEN_S * 1e6) as Micros;
+        let limit = (FORGOTTEN_AFTER_S * 1e6) as Micros;
         let forgotten: Vec<u64> = self
-            .last_told
+            .last_response_at
             .iter()
-            .filter(|(_, at)| now > **at + late)
+            .filter(|(_, at)| now > **at + limit)
             .map(|(job, _)| *job)
             .collect();
         for job in forgotten {
-            self.last_told.remove(&job);
+            self.last_response_at.remove(&job);
             self.record(job, UserEvent::RuleViolation("forgotten".into()));
         }
     }
 
-    fn pause_s(&self, kind: UserRequest) -> f64 {
+    fn retry_delay_s(&self, kind: UserRequest) -> f64 {
         if kind == UserRequest::Poll {
-            POLL_S
+            POLL_INTERVAL_S
         } else {
-            RETRY_S
+            RETRY_DELAY_S
         }
     }
 
-    fn on_final_answer(&mut self, now: Micros, sent: Micros, ask: Ask, status: u16, body: &[u8]) {
+    fn on_final_answer(
+        &mut self,
+        now: Micros,
+        sent: Micros,
+        request: ScheduledRequest,
+        status: u16,
+        body: &[u8],
+    ) {
         let value = decode(body);
         let state = value["status"].as_str().unwrap_or("");
-        let Some(told) = self.told.get_mut(&ask.job) else {
+        let Some(view) = self.job_views.get_mut(&request.job) else {
             return;
         };
-        let before = (told.accepted, told.over, told.done);
+        let before = (view.accepted, view.over, view.done);
         // The checker verifies that all tasks have ended, from the records of the machines.
         let Assessment {
-            violations: broken,
-            follow_up: next,
-        } = told.on_answer(&UserAnswer {
+            violations,
+            follow_up,
+        } = view.on_answer(&UserAnswer {
             asked: sent,
             received: now,
-            request: ask.kind,
+            request: request.kind,
             status,
             state,
             complete: true,
         });
-        let after = (told.accepted, told.over, told.done);
-        for rule in broken {
-            self.record(ask.job, UserEvent::RuleViolation(rule.to_string()));
+        let after = (view.accepted, view.over, view.done);
+        for rule in violations {
+            self.record(request.job, UserEvent::RuleViolation(rule.to_string()));
         }
         if after.0 && after.1.is_none() {
-            self.last_told.insert(ask.job, now);
+            self.last_response_at.insert(request.job, now);
         } else {
-            self.last_told.remove(&ask.job);
+            self.last_response_at.remove(&request.job);
         }
         if after.0 && !before.0 {
-            self.record(ask.job, UserEvent::Accepted);
+            self.record(request.job, UserEvent::Accepted);
         }
         if after.1.is_some() && before.1.is_none() {
-            self.open = self.open.saturating_sub(1);
+            self.open_jobs = self.open_jobs.saturating_sub(1);
             self.record(
-                ask.job,
+                request.job,
                 if after.2 {
                     UserEvent::Done
                 } else {
@@ -317,13 +336,13 @@
                 },
             );
         }
-        match next {
-            Some(FollowUp::Retry(after_s)) => self.again(now, ask, after_s, 0),
+        match follow_up {
+            Some(FollowUp::Retry(after_s)) => self.reschedule(now, request, after_s, 0),
             Some(FollowUp::Poll(after_s)) => {
                 let at = now + (after_s * 1e6) as Micros;
-                let poll = Ask {
+                let poll = ScheduledRequest {
                     at,
-                    job: ask.job,
+                    job: request.job,
                     kind: UserRequest::Poll,
                     due: at,
                     refused: 0,
@@ -355,28 +374,32 @@
         result: Option<(u16, Vec<u8>)>,
         _out: &mut Vec<Effect>,
     ) {
-        self.on_reply_to(micros(now), id, result);
+        self.handle_reply(micros(now), id, result);
     }
 
     fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
         let us = micros(now);
-        while let Some(command) = self.links.command() {
+        while let Some(command) = self.parent.next_command() {
             if matches!(command, Command::StopSubmitting) {
-                self.until = self.until.min(us);
+                self.submit_until = self.submit_until.min(us);
             }
         }
         self.submit_due(us);
         self.check_forgotten(us);
-        while self.queue.peek().is_some_and(|Reverse(ask)| ask.at <= us) {
-            if let Some(Reverse(ask)) = self.queue.pop() {
-                self.send(us, ask, out);
+        while self
+            .queue
+            .peek()
+            .is_some_and(|Reverse(request)| request.at <= us)
+        {
+            if let Some(Reverse(request)) = self.queue.pop() {
+                self.send(us, request, out);
             }
         }
         let gauges = [
             ("jobs", self.next_job as f64),
-            ("open", self.open as f64),
+            ("open", self.open_jobs as f64),
             ("flying", self.in_flight.len() as f64),
         ];
-        self.links.report_counts(now, self.flows.flows(), &gauges);
+        self.parent.report_counts(now, self.flows.flows(), &gauges);
     }
 }
--- a/crates/testbed/src/scale/role/workers.rs
+++ b/crates/testbed/src/scale/role/workers.rs
@@ -1,7 +1,7 @@
 //! The workers role of a scale run: a worker pool and the network partitions that affect it.
 
-use super::cloud::{instance_type, SHAPE};
-use super::Links;
+use super::cloud::{instance_type, MACHINE_TYPE};
+use super::ParentConnection;
 use crate::scale::flows::FlowCounter;
 use crate::scale::messages::{wall_us, Command, Record};
 use crate::scale::workload::Workload;
@@ -17,14 +17,14 @@
 use std::net::SocketAddrV4;
 
 /// Network partition between the machines of some zones and some controllers, until a given time.
-struct Cut {
+struct Partition {
     zones: Vec<String>,
     controllers: Vec<SocketAddrV4>,
     until: Micros,
 }
 
 /// Report in flight: its machine and the controller that it was sent to.
-struct Report {
+struct PendingReport {
     machine: u64,
     to: SocketAddrV4,
 }
@@ -34,18 +34,18 @@
     controllers: Vec<SocketAddrV4>,
     addresses: Vec<SocketAddrV4>,
     /// Machine at each of `addresses`, by index; `None` if the address is free.
-    places: Vec<Option<u64>>,
+    machine_by_address: Vec<Option<u64>>,
     zones: BTreeMap<u64, String>,
     /// The controller that last answered the machine's report with status 200.
     served_by: BTreeMap<u64, SocketAddrV4>,
-    reports: BTreeMap<CallId, Report>,
+    reports: BTreeMap<CallId, PendingReport>,
     /// Reports lost in a network partition, and when each times out.
-    lost: VecDeque<(Micros, CallId)>,
-    cuts: Vec<Cut>,
+    lost_reports: VecDeque<(Micros, CallId)>,
+    partitions: Vec<Partition>,
     workload: Workload,
     real: bool,
     flows: FlowCounter,
-    links: Links,
+    parent: ParentConnection,
 }
 
 impl WorkersRole {
@@ -55,13 +55,13 @@
         settings: settings::WorkerTimings,
         workload: Workload,
         real: bool,
-        links: Links,
+        parent: ParentConnection,
     ) -> WorkersRole {
-        let records = links.records.clone();
-        let observer = Box::new(move |seen: MachineEvent| {
-            let event = seen.event.transition;
-            let (machine, attempt) = (seen.machine, seen.event.attempt);
-            let task_id = seen.event.task_id;
+        let records = parent.records.clone();
+        let observer = Box::new(move |machine_event: MachineEvent| {
+            let event = machine_event.event.transition;
+            let (machine, attempt) = (machine_event.machine, machine_event.event.attempt);
+            let task_id = machine_event.event.task_id;
             records.send(&Record::Task {
                 at: wall_us(),
                 machine,
@@ -80,25 +80,25 @@
                 observer,
             }),
             controllers,
-            places: vec![None; addresses.len()],
+            machine_by_address: vec![None; addresses.len()],
             addresses,
             zones: BTreeMap::new(),
             served_by: BTreeMap::new(),
             reports: BTreeMap::new(),
-            lost: VecDeque::new(),
-            cuts: Vec::new(),
+            lost_reports: VecDeque::new(),
+            partitions: Vec::new(),
             workload,
             real,
             flows: FlowCounter::default(),
-            links,
+            parent,
         }
     }
 
-    fn is_cut(&self, now: Micros, machine: u64, controller: SocketAddrV4) -> bool {
+    fn is_partitioned(&self, now: Micros, machine: u64, controller: SocketAddrV4) -> bool {
         let Some(zone) = self.zones.get(&machine) else {
             return false;
         };
-        self.cuts
+        self.partitions
             .iter()
             .any(|c| now < c.until && c.zones.contains(zone) && c.controllers.contains(&controller))
     }
@@ -111,10 +111,10 @@
                 spot,
                 cpus,
                 memory_gb,
-                place,
+                address_index,
             } => {
                 let instance = Instance {
-                    machine_type: SHAPE.to_string(),
+                    machine_type: MACHINE_TYPE.to_string(),
                     zone,
                     spot,
                     created: now,
@@ -122,7 +122,7 @@
                     failed_at: None,
                 };
                 let instance_type = instance_type(cpus, memory_gb, 0.0);
-                self.boot(now, machine, (instance, instance_type), place);
+                self.boot(now, machine, (instance, instance_type), address_index);
             }
             Command::Remove { machine } => self.remove(now, machine),
             Command::Reboot { machine } => self.pool.reboot(now, machine),
@@ -132,24 +132,30 @@
                 seconds,
             } => {
                 let addresses = controllers.iter().filter_map(|c| self.controllers.get(*c));
-                let cut = Cut {
+                let partition = Partition {
                     zones,
                     controllers: addresses.copied().collect(),
                     until: now + (seconds * 1e6) as Micros,
                 };
-                self.cuts.retain(|cut| now < cut.until);
-                self.cuts.push(cut);
+                self.partitions.retain(|partition| now < partition.until);
+                self.partitions.push(partition);
             }
             _ => {}
         }
     }
 
-    /// Starts the worker of a machine that is up; it listens on the address at index `place`.
-    fn boot(&mut self, now: Micros, machine: u64, booted: (Instance, InstanceType), place: usize) {
-        let Some(address) = self.addresses.get(place) else {
+    /// Starts the worker of a machine that is up; it listens on the address at `address_index`.
+    fn boot(
+        &mut self,
+        now: Micros,
+        machine: u64,
+        booted: (Instance, InstanceType),
+        address_index: usize,
+    ) {
+        let Some(address) = self.addresses.get(address_index) else {
             return;
         };
-        self.places[place] = Some(machine);
+        self.machine_by_address[address_index] = Some(machine);
         self.zones.insert(machine, booted.0.zone.clone());
         self.pool.add(now, machine, booted, address.to_string());
     }
@@ -158,14 +164,18 @@
         self.pool.remove(now, machine);
         self.zones.remove(&machine);
         self.served_by.remove(&machine);
-        for place in self.places.iter_mut().filter(|p| **p == Some(machine)) {
-            *place = None;
+        for entry in self
+            .machine_by_address
+            .iter_mut()
+            .filter(|m| **m == Some(machine))
+        {
+            *entry = None;
         }
     }
 
-    /// Counts the reports sent since `before`, and drops those to partitioned controllers.
-    fn send(&mut self, now: Micros, before: usize, out: &mut Vec<Effect>) {
-        for call in out.split_off(before) {
+    /// Counts the reports sent since `previous_len`, and drops those to partitioned controllers.
+    fn dispatch_calls(&mut self, now: Micros, previous_len: usize, out: &mut Vec<Effect>) {
+        for call in out.split_off(previous_len) {
             if let Effect::Call {
                 id,
                 destination,
@@ -178,26 +188,27 @@
                 if let Destination::Node { address, caller } = destination {
                     self.reports.insert(
                         *id,
-                        Report {
+                        PendingReport {
                             machine: *caller,
                             to: *address,
                         },
                     );
-                    if self.is_cut(now, *caller, *address) {
-                        self.lost
+                    if self.is_partitioned(now, *caller, *address) {
+                        self.lost_reports
                             .push_back((now + (timeout_s * 1e6) as Micros, *id));
                         continue;
                     }
                 }
-                self.flows.call("report", (*method, path), body.len());
+                self.flows
+                    .request_sent("report", (*method, path), body.len());
             }
             out.push(call);
         }
     }
 
-    fn on_reply_to(&mut self, now: Micros, id: CallId, result: Option<&Response>) {
+    fn handle_reply(&mut self, now: Micros, id: CallId, result: Option<&Response>) {
         if let Some((status, body)) = result {
-            self.flows.reply("report", *status, body.len());
+            self.flows.response_received("report", *status, body.len());
         }
         if let Some(report) = self.reports.remove(&id) {
             if result.is_some_and(|(status, _)| *status == 200) {
@@ -206,7 +217,7 @@
         }
         let (workload, real) = (&self.workload, self.real);
         self.pool
-            .on_reply(now, id, result, &mut |job| workload.plan(job, real));
+            .on_reply(now, id, result, &mut |job| workload.job_plan(job, real));
     }
 }
 
@@ -215,7 +226,7 @@
         &mut self,
         now: Time,
         _wall: WallMs,
-        door: usize,
+        listener: usize,
         id: RequestId,
         request: Request,
         out: &mut Vec<Effect>,
@@ -223,8 +234,8 @@
         let us = micros(now);
         let (method, path) = (request.method, request.path.as_str());
         self.flows
-            .request(id, "command", (method, path), request.body.len());
-        let Some(machine) = self.places.get(door).copied().flatten() else {
+            .request_received(id, "command", (method, path), request.body.len());
+        let Some(machine) = self.machine_by_address.get(listener).copied().flatten() else {
             return refuse(out, id, 404);
         };
         // Only the controller that serves the machine sends commands to it, so a partition from
@@ -232,12 +243,12 @@
         if self
             .served_by
             .get(&machine)
-            .is_some_and(|c| self.is_cut(us, machine, *c))
+            .is_some_and(|c| self.is_partitioned(us, machine, *c))
         {
             return;
         }
         let (status, body) = self.pool.on_request(us, machine, &request);
-        self.flows.answer(id, status, body.len());
+        self.flows.response_sent(id, status, body.len());
         respond(out, id, (status, body));
     }
 
@@ -249,25 +260,28 @@
         result: Option<(u16, Vec<u8>)>,
         _out: &mut Vec<Effect>,
     ) {
-        self.on_reply_to(micros(now), id, result.as_ref());
+        self.handle_reply(micros(now), id, result.as_ref());
     }
 
     fn on_tick(&mut self, now: Time, _wall: WallMs, out: &mut Vec<Effect>) {
         let us = micros(now);
-        while let Some(command) = self.links.command() {
+        while let Some(command) = self.parent.next_command() {
             self.apply_command(us, command);
         }
-        while self.lost.front().is_some_and(|(at, _)| *at <= us) {
-            if let Some((_, id)) = self.lost.pop_front() {
-                self.on_reply_to(us, id, None);
+        while self.lost_reports.front().is_some_and(|(at, _)| *at <= us) {
+            if let Some((_, id)) = self.lost_reports.pop_front() {
+                self.handle_reply(us, id, None);
             }
         }
-        let before = out.len();
+        let previous_len = out.len();
         self.pool.step(us, out);
-        self.send(us, before, out);
+        self.dispatch_calls(us, previous_len, out);
         let workers = self.pool.workers().count();
-        let on_machines: usize = self.pool.workers().map(|(_, w)| w.running().count()).sum();
-        let gauges = [("workers", workers as f64), ("running", on_machines as f64)];
-        self.links.report_counts(now, self.flows.flows(), &gauges);
+        let running_tasks: usize = self.pool.workers().map(|(_, w)| w.running().count()).sum();
+        let gauges = [
+            ("workers", workers as f64),
+            ("running", running_tasks as f64),
+        ];
+        self.parent.report_counts(now, self.flows.flows(), &gauges);
     }
 }
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -31,25 +31,25 @@
 use std::time::{Duration, Instant};
 
 /// Timeout for all processes to listen, and again for all machines to be registered.
-const READY_S: f64 = 30.0;
+const READY_TIMEOUT_S: f64 = 30.0;
 /// Time for machines to be registered with the controllers before the load begins.
 const SETTLE_S: f64 = 4.0;
 /// Time after the load for the last responses and records to arrive.
 const DRAIN_S: f64 = 6.0;
-const LOOK: Duration = Duration::from_millis(20);
-const PROGRESS_S: f64 = 5.0;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const PROGRESS_INTERVAL_S: f64 = 5.0;
 /// Operators' INI that keeps the fleet constant: machines that are idle before the load or
 /// between two jobs are not released.
-const STANDING_FLEET: &str = "[fleet]\nidle_s = 86400\n";
+const FIXED_FLEET_INI: &str = "[fleet]\nidle_s = 86400\n";
 /// Operators' INI with a request limit for operators who poll often whether their changes are
 /// in force.
-const OPERATORS: &str = "rps = 500\n";
-const CONFIGURATION: &str = "[configuration]\non = yes\n";
+const REQUEST_LIMIT_INI: &str = "rps = 500\n";
+const CONFIGURATION_INI: &str = "[configuration]\non = yes\n";
 /// The load has built up after this many mean run times, plus [`BUILD_UP_S`].
-const BUILD_UP_RUNS: f64 = 1.3;
+const BUILD_UP_RUN_TIMES: f64 = 1.3;
 const BUILD_UP_S: f64 = 3.0;
 /// Smallest fraction of the load's duration that the steady phase takes.
-const STEADY_PART: f64 = 0.4;
+const MIN_STEADY_FRACTION: f64 = 0.4;
 
 /// Parameters of a run.
 pub(super) struct RunPlan {
@@ -61,11 +61,11 @@
 }
 
 /// Results of a run: its figures, and its time series in seconds since the load began.
-pub(super) struct Played {
+pub(super) struct RunResult {
     pub figures: Figures,
     pub starts: Vec<(f64, f64)>,
     pub urgent: Vec<(f64, f64)>,
-    pub marks: Vec<(f64, String)>,
+    pub fault_marks: Vec<(f64, String)>,
 }
 
 /// Action that ends a fault, run at a scheduled time.
@@ -86,7 +86,7 @@
     checker: Checker,
     measurement: Measurement,
     /// Indexes of the free addresses of each worker process.
-    free_places: Vec<BTreeSet<usize>>,
+    free_addresses: Vec<BTreeSet<usize>>,
     /// Address index and zone of each machine that is up.
     machines: BTreeMap<u64, (usize, String)>,
     leader: Option<usize>,
@@ -94,18 +94,18 @@
     rng: StdRng,
     seed: u64,
     configuration: ConfigurationFigures,
-    began: Instant,
-    exited: u64,
+    load_started_at: Instant,
+    unexpected_exits: u64,
     lead_changes: u64,
-    marks: Vec<(f64, String)>,
+    fault_marks: Vec<(f64, String)>,
     stop: Arc<AtomicBool>,
     /// Deleted with all its files when the run is dropped.
     _folder: Folder,
 }
 
 /// Checks that this computer can carry the run. The error says what to change if it cannot.
-fn check_machine(layout: &Layout) -> Result<(), TestbedError> {
-    let needed = layout.connections().max(MAX_CONNECTIONS) as u64 + 200;
+fn check_host_limits(layout: &Layout) -> Result<(), TestbedError> {
+    let needed = layout.max_connections().max(MAX_CONNECTIONS) as u64 + 200;
     if usage::file_limit().is_some_and(|limit| limit < needed) {
         return Err(TestbedError::Other(format!(
             "the open file limit is {}, and the run needs {needed}: \
@@ -119,7 +119,7 @@
             "the run needs {processes} processes; the limit is {MAX_PROCESSES}"
         )));
     }
-    match layout.taken() {
+    match layout.address_in_use() {
         Some(address) => Err(TestbedError::Other(format!(
             "{address} is already in use by another program"
         ))),
@@ -128,19 +128,19 @@
 }
 
 /// Executes one run.
-pub(super) fn play(
+pub(super) fn execute(
     context: &TestContext,
     plan: RunPlan,
     stop: &Arc<AtomicBool>,
-) -> Result<Played, TestbedError> {
+) -> Result<RunResult, TestbedError> {
     plan.size
-        .check()
+        .validate()
         .map_err(|e| TestbedError::Other(e.to_string()))?;
     let layout = Layout::new(plan.size.clone(), plan.base_port, plan.real_workers);
-    check_machine(&layout)?;
+    check_host_limits(&layout)?;
     let mut run = Run::start(context, plan, layout, stop.clone())?;
     run.wait_until_ready()?;
-    run.play_load()?;
+    run.run_load()?;
     run.finish()
 }
 
@@ -161,9 +161,9 @@
             roles.insert(id, RoleChild::start(id, &role, sender.clone())?);
         }
         let controllers = write_controllers(context, &plan, &layout, &deployment, &folder)?;
-        let team_limit = deployment.teams.first().map_or(0.0, |t| t.cpus_max);
-        let checker = Checker::new(workload, team_limit, plan.size.platform.cancel_s);
-        let free_places = (0..layout.worker_processes())
+        let team_cpu_limit = deployment.teams.first().map_or(0.0, |t| t.cpus_max);
+        let checker = Checker::new(workload, team_cpu_limit, plan.size.platform.cancel_s);
+        let free_addresses = (0..layout.worker_processes())
             .map(|p| (0..layout.worker_addresses(p).len()).collect())
             .collect();
         Ok(Run {
@@ -179,14 +179,14 @@
             sender,
             records,
             checker,
-            free_places,
+            free_addresses,
             machines: BTreeMap::new(),
             leader: None,
             schedule: Vec::new(),
-            began: Instant::now(),
-            exited: 0,
+            load_started_at: Instant::now(),
+            unexpected_exits: 0,
             lead_changes: 0,
-            marks: Vec::new(),
+            fault_marks: Vec::new(),
             stop,
             _folder: folder,
         })
@@ -195,36 +195,36 @@
     /// Waits until all processes listen, starts the controllers, and waits until there is a
     /// leader and all machines are up.
     fn wait_until_ready(&mut self) -> Result<(), TestbedError> {
-        let until = Instant::now() + Duration::from_secs_f64(READY_S);
+        let deadline = Instant::now() + Duration::from_secs_f64(READY_TIMEOUT_S);
         let mut ready = BTreeSet::new();
         while ready.len() < self.roles.len() {
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 let missing = self.roles.keys().find(|id| !ready.contains(*id));
                 let name = missing.map_or(String::new(), |id| id.name());
                 return Err(TestbedError::Other(format!(
-                    "process \"{name}\" did not listen within {READY_S} s"
+                    "process \"{name}\" did not listen within {READY_TIMEOUT_S} s"
                 )));
             }
             self.check_running()?;
-            if let Ok((id, record)) = self.records.recv_timeout(LOOK) {
+            if let Ok((id, record)) = self.records.recv_timeout(POLL_INTERVAL) {
                 match record {
                     Record::Ready => {
                         ready.insert(id);
                     }
-                    other => self.take(id, other),
+                    other => self.handle_record(id, other),
                 }
             }
         }
         for node in 0..self.plan.size.controllers {
             self.controllers.start(node)?;
         }
-        let until = Instant::now() + Duration::from_secs_f64(READY_S);
+        let deadline = Instant::now() + Duration::from_secs_f64(READY_TIMEOUT_S);
         while self.leader.is_none() || self.machines.len() < self.plan.size.workers {
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 let log = std::fs::read_to_string(self.controllers.log_of(0)).unwrap_or_default();
                 let end: Vec<&str> = log.lines().rev().take(5).collect();
                 return Err(TestbedError::Other(format!(
-                    "no leader, or machines still missing, after {READY_S} s; \
+                    "no leader, or machines still missing, after {READY_TIMEOUT_S} s; \
                      last log lines of the first controller, newest first: {end:?}"
                 )));
             }
@@ -237,11 +237,11 @@
         if self.stop.load(Ordering::Relaxed) {
             return Err(TestbedError::Other("interrupted by a signal".into()));
         }
-        let ended = self
+        let exited = self
             .roles
             .values_mut()
-            .find_map(|r| r.has_ended().then(|| r.id.name()));
-        match ended {
+            .find_map(|r| r.has_exited().then(|| r.id.name()));
+        match exited {
             Some(name) => Err(TestbedError::Other(format!(
                 "process \"{name}\" exited unexpectedly"
             ))),
@@ -250,8 +250,8 @@
     }
 
     fn run_for(&mut self, seconds: f64) -> Result<(), TestbedError> {
-        let until = Instant::now() + Duration::from_secs_f64(seconds);
-        while Instant::now() < until {
+        let deadline = Instant::now() + Duration::from_secs_f64(seconds);
+        while Instant::now() < deadline {
             self.poll()?;
         }
         Ok(())
@@ -260,10 +260,10 @@
     /// Handles records for one poll interval, then runs the scheduled actions that are due.
     fn poll(&mut self) -> Result<(), TestbedError> {
         self.check_running()?;
-        let until = Instant::now() + LOOK;
-        while let Some(left) = until.checked_duration_since(Instant::now()) {
+        let deadline = Instant::now() + POLL_INTERVAL;
+        while let Some(left) = deadline.checked_duration_since(Instant::now()) {
             match self.records.recv_timeout(left) {
-                Ok((id, record)) => self.take(id, record),
+                Ok((id, record)) => self.handle_record(id, record),
                 Err(_) => break,
             }
         }
@@ -272,12 +272,12 @@
             .filter(|i| self.schedule[*i].0 <= Instant::now())
             .collect();
         for i in due {
-            let (_, schedule) = self.schedule.swap_remove(i);
-            self.run_scheduled(schedule)?;
+            let (_, action) = self.schedule.swap_remove(i);
+            self.run_scheduled(action)?;
         }
         let exited = self.controllers.reap_exited();
         for node in exited {
-            self.exited += 1;
+            self.unexpected_exits += 1;
             self.controllers.start(node)?;
         }
         self.checker.check_until(wall_us());
@@ -295,8 +295,8 @@
         else {
             return Ok(());
         };
-        let half = usage::machine_memory_mb() / 2.0;
-        if memory_mb > half {
+        let memory_limit_mb = usage::machine_memory_mb() / 2.0;
+        if memory_mb > memory_limit_mb {
             return Err(TestbedError::Other(format!(
                 "the run uses {memory_mb:.0} MB, more than half of this computer's memory: \
                  use fewer workers"
@@ -305,30 +305,32 @@
         Ok(())
     }
 
-    fn tell(&mut self, id: RoleId, command: &Command) {
+    fn send_command(&mut self, id: RoleId, command: &Command) {
         if let Some(role) = self.roles.get_mut(&id) {
-            role.tell(command);
+            role.send(command);
         }
     }
 
-    fn take(&mut self, id: RoleId, record: Record) {
+    fn handle_record(&mut self, id: RoleId, record: Record) {
         match record {
-            Record::Task { .. } | Record::User { .. } => self.checker.take(record),
-            Record::Counts { flows, gauges } => self.measurement.counts(id, flows, gauges),
-            Record::Answered { kind, ms, status } => self.measurement.answered(&kind, ms, status),
-            Record::LeaderChanged { label, .. } => self.lead(label),
+            Record::Task { .. } | Record::User { .. } => self.checker.add_record(record),
+            Record::Counts { flows, gauges } => self.measurement.set_counts(id, flows, gauges),
+            Record::Answered { kind, ms, status } => {
+                self.measurement.add_response(&kind, ms, status)
+            }
+            Record::LeaderChanged { label, .. } => self.set_leader(label),
             Record::Booted {
                 machine,
                 zone,
                 spot,
-            } => self.boot(machine, zone, spot),
-            Record::Gone { machine } => self.remove(machine),
-            Record::ProtocolViolation { what } => self.measurement.abused(what),
+            } => self.on_machine_booted(machine, zone, spot),
+            Record::Released { machine } => self.on_machine_released(machine),
+            Record::ProtocolViolation { what } => self.measurement.add_protocol_violation(what),
             Record::Ready => {}
         }
     }
 
-    fn lead(&mut self, label: Option<String>) {
+    fn set_leader(&mut self, label: Option<String>) {
         let Some(label) = label else { return };
         let node = label
             .bytes()
@@ -337,49 +339,49 @@
         if node != self.leader {
             self.lead_changes += u64::from(self.leader.is_some());
             self.leader = node;
-            let at = self.began.elapsed().as_secs_f64();
-            eprintln!("{at:6.1} s  controller {label} is the leader");
+            let elapsed_s = self.load_started_at.elapsed().as_secs_f64();
+            eprintln!("{elapsed_s:6.1} s  controller {label} is the leader");
         }
     }
 
-    fn boot(&mut self, machine: u64, zone: String, spot: bool) {
+    fn on_machine_booted(&mut self, machine: u64, zone: String, spot: bool) {
         let process = self.layout.process_of(machine);
-        let Some(place) = self.free_places[process].pop_first() else {
+        let Some(address_index) = self.free_addresses[process].pop_first() else {
             return;
         };
-        self.machines.insert(machine, (place, zone.clone()));
-        let address = self.layout.worker_address(process, place);
-        self.tell(RoleId::Cloud, &Command::Endpoint { machine, address });
+        self.machines.insert(machine, (address_index, zone.clone()));
+        let address = self.layout.worker_address(process, address_index);
+        self.send_command(RoleId::Cloud, &Command::Endpoint { machine, address });
         let (cpus, memory_gb) = (
             self.plan.size.machine.cpus,
             self.plan.size.machine.memory_gb,
         );
-        let boot = Command::Boot {
+        let command = Command::Boot {
             machine,
             zone,
             spot,
             cpus,
             memory_gb,
-            place,
+            address_index,
         };
-        self.tell(RoleId::Workers(process), &boot);
+        self.send_command(RoleId::Workers(process), &command);
     }
 
-    fn remove(&mut self, machine: u64) {
-        let Some((place, _)) = self.machines.remove(&machine) else {
+    fn on_machine_released(&mut self, machine: u64) {
+        let Some((address_index, _)) = self.machines.remove(&machine) else {
             return;
         };
         let process = self.layout.process_of(machine);
-        self.free_places[process].insert(place);
-        self.tell(RoleId::Workers(process), &Command::Remove { machine });
+        self.free_addresses[process].insert(address_index);
+        self.send_command(RoleId::Workers(process), &Command::Remove { machine });
     }
 
     /// Runs the load, and injects each fault when it is due.
-    fn play_load(&mut self) -> Result<(), TestbedError> {
+    fn run_load(&mut self) -> Result<(), TestbedError> {
         let (id, role) = users_plan(&self.plan, &self.layout, self.checker.workload());
         let users = RoleChild::start(id, &role, self.sender.clone())?;
         self.roles.insert(id, users);
-        self.began = Instant::now();
+        self.load_started_at = Instant::now();
         let admin_listeners: Vec<_> = self
             .layout
             .deployment()
@@ -392,50 +394,51 @@
             _ => Some(Operators::start(&admin_listeners, self.seed)?),
         };
         let seconds = self.plan.seconds;
-        let build_up = (self.plan.size.run_s() * BUILD_UP_RUNS + BUILD_UP_S)
-            .min(seconds * (1.0 - STEADY_PART));
+        let build_up_s = (self.plan.size.run_s() * BUILD_UP_RUN_TIMES + BUILD_UP_S)
+            .min(seconds * (1.0 - MIN_STEADY_FRACTION));
         let mut faults = std::mem::take(&mut self.plan.faults);
         faults.sort_by(|a, b| b.at_s.total_cmp(&a.at_s));
-        let mut progress = 0.0;
+        let mut next_progress_s = 0.0;
         loop {
             self.poll()?;
-            let at = self.began.elapsed().as_secs_f64();
-            if at >= build_up && !self.measurement.is_steady() {
+            let elapsed_s = self.load_started_at.elapsed().as_secs_f64();
+            if elapsed_s >= build_up_s && !self.measurement.has_reached_steady_phase() {
                 self.measurement
-                    .begin_steady(self.checker.counts.tasks_started);
+                    .begin_steady_phase(self.checker.counts.tasks_started);
             }
-            while faults.last().is_some_and(|f| f.at_s <= at) {
+            while faults.last().is_some_and(|f| f.at_s <= elapsed_s) {
                 if let Some(fault) = faults.pop() {
-                    self.inject(at, fault.kind);
+                    self.inject(elapsed_s, fault.kind);
                 }
             }
-            if at >= progress {
-                progress = at + PROGRESS_S;
-                self.print_progress(at);
+            if elapsed_s >= next_progress_s {
+                next_progress_s = elapsed_s + PROGRESS_INTERVAL_S;
+                self.print_progress(elapsed_s);
             }
-            if at >= seconds {
+            if elapsed_s >= seconds {
                 break;
             }
         }
         self.measurement
-            .end_steady(self.checker.counts.tasks_started);
-        self.tell(RoleId::Users, &Command::StopSubmitting);
+            .end_steady_phase(self.checker.counts.tasks_started);
+        self.send_command(RoleId::Users, &Command::StopSubmitting);
         self.configuration = operators.map(Operators::stop).unwrap_or_default();
         self.run_for(DRAIN_S)
     }
 
-    fn print_progress(&self, at: f64) {
+    fn print_progress(&self, elapsed_s: f64) {
         let counts = self.checker.counts;
         eprintln!(
-            "{at:6.1} s  {} jobs accepted, {} done, {} tasks started, {:.0} running; {} machines{}",
+            "{elapsed_s:6.1} s  {} jobs accepted, {} done, {} tasks started, {:.0} running; \
+             {} machines{}",
             counts.accepted,
             counts.done,
             counts.tasks_started,
             self.measurement.running(),
             self.machines.len(),
-            match self.checker.broken.is_empty() {
+            match self.checker.violations.is_empty() {
                 true => String::new(),
-                false => format!("; rules violated: {:?}", self.checker.broken.keys()),
+                false => format!("; rules violated: {:?}", self.checker.violations.keys()),
             }
         );
     }
@@ -470,16 +473,16 @@
         log_level: "info".into(),
     });
     let changes = if plan.size.config_changes > 0 {
-        CONFIGURATION
+        CONFIGURATION_INI
     } else {
         ""
     };
-    let operator_lines = format!("{OPERATORS}{STANDING_FLEET}{changes}");
-    for (node, place) in deployment.nodes.iter().enumerate() {
+    let operator_lines = format!("{REQUEST_LIMIT_INI}{FIXED_FLEET_INI}{changes}");
+    for (node, node_place) in deployment.nodes.iter().enumerate() {
         controllers.add(&ControllerFiles {
-            label: &place.label,
+            label: &node_place.label,
             settings: &deployment.settings(node, &layout.links(node)),
-            operators: place.operators,
+            operators: node_place.operators,
             operator_lines: &operator_lines,
         })?;
     }
--- a/crates/testbed/src/scale/run/faults.rs
+++ b/crates/testbed/src/scale/run/faults.rs
@@ -10,13 +10,13 @@
 use std::time::{Duration, Instant};
 
 impl Run {
-    fn schedule(&mut self, after_s: f64, what: ScheduledAction) {
+    fn schedule(&mut self, after_s: f64, action: ScheduledAction) {
         self.schedule
-            .push((Instant::now() + Duration::from_secs_f64(after_s), what));
+            .push((Instant::now() + Duration::from_secs_f64(after_s), action));
     }
 
-    pub(super) fn run_scheduled(&mut self, schedule: ScheduledAction) -> Result<(), TestbedError> {
-        match schedule {
+    pub(super) fn run_scheduled(&mut self, action: ScheduledAction) -> Result<(), TestbedError> {
+        match action {
             ScheduledAction::StartController(node) => self.controllers.start(node)?,
             ScheduledAction::Resume(node) => self.controllers.pause(node, false),
             ScheduledAction::RestoreLinks(links) => {
@@ -28,91 +28,94 @@
         Ok(())
     }
 
-    /// Injects a fault now; `at` is the time since the load began, seconds.
-    pub(super) fn inject(&mut self, at: f64, kind: FaultKind) {
-        eprintln!("{at:6.1} s  fault: {kind}");
-        self.marks.push((at, kind.to_string()));
+    /// Injects a fault now; `elapsed_s` is the time since the load began, seconds.
+    pub(super) fn inject(&mut self, elapsed_s: f64, kind: FaultKind) {
+        eprintln!("{elapsed_s:6.1} s  fault: {kind}");
+        self.fault_marks.push((elapsed_s, kind.to_string()));
         match kind {
-            FaultKind::MachineFails => self.fail_machines(1, None),
-            FaultKind::RackFails => {
-                let zone = self.any_zone();
-                self.fail_machines(faults::RACK, Some(&zone));
+            FaultKind::MachineFailure => self.fail_machines(1, None),
+            FaultKind::RackFailure => {
+                let zone = self.random_zone();
+                self.fail_machines(faults::MACHINES_PER_RACK, Some(&zone));
             }
-            FaultKind::MachineRestarts => {
+            FaultKind::MachineRestart => {
                 let machines: Vec<u64> = self.machines.keys().copied().collect();
                 if let Some(machine) = machines.choose(&mut self.rng).copied() {
                     let process = self.layout.process_of(machine);
-                    self.tell(RoleId::Workers(process), &Command::Reboot { machine });
+                    self.send_command(RoleId::Workers(process), &Command::Reboot { machine });
                 }
             }
-            FaultKind::ZoneCut => self.cut_zone(),
-            FaultKind::RegionsApart => self.cut_regions(),
+            FaultKind::ZonePartition => self.partition_zone(),
+            FaultKind::RegionPartition => self.partition_regions(),
             FaultKind::LeaderKilled => {
                 if let Some(leader) = self.leader {
                     self.controllers.kill(leader);
-                    self.schedule(faults::RESTART_S, ScheduledAction::StartController(leader));
+                    self.schedule(
+                        faults::RESTART_DELAY_S,
+                        ScheduledAction::StartController(leader),
+                    );
                 }
             }
-            FaultKind::LeaderStopped => {
+            FaultKind::LeaderPaused => {
                 if let Some(leader) = self.leader {
                     self.controllers.pause(leader, true);
-                    self.schedule(faults::STOPPED_S, ScheduledAction::Resume(leader));
+                    self.schedule(faults::LEADER_PAUSE_S, ScheduledAction::Resume(leader));
                 }
             }
-            FaultKind::StateSlow => {
-                let (delay_s, seconds) = (faults::STATE_DELAY_S, faults::STATE_S);
-                self.tell(RoleId::State, &Command::Slow { delay_s, seconds });
+            FaultKind::StoreSlow => {
+                let (delay_s, seconds) = (faults::STORE_DELAY_S, faults::STORE_FAULT_S);
+                self.send_command(RoleId::State, &Command::Slow { delay_s, seconds });
             }
-            FaultKind::StateRefuses => {
-                self.tell(
+            FaultKind::StoreRefusing => {
+                self.send_command(
                     RoleId::State,
                     &Command::Refuse {
-                        seconds: faults::STATE_S,
+                        seconds: faults::STORE_FAULT_S,
                     },
                 );
             }
         }
     }
 
-    fn any_zone(&mut self) -> String {
+    fn random_zone(&mut self) -> String {
         let zone = self.rng.gen_range(0..self.plan.size.zones);
         self.plan.size.zone_name(zone)
     }
 
     /// Makes random machines fail, in one zone or in any; the cloud lists them as failed later.
     fn fail_machines(&mut self, count: usize, zone: Option<&str>) {
-        let there = self
+        let candidates = self
             .machines
             .iter()
             .filter(|(_, (_, z))| zone.is_none_or(|zone| zone == z));
-        let mut machines: Vec<u64> = there.map(|(machine, _)| *machine).collect();
+        let mut machines: Vec<u64> = candidates.map(|(machine, _)| *machine).collect();
         machines.shuffle(&mut self.rng);
         for machine in machines.into_iter().take(count) {
             let process = self.layout.process_of(machine);
-            self.tell(RoleId::Workers(process), &Command::Remove { machine });
-            self.tell(RoleId::Cloud, &Command::Failed { machine });
+            self.send_command(RoleId::Workers(process), &Command::Remove { machine });
+            self.send_command(RoleId::Cloud, &Command::Failed { machine });
         }
     }
 
     /// Partitions a zone, with its workers and controllers, from everything outside it.
-    fn cut_zone(&mut self) {
+    fn partition_zone(&mut self) {
         let zone = self.rng.gen_range(0..self.plan.size.zones);
         let all: Vec<usize> = (0..self.plan.size.controllers).collect();
         let (inside, outside): (Vec<usize>, Vec<usize>) = all
             .into_iter()
             .partition(|node| self.layout.zone_of_controller(*node) == zone);
         let name = self.plan.size.zone_name(zone);
-        let (within, without): (Vec<String>, Vec<String>) =
+        let (inside_zones, outside_zones): (Vec<String>, Vec<String>) =
             self.layout.zones().into_iter().partition(|z| *z == name);
-        self.cut(&inside, &outside, within, without);
+        self.partition_sides(&inside, &outside, inside_zones, outside_zones);
         // The key-value store and the cloud are in no zone: the partitioned controllers can't
         // reach them.
-        self.hold_controllers(inside);
+        self.partition_controllers(inside);
     }
 
     /// Partitions two regions from each other. The key-value store and the cloud are in the first
     /// region.
-    fn cut_regions(&mut self) {
+    fn partition_regions(&mut self) {
         let regions = self.plan.size.regions;
         if regions < 2 {
             return;
@@ -122,22 +125,24 @@
         let (a, b) = (first.min(second), first.max(second));
         let inside = self.layout.controllers_in_region(a);
         let outside = self.layout.controllers_in_region(b);
-        let (within, without) = (
+        let (inside_zones, outside_zones) = (
             self.layout.zones_in_region(a),
             self.layout.zones_in_region(b),
         );
-        self.cut(&inside, &outside, within, without);
+        self.partition_sides(&inside, &outside, inside_zones, outside_zones);
         if a == 0 {
-            self.hold_controllers(outside);
+            self.partition_controllers(outside);
         }
     }
 
-    fn cut(
+    /// Partitions two groups of controllers and zones from each other for
+    /// [`faults::PARTITION_S`].
+    fn partition_sides(
         &mut self,
         inside: &[usize],
         outside: &[usize],
-        within: Vec<String>,
-        without: Vec<String>,
+        inside_zones: Vec<String>,
+        outside_zones: Vec<String>,
     ) {
         let links: Vec<(usize, usize)> = inside
             .iter()
@@ -146,9 +151,12 @@
         links
             .iter()
             .for_each(|(a, b)| self.relays.set_cut(*a, *b, true));
-        self.schedule(faults::CUT_S, ScheduledAction::RestoreLinks(links));
-        let seconds = faults::CUT_S;
-        let sides = [(within, outside.to_vec()), (without, inside.to_vec())];
+        self.schedule(faults::PARTITION_S, ScheduledAction::RestoreLinks(links));
+        let seconds = faults::PARTITION_S;
+        let sides = [
+            (inside_zones, outside.to_vec()),
+            (outside_zones, inside.to_vec()),
+        ];
         for (zones, controllers) in sides {
             let command = Command::CutZones {
                 zones,
@@ -156,18 +164,18 @@
                 seconds,
             };
             for process in 0..self.layout.worker_processes() {
-                self.tell(RoleId::Workers(process), &command);
+                self.send_command(RoleId::Workers(process), &command);
             }
         }
     }
 
     /// Partitions controllers from the key-value store and the cloud.
-    fn hold_controllers(&mut self, controllers: Vec<usize>) {
-        let command = Command::HoldControllers {
+    fn partition_controllers(&mut self, controllers: Vec<usize>) {
+        let command = Command::PartitionControllers {
             controllers,
-            seconds: faults::CUT_S,
+            seconds: faults::PARTITION_S,
         };
-        self.tell(RoleId::State, &command);
-        self.tell(RoleId::Cloud, &command);
+        self.send_command(RoleId::State, &command);
+        self.send_command(RoleId::Cloud, &command);
     }
 }
--- a/crates/testbed/src/scale/run/plans.rs
+++ b/crates/testbed/src/scale/run/plans.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddrV4;
 
 /// Machines that can be rented in addition to the initial ones, as a fraction of them.
-const SPARE: f64 = 0.05;
+const SPARE_MACHINE_FRACTION: f64 = 0.05;
 
 /// Plans of the key-value store, the cloud, and all worker processes.
 pub(super) fn role_plans(
@@ -17,26 +17,27 @@
     workload: &Workload,
     seed: u64,
 ) -> Vec<(RoleId, RolePlan)> {
-    let table = &plan.size.platform;
+    let platform = &plan.size.platform;
     let state = RolePlan::State {
         addresses: layout.state_addresses(),
         limits: StateLimits {
-            rps: table.state_rps,
-            write_rps: table.state_write_rps,
-            value_kb: table.value_kb,
-            txn_ops: table.txn_ops as usize,
+            rps: platform.state_rps,
+            write_rps: platform.state_write_rps,
+            value_kb: platform.value_kb,
+            txn_ops: platform.txn_ops as usize,
         },
     };
-    let spare = (plan.size.workers as f64 * SPARE / plan.size.zones as f64).ceil() as u32;
+    let spare =
+        (plan.size.workers as f64 * SPARE_MACHINE_FRACTION / plan.size.zones as f64).ceil() as u32;
     let cloud = RolePlan::Cloud {
         addresses: layout.cloud_addresses(),
-        rps: table.cloud_rps,
-        list_lag_s: table.list_lag_s,
+        rps: platform.cloud_rps,
+        list_lag_s: platform.list_lag_s,
         machines: MachinePlan {
             cpus: plan.size.machine.cpus,
             memory_gb: plan.size.machine.memory_gb,
             boot_s: plan.size.machine.boot_s,
-            owned: layout.owned(),
+            owned: layout.initial_machine_zones(),
             spare,
         },
         zones: layout.zones(),
@@ -47,10 +48,10 @@
             controllers: user_addresses(layout),
             addresses: layout.worker_addresses(process),
             report_s: plan.size.report_s,
-            lease_s: table.lease_s,
-            cancel_s: table.cancel_s,
+            lease_s: platform.lease_s,
+            cancel_s: platform.cancel_s,
             workload: workload.clone(),
-            real: layout.is_real(process),
+            real: layout.runs_processes(process),
         };
         (RoleId::Workers(process), role)
     });
--- a/crates/testbed/src/scale/size.rs
+++ b/crates/testbed/src/scale/size.rs
@@ -23,7 +23,7 @@
     #[error("{0}: {1}")]
     Read(PathBuf, std::io::Error),
     #[error("{0}: {1}")]
-    Form(String, toml::de::Error),
+    Parse(String, toml::de::Error),
     #[error("{field} is {value}: {problem}")]
     Value {
         field: &'static str,
@@ -91,7 +91,7 @@
     pub machine: MachineTable,
 }
 
-fn refuse(field: &'static str, value: impl Display, problem: &'static str) -> SizeError {
+fn invalid(field: &'static str, value: impl Display, problem: &'static str) -> SizeError {
     SizeError::Value {
         field,
         value: value.to_string(),
@@ -102,7 +102,7 @@
 impl Size {
     /// Parses a table. An unknown key is an error that names its line.
     pub(super) fn parse(name: &str, text: &str) -> Result<Size, SizeError> {
-        toml::from_str(text).map_err(|e| SizeError::Form(name.to_string(), e))
+        toml::from_str(text).map_err(|e| SizeError::Parse(name.to_string(), e))
     }
 
     pub(super) fn load(path: &Path) -> Result<Size, SizeError> {
@@ -112,7 +112,7 @@
     }
 
     /// Checks that a run of this size is possible.
-    pub(super) fn check(&self) -> Result<(), SizeError> {
+    pub(super) fn validate(&self) -> Result<(), SizeError> {
         let counts = [
             ("workers", self.workers, MAX_WORKERS),
             ("controllers", self.controllers, MAX_CONTROLLERS),
@@ -120,16 +120,16 @@
             ("regions", self.regions, MAX_CONTROLLERS),
             ("zones", self.zones, self.workers),
         ];
-        for (field, value, most) in counts {
+        for (field, value, max) in counts {
             if value == 0 {
-                return Err(refuse(field, value, "must be at least 1"));
+                return Err(invalid(field, value, "must be at least 1"));
             }
-            if value > most {
-                return Err(refuse(field, value, "exceeds the maximum of the testbed"));
+            if value > max {
+                return Err(invalid(field, value, "above the supported maximum"));
             }
         }
         if self.zones < self.regions {
-            return Err(refuse(
+            return Err(invalid(
                 "zones",
                 self.zones,
                 "must be at least the number of regions",
@@ -147,25 +147,25 @@
         ];
         for (field, value) in positive {
             if !(value.is_finite() && value > 0.0) {
-                return Err(refuse(field, value, "must be above zero"));
+                return Err(invalid(field, value, "must be above zero"));
             }
         }
         if self.starts_per_s > MAX_STARTS_PER_S {
-            return Err(refuse(
+            return Err(invalid(
                 "starts_per_s",
                 self.starts_per_s,
-                "exceeds the maximum of the testbed",
+                "above the supported maximum",
             ));
         }
         if self.running < self.starts_per_s.ceil() as usize {
-            return Err(refuse(
+            return Err(invalid(
                 "running",
                 self.running,
                 "tasks would run for less than a second",
             ));
         }
         if self.task_cpus() < 0.05 {
-            return Err(refuse(
+            return Err(invalid(
                 "running",
                 self.running,
                 "tasks would need less than 0.05 CPUs",
@@ -177,7 +177,7 @@
     /// CPUs of a task such that the running tasks fill seven tenths of the fleet.
     pub(super) fn task_cpus(&self) -> f64 {
         let fleet = self.workers as f64 * self.machine.cpus;
-        (fleet * FILLED / self.running as f64 * 100.0).floor() / 100.0
+        (fleet * FLEET_UTILIZATION / self.running as f64 * 100.0).floor() / 100.0
     }
 
     /// Mean run time of a task, seconds.
@@ -196,7 +196,7 @@
 }
 
 /// Fraction of the fleet's CPUs that the running tasks fill.
-const FILLED: f64 = 0.7;
+const FLEET_UTILIZATION: f64 = 0.7;
 
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/scale/size/tests.rs
+++ b/crates/testbed/src/scale/size/tests.rs
@@ -3,13 +3,13 @@
 type Change = fn(&mut Size);
 
 fn table() -> Size {
-    Size::parse("the operators' table", OPERATORS_TABLE).expect("sound")
+    Size::parse("the operators' table", OPERATORS_TABLE).expect("valid")
 }
 
 #[test]
-fn the_operators_table_is_read_and_sound() {
+fn operators_table_parses_and_is_valid() {
     let size = table();
-    size.check().expect("sound");
+    size.validate().expect("valid");
     assert_eq!((size.workers, size.zones, size.teams), (2_100, 6, 240));
     assert!((size.run_s() - 48.27).abs() < 0.01);
     let zones: Vec<String> = (0..6).map(|z| size.zone_name(z)).collect();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_refused_with_its_line() {
+fn unknown_key_is_rejected_with_its_line() {
     let text = OPERATORS_TABLE.replace("teams = 240", "teams = 240\nteam = 3");
     let error = Size::parse("table.toml", &text)
         .expect_err("refused")
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_cannot_be_played_is_refused_by_its_name() {
+fn impossible_size_is_rejected_with_its_field() {
     let cases: [(&str, Change); 7] = [
         ("workers", |s| s.workers = 0),
         ("workers", |s| s.workers = MAX_WORKERS + 1),
@@ -45,15 +45,15 @@
     for (field, change) in cases {
         let mut size = table();
         change(&mut size);
-        let error = size.check().expect_err(field).to_string();
+        let error = size.validate().expect_err(field).to_string();
         assert!(error.starts_with(field), "{error}");
     }
 }
 
 #[test]
-fn fleets_of_4000_and_8192_and_of_the_most_workers_can_be_played() {
+fn fleets_of_4000_8192_and_max_workers_are_valid() {
     for workers in [4_000, 8_192, MAX_WORKERS] {
         let size = Size { workers, ..table() };
-        size.check().expect("sound");
+        size.validate().expect("valid");
     }
 }
--- a/crates/testbed/src/scale/sweep.rs
+++ b/crates/testbed/src/scale/sweep.rs
@@ -17,7 +17,7 @@
 }
 
 /// Sizes of a sweep as fractions of the full size.
-const PARTS: [f64; 4] = [0.25, 0.5, 0.75, 1.0];
+const FRACTIONS: [f64; 4] = [0.25, 0.5, 0.75, 1.0];
 
 impl Axis {
     pub(super) fn name(self) -> &'static str {
@@ -33,29 +33,32 @@
     /// from the number of running tasks and the rate of task starts. For workers, the number of
     /// running tasks varies too.
     pub(super) fn sizes(self, full: &Size) -> Vec<(f64, Size)> {
-        PARTS.iter().map(|part| self.part(full, *part)).collect()
+        FRACTIONS
+            .iter()
+            .map(|fraction| self.scaled_size(full, *fraction))
+            .collect()
     }
 
-    fn part(self, full: &Size, part: f64) -> (f64, Size) {
+    fn scaled_size(self, full: &Size, fraction: f64) -> (f64, Size) {
         let mut size = full.clone();
-        let of = |n: usize| ((n as f64 * part).round() as usize).max(1);
+        let scale = |n: usize| ((n as f64 * fraction).round() as usize).max(1);
         let x = match self {
             Axis::Workers => {
-                size.workers = of(full.workers);
+                size.workers = scale(full.workers);
                 // Fewer machines have capacity for fewer tasks of the same size.
-                size.running = of(full.running).max(full.starts_per_s.ceil() as usize);
+                size.running = scale(full.running).max(full.starts_per_s.ceil() as usize);
                 size.workers as f64
             }
             Axis::Starts => {
-                size.starts_per_s = full.starts_per_s * part;
+                size.starts_per_s = full.starts_per_s * fraction;
                 size.starts_per_s
             }
             Axis::Running => {
-                size.running = of(full.running).max(full.starts_per_s.ceil() as usize);
+                size.running = scale(full.running).max(full.starts_per_s.ceil() as usize);
                 size.running as f64
             }
             Axis::Teams => {
-                size.teams = of(full.teams);
+                size.teams = scale(full.teams);
                 size.teams as f64
             }
         };
@@ -72,17 +75,17 @@
     pub fit: Option<Fit>,
 }
 
-type Of = fn(&Figures) -> f64;
+type ReadFigure = fn(&Figures) -> f64;
 
-fn core(f: &Figures, role: &str) -> f64 {
+fn core_use(f: &Figures, role: &str) -> f64 {
     f.roles.get(role).map_or(0.0, |r| r.core)
 }
 
-fn memory(f: &Figures, role: &str) -> f64 {
+fn memory_mb(f: &Figures, role: &str) -> f64 {
     f.roles.get(role).map_or(0.0, |r| r.resident_mb)
 }
 
-fn bytes(f: &Figures, role: &str) -> f64 {
+fn bytes_per_s(f: &Figures, role: &str) -> f64 {
     f.flows
         .iter()
         .filter(|(k, _)| k.starts_with(role))
@@ -90,38 +93,44 @@
         .sum()
 }
 
-const SERIES: [(&str, &str, Of); 13] = [
-    ("leader processor", "core", |f| core(f, figures::LEADER)),
-    ("leader memory", "MB", |f| memory(f, figures::LEADER)),
+const SERIES: [(&str, &str, ReadFigure); 13] = [
+    ("leader processor", "core", |f| core_use(f, figures::LEADER)),
+    ("leader memory", "MB", |f| memory_mb(f, figures::LEADER)),
     ("other controller processor", "core", |f| {
-        core(f, figures::FOLLOWER)
+        core_use(f, figures::FOLLOWER)
     }),
     ("other controller memory", "MB", |f| {
-        memory(f, figures::FOLLOWER)
+        memory_mb(f, figures::FOLLOWER)
     }),
     ("state service processor", "core", |f| {
-        core(f, figures::STATE)
+        core_use(f, figures::STATE)
+    }),
+    ("state service memory", "MB", |f| {
+        memory_mb(f, figures::STATE)
     }),
-    ("state service memory", "MB", |f| memory(f, figures::STATE)),
     ("state service requests", "a second", |f| {
         f.state_requests_per_s
     }),
     ("state service changes", "a second", |f| {
         f.state_changes_per_s
     }),
-    ("state service bytes", "B a second", |f| bytes(f, "state ")),
-    ("cloud bytes", "B a second", |f| bytes(f, "cloud ")),
-    ("workers bytes", "B a second", |f| bytes(f, "workers ")),
-    ("users bytes", "B a second", |f| bytes(f, "users ")),
-    ("worker processor", "core", |f| core(f, figures::WORKER)),
+    ("state service bytes", "B a second", |f| {
+        bytes_per_s(f, "state ")
+    }),
+    ("cloud bytes", "B a second", |f| bytes_per_s(f, "cloud ")),
+    ("workers bytes", "B a second", |f| {
+        bytes_per_s(f, "workers ")
+    }),
+    ("users bytes", "B a second", |f| bytes_per_s(f, "users ")),
+    ("worker processor", "core", |f| core_use(f, figures::WORKER)),
 ];
 
 /// Fits a line to each figure.
-pub(super) fn series(points: &[(f64, Figures)]) -> Vec<Series> {
+pub(super) fn fit_series(points: &[(f64, Figures)]) -> Vec<Series> {
     SERIES
         .iter()
-        .map(|(name, unit, of)| {
-            let points: Vec<(f64, f64)> = points.iter().map(|(x, f)| (*x, of(f))).collect();
+        .map(|(name, unit, read)| {
+            let points: Vec<(f64, f64)> = points.iter().map(|(x, f)| (*x, read(f))).collect();
             let fit = least_squares(&points);
             Series {
                 name: name.to_string(),
--- a/crates/testbed/src/scale/usage.rs
+++ b/crates/testbed/src/scale/usage.rs
@@ -18,7 +18,7 @@
 const MB: f64 = 1024.0 * 1024.0;
 
 /// Resource usage of a process; `None` if it can't be read, as after the process has exited.
-pub(super) fn of(pid: u32) -> Option<Usage> {
+pub(super) fn process_usage(pid: u32) -> Option<Usage> {
     let process = Process::new(i32::try_from(pid).ok()?).ok()?;
     let stat = process.stat().ok()?;
     let ticks = procfs::ticks_per_second() as f64;
@@ -40,13 +40,13 @@
 
 /// Processor time of processes between successive samples.
 #[derive(Default)]
-pub(super) struct Meter {
+pub(super) struct CpuMeter {
     last: BTreeMap<u32, f64>,
 }
 
-impl Meter {
+impl CpuMeter {
     /// Processor seconds since the last sample of the process; 0 at its first sample.
-    pub(super) fn spent(&mut self, pid: u32, usage: Usage) -> f64 {
+    pub(super) fn cpu_since_last_sample(&mut self, pid: u32, usage: Usage) -> f64 {
         let before = self.last.insert(pid, usage.cpu_s);
         before.map_or(0.0, |b| (usage.cpu_s - b).max(0.0))
     }
@@ -57,14 +57,14 @@
     use super::*;
 
     #[test]
-    fn this_process_uses_time_and_memory() {
-        let own = of(std::process::id()).expect("there");
-        assert!(own.resident_mb > 0.5, "{own:?}");
-        assert!(machine_memory_mb() > own.resident_mb);
-        assert!(of(u32::MAX).is_none());
-        let mut meter = Meter::default();
+    fn usage_of_this_process_is_measured() {
+        let usage = process_usage(std::process::id()).expect("present");
+        assert!(usage.resident_mb > 0.5, "{usage:?}");
+        assert!(machine_memory_mb() > usage.resident_mb);
+        assert!(process_usage(u32::MAX).is_none());
+        let mut meter = CpuMeter::default();
         assert_eq!(
-            meter.spent(
+            meter.cpu_since_last_sample(
                 1,
                 Usage {
                     cpu_s: 3.0,
@@ -74,7 +74,7 @@
             0.0
         );
         assert_eq!(
-            meter.spent(
+            meter.cpu_since_last_sample(
                 1,
                 Usage {
                     cpu_s: 3.5,
--- a/crates/testbed/src/scale/workload.rs
+++ b/crates/testbed/src/scale/workload.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 
 /// Fraction of task starts that belong to urgent jobs.
-const URGENT_STARTS: f64 = 0.05;
+const URGENT_START_FRACTION: f64 = 0.05;
 /// Fewest and most tasks of an urgent job.
 const URGENT_TASKS: (u32, u32) = (1, 11);
 /// Fewest and most tasks of a bulk job, as fractions of the task starts per second: the number of
@@ -20,7 +20,7 @@
 /// Run times are uniformly distributed between these multiples of the mean.
 const RUN_SPREAD: (f64, f64) = (0.5, 1.5);
 /// Fraction of the jobs that are cancelled.
-const CANCELLED: f64 = 0.02;
+const CANCELLED_FRACTION: f64 = 0.02;
 const IMAGES: u64 = 12;
 const IMAGE_GB: f64 = 0.5;
 /// Memory of a task, GB for each CPU.
@@ -55,7 +55,7 @@
 /// Number of tasks that are due in a time span, and the mean number of running tasks if each
 /// started when it is due.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Offered {
+pub(super) struct OfferedLoad {
     pub tasks: u64,
     pub running: f64,
 }
@@ -70,10 +70,12 @@
         (tasks(BULK_TASKS.0), tasks(BULK_TASKS.1))
     }
 
-    /// Fraction of jobs that must be urgent so that their tasks are [`URGENT_STARTS`] of all.
-    fn urgent_jobs(&self) -> f64 {
+    /// Fraction of jobs that must be urgent so that their tasks are [`URGENT_START_FRACTION`] of
+    /// all tasks.
+    fn urgent_job_fraction(&self) -> f64 {
         let (urgent, bulk) = (mean(URGENT_TASKS), mean(self.bulk_tasks()));
-        URGENT_STARTS * bulk / (urgent - URGENT_STARTS * urgent + URGENT_STARTS * bulk)
+        URGENT_START_FRACTION * bulk
+            / (urgent - URGENT_START_FRACTION * urgent + URGENT_START_FRACTION * bulk)
     }
 
     pub(super) fn new(size: &Size, seed: u64) -> Workload {
@@ -87,15 +89,15 @@
     }
 
     /// Mean time between jobs, seconds.
-    pub(super) fn gap_s(&self) -> f64 {
-        let part = self.urgent_jobs();
+    pub(super) fn job_interval_s(&self) -> f64 {
+        let part = self.urgent_job_fraction();
         let tasks = part * mean(URGENT_TASKS) + (1.0 - part) * mean(self.bulk_tasks());
         tasks / self.starts_per_s
     }
 
     pub(super) fn job(&self, number: u64) -> ScaleJob {
         let mut rng = SmallRng::seed_from_u64(self.seed.rotate_left(32) ^ number);
-        let urgent = rng.gen_bool(self.urgent_jobs());
+        let urgent = rng.gen_bool(self.urgent_job_fraction());
         let (least, most) = if urgent {
             URGENT_TASKS
         } else {
@@ -107,7 +109,7 @@
             self.bulk_run_s()
         };
         let run_s = mean_s * rng.gen_range(RUN_SPREAD.0..RUN_SPREAD.1);
-        let cancelled = rng.gen_bool(CANCELLED);
+        let cancelled = rng.gen_bool(CANCELLED_FRACTION);
         ScaleJob {
             id: format!("job-{number:06}"),
             team: team_name(rng.gen_range(0..self.teams)),
@@ -116,18 +118,18 @@
             cpus: self.task_cpus,
             run_s,
             image: format!("img-{}", rng.gen_range(0..IMAGES)),
-            due_s: self.gap_s() * (number as f64 + rng.gen_range(0.0..1.0)),
+            due_s: self.job_interval_s() * (number as f64 + rng.gen_range(0.0..1.0)),
             cancel_s: cancelled.then(|| rng.gen_range(0.1..run_s)),
         }
     }
 
     /// Load offered in a time span, seconds, without cancelled jobs.
-    pub(super) fn offered(&self, from_s: f64, to_s: f64) -> Offered {
+    pub(super) fn offered(&self, from_s: f64, to_s: f64) -> OfferedLoad {
         // No task runs longer than this, so earlier jobs have ended.
         let longest_s = self.run_s * 2.0 * RUN_SPREAD.1;
-        let first = ((from_s - longest_s) / self.gap_s() - 1.0).max(0.0) as u64;
-        let last = (to_s / self.gap_s() + 1.0).max(0.0) as u64;
-        let mut offered = Offered::default();
+        let first = ((from_s - longest_s) / self.job_interval_s() - 1.0).max(0.0) as u64;
+        let last = (to_s / self.job_interval_s() + 1.0).max(0.0) as u64;
+        let mut offered = OfferedLoad::default();
         for job in (first..=last)
             .map(|n| self.job(n))
             .filter(|job| job.cancel_s.is_none())
@@ -145,11 +147,11 @@
     /// Mean run time of bulk tasks such that the mean over all tasks is `run_s`.
     fn bulk_run_s(&self) -> f64 {
         let urgent_s = URGENT_RUN_S.min(self.run_s);
-        (self.run_s - URGENT_STARTS * urgent_s) / (1.0 - URGENT_STARTS)
+        (self.run_s - URGENT_START_FRACTION * urgent_s) / (1.0 - URGENT_START_FRACTION)
     }
 
     /// The job with this ID as the workers run it; `None` if the ID is not of this workload.
-    pub(super) fn plan(&self, id: &str, real: bool) -> Option<JobPlan> {
+    pub(super) fn job_plan(&self, id: &str, real: bool) -> Option<JobPlan> {
         let job = self.job(id.strip_prefix("job-")?.parse().ok()?);
         let command = real.then(|| format!("exec sleep {:.2}", job.run_s));
         Some(JobPlan {
