--- a/crates/testbed/src/scale/figures.rs
+++ b/crates/testbed/src/scale/figures.rs
@@ -153,11 +153,11 @@
         budget_line(
             "starts a second",
             format!(
-                "{:.0} in the mean, {:.1} were drawn",
+                "mean {:.0}; {:.1} offered",
                 size.starts_per_s, f.offered_per_s
             ),
             format!(
-                "{:.1}; {:.1}% of all were started",
+                "{:.1}; {:.1}% of all offered tasks started",
                 f.starts_per_s,
                 f.kept_up * 1e2
             ),
@@ -165,10 +165,7 @@
         ),
         budget_line(
             "tasks running",
-            format!(
-                "{} in the mean, {:.0} were drawn",
-                size.running, f.offered_running
-            ),
+            format!("mean {}; {:.0} offered", size.running, f.offered_running),
             format!("{:.0}", f.running),
             f.running > 0.0 && f.running >= f.offered_running * MIN_RUNNING_FRACTION,
         ),
@@ -214,7 +211,7 @@
         ),
         budget_line(
             "a worker's traffic",
-            format!("{:.0} KB a second", budget.worker_kb_per_s),
+            format!("{:.0} KB per second", budget.worker_kb_per_s),
             format!("{worker_kb:.2}"),
             worker_kb <= budget.worker_kb_per_s,
         ),
@@ -227,7 +224,7 @@
         "machines set aside",
         size.budget.machines.to_string(),
         format!(
-            "{} controllers; the one that leads uses {:.2} of a core, {:.0} s at most above 0.8",
+            "{} controllers; the leader uses {:.2} of a core, and at least 0.8 for at most {:.0} s",
             size.controllers,
             f.role(LEADER).core,
             f.leader_busy_s
@@ -277,12 +274,12 @@
     budget_line(
         "changes of configuration",
         format!(
-            "{} a day, each in force within {} s",
+            "{} per day, each in force within {} s",
             size.config_changes, size.config_in_force_s
         ),
         format!(
-            "{} made, {:.0} a day at that rate; in force {:.2} s p50, {:.2} s p99, {:.2} s most; \
-             {} not in force",
+            "{} made, {:.0} per day at that rate; \
+             in force after {:.2} s p50, {:.2} s p99, {:.2} s max; {} not in force",
             changes.made,
             changes.a_day,
             in_force.p50 / 1e3,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -38,7 +38,7 @@
 use std::sync::Arc;
 use sweep::{Axis, Series};
 
-/// Upper limit of `--minutes`.
+/// Longest load that `--minutes` accepts.
 const MAX_MINUTES: f64 = 60.0;
 const REAL_WORKERS: usize = 4;
 
@@ -90,7 +90,7 @@
     out: Option<PathBuf>,
 }
 
-/// Reduces a size to a short run with 100 workers, for a first try and for CI.
+/// Reduces a size to a run of some seconds with 100 workers, for a first try and for CI.
 fn reduce_to_quick_run(size: &mut Size) {
     size.workers = 100;
     size.controllers = 3;
@@ -218,14 +218,14 @@
     let plots = [
         (
             "starts.svg",
-            "Starts a second",
+            "Task starts per second",
             "starts",
             &result.starts,
             false,
         ),
         (
             "urgent.svg",
-            "Urgent jobs: from acceptance to the first start",
+            "Urgent jobs: time from acceptance to first start",
             "seconds",
             &result.urgent,
             true,
--- a/crates/testbed/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -52,7 +52,7 @@
         Recorder(Arc::new(Mutex::new(BufWriter::new(io::stdout()))))
     }
 
-    /// Writes a record. Errors are ignored: they mean that the parent is gone, and then the
+    /// Writes a record. Errors are ignored: they mean that the parent has exited, and then the
     /// child's input ends too.
     pub(crate) fn send(&self, record: &Record) {
         let mut out = self.0.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -303,8 +303,8 @@
         let before = (view.accepted, view.over, view.done);
         // The checker verifies that all tasks have ended, from the records of the machines.
         let Assessment {
-            violations,
-            follow_up,
+            violations: rule_violations,
+            follow_up: next_step,
         } = view.on_answer(&UserAnswer {
             asked: sent,
             received: now,
@@ -314,7 +314,7 @@
             complete: true,
         });
         let after = (view.accepted, view.over, view.done);
-        for rule in violations {
+        for rule in rule_violations {
             self.record(request.job, UserEvent::RuleViolation(rule.to_string()));
         }
         if after.0 && after.1.is_none() {
@@ -336,7 +336,7 @@
                 },
             );
         }
-        match follow_up {
+        match next_step {
             Some(FollowUp::Retry(after_s)) => self.reschedule(now, request, after_s, 0),
             Some(FollowUp::Poll(after_s)) => {
                 let at = now + (after_s * 1e6) as Micros;
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -30,7 +30,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Timeout for all processes to listen, and again for all machines to be registered.
+/// Timeout for all processes to listen, and again for a leader and all machines to be up.
 const READY_TIMEOUT_S: f64 = 30.0;
 /// Time for machines to be registered with the controllers before the load begins.
 const SETTLE_S: f64 = 4.0;
