--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -89,7 +89,7 @@
         #[serde(rename = "place")]
         address_index: usize,
     },
-    /// To workers: a machine is lost with all its tasks.
+    /// To workers: a machine is removed with all its tasks.
     Remove { machine: u64 },
     /// To workers: a machine restarts.
     Reboot { machine: u64 },
