--- a/crates/testbed/src/scale/figures.rs
+++ b/crates/testbed/src/scale/figures.rs
@@ -1,13 +1,13 @@
-//! What a scale run measured, by role, and the operators' budgets against it.
+//! Figures that a scale run measures, by role, and their comparison with the operators' budgets.
 
 use super::checker::{JobCounts, RuleViolation};
 use super::size::Size;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Times in milliseconds.
+/// Distribution of times, milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub(super) struct Times {
+pub(super) struct TimeSummary {
     pub count: u64,
     pub p50: f64,
     pub p90: f64,
@@ -15,76 +15,75 @@
     pub most: f64,
 }
 
-/// Processor time, in parts of a core, and memory of one role's processes together.
+/// Total processor time, as a fraction of a core, and memory of one role's processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub(super) struct RoleUse {
+pub(super) struct RoleUsage {
     pub processes: usize,
     pub core: f64,
-    /// The most of any second.
+    /// The highest value of any second.
     pub core_peak: f64,
     pub resident_mb: f64,
 }
 
-/// Messages and bytes a second.
+/// Messages and bytes per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct Rate {
     pub messages_per_s: f64,
     pub bytes_per_s: f64,
 }
 
-/// Changes of configuration in a run.
+/// Configuration changes in a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct ConfigurationFigures {
     pub made: u64,
-    /// Told that another was first, or to come back.
+    /// Changes that failed: another change was first, or the operator was told to retry later.
     pub refused: u64,
-    /// Not in force everywhere when their author gave up.
+    /// Changes that were not in force on all controllers when their operator gave up.
     pub missed: u64,
-    /// At this rate, so many a day.
+    /// Changes per day at the rate of the run.
     pub a_day: f64,
-    /// From the answer until every controller served by it.
-    pub in_force_ms: Times,
+    /// From the response until the change is in force on every controller.
+    pub in_force_ms: TimeSummary,
 }
 
-/// All of one run, over its steady part where nothing else is said.
+/// All figures of one run, over its steady phase unless stated otherwise.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct Figures {
-    /// The steady part, seconds.
+    /// Duration of the steady phase, seconds.
     pub seconds: f64,
     pub workers: usize,
     pub starts_per_s: f64,
-    /// Tasks a second of the jobs that were due then, without cancelled ones.
+    /// Tasks per second of the jobs that were due in the steady phase, without cancelled jobs.
     pub offered_per_s: f64,
-    /// Tasks started in all of the run, a while after the load's end too, as a part of
-    /// those offered in it.
+    /// Tasks started in the whole run, including a short time after the end of the load, as a
+    /// fraction of those offered in it.
     pub kept_up: f64,
-    /// Tasks that would run if each began when it is due.
+    /// Mean number of running tasks if each started when it is due.
     pub offered_running: f64,
     pub running: f64,
-    pub urgent_start_ms: Times,
-    /// Part of the urgent jobs that started within the time that is asked.
+    pub urgent_start_ms: TimeSummary,
+    /// Fraction of the urgent jobs that started within the required time.
     pub urgent_in_time: f64,
-    pub submit_ms: Times,
-    /// By the name of the role: the controller that leads, one of the others, and so on.
-    pub roles: BTreeMap<String, RoleUse>,
-    /// The longest time for which the controller that leads used four fifths of a core,
+    pub submit_ms: TimeSummary,
+    /// Usage by name of the role: the leader, one of the other controllers, and so on.
+    pub roles: BTreeMap<String, RoleUsage>,
+    /// The longest time for which the leader used at least four fifths of a core without a break,
     /// seconds.
     pub leader_busy_s: f64,
-    /// By role, kind and direction.
+    /// Rates of messages by role, kind and direction.
     pub flows: BTreeMap<String, Rate>,
-    /// Gauges that the roles told last.
+    /// Last values of the gauges that the roles reported.
     pub gauges: BTreeMap<String, f64>,
     pub state_changes_per_s: f64,
     pub state_requests_per_s: f64,
     pub lead_changes: u64,
-    /// The longest time without any start, seconds, over all of the run after its first
-    /// start.
+    /// The longest time without a task start, seconds, over the whole run after its first start.
     pub longest_without_start_s: f64,
     pub configuration: ConfigurationFigures,
     pub jobs: JobCounts,
     pub late_starts: u64,
     pub broken: BTreeMap<String, RuleViolation>,
-    /// Controllers that ended by themselves.
+    /// Number of unexpected exits of controllers.
     pub fallen: u64,
     pub processes: usize,
     pub memory_mb: f64,
@@ -93,8 +92,8 @@
 }
 
 impl Figures {
-    /// The figures of a role, by its name.
-    fn role(&self, name: &str) -> RoleUse {
+    /// Usage of a role by name; zero if it was not measured.
+    fn role(&self, name: &str) -> RoleUsage {
         self.roles.get(name).copied().unwrap_or_default()
     }
 }
@@ -107,18 +106,18 @@
 pub(super) const CLOUD: &str = "cloud";
 pub(super) const USERS: &str = "users";
 
-/// Part of the offered starts that have to be made by the end.
-const START_TOLERANCE: f64 = 0.98;
-/// Part of the tasks that have to run at the same time: those that wait do not.
-const RUNNING_TOLERANCE: f64 = 0.9;
-/// Processes that a run may have.
+/// Fraction of the offered task starts that must be made by the end of the run.
+const MIN_STARTED_FRACTION: f64 = 0.98;
+/// Fraction of the offered running tasks that must actually run; waiting tasks don't run.
+const MIN_RUNNING_FRACTION: f64 = 0.9;
+/// Most processes of a run.
 pub(super) const MAX_PROCESSES: usize = 200;
-/// Part of urgent jobs that have to start in time.
-const URGENT_SHARE: f64 = 0.99;
-/// Most of a core that the leader may use for so long, seconds.
-const BUSY_S: f64 = 10.0;
+/// Fraction of urgent jobs that must start in time.
+const MIN_URGENT_IN_TIME_FRACTION: f64 = 0.99;
+/// The leader must not be busy for this long without a break, seconds.
+const MAX_BUSY_S: f64 = 10.0;
 
-/// One line of the operators' table against what was measured.
+/// One budget of the operators' table compared with its measured value.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(super) struct BudgetLine {
     pub name: String,
@@ -127,7 +126,7 @@
     pub holds: bool,
 }
 
-fn line(name: &str, budget: String, measured: String, holds: bool) -> BudgetLine {
+fn budget_line(name: &str, budget: String, measured: String, holds: bool) -> BudgetLine {
     BudgetLine {
         name: name.into(),
         budget,
@@ -136,11 +135,11 @@
     }
 }
 
-/// The operators' table against the figures, line by line.
-pub(super) fn budget(size: &Size, figures: &Figures) -> Vec<BudgetLine> {
+/// Compares each budget of the operators' table with the figures.
+pub(super) fn compare_with_budget(size: &Size, figures: &Figures) -> Vec<BudgetLine> {
     let mut lines = Vec::from(load_lines(size, figures));
     lines.extend(worker_lines(size, figures));
-    lines.push(control_line(size, figures));
+    lines.push(controller_line(size, figures));
     lines.extend(health_lines(figures));
     if size.config_changes > 0 {
         lines.push(configuration_line(size, &figures.configuration));
@@ -148,32 +147,29 @@
     lines
 }
 
-/// The work, and how soon it starts.
+/// Throughput, and how soon urgent jobs start.
 fn load_lines(size: &Size, f: &Figures) -> [BudgetLine; 3] {
     [
-        line(
+        budget_line(
             "starts a second",
             format!(
-                "{:.0} in the mean, {:.1} were drawn",
+                "mean {:.0}; {:.1} offered",
                 size.starts_per_s, f.offered_per_s
             ),
             format!(
-                "{:.1}; {:.1}% of all were started",
+                "{:.1}; {:.1}% of all offered tasks started",
                 f.starts_per_s,
                 f.kept_up * 1e2
             ),
-            f.kept_up >= START_TOLERANCE,
+            f.kept_up >= MIN_STARTED_FRACTION,
         ),
-        line(
+        budget_line(
             "tasks running",
-            format!(
-                "{} in the mean, {:.0} were drawn",
-                size.running, f.offered_running
-            ),
+            format!("mean {}; {:.0} offered", size.running, f.offered_running),
             format!("{:.0}", f.running),
-            f.running > 0.0 && f.running >= f.offered_running * RUNNING_TOLERANCE,
+            f.running > 0.0 && f.running >= f.offered_running * MIN_RUNNING_FRACTION,
         ),
-        line(
+        budget_line(
             "urgent work starts in time",
             format!("{:.1} s, 99 of 100", size.urgent_start_s),
             format!(
@@ -182,12 +178,12 @@
                 f.urgent_start_ms.p99 / 1e3,
                 f.urgent_in_time * 1e2
             ),
-            f.urgent_start_ms.count > 0 && f.urgent_in_time >= URGENT_SHARE,
+            f.urgent_start_ms.count > 0 && f.urgent_in_time >= MIN_URGENT_IN_TIME_FRACTION,
         ),
     ]
 }
 
-/// What one worker costs.
+/// Resource usage of one worker.
 fn worker_lines(size: &Size, f: &Figures) -> [BudgetLine; 3] {
     let worker = f.role(WORKER);
     let flows = [
@@ -201,48 +197,48 @@
     let worker_kb = bytes_per_s / f.workers.max(1) as f64 / 1e3;
     let budget = &size.budget;
     [
-        line(
+        budget_line(
             "a worker's processor",
             format!("{:.3} of a core", budget.worker_core),
             format!("{:.4}", worker.core),
             worker.core <= budget.worker_core,
         ),
-        line(
+        budget_line(
             "a worker's memory",
             format!("{:.0} MB", budget.worker_mb),
             format!("{:.2} MB", worker.resident_mb),
             worker.resident_mb <= budget.worker_mb,
         ),
-        line(
+        budget_line(
             "a worker's traffic",
-            format!("{:.0} KB a second", budget.worker_kb_per_s),
+            format!("{:.0} KB per second", budget.worker_kb_per_s),
             format!("{worker_kb:.2}"),
             worker_kb <= budget.worker_kb_per_s,
         ),
     ]
 }
 
-/// The machines of the controllers.
-fn control_line(size: &Size, f: &Figures) -> BudgetLine {
-    line(
+/// Machines and processor time of the controllers.
+fn controller_line(size: &Size, f: &Figures) -> BudgetLine {
+    budget_line(
         "machines set aside",
         size.budget.machines.to_string(),
         format!(
-            "{} controllers; the one that leads uses {:.2} of a core, {:.0} s at most above 0.8",
+            "{} controllers; the leader uses {:.2} of a core, and at least 0.8 for at most {:.0} s",
             size.controllers,
             f.role(LEADER).core,
             f.leader_busy_s
         ),
-        size.controllers <= size.budget.machines && f.leader_busy_s < BUSY_S,
+        size.controllers <= size.budget.machines && f.leader_busy_s < MAX_BUSY_S,
     )
 }
 
-/// Rules, processes, and what the machine of the run can bear.
+/// Rule violations, unexpected exits, and the limits of the computer that carries the run.
 fn health_lines(f: &Figures) -> [BudgetLine; 4] {
     let broken: Vec<String> = f.broken.keys().cloned().collect();
-    let half_mb = f.machine_memory_mb / 2.0;
+    let memory_limit_mb = f.machine_memory_mb / 2.0;
     [
-        line(
+        budget_line(
             "rules",
             "none broken".into(),
             if broken.is_empty() {
@@ -252,38 +248,38 @@
             },
             broken.is_empty() && f.jobs.tasks_started > 0,
         ),
-        line(
+        budget_line(
             "controllers that end by themselves",
             "0".into(),
             f.fallen.to_string(),
             f.fallen == 0,
         ),
-        line(
+        budget_line(
             "processes",
             MAX_PROCESSES.to_string(),
             f.processes.to_string(),
             f.processes <= MAX_PROCESSES,
         ),
-        line(
+        budget_line(
             "memory of this machine",
-            format!("{half_mb:.0} MB"),
+            format!("{memory_limit_mb:.0} MB"),
             format!("{:.0} MB", f.memory_mb),
-            f.memory_mb <= half_mb,
+            f.memory_mb <= memory_limit_mb,
         ),
     ]
 }
 
 fn configuration_line(size: &Size, changes: &ConfigurationFigures) -> BudgetLine {
     let in_force = &changes.in_force_ms;
-    line(
+    budget_line(
         "changes of configuration",
         format!(
-            "{} a day, each in force within {} s",
+            "{} per day, each in force within {} s",
             size.config_changes, size.config_in_force_s
         ),
         format!(
-            "{} made, {:.0} a day at that rate; in force {:.2} s p50, {:.2} s p99, {:.2} s most; \
-             {} not in force",
+            "{} made, {:.0} per day at that rate; \
+             in force after {:.2} s p50, {:.2} s p99, {:.2} s max; {} not in force",
             changes.made,
             changes.a_day,
             in_force.p50 / 1e3,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,6 +1,8 @@
-//! A scale run: real controllers, workers whose tasks are timers by the thousand beside a few
-//! whose tasks are processes,
-//! emulators and users in processes of their own, on loopback and in real time.
+//! The scale experiment: real controllers under load, on loopback and in real time.
+//!
+//! Thousands of workers simulate their tasks with timers, and a few run them as processes. The
+//! workers, the emulated key-value store, the emulated cloud and the users each run in separate
+//! processes.
 
 mod checker;
 mod children;
@@ -27,7 +29,7 @@
 use clap::Args;
 use faults::Fault;
 use figures::{BudgetLine, Figures};
-use run::{Played, RunPlan};
+use run::{RunPlan, RunResult};
 use serde_json::{json, Value};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use size::{Size, OPERATORS_TABLE};
@@ -36,16 +38,16 @@
 use std::sync::Arc;
 use sweep::{Axis, Series};
 
-/// Longest load, minutes.
+/// Longest load that `--minutes` accepts.
 const MAX_MINUTES: f64 = 60.0;
 const REAL_WORKERS: usize = 4;
 
 #[derive(Args)]
 pub(crate) struct Options {
-    /// The size as a file (TOML) instead of the operators' table
+    /// TOML file with the size of the run, instead of the operators' table
     #[arg(long, value_name = "FILE")]
     table: Option<PathBuf>,
-    /// Workers; as with all of these, else as the table says
+    /// Number of workers; this and the following options default to the values of the table
     #[arg(long)]
     workers: Option<usize>,
     #[arg(long)]
@@ -56,40 +58,40 @@
     regions: Option<usize>,
     #[arg(long)]
     zones: Option<usize>,
-    /// Task starts a second
+    /// Task starts per second
     #[arg(long)]
     starts_per_s: Option<f64>,
     /// Tasks running at the same time
     #[arg(long)]
     running: Option<usize>,
-    /// Changes of configuration a day; 0 leaves that line out
+    /// Configuration changes per day; 0 omits that line of the budget
     #[arg(long)]
     config_changes: Option<u32>,
     /// Seconds between a worker's reports
     #[arg(long)]
     report_s: Option<f64>,
-    /// How long jobs arrive
+    /// Duration of the load, minutes
     #[arg(long, default_value_t = 3.0)]
     minutes: f64,
-    /// Workers that run processes, among the others
+    /// How many of the workers run their tasks as processes
     #[arg(long, default_value_t = REAL_WORKERS)]
     real: usize,
-    /// A fault and when it comes; may be repeated
+    /// Fault to inject and its time after the start of the load; may be repeated
     #[arg(long = "fault", value_name = "KIND@SECONDS")]
     faults: Vec<Fault>,
-    /// Draw faults at the operators' rates, so many times as often
+    /// Also inject random faults at the operators' rates times this factor
     #[arg(long, value_name = "TIMES", default_value_t = 0.0)]
     speed_up: f64,
-    /// Vary one of these over several sizes and fit slopes
+    /// Vary this dimension over several sizes and fit a line to each figure
     #[arg(long, value_enum)]
     sweep: Option<Axis>,
-    /// Write JSON and plots (SVG) there
+    /// Write JSON and plots (SVG) to this folder
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
 }
 
-/// A size for a first look, and for CI: seconds, and a hundred workers.
-fn quick(size: &mut Size) {
+/// Reduces a size to a run of some seconds with 100 workers, for a first try and for CI.
+fn reduce_to_quick_run(size: &mut Size) {
     size.workers = 100;
     size.controllers = 3;
     size.teams = 12;
@@ -104,13 +106,13 @@
 
 impl Options {
     fn size(&self, is_quick: bool) -> Result<Size, TestbedError> {
-        let wrong = |e: size::SizeError| TestbedError::Other(e.to_string());
+        let to_error = |e: size::SizeError| TestbedError::Other(e.to_string());
         let mut size = match &self.table {
-            Some(path) => Size::load(path).map_err(wrong)?,
-            None => Size::parse("the operators' table", OPERATORS_TABLE).map_err(wrong)?,
+            Some(path) => Size::load(path).map_err(to_error)?,
+            None => Size::parse("the operators' table", OPERATORS_TABLE).map_err(to_error)?,
         };
         if is_quick {
-            quick(&mut size);
+            reduce_to_quick_run(&mut size);
         }
         let set = |field: &mut usize, value: Option<usize>| *field = value.unwrap_or(*field);
         set(&mut size.workers, self.workers);
@@ -122,7 +124,7 @@
         size.starts_per_s = self.starts_per_s.unwrap_or(size.starts_per_s);
         size.report_s = self.report_s.unwrap_or(size.report_s);
         size.config_changes = self.config_changes.unwrap_or(size.config_changes);
-        size.check().map_err(wrong)?;
+        size.validate().map_err(to_error)?;
         Ok(size)
     }
 
@@ -133,16 +135,15 @@
             self.minutes
         };
         if !(minutes > 0.0 && minutes <= MAX_MINUTES) {
-            let wrong =
-                format!("--minutes {minutes}: it must be above 0 and {MAX_MINUTES} at most");
-            return Err(TestbedError::Other(wrong));
+            let error = format!("--minutes {minutes}: must be above 0 and at most {MAX_MINUTES}");
+            return Err(TestbedError::Other(error));
         }
         Ok(minutes * 60.0)
     }
 
     fn plan(&self, context: &TestContext, size: Size, seconds: f64) -> RunPlan {
         let mut faults = self.faults.clone();
-        faults.extend(faults::drawn(
+        faults.extend(faults::draw(
             &size,
             seconds,
             self.speed_up.max(0.0),
@@ -176,13 +177,14 @@
     match options.sweep {
         Some(axis) => run_sweep(context, options, axis, &size, seconds, &stop),
         None => {
-            let played = run::play(context, options.plan(context, size.clone(), seconds), &stop)?;
-            let lines = figures::budget(&size, &played.figures);
+            let result =
+                run::execute(context, options.plan(context, size.clone(), seconds), &stop)?;
+            let lines = figures::compare_with_budget(&size, &result.figures);
             print_budget(&lines);
             if let Some(folder) = &options.out {
-                write_run(folder, &played, &lines)?;
+                write_run(folder, &result, &lines)?;
             }
-            Ok(summary(context.seed, &size, &played.figures, &lines))
+            Ok(summary(context.seed, &size, &result.figures, &lines))
         }
     }
 }
@@ -210,22 +212,22 @@
     })
 }
 
-fn write_run(folder: &Path, played: &Played, lines: &[BudgetLine]) -> Result<(), TestbedError> {
-    let text = json!({"budget": lines, "figures": played.figures});
+fn write_run(folder: &Path, result: &RunResult, lines: &[BudgetLine]) -> Result<(), TestbedError> {
+    let text = json!({"budget": lines, "figures": result.figures});
     std::fs::write(folder.join("scale.json"), format!("{text:#}\n"))?;
     let plots = [
         (
             "starts.svg",
-            "Starts a second",
+            "Task starts per second",
             "starts",
-            &played.starts,
+            &result.starts,
             false,
         ),
         (
             "urgent.svg",
-            "Urgent jobs: from acceptance to the first start",
+            "Urgent jobs: time from acceptance to first start",
             "seconds",
-            &played.urgent,
+            &result.urgent,
             true,
         ),
     ];
@@ -235,9 +237,9 @@
             unit,
             points,
             dots,
-            marks: &played.marks,
+            marks: &result.fault_marks,
         };
-        plots::over_time(&folder.join(file), &plot)?;
+        plots::plot_over_time(&folder.join(file), &plot)?;
     }
     Ok(())
 }
@@ -251,18 +253,18 @@
     stop: &Arc<AtomicBool>,
 ) -> Result<Value, TestbedError> {
     let mut points = Vec::new();
-    let mut broken = false;
+    let mut has_violations = false;
     for (x, size) in axis.sizes(full) {
         eprintln!("{}: {x}", axis.name());
-        let played = run::play(context, options.plan(context, size, seconds), stop)?;
-        broken |= !played.figures.broken.is_empty();
-        points.push((x, played.figures));
+        let result = run::execute(context, options.plan(context, size, seconds), stop)?;
+        has_violations |= !result.figures.broken.is_empty();
+        points.push((x, result.figures));
     }
-    let series = sweep::series(&points);
+    let series = sweep::fit_series(&points);
     for s in &series {
         if let Some(fit) = s.fit {
             eprintln!(
-                "{:28} {:+.3e} {} for each of {}, from {:.3e}; residual {:.1e}",
+                "{:28} {:+.3e} {} per unit of {}, intercept {:.3e}; residual {:.1e}",
                 s.name,
                 fit.slope,
                 s.unit,
@@ -276,7 +278,7 @@
         write_sweep(folder, axis, &series, &points)?;
     }
     Ok(json!({
-        "ok": !broken, "experiment": "scale", "seed": context.seed, "sweep": axis.name(),
+        "ok": !has_violations, "experiment": "scale", "seed": context.seed, "sweep": axis.name(),
         "series": series,
     }))
 }
@@ -296,7 +298,7 @@
     for s in series {
         let file = format!("{}.svg", s.name.replace(' ', "-"));
         let names = (axis.name(), s.unit);
-        plots::slope(&folder.join(file), &s.name, names, &s.points, s.fit)?;
+        plots::plot_fit(&folder.join(file), &s.name, names, &s.points, s.fit)?;
     }
     Ok(())
 }
--- a/crates/testbed/src/scale/relay.rs
+++ b/crates/testbed/src/scale/relay.rs
@@ -1,6 +1,6 @@
-//! Relays between controllers: what one sends to another passes here, so that a link can
-//! be cut without any privilege. What is sent into a cut is held and delivered late, as
-//! TCP does.
+//! Relays between controllers: the traffic from one to another passes through a relay, so that a
+//! link can be cut without privileges. Data sent while the link is cut is delivered late, as with
+//! TCP.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -10,11 +10,11 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How often listeners and switches are looked at.
-const LOOK: Duration = Duration::from_millis(20);
-const READ_WAIT: Duration = Duration::from_millis(200);
-const CONNECT_WAIT: Duration = Duration::from_millis(500);
-/// Connections that all relays may have at once.
+/// Interval at which listeners and links are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Most connections of all relays together.
 const MAX_CONNECTIONS: usize = 1_000;
 
 /// One direction between two controllers.
@@ -26,49 +26,50 @@
 
 pub(super) struct Relays {
     cut: BTreeMap<Direction, Arc<AtomicBool>>,
-    go: Arc<AtomicBool>,
+    running: Arc<AtomicBool>,
     acceptor: Option<JoinHandle<()>>,
 }
 
-struct Listening {
+struct RelayListener {
     listener: TcpListener,
     target: SocketAddrV4,
     cut: Arc<AtomicBool>,
 }
 
 impl Relays {
-    /// Listens at the first address of each and passes on to the second.
+    /// Starts a relay for each direction that listens on the first address and forwards to the
+    /// second.
     pub(super) fn start(
         directions: Vec<(Direction, SocketAddrV4, SocketAddrV4)>,
     ) -> io::Result<Relays> {
         let mut cut = BTreeMap::new();
-        let mut listening = Vec::new();
-        for (direction, at, target) in directions {
-            let listener = TcpListener::bind(at)?;
+        let mut listeners = Vec::new();
+        for (direction, address, target) in directions {
+            let listener = TcpListener::bind(address)?;
             listener.set_nonblocking(true)?;
-            let switch = Arc::new(AtomicBool::new(false));
-            cut.insert(direction, switch.clone());
-            listening.push(Listening {
+            let is_cut = Arc::new(AtomicBool::new(false));
+            cut.insert(direction, is_cut.clone());
+            listeners.push(RelayListener {
                 listener,
                 target,
-                cut: switch,
+                cut: is_cut,
             });
         }
-        let go = Arc::new(AtomicBool::new(true));
-        let running = go.clone();
-        let acceptor = thread::spawn(move || accept_all(&listening, &running));
+        let running = Arc::new(AtomicBool::new(true));
+        let acceptor_running = running.clone();
+        let acceptor = thread::spawn(move || accept_all(&listeners, &acceptor_running));
         Ok(Relays {
             cut,
-            go,
+            running,
             acceptor: Some(acceptor),
         })
     }
 
-    /// Cuts a link in both directions, or mends it.
+    /// Cuts or restores a link in both directions.
     pub(super) fn set_cut(&self, a: usize, b: usize, cut: bool) {
         for direction in [Direction { from: a, to: b }, Direction { from: b, to: a }] {
-            if let Some(switch) = self.cut.get(&direction) {
-                switch.store(cut, Ordering::Relaxed);
+            if let Some(is_cut) = self.cut.get(&direction) {
+                is_cut.store(cut, Ordering::Relaxed);
             }
         }
     }
@@ -76,58 +77,58 @@
 
 impl Drop for Relays {
     fn drop(&mut self) {
-        self.go.store(false, Ordering::Relaxed);
+        self.running.store(false, Ordering::Relaxed);
         if let Some(acceptor) = self.acceptor.take() {
             let _ = acceptor.join();
         }
     }
 }
 
-fn accept_all(listening: &[Listening], go: &Arc<AtomicBool>) {
+fn accept_all(listeners: &[RelayListener], running: &Arc<AtomicBool>) {
     let mut connections: Vec<JoinHandle<()>> = Vec::new();
-    while go.load(Ordering::Relaxed) {
-        for l in listening {
-            while let Ok((stream, _)) = l.listener.accept() {
+    while running.load(Ordering::Relaxed) {
+        for relay in listeners {
+            while let Ok((stream, _)) = relay.listener.accept() {
                 connections.retain(|c| !c.is_finished());
                 if connections.len() >= MAX_CONNECTIONS {
                     continue;
                 }
-                let (target, cut, go) = (l.target, l.cut.clone(), go.clone());
+                let (target, cut, running) = (relay.target, relay.cut.clone(), running.clone());
                 connections.push(thread::spawn(move || {
-                    // A connection that fails ends here: its controller opens another.
-                    let _ = pass_on(stream, target, &cut, &go);
+                    // An error ends the connection: the controller opens another.
+                    let _ = forward(stream, target, &cut, &running);
                 }));
             }
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     for connection in connections {
         let _ = connection.join();
     }
 }
 
-fn pass_on(
+fn forward(
     mut from: TcpStream,
     target: SocketAddrV4,
     cut: &AtomicBool,
-    go: &AtomicBool,
+    running: &AtomicBool,
 ) -> io::Result<()> {
     from.set_nonblocking(false)?;
-    from.set_read_timeout(Some(READ_WAIT))?;
-    let mut to = TcpStream::connect_timeout(&target.into(), CONNECT_WAIT)?;
+    from.set_read_timeout(Some(READ_TIMEOUT))?;
+    let mut to = TcpStream::connect_timeout(&target.into(), CONNECT_TIMEOUT)?;
     to.set_nodelay(true)?;
     let mut chunk = [0u8; 16 * 1024];
-    while go.load(Ordering::Relaxed) {
+    while running.load(Ordering::Relaxed) {
         if cut.load(Ordering::Relaxed) {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
         match from.read(&mut chunk) {
             Ok(0) => return Ok(()),
             Ok(n) => {
-                // What was read as the cut began is held with the rest.
-                while cut.load(Ordering::Relaxed) && go.load(Ordering::Relaxed) {
-                    thread::sleep(LOOK);
+                // Data that was read when the link was cut waits like the rest.
+                while cut.load(Ordering::Relaxed) && running.load(Ordering::Relaxed) {
+                    thread::sleep(POLL_INTERVAL);
                 }
                 to.write_all(&chunk[..n])?;
             }
--- a/crates/testbed/src/scale/role/mod.rs
+++ b/crates/testbed/src/scale/role/mod.rs
@@ -1,8 +1,8 @@
-//! The children of a scale run: each is this program once more, with one role.
+//! Child processes of a scale run: each runs this program again with one role.
 //!
 //! A child reads its plan from the first line of its standard input and commands from
-//! the following ones; it ends when that input ends, so that it never outlives who
-//! started it.
+//! the following lines. It exits at the end of its input, so that it never outlives its
+//! parent.
 
 mod cloud;
 mod state;
@@ -23,19 +23,19 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Sockets that a child may have open. A process of workers has some hundred workers whatever
-/// the size of the fleet, and the stand-ins of the state service and of the cloud serve the
-/// controllers alone, so this does not grow with the workers. What does are a controller's
-/// sockets, and those are set by the layout.
+/// Most sockets that a child may have open. A worker process has a few hundred workers whatever
+/// the size of the fleet, and the emulated key-value store and cloud serve only the controllers,
+/// so this doesn't grow with the number of workers. The sockets of a controller do; the layout
+/// sets their limit.
 pub(crate) const MAX_CONNECTIONS: usize = 18_000;
-/// How often a child tells its counts, seconds.
-const COUNTS_S: f64 = 1.0;
+/// Interval between the count reports of a child, seconds.
+const COUNTS_INTERVAL_S: f64 = 1.0;
 
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RoleError {
-    #[error("no plan on standard input: this is for `beamhinge-testbed scale` alone")]
+    #[error("no plan on standard input: only `beamhinge-testbed scale` starts this subcommand")]
     NoPlan,
-    #[error("the plan is not understood: {0}")]
+    #[error("cannot parse the plan: {0}")]
     Plan(#[from] serde_json::Error),
     #[error(transparent)]
     EventLoop(#[from] EventLoopError),
@@ -43,7 +43,7 @@
     Io(#[from] io::Error),
 }
 
-/// Standard output as a channel of records.
+/// Writes records to standard output.
 #[derive(Clone)]
 pub(crate) struct Recorder(Arc<Mutex<BufWriter<Stdout>>>);
 
@@ -52,7 +52,8 @@
         Recorder(Arc::new(Mutex::new(BufWriter::new(io::stdout()))))
     }
 
-    /// What cannot be written has no reader any more: the child's input ends then too.
+    /// Writes a record. Errors are ignored: they mean that the parent has exited, and then the
+    /// child's input ends too.
     pub(crate) fn send(&self, record: &Record) {
         let mut out = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let _ = serde_json::to_writer(&mut *out, record);
@@ -68,23 +69,24 @@
     }
 }
 
-/// What every role has: commands, records, and the time of the last counts.
-pub(crate) struct Links {
+/// Connections of a role to its parent: commands, records, and the time of the last count
+/// report.
+pub(crate) struct ParentConnection {
     commands: Receiver<Command>,
     pub records: Recorder,
-    counted: Time,
+    counts_reported_at: Time,
 }
 
-impl Links {
-    /// The next command, if one came.
-    pub(crate) fn command(&self) -> Option<Command> {
+impl ParentConnection {
+    /// The next command; `None` if none is pending.
+    pub(crate) fn next_command(&self) -> Option<Command> {
         self.commands.try_recv().ok()
     }
 
-    /// Tells the counts if they are due, and sends what was recorded.
+    /// Reports the counts if they are due, and flushes all records.
     pub(crate) fn report_counts(&mut self, now: Time, flows: &Flows, gauges: &[(&str, f64)]) {
-        if now.since(self.counted) >= COUNTS_S {
-            self.counted = now;
+        if now.since(self.counts_reported_at) >= COUNTS_INTERVAL_S {
+            self.counts_reported_at = now;
             let gauges: BTreeMap<String, f64> = gauges
                 .iter()
                 .map(|(name, value)| (name.to_string(), *value))
@@ -98,14 +100,14 @@
     }
 }
 
-/// Controllers whose requests are held up, and until when.
+/// Controllers whose requests don't arrive because of a network partition, and until when.
 #[derive(Default)]
-pub(crate) struct HeldControllers {
+pub(crate) struct PartitionedControllers {
     until: Vec<Micros>,
 }
 
-impl HeldControllers {
-    pub(crate) fn hold(&mut self, controllers: &[usize], until: Micros) {
+impl PartitionedControllers {
+    pub(crate) fn partition(&mut self, controllers: &[usize], until: Micros) {
         for controller in controllers {
             if self.until.len() <= *controller {
                 self.until.resize(controller + 1, 0);
@@ -114,12 +116,12 @@
         }
     }
 
-    pub(crate) fn is_held(&self, controller: usize, now: Micros) -> bool {
+    pub(crate) fn is_partitioned(&self, controller: usize, now: Micros) -> bool {
         self.until.get(controller).is_some_and(|until| now < *until)
     }
 }
 
-/// Runs one role until its input ends.
+/// Runs one role until the end of its input.
 pub(crate) fn run() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
@@ -131,21 +133,22 @@
 }
 
 fn serve() -> Result<(), RoleError> {
-    let mut first = String::new();
-    if io::stdin().read_line(&mut first)? == 0 {
+    let mut plan_line = String::new();
+    if io::stdin().read_line(&mut plan_line)? == 0 {
         return Err(RoleError::NoPlan);
     }
-    let plan: RolePlan = serde_json::from_str(&first)?;
+    let plan: RolePlan = serde_json::from_str(&plan_line)?;
     let running = Arc::new(AtomicBool::new(true));
-    let links = Links {
+    let parent = ParentConnection {
         commands: read_commands(running.clone()),
         records: Recorder::new(),
-        counted: Time::default(),
+        counts_reported_at: Time::default(),
     };
-    run_role(plan, &running, links)
+    run_role(plan, &running, parent)
 }
 
-/// Reads commands on a thread of its own; `running` is false when there are no more.
+/// Reads commands on a separate thread; sets `running` to false at the end of the input or at an
+/// invalid command.
 fn read_commands(running: Arc<AtomicBool>) -> Receiver<Command> {
     let (sender, commands) = channel();
     std::thread::spawn(move || {
@@ -162,11 +165,15 @@
 }
 
 /// Runs one role until `running` is false.
-fn run_role(plan: RolePlan, running: &AtomicBool, links: Links) -> Result<(), RoleError> {
+fn run_role(
+    plan: RolePlan,
+    running: &AtomicBool,
+    parent: ParentConnection,
+) -> Result<(), RoleError> {
     match plan {
         RolePlan::State { addresses, limits } => {
-            run_service(network(&addresses), running, links, |links, _| {
-                state::StateRole::new(&limits, links)
+            run_service(network(&addresses), running, parent, |parent, _| {
+                state::StateRole::new(&limits, parent)
             })
         }
         RolePlan::Cloud {
@@ -176,8 +183,8 @@
             machines,
             zones,
             seed,
-        } => run_service(network(&addresses), running, links, |links, now| {
-            cloud::CloudRole::new((rps, list_lag_s), &machines, zones, seed, now, links)
+        } => run_service(network(&addresses), running, parent, |parent, now| {
+            cloud::CloudRole::new((rps, list_lag_s), &machines, zones, seed, now, parent)
         }),
         RolePlan::Workers {
             controllers,
@@ -193,8 +200,8 @@
                 lease_s,
                 cancel_s,
             };
-            run_service(network(&addresses), running, links, |links, _| {
-                workers::WorkersRole::new(controllers, addresses, settings, workload, real, links)
+            run_service(network(&addresses), running, parent, |parent, _| {
+                workers::WorkersRole::new(controllers, addresses, settings, workload, real, parent)
             })
         }
         RolePlan::Users {
@@ -202,8 +209,8 @@
             workload,
             seconds,
             seed,
-        } => run_service(network(&[]), running, links, |links, now| {
-            users::UsersRole::new(controllers, workload, seconds, seed, now, links)
+        } => run_service(network(&[]), running, parent, |parent, now| {
+            users::UsersRole::new(controllers, workload, seconds, seed, now, parent)
         }),
     }
 }
@@ -211,20 +218,20 @@
 fn run_service<S: Service>(
     network: NetworkConfig,
     running: &AtomicBool,
-    links: Links,
-    make: impl FnOnce(Links, Time) -> S,
+    parent: ParentConnection,
+    make: impl FnOnce(ParentConnection, Time) -> S,
 ) -> Result<(), RoleError> {
-    let records = links.records.clone();
-    let event_loop = EventLoop::new(network, |now| make(links, now))?;
+    let records = parent.records.clone();
+    let event_loop = EventLoop::new(network, |now| make(parent, now))?;
     records.send(&Record::Ready);
     records.flush();
     event_loop.run_while(|| running.load(Ordering::Relaxed))?;
     Ok(())
 }
 
-/// A process that listens there and calls only controllers.
+/// Network configuration of a process that listens on `addresses` and calls only controllers.
 fn network(addresses: &[SocketAddrV4]) -> NetworkConfig {
-    let nowhere = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
+    let unused_address = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
     let listener = |addr: &SocketAddrV4| Listener {
         addr: *addr,
         kind: ListenerKind::Platform,
@@ -234,8 +241,8 @@
         peers: None,
         members: Vec::new(),
         external: ExternalServices {
-            cloud: nowhere,
-            state: nowhere,
+            cloud: unused_address,
+            state: unused_address,
         },
         max_connections: MAX_CONNECTIONS,
     }
