--- a/crates/testbed/src/ageing.rs
+++ b/crates/testbed/src/ageing.rs
@@ -1,5 +1,6 @@
-//! A night in simulated time: urgent work beyond all room for hours, and what
-//! waits behind it, with ageing and without.
+//! A night in simulated time: urgent jobs exceed the capacity of the cluster for hours.
+//!
+//! Compares the waiting times of lower-priority jobs with and without priority aging.
 
 use crate::TestbedError;
 use beamhinge_controller::faults::Faults;
@@ -17,30 +18,33 @@
 
 #[derive(Args)]
 pub(crate) struct Options {
-    /// How many nights, each of its own seed
+    /// Number of nights, each with a different seed
     #[arg(long, default_value_t = 3)]
     nights: u64,
-    /// Write the first night to this file, to be kept as a scenario
+    /// Write the first night to this file as a scenario
     #[arg(long, value_name = "FILE")]
     write: Option<std::path::PathBuf>,
 }
 
-/// Machines of eight CPUs, all there from the start.
+/// Number of machines, each with eight CPUs; all exist from the start.
 const MACHINES: u64 = 20;
-/// Longest that a task occupies a machine: an urgent one at its longest, its
-/// fetch, and the reports that start it and tell its end.
+/// Longest time that a task occupies a machine, in seconds: the longest run of an urgent task, its
+/// image fetch, and the worker reports that start it and report its end.
 const MAX_RUN_S: f64 = 64.0 * 1.4 + 1.0 + 2.0 * REPORT_S;
+/// Interval between two reports of a worker, in seconds.
 const REPORT_S: f64 = 5.0;
-/// The oldest low job is to start within this, seconds.
+/// Limit for the longest wait of a lower-priority job, in seconds.
 const AIM_S: f64 = 7_200.0;
-/// The part of their median that the urgent may lose.
+/// Largest permitted increase of the median wait of urgent jobs, as a fraction.
 const LOSS: f64 = 0.10;
 
-/// A night: for an hour one urgent job a second, 1.6 times what the machines can
-/// do, then for hours as much as they can; beside it, few jobs that can wait, and
-/// some that need a whole machine. The holder's process ends in the middle.
+/// Generates the scenario of a night.
+///
+/// For an hour one urgent job a second arrives, which is 1.6 times the capacity of the machines,
+/// then for hours exactly their capacity. In addition a few lower-priority jobs arrive, some of
+/// which need a whole machine. The leader's process crashes in the middle.
 fn night(seed: u64, hours: f64, ageing: PriorityAging) -> String {
-    // One a second; for a first look a quarter as many, four times as wide.
+    // One job a second; for a quick run a quarter as many jobs with four times as many tasks.
     let every = if hours < 10.0 { 4 } else { 1 };
     let first = 3_600 / every;
     let long_s = ((hours - 3.5) * 3_600.0).max(0.0);
@@ -67,7 +71,7 @@
         let count = (hours - 1.0) * 3_600.0 / every;
         format!("at {at} stream {n} count={count:.0} every={every} tasks=1 cpus={cpus} run=40 urgency={urgency} class=l\n")
     };
-    // Apart in time by the night's seed.
+    // The arrival times depend on the seed of the night.
     let shift = (seed % 97) as f64;
     text += &low(50_001, 700.0 + shift, 900.0, 2, "best_effort");
     text += &low(60_001, 900.0 + shift * 2.0, 1_200.0, 2, "standard");
@@ -104,8 +108,9 @@
     json!({"high": of("high"), "standard": of("standard"), "best_effort": of("best_effort")})
 }
 
-/// The bound for what rose in this night: the tightest flow of the rate that the
-/// lane is sure to carry.
+/// Upper bound for the wait of the jobs whose priority was boosted in this night, in seconds. Their
+/// arrivals are bounded by the tightest arrival curve with the throughput that the priority lane
+/// guarantees.
 fn bound(policy: &AgingPolicy, outcome: &Outcome, takeovers: f64) -> Result<f64, TestbedError> {
     let low = |w: &&Wait| w.urgency == "best_effort" || w.urgency == "standard";
     let mut rises: Vec<(f64, f64)> = Vec::new();
@@ -138,20 +143,20 @@
         .map_err(|e| TestbedError::Other(e.to_string()))
 }
 
-/// A night played with and without aging.
+/// Outcomes of a night with and without priority aging.
 struct Comparison {
     seed: u64,
     strict: Outcome,
     aged: Outcome,
 }
 
-/// The figures of a comparison, seconds but for the loss.
+/// Results of a comparison, in seconds except for the loss.
 struct Figures {
     oldest_s: f64,
     baseline_s: f64,
     bound_s: f64,
     urgent_median_s: f64,
-    /// How much longer urgent jobs wait in the median, as a part.
+    /// Increase of the median wait of urgent jobs due to aging, as a fraction.
     urgent_loss: f64,
 }
 
@@ -169,7 +174,7 @@
     }
 }
 
-/// Plays all nights at the same time, each with and without aging.
+/// Simulates all nights in parallel, each with and without aging.
 fn play(
     seeds: std::ops::Range<u64>,
     hours: f64,
@@ -186,7 +191,9 @@
             .collect();
         let join = |run: ScopedJoinHandle<'_, Result<Outcome, ScenarioError>>| match run.join() {
             Ok(outcome) => outcome.map_err(TestbedError::from),
-            Err(_) => Err(TestbedError::Other("the night ended by itself".into())),
+            Err(_) => Err(TestbedError::Other(
+                "the simulation of the night panicked".into(),
+            )),
         };
         runs.into_iter()
             .map(|(seed, strict, aged)| {
@@ -200,7 +207,7 @@
     })
 }
 
-/// What is wrong with a night.
+/// Lists the checks that a night failed.
 fn failures(night: &Comparison, figures: &Figures) -> Vec<String> {
     let Comparison { seed, strict, aged } = night;
     let Figures {
@@ -214,23 +221,23 @@
         (aged.failures.is_empty(), format!("{:?}", aged.failures)),
         (
             aged.unfinished.is_empty() && strict.unfinished.is_empty(),
-            "jobs are left".into(),
+            "jobs are unfinished".into(),
         ),
         (
             *oldest_s < AIM_S,
-            format!("a low job waited {oldest_s:.0} s"),
+            format!("a lower-priority job waited {oldest_s:.0} s"),
         ),
         (
             oldest_s <= bound_s,
-            format!("{oldest_s:.0} s is beyond the bound, {bound_s:.0} s"),
+            format!("the longest wait, {oldest_s:.0} s, exceeds the bound, {bound_s:.0} s"),
         ),
         (
             baseline_s > bound_s,
-            format!("without ageing {baseline_s:.0} s is within the bound"),
+            format!("without aging the longest wait, {baseline_s:.0} s, is within the bound"),
         ),
         (
             *loss <= LOSS,
-            format!("the urgent lose {loss:.3} of their median"),
+            format!("aging increases the median wait of urgent jobs by the fraction {loss:.3}"),
         ),
     ];
     let failed = checks.into_iter().filter(|(ok, _)| !ok);
@@ -239,7 +246,7 @@
         .collect()
 }
 
-/// Runs the experiment; returns the figures that it prints.
+/// Runs the experiment and returns the results to print.
 pub(crate) fn run(seed: u64, quick: bool, options: &Options) -> Result<Value, TestbedError> {
     let hours = if quick { 2.0 } else { 10.0 };
     let mut ageing = PriorityAging {
@@ -273,7 +280,7 @@
             "with": by_urgency(aged), "without": by_urgency(strict)}),
         );
         eprintln!(
-            "night {seed}: oldest low job {oldest_s:.0} s (bound {bound_s:.0}, without ageing {baseline_s:.0}), urgent median {urgent_median_s:.0} s, {:+.1}%",
+            "night {seed}: longest wait of a lower-priority job {oldest_s:.0} s (bound {bound_s:.0}, without aging {baseline_s:.0}), median wait of urgent jobs {urgent_median_s:.0} s, {:+.1}%",
             urgent_loss * 100.0
         );
     }
--- a/crates/testbed/src/configuration.rs
+++ b/crates/testbed/src/configuration.rs
@@ -1,5 +1,7 @@
-//! How soon changes of quotas are in force everywhere: drawn days in simulated time, with
-//! and without faults, and the rule that nothing starts beyond a limit in force.
+//! Measures how soon quota changes are in force on all controllers.
+//!
+//! Simulates random days with and without faults, and checks that no task starts beyond a limit
+//! that is in force.
 
 use crate::TestbedError;
 use beamhinge_controller::faults::Faults;
@@ -13,28 +15,30 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// The time that operators ask for, seconds.
+/// Time within which operators require a change to be in force, in seconds.
 const IN_FORCE_S: f64 = 11.0;
-/// Changes of one day, and seconds between them.
+/// Number of configuration changes in a day.
 const CHANGES: u32 = 12;
+/// Time between two changes, in seconds, before a random delay is added.
 const EVERY_S: f64 = 5.0;
 const THREADS: usize = 6;
+/// Upper bound of the histogram of times until a change is in force, in milliseconds.
 const MAX_IN_FORCE_MS: u64 = 600_000;
 
 #[derive(Args)]
 pub(crate) struct Options {
-    /// How many days are played
+    /// Number of days to simulate
     #[arg(long, default_value_t = 100)]
     days: u64,
-    /// Controllers
+    /// Number of controllers
     #[arg(long, default_value_t = 3)]
     nodes: u8,
-    /// Ends, cuts, lost answers and a state service that is away
+    /// Inject controller restarts, network partitions, lost replies and key-value store outages
     #[arg(long)]
     faults: bool,
 }
 
-/// A day on which a limit moves up and down, as a scenario.
+/// Generates the scenario of a day on which a limit is raised and lowered.
 fn day(seed: u64, options: &Options) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut text = format!(
@@ -69,7 +73,8 @@
         text.push_str("at 62 calm\n");
     }
     text.push_str("at 75 op last POST /v1/configuration ");
-    // Whatever was made: the last limit is of no matter, so that all work can be done.
+    // Whichever changes were made before, the last one removes the limit, so that all jobs can
+    // finish.
     text.push_str(
         "{\"seen\":999,\"teams\":{\"one\":\"restore\"}}\nend 90\nunsettled limits stay low\n",
     );
@@ -111,10 +116,11 @@
         .for_each(|s| times.saturating_record((s * 1e3) as u64));
     let s = |q: f64| times.value_at_quantile(q) as f64 / 1e3;
     for line in wrong.iter().take(5) {
-        eprintln!("wrong: {line}");
+        eprintln!("failed: {line}");
     }
     let most_s = times.max() as f64 / 1e3;
-    // With faults a controller may be away for longer: it is named, and not waited for.
+    // With faults a controller may be unreachable for longer than the limit: the change then
+    // reports it by name and does not wait for it.
     let soon = options.faults || most_s <= IN_FORCE_S;
     Ok(json!({
         "ok": wrong.is_empty() && soon && times.len() >= options.days,
--- a/crates/testbed/src/context.rs
+++ b/crates/testbed/src/context.rs
@@ -1,4 +1,4 @@
-//! Where an experiment takes place: free ports, a folder, a cluster.
+//! Environment of an experiment: free ports, a temporary folder, a cluster and its clients.
 
 use crate::TestbedError;
 use beamhinge_client::{Client, Timeouts};
@@ -10,12 +10,15 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
+/// Settings that all experiments share.
 pub(crate) struct TestContext {
     pub seed: u64,
+    /// Program and leading arguments of a controller process.
     pub controller: (PathBuf, Vec<String>),
 }
 
-/// The named program, else `beamhinged` beside this one, else this one itself.
+/// Returns the program and leading arguments of a controller: the named program, otherwise
+/// `beamhinged` in the directory of this program, otherwise this program itself.
 pub(crate) fn controller(named: &Option<PathBuf>) -> (PathBuf, Vec<String>) {
     let own = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("beamhinge-testbed"));
     let beside = own.with_file_name("beamhinged");
@@ -27,7 +30,7 @@
     }
 }
 
-/// A folder that goes with the experiment.
+/// A temporary folder that is removed when the experiment ends.
 pub(crate) struct Folder(pub PathBuf);
 
 impl Folder {
@@ -45,12 +48,12 @@
     }
 }
 
-/// First port and number of the hundreds that experiments use: below those that
-/// the system gives to callers, which would be taken one by one.
+/// First port and number of the blocks of 100 ports that experiments use. They lie below the
+/// ephemeral ports, which the system assigns one by one to outgoing connections.
 const FIRST_PORT: u16 = 12_000;
 const HUNDREDS: u32 = 200;
 
-/// A hundred free ports.
+/// Returns the first port of a block of 100 free ports.
 pub(crate) fn free_ports() -> u16 {
     let start = std::process::id() % HUNDREDS;
     let bases = (0..HUNDREDS).map(|i| FIRST_PORT + ((start + i * 7) % HUNDREDS) as u16 * 100);
@@ -59,7 +62,7 @@
     bases.into_iter().find(free).unwrap_or(FIRST_PORT)
 }
 
-/// A cluster to experiment on; to be changed from here.
+/// The default cluster plan, which experiments adapt.
 pub(crate) fn plan(context: &TestContext, dir: &Path) -> ClusterPlan {
     let team = |name: &str, cpus_max| TeamPlan {
         name: name.into(),
@@ -85,6 +88,7 @@
     }
 }
 
+/// Starts a cluster and waits until it answers.
 pub(crate) fn start(plan: ClusterPlan, observer: MachineObserver) -> Result<Cluster, TestbedError> {
     let cluster = Cluster::start(plan, observer)?;
     let mut client = client(&cluster, 30.0);
@@ -118,7 +122,7 @@
     Client::new(admin_listeners, None, timeouts, |_| {})
 }
 
-/// Asks until it is so, or time runs out.
+/// Polls a condition until it holds or the time runs out. Returns whether it holds.
 pub(crate) fn until(seconds: f64, mut so: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + Duration::from_secs_f64(seconds);
     while Instant::now() < end {
@@ -130,7 +134,7 @@
     so()
 }
 
-/// Resident memory of a process and its most so far, MB.
+/// Current and peak resident memory of a process, in MB.
 pub(crate) fn memory_mb(pid: u32) -> (f64, f64) {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let field = |name: &str| {
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -1,4 +1,5 @@
-//! Drawn days in simulated time: the rules, liveness, and what was given away.
+//! Randomly generated days in simulated time: checks of invariants and liveness, and statistics of
+//! lost machines and preempted tasks.
 
 use crate::TestbedError;
 use beamhinge_controller::faults::Faults;
@@ -17,37 +18,37 @@
 
 #[derive(Args)]
 pub(crate) struct Options {
-    /// How many days are played
+    /// Number of days to simulate
     #[arg(long, default_value_t = 20)]
     days: u64,
-    /// Only this one of them
+    /// Simulate only the day with this number
     #[arg(long, value_name = "NUMBER")]
     day: Option<u64>,
-    /// Play the faults of this file, in the bench's form, instead of drawn ones
+    /// Inject the faults of this file, in the bench's format, instead of random ones
     #[arg(long, value_name = "TOML")]
     file: Option<PathBuf>,
-    /// Make the first failing day smaller and write it to this file
+    /// Reduce the first failing day to a smaller one and write it to this file
     #[arg(long, value_name = "FILE")]
     reduce: Option<PathBuf>,
-    /// Write the day of --day to this file, to be kept as a scenario
+    /// Write the day given by --day to this file as a scenario
     #[arg(long, value_name = "FILE", requires = "day")]
     write: Option<PathBuf>,
-    /// What the controllers of a day log: error, info or debug; one day only
+    /// Log level of the controllers: error, info or debug; for a single day only
     #[arg(long, value_name = "LEVEL", requires = "day")]
     log: Option<String>,
-    /// Days on which troubles meet: the gap, and pairs and triples timed by what happens
+    /// Days with combined faults: the gap, and pairs and triples of faults triggered by events
     #[arg(long, conflicts_with = "file")]
     meetings: bool,
-    /// Leave a guard out, or put a fault of old back, by its name: the days must find it
+    /// Disable a guard, or reintroduce an earlier bug, by its name; the days must detect it
     #[arg(long, alias = "break", value_name = "GUARD", value_parser = faults)]
     without: Option<Faults>,
-    /// Waiting jobs rise, after 30 and 15 seconds
+    /// Boost the priority of waiting jobs after 30 seconds (best effort) and 15 seconds (standard)
     #[arg(long)]
     ageing: bool,
-    /// Days that are played at the same time
+    /// Number of days to simulate in parallel
     #[arg(long, default_value_t = 6)]
     jobs: usize,
-    /// Play the fixed days instead and compare what their controllers sent with this record
+    /// Simulate the fixed days instead and compare what their controllers sent with this record
     #[arg(
         long,
         value_name = "FILE",
@@ -56,34 +57,34 @@
         conflicts_with_all = ["days", "day", "file", "meetings", "ageing"]
     )]
     fingerprint: Option<PathBuf>,
-    /// Write the fingerprints to the record instead
+    /// Write the fingerprints to the record
     #[arg(long, requires = "fingerprint")]
     record: bool,
 }
 
-/// Tries to make a failing day smaller.
+/// Maximum number of attempts to reduce a failing day.
 const MAX_REDUCTIONS: u32 = 40;
 
 fn faults(name: &str) -> Result<Faults, String> {
-    Faults::named(name).ok_or_else(|| "no guard or fault is called so".into())
+    Faults::named(name).ok_or_else(|| "no guard or fault has this name".into())
 }
 
-/// A day that was played.
+/// A day that has been simulated.
 struct PlayedDay {
     /// Its index in the plan.
     index: usize,
     outcome: Result<Outcome, ScenarioError>,
-    /// Real time that it took, seconds.
+    /// Wall-clock duration in seconds.
     real_s: f64,
 }
 
-/// The class or team that got the least part of its work done.
+/// The job class or team that got the smallest part of its work done.
 struct LeastServed {
     name: String,
     part: f64,
 }
 
-/// The figures of all days: sums, and the worst of each.
+/// Results of all days: sums, and the worst value of each measure.
 struct Totals {
     violations: usize,
     days_stuck: usize,
@@ -169,7 +170,7 @@
     LeastServed { name, part }
 }
 
-/// Runs the experiment; returns the figures that it prints.
+/// Runs the experiment and returns the results to print.
 pub(crate) fn run(seed: u64, quick: bool, options: &Options) -> Result<Value, TestbedError> {
     let size = if quick { days::SMALL } else { days::FULL };
     let regressions = options.without.unwrap_or_default();
@@ -210,7 +211,7 @@
     Ok(report(seed, &plan, &totals, began.elapsed()))
 }
 
-/// Writes what the controllers of a day log to standard error.
+/// Sends the log of the controllers to standard error.
 fn log_controllers(level: &str) {
     let filter = tracing_subscriber::EnvFilter::new(level);
     tracing_subscriber::fmt()
@@ -220,11 +221,11 @@
         .init();
 }
 
-/// Prints one line on standard error.
+/// Prints the results of a day as one line on standard error.
 fn print_day(day: &Day, outcome: &Outcome, failed: bool, real_s: f64) {
     let least = least_served(outcome);
     eprintln!(
-        "{:14} {:5} machines {:7} tasks  settled {:4.0} s  cut off {:5}  healthy returned {:4}  unexplained {:4}  stopped {:6} in vain {:4}  least {:.2} {:12}  largest began after {:4.0} s  {:5.1} s  {}",
+        "{:14} {:5} machines {:7} tasks  settled {:4.0} s  cut off {:5}  healthy returned {:4}  unexplained {:4}  preempted {:6} wasted {:4}  least served {:.2} {:12}  largest job waited {:4.0} s  {:5.1} s  {}",
         day.name,
         outcome.peak_machines,
         outcome.started,
@@ -246,7 +247,7 @@
     );
 }
 
-/// The figures as they are printed.
+/// Formats the results for output.
 fn report(seed: u64, plan: &[Day], totals: &Totals, real: Duration) -> Value {
     let mut troubles: BTreeMap<&str, u32> = BTreeMap::new();
     for (kind, count) in plan.iter().flat_map(|d| &d.fault_counts) {
@@ -282,7 +283,8 @@
     })
 }
 
-/// Plays the fixed days, and compares their fingerprints with the record or writes it.
+/// Simulates the fixed days, and writes their fingerprints to the record if requested. Then
+/// compares them with the record.
 fn fingerprint(
     record: &Path,
     regressions: Faults,
@@ -333,8 +335,8 @@
     Ok(days.collect::<Result<_, _>>()?)
 }
 
-/// Plays all days, some at the same time; they share nothing but the processors. In the order
-/// of the plan.
+/// Simulates all days, several in parallel; they share no state. Returns them in the order of the
+/// plan.
 fn play_all(plan: &[Day], regressions: Faults, jobs: usize) -> Vec<PlayedDay> {
     let (next, done) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
--- a/crates/testbed/src/doors.rs
+++ b/crates/testbed/src/doors.rs
@@ -1,5 +1,7 @@
-//! Hostile, mistaken and slow clients at the operators' listener: each is told what is wrong,
-//! nothing changes, and the others are served meanwhile.
+//! Hostile, faulty and slow clients at the operators' listener.
+//!
+//! The controller must report the error to each of them and change no state, and it must serve
+//! other clients meanwhile.
 
 use crate::context::{self, Folder, TestContext};
 use crate::TestbedError;
@@ -14,21 +16,21 @@
 use std::net::{SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Bytes that every byte of the operator's and of the viewer's secret has.
+/// Value of every byte of the operator's and the viewer's secret.
 const OPERATOR_SECRET: u8 = 7;
 const VIEWER_SECRET: u8 = 8;
-/// Length of a secret, bytes.
+/// Length of a secret in bytes.
 const SECRET_LENGTH: usize = 32;
-/// Readers that never take their answers, and the requests of each.
+/// Number of clients that never read their responses, and the requests that each one sends.
 const SLOW_READERS: usize = 5;
 const REQUESTS_OF_SLOW_READER: usize = 50;
-/// Others must be served within this time beside them, seconds.
+/// Limit for the request of another client while the slow readers are connected, in seconds.
 const MAX_BESIDE_S: f64 = 3.0;
-/// Nonces of the requests that are signed here; the client draws its own.
+/// Nonces of the requests that are signed in this module; the client generates random ones.
 const SUBMIT_NONCE: &str = "0000000000000001";
 const LATE_NONCE: &str = "0000000000000002";
 const FIRST_MISTAKE_NONCE: u32 = 100;
-/// How far the clock is behind in one check, milliseconds.
+/// How far the client's clock is behind in the clock check, in milliseconds.
 const CLOCK_BEHIND_MS: u64 = 600_000;
 
 fn soon() -> Instant {
@@ -41,7 +43,7 @@
 
 fn key(name: &str, role: Role, byte: u8) -> Result<Key, TestbedError> {
     Key::new(name, role, vec![byte; SECRET_LENGTH])
-        .ok_or_else(|| TestbedError::Other("the lab's own keys are unsound".into()))
+        .ok_or_else(|| TestbedError::Other("the test keys are invalid".into()))
 }
 
 struct Checks {
@@ -52,28 +54,28 @@
 impl Checks {
     fn that(&mut self, what: &str, holds: bool) {
         self.made += 1;
-        eprintln!("{} {what}", if holds { "  ok " } else { "WRONG" });
+        eprintln!("{} {what}", if holds { "  ok  " } else { "FAILED" });
         if !holds {
             self.failed.push(what.to_string());
         }
     }
 }
 
-/// The answer to one bare request.
+/// The response to one request that was sent without the client library.
 struct Answer {
     status: u16,
-    /// Of the problem; empty if there is none.
+    /// Code of the reported problem; empty if the response reports none.
     code: String,
-    /// How far the controller's clock is ahead, if it says so.
+    /// How far the controller's clock is ahead, in milliseconds; `None` if not reported.
     ahead_ms: Option<i64>,
 }
 
-/// Whether a request was refused with this status and code.
+/// Returns whether a request was rejected with this status and code.
 fn is_refused(answer: Option<Answer>, status: u16, code: &str) -> bool {
     answer.is_some_and(|a| a.status == status && a.code == code)
 }
 
-/// Sends one bare request; none if nobody answers.
+/// Sends one request on a new connection. Returns `None` if no response arrives in time.
 fn ask(
     listener: SocketAddrV4,
     method: Method,
@@ -98,7 +100,7 @@
     })
 }
 
-/// The cluster, and who asks it.
+/// The cluster under test and its clients.
 struct Scene {
     cluster: Cluster,
     listeners: Vec<SocketAddrV4>,
@@ -108,7 +110,7 @@
     checks: Checks,
 }
 
-/// What is signed for one process of a controller.
+/// A job submission signed for one instance (process) of a controller.
 struct SignedSubmission {
     instance: String,
     body: Vec<u8>,
@@ -156,15 +158,15 @@
 
     fn check_roles(&mut self) {
         let answered = self.operator.summary().is_ok();
-        self.checks.that("a signed question is answered", answered);
+        self.checks.that("a signed request is answered", answered);
         let looked = self.viewer.nodes().is_ok();
-        self.checks.that("a viewer may look", looked);
+        self.checks.that("a viewer may read", looked);
         let denied = self.viewer.submit(&JobRequest::new("job-0001", "home"));
         let denied = matches!(denied, Err(ClientError::Denied(_)));
         self.checks.that("a viewer may not submit", denied);
     }
 
-    /// Requests that are not signed, signed in part, altered or repeated.
+    /// Checks requests that are unsigned, incompletely signed, altered or replayed.
     fn check_signatures(&mut self) -> Result<SignedSubmission, TestbedError> {
         let (first, second) = (self.listener(), self.listeners[1]);
         let post = |listener, body: &[u8], authorization: &str| {
@@ -178,10 +180,11 @@
         };
         let bare = ask(first, Method::Get, "/v1/jobs", &[], None);
         let refused = is_refused(bare, 401, "unauthenticated");
-        self.checks.that("without a signature: 401", refused);
+        self.checks
+            .that("a request without a signature: 401", refused);
         let half = post(first, b"{}", "BH1 key=night,mac=00");
         let refused = is_refused(half, 401, "unauthenticated");
-        self.checks.that("with half a signature: 401", refused);
+        self.checks.that("an incomplete signature: 401", refused);
         let signed = self.sign_submission()?;
         let (body, authorization) = (&signed.body, &signed.authorization);
         let altered = encode(&JobRequest::new("job-0002", "home"))?;
@@ -189,11 +192,14 @@
         let refused = is_refused(altered, 401, "unauthenticated");
         self.checks.that("an altered body: 401", refused);
         let created = post(first, body, authorization).is_some_and(|a| a.status == 201);
-        self.checks.that("the signed one: 201", created);
+        self.checks
+            .that("a correctly signed submission: 201", created);
         let replayed = is_refused(post(first, body, authorization), 401, "replayed");
-        self.checks.that("the same again: 401, replayed", replayed);
+        self.checks
+            .that("the same request again: 401, replayed", replayed);
         let other = is_refused(post(second, body, authorization), 401, "other_instance");
-        self.checks.that("the same to another: 401", other);
+        self.checks
+            .that("the same request to another controller: 401", other);
         Ok(signed)
     }
 
@@ -232,14 +238,15 @@
         let answer = ask(self.listener(), Method::Get, "/v1/teams", &[], Some(&late));
         let ahead = answer.as_ref().and_then(|a| a.ahead_ms).unwrap_or(0);
         self.checks.that(
-            "a clock ten minutes behind: told by how much",
+            "a clock ten minutes behind: the response reports the difference",
             (-601_000..-599_000).contains(&ahead),
         );
         let refused = is_refused(answer, 401, "clock");
-        self.checks.that("and as a matter of the clock", refused);
+        self.checks
+            .that("a clock ten minutes behind: 401, clock", refused);
     }
 
-    /// Signed requests that make no sense.
+    /// Checks that invalid requests, signed or not, are rejected and create no job.
     fn check_mistakes(&mut self, instance: &str) {
         use Method::{Delete, Get, Post};
         let mistakes: [(&str, Method, &str, &[u8], u16); 5] = [
@@ -286,14 +293,15 @@
         let refused = is_refused(answer, 413, "too_large");
         self.checks.that("an oversized body: 413", refused);
         let refused = refuses_garbage(self.listener());
-        self.checks.that("bytes that are no HTTP: 400", refused);
+        self.checks.that("bytes that are not HTTP: 400", refused);
         let jobs = self.operator.jobs(&[]);
         let unchanged = jobs.is_ok_and(|p| p.jobs.len() == 1 && p.jobs[0].job == "job-0001");
-        self.checks.that("nothing of this made a job", unchanged);
+        self.checks
+            .that("no rejected request created a job", unchanged);
     }
 
-    /// Readers that never take their answers hold their own connections only; returns how
-    /// long another waited, seconds.
+    /// Checks that clients which never read their responses block only their own connections.
+    /// Returns how long the request of another client took, in seconds.
     fn check_slow_readers(&mut self) -> Result<f64, TestbedError> {
         let mut readers = Vec::new();
         for _ in 0..SLOW_READERS {
@@ -305,16 +313,20 @@
         }
         let began = Instant::now();
         let served = self.operator.summary().is_ok();
-        self.checks
-            .that("others are served beside slow readers", served);
+        self.checks.that(
+            "other clients are served while slow readers are connected",
+            served,
+        );
         let beside_s = began.elapsed().as_secs_f64();
-        self.checks
-            .that("and not made to wait", beside_s < MAX_BESIDE_S);
+        self.checks.that(
+            "slow readers do not delay other clients",
+            beside_s < MAX_BESIDE_S,
+        );
         drop(readers);
         Ok(beside_s)
     }
 
-    /// A restart: the old signature is void, the client signs anew by itself.
+    /// Checks that a restart invalidates old signatures and that the client signs again by itself.
     fn check_restart(&mut self, signed: &SignedSubmission) -> Result<(), TestbedError> {
         for node in 0..2 {
             self.cluster.kill_node(node);
@@ -324,7 +336,7 @@
         }
         let goes_on = self.operator.job("job-0001").is_ok();
         self.checks
-            .that("the client goes on after a restart by itself", goes_on);
+            .that("the client recovers from a restart by itself", goes_on);
         let answer = ask(
             self.listener(),
             Method::Post,
@@ -334,10 +346,10 @@
         );
         let refused = is_refused(answer, 401, "other_instance");
         self.checks
-            .that("what was signed before it is void", refused);
+            .that("a signature from before the restart is invalid", refused);
         let log = std::fs::read_to_string(self.cluster.log_of(0)).unwrap_or_default();
         let silent = !log.contains(&secret(OPERATOR_SECRET)) && !log.is_empty();
-        self.checks.that("no secret stands in the log", silent);
+        self.checks.that("the log contains no secret", silent);
         Ok(())
     }
 }
@@ -346,7 +358,7 @@
     serde_json::to_vec(job).map_err(|e| TestbedError::Other(e.to_string()))
 }
 
-/// Runs the experiment; returns the figures that it prints.
+/// Runs the experiment and returns the results to print.
 pub(crate) fn run(context: &TestContext) -> Result<Value, TestbedError> {
     let folder = Folder::new("doors")?;
     let mut scene = Scene::new(context, &folder)?;
@@ -363,7 +375,7 @@
     )
 }
 
-/// Whether bytes that are no request are answered as such.
+/// Returns whether bytes that are not an HTTP request are answered with status 400.
 fn refuses_garbage(listener: SocketAddrV4) -> bool {
     let Ok(mut stream) = TcpStream::connect(listener) else {
         return false;
--- a/crates/testbed/src/explain.rs
+++ b/crates/testbed/src/explain.rs
@@ -1,5 +1,6 @@
-//! Each reason why a job does not run is caused on real processes, told by
-//! `explain`, and taken away: then the job runs.
+//! Causes each reason why a job does not run, on real processes.
+//!
+//! `explain` must report the reason; once the cause has been removed, the job must run.
 
 use crate::context::{self, Folder, TestContext};
 use crate::TestbedError;
@@ -13,10 +14,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How long a reason may take to show, and a job to end once it is gone.
+/// Limit until `explain` reports a reason, in seconds.
 const SHOWS_S: f64 = 25.0;
+/// Limit until a job is done once the reason has been removed, in seconds.
 const ENDS_S: f64 = 60.0;
 
+/// The cluster of one case, with a client.
 struct Stage {
     cluster: Cluster,
     client: Client,
@@ -28,7 +31,7 @@
         let cluster = context::start(plan, Box::new(|_| {}))?;
         let mut client = context::client(&cluster, 20.0);
         let machines = cluster.plan().machines;
-        // All that is there from the start has reported.
+        // Wait until all machines of the initial cluster have reported.
         context::until(15.0, || {
             client
                 .machines(&[])
@@ -50,12 +53,14 @@
         Ok(job.job)
     }
 
-    /// Waits until the reason is told in words that hold these.
+    /// Waits until `explain` reports the named reason with a text that contains `words`. Returns
+    /// the text, or `None` after the timeout.
     fn sees(&mut self, job: &str, name: &str, words: &str) -> Option<String> {
         let mut told = None;
         context::until(SHOWS_S, || {
             let e = self.client.explain(job).ok();
-            // Told anew each time: the first look may come before all is placed.
+            // Poll until the reason appears: the first query may precede the placement of other
+            // jobs.
             told = e.and_then(|e| {
                 e.reasons
                     .into_iter()
@@ -88,7 +93,7 @@
     }
 }
 
-/// The whole room is one machine that nothing can be added to.
+/// A cluster with a single machine that cannot scale out.
 fn narrow(context: &TestContext, dir: &Path) -> ClusterPlan {
     ClusterPlan {
         nodes: 2,
@@ -131,8 +136,12 @@
         };
         eprintln!(
             "{name:15} {}  then {}",
-            words.as_deref().unwrap_or("NOT TOLD"),
-            if ran { "it ran" } else { "IT DID NOT RUN" }
+            words.as_deref().unwrap_or("NOT REPORTED"),
+            if ran {
+                "the job ran"
+            } else {
+                "THE JOB DID NOT RUN"
+            }
         );
         ok &= words.is_some() && ran;
         told.insert(name.into(), json!({"told": words, "ran_after": ran}));
@@ -234,7 +243,7 @@
     let mut plan = narrow(context, dir);
     plan.rentable = 2;
     let mut s = Stage::new(plan)?;
-    // While the cloud is away the rental is asked for, and nothing boots.
+    // While the cloud is unreachable, the rental stays requested and no machine boots.
     s.cluster.inject(PlatformFault::CloudDown(6.0));
     std::thread::sleep(Duration::from_millis(200));
     s.job(|j| {
@@ -264,7 +273,7 @@
 
 fn starting(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
     let mut s = Stage::new(narrow(context, dir))?;
-    // A machine that hangs has not fetched its order yet.
+    // A machine that hangs has not fetched its command yet.
     s.cluster.inject(PlatformFault::Hang {
         machine: 0,
         seconds: 2.0,
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,23 +1,24 @@
-//! What was asked, answered and seen, and whether it can all be true.
+//! History of requests, replies and task transitions, and a check that it is consistent.
 //!
-//! Kept by those who ask and by the platform, never by a controller: a
-//! controller that is wrong cannot hide it here.
+//! The clients and the emulated platform record the history, never a controller, so a faulty
+//! controller cannot hide its errors.
 
 use beamhinge_admin_api::messages::State;
 use beamhinge_emulator::worker::TaskTransition;
 use beamhinge_emulator::worker_pool::MachineEvent;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An answer about one job; times in seconds of the experiment.
+/// A reply about one job. Times are in seconds since the start of the experiment.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub asked: f64,
     pub got: f64,
     pub what: JobReply,
-    /// Who said it, for the reader of a failure.
+    /// Interface and controller that replied, for the failure report.
     pub by: String,
 }
 
+/// What a reply says about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobReply {
     Accepted,
@@ -37,23 +38,27 @@
     }
 }
 
+/// All requests and replies about one job.
 #[derive(Default)]
 pub(crate) struct JobHistory {
     pub tasks: u32,
     pub answers: Vec<Answer>,
-    /// A cancel was sent, whatever came of it.
+    /// Whether a cancel request was sent, regardless of its result.
     pub cancel_sent: bool,
-    /// A submission was sent, whatever came of it.
+    /// Whether a submission was sent, regardless of its result.
     pub submitted: bool,
 }
 
+/// Task transitions observed on the machines.
 #[derive(Default)]
 pub(crate) struct Machines {
-    /// task -> machine it is on
+    /// Machine on which each task runs.
     on: BTreeMap<String, u64>,
-    /// task -> when it first came to its own end
+    /// When each task first finished by itself, in seconds.
     pub ended: BTreeMap<String, f64>,
+    /// Start times of all tasks, in seconds.
     pub begins: Vec<f64>,
+    /// Starts of a task that was running on a machine already.
     pub twice: Vec<String>,
 }
 
@@ -65,7 +70,7 @@
                 self.begins.push(at);
                 if let Some(other) = self.on.insert(task_id.clone(), seen.machine) {
                     self.twice.push(format!(
-                        "{task_id} began on machine {} while on {other}, at {at:.3} s",
+                        "{task_id} started on machine {} while running on {other}, at {at:.3} s",
                         seen.machine
                     ));
                 }
@@ -81,12 +86,12 @@
     }
 }
 
-/// Everything that cannot be true at once, one line each.
+/// Describes each inconsistency in the history by one line.
 pub(crate) fn wrong(jobs: &BTreeMap<String, JobHistory>, machines: &Machines) -> Vec<String> {
     let mut wrong: Vec<String> = machines.twice.clone();
     for (job, h) in jobs {
         wrong.extend(wrong_answers(job, h));
-        // Done is done: each task came to its own end before anybody said so.
+        // Every task must have finished before any reply reports the job as done.
         let first_done = h
             .answers
             .iter()
@@ -103,7 +108,9 @@
                 })
                 .count();
             if open > 0 {
-                wrong.push(format!("{job} was called done with {open} tasks open"));
+                wrong.push(format!(
+                    "{job} was reported as done with {open} unfinished tasks"
+                ));
             }
         }
     }
@@ -116,7 +123,7 @@
     by_asked.sort_by(|a, b| a.asked.total_cmp(&b.asked));
     let mut by_got: Vec<&Answer> = h.answers.iter().collect();
     by_got.sort_by(|a, b| a.got.total_cmp(&b.got));
-    // What had been answered before each question was asked.
+    // Replies that had been received before each request was sent.
     let (mut next, mut known, mut last): (usize, Option<&Answer>, Option<&Answer>) =
         (0, None, None);
     for a in by_asked {
@@ -128,7 +135,7 @@
         }
         if let (Some(k), JobReply::Unknown) = (known, a.what) {
             wrong.push(format!(
-                "{job} was known to {} at {:.3} s, and unknown to {} at {:.3} s",
+                "{job} was known to {} at {:.3} s, but unknown to {} at {:.3} s",
                 k.by, k.got, a.by, a.got
             ));
         }
@@ -136,13 +143,13 @@
             let same = a.what.last() == l.what.last() || a.what == JobReply::Unknown;
             if !same {
                 wrong.push(format!(
-                    "{job} was {:?} by {} at {:.3} s, then {:?} by {} at {:.3} s",
+                    "{job} was {:?} according to {} at {:.3} s, then {:?} according to {} at {:.3} s",
                     l.what, l.by, l.got, a.what, a.by, a.got
                 ));
             }
         }
         if a.what.known() && !h.submitted {
-            wrong.push(format!("{job} was never submitted, and known to {}", a.by));
+            wrong.push(format!("{job} was never submitted, but known to {}", a.by));
         }
     }
     let finals: BTreeSet<&'static str> = h
@@ -158,10 +165,10 @@
         })
         .collect();
     if finals.len() > 1 {
-        wrong.push(format!("{job} has two final answers"));
+        wrong.push(format!("{job} has two final states"));
     }
     if finals.contains("cancelled") && !h.cancel_sent {
-        wrong.push(format!("{job} was cancelled by nobody"));
+        wrong.push(format!("{job} was cancelled without a cancel request"));
     }
     wrong
 }
--- a/crates/testbed/src/history/tests.rs
+++ b/crates/testbed/src/history/tests.rs
@@ -45,7 +45,7 @@
         JobReply::State(State::Done),
         JobReply::State(State::Cancelled),
     );
-    // Crossing, so that neither came after the other.
+    // The requests overlap in time, so neither reply came after the other.
     let both = vec![answer(0.0, 5.0, done), answer(1.0, 4.0, gone)];
     assert_eq!(judged(both, true).len(), 1);
     assert_eq!(judged(vec![answer(0.0, 1.0, gone)], false).len(), 1);
@@ -74,7 +74,11 @@
         submitted: true,
     };
     let jobs = BTreeMap::from([("job-1".to_string(), h)]);
-    assert_eq!(wrong(&jobs, &m).len(), 2, "twice, and done with one open");
+    assert_eq!(
+        wrong(&jobs, &m).len(),
+        2,
+        "a duplicate start, and done with one unfinished task"
+    );
     m.twice.clear();
     m.on_event(2.2, &seen(2, TaskTransition::Finished));
     assert!(wrong(&jobs, &m).is_empty());
--- a/crates/testbed/src/list.rs
+++ b/crates/testbed/src/list.rs
@@ -1,5 +1,7 @@
-//! A long list of jobs: every page is bounded, the cursor misses and repeats
-//! nothing while jobs come and go, and the controller's memory is told.
+//! Reads a long list of jobs from a small controller.
+//!
+//! Every page is bounded, the cursor neither misses nor repeats a job while others are submitted,
+//! and the memory of the controller is reported and limited.
 
 use crate::context::{self, Folder, TestContext};
 use crate::TestbedError;
@@ -13,12 +15,12 @@
 use std::fmt::Write;
 use std::time::Instant;
 
-/// What one controller may use on the bench, MB.
+/// Limit for the peak memory of a controller on the bench, in MB.
 const ALLOWED_MB: f64 = 40.0;
 
-/// Rows of a page.
+/// Number of rows of a page.
 const PAGE: usize = 200;
-/// A job is submitted each time so many pages were read.
+/// Number of pages between two submissions while the list is read.
 const SUBMIT_EVERY: usize = 25;
 
 fn job_spec(i: usize) -> JobSpec {
@@ -26,7 +28,8 @@
     JobRequest::new(format!("job-{i:08}"), team).spec(1_700_000_000_000 + i as u64)
 }
 
-/// The state service's log with so many jobs; open ones wait, since their teams are frozen.
+/// Returns the log of the key-value store with this number of jobs. Open jobs wait, since their
+/// teams are frozen.
 fn state_log(jobs: usize, open: bool) -> Result<String, TestbedError> {
     let mut log = String::new();
     for i in 0..jobs {
@@ -43,7 +46,7 @@
         let _ = writeln!(log, "{}", json!({"rev": i + 1, "key": key, "value": value}));
     }
     if open {
-        // Nothing starts: the list alone is measured.
+        // Frozen teams: no task starts, so only the list is measured.
         for (n, team) in ["home", "small"].into_iter().enumerate() {
             let directive = Directive {
                 target: Target::Team(team.into()),
@@ -61,19 +64,19 @@
     Ok(log)
 }
 
-/// What reading the whole list came to.
+/// Result of reading the whole list.
 struct Listing {
     seen: BTreeSet<String>,
-    /// Jobs that came more than once.
+    /// Number of rows whose job an earlier row contained.
     repeated: usize,
     pages: usize,
-    /// The longest that a page took, milliseconds.
+    /// Longest response time of a page, in milliseconds.
     longest_page_ms: f64,
-    /// All pages, seconds.
+    /// Total time of all pages, in seconds.
     seconds: f64,
 }
 
-/// Reads the whole list, page by page, while jobs come before and behind the cursor.
+/// Reads the whole list, page by page, while jobs are submitted before and behind the cursor.
 fn read_list(client: &mut Client) -> Result<Listing, TestbedError> {
     let mut listing = Listing {
         seen: BTreeSet::new(),
@@ -105,7 +108,8 @@
     Ok(listing)
 }
 
-/// How many pages a filter takes that matches nothing: it looks at bounded parts as well.
+/// Returns the number of pages that a filter without matches takes: each page examines a bounded
+/// number of jobs.
 fn pages_without_match(client: &mut Client) -> Result<usize, TestbedError> {
     let (mut pages, mut after) = (0, String::new());
     loop {
@@ -123,8 +127,7 @@
     }
 }
 
-/// Runs the experiment; returns the figures that it prints. `open`: none of the jobs is
-/// finished.
+/// Runs the experiment and returns the results to print. If `open` is set, all jobs are unfinished.
 pub(crate) fn run(context: &TestContext, quick: bool, open: bool) -> Result<Value, TestbedError> {
     let jobs = if quick { 5_000 } else { 50_000 };
     let folder = Folder::new("list")?;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,5 +1,7 @@
-//! Experiments on real processes, and days in simulated time. The last line is one JSON object with `"ok"`
-//! and the figures; the exit code is 1 when a check fails.
+//! Experiments that run real processes or simulate days of cluster operation.
+//!
+//! The last line of standard output is one JSON object with `"ok"` and the results. The exit code
+//! is 1 if a check fails.
 
 mod ageing;
 mod configuration;
@@ -28,44 +30,44 @@
 struct Arguments {
     #[command(subcommand)]
     experiment: Experiment,
-    /// Of all draws; the same seed makes the same plan
+    /// Seed of all random choices; the same seed gives the same plan
     #[arg(long, global = true, default_value_t = 1)]
     seed: u64,
-    /// A smaller one, for a first look
+    /// Run a smaller version of the experiment
     #[arg(long, global = true)]
     quick: bool,
-    /// The controller's program, or `self`; else beamhinged beside this one
+    /// Controller program, or `self` for this one; by default beamhinged in the same directory
     #[arg(long, global = true, value_name = "FILE")]
     controller: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum Experiment {
-    /// Controllers are killed and restarted under load; every job keeps one final answer
+    /// Kill and restart controllers under load; every job must keep one final state
     Restart {
-        /// Break a guard of a stand-in: the checks must find it
+        /// Inject a fault into an emulated component; the checks must detect it
         #[arg(long = "break", value_enum)]
         broken: Option<ProtocolFault>,
     },
-    /// Each reason why a job does not run is caused, told, and taken away
+    /// Cause each reason why a job does not run, check that it is reported, then remove it
     Explain,
-    /// Drawn days in simulated time, 100 to 3,000 machines: rules, liveness, what is given away
+    /// Random days in simulated time, 100 to 3,000 machines: invariants, liveness, lost machines
     Days(days::Options),
-    /// A night in simulated time: a flood of urgent work, and what waits behind it
+    /// A night in simulated time: a flood of urgent jobs, and the jobs that wait behind them
     Ageing(ageing::Options),
-    /// How soon changes of quotas are in force everywhere, in simulated time
+    /// Time until quota changes are in force on all controllers, in simulated time
     Configuration(configuration::Options),
-    /// Hostile, mistaken and slow clients at the operators' door
+    /// Hostile, faulty and slow clients at the operators' listener
     Doors,
-    /// A long list of jobs in a small controller
+    /// Paging through a long list of jobs on a small controller
     List {
-        /// None of them finished: each waits, frozen
+        /// Use unfinished jobs, which wait because their teams are frozen
         #[arg(long)]
         open: bool,
     },
-    /// The operators' size on this machine: real controllers, hollow workers by the thousand
+    /// The operators' cluster size on this machine: real controllers, thousands of hollow workers
     Scale(scale::Options),
-    /// One of the processes of a scale run
+    /// One process of a scale run
     #[command(hide = true)]
     Role,
     #[command(hide = true)]
@@ -74,30 +76,30 @@
 
 #[derive(Clone, Copy, ValueEnum)]
 enum ProtocolFault {
-    /// Workers leave running tasks out of their reports
+    /// Workers omit running tasks from their reports
     HideTasks,
-    /// The state service forgets jobs after a while
+    /// The key-value store loses jobs after a while
     ForgetJobs,
-    /// Workers report tasks done that still run
+    /// Workers report tasks as done while they are still running
     EarlyDone,
 }
 
-/// What ends an experiment before its checks.
+/// Error that ends an experiment before its checks.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
     /// The cluster could not be started.
     #[error(transparent)]
     Cluster(#[from] beamhinge_dev_cluster::ClusterError),
-    /// A controller did not answer as it should.
+    /// A request to a controller failed.
     #[error(transparent)]
     Client(#[from] beamhinge_client::ClientError),
-    /// A file or a socket.
+    /// A file or socket operation failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
     /// A scenario could not be played.
     #[error(transparent)]
     Scenario(#[from] beamhinge_sim::scenario::ScenarioError),
-    /// Anything else, in words.
+    /// Any other error, as text.
     #[error("{0}")]
     Other(String),
 }
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -1,6 +1,8 @@
-//! Controllers are killed and started again under load, singly and all
-//! together, while clients submit, ask and cancel in pairs. Whether every job
-//! keeps one final answer is judged by histories kept outside.
+//! Kills and restarts controllers under load, one at a time and all together.
+//!
+//! Meanwhile clients submit jobs, query them, and cancel jobs through two controllers at once.
+//! Histories that the clients and the emulated platform record show whether every job keeps one
+//! final state.
 
 use crate::context::{self, Folder, TestContext};
 use crate::history::{wrong, Answer, JobHistory, JobReply, Machines};
@@ -23,13 +25,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Shared by all who ask.
+/// Observations shared by all clients of the experiment.
 struct Record {
     began: Instant,
     jobs: Mutex<BTreeMap<String, JobHistory>>,
     machines: Mutex<Machines>,
-    /// Microseconds of every answered request.
+    /// Response times of all answered requests, in microseconds.
     times: Mutex<Histogram<u64>>,
+    /// Send and response times of all accepted submissions, in seconds of the experiment.
     accepted: Mutex<Vec<(f64, f64)>>,
 }
 
@@ -83,17 +86,17 @@
         }
     }
 
-    /// Between two jobs of a client, seconds: the load lasts about as long as the kills do.
+    /// Pause between two jobs of a client, in seconds. The load lasts about as long as the kills.
     fn pause_s(&self) -> f64 {
         self.kills as f64 * KILL_INTERVAL_S / self.jobs_each as f64
     }
 }
 
-/// About so long is between two kills, seconds.
+/// Approximate time between two kills, in seconds.
 const KILL_INTERVAL_S: f64 = 4.5;
-/// Longest time of an answer that is told apart, microseconds.
+/// Upper bound of the response time histogram, in microseconds.
 const MAX_ANSWER_US: u64 = 120_000_000;
-/// Number of the client that asks for jobs which nobody submits, and its pause.
+/// Number of the client that queries jobs which no client submits, and its query interval.
 const STRANGER: usize = 99;
 const STRANGER_PAUSE: Duration = Duration::from_millis(200);
 
@@ -104,8 +107,8 @@
     users: Vec<SocketAddrV4>,
 }
 
-/// Starts the clients, and one who asks for jobs that nobody submits until `stop`: a
-/// controller that knows one has invented it.
+/// Starts the clients, and one client that queries jobs which no client submits, until `stop` is
+/// set. If a controller knows such a job, it has invented it.
 fn start_clients(
     size: &Size,
     seed: u64,
@@ -134,7 +137,7 @@
     threads
 }
 
-/// Runs the experiment; returns the figures that it prints.
+/// Runs the experiment and returns the results to print.
 pub(crate) fn run(
     context: &TestContext,
     quick: bool,
@@ -181,7 +184,7 @@
     report(&record, &kills, &unfinished, ended, memory_mb)
 }
 
-/// When each kill was, and whether of all.
+/// Kills and restarts controllers. Returns the time of each kill and whether it killed all.
 fn kill_and_start(
     cluster: &mut Cluster,
     seed: u64,
@@ -194,7 +197,7 @@
     let mut made = Vec::new();
     thread::sleep(Duration::from_secs(2));
     for k in 0..kills {
-        // Every fourth is of all; of the others every second of the leader.
+        // Every fourth kill takes down all controllers; every second of the others the leader.
         let all = k % 4 == 3;
         let leader = client
             .nodes()
@@ -224,8 +227,8 @@
     Ok(made)
 }
 
-/// Waits until every job that was accepted is over, by all controllers; those
-/// that are not.
+/// Waits until all controllers report every accepted job as finished. Returns the jobs that are
+/// still unfinished after the timeout.
 fn settle(record: &Arc<Record>, addresses: &Addresses) -> Vec<String> {
     let jobs: Vec<String> = lock(&record.jobs)
         .iter()
@@ -233,7 +236,7 @@
         .map(|(job, _)| job.clone())
         .collect();
     eprintln!(
-        "{:6.1} s  {} jobs were accepted; waiting for their ends",
+        "{:6.1} s  {} jobs were accepted; waiting until they finish",
         record.now(),
         jobs.len()
     );
@@ -336,12 +339,12 @@
     }
 
     fn by(&self) -> String {
-        self.client
-            .last_controller()
-            .map_or(String::new(), |a| format!("operators' {a}"))
+        self.client.last_controller().map_or(String::new(), |a| {
+            format!("the operators' interface of {a}")
+        })
     }
 
-    /// Two cancel at once, through two controllers where two are up.
+    /// Sends two cancel requests at once, through different controllers if two are up.
     fn cancel_in_pairs(&mut self, job: &str) {
         if let Some(h) = lock(&self.record.jobs).get_mut(job) {
             h.cancel_sent = true;
@@ -378,7 +381,7 @@
         }
     }
 
-    /// The platform's users speak CBOR to another port: the same truth.
+    /// Queries the users' interface, which uses CBOR on another port and must agree.
     fn ask_as_user(&mut self, job: &str) -> Option<State> {
         let node = self.rng.gen_range(0..self.addresses.users.len());
         let until = Instant::now() + Duration::from_secs(3);
@@ -427,7 +430,7 @@
     let answer = client.cancel(job);
     let by = client
         .last_controller()
-        .map_or(String::new(), |a| format!("cancel by {a}"));
+        .map_or(String::new(), |a| format!("cancel request to {a}"));
     match answer {
         Ok(told) => record.heard(job, asked, JobReply::State(told.state), &by),
         Err(ClientError::NotFound(_)) => record.heard(job, asked, JobReply::Unknown, &by),
@@ -443,7 +446,8 @@
     sorted[at - 1]
 }
 
-/// From each kill to the first of `times` that began after it.
+/// Returns the sorted times from each kill to the earliest end among the `times` (start, end)
+/// that start after it.
 fn gaps(kills: &[(f64, bool)], times: &[(f64, f64)]) -> Vec<f64> {
     let mut gaps: Vec<f64> = kills
         .iter()
@@ -470,10 +474,10 @@
     let machines = lock(&record.machines);
     let wrong = wrong(&jobs, &machines);
     for line in wrong.iter().take(20) {
-        eprintln!("wrong: {line}");
+        eprintln!("inconsistent: {line}");
     }
     for job in unfinished.iter().take(10) {
-        eprintln!("not over: {job}");
+        eprintln!("not finished: {job}");
     }
     let known = |h: &&JobHistory| h.answers.iter().any(|a| a.what != JobReply::Unknown);
     let accepted = jobs.values().filter(known).count();
@@ -486,7 +490,7 @@
     let starts = gaps(kills, &begins);
     let times = lock(&record.times);
     let ms = |q: f64| times.value_at_quantile(q) as f64 / 1e3;
-    // Without load and without kills nothing would have been tested.
+    // A run without load, cancellations or kills would have tested nothing.
     let tested = accepted >= 100 && !kills.is_empty() && of(State::Cancelled) > 0;
     let ok = wrong.is_empty() && unfinished.is_empty() && exited == 0 && tested;
     let round = |x: f64| (x * 1e3).round() / 1e3;
--- a/crates/testbed/tests/real.rs
+++ b/crates/testbed/tests/real.rs
@@ -1,15 +1,15 @@
-//! Small runs of the experiments, on real processes. Long ones are for hands.
+//! Small runs of the experiments on real processes. Long runs are started by hand.
 
 use std::process::Command;
 
-/// Exit code and last line of one experiment.
+/// Runs one experiment; returns its exit code and its results, which are the last line of output.
 fn lab(words: &[&str]) -> (Option<i32>, serde_json::Value) {
     let output = Command::new(env!("CARGO_BIN_EXE_beamhinge-testbed"))
         .args(words)
-        // Another build of the daemon may lie beside a test's.
+        // The directory of the test binary may contain another build of the daemon.
         .args(["--controller", "self"])
         .output()
-        .expect("the lab starts");
+        .expect("beamhinge-testbed starts");
     let text = String::from_utf8_lossy(&output.stdout);
     let last = text.lines().last().unwrap_or_default();
     let figures = serde_json::from_str(last).unwrap_or_default();
@@ -24,7 +24,7 @@
     assert_eq!(figures["wrong_answers"], 0);
 }
 
-/// The checks must be able to fail: here jobs are called done too soon.
+/// The checks must be able to fail: here workers report tasks as done while they are running.
 #[test]
 fn a_broken_guard_is_found() {
     let (code, figures) = lab(&["restart", "--quick", "--break", "early-done"]);
@@ -51,7 +51,7 @@
     assert_eq!(figures["days"], 4);
 }
 
-/// The checks must be able to fail: healthy machines are given away here.
+/// The checks must be able to fail: with this fault, controllers return healthy machines.
 #[test]
 fn a_fault_of_old_is_found_by_a_drawn_day() {
     let (code, figures) = lab(&[
@@ -68,8 +68,8 @@
     assert!(figures["healthy_returned"].as_u64() > Some(10), "{figures}");
 }
 
-/// A hundred hollow workers beside real ones, with an end of the leader: the budgets and
-/// the rules hold.
+/// A hundred hollow workers run beside real ones, and the leader is killed: the run must stay
+/// within its budgets and violate no rule.
 #[test]
 fn a_small_scale_run_holds_its_budgets_through_an_end_of_the_leader() {
     let (code, figures) = lab(&[
@@ -87,7 +87,7 @@
     );
 }
 
-/// A sound size is needed before anything starts.
+/// The size is validated before any process starts.
 #[test]
 fn a_scale_run_that_cannot_be_played_says_why() {
     for (words, why) in [
