--- a/crates/testbed/src/doors.rs
+++ b/crates/testbed/src/admin_listener.rs
@@ -23,17 +23,17 @@
 const SECRET_LENGTH: usize = 32;
 /// Number of clients that never read their responses, and the requests that each one sends.
 const SLOW_READERS: usize = 5;
-const REQUESTS_OF_SLOW_READER: usize = 50;
+const REQUESTS_PER_SLOW_READER: usize = 50;
 /// Limit for the request of another client while the slow readers are connected, in seconds.
-const MAX_BESIDE_S: f64 = 3.0;
+const MAX_WAIT_BESIDE_SLOW_READERS_S: f64 = 3.0;
 /// Nonces of the requests that are signed in this module; the client generates random ones.
 const SUBMIT_NONCE: &str = "0000000000000001";
-const LATE_NONCE: &str = "0000000000000002";
-const FIRST_MISTAKE_NONCE: u32 = 100;
+const SLOW_CLOCK_NONCE: &str = "0000000000000002";
+const FIRST_INVALID_REQUEST_NONCE: u32 = 100;
 /// How far the client's clock is behind in the clock check, in milliseconds.
 const CLOCK_BEHIND_MS: u64 = 600_000;
 
-fn soon() -> Instant {
+fn request_deadline() -> Instant {
     Instant::now() + Duration::from_secs(5)
 }
 
@@ -46,23 +46,26 @@
         .ok_or_else(|| TestbedError::Other("the test keys are invalid".into()))
 }
 
+/// Results of the checks.
 struct Checks {
+    /// Descriptions of the failed checks.
     failed: Vec<String>,
-    made: u32,
+    count: u32,
 }
 
 impl Checks {
-    fn that(&mut self, what: &str, holds: bool) {
-        self.made += 1;
-        eprintln!("{} {what}", if holds { "  ok  " } else { "FAILED" });
-        if !holds {
-            self.failed.push(what.to_string());
+    /// Prints and counts the result of one check.
+    fn record(&mut self, description: &str, passed: bool) {
+        self.count += 1;
+        eprintln!("{} {description}", if passed { "  ok  " } else { "FAILED" });
+        if !passed {
+            self.failed.push(description.to_string());
         }
     }
 }
 
 /// The response to one request that was sent without the client library.
-struct Answer {
+struct RawResponse {
     status: u16,
     /// Code of the reported problem; empty if the response reports none.
     code: String,
@@ -71,27 +74,27 @@
 }
 
 /// Returns whether a request was rejected with this status and code.
-fn is_refused(answer: Option<Answer>, status: u16, code: &str) -> bool {
-    answer.is_some_and(|a| a.status == status && a.code == code)
+fn is_rejected(response: Option<RawResponse>, status: u16, code: &str) -> bool {
+    response.is_some_and(|r| r.status == status && r.code == code)
 }
 
 /// Sends one request on a new connection. Returns `None` if no response arrives in time.
-fn ask(
+fn send_request(
     listener: SocketAddrV4,
     method: Method,
     path: &str,
     body: &[u8],
     authorization: Option<&str>,
-) -> Option<Answer> {
-    let mut connection = Connection::open(listener, soon()).ok()?;
+) -> Option<RawResponse> {
+    let mut connection = Connection::open(listener, request_deadline()).ok()?;
     let response = connection
-        .exchange(method, path, body, authorization, soon())
+        .exchange(method, path, body, authorization, request_deadline())
         .ok()?;
     let problem = serde_json::from_slice::<Problem>(&response.body).ok();
     let code = problem
         .as_ref()
         .and_then(|p| serde_json::to_value(p.code).ok());
-    Some(Answer {
+    Some(RawResponse {
         status: response.status,
         code: code
             .and_then(|c| c.as_str().map(str::to_string))
@@ -101,7 +104,7 @@
 }
 
 /// The cluster under test and its clients.
-struct Scene {
+struct ListenerTest {
     cluster: Cluster,
     listeners: Vec<SocketAddrV4>,
     operator_key: Key,
@@ -117,8 +120,8 @@
     authorization: String,
 }
 
-impl Scene {
-    fn new(context: &TestContext, folder: &Folder) -> Result<Scene, TestbedError> {
+impl ListenerTest {
+    fn new(context: &TestContext, folder: &Folder) -> Result<ListenerTest, TestbedError> {
         let keys = folder.0.join("keys.ini");
         let text = format!(
             "[night]\nrole = operator\nsecret = {}\n[wall]\nrole = viewer\nsecret = {}\n",
@@ -138,7 +141,7 @@
             per_attempt: Duration::from_secs(3),
         };
         let client = |key: Key| Client::new(&listeners, Some(key), timeouts, |_| {});
-        Ok(Scene {
+        Ok(ListenerTest {
             operator: client(operator_key.clone()),
             viewer: client(viewer_key),
             cluster,
@@ -146,7 +149,7 @@
             operator_key,
             checks: Checks {
                 failed: Vec::new(),
-                made: 0,
+                count: 0,
             },
         })
     }
@@ -158,19 +161,19 @@
 
     fn check_roles(&mut self) {
         let answered = self.operator.summary().is_ok();
-        self.checks.that("a signed request is answered", answered);
-        let looked = self.viewer.nodes().is_ok();
-        self.checks.that("a viewer may read", looked);
+        self.checks.record("a signed request is answered", answered);
+        let viewer_can_read = self.viewer.nodes().is_ok();
+        self.checks.record("a viewer may read", viewer_can_read);
         let denied = self.viewer.submit(&JobRequest::new("job-0001", "home"));
         let denied = matches!(denied, Err(ClientError::Denied(_)));
-        self.checks.that("a viewer may not submit", denied);
+        self.checks.record("a viewer may not submit", denied);
     }
 
     /// Checks requests that are unsigned, incompletely signed, altered or replayed.
     fn check_signatures(&mut self) -> Result<SignedSubmission, TestbedError> {
         let (first, second) = (self.listener(), self.listeners[1]);
         let post = |listener, body: &[u8], authorization: &str| {
-            ask(
+            send_request(
                 listener,
                 Method::Post,
                 "/v1/jobs",
@@ -178,38 +181,40 @@
                 Some(authorization),
             )
         };
-        let bare = ask(first, Method::Get, "/v1/jobs", &[], None);
-        let refused = is_refused(bare, 401, "unauthenticated");
+        let unsigned = send_request(first, Method::Get, "/v1/jobs", &[], None);
+        let rejected = is_rejected(unsigned, 401, "unauthenticated");
         self.checks
-            .that("a request without a signature: 401", refused);
-        let half = post(first, b"{}", "BH1 key=night,mac=00");
-        let refused = is_refused(half, 401, "unauthenticated");
-        self.checks.that("an incomplete signature: 401", refused);
+            .record("a request without a signature: 401", rejected);
+        let incomplete = post(first, b"{}", "BH1 key=night,mac=00");
+        let rejected = is_rejected(incomplete, 401, "unauthenticated");
+        self.checks.record("an incomplete signature: 401", rejected);
         let signed = self.sign_submission()?;
         let (body, authorization) = (&signed.body, &signed.authorization);
         let altered = encode(&JobRequest::new("job-0002", "home"))?;
         let altered = post(first, &altered, authorization);
-        let refused = is_refused(altered, 401, "unauthenticated");
-        self.checks.that("an altered body: 401", refused);
-        let created = post(first, body, authorization).is_some_and(|a| a.status == 201);
+        let rejected = is_rejected(altered, 401, "unauthenticated");
+        self.checks.record("an altered body: 401", rejected);
+        let created = post(first, body, authorization).is_some_and(|r| r.status == 201);
         self.checks
-            .that("a correctly signed submission: 201", created);
-        let replayed = is_refused(post(first, body, authorization), 401, "replayed");
+            .record("a correctly signed submission: 201", created);
+        let replayed = is_rejected(post(first, body, authorization), 401, "replayed");
         self.checks
-            .that("the same request again: 401, replayed", replayed);
-        let other = is_refused(post(second, body, authorization), 401, "other_instance");
+            .record("the same request again: 401, replayed", replayed);
+        let other = is_rejected(post(second, body, authorization), 401, "other_instance");
         self.checks
-            .that("the same request to another controller: 401", other);
+            .record("the same request to another controller: 401", other);
         Ok(signed)
     }
 
     fn sign_submission(&self) -> Result<SignedSubmission, TestbedError> {
         let other = |e: &dyn std::fmt::Display| TestbedError::Other(e.to_string());
-        let mut connection = Connection::open(self.listener(), soon()).map_err(|e| other(&e))?;
-        let hello = connection
-            .exchange(Method::Get, "/v1/hello", &[], None, soon())
+        let mut connection =
+            Connection::open(self.listener(), request_deadline()).map_err(|e| other(&e))?;
+        let server_info = connection
+            .exchange(Method::Get, "/v1/hello", &[], None, request_deadline())
             .map_err(|e| other(&e))?;
-        let hello: ServerInfo = serde_json::from_slice(&hello.body).map_err(|e| other(&e))?;
+        let server_info: ServerInfo =
+            serde_json::from_slice(&server_info.body).map_err(|e| other(&e))?;
         let body = encode(&JobRequest::new("job-0001", "home"))?;
         let authorization = self.operator_key.sign(&SignedRequest {
             method: "POST",
@@ -217,39 +222,45 @@
             body: &body,
             time_ms: wall_ms(),
             nonce: SUBMIT_NONCE,
-            instance: &hello.instance,
+            instance: &server_info.instance,
         });
         Ok(SignedSubmission {
-            instance: hello.instance,
+            instance: server_info.instance,
             body,
             authorization,
         })
     }
 
     fn check_clock(&mut self, instance: &str) {
-        let late = self.operator_key.sign(&SignedRequest {
+        let authorization = self.operator_key.sign(&SignedRequest {
             method: "GET",
             path: "/v1/teams",
             body: &[],
             time_ms: wall_ms() - CLOCK_BEHIND_MS,
-            nonce: LATE_NONCE,
+            nonce: SLOW_CLOCK_NONCE,
             instance,
         });
-        let answer = ask(self.listener(), Method::Get, "/v1/teams", &[], Some(&late));
-        let ahead = answer.as_ref().and_then(|a| a.ahead_ms).unwrap_or(0);
-        self.checks.that(
+        let response = send_request(
+            self.listener(),
+            Method::Get,
+            "/v1/teams",
+            &[],
+            Some(&authorization),
+        );
+        let ahead = response.as_ref().and_then(|r| r.ahead_ms).unwrap_or(0);
+        self.checks.record(
             "a clock ten minutes behind: the response reports the difference",
             (-601_000..-599_000).contains(&ahead),
         );
-        let refused = is_refused(answer, 401, "clock");
+        let rejected = is_rejected(response, 401, "clock");
         self.checks
-            .that("a clock ten minutes behind: 401, clock", refused);
+            .record("a clock ten minutes behind: 401, clock", rejected);
     }
 
     /// Checks that invalid requests, signed or not, are rejected and create no job.
-    fn check_mistakes(&mut self, instance: &str) {
+    fn check_invalid_requests(&mut self, instance: &str) {
         use Method::{Delete, Get, Post};
-        let mistakes: [(&str, Method, &str, &[u8], u16); 5] = [
+        let invalid_requests: [(&str, Method, &str, &[u8], u16); 5] = [
             ("an unknown path: 404", Get, "/v1/planets", b"", 404),
             (
                 "a misspelt filter: 400",
@@ -274,8 +285,8 @@
             ),
             ("a wrong method: 405", Delete, "/v1/nodes", b"", 405),
         ];
-        for (what, method, path, body, status) in mistakes {
-            let nonce = format!("{:016}", FIRST_MISTAKE_NONCE + self.checks.made);
+        for (description, method, path, body, status) in invalid_requests {
+            let nonce = format!("{:016}", FIRST_INVALID_REQUEST_NONCE + self.checks.count);
             let authorization = self.operator_key.sign(&SignedRequest {
                 method: method.name(),
                 path,
@@ -284,20 +295,20 @@
                 nonce: &nonce,
                 instance,
             });
-            let answer = ask(self.listener(), method, path, body, Some(&authorization));
-            let refused = answer.is_some_and(|a| a.status == status);
-            self.checks.that(what, refused);
+            let response = send_request(self.listener(), method, path, body, Some(&authorization));
+            let rejected = response.is_some_and(|r| r.status == status);
+            self.checks.record(description, rejected);
         }
         let large = vec![b'x'; 80 * 1024];
-        let answer = ask(self.listener(), Method::Post, "/v1/jobs", &large, None);
-        let refused = is_refused(answer, 413, "too_large");
-        self.checks.that("an oversized body: 413", refused);
-        let refused = refuses_garbage(self.listener());
-        self.checks.that("bytes that are not HTTP: 400", refused);
+        let response = send_request(self.listener(), Method::Post, "/v1/jobs", &large, None);
+        let rejected = is_rejected(response, 413, "too_large");
+        self.checks.record("an oversized body: 413", rejected);
+        let rejected = rejects_bytes_that_are_not_http(self.listener());
+        self.checks.record("bytes that are not HTTP: 400", rejected);
         let jobs = self.operator.jobs(&[]);
         let unchanged = jobs.is_ok_and(|p| p.jobs.len() == 1 && p.jobs[0].job == "job-0001");
         self.checks
-            .that("no rejected request created a job", unchanged);
+            .record("no rejected request created a job", unchanged);
     }
 
     /// Checks that clients which never read their responses block only their own connections.
@@ -306,24 +317,24 @@
         let mut readers = Vec::new();
         for _ in 0..SLOW_READERS {
             let mut reader = TcpStream::connect(self.listener())?;
-            for _ in 0..REQUESTS_OF_SLOW_READER {
+            for _ in 0..REQUESTS_PER_SLOW_READER {
                 let _ = reader.write_all(b"GET /v1/hello HTTP/1.1\r\nHost: x\r\n\r\n");
             }
             readers.push(reader);
         }
         let began = Instant::now();
         let served = self.operator.summary().is_ok();
-        self.checks.that(
+        self.checks.record(
             "other clients are served while slow readers are connected",
             served,
         );
-        let beside_s = began.elapsed().as_secs_f64();
-        self.checks.that(
+        let wait_s = began.elapsed().as_secs_f64();
+        self.checks.record(
             "slow readers do not delay other clients",
-            beside_s < MAX_BESIDE_S,
+            wait_s < MAX_WAIT_BESIDE_SLOW_READERS_S,
         );
         drop(readers);
-        Ok(beside_s)
+        Ok(wait_s)
     }
 
     /// Checks that a restart invalidates old signatures and that the client signs again by itself.
@@ -334,22 +345,23 @@
         for node in 0..2 {
             self.cluster.start_node(node)?;
         }
-        let goes_on = self.operator.job("job-0001").is_ok();
+        let recovered = self.operator.job("job-0001").is_ok();
         self.checks
-            .that("the client recovers from a restart by itself", goes_on);
-        let answer = ask(
+            .record("the client recovers from a restart by itself", recovered);
+        let response = send_request(
             self.listener(),
             Method::Post,
             "/v1/jobs",
             &signed.body,
             Some(&signed.authorization),
         );
-        let refused = is_refused(answer, 401, "other_instance");
+        let rejected = is_rejected(response, 401, "other_instance");
         self.checks
-            .that("a signature from before the restart is invalid", refused);
+            .record("a signature from before the restart is invalid", rejected);
         let log = std::fs::read_to_string(self.cluster.log_of(0)).unwrap_or_default();
-        let silent = !log.contains(&secret(OPERATOR_SECRET)) && !log.is_empty();
-        self.checks.that("the log contains no secret", silent);
+        let secret_absent = !log.contains(&secret(OPERATOR_SECRET)) && !log.is_empty();
+        self.checks
+            .record("the log contains no secret", secret_absent);
         Ok(())
     }
 }
@@ -361,27 +373,27 @@
 /// Runs the experiment and returns the results to print.
 pub(crate) fn run(context: &TestContext) -> Result<Value, TestbedError> {
     let folder = Folder::new("doors")?;
-    let mut scene = Scene::new(context, &folder)?;
-    scene.check_roles();
-    let signed = scene.check_signatures()?;
-    scene.check_clock(&signed.instance);
-    scene.check_mistakes(&signed.instance);
-    let beside_s = scene.check_slow_readers()?;
-    scene.check_restart(&signed)?;
-    let Checks { failed, made } = scene.checks;
+    let mut listener_test = ListenerTest::new(context, &folder)?;
+    listener_test.check_roles();
+    let signed = listener_test.check_signatures()?;
+    listener_test.check_clock(&signed.instance);
+    listener_test.check_invalid_requests(&signed.instance);
+    let wait_s = listener_test.check_slow_readers()?;
+    listener_test.check_restart(&signed)?;
+    let Checks { failed, count } = listener_test.checks;
     Ok(
-        json!({"ok": failed.is_empty(), "experiment": "doors", "checks": made, "failed": failed,
-        "beside_slow_readers_s": (beside_s * 1e3).round() / 1e3}),
+        json!({"ok": failed.is_empty(), "experiment": "doors", "checks": count, "failed": failed,
+        "beside_slow_readers_s": (wait_s * 1e3).round() / 1e3}),
     )
 }
 
 /// Returns whether bytes that are not an HTTP request are answered with status 400.
-fn refuses_garbage(listener: SocketAddrV4) -> bool {
+fn rejects_bytes_that_are_not_http(listener: SocketAddrV4) -> bool {
     let Ok(mut stream) = TcpStream::connect(listener) else {
         return false;
     };
     let _ = stream.set_read_timeout(Some(Duration::from_secs(3)));
     let _ = stream.write_all(b"\x16\x03\x01\x02\x00\x01\r\n\r\n");
-    let mut answer = [0u8; 64];
-    matches!(stream.read(&mut answer), Ok(n) if answer[..n].starts_with(b"HTTP/1.1 400"))
+    let mut response = [0u8; 64];
+    matches!(stream.read(&mut response), Ok(n) if response[..n].starts_with(b"HTTP/1.1 400"))
 }
--- a/crates/testbed/src/configuration.rs
+++ b/crates/testbed/src/configuration.rs
@@ -16,14 +16,14 @@
 use std::sync::Mutex;
 
 /// Time within which operators require a change to be in force, in seconds.
-const IN_FORCE_S: f64 = 11.0;
+const MAX_IN_FORCE_S: f64 = 11.0;
 /// Number of configuration changes in a day.
-const CHANGES: u32 = 12;
+const CHANGES_PER_DAY: u32 = 12;
 /// Time between two changes, in seconds, before a random delay is added.
-const EVERY_S: f64 = 5.0;
+const CHANGE_INTERVAL_S: f64 = 5.0;
 const THREADS: usize = 6;
 /// Upper bound of the histogram of times until a change is in force, in milliseconds.
-const MAX_IN_FORCE_MS: u64 = 600_000;
+const HISTOGRAM_MAX_MS: u64 = 600_000;
 
 #[derive(Args)]
 pub(crate) struct Options {
@@ -39,7 +39,7 @@
 }
 
 /// Generates the scenario of a day on which a limit is raised and lowered.
-fn day(seed: u64, options: &Options) -> String {
+fn day_scenario(seed: u64, options: &Options) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut text = format!(
         "seed {seed}\nnodes {}\nowned 20\nspot 0\nordinary 0\nlarge 0\nteam-max 32\n\
@@ -47,8 +47,8 @@
          at 1 stream 10 count=60 every=1 tasks=6 cpus=1 run=6\n",
         options.nodes
     );
-    for n in 0..CHANGES {
-        let at = 8.0 + EVERY_S * f64::from(n) + rng.gen_range(0.0..3.0);
+    for n in 0..CHANGES_PER_DAY {
+        let at = 8.0 + CHANGE_INTERVAL_S * f64::from(n) + rng.gen_range(0.0..3.0);
         let limit = rng.gen_range(2..30);
         // Writing to a string cannot fail.
         let _ = writeln!(
@@ -83,52 +83,53 @@
 
 pub(crate) fn run(seed: u64, options: &Options) -> Result<Value, TestbedError> {
     let next = AtomicU64::new(0);
-    let all: Mutex<(Vec<f64>, Vec<String>)> = Mutex::default();
-    let work = || loop {
+    let results: Mutex<(Vec<f64>, Vec<String>)> = Mutex::default();
+    let simulate_days = || loop {
         let n = next.fetch_add(1, Ordering::Relaxed);
         if n >= options.days {
             return;
         }
-        let played = scenario::play(&day(seed * 10_000 + n, options), Faults::default());
-        let mut all = all
+        let played = scenario::play(&day_scenario(seed * 10_000 + n, options), Faults::default());
+        let mut results = results
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         match played {
             Ok(outcome) => {
-                all.0.extend(outcome.in_force_s);
-                all.1.extend(
+                results.0.extend(outcome.in_force_s);
+                results.1.extend(
                     outcome
                         .failures
                         .iter()
-                        .map(|wrong| format!("day {n}: {wrong}")),
+                        .map(|failure| format!("day {n}: {failure}")),
                 );
             }
-            Err(e) => all.1.push(format!("day {n}: {e}")),
+            Err(e) => results.1.push(format!("day {n}: {e}")),
         }
     };
-    std::thread::scope(|s| (0..THREADS).for_each(|_| drop(s.spawn(work))));
-    let (took, wrong) = all
+    std::thread::scope(|scope| (0..THREADS).for_each(|_| drop(scope.spawn(simulate_days))));
+    let (durations_s, failed_checks) = results
         .into_inner()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut times = Histogram::<u64>::new_with_max(MAX_IN_FORCE_MS, 3)
+    let mut times = Histogram::<u64>::new_with_max(HISTOGRAM_MAX_MS, 3)
         .map_err(|e| TestbedError::Other(e.to_string()))?;
-    took.iter()
-        .for_each(|s| times.saturating_record((s * 1e3) as u64));
-    let s = |q: f64| times.value_at_quantile(q) as f64 / 1e3;
-    for line in wrong.iter().take(5) {
+    durations_s
+        .iter()
+        .for_each(|seconds| times.saturating_record((seconds * 1e3) as u64));
+    let quantile_s = |q: f64| times.value_at_quantile(q) as f64 / 1e3;
+    for line in failed_checks.iter().take(5) {
         eprintln!("failed: {line}");
     }
-    let most_s = times.max() as f64 / 1e3;
+    let longest_s = times.max() as f64 / 1e3;
     // With faults a controller may be unreachable for longer than the limit: the change then
     // reports it by name and does not wait for it.
-    let soon = options.faults || most_s <= IN_FORCE_S;
+    let within_limit = options.faults || longest_s <= MAX_IN_FORCE_S;
     Ok(json!({
-        "ok": wrong.is_empty() && soon && times.len() >= options.days,
+        "ok": failed_checks.is_empty() && within_limit && times.len() >= options.days,
         "experiment": "configuration", "seed": seed, "days": options.days,
         "nodes": options.nodes, "faults": options.faults, "changes": times.len(),
-        "in_force_s": {"p50": s(0.5), "p99": s(0.99), "most": most_s},
-        "within_11_s": times.count_between(0, (IN_FORCE_S * 1e3) as u64) as f64
+        "in_force_s": {"p50": quantile_s(0.5), "p99": quantile_s(0.99), "most": longest_s},
+        "within_11_s": times.count_between(0, (MAX_IN_FORCE_S * 1e3) as u64) as f64
             / times.len().max(1) as f64,
-        "wrong": wrong.len(),
+        "wrong": failed_checks.len(),
     }))
 }
--- a/crates/testbed/src/context.rs
+++ b/crates/testbed/src/context.rs
@@ -19,14 +19,15 @@
 
 /// Returns the program and leading arguments of a controller: the named program, otherwise
 /// `beamhinged` in the directory of this program, otherwise this program itself.
-pub(crate) fn controller(named: &Option<PathBuf>) -> (PathBuf, Vec<String>) {
-    let own = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("beamhinge-testbed"));
-    let beside = own.with_file_name("beamhinged");
-    match named {
-        Some(path) if path.as_os_str() == "self" => (own, vec!["controller".into()]),
+pub(crate) fn controller_command(explicit_program: &Option<PathBuf>) -> (PathBuf, Vec<String>) {
+    let current_program =
+        std::env::current_exe().unwrap_or_else(|_| PathBuf::from("beamhinge-testbed"));
+    let sibling = current_program.with_file_name("beamhinged");
+    match explicit_program {
+        Some(path) if path.as_os_str() == "self" => (current_program, vec!["controller".into()]),
         Some(path) => (path.clone(), Vec::new()),
-        None if beside.exists() => (beside, Vec::new()),
-        None => (own, vec!["controller".into()]),
+        None if sibling.exists() => (sibling, Vec::new()),
+        None => (current_program, vec!["controller".into()]),
     }
 }
 
@@ -50,16 +51,17 @@
 
 /// First port and number of the blocks of 100 ports that experiments use. They lie below the
 /// ephemeral ports, which the system assigns one by one to outgoing connections.
-const FIRST_PORT: u16 = 12_000;
-const HUNDREDS: u32 = 200;
+const FIRST_BLOCK_PORT: u16 = 12_000;
+const PORT_BLOCK_COUNT: u32 = 200;
 
 /// Returns the first port of a block of 100 free ports.
 pub(crate) fn free_ports() -> u16 {
-    let start = std::process::id() % HUNDREDS;
-    let bases = (0..HUNDREDS).map(|i| FIRST_PORT + ((start + i * 7) % HUNDREDS) as u16 * 100);
+    let start = std::process::id() % PORT_BLOCK_COUNT;
+    let bases = (0..PORT_BLOCK_COUNT)
+        .map(|i| FIRST_BLOCK_PORT + ((start + i * 7) % PORT_BLOCK_COUNT) as u16 * 100);
     let free =
         |base: &u16| (*base..*base + 100).all(|p| TcpListener::bind(("127.0.0.1", p)).is_ok());
-    bases.into_iter().find(free).unwrap_or(FIRST_PORT)
+    bases.into_iter().find(free).unwrap_or(FIRST_BLOCK_PORT)
 }
 
 /// The default cluster plan, which experiments adapt.
@@ -123,15 +125,15 @@
 }
 
 /// Polls a condition until it holds or the time runs out. Returns whether it holds.
-pub(crate) fn until(seconds: f64, mut so: impl FnMut() -> bool) -> bool {
+pub(crate) fn wait_until(seconds: f64, mut condition: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + Duration::from_secs_f64(seconds);
     while Instant::now() < end {
-        if so() {
+        if condition() {
             return true;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    so()
+    condition()
 }
 
 /// Current and peak resident memory of a process, in MB.
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -40,7 +40,7 @@
     #[arg(long, conflicts_with = "file")]
     meetings: bool,
     /// Disable a guard, or reintroduce an earlier bug, by its name; the days must detect it
-    #[arg(long, alias = "break", value_name = "GUARD", value_parser = faults)]
+    #[arg(long, alias = "break", value_name = "GUARD", value_parser = parse_faults)]
     without: Option<Faults>,
     /// Boost the priority of waiting jobs after 30 seconds (best effort) and 15 seconds (standard)
     #[arg(long)]
@@ -63,9 +63,9 @@
 }
 
 /// Maximum number of attempts to reduce a failing day.
-const MAX_REDUCTIONS: u32 = 40;
+const MAX_REDUCTION_ATTEMPTS: u32 = 40;
 
-fn faults(name: &str) -> Result<Faults, String> {
+fn parse_faults(name: &str) -> Result<Faults, String> {
     Faults::named(name).ok_or_else(|| "no guard or fault has this name".into())
 }
 
@@ -75,13 +75,13 @@
     index: usize,
     outcome: Result<Outcome, ScenarioError>,
     /// Wall-clock duration in seconds.
-    real_s: f64,
+    wall_time_s: f64,
 }
 
 /// The job class or team that got the smallest part of its work done.
 struct LeastServed {
     name: String,
-    part: f64,
+    fraction: f64,
 }
 
 /// Results of all days: sums, and the worst value of each measure.
@@ -118,7 +118,7 @@
             wasted_preemptions: 0,
             least_served: LeastServed {
                 name: String::new(),
-                part: 1.0,
+                fraction: 1.0,
             },
             largest_wait_s: 0.0,
             cancelled_left: 0.0,
@@ -148,7 +148,7 @@
         self.starvation_s = self.starvation_s.max(outcome.longest_starvation_s);
         self.largest_wait_s = self.largest_wait_s.max(largest_wait_s(outcome));
         let least = least_served(outcome);
-        if least.part < self.least_served.part {
+        if least.fraction < self.least_served.fraction {
             let name = format!("{}: {}", day.name, least.name);
             self.least_served = LeastServed { name, ..least };
         }
@@ -163,19 +163,19 @@
 }
 
 fn least_served(outcome: &Outcome) -> LeastServed {
-    let (name, part) = outcome
+    let (name, fraction) = outcome
         .least_served
         .clone()
         .unwrap_or_else(|| (String::new(), 1.0));
-    LeastServed { name, part }
+    LeastServed { name, fraction }
 }
 
 /// Runs the experiment and returns the results to print.
 pub(crate) fn run(seed: u64, quick: bool, options: &Options) -> Result<Value, TestbedError> {
     let size = if quick { days::SMALL } else { days::FULL };
-    let regressions = options.without.unwrap_or_default();
+    let injected_faults = options.without.unwrap_or_default();
     if let Some(record) = &options.fingerprint {
-        return fingerprint(record, regressions, options);
+        return fingerprint(record, injected_faults, options);
     }
     let mut plan = plan(seed, size, options)?;
     if options.ageing {
@@ -188,9 +188,9 @@
     if let Some(level) = &options.log {
         log_controllers(level);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut totals = Totals::new();
-    for played in play_all(&plan, regressions, options.jobs) {
+    for played in play_all(&plan, injected_faults, options.jobs) {
         let day = &plan[played.index];
         let outcome = played
             .outcome
@@ -201,14 +201,17 @@
             days::faulty(&outcome)
         };
         totals.add(day, &outcome, failed);
-        print_day(day, &outcome, failed, played.real_s);
+        print_day(day, &outcome, failed, played.wall_time_s);
     }
     if let (Some(path), Some(name)) = (&options.reduce, totals.failed.first()) {
         if let Some(day) = plan.iter().find(|d| d.name == *name) {
-            std::fs::write(path, days::reduce(&day.text, regressions, MAX_REDUCTIONS)?)?;
+            std::fs::write(
+                path,
+                days::reduce(&day.text, injected_faults, MAX_REDUCTION_ATTEMPTS)?,
+            )?;
         }
     }
-    Ok(report(seed, &plan, &totals, began.elapsed()))
+    Ok(report(seed, &plan, &totals, started_at.elapsed()))
 }
 
 /// Sends the log of the controllers to standard error.
@@ -222,7 +225,7 @@
 }
 
 /// Prints the results of a day as one line on standard error.
-fn print_day(day: &Day, outcome: &Outcome, failed: bool, real_s: f64) {
+fn print_day(day: &Day, outcome: &Outcome, failed: bool, wall_time_s: f64) {
     let least = least_served(outcome);
     eprintln!(
         "{:14} {:5} machines {:7} tasks  settled {:4.0} s  cut off {:5}  healthy returned {:4}  unexplained {:4}  preempted {:6} wasted {:4}  least served {:.2} {:12}  largest job waited {:4.0} s  {:5.1} s  {}",
@@ -235,10 +238,10 @@
         outcome.losses.unexplained,
         outcome.preempted,
         outcome.wasted_preemptions,
-        least.part,
+        least.fraction,
         least.name,
         largest_wait_s(outcome),
-        real_s,
+        wall_time_s,
         if failed {
             outcome.failures.join("; ")
         } else {
@@ -248,10 +251,10 @@
 }
 
 /// Formats the results for output.
-fn report(seed: u64, plan: &[Day], totals: &Totals, real: Duration) -> Value {
-    let mut troubles: BTreeMap<&str, u32> = BTreeMap::new();
+fn report(seed: u64, plan: &[Day], totals: &Totals, wall_time: Duration) -> Value {
+    let mut fault_counts_by_kind: BTreeMap<&str, u32> = BTreeMap::new();
     for (kind, count) in plan.iter().flat_map(|d| &d.fault_counts) {
-        *troubles.entry(kind).or_default() += count;
+        *fault_counts_by_kind.entry(kind).or_default() += count;
     }
     let sizes = plan.iter().map(|d| d.machines);
     json!({
@@ -260,7 +263,7 @@
         "seed": seed,
         "days": plan.len(),
         "machines": [sizes.clone().min(), sizes.max()],
-        "troubles": troubles,
+        "troubles": fault_counts_by_kind,
         "tasks": totals.started,
         "violations": totals.violations,
         "days_stuck": totals.days_stuck,
@@ -270,7 +273,7 @@
         "unexplained_losses": totals.losses.unexplained,
         "stopped_for_others": totals.preempted,
         "stopped_for_nobody": totals.wasted_preemptions,
-        "least_served": [totals.least_served.name, totals.least_served.part],
+        "least_served": [totals.least_served.name, totals.least_served.fraction],
         "largest_began_within_s": totals.largest_wait_s,
         "cancelled_gone_by_part_of_cancel_s": totals.cancelled_left,
         "longest_unanswered_s": totals.unanswered_s,
@@ -279,7 +282,7 @@
         "starts_after_cancelled": totals.late_starts,
         "longest_settle_s": totals.settled_s,
         "failed": totals.failed,
-        "real_s": real.as_secs_f64().round(),
+        "real_s": wall_time.as_secs_f64().round(),
     })
 }
 
@@ -287,11 +290,11 @@
 /// compares them with the record.
 fn fingerprint(
     record: &Path,
-    regressions: Faults,
+    injected_faults: Faults,
     options: &Options,
 ) -> Result<Value, TestbedError> {
-    let began = Instant::now();
-    let played = fingerprints::play(&fingerprints::fixed(), regressions, options.jobs)
+    let started_at = Instant::now();
+    let played = fingerprints::play(&fingerprints::fixed(), injected_faults, options.jobs)
         .map_err(|e| TestbedError::Other(e.to_string()))?;
     print!("{}", fingerprints::write(&played));
     if options.record {
@@ -299,14 +302,14 @@
     }
     let recorded = fingerprints::read(&std::fs::read_to_string(record)?)
         .map_err(|e| TestbedError::Other(e.to_string()))?;
-    let differ = fingerprints::differences(&recorded, &played);
+    let differences_found = fingerprints::differences(&recorded, &played);
     Ok(json!({
-        "ok": differ.is_empty(),
+        "ok": differences_found.is_empty(),
         "experiment": "fingerprint",
         "days": played.len(),
-        "differ": differ,
+        "differ": differences_found,
         "recorded": options.record,
-        "real_s": began.elapsed().as_secs_f64().round(),
+        "real_s": started_at.elapsed().as_secs_f64().round(),
     }))
 }
 
@@ -315,8 +318,8 @@
         .day
         .map_or_else(|| (0..options.days).collect(), |d| vec![d]);
     if options.meetings {
-        let few = size.machines.0 < days::FULL.machines.0;
-        let machines = if few { (6.0, 60.0) } else { (40.0, 1_500.0) };
+        let small = size.machines.0 < days::FULL.machines.0;
+        let machines = if small { (6.0, 60.0) } else { (40.0, 1_500.0) };
         return Ok(numbers
             .into_iter()
             .map(|n| combined_faults::generate(seed, n, machines))
@@ -337,18 +340,18 @@
 
 /// Simulates all days, several in parallel; they share no state. Returns them in the order of the
 /// plan.
-fn play_all(plan: &[Day], regressions: Faults, jobs: usize) -> Vec<PlayedDay> {
+fn play_all(plan: &[Day], injected_faults: Faults, jobs: usize) -> Vec<PlayedDay> {
     let (next, done) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs.clamp(1, 64).min(plan.len().max(1)) {
             scope.spawn(|| loop {
                 let n = next.fetch_add(1, Ordering::Relaxed) as usize;
                 let Some(day) = plan.get(n) else { return };
-                let began = Instant::now();
+                let started_at = Instant::now();
                 let played = PlayedDay {
                     index: n,
-                    outcome: scenario::play(&day.text, regressions),
-                    real_s: began.elapsed().as_secs_f64(),
+                    outcome: scenario::play(&day.text, injected_faults),
+                    wall_time_s: started_at.elapsed().as_secs_f64(),
                 };
                 if let Ok(mut done) = done.lock() {
                     done.push(played);
--- a/crates/testbed/src/explain.rs
+++ b/crates/testbed/src/explain.rs
@@ -15,71 +15,72 @@
 use std::time::Duration;
 
 /// Limit until `explain` reports a reason, in seconds.
-const SHOWS_S: f64 = 25.0;
+const REASON_TIMEOUT_S: f64 = 25.0;
 /// Limit until a job is done once the reason has been removed, in seconds.
-const ENDS_S: f64 = 60.0;
+const COMPLETION_TIMEOUT_S: f64 = 60.0;
 
 /// The cluster of one case, with a client.
-struct Stage {
+struct TestCluster {
     cluster: Cluster,
     client: Client,
-    next: u32,
+    last_job_number: u32,
 }
 
-impl Stage {
-    fn new(plan: ClusterPlan) -> Result<Stage, TestbedError> {
+impl TestCluster {
+    fn new(plan: ClusterPlan) -> Result<TestCluster, TestbedError> {
         let cluster = context::start(plan, Box::new(|_| {}))?;
         let mut client = context::client(&cluster, 20.0);
         let machines = cluster.plan().machines;
         // Wait until all machines of the initial cluster have reported.
-        context::until(15.0, || {
+        context::wait_until(15.0, || {
             client
                 .machines(&[])
                 .is_ok_and(|p| p.machines.iter().filter(|m| m.state == "up").count() >= machines)
         });
-        Ok(Stage {
+        Ok(TestCluster {
             cluster,
             client,
-            next: 0,
+            last_job_number: 0,
         })
     }
 
-    fn job(&mut self, change: impl FnOnce(&mut JobRequest)) -> Result<String, TestbedError> {
-        self.next += 1;
-        let mut job = JobRequest::new(format!("job-{:04}", self.next), "home");
+    /// Submits a job of one task that runs for about a second, after `change`. Returns its name.
+    fn submit_job(&mut self, change: impl FnOnce(&mut JobRequest)) -> Result<String, TestbedError> {
+        self.last_job_number += 1;
+        let mut job = JobRequest::new(format!("job-{:04}", self.last_job_number), "home");
         job.expect_s = 1.0;
         change(&mut job);
         self.client.submit(&job)?;
         Ok(job.job)
     }
 
-    /// Waits until `explain` reports the named reason with a text that contains `words`. Returns
-    /// the text, or `None` after the timeout.
-    fn sees(&mut self, job: &str, name: &str, words: &str) -> Option<String> {
-        let mut told = None;
-        context::until(SHOWS_S, || {
+    /// Waits until `explain` reports the named reason with a text that contains `text_part`.
+    /// Returns the text, or `None` after the timeout.
+    fn wait_for_reason(&mut self, job: &str, name: &str, text_part: &str) -> Option<String> {
+        let mut reported = None;
+        context::wait_until(REASON_TIMEOUT_S, || {
             let e = self.client.explain(job).ok();
             // Poll until the reason appears: the first query may precede the placement of other
             // jobs.
-            told = e.and_then(|e| {
+            reported = e.and_then(|e| {
                 e.reasons
                     .into_iter()
-                    .find(|r| r.name() == name && r.to_string().contains(words))
+                    .find(|r| r.name() == name && r.to_string().contains(text_part))
             });
-            told.is_some()
+            reported.is_some()
         });
-        told.map(|r: Reason| r.to_string())
+        reported.map(|r: Reason| r.to_string())
     }
 
-    fn ends(&mut self, job: &str) -> bool {
-        context::until(ENDS_S, || {
+    fn wait_until_done(&mut self, job: &str) -> bool {
+        context::wait_until(COMPLETION_TIMEOUT_S, || {
             self.client
                 .job(job)
                 .is_ok_and(|d| d.row.state == State::Done)
         })
     }
 
-    fn direct(&mut self, target: Target, set: bool) -> Result<(), TestbedError> {
+    fn set_directive(&mut self, target: Target, set: bool) -> Result<(), TestbedError> {
         let afterwards = Afterwards::Keep;
         let note = String::new();
         self.client.change(&DirectiveChange {
@@ -94,7 +95,7 @@
 }
 
 /// A cluster with a single machine that cannot scale out.
-fn narrow(context: &TestContext, dir: &Path) -> ClusterPlan {
+fn single_machine_plan(context: &TestContext, dir: &Path) -> ClusterPlan {
     ClusterPlan {
         nodes: 2,
         machines: 1,
@@ -105,10 +106,10 @@
     }
 }
 
-type Case = fn(&TestContext, &Path) -> Result<(Option<String>, bool), TestbedError>;
+type CaseFunction = fn(&TestContext, &Path) -> Result<(Option<String>, bool), TestbedError>;
 
 pub(crate) fn run(context: &TestContext) -> Result<Value, TestbedError> {
-    let cases: [(&str, Case); 14] = [
+    let cases: [(&str, CaseFunction); 14] = [
         ("frozen", frozen),
         ("failures", failures),
         ("team_limit", team_limit),
@@ -124,10 +125,10 @@
         ("inherited", inherited),
         ("split", split),
     ];
-    let (mut ok, mut told) = (true, serde_json::Map::new());
+    let (mut ok, mut results) = (true, serde_json::Map::new());
     for (name, case) in cases {
         let folder = Folder::new(&format!("explain-{name}"))?;
-        let (words, ran) = match case(context, &folder.0) {
+        let (reason_text, job_ran) = match case(context, &folder.0) {
             Ok(found) => found,
             Err(e) => {
                 eprintln!("{name}: {e}");
@@ -136,187 +137,198 @@
         };
         eprintln!(
             "{name:15} {}  then {}",
-            words.as_deref().unwrap_or("NOT REPORTED"),
-            if ran {
+            reason_text.as_deref().unwrap_or("NOT REPORTED"),
+            if job_ran {
                 "the job ran"
             } else {
                 "THE JOB DID NOT RUN"
             }
         );
-        ok &= words.is_some() && ran;
-        told.insert(name.into(), json!({"told": words, "ran_after": ran}));
+        ok &= reason_text.is_some() && job_ran;
+        results.insert(
+            name.into(),
+            json!({"told": reason_text, "ran_after": job_ran}),
+        );
     }
-    Ok(json!({"ok": ok, "experiment": "explain", "reasons": told}))
+    Ok(json!({"ok": ok, "experiment": "explain", "reasons": results}))
 }
 
 fn frozen(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(context, dir))?;
-    s.direct(Target::Team("home".into()), true)?;
-    let job = s.job(|_| {})?;
-    let told = s.sees(&job, "frozen", "");
-    s.direct(Target::Team("home".into()), false)?;
-    Ok((told, s.ends(&job)))
+    let mut test_cluster = TestCluster::new(single_machine_plan(context, dir))?;
+    test_cluster.set_directive(Target::Team("home".into()), true)?;
+    let job = test_cluster.submit_job(|_| {})?;
+    let reason_text = test_cluster.wait_for_reason(&job, "frozen", "");
+    test_cluster.set_directive(Target::Team("home".into()), false)?;
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn failures(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut plan = narrow(context, dir);
+    let mut plan = single_machine_plan(context, dir);
     plan.machines = 4;
     plan.rentable = 4;
-    let mut s = Stage::new(plan)?;
+    let mut test_cluster = TestCluster::new(plan)?;
     let file = dir.join("mended");
     let line = format!("test -e {}", file.display());
-    let job = s.job(|j| j.command = Some(line))?;
-    let told = s.sees(&job, "failures", "");
+    let job = test_cluster.submit_job(|j| j.command = Some(line))?;
+    let reason_text = test_cluster.wait_for_reason(&job, "failures", "");
     std::fs::write(&file, "")?;
-    Ok((told, s.ends(&job)))
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn team_limit(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut plan = narrow(context, dir);
+    let mut plan = single_machine_plan(context, dir);
     plan.machines = 3;
-    let mut s = Stage::new(plan)?;
-    let first = s.job(|j| {
+    let mut test_cluster = TestCluster::new(plan)?;
+    let occupying_job = test_cluster.submit_job(|j| {
         (j.team, j.tasks) = ("small".into(), 4);
         j.command = Some("sleep 300".into());
     })?;
-    let job = s.job(|j| j.team = "small".into())?;
-    let told = s.sees(&job, "team_limit", "");
-    s.client.cancel(&first)?;
-    Ok((told, s.ends(&job)))
+    let job = test_cluster.submit_job(|j| j.team = "small".into())?;
+    let reason_text = test_cluster.wait_for_reason(&job, "team_limit", "");
+    test_cluster.client.cancel(&occupying_job)?;
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
-fn filled(context: &TestContext, dir: &Path) -> Result<(Stage, String), TestbedError> {
-    let mut s = Stage::new(narrow(context, dir))?;
-    let first = s.job(|j| {
+fn cluster_with_occupied_machine(
+    context: &TestContext,
+    dir: &Path,
+) -> Result<(TestCluster, String), TestbedError> {
+    let mut test_cluster = TestCluster::new(single_machine_plan(context, dir))?;
+    let occupying_job = test_cluster.submit_job(|j| {
         j.cpus = 3.0;
         j.command = Some("sleep 300".into());
     })?;
-    Ok((s, first))
+    Ok((test_cluster, occupying_job))
 }
 
 fn no_room(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let (mut s, first) = filled(context, dir)?;
-    let job = s.job(|j| j.cpus = 3.0)?;
-    let told = s.sees(&job, "no_room", "lacks 2.00 CPUs");
-    s.client.cancel(&first)?;
-    Ok((told, s.ends(&job)))
+    let (mut test_cluster, occupying_job) = cluster_with_occupied_machine(context, dir)?;
+    let job = test_cluster.submit_job(|j| j.cpus = 3.0)?;
+    let reason_text = test_cluster.wait_for_reason(&job, "no_room", "lacks 2.00 CPUs");
+    test_cluster.client.cancel(&occupying_job)?;
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn behind(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let (mut s, first) = filled(context, dir)?;
-    let other = s.job(|j| {
+    let (mut test_cluster, occupying_job) = cluster_with_occupied_machine(context, dir)?;
+    let urgent_job = test_cluster.submit_job(|j| {
         j.cpus = 3.0;
         j.urgency = beamhinge_core::job::Urgency::High;
     })?;
-    let job = s.job(|j| j.cpus = 3.0)?;
-    let told = s.sees(&job, "behind", &other);
-    s.client.cancel(&first)?;
-    Ok((told, s.ends(&job)))
+    let job = test_cluster.submit_job(|j| j.cpus = 3.0)?;
+    let reason_text = test_cluster.wait_for_reason(&job, "behind", &urgent_job);
+    test_cluster.client.cancel(&occupying_job)?;
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn market_refused(
     context: &TestContext,
     dir: &Path,
 ) -> Result<(Option<String>, bool), TestbedError> {
-    let (mut s, first) = filled(context, dir)?;
-    let job = s.job(|j| j.cpus = 3.0)?;
-    let told = s.sees(&job, "market_refused", "");
-    s.client.cancel(&first)?;
-    Ok((told, s.ends(&job)))
+    let (mut test_cluster, occupying_job) = cluster_with_occupied_machine(context, dir)?;
+    let job = test_cluster.submit_job(|j| j.cpus = 3.0)?;
+    let reason_text = test_cluster.wait_for_reason(&job, "market_refused", "");
+    test_cluster.client.cancel(&occupying_job)?;
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn booting(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut plan = narrow(context, dir);
+    let mut plan = single_machine_plan(context, dir);
     plan.rentable = 2;
     plan.boot_s = 4.0;
-    let mut s = Stage::new(plan)?;
-    s.job(|j| {
+    let mut test_cluster = TestCluster::new(plan)?;
+    test_cluster.submit_job(|j| {
         j.cpus = 3.0;
         j.command = Some("sleep 300".into());
     })?;
-    let job = s.job(|j| j.cpus = 3.0)?;
-    let told = s.sees(&job, "booting", "");
-    Ok((told, s.ends(&job)))
+    let job = test_cluster.submit_job(|j| j.cpus = 3.0)?;
+    let reason_text = test_cluster.wait_for_reason(&job, "booting", "");
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn renting(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut plan = narrow(context, dir);
+    let mut plan = single_machine_plan(context, dir);
     plan.rentable = 2;
-    let mut s = Stage::new(plan)?;
+    let mut test_cluster = TestCluster::new(plan)?;
     // While the cloud is unreachable, the rental stays requested and no machine boots.
-    s.cluster.inject(PlatformFault::CloudDown(6.0));
+    test_cluster.cluster.inject(PlatformFault::CloudDown(6.0));
     std::thread::sleep(Duration::from_millis(200));
-    s.job(|j| {
+    test_cluster.submit_job(|j| {
         j.cpus = 3.0;
         j.command = Some("sleep 300".into());
     })?;
-    let job = s.job(|j| j.cpus = 3.0)?;
-    let told = s.sees(&job, "renting", "");
-    Ok((told, s.ends(&job)))
+    let job = test_cluster.submit_job(|j| j.cpus = 3.0)?;
+    let reason_text = test_cluster.wait_for_reason(&job, "renting", "");
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn drained(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(context, dir))?;
-    s.direct(Target::MachineType("m".into()), true)?;
-    let job = s.job(|_| {})?;
-    let told = s.sees(&job, "drained", "");
-    s.direct(Target::MachineType("m".into()), false)?;
-    Ok((told, s.ends(&job)))
+    let mut test_cluster = TestCluster::new(single_machine_plan(context, dir))?;
+    test_cluster.set_directive(Target::MachineType("m".into()), true)?;
+    let job = test_cluster.submit_job(|_| {})?;
+    let reason_text = test_cluster.wait_for_reason(&job, "drained", "");
+    test_cluster.set_directive(Target::MachineType("m".into()), false)?;
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn fetching(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(context, dir))?;
-    let job = s.job(|j| (j.image, j.image_gb) = ("tools".into(), 2.0))?;
-    let told = s.sees(&job, "fetching", "");
-    Ok((told, s.ends(&job)))
+    let mut test_cluster = TestCluster::new(single_machine_plan(context, dir))?;
+    let job = test_cluster.submit_job(|j| (j.image, j.image_gb) = ("tools".into(), 2.0))?;
+    let reason_text = test_cluster.wait_for_reason(&job, "fetching", "");
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn starting(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(context, dir))?;
+    let mut test_cluster = TestCluster::new(single_machine_plan(context, dir))?;
     // A machine that hangs has not fetched its command yet.
-    s.cluster.inject(PlatformFault::Hang {
+    test_cluster.cluster.inject(PlatformFault::Hang {
         machine: 0,
         seconds: 2.0,
     });
     std::thread::sleep(Duration::from_millis(100));
-    let job = s.job(|_| {})?;
-    let told = s.sees(&job, "starting", "");
-    Ok((told, s.ends(&job)))
+    let job = test_cluster.submit_job(|_| {})?;
+    let reason_text = test_cluster.wait_for_reason(&job, "starting", "");
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn ahead(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(context, dir))?;
-    s.job(|j| (j.cpus, j.expect_s) = (4.0, 3.0))?;
-    let job = s.job(|j| j.cpus = 4.0)?;
-    let told = s.sees(&job, "ahead", "");
-    Ok((told, s.ends(&job)))
+    let mut test_cluster = TestCluster::new(single_machine_plan(context, dir))?;
+    test_cluster.submit_job(|j| (j.cpus, j.expect_s) = (4.0, 3.0))?;
+    let job = test_cluster.submit_job(|j| j.cpus = 4.0)?;
+    let reason_text = test_cluster.wait_for_reason(&job, "ahead", "");
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn inherited(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let mut s = Stage::new(narrow(context, dir))?;
-    let job = s.job(|j| j.expect_s = 2.0)?;
-    context::until(10.0, || s.client.job(&job).is_ok_and(|d| d.row.running > 0));
-    s.cluster.inject(PlatformFault::Hang {
+    let mut test_cluster = TestCluster::new(single_machine_plan(context, dir))?;
+    let job = test_cluster.submit_job(|j| j.expect_s = 2.0)?;
+    context::wait_until(10.0, || {
+        test_cluster
+            .client
+            .job(&job)
+            .is_ok_and(|d| d.row.running > 0)
+    });
+    test_cluster.cluster.inject(PlatformFault::Hang {
         machine: 0,
         seconds: 6.0,
     });
-    for node in 0..s.cluster.plan().nodes {
-        s.cluster.kill_node(node);
+    for node in 0..test_cluster.cluster.plan().nodes {
+        test_cluster.cluster.kill_node(node);
     }
-    for node in 0..s.cluster.plan().nodes {
-        s.cluster.start_node(node)?;
+    for node in 0..test_cluster.cluster.plan().nodes {
+        test_cluster.cluster.start_node(node)?;
     }
-    let told = s.sees(&job, "inherited", "");
-    Ok((told, s.ends(&job)))
+    let reason_text = test_cluster.wait_for_reason(&job, "inherited", "");
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
 
 fn split(context: &TestContext, dir: &Path) -> Result<(Option<String>, bool), TestbedError> {
-    let (mut s, first) = filled(context, dir)?;
-    let job = s.job(|j| {
+    let (mut test_cluster, occupying_job) = cluster_with_occupied_machine(context, dir)?;
+    let job = test_cluster.submit_job(|j| {
         j.cpus = 3.0;
         j.due_s = Some(60.0);
     })?;
-    let told = s.sees(&job, "split", "pair");
-    s.client.cancel(&first)?;
-    Ok((told, s.ends(&job)))
+    let reason_text = test_cluster.wait_for_reason(&job, "split", "pair");
+    test_cluster.client.cancel(&occupying_job)?;
+    Ok((reason_text, test_cluster.wait_until_done(&job)))
 }
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -10,12 +10,12 @@
 
 /// A reply about one job. Times are in seconds since the start of the experiment.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
-    pub asked: f64,
-    pub got: f64,
-    pub what: JobReply,
+pub(crate) struct Reply {
+    pub requested_s: f64,
+    pub received_s: f64,
+    pub content: JobReply,
     /// Interface and controller that replied, for the failure report.
-    pub by: String,
+    pub source: String,
 }
 
 /// What a reply says about a job.
@@ -27,10 +27,10 @@
 }
 
 impl JobReply {
-    fn known(self) -> bool {
+    fn is_known(self) -> bool {
         self != JobReply::Unknown
     }
-    fn last(self) -> Option<State> {
+    fn final_state(self) -> Option<State> {
         match self {
             JobReply::State(s) if s.is_final() => Some(s),
             _ => None,
@@ -42,7 +42,7 @@
 #[derive(Default)]
 pub(crate) struct JobHistory {
     pub tasks: u32,
-    pub answers: Vec<Answer>,
+    pub replies: Vec<Reply>,
     /// Whether a cancel request was sent, regardless of its result.
     pub cancel_sent: bool,
     /// Whether a submission was sent, regardless of its result.
@@ -51,111 +51,127 @@
 
 /// Task transitions observed on the machines.
 #[derive(Default)]
-pub(crate) struct Machines {
+pub(crate) struct TaskTransitions {
     /// Machine on which each task runs.
-    on: BTreeMap<String, u64>,
+    running_on: BTreeMap<String, u64>,
     /// When each task first finished by itself, in seconds.
-    pub ended: BTreeMap<String, f64>,
+    pub finished_at_s: BTreeMap<String, f64>,
     /// Start times of all tasks, in seconds.
-    pub begins: Vec<f64>,
+    pub start_times_s: Vec<f64>,
     /// Starts of a task that was running on a machine already.
-    pub twice: Vec<String>,
+    pub duplicate_starts: Vec<String>,
 }
 
-impl Machines {
-    pub(crate) fn on_event(&mut self, at: f64, seen: &MachineEvent) {
-        let task_id = &seen.event.task_id;
-        match seen.event.transition {
+impl TaskTransitions {
+    pub(crate) fn on_event(&mut self, at_s: f64, event: &MachineEvent) {
+        let task_id = &event.event.task_id;
+        match event.event.transition {
             TaskTransition::Started => {
-                self.begins.push(at);
-                if let Some(other) = self.on.insert(task_id.clone(), seen.machine) {
-                    self.twice.push(format!(
-                        "{task_id} started on machine {} while running on {other}, at {at:.3} s",
-                        seen.machine
+                self.start_times_s.push(at_s);
+                if let Some(other) = self.running_on.insert(task_id.clone(), event.machine) {
+                    self.duplicate_starts.push(format!(
+                        "{task_id} started on machine {} while running on {other}, at {at_s:.3} s",
+                        event.machine
                     ));
                 }
             }
             TaskTransition::Finished => {
-                self.on.remove(task_id);
-                self.ended.entry(task_id.clone()).or_insert(at);
+                self.running_on.remove(task_id);
+                self.finished_at_s.entry(task_id.clone()).or_insert(at_s);
             }
             TaskTransition::Stopped => {
-                self.on.remove(task_id);
+                self.running_on.remove(task_id);
             }
         }
     }
 }
 
 /// Describes each inconsistency in the history by one line.
-pub(crate) fn wrong(jobs: &BTreeMap<String, JobHistory>, machines: &Machines) -> Vec<String> {
-    let mut wrong: Vec<String> = machines.twice.clone();
-    for (job, h) in jobs {
-        wrong.extend(wrong_answers(job, h));
+pub(crate) fn inconsistencies(
+    jobs: &BTreeMap<String, JobHistory>,
+    transitions: &TaskTransitions,
+) -> Vec<String> {
+    let mut inconsistencies: Vec<String> = transitions.duplicate_starts.clone();
+    for (job, history) in jobs {
+        inconsistencies.extend(inconsistent_replies(job, history));
         // Every task must have finished before any reply reports the job as done.
-        let first_done = h
-            .answers
+        let first_done_at_s = history
+            .replies
             .iter()
-            .filter(|a| a.what == JobReply::State(State::Done))
-            .map(|a| a.got)
+            .filter(|r| r.content == JobReply::State(State::Done))
+            .map(|r| r.received_s)
             .fold(f64::INFINITY, f64::min);
-        if first_done.is_finite() {
-            let open = (0..h.tasks)
+        if first_done_at_s.is_finite() {
+            let unfinished = (0..history.tasks)
                 .filter(|i| {
-                    machines
-                        .ended
+                    transitions
+                        .finished_at_s
                         .get(&format!("{job}/{i}"))
-                        .is_none_or(|at| *at > first_done)
+                        .is_none_or(|at_s| *at_s > first_done_at_s)
                 })
                 .count();
-            if open > 0 {
-                wrong.push(format!(
-                    "{job} was reported as done with {open} unfinished tasks"
+            if unfinished > 0 {
+                inconsistencies.push(format!(
+                    "{job} was reported as done with {unfinished} unfinished tasks"
                 ));
             }
         }
     }
-    wrong
+    inconsistencies
 }
 
-fn wrong_answers(job: &str, h: &JobHistory) -> Vec<String> {
-    let mut wrong = Vec::new();
-    let mut by_asked: Vec<&Answer> = h.answers.iter().collect();
-    by_asked.sort_by(|a, b| a.asked.total_cmp(&b.asked));
-    let mut by_got: Vec<&Answer> = h.answers.iter().collect();
-    by_got.sort_by(|a, b| a.got.total_cmp(&b.got));
-    // Replies that had been received before each request was sent.
-    let (mut next, mut known, mut last): (usize, Option<&Answer>, Option<&Answer>) =
+/// Describes replies about a job that contradict each other, or what the clients sent.
+fn inconsistent_replies(job: &str, history: &JobHistory) -> Vec<String> {
+    let mut found = Vec::new();
+    let mut by_request_time: Vec<&Reply> = history.replies.iter().collect();
+    by_request_time.sort_by(|a, b| a.requested_s.total_cmp(&b.requested_s));
+    let mut by_receipt_time: Vec<&Reply> = history.replies.iter().collect();
+    by_receipt_time.sort_by(|a, b| a.received_s.total_cmp(&b.received_s));
+    // Checks each reply against the replies that had been received before its request was sent.
+    let (mut next, mut first_known, mut first_final): (usize, Option<&Reply>, Option<&Reply>) =
         (0, None, None);
-    for a in by_asked {
-        while by_got.get(next).is_some_and(|g| g.got < a.asked) {
-            let g = by_got[next];
-            known = known.or(g.what.known().then_some(g));
-            last = last.or(g.what.last().map(|_| g));
+    for current in by_request_time {
+        while by_receipt_time
+            .get(next)
+            .is_some_and(|r| r.received_s < current.requested_s)
+        {
+            let received = by_receipt_time[next];
+            first_known = first_known.or(received.content.is_known().then_some(received));
+            first_final = first_final.or(received.content.final_state().map(|_| received));
             next += 1;
         }
-        if let (Some(k), JobReply::Unknown) = (known, a.what) {
-            wrong.push(format!(
+        if let (Some(earlier), JobReply::Unknown) = (first_known, current.content) {
+            found.push(format!(
                 "{job} was known to {} at {:.3} s, but unknown to {} at {:.3} s",
-                k.by, k.got, a.by, a.got
+                earlier.source, earlier.received_s, current.source, current.received_s
             ));
         }
-        if let Some(l) = last {
-            let same = a.what.last() == l.what.last() || a.what == JobReply::Unknown;
-            if !same {
-                wrong.push(format!(
-                    "{job} was {:?} according to {} at {:.3} s, then {:?} according to {} at {:.3} s",
-                    l.what, l.by, l.got, a.what, a.by, a.got
+        if let Some(earlier) = first_final {
+            let consistent = current.content.final_state() == earlier.content.final_state()
+                || current.content == JobReply::Unknown;
+            if !consistent {
+                found.push(format!(
+                    "{job} was {:?} for {} at {:.3} s, but {:?} for {} at {:.3} s",
+                    earlier.content,
+                    earlier.source,
+                    earlier.received_s,
+                    current.content,
+                    current.source,
+                    current.received_s
                 ));
             }
         }
-        if a.what.known() && !h.submitted {
-            wrong.push(format!("{job} was never submitted, but known to {}", a.by));
+        if current.content.is_known() && !history.submitted {
+            found.push(format!(
+                "{job} was never submitted, but known to {}",
+                current.source
+            ));
         }
     }
-    let finals: BTreeSet<&'static str> = h
-        .answers
+    let final_states: BTreeSet<&'static str> = history
+        .replies
         .iter()
-        .filter_map(|a| a.what.last())
+        .filter_map(|r| r.content.final_state())
         .map(|s| {
             if s == State::Done {
                 "done"
@@ -164,13 +180,13 @@
             }
         })
         .collect();
-    if finals.len() > 1 {
-        wrong.push(format!("{job} has two final states"));
+    if final_states.len() > 1 {
+        found.push(format!("{job} has two final states"));
     }
-    if finals.contains("cancelled") && !h.cancel_sent {
-        wrong.push(format!("{job} was cancelled without a cancel request"));
+    if final_states.contains("cancelled") && !history.cancel_sent {
+        found.push(format!("{job} was cancelled without a cancel request"));
     }
-    wrong
+    found
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/history/tests.rs
+++ b/crates/testbed/src/history/tests.rs
@@ -1,85 +1,103 @@
 use super::*;
 use beamhinge_emulator::worker::TaskEvent;
 
-fn answer(asked: f64, got: f64, what: JobReply) -> Answer {
-    Answer {
-        asked,
-        got,
-        what,
-        by: "a".into(),
+fn reply_between(requested_s: f64, received_s: f64, content: JobReply) -> Reply {
+    Reply {
+        requested_s,
+        received_s,
+        content,
+        source: "a".into(),
     }
 }
 
-fn judged(answers: Vec<Answer>, cancel_sent: bool) -> Vec<String> {
-    let h = JobHistory {
+fn check_replies(replies: Vec<Reply>, cancel_sent: bool) -> Vec<String> {
+    let history = JobHistory {
         tasks: 0,
-        answers,
+        replies,
         cancel_sent,
         submitted: true,
     };
-    let jobs = BTreeMap::from([("job-1".to_string(), h)]);
-    wrong(&jobs, &Machines::default())
+    let jobs = BTreeMap::from([("job-1".to_string(), history)]);
+    inconsistencies(&jobs, &TaskTransitions::default())
 }
 
 #[test]
-fn answers_that_cross_may_differ_and_later_ones_may_not() {
+fn overlapping_replies_may_differ_but_later_replies_may_not() {
     let (done, open) = (
         JobReply::State(State::Done),
         JobReply::State(State::Running),
     );
-    assert!(judged(vec![answer(0.0, 5.0, open), answer(1.0, 2.0, done)], false).is_empty());
+    assert!(check_replies(
+        vec![reply_between(0.0, 5.0, open), reply_between(1.0, 2.0, done)],
+        false
+    )
+    .is_empty());
     assert_eq!(
-        judged(vec![answer(0.0, 1.0, done), answer(2.0, 3.0, open)], false).len(),
+        check_replies(
+            vec![reply_between(0.0, 1.0, done), reply_between(2.0, 3.0, open)],
+            false
+        )
+        .len(),
         1
     );
-    let unknown = answer(2.0, 3.0, JobReply::Unknown);
+    let unknown = reply_between(2.0, 3.0, JobReply::Unknown);
     assert_eq!(
-        judged(vec![answer(0.0, 1.0, JobReply::Accepted), unknown], false).len(),
+        check_replies(
+            vec![reply_between(0.0, 1.0, JobReply::Accepted), unknown],
+            false
+        )
+        .len(),
         1
     );
 }
 
 #[test]
-fn two_final_answers_and_a_cancel_by_nobody_are_found() {
-    let (done, gone) = (
+fn two_final_states_and_a_cancellation_without_request_are_reported() {
+    let (done, cancelled) = (
         JobReply::State(State::Done),
         JobReply::State(State::Cancelled),
     );
     // The requests overlap in time, so neither reply came after the other.
-    let both = vec![answer(0.0, 5.0, done), answer(1.0, 4.0, gone)];
-    assert_eq!(judged(both, true).len(), 1);
-    assert_eq!(judged(vec![answer(0.0, 1.0, gone)], false).len(), 1);
+    let overlapping = vec![
+        reply_between(0.0, 5.0, done),
+        reply_between(1.0, 4.0, cancelled),
+    ];
+    assert_eq!(check_replies(overlapping, true).len(), 1);
+    assert_eq!(
+        check_replies(vec![reply_between(0.0, 1.0, cancelled)], false).len(),
+        1
+    );
 }
 
 #[test]
-fn a_task_on_two_machines_and_an_early_done_are_found() {
-    let mut m = Machines::default();
-    let seen = |machine, what| MachineEvent {
+fn task_on_two_machines_and_premature_done_are_reported() {
+    let mut transitions = TaskTransitions::default();
+    let event_on = |machine, task_transition| MachineEvent {
         at: 0,
         machine,
         event: TaskEvent {
             task_id: "job-1/0".into(),
             attempt: 1,
-            transition: what,
+            transition: task_transition,
         },
     };
-    m.on_event(1.0, &seen(1, TaskTransition::Started));
-    m.on_event(2.0, &seen(2, TaskTransition::Started));
-    assert_eq!(m.twice.len(), 1);
-    let answers = vec![answer(2.0, 2.5, JobReply::State(State::Done))];
-    let h = JobHistory {
+    transitions.on_event(1.0, &event_on(1, TaskTransition::Started));
+    transitions.on_event(2.0, &event_on(2, TaskTransition::Started));
+    assert_eq!(transitions.duplicate_starts.len(), 1);
+    let replies = vec![reply_between(2.0, 2.5, JobReply::State(State::Done))];
+    let history = JobHistory {
         tasks: 1,
-        answers,
+        replies,
         cancel_sent: false,
         submitted: true,
     };
-    let jobs = BTreeMap::from([("job-1".to_string(), h)]);
+    let jobs = BTreeMap::from([("job-1".to_string(), history)]);
     assert_eq!(
-        wrong(&jobs, &m).len(),
+        inconsistencies(&jobs, &transitions).len(),
         2,
         "a duplicate start, and done with one unfinished task"
     );
-    m.twice.clear();
-    m.on_event(2.2, &seen(2, TaskTransition::Finished));
-    assert!(wrong(&jobs, &m).is_empty());
+    transitions.duplicate_starts.clear();
+    transitions.on_event(2.2, &event_on(2, TaskTransition::Finished));
+    assert!(inconsistencies(&jobs, &transitions).is_empty());
 }
--- a/crates/testbed/src/list.rs
+++ b/crates/testbed/src/list.rs
@@ -16,12 +16,12 @@
 use std::time::Instant;
 
 /// Limit for the peak memory of a controller on the bench, in MB.
-const ALLOWED_MB: f64 = 40.0;
+const MAX_CONTROLLER_MB: f64 = 40.0;
 
 /// Number of rows of a page.
-const PAGE: usize = 200;
+const ROWS_PER_PAGE: usize = 200;
 /// Number of pages between two submissions while the list is read.
-const SUBMIT_EVERY: usize = 25;
+const PAGES_PER_SUBMISSION: usize = 25;
 
 fn job_spec(i: usize) -> JobSpec {
     let team = ["home", "small"][i % 2];
@@ -66,45 +66,48 @@
 
 /// Result of reading the whole list.
 struct Listing {
-    seen: BTreeSet<String>,
+    seen_jobs: BTreeSet<String>,
     /// Number of rows whose job an earlier row contained.
-    repeated: usize,
+    repeated_rows: usize,
     pages: usize,
     /// Longest response time of a page, in milliseconds.
     longest_page_ms: f64,
     /// Total time of all pages, in seconds.
-    seconds: f64,
+    total_s: f64,
 }
 
 /// Reads the whole list, page by page, while jobs are submitted before and behind the cursor.
 fn read_list(client: &mut Client) -> Result<Listing, TestbedError> {
     let mut listing = Listing {
-        seen: BTreeSet::new(),
-        repeated: 0,
+        seen_jobs: BTreeSet::new(),
+        repeated_rows: 0,
         pages: 0,
         longest_page_ms: 0.0,
-        seconds: 0.0,
+        total_s: 0.0,
     };
     let mut after = String::new();
     let began = Instant::now();
     loop {
-        let asked = Instant::now();
-        let page = client.jobs(&[("after", after.clone()), ("limit", PAGE.to_string())])?;
-        let page_ms = asked.elapsed().as_secs_f64() * 1e3;
+        let page_requested = Instant::now();
+        let page = client.jobs(&[
+            ("after", after.clone()),
+            ("limit", ROWS_PER_PAGE.to_string()),
+        ])?;
+        let page_ms = page_requested.elapsed().as_secs_f64() * 1e3;
         listing.longest_page_ms = listing.longest_page_ms.max(page_ms);
         listing.pages += 1;
-        if listing.pages.is_multiple_of(SUBMIT_EVERY) {
+        if listing.pages.is_multiple_of(PAGES_PER_SUBMISSION) {
             let mut job = JobRequest::new(format!("job-{:09}", listing.pages), "home");
             job.expect_s = 0.1;
             client.submit(&job)?;
         }
         for row in page.jobs {
-            listing.repeated += usize::from(!listing.seen.insert(row.job));
+            listing.repeated_rows += usize::from(!listing.seen_jobs.insert(row.job));
         }
         let Some(next) = page.next else { break };
         after = next;
     }
-    listing.seconds = began.elapsed().as_secs_f64();
+    listing.total_s = began.elapsed().as_secs_f64();
     Ok(listing)
 }
 
@@ -136,26 +139,31 @@
     (plan.nodes, plan.kept) = (1, true);
     let began = Instant::now();
     let cluster = context::start(plan, Box::new(|_| {}))?;
-    let loaded_s = began.elapsed().as_secs_f64();
+    let startup_s = began.elapsed().as_secs_f64();
     let pid = cluster.processes().first().copied().unwrap_or(0);
     let before_mb = context::memory_mb(pid).0;
     let mut client = context::client(&cluster, 20.0);
     let listing = read_list(&mut client)?;
     let missing = (0..jobs)
-        .filter(|i| !listing.seen.contains(&format!("job-{i:08}")))
+        .filter(|i| !listing.seen_jobs.contains(&format!("job-{i:08}")))
         .count();
     let pages_without_match = pages_without_match(&mut client)?;
-    let (now_mb, peak_mb) = context::memory_mb(pid);
+    let (after_mb, peak_mb) = context::memory_mb(pid);
     let round = |x: f64| (x * 1e3).round() / 1e3;
     let Listing {
-        repeated, pages, ..
+        repeated_rows,
+        pages,
+        ..
     } = listing;
-    let ok = missing == 0 && repeated == 0 && peak_mb < ALLOWED_MB && pages >= jobs / PAGE;
+    let ok = missing == 0
+        && repeated_rows == 0
+        && peak_mb < MAX_CONTROLLER_MB
+        && pages >= jobs / ROWS_PER_PAGE;
     Ok(
         json!({"ok": ok, "experiment": "list", "jobs": jobs, "open": open, "pages": pages, "missing": missing,
-        "repeated": repeated, "loaded_s": round(loaded_s), "listed_s": round(listing.seconds),
+        "repeated": repeated_rows, "loaded_s": round(startup_s), "listed_s": round(listing.total_s),
         "longest_page_ms": round(listing.longest_page_ms), "pages_that_match_nothing": pages_without_match,
-        "memory_mb": {"before": round(before_mb), "after": round(now_mb), "most": round(peak_mb),
-            "allowed": ALLOWED_MB}}),
+        "memory_mb": {"before": round(before_mb), "after": round(after_mb), "most": round(peak_mb),
+            "allowed": MAX_CONTROLLER_MB}}),
     )
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -3,11 +3,11 @@
 //! The last line of standard output is one JSON object with `"ok"` and the results. The exit code
 //! is 1 if a check fails.
 
+mod admin_listener;
 mod ageing;
 mod configuration;
 mod context;
 mod days;
-mod doors;
 mod explain;
 mod history;
 mod list;
@@ -47,7 +47,7 @@
     Restart {
         /// Inject a fault into an emulated component; the checks must detect it
         #[arg(long = "break", value_enum)]
-        broken: Option<ProtocolFault>,
+        broken: Option<InjectedFault>,
     },
     /// Cause each reason why a job does not run, check that it is reported, then remove it
     Explain,
@@ -58,7 +58,8 @@
     /// Time until quota changes are in force on all controllers, in simulated time
     Configuration(configuration::Options),
     /// Hostile, faulty and slow clients at the operators' listener
-    Doors,
+    #[command(name = "doors")]
+    AdminListener,
     /// Paging through a long list of jobs on a small controller
     List {
         /// Use unfinished jobs, which wait because their teams are frozen
@@ -75,7 +76,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum ProtocolFault {
+enum InjectedFault {
     /// Workers omit running tasks from their reports
     HideTasks,
     /// The key-value store loses jobs after a while
@@ -114,16 +115,16 @@
     }
     let context = context::TestContext {
         seed: arguments.seed,
-        controller: context::controller(&arguments.controller),
+        controller: context::controller_command(&arguments.controller),
     };
     let quick = arguments.quick;
     let result = match arguments.experiment {
         Experiment::Restart { broken } => {
             let mut protocol_faults = ProtocolFaults::default();
             match broken {
-                Some(ProtocolFault::HideTasks) => protocol_faults.hide_tasks = true,
-                Some(ProtocolFault::ForgetJobs) => protocol_faults.forgets_jobs = true,
-                Some(ProtocolFault::EarlyDone) => protocol_faults.early_done = true,
+                Some(InjectedFault::HideTasks) => protocol_faults.hide_tasks = true,
+                Some(InjectedFault::ForgetJobs) => protocol_faults.forgets_jobs = true,
+                Some(InjectedFault::EarlyDone) => protocol_faults.early_done = true,
                 None => {}
             }
             restart::run(&context, quick, protocol_faults)
@@ -132,7 +133,7 @@
         Experiment::Days(options) => days::run(arguments.seed, quick, &options),
         Experiment::Ageing(options) => ageing::run(arguments.seed, quick, &options),
         Experiment::Configuration(options) => configuration::run(arguments.seed, &options),
-        Experiment::Doors => doors::run(&context),
+        Experiment::AdminListener => admin_listener::run(&context),
         Experiment::List { open } => list::run(&context, quick, open),
         Experiment::Scale(options) => scale::run(&context, quick, &options),
         Experiment::Role | Experiment::Controller(_) => return ExitCode::FAILURE,
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -5,7 +5,7 @@
 //! final state.
 
 use crate::context::{self, Folder, TestContext};
-use crate::history::{wrong, Answer, JobHistory, JobReply, Machines};
+use crate::history::{inconsistencies, JobHistory, JobReply, Reply, TaskTransitions};
 use crate::TestbedError;
 use beamhinge_admin_api::messages::{JobRequest, State};
 use beamhinge_client::connection::Connection;
@@ -26,10 +26,10 @@
 use std::time::{Duration, Instant};
 
 /// Observations shared by all clients of the experiment.
-struct Record {
-    began: Instant,
+struct Observations {
+    started_at: Instant,
     jobs: Mutex<BTreeMap<String, JobHistory>>,
-    machines: Mutex<Machines>,
+    transitions: Mutex<TaskTransitions>,
     /// Response times of all answered requests, in microseconds.
     times: Mutex<Histogram<u64>>,
     /// Send and response times of all accepted submissions, in seconds of the experiment.
@@ -40,25 +40,25 @@
     m.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Record {
+impl Observations {
     fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.started_at.elapsed().as_secs_f64()
     }
 
-    fn heard(&self, job: &str, asked: f64, what: JobReply, by: &str) {
-        let got = self.now();
-        let answer = Answer {
-            asked,
-            got,
-            what,
-            by: by.to_string(),
+    fn record_reply(&self, job: &str, requested_s: f64, reply: JobReply, source: &str) {
+        let received_s = self.now();
+        let received = Reply {
+            requested_s,
+            received_s,
+            content: reply,
+            source: source.to_string(),
         };
         lock(&self.jobs)
             .entry(job.to_string())
             .or_default()
-            .answers
-            .push(answer);
-        lock(&self.times).saturating_record((((got - asked) * 1e6) as u64).max(1));
+            .replies
+            .push(received);
+        lock(&self.times).saturating_record((((received_s - requested_s) * 1e6) as u64).max(1));
     }
 }
 
@@ -97,8 +97,8 @@
 /// Upper bound of the response time histogram, in microseconds.
 const MAX_ANSWER_US: u64 = 120_000_000;
 /// Number of the client that queries jobs which no client submits, and its query interval.
-const STRANGER: usize = 99;
-const STRANGER_PAUSE: Duration = Duration::from_millis(200);
+const UNKNOWN_JOB_CLIENT: usize = 99;
+const UNKNOWN_JOB_QUERY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Where the controllers serve operators and users.
 #[derive(Clone)]
@@ -112,26 +112,26 @@
 fn start_clients(
     size: &Size,
     seed: u64,
-    record: &Arc<Record>,
+    observations: &Arc<Observations>,
     addresses: &Addresses,
     stop: &Arc<AtomicBool>,
 ) -> Vec<thread::JoinHandle<()>> {
     let mut threads = Vec::new();
     let (jobs, pause_s) = (size.jobs_each, size.pause_s());
     for number in 0..size.clients {
-        let (record, addresses) = (record.clone(), addresses.clone());
+        let (observations, addresses) = (observations.clone(), addresses.clone());
         let seed = seed.wrapping_mul(1_000).wrapping_add(number as u64);
         threads.push(thread::spawn(move || {
-            Asker::new(number, seed, record, addresses).work(jobs, pause_s);
+            TestClient::new(number, seed, observations, addresses).run_load(jobs, pause_s);
         }));
     }
-    let (record, addresses, stop) = (record.clone(), addresses.clone(), stop.clone());
+    let (observations, addresses, stop) = (observations.clone(), addresses.clone(), stop.clone());
     let seed = seed ^ 0x5a5a;
     threads.push(thread::spawn(move || {
-        let mut asker = Asker::new(STRANGER, seed, record, addresses);
+        let mut test_client = TestClient::new(UNKNOWN_JOB_CLIENT, seed, observations, addresses);
         while !stop.load(Ordering::Relaxed) {
-            asker.ask_unknown();
-            thread::sleep(STRANGER_PAUSE);
+            test_client.query_unknown_job();
+            thread::sleep(UNKNOWN_JOB_QUERY_INTERVAL);
         }
     }));
     threads
@@ -146,19 +146,19 @@
     let size = Size::new(quick);
     let folder = Folder::new("restart")?;
     let times = Histogram::new_with_bounds(1, MAX_ANSWER_US, 3);
-    let record = Arc::new(Record {
-        began: Instant::now(),
+    let observations = Arc::new(Observations {
+        started_at: Instant::now(),
         jobs: Mutex::default(),
-        machines: Mutex::default(),
+        transitions: Mutex::default(),
         times: Mutex::new(times.map_err(|e| TestbedError::Other(e.to_string()))?),
         accepted: Mutex::default(),
     });
-    let observed = record.clone();
+    let observed = observations.clone();
     let mut plan = context::plan(context, &folder.0);
     plan.protocol_faults = protocol_faults;
     let observer = Box::new(move |event| {
         let at = observed.now();
-        lock(&observed.machines).on_event(at, &event);
+        lock(&observed.transitions).on_event(at, &event);
     });
     let mut cluster = context::start(plan, observer)?;
     let plan = cluster.plan();
@@ -167,12 +167,12 @@
         users: (0..plan.nodes).map(|n| plan.users_of(n)).collect(),
     };
     let stop = Arc::new(AtomicBool::new(false));
-    let threads = start_clients(&size, context.seed, &record, &addresses, &stop);
-    let kills = kill_and_start(&mut cluster, context.seed, size.kills, &record)?;
+    let threads = start_clients(&size, context.seed, &observations, &addresses, &stop);
+    let kills = kill_and_restart(&mut cluster, context.seed, size.kills, &observations)?;
     stop.store(true, Ordering::Relaxed);
     let joined = threads.into_iter().map(thread::JoinHandle::join);
     let failed_threads = joined.filter(Result::is_err).count();
-    let unfinished = settle(&record, &addresses);
+    let unfinished = wait_until_finished(&observations, &addresses);
     let exited = cluster.reap_exited();
     let memory_mb = cluster
         .processes()
@@ -181,20 +181,20 @@
         .fold(0.0f64, f64::max);
     drop(cluster);
     let ended = exited.len() + failed_threads;
-    report(&record, &kills, &unfinished, ended, memory_mb)
+    report(&observations, &kills, &unfinished, ended, memory_mb)
 }
 
 /// Kills and restarts controllers. Returns the time of each kill and whether it killed all.
-fn kill_and_start(
+fn kill_and_restart(
     cluster: &mut Cluster,
     seed: u64,
     kills: usize,
-    record: &Record,
+    observations: &Observations,
 ) -> Result<Vec<(f64, bool)>, TestbedError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let nodes = cluster.plan().nodes;
     let mut client = context::client(cluster, 1.0);
-    let mut made = Vec::new();
+    let mut kill_times = Vec::new();
     thread::sleep(Duration::from_secs(2));
     for k in 0..kills {
         // Every fourth kill takes down all controllers; every second of the others the leader.
@@ -206,17 +206,21 @@
         let leader = leader
             .and_then(|n| n.label.bytes().next())
             .map(|b| usize::from(b - b'a'));
-        let one = match leader {
+        let single_victim = match leader {
             Some(l) if k % 2 == 0 => l % nodes,
             _ => rng.gen_range(0..nodes),
         };
-        let victims: Vec<usize> = if all { (0..nodes).collect() } else { vec![one] };
+        let victims: Vec<usize> = if all {
+            (0..nodes).collect()
+        } else {
+            vec![single_victim]
+        };
         eprintln!(
             "{:6.1} s  kill {} of {kills}: {victims:?}",
-            record.now(),
+            observations.now(),
             k + 1
         );
-        made.push((record.now(), all));
+        kill_times.push((observations.now(), all));
         victims.iter().for_each(|v| cluster.kill_node(*v));
         thread::sleep(Duration::from_secs_f64(rng.gen_range(0.1..1.5)));
         for v in victims {
@@ -224,29 +228,34 @@
         }
         thread::sleep(Duration::from_secs_f64(rng.gen_range(2.0..4.5)));
     }
-    Ok(made)
+    Ok(kill_times)
 }
 
 /// Waits until all controllers report every accepted job as finished. Returns the jobs that are
 /// still unfinished after the timeout.
-fn settle(record: &Arc<Record>, addresses: &Addresses) -> Vec<String> {
-    let jobs: Vec<String> = lock(&record.jobs)
+fn wait_until_finished(observations: &Arc<Observations>, addresses: &Addresses) -> Vec<String> {
+    let jobs: Vec<String> = lock(&observations.jobs)
         .iter()
-        .filter(|(_, h)| h.answers.iter().any(|a| a.what != JobReply::Unknown))
+        .filter(|(_, history)| {
+            history
+                .replies
+                .iter()
+                .any(|r| r.content != JobReply::Unknown)
+        })
         .map(|(job, _)| job.clone())
         .collect();
     eprintln!(
         "{:6.1} s  {} jobs were accepted; waiting until they finish",
-        record.now(),
+        observations.now(),
         jobs.len()
     );
     let end = Instant::now() + Duration::from_secs(90);
     let mut open = Vec::new();
     for (node, operators) in addresses.operators.iter().enumerate() {
-        let mut asker = Asker::new(
+        let mut test_client = TestClient::new(
             200 + node,
             node as u64,
-            record.clone(),
+            observations.clone(),
             Addresses {
                 operators: vec![*operators],
                 users: vec![addresses.users[node]],
@@ -254,7 +263,7 @@
         );
         let mut left = jobs.clone();
         while !left.is_empty() && Instant::now() < end {
-            left.retain(|job| !asker.is_over(job));
+            left.retain(|job| !test_client.is_finished(job));
             if !left.is_empty() {
                 thread::sleep(Duration::from_millis(300));
             }
@@ -266,8 +275,8 @@
     open
 }
 
-struct Asker {
-    record: Arc<Record>,
+struct TestClient {
+    observations: Arc<Observations>,
     rng: StdRng,
     addresses: Addresses,
     connection: Option<Connection>,
@@ -275,12 +284,17 @@
     number: usize,
 }
 
-impl Asker {
-    fn new(number: usize, seed: u64, record: Arc<Record>, addresses: Addresses) -> Asker {
+impl TestClient {
+    fn new(
+        number: usize,
+        seed: u64,
+        observations: Arc<Observations>,
+        addresses: Addresses,
+    ) -> TestClient {
         let client = context::client_of(&addresses.operators, 60.0);
         let rng = StdRng::seed_from_u64(seed);
-        Asker {
-            record,
+        TestClient {
+            observations,
             rng,
             addresses,
             connection: None,
@@ -289,23 +303,23 @@
         }
     }
 
-    fn id(&mut self, n: usize) -> String {
+    fn job_id(&mut self, n: usize) -> String {
         format!("job-{:03}{:06}", self.number, n)
     }
 
-    fn work(&mut self, jobs: usize, pause_s: f64) {
+    fn run_load(&mut self, jobs: usize, pause_s: f64) {
         let mut open: Vec<String> = Vec::new();
         for n in 0..jobs {
-            let job = self.id(n);
+            let job = self.job_id(n);
             self.submit(&job);
             open.push(job);
             if open.len() > 3 && self.rng.gen_bool(0.25) {
                 let at = self.rng.gen_range(0..open.len());
                 let job = open.swap_remove(at);
-                self.cancel_in_pairs(&job);
+                self.cancel_through_two_controllers(&job);
             }
             if let Some(job) = open.get(self.rng.gen_range(0..open.len().max(1))).cloned() {
-                self.ask(&job);
+                self.query(&job);
             }
             if open.len() > 20 {
                 open.remove(0);
@@ -322,59 +336,65 @@
         request.cpus = 0.5;
         request.expect_s = self.rng.gen_range(0.2..1.5);
         {
-            let mut jobs = lock(&self.record.jobs);
-            let h = jobs.entry(job.to_string()).or_default();
-            (h.tasks, h.submitted) = (request.tasks, true);
+            let mut jobs = lock(&self.observations.jobs);
+            let history = jobs.entry(job.to_string()).or_default();
+            (history.tasks, history.submitted) = (request.tasks, true);
         }
-        let asked = self.record.now();
-        if let Ok(told) = self.client.submit(&request) {
-            let what = match told.state {
+        let requested_s = self.observations.now();
+        if let Ok(response) = self.client.submit(&request) {
+            let reply = match response.state {
                 s if s.is_final() => JobReply::State(s),
                 _ => JobReply::Accepted,
             };
-            let by = self.by();
-            self.record.heard(job, asked, what, &by);
-            lock(&self.record.accepted).push((asked, self.record.now()));
+            let source = self.source();
+            self.observations
+                .record_reply(job, requested_s, reply, &source);
+            lock(&self.observations.accepted).push((requested_s, self.observations.now()));
         }
     }
 
-    fn by(&self) -> String {
+    fn source(&self) -> String {
         self.client.last_controller().map_or(String::new(), |a| {
             format!("the operators' interface of {a}")
         })
     }
 
     /// Sends two cancel requests at once, through different controllers if two are up.
-    fn cancel_in_pairs(&mut self, job: &str) {
-        if let Some(h) = lock(&self.record.jobs).get_mut(job) {
-            h.cancel_sent = true;
+    fn cancel_through_two_controllers(&mut self, job: &str) {
+        if let Some(history) = lock(&self.observations.jobs).get_mut(job) {
+            history.cancel_sent = true;
         }
         let mut admin_listeners = self.addresses.operators.clone();
         admin_listeners.rotate_left(1);
-        let (record, other) = (self.record.clone(), job.to_string());
-        let pair = thread::spawn(move || {
+        let (observations, same_job) = (self.observations.clone(), job.to_string());
+        let second_request = thread::spawn(move || {
             let mut client = context::client_of(&admin_listeners, 60.0);
-            cancel(&mut client, &record, &other);
+            cancel(&mut client, &observations, &same_job);
         });
-        cancel(&mut self.client, &self.record, job);
-        let _ = pair.join();
+        cancel(&mut self.client, &self.observations, job);
+        let _ = second_request.join();
     }
 
-    fn ask(&mut self, job: &str) -> Option<State> {
+    fn query(&mut self, job: &str) -> Option<State> {
         if self.rng.gen_bool(0.5) {
-            return self.ask_as_user(job);
+            return self.query_as_user(job);
         }
-        let asked = self.record.now();
-        let answer = self.client.job(job);
-        let by = self.by();
-        match answer {
+        let requested_s = self.observations.now();
+        let result = self.client.job(job);
+        let source = self.source();
+        match result {
             Ok(d) => {
-                self.record
-                    .heard(job, asked, JobReply::State(d.row.state), &by);
+                self.observations.record_reply(
+                    job,
+                    requested_s,
+                    JobReply::State(d.row.state),
+                    &source,
+                );
                 Some(d.row.state)
             }
             Err(ClientError::NotFound(_)) => {
-                self.record.heard(job, asked, JobReply::Unknown, &by);
+                self.observations
+                    .record_reply(job, requested_s, JobReply::Unknown, &source);
                 None
             }
             Err(_) => None,
@@ -382,58 +402,63 @@
     }
 
     /// Queries the users' interface, which uses CBOR on another port and must agree.
-    fn ask_as_user(&mut self, job: &str) -> Option<State> {
+    fn query_as_user(&mut self, job: &str) -> Option<State> {
         let node = self.rng.gen_range(0..self.addresses.users.len());
-        let until = Instant::now() + Duration::from_secs(3);
-        let asked = self.record.now();
+        let deadline = Instant::now() + Duration::from_secs(3);
+        let requested_s = self.observations.now();
         let mut connection = match self.connection.take() {
             Some(c) => c,
-            None => Connection::open(self.addresses.users[node], until)
+            None => Connection::open(self.addresses.users[node], deadline)
                 .ok()?
                 .speaking(Content::Cbor),
         };
         let path = format!("/api/jobs/{job}");
-        let r = connection
-            .exchange(Method::Get, &path, &[], None, until)
+        let response = connection
+            .exchange(Method::Get, &path, &[], None, deadline)
             .ok()?;
-        if !r.close {
+        if !response.close {
             self.connection = Some(connection);
         }
-        let what = match r.status {
+        let reply = match response.status {
             404 => JobReply::Unknown,
             200 => {
-                let v: Value = wire::decode(&r.body).ok()?;
+                let v: Value = wire::decode(&response.body).ok()?;
                 JobReply::State(State::parse(v["status"].as_str()?)?)
             }
             _ => return None,
         };
-        self.record.heard(job, asked, what, "the users' interface");
-        match what {
+        self.observations
+            .record_reply(job, requested_s, reply, "the users' interface");
+        match reply {
             JobReply::State(s) => Some(s),
             _ => None,
         }
     }
 
-    fn ask_unknown(&mut self) {
+    fn query_unknown_job(&mut self) {
         let n = self.rng.gen_range(0..1_000_000);
-        let job = self.id(n);
-        self.ask(&job);
+        let job = self.job_id(n);
+        self.query(&job);
     }
 
-    fn is_over(&mut self, job: &str) -> bool {
-        self.ask(job).is_some_and(State::is_final)
+    fn is_finished(&mut self, job: &str) -> bool {
+        self.query(job).is_some_and(State::is_final)
     }
 }
 
-fn cancel(client: &mut Client, record: &Record, job: &str) {
-    let asked = record.now();
-    let answer = client.cancel(job);
-    let by = client
+fn cancel(client: &mut Client, observations: &Observations, job: &str) {
+    let requested_s = observations.now();
+    let result = client.cancel(job);
+    let source = client
         .last_controller()
         .map_or(String::new(), |a| format!("cancel request to {a}"));
-    match answer {
-        Ok(told) => record.heard(job, asked, JobReply::State(told.state), &by),
-        Err(ClientError::NotFound(_)) => record.heard(job, asked, JobReply::Unknown, &by),
+    match result {
+        Ok(response) => {
+            observations.record_reply(job, requested_s, JobReply::State(response.state), &source)
+        }
+        Err(ClientError::NotFound(_)) => {
+            observations.record_reply(job, requested_s, JobReply::Unknown, &source)
+        }
         Err(_) => {}
     }
 }
@@ -454,7 +479,7 @@
         .filter_map(|(at, _)| {
             let after = times
                 .iter()
-                .filter(|(began, _)| began >= at)
+                .filter(|(started_at, _)| started_at >= at)
                 .map(|(_, end)| end - at);
             Some(after.fold(f64::INFINITY, f64::min)).filter(|g| g.is_finite())
         })
@@ -464,45 +489,56 @@
 }
 
 fn report(
-    record: &Record,
+    observations: &Observations,
     kills: &[(f64, bool)],
     unfinished: &[String],
     exited: usize,
     memory_mb: f64,
 ) -> Result<Value, TestbedError> {
-    let jobs = lock(&record.jobs);
-    let machines = lock(&record.machines);
-    let wrong = wrong(&jobs, &machines);
-    for line in wrong.iter().take(20) {
+    let jobs = lock(&observations.jobs);
+    let transitions = lock(&observations.transitions);
+    let inconsistencies = inconsistencies(&jobs, &transitions);
+    for line in inconsistencies.iter().take(20) {
         eprintln!("inconsistent: {line}");
     }
     for job in unfinished.iter().take(10) {
         eprintln!("not finished: {job}");
     }
-    let known = |h: &&JobHistory| h.answers.iter().any(|a| a.what != JobReply::Unknown);
-    let accepted = jobs.values().filter(known).count();
-    let of = |state| {
-        let told = |h: &&JobHistory| h.answers.iter().any(|a| a.what == JobReply::State(state));
-        jobs.values().filter(told).count()
+    let known_to_a_controller = |history: &&JobHistory| {
+        history
+            .replies
+            .iter()
+            .any(|r| r.content != JobReply::Unknown)
+    };
+    let accepted = jobs.values().filter(known_to_a_controller).count();
+    let jobs_in_state = |state| {
+        let reported = |history: &&JobHistory| {
+            history
+                .replies
+                .iter()
+                .any(|r| r.content == JobReply::State(state))
+        };
+        jobs.values().filter(reported).count()
     };
-    let answered = gaps(kills, &lock(&record.accepted));
-    let begins: Vec<(f64, f64)> = machines.begins.iter().map(|b| (*b, *b)).collect();
-    let starts = gaps(kills, &begins);
-    let times = lock(&record.times);
-    let ms = |q: f64| times.value_at_quantile(q) as f64 / 1e3;
+    let accepting_gaps_s = gaps(kills, &lock(&observations.accepted));
+    let task_starts: Vec<(f64, f64)> = transitions.start_times_s.iter().map(|b| (*b, *b)).collect();
+    let starting_gaps_s = gaps(kills, &task_starts);
+    let times = lock(&observations.times);
+    let response_ms = |q: f64| times.value_at_quantile(q) as f64 / 1e3;
     // A run without load, cancellations or kills would have tested nothing.
-    let tested = accepted >= 100 && !kills.is_empty() && of(State::Cancelled) > 0;
-    let ok = wrong.is_empty() && unfinished.is_empty() && exited == 0 && tested;
+    let load_sufficient =
+        accepted >= 100 && !kills.is_empty() && jobs_in_state(State::Cancelled) > 0;
+    let ok = inconsistencies.is_empty() && unfinished.is_empty() && exited == 0 && load_sufficient;
     let round = |x: f64| (x * 1e3).round() / 1e3;
     Ok(json!({
-        "ok": ok, "experiment": "restart", "jobs": accepted, "done": of(State::Done),
-        "cancelled": of(State::Cancelled), "kills": kills.len(),
+        "ok": ok, "experiment": "restart", "jobs": accepted, "done": jobs_in_state(State::Done),
+        "cancelled": jobs_in_state(State::Cancelled), "kills": kills.len(),
         "kills_of_all": kills.iter().filter(|k| k.1).count(),
-        "tasks_begun": machines.begins.len(), "answers": times.len(),
-        "wrong_answers": wrong.len(), "not_over": unfinished.len(), "ended_by_themselves": exited,
-        "gap_accepting_s": {"median": round(quantile(&answered, 0.5)), "p99": round(quantile(&answered, 0.99))},
-        "gap_starting_s": {"median": round(quantile(&starts, 0.5)), "p99": round(quantile(&starts, 0.99))},
-        "answer_ms": {"median": ms(0.5), "p99": ms(0.99), "most": times.max() as f64 / 1e3},
+        "tasks_begun": transitions.start_times_s.len(), "answers": times.len(),
+        "wrong_answers": inconsistencies.len(), "not_over": unfinished.len(), "ended_by_themselves": exited,
+        "gap_accepting_s": {"median": round(quantile(&accepting_gaps_s, 0.5)), "p99": round(quantile(&accepting_gaps_s, 0.99))},
+        "gap_starting_s": {"median": round(quantile(&starting_gaps_s, 0.5)), "p99": round(quantile(&starting_gaps_s, 0.99))},
+        "answer_ms": {"median": response_ms(0.5), "p99": response_ms(0.99), "most": times.max() as f64 / 1e3},
         "controller_memory_mb": round(memory_mb),
     }))
 }
