--- a/crates/testbed/src/ageing.rs
+++ b/crates/testbed/src/ageing.rs
@@ -41,8 +41,8 @@
 /// Generates the scenario of a night.
 ///
 /// For an hour one urgent job a second arrives, which is 1.6 times the capacity of the machines,
-/// then for hours exactly their capacity. In addition a few lower-priority jobs arrive, some of
-/// which need a whole machine. The leader's process crashes in the middle.
+/// then for hours as much urgent work as they can do. In addition a few lower-priority jobs arrive,
+/// some of which need a whole machine. The leader's process crashes in the middle.
 fn night_scenario(seed: u64, hours: f64, ageing: PriorityAging) -> String {
     // One job a second; for a quick run a quarter as many jobs with four times as many tasks.
     let interval_s = if hours < 10.0 { 4 } else { 1 };
@@ -101,6 +101,7 @@
     sorted.get(at).copied().unwrap_or(f64::NAN)
 }
 
+/// Sorted waits of the selected jobs, in seconds.
 fn waits(outcome: &Outcome, which: impl Fn(&Wait) -> bool) -> Vec<f64> {
     let mut all: Vec<f64> = outcome
         .waits
@@ -304,7 +305,8 @@
             json!({"seed": seed, "oldest_low_s": longest_wait_s.round(), "bound_s": bound_s.round(),
             "without_ageing_s": baseline_s.round(), "high_median_loss": (urgent_loss * 1e3).round() / 1e3,
             "violations": with_aging.violations.len() + without_aging.violations.len(),
-            "with": wait_statistics_by_urgency(with_aging), "without": wait_statistics_by_urgency(without_aging)}),
+            "with": wait_statistics_by_urgency(with_aging),
+            "without": wait_statistics_by_urgency(without_aging)}),
         );
         eprintln!(
             "night {seed}: longest wait of a lower-priority job {longest_wait_s:.0} s (bound {bound_s:.0}, without aging {baseline_s:.0}), median wait of urgent jobs {urgent_median_s:.0} s, {:+.1}%",
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -70,7 +70,7 @@
 }
 
 /// A day that has been simulated.
-struct PlayedDay {
+struct SimulatedDay {
     /// Its index in the plan.
     index: usize,
     outcome: Result<Outcome, ScenarioError>,
@@ -96,6 +96,8 @@
     wasted_preemptions: u64,
     least_served: LeastServed,
     largest_wait_s: f64,
+    /// Longest time that a task of a cancelled job stayed on a machine, as a fraction of
+    /// `cancel_s`.
     cancelled_left: f64,
     unanswered_s: f64,
     late_older_s: f64,
@@ -340,7 +342,7 @@
 
 /// Simulates all days, several in parallel; they share no state. Returns them in the order of the
 /// plan.
-fn play_all(plan: &[Day], injected_faults: Faults, jobs: usize) -> Vec<PlayedDay> {
+fn play_all(plan: &[Day], injected_faults: Faults, jobs: usize) -> Vec<SimulatedDay> {
     let (next, done) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs.clamp(1, 64).min(plan.len().max(1)) {
@@ -348,7 +350,7 @@
                 let n = next.fetch_add(1, Ordering::Relaxed) as usize;
                 let Some(day) = plan.get(n) else { return };
                 let started_at = Instant::now();
-                let played = PlayedDay {
+                let played = SimulatedDay {
                     index: n,
                     outcome: scenario::play(&day.text, injected_faults),
                     wall_time_s: started_at.elapsed().as_secs_f64(),
@@ -359,7 +361,7 @@
             });
         }
     });
-    let mut played: Vec<PlayedDay> = done.into_inner().unwrap_or_default();
+    let mut played: Vec<SimulatedDay> = done.into_inner().unwrap_or_default();
     played.sort_by_key(|day| day.index);
     played
 }
--- a/crates/testbed/src/list.rs
+++ b/crates/testbed/src/list.rs
@@ -1,7 +1,7 @@
 //! Reads a long list of jobs from a small controller.
 //!
-//! Every page is bounded, the cursor neither misses nor repeats a job while others are submitted,
-//! and the memory of the controller is reported and limited.
+//! Every page is bounded, the cursor neither misses nor repeats a job while others are submitted
+//! and finish, and the memory of the controller is reported and limited.
 
 use crate::context::{self, Folder, TestContext};
 use crate::TestbedError;
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -28,6 +28,7 @@
 /// Observations shared by all clients of the experiment.
 struct Observations {
     started_at: Instant,
+    /// History of each job, by its name.
     jobs: Mutex<BTreeMap<String, JobHistory>>,
     transitions: Mutex<TaskTransitions>,
     /// Response times of all answered requests, in microseconds.
@@ -41,6 +42,7 @@
 }
 
 impl Observations {
+    /// Seconds since the start of the experiment.
     fn now(&self) -> f64 {
         self.started_at.elapsed().as_secs_f64()
     }
@@ -62,7 +64,7 @@
     }
 }
 
-/// Sizes of the experiment.
+/// Size of the experiment.
 struct Size {
     clients: usize,
     jobs_each: usize,
@@ -197,7 +199,8 @@
     let mut kill_times = Vec::new();
     thread::sleep(Duration::from_secs(2));
     for k in 0..kills {
-        // Every fourth kill takes down all controllers; every second of the others the leader.
+        // Every fourth kill takes down all controllers. Of the others, those with an even index take
+        // down the leader, if it is known, and the rest a random controller.
         let all = k % 4 == 3;
         let leader = client
             .nodes()
@@ -275,6 +278,7 @@
     open
 }
 
+/// A client that submits, queries and cancels jobs and records the replies.
 struct TestClient {
     observations: Arc<Observations>,
     rng: StdRng,
@@ -536,8 +540,14 @@
         "kills_of_all": kills.iter().filter(|k| k.1).count(),
         "tasks_begun": transitions.start_times_s.len(), "answers": times.len(),
         "wrong_answers": inconsistencies.len(), "not_over": unfinished.len(), "ended_by_themselves": exited,
-        "gap_accepting_s": {"median": round(quantile(&accepting_gaps_s, 0.5)), "p99": round(quantile(&accepting_gaps_s, 0.99))},
-        "gap_starting_s": {"median": round(quantile(&starting_gaps_s, 0.5)), "p99": round(quantile(&starting_gaps_s, 0.99))},
+        "gap_accepting_s": {
+            "median": round(quantile(&accepting_gaps_s, 0.5)),
+            "p99": round(quantile(&accepting_gaps_s, 0.99)),
+        },
+        "gap_starting_s": {
+            "median": round(quantile(&starting_gaps_s, 0.5)),
+            "p99": round(quantile(&starting_gaps_s, 0.99)),
+        },
         "answer_ms": {"median": response_ms(0.5), "p99": response_ms(0.99), "most": times.max() as f64 / 1e3},
         "controller_memory_mb": round(memory_mb),
     }))
