--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -11,8 +11,10 @@
 /// A reply about one job. Times are in seconds since the start of the experiment.
 #[derive(Clone, Debug)]
 pub(crate) struct Reply {
-    pub requested_s: f64,
-    pub received_s: f64,
+    /// When the request was sent.
+    pub start_s: f64,
+    /// When the reply was received.
+    pub end_s: f64,
     pub content: JobReply,
     /// Interface and controller that replied, for the failure report.
     pub source: String,
@@ -99,7 +101,7 @@
             .replies
             .iter()
             .filter(|r| r.content == JobReply::State(State::Done))
-            .map(|r| r.received_s)
+            .map(|r| r.end_s)
             .fold(f64::INFINITY, f64::min);
         if first_done_at_s.is_finite() {
             let unfinished = (0..history.tasks)
@@ -123,48 +125,45 @@
 /// Describes replies about a job that contradict each other, or what the clients sent.
 fn inconsistent_replies(job: &str, history: &JobHistory) -> Vec<String> {
     let mut found = Vec::new();
-    let mut by_request_time: Vec<&Reply> = history.replies.iter().collect();
-    by_request_time.sort_by(|a, b| a.requested_s.total_cmp(&b.requested_s));
-    let mut by_receipt_time: Vec<&Reply> = history.replies.iter().collect();
-    by_receipt_time.sort_by(|a, b| a.received_s.total_cmp(&b.received_s));
+    let mut by_start: Vec<&Reply> = history.replies.iter().collect();
+    by_start.sort_by(|a, b| a.start_s.total_cmp(&b.start_s));
+    let mut by_end: Vec<&Reply> = history.replies.iter().collect();
+    by_end.sort_by(|a, b| a.end_s.total_cmp(&b.end_s));
     // Checks each reply against the replies that had been received before its request was sent.
-    let (mut next, mut first_known, mut first_final): (usize, Option<&Reply>, Option<&Reply>) =
-        (0, None, None);
-    for current in by_request_time {
-        while by_receipt_time
-            .get(next)
-            .is_some_and(|r| r.received_s < current.requested_s)
-        {
-            let received = by_receipt_time[next];
-            first_known = first_known.or(received.content.is_known().then_some(received));
-            first_final = first_final.or(received.content.final_state().map(|_| received));
+    // `known` is the first of them that knows the job, `ended` the first with a final state.
+    let (mut next, mut known, mut ended): (usize, Option<&Reply>, Option<&Reply>) = (0, None, None);
+    for reply in by_start {
+        while by_end.get(next).is_some_and(|r| r.end_s < reply.start_s) {
+            let received = by_end[next];
+            known = known.or(received.content.is_known().then_some(received));
+            ended = ended.or(received.content.final_state().map(|_| received));
             next += 1;
         }
-        if let (Some(earlier), JobReply::Unknown) = (first_known, current.content) {
+        if let (Some(earlier), JobReply::Unknown) = (known, reply.content) {
             found.push(format!(
                 "{job} was known to {} at {:.3} s, but unknown to {} at {:.3} s",
-                earlier.source, earlier.received_s, current.source, current.received_s
+                earlier.source, earlier.end_s, reply.source, reply.end_s
             ));
         }
-        if let Some(earlier) = first_final {
-            let consistent = current.content.final_state() == earlier.content.final_state()
-                || current.content == JobReply::Unknown;
+        if let Some(earlier) = ended {
+            let consistent = reply.content.final_state() == earlier.content.final_state()
+                || reply.content == JobReply::Unknown;
             if !consistent {
                 found.push(format!(
                     "{job} was {:?} for {} at {:.3} s, but {:?} for {} at {:.3} s",
                     earlier.content,
                     earlier.source,
-                    earlier.received_s,
-                    current.content,
-                    current.source,
-                    current.received_s
+                    earlier.end_s,
+                    reply.content,
+                    reply.source,
+                    reply.end_s
                 ));
             }
         }
-        if current.content.is_known() && !history.submitted {
+        if reply.content.is_known() && !history.submitted {
             found.push(format!(
-                "{job} was never submitted, but known to {}",
-                current.source
+                "{job} was never submitted, but {} knows it",
+                reply.source
             ));
         }
     }
--- a/crates/testbed/src/history/tests.rs
+++ b/crates/testbed/src/history/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use beamhinge_emulator::worker::TaskEvent;
 
-fn reply_between(requested_s: f64, received_s: f64, content: JobReply) -> Reply {
+fn reply_between(start_s: f64, end_s: f64, content: JobReply) -> Reply {
     Reply {
-        requested_s,
-        received_s,
+        start_s,
+        end_s,
         content,
         source: "a".into(),
     }
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -47,12 +47,12 @@
         self.started_at.elapsed().as_secs_f64()
     }
 
-    fn record_reply(&self, job: &str, requested_s: f64, reply: JobReply, source: &str) {
-        let received_s = self.now();
+    fn record_reply(&self, job: &str, start_s: f64, content: JobReply, source: &str) {
+        let end_s = self.now();
         let received = Reply {
-            requested_s,
-            received_s,
-            content: reply,
+            start_s,
+            end_s,
+            content,
             source: source.to_string(),
         };
         lock(&self.jobs)
@@ -60,7 +60,7 @@
             .or_default()
             .replies
             .push(received);
-        lock(&self.times).saturating_record((((received_s - requested_s) * 1e6) as u64).max(1));
+        lock(&self.times).saturating_record((((end_s - start_s) * 1e6) as u64).max(1));
     }
 }
 
@@ -344,16 +344,15 @@
             let history = jobs.entry(job.to_string()).or_default();
             (history.tasks, history.submitted) = (request.tasks, true);
         }
-        let requested_s = self.observations.now();
+        let start_s = self.observations.now();
         if let Ok(response) = self.client.submit(&request) {
             let reply = match response.state {
                 s if s.is_final() => JobReply::State(s),
                 _ => JobReply::Accepted,
             };
             let source = self.source();
-            self.observations
-                .record_reply(job, requested_s, reply, &source);
-            lock(&self.observations.accepted).push((requested_s, self.observations.now()));
+            self.observations.record_reply(job, start_s, reply, &source);
+            lock(&self.observations.accepted).push((start_s, self.observations.now()));
         }
     }
 
@@ -383,22 +382,18 @@
         if self.rng.gen_bool(0.5) {
             return self.query_as_user(job);
         }
-        let requested_s = self.observations.now();
+        let start_s = self.observations.now();
         let result = self.client.job(job);
         let source = self.source();
         match result {
             Ok(d) => {
-                self.observations.record_reply(
-                    job,
-                    requested_s,
-                    JobReply::State(d.row.state),
-                    &source,
-                );
+                self.observations
+                    .record_reply(job, start_s, JobReply::State(d.row.state), &source);
                 Some(d.row.state)
             }
             Err(ClientError::NotFound(_)) => {
                 self.observations
-                    .record_reply(job, requested_s, JobReply::Unknown, &source);
+                    .record_reply(job, start_s, JobReply::Unknown, &source);
                 None
             }
             Err(_) => None,
@@ -409,7 +404,7 @@
     fn query_as_user(&mut self, job: &str) -> Option<State> {
         let node = self.rng.gen_range(0..self.addresses.users.len());
         let deadline = Instant::now() + Duration::from_secs(3);
-        let requested_s = self.observations.now();
+        let start_s = self.observations.now();
         let mut connection = match self.connection.take() {
             Some(c) => c,
             None => Connection::open(self.addresses.users[node], deadline)
@@ -432,7 +427,7 @@
             _ => return None,
         };
         self.observations
-            .record_reply(job, requested_s, reply, "the users' interface");
+            .record_reply(job, start_s, reply, "the users' interface");
         match reply {
             JobReply::State(s) => Some(s),
             _ => None,
@@ -451,17 +446,17 @@
 }
 
 fn cancel(client: &mut Client, observations: &Observations, job: &str) {
-    let requested_s = observations.now();
+    let start_s = observations.now();
     let result = client.cancel(job);
     let source = client
         .last_controller()
         .map_or(String::new(), |a| format!("cancel request to {a}"));
     match result {
         Ok(response) => {
-            observations.record_reply(job, requested_s, JobReply::State(response.state), &source)
+            observations.record_reply(job, start_s, JobReply::State(response.state), &source)
         }
         Err(ClientError::NotFound(_)) => {
-            observations.record_reply(job, requested_s, JobReply::Unknown, &source)
+            observations.record_reply(job, start_s, JobReply::Unknown, &source)
         }
         Err(_) => {}
     }
