--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -1,4 +1,5 @@
-//! Drawn days in simulated time: the rules, liveness, and what was given away.
+//! Randomly generated days in simulated time: checks of invariants and liveness, and statistics of
+//! lost machines and preempted tasks.
 
 use crate::TestbedError;
 use beamhinge_controller::faults::Faults;
@@ -17,37 +18,37 @@
 
 #[derive(Args)]
 pub(crate) struct Options {
-    /// How many days are played
+    /// Number of days to simulate
     #[arg(long, default_value_t = 20)]
     days: u64,
-    /// Only this one of them
+    /// Simulate only the day with this number
     #[arg(long, value_name = "NUMBER")]
     day: Option<u64>,
-    /// Play the faults of this file, in the bench's form, instead of drawn ones
+    /// Inject the faults of this file, in the bench's format, instead of random ones
     #[arg(long, value_name = "TOML")]
     file: Option<PathBuf>,
-    /// Make the first failing day smaller and write it to this file
+    /// Reduce the first failing day to a smaller one and write it to this file
     #[arg(long, value_name = "FILE")]
     reduce: Option<PathBuf>,
-    /// Write the day of --day to this file, to be kept as a scenario
+    /// Write the day given by --day to this file as a scenario
     #[arg(long, value_name = "FILE", requires = "day")]
     write: Option<PathBuf>,
-    /// What the controllers of a day log: error, info or debug; one day only
+    /// Log level of the controllers: error, info or debug; for a single day only
     #[arg(long, value_name = "LEVEL", requires = "day")]
     log: Option<String>,
-    /// Days on which troubles meet: the gap, and pairs and triples timed by what happens
+    /// Days with combined faults: the gap, and pairs and triples of faults triggered by events
     #[arg(long, conflicts_with = "file")]
     meetings: bool,
-    /// Leave a guard out, or put a fault of old back, by its name: the days must find it
-    #[arg(long, alias = "break", value_name = "GUARD", value_parser = faults)]
+    /// Disable a guard, or reintroduce an earlier bug, by its name; the days must detect it
+    #[arg(long, alias = "break", value_name = "GUARD", value_parser = parse_faults)]
     without: Option<Faults>,
-    /// Waiting jobs rise, after 30 and 15 seconds
+    /// Boost the priority of waiting jobs after 30 seconds (best effort) and 15 seconds (standard)
     #[arg(long)]
     ageing: bool,
-    /// Days that are played at the same time
+    /// Number of days to simulate in parallel
     #[arg(long, default_value_t = 6)]
     jobs: usize,
-    /// Play the fixed days instead and compare what their controllers sent with this record
+    /// Simulate the fixed days instead and compare what their controllers sent with this record
     #[arg(
         long,
         value_name = "FILE",
@@ -56,34 +57,34 @@
         conflicts_with_all = ["days", "day", "file", "meetings", "ageing"]
     )]
     fingerprint: Option<PathBuf>,
-    /// Write the fingerprints to the record instead
+    /// Write the fingerprints to the record
     #[arg(long, requires = "fingerprint")]
     record: bool,
 }
 
-/// Tries to make a failing day smaller.
-const MAX_REDUCTIONS: u32 = 40;
+/// Maximum number of attempts to reduce a failing day.
+const MAX_REDUCTION_ATTEMPTS: u32 = 40;
 
-fn faults(name: &str) -> Result<Faults, String> {
-    Faults::named(name).ok_or_else(|| "no guard or fault is called so".into())
+fn parse_faults(name: &str) -> Result<Faults, String> {
+    Faults::named(name).ok_or_else(|| "no guard or fault has this name".into())
 }
 
-/// A day that was played.
-struct PlayedDay {
+/// A day that has been simulated.
+struct SimulatedDay {
     /// Its index in the plan.
     index: usize,
     outcome: Result<Outcome, ScenarioError>,
-    /// Real time that it took, seconds.
-    real_s: f64,
+    /// Wall-clock duration in seconds.
+    wall_time_s: f64,
 }
 
-/// The class or team that got the least part of its work done.
+/// The job class or team that got the smallest part of its work done.
 struct LeastServed {
     name: String,
-    part: f64,
+    fraction: f64,
 }
 
-/// The figures of all days: sums, and the worst of each.
+/// Results of all days: sums, and the worst value of each measure.
 struct Totals {
     violations: usize,
     days_stuck: usize,
@@ -95,6 +96,8 @@
     wasted_preemptions: u64,
     least_served: LeastServed,
     largest_wait_s: f64,
+    /// Longest time that a task of a cancelled job stayed on a machine, as a fraction of
+    /// `cancel_s`.
     cancelled_left: f64,
     unanswered_s: f64,
     late_older_s: f64,
@@ -117,7 +120,7 @@
             wasted_preemptions: 0,
             least_served: LeastServed {
                 name: String::new(),
-                part: 1.0,
+                fraction: 1.0,
             },
             largest_wait_s: 0.0,
             cancelled_left: 0.0,
@@ -147,7 +150,7 @@
         self.starvation_s = self.starvation_s.max(outcome.longest_starvation_s);
         self.largest_wait_s = self.largest_wait_s.max(largest_wait_s(outcome));
         let least = least_served(outcome);
-        if least.part < self.least_served.part {
+        if least.fraction < self.least_served.fraction {
             let name = format!("{}: {}", day.name, least.name);
             self.least_served = LeastServed { name, ..least };
         }
@@ -162,19 +165,19 @@
 }
 
 fn least_served(outcome: &Outcome) -> LeastServed {
-    let (name, part) = outcome
+    let (name, fraction) = outcome
         .least_served
         .clone()
         .unwrap_or_else(|| (String::new(), 1.0));
-    LeastServed { name, part }
+    LeastServed { name, fraction }
 }
 
-/// Runs the experiment; returns the figures that it prints.
+/// Runs the experiment and returns the results to print.
 pub(crate) fn run(seed: u64, quick: bool, options: &Options) -> Result<Value, TestbedError> {
     let size = if quick { days::SMALL } else { days::FULL };
-    let regressions = options.without.unwrap_or_default();
+    let injected_faults = options.without.unwrap_or_default();
     if let Some(record) = &options.fingerprint {
-        return fingerprint(record, regressions, options);
+        return fingerprint(record, injected_faults, options);
     }
     let mut plan = plan(seed, size, options)?;
     if options.ageing {
@@ -187,9 +190,9 @@
     if let Some(level) = &options.log {
         log_controllers(level);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut totals = Totals::new();
-    for played in play_all(&plan, regressions, options.jobs) {
+    for played in play_all(&plan, injected_faults, options.jobs) {
         let day = &plan[played.index];
         let outcome = played
             .outcome
@@ -200,17 +203,20 @@
             days::faulty(&outcome)
         };
         totals.add(day, &outcome, failed);
-        print_day(day, &outcome, failed, played.real_s);
+        print_day(day, &outcome, failed, played.wall_time_s);
     }
     if let (Some(path), Some(name)) = (&options.reduce, totals.failed.first()) {
         if let Some(day) = plan.iter().find(|d| d.name == *name) {
-            std::fs::write(path, days::reduce(&day.text, regressions, MAX_REDUCTIONS)?)?;
+            std::fs::write(
+                path,
+                days::reduce(&day.text, injected_faults, MAX_REDUCTION_ATTEMPTS)?,
+            )?;
         }
     }
-    Ok(report(seed, &plan, &totals, began.elapsed()))
+    Ok(report(seed, &plan, &totals, started_at.elapsed()))
 }
 
-/// Writes what the controllers of a day log to standard error.
+/// Sends the log of the controllers to standard error.
 fn log_controllers(level: &str) {
     let filter = tracing_subscriber::EnvFilter::new(level);
     tracing_subscriber::fmt()
@@ -220,11 +226,11 @@
         .init();
 }
 
-/// Prints one line on standard error.
-fn print_day(day: &Day, outcome: &Outcome, failed: bool, real_s: f64) {
+/// Prints the results of a day as one line on standard error.
+fn print_day(day: &Day, outcome: &Outcome, failed: bool, wall_time_s: f64) {
     let least = least_served(outcome);
     eprintln!(
-        "{:14} {:5} machines {:7} tasks  settled {:4.0} s  cut off {:5}  healthy returned {:4}  unexplained {:4}  stopped {:6} in vain {:4}  least {:.2} {:12}  largest began after {:4.0} s  {:5.1} s  {}",
+        "{:14} {:5} machines {:7} tasks  settled {:4.0} s  cut off {:5}  healthy returned {:4}  unexplained {:4}  preempted {:6} wasted {:4}  least served {:.2} {:12}  largest job waited {:4.0} s  {:5.1} s  {}",
         day.name,
         outcome.peak_machines,
         outcome.started,
@@ -234,10 +240,10 @@
         outcome.losses.unexplained,
         outcome.preempted,
         outcome.wasted_preemptions,
-        least.part,
+        least.fraction,
         least.name,
         largest_wait_s(outcome),
-        real_s,
+        wall_time_s,
         if failed {
             outcome.failures.join("; ")
         } else {
@@ -246,11 +252,11 @@
     );
 }
 
-/// The figures as they are printed.
-fn report(seed: u64, plan: &[Day], totals: &Totals, real: Duration) -> Value {
-    let mut troubles: BTreeMap<&str, u32> = BTreeMap::new();
+/// Formats the results for output.
+fn report(seed: u64, plan: &[Day], totals: &Totals, wall_time: Duration) -> Value {
+    let mut fault_counts_by_kind: BTreeMap<&str, u32> = BTreeMap::new();
     for (kind, count) in plan.iter().flat_map(|d| &d.fault_counts) {
-        *troubles.entry(kind).or_default() += count;
+        *fault_counts_by_kind.entry(kind).or_default() += count;
     }
     let sizes = plan.iter().map(|d| d.machines);
     json!({
@@ -259,7 +265,7 @@
         "seed": seed,
         "days": plan.len(),
         "machines": [sizes.clone().min(), sizes.max()],
-        "troubles": troubles,
+        "troubles": fault_counts_by_kind,
         "tasks": totals.started,
         "violations": totals.violations,
         "days_stuck": totals.days_stuck,
@@ -269,7 +275,7 @@
         "unexplained_losses": totals.losses.unexplained,
         "stopped_for_others": totals.preempted,
         "stopped_for_nobody": totals.wasted_preemptions,
-        "least_served": [totals.least_served.name, totals.least_served.part],
+        "least_served": [totals.least_served.name, totals.least_served.fraction],
         "largest_began_within_s": totals.largest_wait_s,
         "cancelled_gone_by_part_of_cancel_s": totals.cancelled_left,
         "longest_unanswered_s": totals.unanswered_s,
@@ -278,18 +284,19 @@
         "starts_after_cancelled": totals.late_starts,
         "longest_settle_s": totals.settled_s,
         "failed": totals.failed,
-        "real_s": real.as_secs_f64().round(),
+        "real_s": wall_time.as_secs_f64().round(),
     })
 }
 
-/// Plays the fixed days, and compares their fingerprints with the record or writes it.
+/// Simulates the fixed days, and writes their fingerprints to the record if requested. Then
+/// compares them with the record.
 fn fingerprint(
     record: &Path,
-    regressions: Faults,
+    injected_faults: Faults,
     options: &Options,
 ) -> Result<Value, TestbedError> {
-    let began = Instant::now();
-    let played = fingerprints::play(&fingerprints::fixed(), regressions, options.jobs)
+    let started_at = Instant::now();
+    let played = fingerprints::play(&fingerprints::fixed(), injected_faults, options.jobs)
         .map_err(|e| TestbedError::Other(e.to_string()))?;
     print!("{}", fingerprints::write(&played));
     if options.record {
@@ -297,14 +304,14 @@
     }
     let recorded = fingerprints::read(&std::fs::read_to_string(record)?)
         .map_err(|e| TestbedError::Other(e.to_string()))?;
-    let differ = fingerprints::differences(&recorded, &played);
+    let differences_found = fingerprints::differences(&recorded, &played);
     Ok(json!({
-        "ok": differ.is_empty(),
+        "ok": differences_found.is_empty(),
         "experiment": "fingerprint",
         "days": played.len(),
-        "differ": differ,
+        "differ": differences_found,
         "recorded": options.record,
-        "real_s": began.elapsed().as_secs_f64().round(),
+        "real_s": started_at.elapsed().as_secs_f64().round(),
     }))
 }
 
@@ -313,8 +320,8 @@
         .day
         .map_or_else(|| (0..options.days).collect(), |d| vec![d]);
     if options.meetings {
-        let few = size.machines.0 < days::FULL.machines.0;
-        let machines = if few { (6.0, 60.0) } else { (40.0, 1_500.0) };
+        let small = size.machines.0 < days::FULL.machines.0;
+        let machines = if small { (6.0, 60.0) } else { (40.0, 1_500.0) };
         return Ok(numbers
             .into_iter()
             .map(|n| combined_faults::generate(seed, n, machines))
@@ -333,20 +340,20 @@
     Ok(days.collect::<Result<_, _>>()?)
 }
 
-/// Plays all days, some at the same time; they share nothing but the processors. In the order
-/// of the plan.
-fn play_all(plan: &[Day], regressions: Faults, jobs: usize) -> Vec<PlayedDay> {
+/// Simulates all days, several in parallel; they share no state. Returns them in the order of the
+/// plan.
+fn play_all(plan: &[Day], injected_faults: Faults, jobs: usize) -> Vec<SimulatedDay> {
     let (next, done) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs.clamp(1, 64).min(plan.len().max(1)) {
             scope.spawn(|| loop {
                 let n = next.fetch_add(1, Ordering::Relaxed) as usize;
                 let Some(day) = plan.get(n) else { return };
-                let began = Instant::now();
-                let played = PlayedDay {
+                let started_at = Instant::now();
+                let played = SimulatedDay {
                     index: n,
-                    outcome: scenario::play(&day.text, regressions),
-                    real_s: began.elapsed().as_secs_f64(),
+                    outcome: scenario::play(&day.text, injected_faults),
+                    wall_time_s: started_at.elapsed().as_secs_f64(),
                 };
                 if let Ok(mut done) = done.lock() {
                     done.push(played);
@@ -354,7 +361,7 @@
             });
         }
     });
-    let mut played: Vec<PlayedDay> = done.into_inner().unwrap_or_default();
+    let mut played: Vec<SimulatedDay> = done.into_inner().unwrap_or_default();
     played.sort_by_key(|day| day.index);
     played
 }
