--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -1,12 +1,12 @@
-//! Scenarios: small text files, and the one runner of all of them.
+//! Scenarios: small text files, and the runner that plays them.
 //!
 //! A line is a setting, `at SECONDS ACTION`, or `expect WHAT`. Every scenario must keep the
-//! protocol's rules, unless it uses a test double that breaks them on purpose: then
+//! protocol's rules, unless it uses a test double that breaks them deliberately: then
 //! `expect broken RULE` shows that the check can fail.
 //!
-//! And every scenario must end well: once its script is over all faults are taken away, and
-//! then every accepted job is done within [`SETTLE_S`] and what was rented is given back
-//! within [`IDLE_S`] more. A file whose point is that this cannot be says
+//! Every scenario must also settle: when its script is over all faults are removed, and then
+//! every accepted job must be done within [`SETTLE_S`] and every rented machine returned
+//! within another [`IDLE_S`]. A file in which this is deliberately impossible says
 //! `unsettled REASON`.
 
 mod actions;
@@ -30,23 +30,23 @@
 use setup::Lines;
 use words::Words;
 
-/// A scenario ends after this long if it does not say when.
+/// The script ends at this time unless an `end` line gives another.
 const DEFAULT_END: Micros = 60 * SECOND;
 
-/// What a scenario does beside its settings.
+/// The actions and expectations of a scenario, without its settings.
 struct Script<'a> {
     actions: Vec<&'a [&'a str]>,
     expectations: Vec<Expectation<'a>>,
     end: Micros,
-    /// It has to end well.
+    /// Whether everything must be done and returned after the script.
     settles: bool,
 }
 
-/// Plays a scenario and judges it; `regressions` puts faults of old back into the
+/// Plays a scenario and judges it; `regressions` reintroduces known faults into the
 /// controllers.
 ///
 /// # Errors
-/// When a line cannot be understood.
+/// If a line cannot be parsed.
 pub fn play(text: &str, regressions: Faults) -> Result<Outcome, ScenarioError> {
     let lines = Lines::parse(text);
     let mut sim = setup::cluster(&lines, regressions)?;
@@ -60,7 +60,7 @@
     Ok(judge(&mut sim, &judgement))
 }
 
-/// Reads the lines that are no settings, and prepares the cluster for them.
+/// Reads the lines other than settings, and prepares the cluster for them.
 fn read_script<'a>(sim: &mut Sim, lines: &'a Lines) -> Result<Script<'a>, ScenarioError> {
     let mut script = Script {
         actions: Vec::new(),
@@ -78,7 +78,7 @@
             "end" => script.end = words::seconds(line.get(1).copied().unwrap_or("60"))?,
             "expect" => script.expectations.push(&line[1..]),
             "double" => {
-                // What is broken on purpose need not end well.
+                // A cluster with a deliberate protocol fault need not settle.
                 script.settles = false;
                 set_protocol_fault(sim, line.get(1).copied().unwrap_or(""))?;
             }
@@ -86,7 +86,7 @@
             "pages" => plant_pages(sim, lines.number("pages", 0.0) as u64),
             "untold" => sim.users.ignored_job = line.get(1).map(|j| (*j).to_string()),
             "unsettled" => script.settles = false,
-            // Looked at by the runner of the files.
+            // Read by the test that plays the scenario files.
             "without" => {}
             "settle" => {}
             "nodes" | "seed" | "team-max" | "teams" | "spot" | "ordinary" | "large" | "owned"
@@ -125,7 +125,7 @@
     }
 }
 
-/// Pages of an earlier leader, all of whose tasks are long over.
+/// Stores placement pages of an earlier leader, all of whose tasks have ended.
 fn plant_pages(sim: &mut Sim, count: u64) {
     for n in 0..count {
         let machine = format!("n-{:06}", 900_000 + n);
--- a/crates/sim/src/scenario/actions.rs
+++ b/crates/sim/src/scenario/actions.rs
@@ -1,4 +1,4 @@
-//! Actions of a scenario: what its `at` lines do.
+//! Actions of a scenario: the effects of its `at` lines.
 
 mod controllers;
 mod jobs;
@@ -12,10 +12,10 @@
 use crate::fault_injection::{Duplication, FrameLoss, Temporary};
 use beamhinge_core::http::Method;
 
-/// How often an operator's request is sent at most.
+/// Maximum number of times that an operator's request is sent.
 const OPERATOR_TRIES: u32 = 20;
 
-/// Does one action.
+/// Carries out one action.
 pub(super) fn act(sim: &mut Sim, words: &[&str]) -> Result<(), ScenarioError> {
     let words = Words(words);
     let action = words.arg(0)?;
@@ -48,7 +48,7 @@
     }
 }
 
-/// `op NAME [on=NODE] METHOD PATH [BODY]`: NAME is for `expect`.
+/// `op NAME [on=NODE] METHOD PATH [BODY]`: `expect` lines refer to the answer by NAME.
 fn operator_request(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let controller = words
         .option("on")
@@ -77,9 +77,9 @@
     Ok(())
 }
 
-/// `when WHAT SECONDS ACTION`: so long after it happens next. WHAT: `take`, a new leader
-/// begins; `cancelled`, a user is told so; `heard`, a worker takes its first answer with a
-/// new fencing token.
+/// `when WHAT SECONDS ACTION`: carries out ACTION that many seconds after the next
+/// occurrence of WHAT: `take`, a new leader begins; `cancelled`, a user is told that a job is
+/// cancelled; `heard`, a worker accepts its first answer with a new fencing token.
 fn arm(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let trigger = match words.arg(1)? {
         "take" => Trigger::Takeover,
@@ -97,22 +97,23 @@
     Ok(())
 }
 
-/// Messages that are copied, kept, lost or late.
+/// Faults that duplicate, retain, lose or delay messages.
 fn message_fault(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let now = sim.now;
     match words.arg(0)? {
-        // copies PART most=SECONDS for=SECONDS: of reports, frames, commands and requests
-        // that change something, a copy comes late.
+        // copies PART most=SECONDS for=SECONDS: a copy of reports, frames, commands and
+        // requests that change something arrives late.
         "copies" => {
             sim.faults.duplication = Duplication {
                 probability: words.probability(now)?,
                 max_delay: words.duration("most", 10.0)?,
             };
         }
-        // keep-reports PART for=SECONDS: copies that reach all when the next leader begins.
+        // keep-reports PART for=SECONDS: copies of reports reach all controllers when the next
+        // leader begins.
         "keep-reports" => sim.faults.kept_reports.probability = words.probability(now)?,
-        // links-lossy PART most=SECONDS for=SECONDS: so many frames between controllers are
-        // lost and sent again, which holds up those behind them.
+        // links-lossy PART most=SECONDS for=SECONDS: this part of the frames between
+        // controllers is lost and sent again, which delays the frames behind them.
         "links-lossy" => {
             let probability = words.probability(now)?;
             let max_delay = words.number("most", 1.0)?.max(FrameLoss::MIN_MAX_DELAY_S);
@@ -120,7 +121,7 @@
             loss.probability = probability;
             loss.max_delay = (max_delay * 1e6) as u64;
         }
-        // links-slow SECONDS for=SECONDS: every message of a controller takes longer.
+        // links-slow SECONDS for=SECONDS: every message of a controller is delayed.
         _ => {
             let until = now + words.duration("for", 30.0)?;
             sim.faults.link_delay = Temporary {
--- a/crates/sim/src/scenario/actions/controllers.rs
+++ b/crates/sim/src/scenario/actions/controllers.rs
@@ -7,10 +7,10 @@
 use crate::scenario::ScenarioError;
 use beamhinge_emulator::{Micros, SECOND};
 
-/// A controller that is restarted in turn is away for this long.
+/// Time between the crash and the start of each controller in a rolling restart.
 const ROLL_AWAY: Micros = 4 * SECOND;
 
-/// The controller that a word means: `leader`, `follower` (the one after it), or a label.
+/// The number of a controller: `leader`, `follower` (the one after the leader), or a label.
 pub(super) fn number(sim: &Sim, word: &str) -> Result<usize, ScenarioError> {
     let count = sim.settings.len();
     match word {
@@ -18,13 +18,14 @@
         "follower" => Ok((sim.leader().unwrap_or(0) + 1) % count),
         label => {
             let letter = label.bytes().next();
-            let letter = letter.ok_or(ScenarioError::Missing("which controller?"))?;
+            let letter =
+                letter.ok_or(ScenarioError::Missing("the label of a controller is empty"))?;
             Ok(usize::from(letter.wrapping_sub(b'a')) % count)
         }
     }
 }
 
-/// Processes that end, start or stand still.
+/// Crashes, starts and freezes of controller processes.
 pub(super) fn process_fault(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let all = 0..sim.settings.len();
     match words.arg(0)? {
@@ -38,7 +39,8 @@
             sim.explain_until(sim.now);
         }
         "start-all" => all.for_each(|controller| sim.start(controller)),
-        // fast-restart WHO SECONDS: it ends and is back that soon; `all`: each of them.
+        // fast-restart WHO SECONDS: crashes a controller, or each with `all`, and starts it
+        // after this time.
         "fast-restart" => {
             let after = words.seconds(2)?;
             let who: Vec<usize> = match words.arg(1)? {
@@ -51,7 +53,7 @@
             }
             sim.explain_until(sim.now);
         }
-        // roll every=SECONDS: all controllers restart, one after the other.
+        // roll every=SECONDS: restarts all controllers, one after the other.
         "roll" => {
             let interval = words.duration("every", 20.0)?;
             for controller in all {
@@ -72,7 +74,7 @@
     Ok(())
 }
 
-/// The links that a word means.
+/// The links that the name in a `cut` line stands for.
 fn links(word: &str) -> Result<Vec<LinkKind>, ScenarioError> {
     use LinkKind::{Cloud, Configuration, Jobs, Peers, Refused, State, Workers};
     Ok(match word {
@@ -89,9 +91,9 @@
     })
 }
 
-/// `cut WHO WHAT SECONDS [hold]`. WHAT: a link; `all`; `but-workers`, the state service and
-/// the other controllers; `refused`, `jobs` or `configuration`: the state service refuses
-/// everything, or to read those.
+/// `cut WHO WHAT SECONDS [hold]`. WHAT is a link, `all`, or `but-workers` for the links to the
+/// state service and the other controllers. With `refused` the state service refuses every
+/// request of the controller, with `jobs` or `configuration` only reads of these.
 pub(super) fn cut(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let controller = number(sim, words.arg(1)?)?;
     let until = sim.now + words.seconds(3)?;
--- a/crates/sim/src/scenario/actions/jobs.rs
+++ b/crates/sim/src/scenario/actions/jobs.rs
@@ -11,8 +11,8 @@
 use rand::Rng;
 use serde_json::{json, Value};
 
-/// A user sees a mistake after so many seconds.
-const MISTAKE_SEEN_S: std::ops::Range<Micros> = 40..100;
+/// A user notices a faulty job, and cancels it, after a time drawn from this range, seconds.
+const FAULT_NOTICED_S: std::ops::Range<Micros> = 40..100;
 
 /// A submission as its user sends it.
 fn submission(id: &str, words: Words, tasks: u64, expect_s: f64) -> Result<Value, ScenarioError> {
@@ -73,11 +73,11 @@
 pub(super) fn submit(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let id = words
         .get(0)
-        .ok_or(ScenarioError::Missing("submit needs a job"))?;
+        .ok_or(ScenarioError::Missing("submit: the job is missing"))?;
     let run_s = words.number("run", 5.0)?;
     let tasks = words.number("tasks", 1.0)? as u64;
     let mut body = submission(id, words, tasks, words.number("expect", run_s)?)?;
-    // One that lacks a field, or that no machine and no limit allows.
+    // `lack` removes a field; `odd` marks a job that must not be accepted.
     if let (Some(field), Some(map)) = (words.option("lack"), body.as_object_mut()) {
         map.remove(field);
     }
@@ -95,17 +95,19 @@
     Ok(())
 }
 
-/// `stream FIRST count= every= tasks= cpus= run= ...`: jobs at even distances, of drawn width
-/// and length, numbered from FIRST.
+/// `stream FIRST count= every= tasks= cpus= run= ...`: jobs at equal intervals, numbered from
+/// FIRST, with a random number of tasks and run time.
 pub(super) fn stream(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let first: u64 = words
         .get(0)
         .and_then(|w| w.parse().ok())
-        .ok_or(ScenarioError::Missing("stream needs a first number"))?;
+        .ok_or(ScenarioError::Missing(
+            "stream: the first job number is missing",
+        ))?;
     let count = words.number("count", 10.0)? as u64;
     let every_s = words.number("every", 1.0)?;
     let (mean_tasks, mean_run_s) = (words.number("tasks", 4.0)?, words.number("run", 10.0)?);
-    let mistaken = words.number("broken", 0.0)?;
+    let failing = words.number("broken", 0.0)?;
     let cancelled = words.number("cancelled", 0.0)?;
     let hits = |sim: &mut Sim, part: f64| part > 0.0 && sim.rng.gen_bool(part.min(1.0));
     for i in 0..count {
@@ -114,8 +116,8 @@
         let id = format!("job-{}", first + i);
         let body = submission(&id, words, tasks as u64, run_s)?;
         let submitted_at = sim.now + (every_s * i as f64 * 1e6) as Micros;
-        // A job with a mistake; its user sees that after a while, and cancels it.
-        let fails = hits(sim, mistaken);
+        // The tasks of a faulty job fail; its user notices that later and cancels the job.
+        let fails = hits(sim, failing);
         let plan = JobPlan {
             body,
             run_s,
@@ -130,14 +132,14 @@
             send(sim, id.clone(), UserRequest::Cancel, at);
         }
         if fails {
-            let at = submitted_at + sim.rng.gen_range(MISTAKE_SEEN_S) * SECOND;
+            let at = submitted_at + sim.rng.gen_range(FAULT_NOTICED_S) * SECOND;
             send(sim, id, UserRequest::Cancel, at);
         }
     }
     Ok(())
 }
 
-/// `poll JOB [on=NODE]`, and likewise `cancel`, and `again` for the submission.
+/// `poll JOB [on=NODE]` queries a job, `cancel` cancels it, `again` repeats its submission.
 pub(super) fn user_request(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let job = words.arg(1)?.to_string();
     if let Some(label) = words.option("on") {
@@ -152,21 +154,21 @@
     Ok(())
 }
 
-/// `cancel-now count= hang=`
+/// `cancel-now count= hang=`: cancels running jobs.
 pub(super) fn cancel_running(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let hang = words.duration("hang", 0.0)?;
     sim.cancel_running(words.number("count", 5.0)? as usize, hang);
     Ok(())
 }
 
-/// Users who ask or cancel at the worst moments.
+/// Users who query or cancel at the least favourable moments.
 pub(super) fn adverse_users(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     match words.arg(0)? {
-        // cancel-at-end PART for=SECONDS
+        // cancel-at-end PART for=SECONDS: this part of the jobs is cancelled as they end.
         "cancel-at-end" => sim.faults.cancel_at_end = words.probability(sim.now)?,
-        // close-looks SECONDS
+        // close-looks SECONDS: users query right after each answer.
         "close-looks" => sim.faults.probes_until = sim.now + words.seconds(1)?,
-        // poll-storm factor= for=SECONDS
+        // poll-storm factor= for=SECONDS: users query this many times as often.
         _ => {
             let until = sim.now + words.duration("for", 30.0)?;
             sim.users.poll_storm = Temporary {
--- a/crates/sim/src/scenario/actions/machines.rs
+++ b/crates/sim/src/scenario/actions/machines.rs
@@ -7,11 +7,11 @@
 use beamhinge_emulator::cloud::CapacityPool;
 use beamhinge_emulator::{Micros, SECOND};
 
-/// Tasks on a slow machine take so many times as long.
+/// Factor by which the run times of tasks on a slow machine grow.
 const SLOWDOWN: f64 = 4.0;
 
-/// `FAULT count= for= zone=`: of the machines with the most on them, as the bench would
-/// choose.
+/// `FAULT count= for= zone=`: affects the machines with the most tasks, as the bench selects
+/// them.
 pub(super) fn fault(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let kind = words.arg(0)?;
     let count = words.number("count", 1.0)? as usize;
@@ -29,7 +29,7 @@
     Ok(())
 }
 
-/// So many machines of a zone, or of all, with the most tasks.
+/// The `count` machines with the most tasks, of one zone or, if `None`, of all zones.
 fn busiest(sim: &Sim, count: usize, zone: Option<&str>) -> Vec<u64> {
     let mut busy: Vec<(usize, u64)> = sim
         .workers
@@ -61,7 +61,7 @@
     sim.resume_machine_at(machine, until);
 }
 
-/// `unlisted`: a machine that no controller asked for.
+/// `unlisted`: adds a machine that no controller requested.
 pub(super) fn add_unlisted(sim: &mut Sim) {
     let machine_type = sim.cloud.instance_types[0].label.clone();
     let pool = CapacityPool::new(machine_type, sim.cloud.zones[0].clone(), true);
--- a/crates/sim/src/scenario/actions/services.rs
+++ b/crates/sim/src/scenario/actions/services.rs
@@ -6,17 +6,17 @@
 use crate::scenario::ScenarioError;
 use beamhinge_emulator::state::RejectedWrites;
 
-/// Keys of placement pages begin so.
-const PAGES: &str = "p/";
+/// Prefix of the keys of placement pages.
+const PAGES_PREFIX: &str = "p/";
 
-/// Lost and late answers end.
+/// Ends the loss of answers and the late application of transactions.
 pub(super) fn calm(sim: &mut Sim) {
     sim.faults.lost_commit_answers = 0.0;
     sim.faults.late_commits = 0.0;
     sim.faults.lost_cloud_answers = 0.0;
 }
 
-/// One fault; for any other action an error.
+/// Injects one fault; any other action is an error.
 pub(super) fn fault(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let now = sim.now;
     match words.arg(0)? {
@@ -36,7 +36,7 @@
         }
         "refuse-pages" => {
             sim.state.rejected_writes = RejectedWrites {
-                prefix: PAGES,
+                prefix: PAGES_PREFIX,
                 until: now + words.seconds(1)?,
             };
         }
@@ -47,11 +47,11 @@
         "refuse-rents" => sim.cloud.rejects_scale_out_until = now + words.seconds(1)?,
         "lose-cloud-replies" => sim.faults.lost_cloud_answers = words.number("part", 0.2)?,
         "stuck-boots" => sim.cloud.stuck_boots = words.number("count", 2.0)? as u32,
-        // capacity PART: of what the cloud has, from now on.
+        // capacity PART: reduces the cloud's capacity to this part from now on.
         "capacity" => {
             let part = words.arg(1)?.parse();
             sim.cloud.capacity_fraction =
-                part.map_err(|_| ScenarioError::Missing("capacity PART"))?;
+                part.map_err(|_| ScenarioError::Missing("capacity: the part is not a number"))?;
         }
         other => return Err(ScenarioError::UnknownAction(other.to_string())),
     }
--- a/crates/sim/src/scenario/expectations.rs
+++ b/crates/sim/src/scenario/expectations.rs
@@ -1,4 +1,4 @@
-//! What a scenario expects: its `expect` lines.
+//! Checks of a scenario's `expect` lines.
 
 use super::outcome::{Outcome, Wait};
 use crate::cluster::Sim;
@@ -17,8 +17,8 @@
     text.parse().unwrap_or(default)
 }
 
-/// Checks the expectations at the end of the script; returns what was not met, with what a
-/// reader needs to find out why.
+/// Checks the expectations at the end of the script; returns those that were not met, with
+/// details for the search of the cause.
 pub(super) fn check(sim: &mut Sim, expectations: &[Expectation]) -> Vec<String> {
     let mut failures: Vec<String> = Vec::new();
     for words in expectations {
@@ -30,7 +30,10 @@
             .or_else(|| Figure::named(word(words, 0)).map(|_| true));
         match met {
             Some(true) => {}
-            Some(false) => failures.push(format!("expected {}; told {view:?}", words.join(" "))),
+            Some(false) => failures.push(format!(
+                "expected {}; the user's view is {view:?}",
+                words.join(" ")
+            )),
             None => failures.push(format!("unknown expectation '{}'", word(words, 0))),
         }
     }
@@ -41,20 +44,24 @@
     failures
 }
 
-/// Requests that were never answered, although nothing explains it.
+/// Requests that were never answered although no fault explains it.
 fn unanswered_requests(sim: &Sim) -> Option<String> {
     let faults = &sim.faults;
-    // Who asked a controller that then stood still, or was cut off with its zone, gave up
-    // before it could answer.
-    let away = faults.frozen_until.iter().any(|until| *until > 0) || !faults.zone_cuts.is_empty();
+    // A user whose controller was then frozen, or cut off with its zone, gave up before it
+    // could answer.
+    let unavailable =
+        faults.frozen_until.iter().any(|until| *until > 0) || !faults.zone_cuts.is_empty();
     let cut = !faults.link_cuts.is_empty() || faults.lost_commit_answers != 0.0;
     let count = sim.users.unanswered;
-    (count > 0 && !cut && !away).then(|| format!("{count} requests of users were never answered"))
+    (count > 0 && !cut && !unavailable)
+        .then(|| format!("{count} requests of users were never answered"))
 }
 
 fn explain(sim: &Sim, failures: &mut Vec<String>) {
     for (name, (status, body)) in &sim.operator_answers {
-        failures.push(format!("{name} was told {status}: {body}"));
+        failures.push(format!(
+            "operator request {name} was answered {status}: {body}"
+        ));
     }
     failures.push(format!(
         "{} tasks started; {} machines left, at most {}; {} writes",
@@ -65,7 +72,7 @@
     ));
 }
 
-/// What users were told of a job.
+/// Expectations about a job, from the answers that its user got.
 fn job_expectation(sim: &mut Sim, words: Expectation) -> Option<bool> {
     let view = sim.users.views.get(word(words, 1));
     Some(match word(words, 0) {
@@ -77,7 +84,7 @@
             let status = view.and_then(|v| v.submit_status);
             status.is_some_and(|s| s.to_string() == word(words, 2))
         }
-        // waits-at-most JOB SECONDS: until its first task started
+        // waits-at-most JOB SECONDS: time from submission until its first task starts.
         "waits-at-most" => {
             let mut starts = sim.users.first_starts.iter();
             let start = starts.find(|(job, _)| job == word(words, 1));
@@ -88,7 +95,7 @@
     })
 }
 
-/// What operators were told.
+/// Expectations about answers to operators.
 fn operator_expectation(sim: &Sim, words: Expectation) -> Option<bool> {
     let answer = sim.operator_answers.get(word(words, 1));
     let wanted = word(words, 2);
@@ -104,7 +111,7 @@
     })
 }
 
-/// What is on machines, and how many there are.
+/// Expectations about running tasks and the number of machines.
 fn machine_expectation(sim: &Sim, words: Expectation) -> Option<bool> {
     let running = || sim.workers.values().map(|w| w.running().count());
     let wanted = word(words, 1);
@@ -117,7 +124,7 @@
     })
 }
 
-/// Work that was counted, and the time without a leader.
+/// Expectations about counts, and about the time without a leader.
 fn count_expectation(sim: &Sim, words: Expectation) -> Option<bool> {
     let checks = &sim.checks;
     let wanted = word(words, 1);
@@ -126,10 +133,10 @@
         "moves-at-most" => checks.leader_changes() <= parse(wanted, 0),
         "starts-at-most" => checks.started <= parse(wanted, 0),
         "starts-at-least" => checks.started >= parse(wanted, u64::MAX),
-        // Changes of the state service: work counted, not time.
+        // Writes to the state service; their number does not depend on the machine's speed.
         "writes-at-most" => sim.state.writes <= parse(wanted, 0),
         "progress-keys" => sim.state.keys_under("d/") == parse(wanted, 0),
-        // Changes of configuration that were made.
+        // Configuration changes that were committed.
         "configured" => checks.quotas.changes() == parse(wanted, usize::MAX),
         "configured-at-least" => checks.quotas.changes() >= parse(wanted, usize::MAX),
         "stopped-at-least" => checks.preemptions.preempted >= parse(wanted, u64::MAX),
@@ -160,7 +167,7 @@
             "expired-at-most" => Figure::AtMost(|o| o.losses.expired as f64),
             "stopped-at-most" => Figure::AtMost(|o| o.preempted as f64),
             "in-vain-at-most" => Figure::AtMost(|o| o.wasted_preemptions as f64),
-            // A part that everybody got.
+            // The part of its work that each class and team got done.
             "served-at-least" => {
                 Figure::AtLeast(|o| o.least_served.as_ref().map_or(0.0, |(_, part)| *part))
             }
@@ -169,7 +176,7 @@
     }
 }
 
-/// Checks the expectations about the outcome's figures, once it has settled.
+/// Checks the expectations about the outcome's figures, after the scenario has settled.
 pub(super) fn check_figures(outcome: &Outcome, expectations: &[Expectation]) -> Vec<String> {
     let mut failures = Vec::new();
     for words in expectations {
@@ -180,7 +187,10 @@
             None => None,
         };
         if let Some(figure) = failed {
-            failures.push(format!("expected {}; it was {figure}", words.join(" ")));
+            failures.push(format!(
+                "expected {}; the value is {figure}",
+                words.join(" ")
+            ));
         }
     }
     failures
--- a/crates/sim/src/scenario/outcome.rs
+++ b/crates/sim/src/scenario/outcome.rs
@@ -1,4 +1,4 @@
-//! What a scenario came to.
+//! The outcome of a scenario.
 
 use super::expectations::{self, Expectation};
 use crate::cluster::{LossCounts, Sim, START};
@@ -6,37 +6,38 @@
 use crate::starvation::MAX_WAIT_S;
 use beamhinge_emulator::{Micros, SECOND};
 
-/// Longest time from the end of the last fault until all that fits is done, seconds.
+/// Maximum time from the end of the last fault until all feasible jobs are done, seconds.
 pub const SETTLE_S: u64 = 300;
-/// Longest time from then until nothing is rented any more, seconds.
+/// Maximum time from then until all rented machines are returned, seconds.
 pub const IDLE_S: u64 = 240;
-/// So long after the last fault it is looked at who was served how much, seconds.
+/// Time after the last fault at which the part of work done by class and team is recorded,
+/// seconds.
 pub const SERVED_S: u64 = 180;
 
-/// Time between two looks at what is left to do.
-const LOOK_INTERVAL: Micros = 2 * SECOND;
-/// Misuses of the services that are reported.
+/// Interval between two checks for remaining work.
+const CHECK_INTERVAL: Micros = 2 * SECOND;
+/// Maximum number of reported violations of the services' limits and protocols.
 const MAX_MISUSES: usize = 3;
 
-/// What a scenario came to.
+/// The outcome of a scenario.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Expectations that were not met, and rules that were broken.
+    /// Expectations that were not met, and rules that were violated.
     pub failures: Vec<String>,
-    /// Rules broken, by name.
+    /// Names of the violated rules.
     pub violations: Vec<String>,
-    /// Jobs that were not done in time after the last fault.
+    /// Jobs that were not done within the time allowed after the last fault.
     pub unfinished: Vec<String>,
-    /// Jobs that waited too long beside room that fits, after the last fault.
+    /// Jobs that waited too long after the last fault although enough capacity was free.
     pub starved: Vec<String>,
-    /// The longest that one waited there, seconds.
+    /// The longest such wait, seconds.
     pub longest_starvation_s: f64,
     /// Tasks that started after a user was told that their job is cancelled.
     pub late_starts: u64,
-    /// The longest after a user was told a job's end that an older answer still came, to a
-    /// question asked before: no rule, seconds.
+    /// The longest time after a user was told a job's end at which an older answer to an
+    /// earlier query still arrived, seconds; no rule bounds it.
     pub late_older_s: f64,
-    /// Machines that were still rented when nothing was left to do.
+    /// Machines that were still rented when no work was left.
     pub idle_machines: usize,
     /// Seconds from the last fault until all was done.
     pub settled_s: f64,
@@ -44,31 +45,32 @@
     pub losses: LossCounts,
     /// Tasks that started.
     pub started: u64,
-    /// The most machines at once.
+    /// The maximum number of machines at one time.
     pub peak_machines: u32,
-    /// Each job's wait for its first start; those that never started are not in it.
+    /// Each job's wait for its first start, without jobs that never started.
     pub waits: Vec<Wait>,
     /// The longest time without a leader, seconds.
     pub leaderless_s: f64,
     /// Tasks that were preempted.
     pub preempted: u64,
-    /// Preempted tasks in whose place nobody started.
+    /// Preempted tasks in whose place no task started.
     pub wasted_preemptions: u64,
-    /// The longest that one of its class's largest jobs waited to start, seconds.
+    /// The longest wait for the first start among the largest jobs of each class, and its job,
+    /// seconds.
     pub largest_wait: Option<(String, f64)>,
-    /// The longest that a task was on a machine after its user was told that its job is
+    /// The longest time that a task was on a machine after its user was told that its job is
     /// cancelled, as a part of `cancel_s`.
     pub cancelled_left: f64,
-    /// The longest that a question about an accepted job was open after the last fault,
-    /// seconds.
+    /// The longest time that a query about an accepted job was unanswered after the last
+    /// fault, seconds.
     pub unanswered_s: f64,
-    /// How long each change of configuration took until every controller served by it,
+    /// The time that each configuration change took until it was in force at every controller,
     /// seconds.
     pub in_force_s: Vec<f64>,
-    /// The class or team served least some time after the last fault, and how much of its
-    /// work was done by then.
+    /// The class or team with the smallest part of its work done [`SERVED_S`] after the last
+    /// fault, or earlier if all is done before, and this part.
     pub least_served: Option<(String, f64)>,
-    /// Of all that controllers sent, until everything was given back.
+    /// Fingerprint of everything that the controllers sent until all machines were returned.
     pub fingerprint: Fingerprint,
 }
 
@@ -77,9 +79,9 @@
 pub struct Wait {
     /// The job.
     pub job: String,
-    /// Its urgency as the wire names it.
+    /// Its urgency by its wire name.
     pub urgency: String,
-    /// When it was submitted first, seconds after the scenario's beginning.
+    /// Time of its first submission, seconds after the scenario's start.
     pub submitted_s: f64,
     /// How long it waited, seconds.
     pub wait_s: f64,
@@ -90,7 +92,7 @@
 }
 
 impl Wait {
-    /// The wait of a job that started at that time; none for one that is not known.
+    /// The wait of a job that started at this time; `None` if the job is unknown.
     pub(super) fn new(sim: &Sim, job: &str, started: Micros) -> Option<Wait> {
         let plan = sim.jobs.get(job)?;
         Some(Wait {
@@ -104,10 +106,11 @@
     }
 }
 
-/// How a scenario is judged beside its expectations.
+/// The criteria by which a scenario is judged.
 pub(super) struct Judgement<'a> {
     pub(super) expectations: &'a [Expectation<'a>],
-    /// All has to be done so long after the last fault, seconds; none: it need not end well.
+    /// Time after the last fault within which all jobs must be done, seconds; `None` if the
+    /// scenario need not settle.
     pub(super) settle_s: Option<u64>,
 }
 
@@ -155,32 +158,35 @@
 fn record_violations(sim: &Sim, outcome: &mut Outcome) {
     let invalid_jobs = &sim.users.invalid_jobs_accepted;
     if !invalid_jobs.is_empty() {
-        outcome.failures.push(format!(
-            "accepted though they are not sound: {invalid_jobs:?}"
-        ));
+        outcome
+            .failures
+            .push(format!("accepted though invalid: {invalid_jobs:?}"));
     }
     outcome.violations = sim.checks.violated.iter().cloned().collect();
     if !outcome.violations.is_empty() {
         outcome
             .failures
-            .push(format!("rules broken: {:?}", sim.checks.log));
+            .push(format!("rules violated: {:?}", sim.checks.log));
     }
     let misuses = sim.state.violations.iter().chain(&sim.cloud.violations);
     for misuse in misuses.take(MAX_MISUSES) {
-        outcome.failures.push(format!("misused: {misuse}"));
+        outcome
+            .failures
+            .push(format!("service limit or protocol violated: {misuse}"));
     }
 }
 
-/// Plays on, without the script: a line that is due only now would stop the clock for ever.
+/// Continues without the script: lines that become due only now are discarded, since
+/// `run_until` stops at each of them.
 fn play_on(sim: &mut Sim) {
-    sim.run_until(sim.now + LOOK_INTERVAL);
+    sim.run_until(sim.now + CHECK_INTERVAL);
     while sim.due_script().is_some() {}
 }
 
-/// Liveness: once all faults have ended, everything that fits is done within a stated time,
-/// and no money goes on being spent on nothing.
+/// Liveness: after all faults have ended, all feasible jobs must be done within a stated time,
+/// and no machine may stay rented without work.
 ///
-/// A service that stops for ever keeps every rule; only this finds it.
+/// A service that has stopped permanently violates no safety rule; only this check finds it.
 fn settle(sim: &mut Sim, within_s: u64, outcome: &mut Outcome) {
     sim.heal();
     let began = sim.now;
@@ -195,7 +201,7 @@
     }
     outcome.settled_s = (sim.now - began) as f64 / 1e6;
     outcome.unfinished = sim.unfinished().into_iter().map(String::from).collect();
-    // Every question about an accepted job has its answer by now, or its rule broken.
+    // Continues until every query about an accepted job is answered or its rule is violated.
     while sim.questions_open() {
         play_on(sim);
     }
@@ -205,7 +211,7 @@
     if !outcome.starved.is_empty() {
         let jobs = &outcome.starved;
         outcome.failures.push(format!(
-            "left waiting {MAX_WAIT_S} s beside room that fits: {jobs:?}"
+            "waited {MAX_WAIT_S} s although enough capacity was free: {jobs:?}"
         ));
     }
     if outcome.unfinished.is_empty() {
@@ -213,12 +219,12 @@
     } else {
         let jobs = &outcome.unfinished;
         outcome.failures.push(format!(
-            "not done after {within_s} s without trouble: {jobs:?}"
+            "not done after {within_s} s without faults: {jobs:?}"
         ));
     }
 }
 
-/// Everything is done: all that was rented is to be given back.
+/// Checks that all rented machines are returned after all jobs are done.
 fn return_machines(sim: &mut Sim, outcome: &mut Outcome) {
     let until = sim.now + IDLE_S * SECOND;
     while sim.now < until && sim.rented_machines() > 0 && !sim.services_run() {
@@ -230,7 +236,7 @@
     if outcome.idle_machines > 0 {
         let count = outcome.idle_machines;
         outcome.failures.push(format!(
-            "{count} machines are rented for nothing, {IDLE_S} s after all was done"
+            "{count} machines are still rented {IDLE_S} s after all jobs were done"
         ));
     }
 }
--- a/crates/sim/src/scenario/setup.rs
+++ b/crates/sim/src/scenario/setup.rs
@@ -1,4 +1,4 @@
-//! The cluster that a scenario's settings describe.
+//! Sets up the cluster that a scenario's settings describe.
 
 use super::words::Words;
 use super::ScenarioError;
@@ -11,19 +11,19 @@
 
 /// The zones of every scenario.
 const ZONES: [&str; 2] = ["north", "south"];
-/// The small and the large type of machine.
+/// The small and the large machine type.
 const SMALL: &str = "c8";
 const LARGE: &str = "c32";
-/// Memory of a machine, GB for each CPU.
+/// Memory of a machine per CPU, GB.
 const MEMORY_PER_CPU_GB: f64 = 4.0;
-/// Boot time of the machines that are there from the start.
+/// Boot time of owned machines, which exist from the start.
 const OWNED_BOOT: u64 = SECOND / 10;
 
-/// The lines of a scenario.
+/// The lines of a scenario, split into words.
 pub(super) struct Lines<'a>(pub(super) Vec<Vec<&'a str>>);
 
 impl<'a> Lines<'a> {
-    /// The words of a scenario's text, without comments and empty lines.
+    /// Splits a scenario's text into words, without comments and empty lines.
     pub(super) fn parse(text: &'a str) -> Lines<'a> {
         let lines = text.lines().map(|line| {
             let code = line.split('#').next().unwrap_or("");
@@ -32,20 +32,20 @@
         Lines(lines.filter(|words| !words.is_empty()).collect())
     }
 
-    /// The first line that begins with this word.
+    /// The first line that begins with this word, or `None`.
     pub(super) fn setting(&self, name: &str) -> Option<Words<'_>> {
         let line = self.0.iter().find(|words| words[0] == name)?;
         Some(Words(line))
     }
 
-    /// The number of a setting.
+    /// The numeric value of a setting, or `default` if it is absent.
     pub(super) fn number(&self, name: &str, default: f64) -> f64 {
         let number = self.setting(name).and_then(|w| w.get(1)?.parse().ok());
         number.unwrap_or(default)
     }
 }
 
-/// The cluster with all its controllers and machines, before the script.
+/// Builds the cluster with all its controllers and machines, before the script.
 pub(super) fn cluster(lines: &Lines, regressions: Faults) -> Result<Sim, ScenarioError> {
     let count = lines.number("nodes", 3.0) as usize;
     let mut settings = settings(count, lines.number("team-max", 32.0));
@@ -61,7 +61,7 @@
     Ok(sim)
 }
 
-/// The settings of so many controllers, labelled from `a` and in the zones in turn.
+/// The settings of `count` controllers, labelled from `a` and distributed over the zones.
 fn settings(count: usize, team_max: f64) -> Vec<Settings> {
     let text = beamhinge_core::settings::SAMPLE;
     let base = Settings::parse("the sample", text).expect("the sample is sound");
@@ -84,7 +84,7 @@
     (0..count).map(controller).collect()
 }
 
-/// `teams HOW-MANY guarantee=CPUS max=CPUS`: t1, t2 and so on
+/// `teams COUNT guarantee=CPUS max=CPUS`: replaces the teams by `t1`, `t2` and so on.
 fn set_teams(params: &mut PlatformParameters, lines: &Lines) -> Result<(), ScenarioError> {
     let Some(words) = lines.setting("teams") else {
         return Ok(());
@@ -102,7 +102,7 @@
     Ok(())
 }
 
-/// `workers`, `state` and `cloud` lines: the platform's published limits.
+/// `workers`, `state` and `cloud` lines set the platform's published limits.
 fn set_limits(params: &mut PlatformParameters, lines: &Lines) -> Result<(), ScenarioError> {
     for line in &lines.0 {
         let words = Words(line);
@@ -131,7 +131,7 @@
     Ok(())
 }
 
-/// `configuration` and `ageing` lines: the operators' file.
+/// `configuration` and `ageing` lines add sections to the operators' file.
 fn configure_operator(sim: &mut Sim, lines: &Lines) -> Result<(), ScenarioError> {
     if lines.setting("configuration").is_some() {
         sim.operator_config.push_str("[configuration]\non = yes\n");
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-/// What the cloud offers, and the machines that are there from the start.
+/// Adds the cloud's machine types and capacity, and the machines that exist from the start.
 fn add_machines(sim: &mut Sim, lines: &Lines) {
     let boot_s = lines.number("boot", 5.0);
     let instance_type = |label: &str, cpus, price, spot_price| InstanceType {
--- a/crates/sim/src/scenario/tests.rs
+++ b/crates/sim/src/scenario/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// One of three jobs is finished, and whoever asks about it is told nothing: that
-/// is forgotten after 75 s without trouble, however the others fare.
+/// One of three jobs is done, but queries about it get no answer: after 75 s without faults
+/// this counts as forgotten, independently of the other jobs.
 #[test]
-fn a_job_about_which_nobody_is_told_is_forgotten() {
+fn done_job_with_unanswered_queries_counts_as_forgotten() {
     let day = "at 1 stream 7 count=3 every=1 tasks=2 cpus=2 run=4\nend 30\n";
     let sound = play(day, Faults::default()).expect("a scenario");
     assert!(sound.violations.is_empty(), "{sound:?}");
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_job_s_wait_is_told_once() {
+fn wait_of_each_job_is_recorded_once() {
     let text = "at 1 stream 7 count=3 every=1 tasks=2 cpus=2 run=4 urgency=high\nend 30\n";
     let outcome = play(text, Faults::default()).expect("a scenario");
     assert_eq!(outcome.waits.len(), 3, "{outcome:?}");
@@ -22,10 +22,11 @@
         .all(|w| w.wait_s < 10.0 && w.urgency == "high"));
 }
 
-/// A job that waits beside room that fits, here since operators froze its team, is found
-/// after 90 s without trouble; and one that has no room, or is at its limit, is not.
+/// A job that waits although enough capacity is free, here since operators froze its team, is
+/// reported after 90 s without faults; a job without free capacity, or whose team is at its
+/// limit, is not.
 #[test]
-fn a_job_left_waiting_beside_room_is_found() {
+fn job_waiting_despite_free_capacity_is_reported() {
     let freeze = "at 2 op a POST /v1/directives {\"target\":{\"team\":\"one\"},\"set\":true}\n";
     let day = "owned 2\nspot 0\nordinary 0\nlarge 0\nsettle 110\nat 1 submit job-9 tasks=1 cpus=2 run=108 team=two\nat 4 submit job-1 tasks=2 cpus=2 run=4\nend 10\n";
     let sound = play(day, Faults::default()).expect("a scenario");
@@ -43,9 +44,10 @@
     assert!(limit.starved.is_empty(), "{limit:?}");
 }
 
-/// A job that its user knows to be unsound, here only by name, is told as accepted.
+/// A job that its user marked as invalid, here only by the `odd` flag, is reported if it is
+/// accepted.
 #[test]
-fn invalid_jobs_that_are_accepted_are_found() {
+fn accepted_invalid_job_is_reported() {
     let day = "at 1 submit job-1 odd tasks=2 cpus=2 run=4\nend 20\n";
     let outcome = play(day, Faults::default()).expect("a scenario");
     assert!(
@@ -57,9 +59,9 @@
     );
 }
 
-/// Tasks that begin after their user was told that they are cancelled are counted.
+/// Tasks that start after their user was told that the job is cancelled are counted.
 #[test]
-fn starts_after_a_confirmed_cancellation_are_counted() {
+fn task_starts_after_confirmed_cancellation_are_counted() {
     let jobs = [5.5, 5.8, 6.1, 6.4, 6.7]
         .iter()
         .enumerate()
--- a/crates/sim/src/scenario/words.rs
+++ b/crates/sim/src/scenario/words.rs
@@ -22,7 +22,7 @@
         self.0.get(index).copied()
     }
 
-    /// The word with this index, which must be there.
+    /// The word with this index, or an error if there is none.
     pub(super) fn arg(&self, index: usize) -> Result<&'a str, ScenarioError> {
         self.get(index).ok_or_else(|| {
             let words = self.0.iter().map(|w| (*w).to_string());
@@ -35,19 +35,19 @@
         seconds(self.arg(index)?)
     }
 
-    /// Whether this word is there.
+    /// Whether the line contains this word.
     pub(super) fn flag(&self, name: &str) -> bool {
         self.0.contains(&name)
     }
 
-    /// The value of an option.
+    /// The value of an option, or `None` if the option is absent.
     pub(super) fn option(&self, name: &str) -> Option<&'a str> {
         self.0
             .iter()
             .find_map(|w| w.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// The number that is the value of an option.
+    /// The numeric value of an option.
     pub(super) fn number(&self, name: &str, default: f64) -> Result<f64, ScenarioError> {
         let Some(text) = self.option(name) else {
             return Ok(default);
@@ -58,17 +58,19 @@
         })
     }
 
-    /// The time in seconds that is the value of an option.
+    /// The value of an option as a time in seconds.
     pub(super) fn duration(&self, name: &str, default: f64) -> Result<Micros, ScenarioError> {
         Ok((self.number(name, default)? * 1e6) as Micros)
     }
 
-    /// `PART for=SECONDS`: a probability that holds until then.
+    /// `PART for=SECONDS`: a probability that applies for this time.
     pub(super) fn probability(&self, now: Micros) -> Result<Temporary<f64>, ScenarioError> {
         let part: f64 = self
             .get(1)
             .and_then(|w| w.parse().ok())
-            .ok_or(ScenarioError::Missing("which part?"))?;
+            .ok_or(ScenarioError::Missing(
+                "the part is missing or not a number",
+            ))?;
         Ok(Temporary {
             value: part.clamp(0.0, 1.0),
             until: now + self.duration("for", 30.0)?,
