--- a/crates/sim/tests/false_takes.rs
+++ b/crates/sim/tests/false_takes.rs
@@ -1,16 +1,16 @@
-//! How often leadership is taken from a leader that lives: never on so many drawn days
-//! with slow and lossy links, standstills and machines that boot.
+//! False failovers: no controller may acquire leadership from a leader that is alive, on
+//! generated days with slow and lossy links, frozen leaders and booting machines.
 
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::scenario;
 use std::thread;
 
 const DAYS: u64 = 32;
-/// Days that are played at the same time.
+/// Number of threads that play days in parallel.
 const THREADS: u64 = 4;
 
-/// Five and seven controllers in turn; a leader that stands still for less than a
-/// worker's time-out, links that lose one frame in twenty, and machines that come.
+/// A day with five or seven controllers, a leader that is frozen for less than a worker's
+/// timeout, links that lose one frame in twenty, and machines that boot.
 fn day(seed: u64) -> String {
     let nodes = if seed.is_multiple_of(2) { 5 } else { 7 };
     format!(
@@ -28,28 +28,28 @@
     )
 }
 
-/// The days on which leadership moved.
-fn moved(seeds: impl Iterator<Item = u64>) -> Vec<(u64, Vec<String>)> {
+/// The seeds of the days on which an expectation failed, such as leadership having moved.
+fn failed_days(seeds: impl Iterator<Item = u64>) -> Vec<(u64, Vec<String>)> {
     seeds
         .filter_map(|seed| {
-            let outcome = scenario::play(&day(seed), Faults::default()).expect("a sound script");
+            let outcome = scenario::play(&day(seed), Faults::default()).expect("a valid scenario");
             (!outcome.failures.is_empty()).then_some((seed, outcome.failures))
         })
         .collect()
 }
 
 #[test]
-fn nobody_takes_the_lead_from_a_holder_that_lives() {
+fn live_leader_keeps_leadership_despite_slow_links_and_freezes() {
     let threads: Vec<_> = (0..THREADS)
-        .map(|t| thread::spawn(move || moved((0..DAYS).filter(|s| s % THREADS == t))))
+        .map(|t| thread::spawn(move || failed_days((0..DAYS).filter(|s| s % THREADS == t))))
         .collect();
-    let wrong: Vec<_> = threads
+    let failures: Vec<_> = threads
         .into_iter()
-        .flat_map(|t| t.join().expect("played"))
+        .flat_map(|t| t.join().expect("the thread does not panic"))
         .collect();
     assert!(
-        wrong.is_empty(),
-        "{} of {DAYS} days: {wrong:?}",
-        wrong.len()
+        failures.is_empty(),
+        "{} of {DAYS} days: {failures:?}",
+        failures.len()
     );
 }
--- a/crates/sim/tests/found.rs
+++ b/crates/sim/tests/found.rs
@@ -1,95 +1,109 @@
-//! Days that found a fault, made smaller: with the fault put back they fail, and
-//! as the program is they end well. A check that cannot fail is none.
+//! Minimised days that once found a fault: with the fault reintroduced they fail, and with the
+//! present program they pass.
 
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::{combined_faults, days, scenario};
 
-fn both(text: &str, faults: Faults) -> (bool, scenario::Outcome) {
+/// Whether the day fails with the faults, and its outcome without them.
+fn play_with_and_without(text: &str, faults: Faults) -> (bool, scenario::Outcome) {
     let with = scenario::play(text, faults).expect("a scenario");
     let without = scenario::play(text, Faults::default()).expect("a scenario");
     (days::faulty(&with), without)
 }
 
-/// With the fault the day fails, and without it ends well.
-fn fails_only_with(faults: Faults, text: &str) {
-    let (found, sound) = both(text, faults);
+/// Asserts that the day fails with the fault and passes without it.
+fn assert_fails_only_with(faults: Faults, text: &str) {
+    let (found, sound) = play_with_and_without(text, faults);
     assert!(found);
     assert!(!days::faulty(&sound), "{sound:?}");
 }
 
-/// Half of a fleet given back while a zone was cut off (docs/incidents/silent-fleet.md).
+/// Half of a fleet was returned while a zone was cut off (docs/incidents/silent-fleet.md).
 #[test]
-fn a_healthy_zone_is_not_given_away() {
+fn machines_of_a_zone_cut_off_are_not_returned() {
     let faults = Faults {
         silence_proves_death: true,
         ..Faults::default()
     };
-    fails_only_with(faults, include_str!("found/hasty.txt"));
+    assert_fails_only_with(
+        faults,
+        include_str!("found/zone_cut_off_machines_returned.txt"),
+    );
 }
 
-/// A transaction that is too large, refused and built again
+/// A transaction above the size limit was refused and built again without end
 /// (docs/incidents/transactions-refused-for-ever.md).
 #[test]
-fn a_refused_transaction_is_not_repeated() {
+fn refused_oversized_transaction_is_not_repeated() {
     let faults = Faults {
         unbounded_transactions: true,
         ..Faults::default()
     };
-    fails_only_with(faults, include_str!("found/unbounded.txt"));
+    assert_fails_only_with(
+        faults,
+        include_str!("found/oversized_transaction_repeated.txt"),
+    );
 }
 
-/// Machines that hung longer than the limit of silence and woke while the call
-/// that gave them back was on its way were counted as given away (day 79-44). One
-/// that is given back long after it woke still is.
+/// Machines that hung for longer than an unreachable machine is kept, and resumed while the
+/// call that returned them was on its way, were counted as healthy machines returned (day
+/// 79-44). A machine that is returned long after it resumed still counts.
 #[test]
-fn who_wakes_while_being_given_back_was_not_healthy() {
-    let day = include_str!("found/woken.txt");
+fn machine_that_resumes_while_being_returned_is_not_counted_as_healthy() {
+    let day = include_str!("found/hung_machines_resume_while_returned.txt");
     let sound = scenario::play(day, Faults::default()).expect("a scenario");
     assert!(!days::faulty(&sound), "{sound:?}");
     assert!(
         sound.losses.faulty_returned > 0,
-        "the day no longer shows it: {sound:?}"
+        "the day no longer returns faulty machines: {sound:?}"
     );
 }
 
-/// Tasks were stopped all over the fleet by their CPUs, for nobody: 198,469 of them
-/// on one day (docs/incidents/guests-at-fleet-size.md).
+/// Tasks were preempted all over the fleet by their CPUs alone, and no task started in their
+/// place: 198,469 of them on one day (docs/incidents/guests-at-fleet-size.md).
 #[test]
-fn nobody_is_stopped_for_nobody() {
+fn scattered_preemptions_without_a_start_do_not_occur() {
     let faults = Faults {
         scattered_preemption: true,
         ..Faults::default()
     };
-    fails_only_with(faults, include_str!("found/scattered.txt"));
+    assert_fails_only_with(faults, include_str!("found/scattered_preemption.txt"));
 }
 
-/// A take whose answer was lost, when the block had been read before: its controller
-/// found itself named as the leader, took that for somebody's, renewed it, and nobody
-/// led any more (day meet-4-57; chosen anew as meet-31-14 when more kinds of trouble and
-/// one more frame between controllers changed every draw).
+/// The answer to a leadership acquisition was lost after the leadership block had been read:
+/// the controller found itself named as the leader, did not recognise its own acquisition,
+/// renewed the lease, and no controller led any more (first seen on day meet-4-57; day
+/// meet-31-14 reaches the case).
 #[test]
-fn a_take_of_ours_that_comes_late_is_found() {
+fn leadership_acquisition_with_lost_answer_is_recognised() {
     let faults = Faults {
         lost_acquisition_ignored: true,
         ..Faults::default()
     };
-    fails_only_with(faults, include_str!("found/own_take.txt"));
+    assert_fails_only_with(
+        faults,
+        include_str!("found/leadership_acquisition_answer_lost.txt"),
+    );
 }
 
-/// A leader that had been refused for long found its machines idle and its own link
-/// silent, and gave them back, healthy as they were (days meet-302-6 and meet-302-750).
+/// A leader that the state service had refused for a long time found its machines idle while
+/// its own link to them was down, and returned these healthy machines (days meet-302-6 and
+/// meet-302-750).
 #[test]
-fn nothing_idle_is_given_back_while_our_own_link_is_silent() {
+fn idle_machines_are_not_returned_while_the_leaders_link_is_down() {
     let faults = Faults {
         machines_returned_while_link_down: true,
         ..Faults::default()
     };
-    fails_only_with(faults, include_str!("found/blind_return.txt"));
+    assert_fails_only_with(
+        faults,
+        include_str!("found/idle_machines_returned_while_link_down.txt"),
+    );
 }
 
-/// A fixed few of the drawn meetings; `beamhinge-testbed days --meetings` draws more.
+/// A few fixed days of combined faults; `beamhinge-testbed days --meetings` generates more.
 #[test]
-fn drawn_meetings_keep_the_rules() {
+fn days_of_combined_faults_violate_no_rule() {
     let days: Vec<_> = (0..24)
         .map(|n| combined_faults::generate(4, n, (6.0, 30.0)))
         .collect();
@@ -104,7 +118,7 @@
             });
         }
     });
-    // The draw can find what it looks for.
+    // Without the serving deadline at least one of these days violates a rule.
     let without = Faults {
         no_serving_deadline: true,
         ..Faults::default()
