--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -2,7 +2,7 @@
 //!
 //! A line is a setting, `at SECONDS ACTION`, or `expect WHAT`. Every scenario must keep the
 //! protocol's rules, unless it uses a test double that breaks them deliberately: then
-//! `expect broken RULE` shows that the check can fail.
+//! `expect violated RULE` shows that the check can fail.
 //!
 //! Every scenario must also settle: when its script is over all faults are removed, and then
 //! every accepted job must be done within [`SETTLE_S`] and every rented machine returned
@@ -82,9 +82,9 @@
                 script.settles = false;
                 set_protocol_fault(sim, line.get(1).copied().unwrap_or(""))?;
             }
-            "plant" => sim.state.plant(Words(line).arg(1)?, json!({"v": 999})),
+            "preset-key" => sim.state.plant(Words(line).arg(1)?, json!({"v": 999})),
             "pages" => plant_pages(sim, lines.number("pages", 0.0) as u64),
-            "untold" => sim.users.ignored_job = line.get(1).map(|j| (*j).to_string()),
+            "ignored-job" => sim.users.ignored_job = line.get(1).map(|j| (*j).to_string()),
             "unsettled" => script.settles = false,
             // Read by the test that plays the scenario files.
             "without" => {}
@@ -101,7 +101,7 @@
     let faults = &mut sim.protocol_faults;
     match name {
         "hide-tasks" => faults.hide_tasks = true,
-        "deaf-to-kill" => faults.ignore_kill = true,
+        "ignore-kill" => faults.ignore_kill = true,
         "forgets-jobs" => faults.forgets_jobs = true,
         "early-done" => faults.early_done = true,
         other => return Err(ScenarioError::UnknownDouble(other.to_string())),
--- a/crates/sim/src/scenario/actions.rs
+++ b/crates/sim/src/scenario/actions.rs
@@ -40,7 +40,7 @@
         }
         "take" | "notice" | "hang" | "cut-machines" | "sick" | "slow" | "die" | "cut-inbound"
         | "cut-outbound" | "reboot" => machines::fault(sim, words),
-        "unlisted" => {
+        "unrequested-machine" => {
             machines::add_unlisted(sim);
             Ok(())
         }
--- a/crates/sim/src/scenario/actions/jobs.rs
+++ b/crates/sim/src/scenario/actions/jobs.rs
@@ -77,11 +77,11 @@
     let run_s = words.number("run", 5.0)?;
     let tasks = words.number("tasks", 1.0)? as u64;
     let mut body = submission(id, words, tasks, words.number("expect", run_s)?)?;
-    // `lack` removes a field; `odd` marks a job that must not be accepted.
+    // `lack` removes a field; `invalid` marks a job that must not be accepted.
     if let (Some(field), Some(map)) = (words.option("lack"), body.as_object_mut()) {
         map.remove(field);
     }
-    if words.flag("odd") {
+    if words.flag("invalid") {
         sim.users.invalid_jobs.insert(id.to_string());
     }
     let plan = JobPlan {
--- a/crates/sim/src/scenario/actions/machines.rs
+++ b/crates/sim/src/scenario/actions/machines.rs
@@ -23,7 +23,7 @@
                 sim.cloud.instances.remove(&machine);
                 sim.lose_machine(machine);
             }
-            _ => fault_worker(sim, machine, kind, words.flag("anew"), until),
+            _ => fault_worker(sim, machine, kind, words.flag("reset"), until),
         }
     }
     Ok(())
@@ -61,7 +61,7 @@
     sim.resume_machine_at(machine, until);
 }
 
-/// `unlisted`: adds a machine that no controller requested.
+/// `unrequested-machine`: adds a machine that no controller requested.
 pub(super) fn add_unlisted(sim: &mut Sim) {
     let machine_type = sim.cloud.instance_types[0].label.clone();
     let pool = CapacityPool::new(machine_type, sim.cloud.zones[0].clone(), true);
--- a/crates/sim/src/scenario/actions/services.rs
+++ b/crates/sim/src/scenario/actions/services.rs
@@ -42,7 +42,7 @@
         }
         "lose-replies" => sim.faults.lost_commit_answers = words.number("part", 0.2)?,
         "late-commits" => sim.faults.late_commits = words.number("part", 0.2)?,
-        "forget-changes" => sim.state.history_limit = words.number("keep", 3.0)? as usize,
+        "truncate-watch-history" => sim.state.history_limit = words.number("keep", 3.0)? as usize,
         "cloud-down" => sim.cloud.down_until = now + words.seconds(1)?,
         "refuse-rents" => sim.cloud.rejects_scale_out_until = now + words.seconds(1)?,
         "lose-cloud-replies" => sim.faults.lost_cloud_answers = words.number("part", 0.2)?,
--- a/crates/sim/src/scenario/expectations.rs
+++ b/crates/sim/src/scenario/expectations.rs
@@ -76,7 +76,7 @@
 fn job_expectation(sim: &mut Sim, words: Expectation) -> Option<bool> {
     let view = sim.users.views.get(word(words, 1));
     Some(match word(words, 0) {
-        "broken" => sim.checks.violated.remove(word(words, 1)),
+        "violated" => sim.checks.violated.remove(word(words, 1)),
         "done" => view.is_some_and(|v| v.done),
         "cancelled" => view.is_some_and(|v| v.cancelled.is_some()),
         "not-done" => view.is_some_and(|v| v.accepted && !v.done),
@@ -100,13 +100,13 @@
     let answer = sim.operator_answers.get(word(words, 1));
     let wanted = word(words, 2);
     Some(match word(words, 0) {
-        "told" => answer.is_some_and(|(status, _)| status.to_string() == wanted),
+        "answered" => answer.is_some_and(|(status, _)| status.to_string() == wanted),
         kind @ ("reason" | "no-reason") => {
             let reasons = answer.and_then(|(_, body)| body["reasons"].as_array());
             let named = |list: &Vec<Value>| list.iter().any(|r| r["reason"] == wanted);
             reasons.is_some_and(|list| named(list) == (kind == "reason"))
         }
-        "has" => answer.is_some_and(|(_, body)| body.to_string().contains(wanted)),
+        "answer-contains" => answer.is_some_and(|(_, body)| body.to_string().contains(wanted)),
         _ => return None,
     })
 }
@@ -116,7 +116,7 @@
     let running = || sim.workers.values().map(|w| w.running().count());
     let wanted = word(words, 1);
     Some(match word(words, 0) {
-        "empty" => running().all(|count| count == 0),
+        "no-tasks-running" => running().all(|count| count == 0),
         "running" => running().sum::<usize>() == parse(wanted, 0),
         "machines-at-most" => sim.cloud.peak_instances <= parse(wanted, 0),
         "machines-left-at-most" => sim.cloud.instances.len() <= parse(wanted, 0),
@@ -130,16 +130,16 @@
     let wanted = word(words, 1);
     Some(match word(words, 0) {
         "leaderless-at-most" => checks.longest_leaderless() <= (parse(wanted, 0.0) * 1e6) as Micros,
-        "moves-at-most" => checks.leader_changes() <= parse(wanted, 0),
+        "leader-changes-at-most" => checks.leader_changes() <= parse(wanted, 0),
         "starts-at-most" => checks.started <= parse(wanted, 0),
         "starts-at-least" => checks.started >= parse(wanted, u64::MAX),
         // Writes to the state service; their number does not depend on the machine's speed.
         "writes-at-most" => sim.state.writes <= parse(wanted, 0),
         "progress-keys" => sim.state.keys_under("d/") == parse(wanted, 0),
         // Configuration changes that were committed.
-        "configured" => checks.quotas.changes() == parse(wanted, usize::MAX),
-        "configured-at-least" => checks.quotas.changes() >= parse(wanted, usize::MAX),
-        "stopped-at-least" => checks.preemptions.preempted >= parse(wanted, u64::MAX),
+        "configuration-changes" => checks.quotas.changes() == parse(wanted, usize::MAX),
+        "configuration-changes-at-least" => checks.quotas.changes() >= parse(wanted, usize::MAX),
+        "preemptions-at-least" => checks.preemptions.preempted >= parse(wanted, u64::MAX),
         _ => return None,
     })
 }
@@ -158,15 +158,15 @@
             "unexplained-at-most" => Figure::AtMost(|o| o.losses.unexplained as f64),
             "settled-within" => Figure::AtMost(|o| o.settled_s),
             "late-starts-at-most" => Figure::AtMost(|o| o.late_starts as f64),
-            "older-within" => Figure::AtMost(|o| o.late_older_s),
-            "waits-beside-room-at-most" => Figure::AtMost(|o| o.longest_starvation_s),
+            "outdated-answers-within" => Figure::AtMost(|o| o.late_older_s),
+            "starvation-at-most" => Figure::AtMost(|o| o.longest_starvation_s),
             "answered-within" => Figure::AtMost(|o| o.unanswered_s),
-            "largest-begin-within" => {
+            "largest-start-within" => {
                 Figure::AtMost(|o| o.largest_wait.as_ref().map_or(0.0, |(_, s)| *s))
             }
             "expired-at-most" => Figure::AtMost(|o| o.losses.expired as f64),
-            "stopped-at-most" => Figure::AtMost(|o| o.preempted as f64),
-            "in-vain-at-most" => Figure::AtMost(|o| o.wasted_preemptions as f64),
+            "preemptions-at-most" => Figure::AtMost(|o| o.preempted as f64),
+            "wasted-preemptions-at-most" => Figure::AtMost(|o| o.wasted_preemptions as f64),
             // The part of its work that each class and team got done.
             "served-at-least" => {
                 Figure::AtLeast(|o| o.least_served.as_ref().map_or(0.0, |(_, part)| *part))
--- a/crates/sim/src/scenario/tests.rs
+++ b/crates/sim/src/scenario/tests.rs
@@ -7,8 +7,9 @@
     let day = "at 1 stream 7 count=3 every=1 tasks=2 cpus=2 run=4\nend 30\n";
     let sound = play(day, Faults::default()).expect("a scenario");
     assert!(sound.violations.is_empty(), "{sound:?}");
-    let untold = play(&format!("untold job-8\n{day}"), Faults::default()).expect("a scenario");
-    assert_eq!(untold.violations, ["forgotten"], "{untold:?}");
+    let unanswered =
+        play(&format!("ignored-job job-8\n{day}"), Faults::default()).expect("a scenario");
+    assert_eq!(unanswered.violations, ["forgotten"], "{unanswered:?}");
 }
 
 #[test]
@@ -44,11 +45,11 @@
     assert!(limit.starved.is_empty(), "{limit:?}");
 }
 
-/// A job that its user marked as invalid, here only by the `odd` flag, is reported if it is
+/// A job that its user marked as invalid, here only by the `invalid` flag, is reported if it is
 /// accepted.
 #[test]
 fn accepted_invalid_job_is_reported() {
-    let day = "at 1 submit job-1 odd tasks=2 cpus=2 run=4\nend 20\n";
+    let day = "at 1 submit job-1 invalid tasks=2 cpus=2 run=4\nend 20\n";
     let outcome = play(day, Faults::default()).expect("a scenario");
     assert!(
         outcome
@@ -70,6 +71,10 @@
         });
     let day = &format!("owned 4\n{}end 40\n", jobs.collect::<String>());
     let sound = play(day, Faults::default()).expect("a scenario");
-    let deaf = play(&format!("double deaf-to-kill\n{day}"), Faults::default()).expect("a day");
-    assert!(deaf.late_starts > sound.late_starts, "{deaf:?}");
+    let kill_ignored =
+        play(&format!("double ignore-kill\n{day}"), Faults::default()).expect("a day");
+    assert!(
+        kill_ignored.late_starts > sound.late_starts,
+        "{kill_ignored:?}"
+    );
 }
--- a/crates/sim/tests/false_takes.rs
+++ b/crates/sim/tests/false_takes.rs
@@ -23,7 +23,7 @@
          at 31 stream 10 count=40 every=0.3 tasks=6 cpus=2 run=10\n\
          at 60 freeze leader 2.{freeze}\n\
          end 90\n\
-         expect moves-at-most 0\n",
+         expect leader-changes-at-most 0\n",
         freeze = seed % 10
     )
 }
