--- a/crates/sim/src/scenario/outcome.rs
+++ b/crates/sim/src/scenario/outcome.rs
@@ -17,7 +17,7 @@
 /// Interval between two checks for remaining work.
 const CHECK_INTERVAL: Micros = 2 * SECOND;
 /// Maximum number of reported violations of the services' limits and protocols.
-const MAX_MISUSES: usize = 3;
+const MAX_REPORTED_SERVICE_VIOLATIONS: usize = 3;
 
 /// The outcome of a scenario.
 #[derive(Clone, Debug, Default)]
@@ -168,11 +168,11 @@
             .failures
             .push(format!("rules violated: {:?}", sim.checks.log));
     }
-    let misuses = sim.state.violations.iter().chain(&sim.cloud.violations);
-    for misuse in misuses.take(MAX_MISUSES) {
+    let service_violations = sim.state.violations.iter().chain(&sim.cloud.violations);
+    for violation in service_violations.take(MAX_REPORTED_SERVICE_VIOLATIONS) {
         outcome
             .failures
-            .push(format!("service limit or protocol violated: {misuse}"));
+            .push(format!("service limit or protocol violated: {violation}"));
     }
 }
 
--- a/crates/sim/tests/false_takes.rs
+++ b/crates/sim/tests/false_takes.rs
@@ -43,13 +43,13 @@
     let threads: Vec<_> = (0..THREADS)
         .map(|t| thread::spawn(move || failed_days((0..DAYS).filter(|s| s % THREADS == t))))
         .collect();
-    let failures: Vec<_> = threads
+    let failed: Vec<_> = threads
         .into_iter()
         .flat_map(|t| t.join().expect("the thread does not panic"))
         .collect();
     assert!(
-        failures.is_empty(),
-        "{} of {DAYS} days: {failures:?}",
-        failures.len()
+        failed.is_empty(),
+        "{} of {DAYS} days: {failed:?}",
+        failed.len()
     );
 }
