--- a/crates/sim/src/scenario/expectations.rs
+++ b/crates/sim/src/scenario/expectations.rs
@@ -1,4 +1,4 @@
-//! What a scenario expects: its `expect` lines.
+//! Checks of a scenario's `expect` lines.
 
 use super::outcome::{Outcome, Wait};
 use crate::cluster::Sim;
@@ -17,8 +17,8 @@
     text.parse().unwrap_or(default)
 }
 
-/// Checks the expectations at the end of the script; returns what was not met, with what a
-/// reader needs to find out why.
+/// Checks the expectations at the end of the script; returns those that were not met, with
+/// details for the search of the cause.
 pub(super) fn check(sim: &mut Sim, expectations: &[Expectation]) -> Vec<String> {
     let mut failures: Vec<String> = Vec::new();
     for words in expectations {
@@ -30,7 +30,10 @@
             .or_else(|| Figure::named(word(words, 0)).map(|_| true));
         match met {
             Some(true) => {}
-            Some(false) => failures.push(format!("expected {}; told {view:?}", words.join(" "))),
+            Some(false) => failures.push(format!(
+                "expected {}; the user's view is {view:?}",
+                words.join(" ")
+            )),
             None => failures.push(format!("unknown expectation '{}'", word(words, 0))),
         }
     }
@@ -41,20 +44,24 @@
     failures
 }
 
-/// Requests that were never answered, although nothing explains it.
+/// Requests that were never answered although no fault explains it.
 fn unanswered_requests(sim: &Sim) -> Option<String> {
     let faults = &sim.faults;
-    // Who asked a controller that then stood still, or was cut off with its zone, gave up
-    // before it could answer.
-    let away = faults.frozen_until.iter().any(|until| *until > 0) || !faults.zone_cuts.is_empty();
+    // A user whose controller was then frozen, or cut off with its zone, gave up before it
+    // could answer.
+    let unavailable =
+        faults.frozen_until.iter().any(|until| *until > 0) || !faults.zone_cuts.is_empty();
     let cut = !faults.link_cuts.is_empty() || faults.lost_commit_answers != 0.0;
     let count = sim.users.unanswered;
-    (count > 0 && !cut && !away).then(|| format!("{count} requests of users were never answered"))
+    (count > 0 && !cut && !unavailable)
+        .then(|| format!("{count} requests of users were never answered"))
 }
 
 fn explain(sim: &Sim, failures: &mut Vec<String>) {
     for (name, (status, body)) in &sim.operator_answers {
-        failures.push(format!("{name} was told {status}: {body}"));
+        failures.push(format!(
+            "operator request {name} was answered {status}: {body}"
+        ));
     }
     failures.push(format!(
         "{} tasks started; {} machines left, at most {}; {} writes",
@@ -65,11 +72,11 @@
     ));
 }
 
-/// What users were told of a job.
+/// Expectations about a job, from the answers that its user got.
 fn job_expectation(sim: &mut Sim, words: Expectation) -> Option<bool> {
     let view = sim.users.views.get(word(words, 1));
     Some(match word(words, 0) {
-        "broken" => sim.checks.violated.remove(word(words, 1)),
+        "violated" => sim.checks.violated.remove(word(words, 1)),
         "done" => view.is_some_and(|v| v.done),
         "cancelled" => view.is_some_and(|v| v.cancelled.is_some()),
         "not-done" => view.is_some_and(|v| v.accepted && !v.done),
@@ -77,7 +84,7 @@
             let status = view.and_then(|v| v.submit_status);
             status.is_some_and(|s| s.to_string() == word(words, 2))
         }
-        // waits-at-most JOB SECONDS: until its first task started
+        // waits-at-most JOB SECONDS: time from submission until its first task starts.
         "waits-at-most" => {
             let mut starts = sim.users.first_starts.iter();
             let start = starts.find(|(job, _)| job == word(words, 1));
@@ -88,28 +95,28 @@
     })
 }
 
-/// What operators were told.
+/// Expectations about answers to operators.
 fn operator_expectation(sim: &Sim, words: Expectation) -> Option<bool> {
     let answer = sim.operator_answers.get(word(words, 1));
     let wanted = word(words, 2);
     Some(match word(words, 0) {
-        "told" => answer.is_some_and(|(status, _)| status.to_string() == wanted),
+        "answered" => answer.is_some_and(|(status, _)| status.to_string() == wanted),
         kind @ ("reason" | "no-reason") => {
             let reasons = answer.and_then(|(_, body)| body["reasons"].as_array());
             let named = |list: &Vec<Value>| list.iter().any(|r| r["reason"] == wanted);
             reasons.is_some_and(|list| named(list) == (kind == "reason"))
         }
-        "has" => answer.is_some_and(|(_, body)| body.to_string().contains(wanted)),
+        "answer-contains" => answer.is_some_and(|(_, body)| body.to_string().contains(wanted)),
         _ => return None,
     })
 }
 
-/// What is on machines, and how many there are.
+/// Expectations about running tasks and the number of machines.
 fn machine_expectation(sim: &Sim, words: Expectation) -> Option<bool> {
     let running = || sim.workers.values().map(|w| w.running().count());
     let wanted = word(words, 1);
     Some(match word(words, 0) {
-        "empty" => running().all(|count| count == 0),
+        "no-tasks-running" => running().all(|count| count == 0),
         "running" => running().sum::<usize>() == parse(wanted, 0),
         "machines-at-most" => sim.cloud.peak_instances <= parse(wanted, 0),
         "machines-left-at-most" => sim.cloud.instances.len() <= parse(wanted, 0),
@@ -117,22 +124,22 @@
     })
 }
 
-/// Work that was counted, and the time without a leader.
+/// Expectations about counts, and about the time without a leader.
 fn count_expectation(sim: &Sim, words: Expectation) -> Option<bool> {
     let checks = &sim.checks;
     let wanted = word(words, 1);
     Some(match word(words, 0) {
         "leaderless-at-most" => checks.longest_leaderless() <= (parse(wanted, 0.0) * 1e6) as Micros,
-        "moves-at-most" => checks.leader_changes() <= parse(wanted, 0),
+        "leader-changes-at-most" => checks.leader_changes() <= parse(wanted, 0),
         "starts-at-most" => checks.started <= parse(wanted, 0),
         "starts-at-least" => checks.started >= parse(wanted, u64::MAX),
-        // Changes of the state service: work counted, not time.
+        // Writes to the state service; their number does not depend on the machine's speed.
         "writes-at-most" => sim.state.writes <= parse(wanted, 0),
         "progress-keys" => sim.state.keys_under("d/") == parse(wanted, 0),
-        // Changes of configuration that were made.
-        "configured" => checks.quotas.changes() == parse(wanted, usize::MAX),
-        "configured-at-least" => checks.quotas.changes() >= parse(wanted, usize::MAX),
-        "stopped-at-least" => checks.preemptions.preempted >= parse(wanted, u64::MAX),
+        // Configuration changes that were committed.
+        "configuration-changes" => checks.quotas.changes() == parse(wanted, usize::MAX),
+        "configuration-changes-at-least" => checks.quotas.changes() >= parse(wanted, usize::MAX),
+        "preemptions-at-least" => checks.preemptions.preempted >= parse(wanted, u64::MAX),
         _ => return None,
     })
 }
@@ -151,16 +158,16 @@
             "unexplained-at-most" => Figure::AtMost(|o| o.losses.unexplained as f64),
             "settled-within" => Figure::AtMost(|o| o.settled_s),
             "late-starts-at-most" => Figure::AtMost(|o| o.late_starts as f64),
-            "older-within" => Figure::AtMost(|o| o.late_older_s),
-            "waits-beside-room-at-most" => Figure::AtMost(|o| o.longest_starvation_s),
+            "outdated-answers-within" => Figure::AtMost(|o| o.late_older_s),
+            "starvation-at-most" => Figure::AtMost(|o| o.longest_starvation_s),
             "answered-within" => Figure::AtMost(|o| o.unanswered_s),
-            "largest-begin-within" => {
+            "largest-start-within" => {
                 Figure::AtMost(|o| o.largest_wait.as_ref().map_or(0.0, |(_, s)| *s))
             }
             "expired-at-most" => Figure::AtMost(|o| o.losses.expired as f64),
-            "stopped-at-most" => Figure::AtMost(|o| o.preempted as f64),
-            "in-vain-at-most" => Figure::AtMost(|o| o.wasted_preemptions as f64),
-            // A part that everybody got.
+            "preemptions-at-most" => Figure::AtMost(|o| o.preempted as f64),
+            "wasted-preemptions-at-most" => Figure::AtMost(|o| o.wasted_preemptions as f64),
+            // The part of its work that each class and team got done.
             "served-at-least" => {
                 Figure::AtLeast(|o| o.least_served.as_ref().map_or(0.0, |(_, part)| *part))
             }
@@ -169,7 +176,7 @@
     }
 }
 
-/// Checks the expectations about the outcome's figures, once it has settled.
+/// Checks the expectations about the outcome's figures, after the scenario has settled.
 pub(super) fn check_figures(outcome: &Outcome, expectations: &[Expectation]) -> Vec<String> {
     let mut failures = Vec::new();
     for words in expectations {
@@ -180,7 +187,10 @@
             None => None,
         };
         if let Some(figure) = failed {
-            failures.push(format!("expected {}; it was {figure}", words.join(" ")));
+            failures.push(format!(
+                "expected {}; the value is {figure}",
+                words.join(" ")
+            ));
         }
     }
     failures
