--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -2,8 +2,9 @@
 //!
 //! Frames are advisory: safety depends on leases and fencing tokens alone. A leader that learns of
 //! a higher fencing token steps down slightly earlier than its workers would force it to.
-//! Progress is for display only. The age of the last exchange with the key-value store lets a
-//! controller that alone has lost access to the store redirect users to its peers.
+//! Progress is for display only. The age of the last exchange with the key-value store tells a
+//! controller without access to the store whether its peers still reach it: if they do, the
+//! controller reports itself unhealthy, so that the load balancer sends users to the peers.
 //!
 //! `postcard` encodes neither field names nor field numbers: the order of variants and fields
 //! defines the format, and new variants must be appended at the end.
--- a/crates/core/src/settings/error.rs
+++ b/crates/core/src/settings/error.rs
@@ -36,7 +36,7 @@
     Invalid {
         /// Name of the setting as in its file.
         field: String,
-        /// What is wrong with the value.
+        /// The reason why the value is unusable.
         source: InvalidValue,
     },
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// What is wrong with the value of a setting.
+/// The reason why the value of a setting is unusable.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[allow(missing_docs)] // The error messages describe the variants.
 pub enum InvalidValue {
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -62,8 +62,8 @@
     encode(&ErrorBody { error: text })
 }
 
-/// Length of the value's JSON form, bytes. Slightly more than the exact length, since a separator
-/// is counted for every element of an array or map.
+/// Length of the value's JSON form, bytes. For arrays and maps the result is slightly too large,
+/// since a separator is counted after the last element too.
 pub fn json_len(value: &Value) -> usize {
     match value {
         Value::Null | Value::Bool(true) => 4,
--- a/crates/failure-detection/src/fault_attribution.rs
+++ b/crates/failure-detection/src/fault_attribution.rs
@@ -173,8 +173,9 @@
         Some(&record.failed_on)
     }
 
-    /// Deletes the record of an ended job, whose findings have already taken effect. If the job
-    /// was faulty, its failures are also deleted from the machines' records.
+    /// Deletes the record of an ended job; findings about machines that were based on its failures
+    /// stay in effect. If the job was faulty, its failures are also deleted from the machines'
+    /// records.
     pub fn forget_job(&mut self, job: JobId) {
         if self.jobs.remove(&job).is_some_and(|r| r.faulty) {
             for machine in self.machines.values_mut() {
--- a/crates/failure-detection/src/fault_attribution/tests.rs
+++ b/crates/failure-detection/src/fault_attribution/tests.rs
@@ -12,8 +12,8 @@
     Time::default().plus(100.0 + s)
 }
 
-/// Guards against returning healthy machines because of faulty jobs; nine were returned on one
-/// day of operations.
+/// Guards against attributing the failures of faulty jobs to healthy machines: nine such machines
+/// were once returned to the cloud.
 #[test]
 fn failures_of_a_faulty_job_do_not_make_machines_faulty() {
     let mut attribution = FaultAttribution::default();
@@ -125,8 +125,8 @@
         .is_empty());
 }
 
-/// Guards against taking a new job for faulty because it was placed on several faulty machines at
-/// once. On a day on which all tasks failed on 22 machines, such jobs waited for a minute.
+/// Guards against classifying a new job as faulty because it was placed on several faulty machines
+/// at once. While all tasks failed on 22 machines, such jobs waited for a minute.
 #[test]
 fn job_that_fails_on_several_faulty_machines_is_not_faulty() {
     let mut attribution = FaultAttribution::default();
--- a/crates/failure-detection/src/report_interval.rs
+++ b/crates/failure-detection/src/report_interval.rs
@@ -52,7 +52,7 @@
 
     /// Time without a report after which a machine is overdue, seconds.
     ///
-    /// Never below the stated period plus its jitter of a quarter.
+    /// Never below the stated period plus its jitter of a quarter and a margin of half a second.
     pub fn overdue_s(&self) -> f64 {
         let floor = self.report_s * 1.25 + 0.5;
         match self.gaps.as_ref().filter(|g| g.len() >= MIN_SAMPLES) {
--- a/crates/failure-detection/src/silence_detector.rs
+++ b/crates/failure-detection/src/silence_detector.rs
@@ -1,4 +1,4 @@
-//! Detects unreachable machines, assessing the whole fleet together.
+//! Detects unreachable machines by assessing the whole fleet together.
 //!
 //! Machines that share a network link become unreachable together. If a large part of a failure
 //! domain is overdue, the cause is therefore presumed to be a broken link, and its machines are
@@ -295,7 +295,8 @@
             any_suspect |= suspect;
             self.update_suspicion(now, *domain, *count, suspect);
         }
-        // If one domain explains the missing reports, the local link is not suspected.
+        // If one domain explains the missing reports, the local link is not suspected, and the
+        // machines outside that domain are assessed as usual.
         let local_link_suspect = !any_suspect && all.is_mostly_overdue();
         if any_suspect
             && self
--- a/crates/failure-detection/src/silence_detector/tests.rs
+++ b/crates/failure-detection/src/silence_detector/tests.rs
@@ -140,7 +140,7 @@
 }
 
 /// Guards against returning the other overdue machines of a fleet when one zone starts to account
-/// for most of the missing reports (day-78-9: nine machines were returned).
+/// for most of the missing reports; nine such machines were once returned.
 #[test]
 fn other_machines_are_shielded_when_one_zone_becomes_suspected() {
     let mut detector = SilenceDetector::new(silence_thresholds());
--- a/crates/preemption/src/budget.rs
+++ b/crates/preemption/src/budget.rs
@@ -14,8 +14,8 @@
 /// A congestion window over nominations with victims (V. Jacobson, "Congestion avoidance and
 /// control", 1988).
 ///
-/// Each nomination that ends in a start widens the window by one. An abandoned nomination halves
-/// it, once for all nominations that were opened before the halving.
+/// Each nomination that ends in a start widens the window by one. An abandoned nomination with
+/// victims halves it, once for all nominations that were opened before the halving.
 #[derive(Debug)]
 pub struct PreemptionBudget {
     window: f64,
--- a/crates/preemption/src/history.rs
+++ b/crates/preemption/src/history.rs
@@ -5,9 +5,9 @@
 
 /// Number of preemptions of each unfinished task.
 ///
-/// A task that has only just started is the cheapest victim, so without this history the same task
-/// was preempted each time it started. The history is bounded: a task is removed when its job is
-/// over, and at `max_tasks` entries a new task replaces the one that was preempted least often.
+/// A task that has only just started is the cheapest victim: before this history existed, the same
+/// task was preempted each time it started. The history is bounded: a task is removed when its job
+/// is over, and at `max_tasks` entries a new task replaces the one that was preempted least often.
 #[derive(Debug)]
 pub struct PreemptionHistory {
     preemptions: BTreeMap<TaskId, u32>,
--- a/crates/standby/src/failure_detector.rs
+++ b/crates/standby/src/failure_detector.rs
@@ -102,7 +102,8 @@
 }
 
 impl FailureDetector {
-    /// Handles a heartbeat, in which `leader` states that it owns the block key with this token.
+    /// Handles a heartbeat, in which `leader` states that it owns the block key, and thus leads,
+    /// with this fencing token.
     pub fn on_heartbeat(&mut self, now: Time, leader: &str, token: FencingToken) {
         let first_leader = self.leader.is_none();
         let changed = self.leader.as_deref() != Some(leader);
--- a/crates/transport/src/connections.rs
+++ b/crates/transport/src/connections.rs
@@ -159,8 +159,8 @@
             .min(self.network.max_connections / 3)
     }
 
-    /// Returns whether so many connections are open that workers must close theirs after each
-    /// report.
+    /// Returns whether the number of open connections is so close to the limit that the event loop
+    /// closes the connection of a worker after each answer.
     ///
     /// Guards against having more machines than connections: the connected machines would occupy
     /// all connections, the other machines could not report, and users would reach no controller.
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -24,7 +24,8 @@
 /// Time at the start of the event loop in microseconds. It is well above zero so that earlier
 /// times can be represented.
 const START_MICROS: u64 = 3_600_000_000;
-/// Minimum interval between two calls of [`Service::on_tick`], in seconds.
+/// Interval between two calls of [`Service::on_tick`], in seconds; also the longest wait for
+/// socket events.
 const TICK_INTERVAL_S: f64 = 0.025;
 /// Interval at which expired connections are closed, unopened listeners are retried and missing
 /// peer connections are opened, in seconds.
