--- a/crates/core/src/http.rs
+++ b/crates/core/src/http.rs
@@ -340,9 +340,9 @@
         head.content.name(),
         body.len()
     );
-    if let Some(a) = head.authorization {
+    if let Some(authorization) = head.authorization {
         text.push_str("Authorization: ");
-        text.push_str(a);
+        text.push_str(authorization);
         text.push_str("\r\n");
     }
     text.push_str("\r\n");
@@ -392,8 +392,8 @@
         response.content.name(),
         body.len()
     );
-    if let Some(s) = response.retry_after {
-        head.push_str(&format!("Retry-After: {s}\r\n"));
+    if let Some(seconds) = response.retry_after {
+        head.push_str(&format!("Retry-After: {seconds}\r\n"));
     }
     if response.close {
         head.push_str("Connection: close\r\n");
--- a/crates/core/src/http/tests.rs
+++ b/crates/core/src/http/tests.rs
@@ -23,11 +23,15 @@
         let mut buf = message[..cut].to_vec();
         assert_eq!(take_request(&mut buf, 100), Ok(None), "cut at {cut}");
         buf.extend_from_slice(&message[cut..]);
-        let r = take_request(&mut buf, 100)
+        let request = take_request(&mut buf, 100)
             .expect("valid")
             .expect("complete");
         assert_eq!(
-            (r.method, r.path.as_str(), r.body.as_slice()),
+            (
+                request.method,
+                request.path.as_str(),
+                request.body.as_slice()
+            ),
             (Method::Post, "/x?a=1", &b"body"[..])
         );
         assert!(buf.is_empty());
@@ -62,10 +66,10 @@
     let mut buf =
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
             .to_vec();
-    let r = take_response(&mut buf, 100)
+    let response = take_response(&mut buf, 100)
         .expect("valid")
         .expect("complete");
-    assert_eq!(r.body, b"abcde");
+    assert_eq!(response.body, b"abcde");
 }
 
 #[test]
--- a/crates/transport/src/connections.rs
+++ b/crates/transport/src/connections.rs
@@ -231,12 +231,14 @@
     pub(crate) fn close_expired(&mut self, now: Time) {
         let mut expired = Vec::new();
         for (slot, connection) in self.connections.iter().enumerate() {
-            let Some(c) = connection else { continue };
-            let timed_out = match &c.kind {
+            let Some(connection) = connection else {
+                continue;
+            };
+            let timed_out = match &connection.kind {
                 ConnectionKind::Public { listener, .. }
-                    if self.is_admin(*listener) && !c.output.is_empty() =>
+                    if self.is_admin(*listener) && !connection.output.is_empty() =>
                 {
-                    now.since(c.last_active) > SLOW_READER_TIMEOUT_S
+                    now.since(connection.last_active) > SLOW_READER_TIMEOUT_S
                 }
                 ConnectionKind::Call {
                     current_call: Some((_, deadline)),
@@ -244,16 +246,19 @@
                 } => now > *deadline,
                 ConnectionKind::Call {
                     current_call: None, ..
-                } => now.since(c.last_active) > CALL_IDLE_TIMEOUT_S,
+                } => now.since(connection.last_active) > CALL_IDLE_TIMEOUT_S,
                 ConnectionKind::Public {
                     awaiting_answer: false,
                     partial_since: Some(arrived_at),
                     ..
                 } => now.since(*arrived_at) > REQUEST_TIMEOUT_S,
-                ConnectionKind::Public { .. } => now.since(c.last_active) > IDLE_TIMEOUT_S,
-                ConnectionKind::PeerIn => now.since(c.last_active) > PEER_RECEIVE_TIMEOUT_S,
+                ConnectionKind::Public { .. } => now.since(connection.last_active) > IDLE_TIMEOUT_S,
+                ConnectionKind::PeerIn => {
+                    now.since(connection.last_active) > PEER_RECEIVE_TIMEOUT_S
+                }
                 ConnectionKind::PeerOut { .. } => {
-                    !c.output.is_empty() && now.since(c.last_active) > PEER_WRITE_TIMEOUT_S
+                    !connection.output.is_empty()
+                        && now.since(connection.last_active) > PEER_WRITE_TIMEOUT_S
                 }
             };
             if timed_out {
--- a/crates/transport/src/output.rs
+++ b/crates/transport/src/output.rs
@@ -24,8 +24,8 @@
 impl<S: Service> EventLoop<S> {
     /// Performs the effects that the service requested.
     pub(crate) fn apply_effects(&mut self, out: Vec<Effect>) {
-        for o in out {
-            match o {
+        for effect in out {
+            match effect {
                 Effect::Answer {
                     to,
                     status,
@@ -53,8 +53,10 @@
                         continue;
                     };
                     let host = self.address(destination).to_string();
-                    if let Some(c) = self.connections.get_mut(slot).and_then(Option::as_mut) {
-                        c.kind = ConnectionKind::Call {
+                    if let Some(connection) =
+                        self.connections.get_mut(slot).and_then(Option::as_mut)
+                    {
+                        connection.kind = ConnectionKind::Call {
                             destination,
                             current_call: Some((id, deadline)),
                         };
@@ -65,7 +67,7 @@
                             content: Content::Cbor,
                             authorization: None,
                         };
-                        http::write_request(&mut c.output, &head, &body);
+                        http::write_request(&mut connection.output, &head, &body);
                     }
                     self.flush(slot);
                 }
@@ -77,23 +79,23 @@
     /// Queues a frame for the peer with the label `to`, or for all peers if it is `None`.
     pub(crate) fn send_frame(&mut self, to: Option<&str>, frame: &[u8]) {
         for slot in 0..self.connections.len() {
-            let Some(c) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
+            let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else {
                 continue;
             };
-            let ConnectionKind::PeerOut { member } = c.kind else {
+            let ConnectionKind::PeerOut { member } = connection.kind else {
                 continue;
             };
             if to.is_some_and(|label| self.network.members[member].label != label) {
                 continue;
             }
             // Frames for a peer that does not read are dropped to keep the buffer bounded.
-            if c.output.len() < MAX_UNREAD_BYTES {
-                c.output.extend_from_slice(frame);
-                c.dropping_frames = false;
-            } else if !c.dropping_frames {
-                c.dropping_frames = true;
+            if connection.output.len() < MAX_UNREAD_BYTES {
+                connection.output.extend_from_slice(frame);
+                connection.dropping_frames = false;
+            } else if !connection.dropping_frames {
+                connection.dropping_frames = true;
                 let label = &self.network.members[member].label;
-                let pending_bytes = c.output.len();
+                let pending_bytes = connection.output.len();
                 tracing::warn!(controller = %label, pending_bytes, "dropping frames for peer that does not read");
             }
             self.flush(slot);
@@ -114,7 +116,7 @@
     pub(crate) fn connection_to(&mut self, destination: Destination) -> Option<usize> {
         let mut open_count = 0;
         let mut idle_slot = None;
-        for (slot, c) in self.connections.iter().enumerate() {
+        for (slot, connection) in self.connections.iter().enumerate() {
             if let Some(Connection {
                 kind:
                     ConnectionKind::Call {
@@ -122,7 +124,7 @@
                         current_call,
                     },
                 ..
-            }) = c
+            }) = connection
             {
                 // All workers share one limit.
                 let both_are_workers = matches!(
