--- a/crates/transport/src/connections.rs
+++ b/crates/transport/src/connections.rs
@@ -230,10 +230,8 @@
     /// Closes connections that have timed out.
     pub(crate) fn close_expired(&mut self, now: Time) {
         let mut expired = Vec::new();
-        for (slot, connection) in self.connections.iter().enumerate() {
-            let Some(connection) = connection else {
-                continue;
-            };
+        for (slot, entry) in self.connections.iter().enumerate() {
+            let Some(connection) = entry else { continue };
             let timed_out = match &connection.kind {
                 ConnectionKind::Public { listener, .. }
                     if self.is_admin(*listener) && !connection.output.is_empty() =>
