--- a/crates/rate-limit/src/transaction.rs
+++ b/crates/rate-limit/src/transaction.rs
@@ -87,7 +87,7 @@
     },
     /// The transaction already compares the key with another revision; both conditions cannot be
     /// true.
-    #[error("the transaction already requires another revision of this key")]
+    #[error("two versions of one key")]
     ConflictingConditions,
 }
 
