--- a/crates/controller/src/capacity_planner.rs
+++ b/crates/controller/src/capacity_planner.rs
@@ -73,7 +73,7 @@
     pub timely: f64,
     /// Standby capacity for classes whose jobs may not wait.
     pub standby: f64,
-    /// Capacity required beyond the machines that are up or being rented.
+    /// Capacity required beyond the machines that are up, booting or requested.
     pub shortfall: f64,
     /// Capacity for jobs that may not run on spot machines.
     pub on_demand: f64,
@@ -375,8 +375,9 @@
         }
     }
 
-    /// Adds a job with a deadline. The on-demand part of its split has a latest start, so that it
-    /// counts towards the shortfall; the rest of its width waits for spot machines.
+    /// Adds a job with a deadline. Waiting tasks in the on-demand part of its split must start in
+    /// time, so they have a latest start and can add to the shortfall. All other waiting tasks,
+    /// and all tasks of a late job, can wait for spot machines.
     fn add_split_job(
         &mut self,
         plan: &mut Plan,
--- a/crates/controller/src/capacity_planner/persistence.rs
+++ b/crates/controller/src/capacity_planner/persistence.rs
@@ -21,8 +21,8 @@
 const READ_RETRY_S: f64 = 0.5;
 /// Delay before a refused write is retried, seconds.
 const REFUSED_RETRY_S: f64 = 1.0;
-/// Delay after reading a record of an unsupported version, seconds; long enough that it is
-/// effectively never read again.
+/// Delay after reading a record that this version cannot decode, seconds; long enough that the
+/// record is effectively never read again.
 const UNREADABLE_RECORD_PAUSE_S: f64 = 1e6;
 
 /// State of the record's reads and writes.
@@ -71,7 +71,7 @@
         let mut max_classes = MAX_CLASSES;
         let loads = self.stored_loads(now);
         // The limit may be low and class names long. A record that is too large is built again with
-        // half as many jobs and classes, down to none.
+        // half as many jobs and classes, down to none; the weights are always stored.
         loop {
             let record = self.build_record(run_ratios, &loads, max_jobs, max_classes);
             let mut transaction = store.transaction();
@@ -153,7 +153,7 @@
             _ => {
                 tracing::error!(
                     key = KEY,
-                    "planner record no longer written: stored one has an unknown format or version"
+                    "stopped writing planner record: stored record has unknown format or version"
                 );
                 self.record.retry_at = now.plus(UNREADABLE_RECORD_PAUSE_S);
                 self.record.revision = None;
--- a/crates/controller/src/capacity_planner/record.rs
+++ b/crates/controller/src/capacity_planner/record.rs
@@ -32,8 +32,8 @@
     pub(super) loads: BTreeMap<String, StoredLoad>,
 }
 
-/// The load of a class, from which a new leader keeps up its standby capacity. Without it, standby
-/// machines were returned after each failover and rented again when the next jobs arrived.
+/// The load of a class, which a new leader needs to maintain the standby capacity. Without it,
+/// standby machines were returned after each failover and rented again when the next jobs arrived.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct StoredLoad {
     /// Highest recent load, tasks running at once.
--- a/crates/controller/src/capacity_planner/shortfall.rs
+++ b/crates/controller/src/capacity_planner/shortfall.rs
@@ -33,7 +33,7 @@
     pub(super) cpus: f64,
     pub(super) count: u32,
     pub(super) run_s: f64,
-    /// Latest start in time, seconds from now; `None` if a late start has no consequence.
+    /// Latest acceptable start, seconds from now; `None` if the tasks need not start by any time.
     pub(super) latest_start_s: Option<f64>,
     /// Time until a machine rented now is up, seconds.
     pub(super) setup_s: f64,
@@ -116,8 +116,8 @@
     shortfall
 }
 
-/// Whether a task that would start at `start` (milliseconds; `None`: never) starts too late, and
-/// would start earlier on a machine rented now.
+/// Whether a task that would start at `start` (milliseconds; `None` if never) starts too late, and
+/// a machine rented now would be up earlier and not too late ([`MIN_SETUP_FRACTION`]).
 fn needs_new_machine(queued: &QueuedTasks, start: Option<u64>) -> bool {
     let starts_after = |s: f64| start.is_none_or(|start| start > thousandths(s));
     queued.latest_start_s.is_some_and(|latest_s| {
--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -192,8 +192,8 @@
             let silent_since = match last_heartbeat {
                 Some(at) => at,
                 // After a failover, a machine that was up and has not reported to this leader
-                // counts as unreachable since leadership acquisition, plus a grace period in
-                // which it finds the leader.
+                // counts as unreachable from the end of a grace period on, which begins with the
+                // leadership acquisition and allows the machine to find the leader.
                 None if instance.was_up(machine) => scheduler
                     .acquired_at()
                     .plus(FAILOVER_GRACE_S)
--- a/crates/controller/src/fleet/scale_in.rs
+++ b/crates/controller/src/fleet/scale_in.rs
@@ -123,8 +123,8 @@
     ) {
         let active_directives = scheduler.active_directives().clone();
         // Guard: while this controller's local link is suspected to be broken, the state of the
-        // machines behind it is unknown. A leader whose requests were refused for a minute saw
-        // all its machines idle when it came back, and returned the fleet while its jobs waited.
+        // machines behind it is unknown. A leader whose requests were refused for a minute saw all
+        // its machines as idle afterwards, and returned the fleet while its jobs waited.
         let local_link_suspected = self.health.is_local_link_suspected();
         #[cfg(feature = "faults")]
         let local_link_suspected =
--- a/crates/controller/src/fleet/scale_out.rs
+++ b/crates/controller/src/fleet/scale_out.rs
@@ -198,8 +198,8 @@
     }
 
     /// Handles a call that rented nothing: the rental is dropped and its market is paused. If an
-    /// earlier call under the same name had no reply, that call may still take effect, so the
-    /// name stays in use.
+    /// earlier call under the same name had no reply, that call may still take effect, so the name
+    /// stays in use and the rental is retried instead.
     fn on_no_capacity(&mut self, now: Time, index: usize, scheduler: Option<&mut Scheduler>) {
         let rental = &mut self.rentals.open[index];
         let entry = &rental.entry;
--- a/crates/controller/src/fleet/scale_plan.rs
+++ b/crates/controller/src/fleet/scale_plan.rs
@@ -11,9 +11,10 @@
 use beamhinge_core::types::{MachineId, Time};
 use std::collections::BTreeMap;
 
-/// Factor over the stated boot time by which a machine is expected to be up: boot times vary.
+/// A machine is expected to be up after this multiple of its stated boot time, because boot times
+/// vary.
 pub(super) const BOOT_TIME_FACTOR: f64 = 1.2;
-/// Least remaining boot time expected of a booting machine, as a fraction of its boot time.
+/// Minimum remaining boot time assumed for a booting machine, as a fraction of its boot time.
 const MIN_REMAINING_BOOT_FRACTION: f64 = 0.2;
 
 /// Machines that exist, boot or are requested.
--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -155,7 +155,8 @@
     }
 }
 
-/// Takes part in leader election and keeps the fencing token while this controller leads.
+/// Takes part in leader election, and stores the fencing token while this controller is the
+/// leader.
 pub struct LeaderElection {
     identity: ProcessIdentity,
     lease: SessionLease,
@@ -270,7 +271,7 @@
     }
 
     /// Ends the term because other controllers are better able to lead: revokes the lease at
-    /// once, and does not compete for leadership for a while so that another one acquires it.
+    /// once, and does not try to acquire leadership for a while so that another one can.
     pub fn step_down(&mut self, now: Time, store: &mut StoreClient<Tag>) -> LeadershipChange {
         if self.token.is_none() {
             return LeadershipChange::Unchanged;
--- a/crates/controller/src/leader_election/acquisition.rs
+++ b/crates/controller/src/leader_election/acquisition.rs
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Writes the leadership key again during a term whose lease expired before another
-    /// controller wrote the block key.
+    /// Writes the leadership key again after the lease has ended. The term continues, on the
+    /// condition that no other controller has written the block key.
     fn reclaim(
         &mut self,
         now: Time,
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -46,7 +46,8 @@
 pub struct PeerStatus {
     /// Time since its last heartbeat arrived, in seconds.
     pub heartbeat_age_s: f64,
-    /// Time since the key-value store last answered it, by its last heartbeat, in seconds.
+    /// Time since the key-value store last answered it, according to its last heartbeat, in
+    /// seconds.
     pub store_age_s: f64,
     /// Whether it can take over leadership at once.
     pub ready: bool,
--- a/crates/controller/src/progress/completion.rs
+++ b/crates/controller/src/progress/completion.rs
@@ -106,8 +106,8 @@
         )
     }
 
-    /// Handles a sent transaction with the present state of the chunk. Tasks that end later make
-    /// the chunk dirty again.
+    /// Records that a transaction with the present state of the chunk was sent. Tasks that end
+    /// later make the chunk dirty again.
     pub(super) fn on_sent(&mut self, chunk: u32) {
         if let Some(chunk) = self.chunks.get_mut(&chunk) {
             chunk.in_flight = chunk.dirty;
--- a/crates/controller/src/replica.rs
+++ b/crates/controller/src/replica.rs
@@ -147,8 +147,8 @@
         self.fresh_as_of
     }
 
-    /// Makes the next [`tick`](Self::tick) refresh the replica, because the caller has found it
-    /// out of date.
+    /// Makes the next [`tick`](Self::tick) refresh the replica, because the caller has evidence
+    /// that it is out of date.
     pub fn request_refresh(&mut self) {
         self.refresh_requested = true;
     }
@@ -218,8 +218,8 @@
                 }
             }
         }
-        // A watch that was sent before a new scan does not extend the result of that scan: the
-        // next watch starts from the revision of the scan.
+        // Ignore the response to a watch that was sent before a new scan: the next watch starts
+        // from the revision of that scan.
         if call != ReplicaCall::Scan && !self.loaded {
             return ReplicaUpdate::without_changes(Freshness::Unchanged);
         }
--- a/crates/controller/src/scheduler/persistence/outcome.rs
+++ b/crates/controller/src/scheduler/persistence/outcome.rs
@@ -101,8 +101,8 @@
         CommitOutcome::RefreshJobs
     }
 
-    /// Handles a rejection as malformed. An identical transaction would be rejected again, so
-    /// smaller ones are tried; if the smallest is rejected too, its content is deferred.
+    /// Handles a transaction that was rejected as malformed. An identical one would be rejected
+    /// again, so smaller ones are tried; if the smallest is rejected too, its content is deferred.
     fn on_malformed(&mut self, now: Time, in_flight: InFlightCommit) {
         if fault_injected!(self.faults, unbounded_transactions) {
             return self.on_not_committed(now, in_flight);
--- a/crates/controller/src/scheduler/persistence/transaction.rs
+++ b/crates/controller/src/scheduler/persistence/transaction.rs
@@ -176,9 +176,10 @@
             .filter(|id| !self.is_deferred(WorkUnit::Job(**id)))
             .copied()
             .collect();
-        // If more jobs have finished than can be written, urgent jobs and jobs with a deadline
-        // are written first: in the order of job ids, they were written minutes late, behind
-        // thousands of single-task jobs of guest tenants.
+        // If more jobs have finished than can be written, those whose users wait for the result
+        // are written first: by urgency, then jobs with a deadline, then the oldest. In the order
+        // of job ids, urgent jobs with a deadline were written minutes late, behind thousands of
+        // single-task jobs of guest teams.
         if due.len() > max_jobs {
             due.sort_by_key(|id| {
                 let spec = self.jobs.get(id).map(|job| &job.spec);
--- a/crates/controller/src/split/learner.rs
+++ b/crates/controller/src/split/learner.rs
@@ -149,7 +149,7 @@
 
     /// Replays a job with every pair of parameters, and multiplies the weight of each pair by
     /// exp(−η·cost), where η = sqrt(2·ln n / (D·(t−D))), n is the size of the grid, t is `elapsed`
-    /// and D is `max_window`, both in slots.
+    /// and D is `max_window`, both in slots. Does nothing until t exceeds D.
     pub fn learn(
         &mut self,
         job: &ReplayedJob,
--- a/crates/controller/src/split/policy.rs
+++ b/crates/controller/src/split/policy.rs
@@ -94,8 +94,8 @@
         .clamp(0.0, width.max(0.0))
 }
 
-/// Equation (9): ν, the number of spot machines that the slack allows for one update. It is
-/// infinite if spot machines are assumed to be always up.
+/// Equation (9): ν, the number of spot machines that the slack allows for one update. It is 0
+/// without slack, otherwise infinite if spot machines are assumed to be always up.
 pub fn spot_bids(
     width: f64,
     work: f64,
@@ -151,8 +151,9 @@
     }
 }
 
-/// Proposition 4: the current on-demand width once no slack is left for spot machines. The last
-/// whole updates run at full width; the time before them runs only the work that exceeds them.
+/// Proposition 4: the current on-demand width once there is no slack for spot machines. The last
+/// whole updates run at full width; the partial update before them runs only the work that does
+/// not fit into them. Without a partial update, the result is the full width.
 pub fn final_on_demand(width: f64, work: f64, window: f64, update_len: f64) -> f64 {
     if work <= 0.0 || width <= 0.0 {
         return 0.0;
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -438,7 +438,7 @@
             self.last_response = self.last_response.max(Some(sent_at));
         }
         if matches!(&result, Some((429, _))) {
-            // Other controllers used more than their share: wait until the buckets refill.
+            // Other controllers used more than their share: send nothing until the buckets refill.
             self.requests.empty();
             self.writes.empty();
         }
