--- a/crates/controller/src/capacity_planner.rs
+++ b/crates/controller/src/capacity_planner.rs
@@ -186,11 +186,11 @@
 
     /// Adds the shortfall of each machine type.
     fn add_shortfalls(&mut self, free: &BTreeMap<usize, FreeCapacity>) {
-        let nothing = FreeCapacity::new();
+        let no_capacity = FreeCapacity::new();
         for (machine_type, mut queue) in std::mem::take(&mut self.queues) {
             let cpus = self.machine_types.get(machine_type).map_or(0.0, |t| t.cpus);
             if cpus > 0.0 {
-                let free = free.get(&machine_type).unwrap_or(&nothing);
+                let free = free.get(&machine_type).unwrap_or(&no_capacity);
                 self.target(machine_type).shortfall = shortfall_cpus(free, &mut queue) / cpus;
             }
         }
--- a/crates/controller/src/fleet/rentals.rs
+++ b/crates/controller/src/fleet/rentals.rs
@@ -306,10 +306,11 @@
 
     fn inherit(&mut self, token: FencingToken, record: RentalRecord) {
         self.record.recorded_names = record.rentals.iter().map(|r| r.name.clone()).collect();
-        let own_prefix = name_prefix(token);
+        let current_prefix = name_prefix(token);
         let owned = record.owned_machines();
         self.inherited = record.rentals;
-        self.inherited.retain(|r| !r.name.starts_with(&own_prefix));
+        self.inherited
+            .retain(|r| !r.name.starts_with(&current_prefix));
         self.owned.get_or_insert(owned);
     }
 
--- a/crates/controller/src/job_store.rs
+++ b/crates/controller/src/job_store.rs
@@ -149,9 +149,15 @@
     }
 
     /// Keeps the replica up to date. `refresh` is set if a request waits for a fresh replica, and
-    /// `follow` on the leader.
-    pub fn tick(&mut self, now: Time, refresh: bool, follow: bool, store: &mut StoreClient<Tag>) {
-        self.replica.tick(now, refresh, follow, store);
+    /// `watch_changes` on the leader.
+    pub fn tick(
+        &mut self,
+        now: Time,
+        refresh: bool,
+        watch_changes: bool,
+        store: &mut StoreClient<Tag>,
+    ) {
+        self.replica.tick(now, refresh, watch_changes, store);
     }
 
     /// Returns the index of a name in the list of summary names, and adds the name if necessary;
--- a/crates/controller/src/split/learner.rs
+++ b/crates/controller/src/split/learner.rs
@@ -110,8 +110,12 @@
 
     /// Weights of the parameter pairs in grid order; they sum to 1.
     pub fn weights(&self) -> Vec<f64> {
-        let top = self.max_log_weight();
-        let raw: Vec<f64> = self.log_weights.iter().map(|l| (l - top).exp()).collect();
+        let max_log_weight = self.max_log_weight();
+        let raw: Vec<f64> = self
+            .log_weights
+            .iter()
+            .map(|l| (l - max_log_weight).exp())
+            .collect();
         let sum: f64 = raw.iter().sum();
         raw.into_iter().map(|w| w / sum).collect()
     }
@@ -137,10 +141,10 @@
     /// Draws an index of the grid with probability equal to its weight. `uniform` is a uniform
     /// random number in [0, 1).
     pub fn draw(&self, uniform: f64) -> usize {
-        let mut left = uniform;
+        let mut remaining = uniform;
         for (index, weight) in self.weights().iter().enumerate() {
-            left -= weight;
-            if left < 0.0 {
+            remaining -= weight;
+            if remaining < 0.0 {
                 return index;
             }
         }
@@ -166,9 +170,9 @@
         for (parameters, log_weight) in self.grid.iter().zip(&mut self.log_weights) {
             *log_weight -= eta * replay_cost(job, update_len, *parameters, market);
         }
-        let top = self.max_log_weight();
+        let max_log_weight = self.max_log_weight();
         for log_weight in &mut self.log_weights {
-            *log_weight = (*log_weight - top).max(MIN_LOG_WEIGHT);
+            *log_weight = (*log_weight - max_log_weight).max(MIN_LOG_WEIGHT);
         }
     }
 }
--- a/crates/controller/src/split/tests.rs
+++ b/crates/controller/src/split/tests.rs
@@ -20,9 +20,9 @@
 #[test]
 fn job_of_figure_1_loses_its_slack_at_the_third_update() {
     // δ = 4, d = 36, z = 132; two on-demand machines, and two spot machines up for 8 slots each.
-    let left = |i: f64| 132.0 - i * (2.0 * 12.0 + 2.0 * 8.0);
-    assert!(slackness(4.0, left(1.0), 24.0) >= 1.0);
-    assert!(slackness(4.0, left(2.0), 12.0) < 1.0);
+    let remaining_work = |i: f64| 132.0 - i * (2.0 * 12.0 + 2.0 * 8.0);
+    assert!(slackness(4.0, remaining_work(1.0), 24.0) >= 1.0);
+    assert!(slackness(4.0, remaining_work(2.0), 12.0) < 1.0);
 }
 
 #[test]
