--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -22,7 +22,7 @@
 /// Time without a report or an acknowledgement after which a machine is presumed dead in any case,
 /// in worker leases.
 const PRESUMED_DEAD_LEASES: f64 = 4.0;
-/// Greatest age of the last report of a machine that is adopted without having been listed, in
+/// Maximum age of the last report of a machine that is adopted without having been listed, in
 /// report intervals.
 const MAX_ADOPTION_REPORT_AGE_INTERVALS: f64 = 3.0;
 
--- a/crates/controller/src/fleet/rentals.rs
+++ b/crates/controller/src/fleet/rentals.rs
@@ -16,7 +16,7 @@
 use beamhinge_rate_limit::{AdaptiveBackoff, RetryAction, Transaction, TransactionError};
 use std::collections::BTreeMap;
 
-/// Pause of reads and writes of the record after a rental that could not be recorded, seconds.
+/// Pause before the record is read or written again after a rental could not be recorded, seconds.
 const RECORD_PAUSE_S: f64 = 5.0;
 /// Pause after a write of the record that was refused, failed or had no reply, seconds.
 const WRITE_RETRY_S: f64 = 0.2;
--- a/crates/controller/src/fleet/scale_out.rs
+++ b/crates/controller/src/fleet/scale_out.rs
@@ -13,15 +13,15 @@
 
 /// Maximum number of machines requested at once for one class, over all zones.
 const MAX_MACHINES_PER_SCALE_OUT: u32 = 50;
-/// Pause of a market after it granted fewer machines than requested, seconds.
+/// Time without requests to a market after it granted fewer machines than requested, seconds.
 const REFUSED_MARKET_PAUSE_S: f64 = 10.0;
-/// Pause of a market after the cloud rejected a request to it as malformed, seconds.
+/// Time without requests to a market after the cloud rejected one as malformed, seconds.
 const MALFORMED_MARKET_PAUSE_S: f64 = 60.0;
-/// Pause of a rental after the cloud had no capacity or was unavailable, seconds.
+/// Delay before a rental is retried after the cloud had no capacity or was unavailable, seconds.
 const UNAVAILABLE_RETRY_S: f64 = 2.0;
-/// Pause of a rental after the cloud rejected a call because of its rate limit, seconds.
+/// Delay before a rental is retried after the cloud rejected a call by its rate limit, seconds.
 const RATE_LIMITED_RETRY_S: f64 = 0.5;
-/// Pause of a rental after a call that had no usable reply, seconds.
+/// Delay before a rental is retried after a call that had no usable reply, seconds.
 const UNKNOWN_OUTCOME_RETRY_S: f64 = 1.0;
 
 /// One zone's share of a request.
--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -256,10 +256,10 @@
     /// ends the term if `token` is higher than this controller's token.
     ///
     /// A fencing token is a revision of the store. If `token` was claimed before leadership was
-    /// acquired at a lower revision, it was never issued, and further claims of it are ignored;
-    /// otherwise one worker that claims such a token would end every term a second after
-    /// it began. Ignoring them is safe: a worker that has in fact seen a higher token rejects the
-    /// requests of this controller.
+    /// acquired at a lower revision, it was never issued, and further claims of it or of a higher
+    /// token are ignored; otherwise one worker that claims such a token would end every term a
+    /// second after it began. Ignoring them is safe: a worker that has in fact seen a higher token
+    /// rejects the requests of this controller.
     pub fn on_token_claim(&mut self, now: Time, token: u64) -> LeadershipChange {
         if self.token.is_none_or(|current| token <= current.0)
             || token >= self.claims.never_issued_from
--- a/crates/controller/src/leader_election/acquisition.rs
+++ b/crates/controller/src/leader_election/acquisition.rs
@@ -33,9 +33,10 @@
     /// Whether the leadership key may be replaced, and its revision (0 if the key is absent).
     ///
     /// An owner with this controller's label and another nonce is an earlier process of this
-    /// controller, which has ended, so its key is replaced before its lease expires. The
-    /// acquisition does not wait until the jobs are read either: with that wait, workers
-    /// learned the new fencing token later after a restart of all controllers.
+    /// controller, which has ended, so its key is replaced without waiting until its lease
+    /// expires, which would only cost time. The acquisition does not wait until the jobs are read
+    /// either: with that wait, workers learned the new fencing token later after a restart of all
+    /// controllers.
     fn leadership_availability(&self) -> (bool, Revision) {
         let Some(record) = &self.leadership.record else {
             return (true, Revision(0));
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -9,8 +9,8 @@
 use beamhinge_core::types::{FencingToken, JobId, Time};
 use std::collections::BTreeMap;
 
-/// Time after which an announced fencing token that was not announced again no longer counts, in
-/// seconds. It is longer than the time for which a former leader still answers requests.
+/// Time after which an announced fencing token expires unless it is announced again, in seconds.
+/// It is longer than the time for which a former leader still answers requests.
 const ANNOUNCEMENT_EXPIRY_S: f64 = 90.0;
 /// Maximum age of a frame that still shows the state of its sender, in seconds.
 const MAX_FRAME_AGE_S: f64 = 3.0;
--- a/crates/controller/src/progress/completion.rs
+++ b/crates/controller/src/progress/completion.rs
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Merges the stored digits of a chunk into it. The chunk stays dirty if it has done tasks that
-    /// the key-value store has not recorded.
+    /// Merges the stored digits of a chunk into it. The chunk is dirty afterwards if it has done
+    /// tasks that the key-value store has not recorded.
     ///
     /// # Errors
     /// If `digits` are not pairs of hexadecimal digits.
--- a/crates/controller/src/replica.rs
+++ b/crates/controller/src/replica.rs
@@ -153,8 +153,8 @@
         self.refresh_requested = true;
     }
 
-    /// Sends the calls that are due. `refresh` says that a request waits for a fresh replica,
-    /// `watch_changes` that it must receive each change without delay.
+    /// Sends the calls that are due. `refresh` is set if a request waits for a fresh replica, and
+    /// `watch_changes` if the replica must receive each change without delay.
     pub fn tick(
         &mut self,
         now: Time,
--- a/crates/controller/src/scheduler/persistence/tests.rs
+++ b/crates/controller/src/scheduler/persistence/tests.rs
@@ -25,9 +25,9 @@
 /// Pending changes that a controller has to write.
 #[derive(Clone, Debug)]
 struct Backlog {
-    /// Number of planned tasks of each job with tasks that no page lists yet.
+    /// Number of planned tasks of each job; no placement page lists them yet.
     planned_tasks: Vec<u32>,
-    /// Number of tasks of each job whose tasks are all done.
+    /// Number of tasks of each finished job.
     done_tasks: Vec<u32>,
     /// Number of unreferenced placement pages.
     unreferenced_pages: usize,
