--- a/crates/controller/src/fleet/machine_health.rs
+++ b/crates/controller/src/fleet/machine_health.rs
@@ -22,7 +22,7 @@
 /// Time without a report or an acknowledgement after which a machine is presumed dead in any case,
 /// in worker leases.
 const PRESUMED_DEAD_LEASES: f64 = 4.0;
-/// Greatest age of the last report of a machine that is adopted without having been listed, in
+/// Maximum age of the last report of a machine that is adopted without having been listed, in
 /// report intervals.
 const MAX_ADOPTION_REPORT_AGE_INTERVALS: f64 = 3.0;
 
@@ -192,8 +192,8 @@
             let silent_since = match last_heartbeat {
                 Some(at) => at,
                 // After a failover, a machine that was up and has not reported to this leader
-                // counts as unreachable since leadership acquisition, plus a grace period in
-                // which it finds the leader.
+                // counts as unreachable from the end of a grace period on, which begins with the
+                // leadership acquisition and allows the machine to find the leader.
                 None if instance.was_up(machine) => scheduler
                     .acquired_at()
                     .plus(FAILOVER_GRACE_S)
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -9,8 +9,8 @@
 use beamhinge_core::types::{FencingToken, JobId, Time};
 use std::collections::BTreeMap;
 
-/// Time after which an announced fencing token that was not announced again no longer counts, in
-/// seconds. It is longer than the time for which a former leader still answers requests.
+/// Time after which an announced fencing token expires unless it is announced again, in seconds.
+/// It is longer than the time for which a former leader still answers requests.
 const ANNOUNCEMENT_EXPIRY_S: f64 = 90.0;
 /// Maximum age of a frame that still shows the state of its sender, in seconds.
 const MAX_FRAME_AGE_S: f64 = 3.0;
@@ -46,7 +46,8 @@
 pub struct PeerStatus {
     /// Time since its last heartbeat arrived, in seconds.
     pub heartbeat_age_s: f64,
-    /// Time since the key-value store last answered it, by its last heartbeat, in seconds.
+    /// Time since the key-value store last answered it, according to its last heartbeat, in
+    /// seconds.
     pub store_age_s: f64,
     /// Whether it can take over leadership at once.
     pub ready: bool,
--- a/crates/controller/src/progress/completion.rs
+++ b/crates/controller/src/progress/completion.rs
@@ -106,8 +106,8 @@
         )
     }
 
-    /// Handles a sent transaction with the present state of the chunk. Tasks that end later make
-    /// the chunk dirty again.
+    /// Records that a transaction with the present state of the chunk was sent. Tasks that end
+    /// later make the chunk dirty again.
     pub(super) fn on_sent(&mut self, chunk: u32) {
         if let Some(chunk) = self.chunks.get_mut(&chunk) {
             chunk.in_flight = chunk.dirty;
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Merges the stored digits of a chunk into it. The chunk stays dirty if it has done tasks that
-    /// the key-value store has not recorded.
+    /// Merges the stored digits of a chunk into it. The chunk is dirty afterwards if it has done
+    /// tasks that the key-value store has not recorded.
     ///
     /// # Errors
     /// If `digits` are not pairs of hexadecimal digits.
--- a/crates/controller/src/replica.rs
+++ b/crates/controller/src/replica.rs
@@ -147,14 +147,14 @@
         self.fresh_as_of
     }
 
-    /// Makes the next [`tick`](Self::tick) refresh the replica, because the caller has found it
-    /// out of date.
+    /// Makes the next [`tick`](Self::tick) refresh the replica, because the caller has evidence
+    /// that it is out of date.
     pub fn request_refresh(&mut self) {
         self.refresh_requested = true;
     }
 
-    /// Sends the calls that are due. `refresh` says that a request waits for a fresh replica,
-    /// `watch_changes` that it must receive each change without delay.
+    /// Sends the calls that are due. `refresh` is set if a request waits for a fresh replica, and
+    /// `watch_changes` if the replica must receive each change without delay.
     pub fn tick(
         &mut self,
         now: Time,
@@ -218,8 +218,8 @@
                 }
             }
         }
-        // A watch that was sent before a new scan does not extend the result of that scan: the
-        // next watch starts from the revision of the scan.
+        // Ignore the response to a watch that was sent before a new scan: the next watch starts
+        // from the revision of that scan.
         if call != ReplicaCall::Scan && !self.loaded {
             return ReplicaUpdate::without_changes(Freshness::Unchanged);
         }
