--- a/crates/controller/src/scheduler/aging.rs
+++ b/crates/controller/src/scheduler/aging.rs
@@ -18,7 +18,8 @@
 use beamhinge_core::types::{JobId, MachineId, TaskId, Time, WallMs};
 use beamhinge_priority_aging::{earliest_fit_s, PriorityLane, Reservation, RunningTask};
 
-/// One machine out of this number may be reserved for starving jobs, and at least one in total.
+/// In each cycle, at most one starving job per this number of machines, and at least one, may get
+/// a reservation.
 const MACHINES_PER_STARVING_RESERVATION: usize = 20;
 
 impl Scheduler {
@@ -73,7 +74,8 @@
         lane
     }
 
-    /// Places tasks of boosted jobs up to the width of the priority lane.
+    /// Places tasks of boosted jobs, or reserves machines for them, up to the width of the priority
+    /// lane.
     pub(super) fn fill_priority_lane(
         &mut self,
         now: Time,
@@ -113,9 +115,9 @@
         cycle.filling_priority_lane = false;
     }
 
-    /// For each starving job whose first task fits on no machine, reserves the machine that will
-    /// have enough free capacity first. Otherwise smaller tasks would use up all capacity as soon
-    /// as it becomes free.
+    /// For each starving job without a placed task, reserves the machine that will have enough free
+    /// capacity first, up to the limit of [`MACHINES_PER_STARVING_RESERVATION`]. Otherwise smaller
+    /// tasks would use up all capacity as soon as it becomes free.
     pub(super) fn reserve_for_starving(
         &mut self,
         now: Time,
@@ -294,8 +296,8 @@
         owner != id && !ends_in_time
     }
 
-    /// Whether a task counts as boosted. A boosted task is not preempted for jobs whose urgency is
-    /// at most the ceiling.
+    /// Whether a task counts as boosted. A boosted task is preempted only for claims within a
+    /// guarantee and for jobs whose urgency is above the ceiling.
     pub(super) fn is_boosted(&self, wall: WallMs, allocation: &Allocation, job: &Job) -> bool {
         let boosted_by_age = || {
             self.boosted_at_ms(&job.spec)
--- a/crates/controller/src/scheduler/demand.rs
+++ b/crates/controller/src/scheduler/demand.rs
@@ -10,7 +10,7 @@
 const OVERRUN_FRACTION: f64 = 0.25;
 
 impl Scheduler {
-    /// Demand of all open jobs that are not frozen.
+    /// Demand of all unfinished open jobs that are not frozen.
     pub fn demands(&self, wall: WallMs) -> Vec<Demand> {
         self.jobs
             .iter()
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Adds a machine's CPUs to `pool` as pairs of the seconds until they become free and their
-    /// number.
+    /// Adds a machine's CPUs to `pool`, as pairs of the seconds until the CPUs become free and the
+    /// number of CPUs. CPUs of services are left out.
     pub fn capacity_over_time(
         &self,
         now: Time,
--- a/crates/controller/src/scheduler/job.rs
+++ b/crates/controller/src/scheduler/job.rs
@@ -46,9 +46,12 @@
     pub(super) state: JobState,
     /// Which of its tasks are done.
     pub(super) progress: JobProgress,
-    /// All tasks below this index have been placed before.
+    /// Index from which [`Job::next_task`] searches for a task that was never placed. Each task
+    /// below it is done, or was allocated, orphaned or due for a retry before; so may be tasks from
+    /// it on.
     pub(super) next_unstarted: u32,
-    /// Tasks that ended without completing, and when each may be retried.
+    /// Tasks whose last attempt ended or was withdrawn without completing them, and when each may
+    /// be retried.
     pub(super) retry_at: BTreeMap<u32, Time>,
     /// Number of allocations and orphan tasks, by index of the task.
     pub(super) attempts_by_task: BTreeMap<u32, u32>,
--- a/crates/controller/src/scheduler/machine.rs
+++ b/crates/controller/src/scheduler/machine.rs
@@ -38,7 +38,7 @@
     pub(super) last_answered: Option<Time>,
     /// Its last report followed the previous one in time. A worker that receives no answers
     /// rotates through all controllers, so it reports to each one only rarely: it looks reachable
-    /// right after a report, but is not until the next one.
+    /// right after a report, but counts as unreachable again before the next one.
     pub(super) reports_regularly: bool,
 }
 
@@ -185,7 +185,8 @@
         self.identity.endpoint
     }
 
-    /// Time of its last heartbeat in this term; `None` before the first one.
+    /// Time of its last heartbeat in this term; `None` before the first one, and after the cloud
+    /// has confirmed the termination of the machine.
     pub fn last_heartbeat(&self) -> Option<Time> {
         self.liveness.last_heartbeat
     }
--- a/crates/controller/src/scheduler/nomination.rs
+++ b/crates/controller/src/scheduler/nomination.rs
@@ -18,19 +18,20 @@
     /// Index into the upcoming exits of the cycle.
     index: usize,
     has_image: bool,
-    /// Time until the first expected exit that frees enough capacity, in seconds.
+    /// Time until the first expected exit that alone frees enough CPUs, in seconds.
     remaining_s: f64,
 }
 
 impl Scheduler {
-    /// The period within which task exits are predicted, in seconds. It is as long as a machine
-    /// stands idle if it gets work only after its next report.
+    /// The period within which task exits are predicted, in seconds. A machine that gets new work
+    /// only after its next report may be idle for as long as this.
     pub(super) fn exit_prediction_horizon_s(&self) -> f64 {
         self.report_s * 2.0 + 1.0
     }
 
-    /// Turns nominations whose tasks fit by now into ordinary allocations, and returns tasks that
-    /// have waited too long to the queue, which is safe because `run` was never sent for them.
+    /// Turns nominations whose tasks fit by now into ordinary allocations. Tasks that have waited
+    /// too long, and not for victims to end, return to the queue, which is safe because `run` was
+    /// never sent for them.
     pub(super) fn settle_nominations(&mut self, now: Time, machine_types: &[MachineType]) {
         let max_wait_s = self.exit_prediction_horizon_s() * 2.0;
         let mut expired = Vec::new();
@@ -150,7 +151,7 @@
         {
             return None;
         }
-        // One exit alone must free enough capacity, regardless of other changes.
+        // One exit alone must free enough CPUs, whatever else happens on the machine.
         let resources = resources_of(spec);
         let remaining_s = upcoming
             .exits
--- a/crates/controller/src/scheduler/preemption.rs
+++ b/crates/controller/src/scheduler/preemption.rs
@@ -173,8 +173,8 @@
             self.may_nominate(now, cycle, preemptor, id)
                 && excluded_machines.is_none_or(|machines| !machines.contains(id.number()))
         };
-        // Tasks for which exits in time suffice wait for these. A guarantee claim does not, as it
-        // has no time to wait.
+        // Tasks wait for expected exits that free enough capacity in time, instead of preempting.
+        // A guarantee claim has no time for that.
         if claim.reason != PreemptionReason::Guarantee {
             remaining_tasks -= plan.candidates.reserve_expected_exits(
                 resources,
--- a/crates/controller/src/scheduler/queue.rs
+++ b/crates/controller/src/scheduler/queue.rs
@@ -15,14 +15,16 @@
 
 /// Time within which the largest jobs of a class have to start, seconds.
 const MAX_START_DELAY_S: f64 = 240.0;
-/// Fraction of [`MAX_START_DELAY_S`] after which such a job counts as starving and goes first.
+/// Fraction of [`MAX_START_DELAY_S`] after which such a job counts as starving and ranks with
+/// critical jobs.
 const STARVATION_FRACTION: f64 = 0.6;
 /// Fraction of the size of the largest job of a class from which a job counts as large.
 const LARGE_JOB_FRACTION: f64 = 0.75;
 /// Fraction of the time to its objective during which a job leaves machines without its image to
 /// jobs whose image is cached there.
 const PATIENT_FRACTION: f64 = 0.7;
-/// Fraction of a job's expected run time: with less time left to its deadline, it cannot meet it.
+/// Fraction of its expected run time: a job with less time left until its deadline counts as unable
+/// to meet it.
 const LATE_FRACTION: f64 = 0.7;
 
 /// Which objectives a pending job can still meet.
@@ -112,7 +114,7 @@
     }
 
     /// Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
-    /// They do not wait for other teams.
+    /// They need not wait for jobs of other teams.
     pub(super) fn guaranteed_jobs(&self) -> BTreeSet<JobId> {
         let mut guaranteed = BTreeSet::new();
         if self
@@ -228,10 +230,10 @@
         }
     }
 
-    /// Whether the job is one of the largest of its class and might not start within
-    /// [`MAX_START_DELAY_S`]. Such a job starts first, because ordering by urgency and least
-    /// remaining work alone would always put it last. It starts with a single task: starting all of
-    /// its tasks lowered `loss` in the prairie-fleet scenario from 0.69 to 0.61 and 0.63.
+    /// Whether the job is one of the largest of its class, has neither active nor done tasks, and
+    /// might not start within [`MAX_START_DELAY_S`]. Such a job ranks with critical jobs, because
+    /// ordering by urgency and least remaining work alone would always put it last. It starts with
+    /// a single task: starting all of its tasks first led to worse results overall.
     fn is_starving(&self, job: &Job, age: f64) -> bool {
         let spec = &job.spec;
         let largest = || {
@@ -268,8 +270,8 @@
 /// Among jobs that miss their deadline, the longest goes first, so that no long job runs alone at
 /// the end. Among jobs that can meet their deadline, the one with the least remaining work goes
 /// first, which maximizes the number of jobs on time when not all can be; in classes with a wait
-/// objective, the one with the earliest deadline does. Job arrays without a deadline stay in order
-/// of submission.
+/// objective, the one with the earliest deadline does. Jobs without a deadline stay in order of
+/// submission.
 fn order_in_rank(
     job: &Job,
     run_s: f64,
--- a/crates/controller/src/scheduler/reconciliation.rs
+++ b/crates/controller/src/scheduler/reconciliation.rs
@@ -27,8 +27,8 @@
 /// out are sent with the next answer.
 const MAX_COMMANDS: usize = 400;
 
-/// Minimum interval between two reports of a worker, in seconds, less an allowance for variation
-/// of the network latency.
+/// Minimum interval between the arrivals of two reports of a worker, in seconds. Workers leave at
+/// least half a second between reports; the difference allows for varying network latency.
 const MIN_REPORT_INTERVAL_S: f64 = 0.4;
 
 /// Time after which a worker without an answer switches to the next controller, in seconds.
--- a/crates/controller/src/scheduler/reconciliation/direct_calls.rs
+++ b/crates/controller/src/scheduler/reconciliation/direct_calls.rs
@@ -99,8 +99,8 @@
     }
 }
 
-/// The call that probes an unreachable machine; `None` if it has never reported or has no known
-/// endpoint.
+/// The call that probes an unreachable machine; `None` if its worker has neither reported nor
+/// responded in this term, or has no known endpoint.
 fn probe_call(id: MachineId, machine: &Machine) -> Option<DirectCall> {
     let acknowledgement = &machine.acknowledgement;
     let newest = acknowledgement
--- a/crates/controller/src/scheduler/reconciliation/lease_expiry.rs
+++ b/crates/controller/src/scheduler/reconciliation/lease_expiry.rs
@@ -64,8 +64,9 @@
     }
 
     /// Guard 3, silence: a worker whose last answered report is more than `lease_s` old has
-    /// killed all its tasks. This controller's last answer gives the upper bound of that time;
-    /// after a failover the earlier leader's answers do.
+    /// killed all its tasks. That report was sent before this controller's last answer, so the
+    /// lease is counted from that answer; after a failover it is counted from the latest time at
+    /// which an earlier leader may have answered.
     pub(in crate::scheduler) fn check_reachability(&mut self, now: Time) {
         let UnreachableSurvey { unsent, outcomes } = self.survey_unreachable(now);
         for (machine, task) in unsent {
@@ -132,9 +133,9 @@
             return;
         };
         let allocations = &machine.resident.allocations;
-        // A `run` that was sent shortly before the machine became unreachable, and whose task was
-        // never listed, counts as unacknowledged: if the worker's next incarnation reports, the
-        // answer with the `run` did not arrive.
+        // A `run` whose task was never listed counts as unacknowledged, as it would on the first
+        // report of the worker's next incarnation. It is recorded here because the allocations are
+        // released below, before that report can arrive.
         let is_sent = |a: &Allocation| matches!(a.state, TaskState::RunSent(_));
         if allocations.values().any(is_sent) {
             let tracker = &mut machine.acknowledgement.tracker;
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -79,7 +79,7 @@
 }
 
 /// A leader that had not loaded the placement pages, or whose fencing token the worker had not
-/// reported yet, renewed the leases of cancelled tasks without killing them, for H from its own
+/// reported yet, renewed the leases of cancelled tasks without killing them, for H from its
 /// leadership acquisition.
 #[test]
 fn answer_that_renews_a_lease_kills_tasks_of_cancelled_jobs() {
@@ -395,7 +395,7 @@
                 remaining.is_none(),
                 expect_released || (fault_injected && state == run_sent && incarnation == 2)
             );
-            assert_eq!(machine.liveness.last_answered, Some(at(NOW)), "unreachable");
+            assert_eq!(machine.liveness.last_answered, Some(at(NOW)), "not renewed");
             assert_eq!(machine.liveness.last_heartbeat, Some(at(NOW)));
             // A report that was sent earlier is still answered, but its task list is outdated.
             if expect_released && incarnation == 1 {
--- a/crates/controller/src/scheduler/victims.rs
+++ b/crates/controller/src/scheduler/victims.rs
@@ -19,14 +19,14 @@
 
 /// Fraction of its expected run time up to which a task counts as only just started.
 pub(super) const EARLY_RUN_FRACTION: f64 = 0.15;
-/// Fraction of the capacity that is divided among the tenants as their reserved capacity.
+/// Fraction of the usable capacity that is reserved for tenants and divided among them.
 const RESERVED_FRACTION: f64 = 0.25;
 /// Run time that a preemption costs a task with checkpoints, in addition to the time to write the
 /// checkpoint: its image is fetched and the task is started again.
 const RESTART_S: f64 = 5.0;
 /// Fraction of its expected run time that a task is assumed to have run when that is unknown.
 const UNKNOWN_RUN_FRACTION: f64 = 0.5;
-/// Lower bound of the period within which task exits are predicted.
+/// Minimum period within which a survey predicts task exits, seconds.
 const MIN_EXIT_HORIZON_S: f64 = 60.0;
 
 /// Why a job may have other tasks preempted.
@@ -82,7 +82,7 @@
     checkpoints: bool,
     remaining_s: f64,
     guaranteed: bool,
-    /// Its run time so far is known. It is not for tasks that started before a failover.
+    /// Its run time so far is known. It is unknown for tasks inherited from an earlier leader.
     run_time_known: bool,
     /// It was preempted too often and must not be preempted again now.
     protected: bool,
@@ -338,12 +338,13 @@
                 team: allocation.team,
                 class: spec.class.clone(),
             },
-            // After a failover the age of inherited tasks is unknown. A claim with a wait
-            // objective may still preempt them until `ran_s` exceeds the limit. They are charged
-            // half their run time, so tasks that are known to be young are preempted first. When
-            // inherited tasks counted as the youngest, they were preempted first; when they
-            // counted as old, a burst of jobs after a failover got no capacity. Idle-time tasks
-            // are excluded, since too many of them would be preempted on an assumption.
+            // After a failover the age of inherited tasks is unknown, and `ran_s` counts from when
+            // this leader first saw them running. Until it exceeds the limit, `Wait` claims may
+            // preempt them. Without checkpoints, the assumed loss is half their run time, so that
+            // tasks that are known to be young are preempted first. When inherited tasks counted
+            // as the youngest, they were preempted first; when they counted as old, a burst of
+            // jobs after a failover got no capacity. Inherited idle-time tasks never count as just
+            // started: there are too many of them to preempt them on an assumption.
             only_just_started: ran_s < run_s * EARLY_RUN_FRACTION
                 && (!allocation.inherited || !idle_time),
             idle_time,
@@ -372,7 +373,7 @@
         }
     }
 
-    /// Divides the capacity of the machines that each tenant's jobs fit on among the tenants.
+    /// Computes the reserved capacity of each tenant from the machines that its open jobs fit on.
     fn reserve_for_tenants(
         &self,
         machine_types: &[MachineType],
