--- a/crates/controller/src/scheduler/feasibility.rs
+++ b/crates/controller/src/scheduler/feasibility.rs
@@ -128,7 +128,7 @@
         ];
         conditions
             .into_iter()
-            .find(|(holds, _)| *holds)
+            .find(|(applies, _)| *applies)
             .map(|(_, reason)| reason)
     }
 }
