--- a/crates/controller/src/scheduler/explain.rs
+++ b/crates/controller/src/scheduler/explain.rs
@@ -195,7 +195,8 @@
     }
 
     /// Adds the reasons why tasks of the job have no machine. Conditions are checked in the order
-    /// of a scheduling cycle, up to the first that applies.
+    /// of a scheduling cycle, up to the first that applies. A lack of free capacity is reported
+    /// with the aging of the job and the jobs ahead of it.
     fn explain_wait(
         &self,
         now: Time,
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -318,6 +318,7 @@
     }
 
     /// Number of machines that report on time, and of machines that may have tasks but do not.
+    /// Machines whose worker rotates through the controllers are in neither.
     pub fn reachability_counts(&self, now: Time) -> (u32, u32) {
         let timeout_s = self.report_s * 2.5 + 2.0;
         let (mut reporting, mut unreachable) = (0, 0);
--- a/crates/controller/src/scheduler/victims.rs
+++ b/crates/controller/src/scheduler/victims.rs
@@ -34,7 +34,7 @@
 pub(super) enum PreemptionReason {
     /// The job is within its team's guarantee.
     Guarantee,
-    /// The job's class has an objective for the waiting time.
+    /// The job's class has a wait objective.
     Wait,
     /// The job is at risk of being late, and idle-time tasks use the capacity it needs.
     Deadline,
