--- a/crates/controller/src/configuration.rs
+++ b/crates/controller/src/configuration.rs
@@ -93,7 +93,8 @@
     change: ConfigurationChange,
     /// Name of the operator's key.
     by: String,
-    /// CPUs of all machines as known to the leader; `None` on other controllers.
+    /// CPUs of the reachable machines; `None` if this controller is not the leader or has not
+    /// loaded its state yet.
     fleet_cpus: Option<f64>,
 }
 
--- a/crates/controller/src/faults.rs
+++ b/crates/controller/src/faults.rs
@@ -11,11 +11,11 @@
     /// A transaction may contain twice the allowed number of conditions, and after the
     /// key-value store rejects it as malformed the same transaction is built again.
     pub unbounded_transactions: bool,
-    /// An unreachable machine is presumed dead after the timeout alone, as long as most
-    /// machines are reachable.
+    /// An unreachable machine is presumed dead after the timeout alone, as long as fewer than half
+    /// of the machines are unreachable.
     pub silence_proves_death: bool,
-    /// Preemption frees capacity on scattered machines, counts only CPUs, and does not
-    /// nominate the freed capacity for the job that it preempted for.
+    /// Preemption adds up the freed CPUs over the whole fleet instead of on one machine, ignores
+    /// other resources, and does not reserve the freed capacity for the job.
     pub scattered_preemption: bool,
     /// Guard 4 disabled: a leader that cannot reach the key-value store keeps answering its
     /// workers without a time limit.
@@ -30,8 +30,9 @@
     /// Guard 3 disabled: a task missing from a report counts as ended even if the worker has
     /// not yet reported this leader's fencing token.
     pub absence_proof_without_token: bool,
-    /// Guard 3 disabled: after a failover, worker leases are assumed to date only from this
-    /// leader's own answers; leases that the previous leader renewed are ignored.
+    /// Guard 3 disabled: after a failover, the leases of workers are counted from the leadership
+    /// acquisition or from this leader's answers; renewals by an earlier leader that still
+    /// answers after the acquisition are ignored.
     pub silence_from_local_replies: bool,
     /// Guard 3 disabled: reports that are not newer than the last one are processed like new
     /// reports.
@@ -59,13 +60,13 @@
     pub first_report_proves_life: bool,
     /// The end of a job is not announced to the other controllers.
     pub job_ends_not_announced: bool,
-    /// A rental request with unknown outcome is retried under a new machine name, so it is not
-    /// idempotent.
+    /// A rental request with unknown outcome is retried under a new rental name, so the retry is
+    /// not idempotent and may rent machines twice.
     pub rental_retried_under_new_name: bool,
-    /// A new leader takes over the tasks of cancelled jobs from the placement pages like those
-    /// of open jobs.
+    /// A new leader loads the tasks of cancelled jobs from the placement pages like those of open
+    /// jobs, and does not mark them to be stopped.
     pub cancelled_tasks_inherited: bool,
-    /// Idle machines are returned to the cloud although this controller's own link is suspected
+    /// Idle machines are returned to the cloud although this controller's local link is suspected
     /// to be down.
     pub machines_returned_while_link_down: bool,
     /// A task whose `run` was sent only just now counts as ended if the reply to a direct
--- a/crates/controller/src/fleet/admin_views.rs
+++ b/crates/controller/src/fleet/admin_views.rs
@@ -56,8 +56,8 @@
 }
 
 impl Fleet {
-    /// Explains a pending job: machines that boot or are requested for it, refusals and drains that
-    /// keep machines from it, and its split between machine classes.
+    /// Explains a pending job: booting and requested machines that could run its tasks, refused
+    /// rentals and drains that keep such machines from it, and its split between machine classes.
     pub fn explain_pending_job(
         &self,
         now: Time,
--- a/crates/controller/src/fleet/cloud_calls.rs
+++ b/crates/controller/src/fleet/cloud_calls.rs
@@ -27,7 +27,7 @@
     Catalog,
     /// Reads the next page of the machine list.
     ListMachines,
-    /// Rents machines; holds the rental's name.
+    /// Rents machines for the rental with this name.
     ScaleOut(String),
     /// Releases machines.
     ScaleIn(Vec<MachineId>),
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Updates the machine types in place. Machines refer to types by index, so known types keep
-    /// their position and new ones are appended.
+    /// Updates the machine types from the catalog. Machines refer to types by index, so the entry of
+    /// a known type is replaced in its position, including its prices, and new types are appended.
     fn update_machine_types(&mut self, catalog: Catalog) {
         let offered = catalog.machine_types.into_iter().map(MachineType::from);
         if self.machine_types.is_empty() {
--- a/crates/controller/src/node/admin/views.rs
+++ b/crates/controller/src/node/admin/views.rs
@@ -14,7 +14,8 @@
 /// Maximum age of a peer's last heartbeat, and of its last exchange with the key-value store, for
 /// the peer to count as ready, seconds.
 const MAX_READY_AGE_S: f64 = 3.0;
-/// A peer that reports an older last exchange with the key-value store never had one, seconds.
+/// Reported age of the last exchange with the key-value store above which a peer has never had
+/// one, seconds.
 const MAX_REPORTED_STORE_AGE_S: f64 = 1e5;
 
 impl Node {
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -55,9 +55,9 @@
 const MAX_NONCES: usize = 8_192;
 /// Maximum number of rounds of [`Node::run`] per event. Remaining work is done at the next event.
 const MAX_ROUNDS: usize = 4;
-/// Share of the leader's write rate that job admission may use while placements or task ends
-/// wait to be written. Each admitted job costs the leader another write when it ends, and a row
-/// for its tasks.
+/// Fraction of the leader's write rate that job admissions may use while writes of the scheduler,
+/// such as placements and ends of jobs, are queued. Each admitted job costs the leader another
+/// write when it ends, and a row for its tasks.
 const LEADER_ADMISSION_SHARE: f64 = 0.3;
 
 /// A controller process.
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -276,8 +276,8 @@
 
     /// Handles a peer's announcement that these jobs have ended and that a user was told so. The
     /// announcement does not change the replica: waiting requests for these jobs are answered
-    /// from a replica that is fresher than the announcement, so that a user who was told the end
-    /// by the peer gets no older state from this controller.
+    /// from a replica that is fresher than the announcement, so that a user to whom the peer
+    /// reported the end gets no older state from this controller.
     pub fn on_end_announced(&mut self, now: Time, jobs: impl Iterator<Item = JobId>) {
         let jobs: BTreeSet<JobId> = jobs.collect();
         for waiting in self.waiting.iter_mut().filter(|w| jobs.contains(&w.job)) {
@@ -285,8 +285,8 @@
         }
     }
 
-    /// Takes the jobs whose end was told to a user during this event; the caller announces them
-    /// to the peers.
+    /// Takes the jobs whose end was reported to a user during this event; the caller announces
+    /// them to the peers.
     pub fn take_ended_jobs(&mut self) -> Vec<JobId> {
         self.announcements.take_unsent()
     }
--- a/crates/controller/src/user_api/announcements.rs
+++ b/crates/controller/src/user_api/announcements.rs
@@ -11,7 +11,7 @@
 /// within the seconds for which a request may wait.
 pub(super) const MAX_RECENT: usize = 512;
 
-/// Ended jobs whose end was told to a user.
+/// Ended jobs whose end was reported to a user.
 #[derive(Default)]
 pub(super) struct EndAnnouncements {
     /// Jobs not yet announced to the peers.
@@ -21,7 +21,7 @@
 }
 
 impl EndAnnouncements {
-    /// Records that a user is told the end of this job.
+    /// Records that the end of this job is reported to a user.
     pub(super) fn announce(&mut self, id: JobId) {
         if self.recent.contains(&id) {
             return;
--- a/crates/controller/src/worker_protocol.rs
+++ b/crates/controller/src/worker_protocol.rs
@@ -79,8 +79,8 @@
 }
 
 impl ReportedTask {
-    /// Whether the task ever occupied the machine. A refused task did not; an exited task with an
-    /// unknown cause, or none, may not have.
+    /// Whether the task is known to have occupied the machine at some time. A refused task did not;
+    /// an exited task with an unknown cause, or none, may not have.
     pub(crate) fn occupied_machine(&self) -> bool {
         self.status != ReportedStatus::Exited
             || matches!(
