--- a/crates/controller/src/leader_election.rs
+++ b/crates/controller/src/leader_election.rs
@@ -235,11 +235,14 @@
             .filter(|label| *label != self.identity.label)
     }
 
-    /// Ends the term because another controller has written the block key: a worker reported a
-    /// higher fencing token, or a comparison with the key failed.
+    /// Ends the term of this controller, if it has one. The term ends because this controller steps
+    /// down, or because another controller has acquired the leadership: a worker or peer reported a
+    /// higher fencing token, a comparison with the block key failed, or the leadership key names
+    /// another controller. The known state of both keys is discarded, so that they are read again
+    /// before the next acquisition.
     ///
     /// Guard 1: after this call, no request of a worker is answered with status 200.
-    pub fn end_superseded_term(&mut self, now: Time) -> LeadershipChange {
+    pub fn end_term(&mut self, now: Time) -> LeadershipChange {
         let Some(token) = self.token.take() else {
             return LeadershipChange::Unchanged;
         };
@@ -266,7 +269,7 @@
             return LeadershipChange::Unchanged;
         }
         self.claims.term_ending_token = token;
-        self.end_superseded_term(now)
+        self.end_term(now)
     }
 
     /// Ends the term because other controllers are better able to lead: revokes the lease at
@@ -277,7 +280,7 @@
         }
         self.revoke_lease(now, store);
         self.yield_until = now.plus(YIELD_S);
-        self.end_superseded_term(now)
+        self.end_term(now)
     }
 
     /// Starts a transfer of leadership: revokes the lease so that another controller can
--- a/crates/controller/src/leader_election/replies.rs
+++ b/crates/controller/src/leader_election/replies.rs
@@ -108,7 +108,7 @@
             record.owner != self.identity && record.owner.label != self.identity.label
         });
         if another_leads && self.token.is_some() {
-            return self.end_superseded_term(now);
+            return self.end_term(now);
         }
         LeadershipChange::Unchanged
     }
@@ -196,7 +196,7 @@
             }
             Outcome::LeaseNotFound => self.lease.id = None,
             Outcome::Conflict(failed) if failed.iter().any(|key| key == BLOCK_KEY) => {
-                return self.end_superseded_term(now);
+                return self.end_term(now);
             }
             _ => self.invalidate_keys(now),
         }
@@ -212,7 +212,7 @@
         self.block.check_in_flight = false;
         match outcome {
             Outcome::Ok(_) => self.confirm_block(sent_at),
-            Outcome::Conflict(_) => return self.end_superseded_term(now),
+            Outcome::Conflict(_) => return self.end_term(now),
             _ => {}
         }
         LeadershipChange::Unchanged
--- a/crates/controller/src/leader_election/tests.rs
+++ b/crates/controller/src/leader_election/tests.rs
@@ -57,7 +57,7 @@
         election.on_token_claim(now, 20),
         LeadershipChange::Unchanged
     );
-    assert_eq!(election.end_superseded_term(now), LeadershipChange::Lost);
+    assert_eq!(election.end_term(now), LeadershipChange::Lost);
     acquire(&mut election, 23, now);
     assert_eq!(election.on_token_claim(now, 25), LeadershipChange::Lost);
 }
--- a/crates/controller/src/node/replies.rs
+++ b/crates/controller/src/node/replies.rs
@@ -115,7 +115,7 @@
                 self.job_store.request_refresh();
             }
             CommitOutcome::LeadershipLost => {
-                let change = self.election.end_superseded_term(now);
+                let change = self.election.end_term(now);
                 self.on_leadership_change(now, change);
             }
         }
