--- a/crates/controller/src/fleet/cloud_calls.rs
+++ b/crates/controller/src/fleet/cloud_calls.rs
@@ -199,8 +199,9 @@
         }
     }
 
-    /// Updates the machine types from the catalog. Machines refer to types by index, so the entry of
-    /// a known type is replaced in its position, including its prices, and new types are appended.
+    /// Updates the machine types from the catalog. Machines refer to types by index, so the entry
+    /// of a known type is replaced in its position, including its prices, and new types are
+    /// appended.
     fn update_machine_types(&mut self, catalog: Catalog) {
         let offered = catalog.machine_types.into_iter().map(MachineType::from);
         if self.machine_types.is_empty() {
--- a/crates/controller/src/fleet/instance.rs
+++ b/crates/controller/src/fleet/instance.rs
@@ -96,8 +96,8 @@
     /// When a list last named it; `None` if none has.
     pub(super) listed_at: Option<Time>,
     pub(super) endpoint: Option<SocketAddrV4>,
-    /// Provided by the operators, not rented by the service. It is kept for the configured idle
-    /// time, without regard to the minimum charge of rentals.
+    /// Provided by the operators, not rented by the service. When idle, it is kept for the
+    /// configured idle time, without regard to the minimum charge of rentals.
     pub(super) owned: bool,
     /// Number of consecutive complete lists that omit it although they must show it.
     pub(super) missed_listings: u32,
--- a/crates/controller/src/node/admin/views.rs
+++ b/crates/controller/src/node/admin/views.rs
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Builds a job's row from the replica and the leader's progress reports.
+    /// Builds a job's row from the replica and the task counts, which are those of this
+    /// controller's scheduler or, on a follower, of the leader's progress reports.
     fn job_row(&self, wall: WallMs, id: JobId, entry: &JobEntry) -> JobRow {
         let counts = match entry.state {
             JobState::Open => self
--- a/crates/controller/src/user_api/cancellations.rs
+++ b/crates/controller/src/user_api/cancellations.rs
@@ -40,7 +40,8 @@
         store: &mut StoreClient<Tag>,
         out: &mut Vec<Effect>,
     ) {
-        // Jobs with the final state to answer; `None` if the job could not be cancelled in time.
+        // Jobs with the final state to answer; `None` if the job was not cancelled in time, does
+        // not fit into a transaction or is unknown, which is answered 503.
         let mut settled = Vec::new();
         for (id, cancellation) in &mut self.cancellations {
             if cancellation.in_flight || now < cancellation.retry_at {
--- a/crates/controller/src/user_api/pending_submissions.rs
+++ b/crates/controller/src/user_api/pending_submissions.rs
@@ -262,8 +262,9 @@
         }
     }
 
-    /// Handles a transaction that failed because some of its jobs exist already: the requests of
-    /// those are answered with the job's current state. The other jobs are retried.
+    /// Handles a transaction that failed because some of its jobs exist already. The requests of
+    /// those wait for a fresh replica and are answered with the job's current state. The other jobs
+    /// are retried.
     fn on_accept_conflict(&mut self, now: Time, ids: Vec<JobId>, conflicting: &[String]) {
         for id in ids {
             let exists = conflicting.contains(&job_store::key(id));
