--- a/crates/controller/src/node/admin/views.rs
+++ b/crates/controller/src/node/admin/views.rs
@@ -96,7 +96,7 @@
     }
 
     /// Builds a job's row from the replica and the task counts, which are those of this
-    /// controller's scheduler or, on a follower, of the leader's progress reports.
+    /// controller's scheduler or, if it has none for the job, of the leader's progress reports.
     fn job_row(&self, wall: WallMs, id: JobId, entry: &JobEntry) -> JobRow {
         let counts = match entry.state {
             JobState::Open => self
