--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -73,7 +73,8 @@
   beamhinge submit --team home --wait -- sh -c 'date; hostname'
   beamhinge submit --file job.toml --wait
 
-A file uses the names of the flags, with underscores:
+A file uses the names of the flags, with underscores, except job (--id), kind = \"standing\"
+(--standing), shapes (a list), spot = false (--no-spot) and command (a shell command line):
   team = \"home\"
   tasks = 20
   cpus = 0.5
@@ -115,9 +116,9 @@
     Splits,
     /// Take a machine, a machine type, a zone or a controller out of service
     #[command(
-        after_help = "Running tasks may finish; with --within-s they are told early enough to save \
-a checkpoint and stop before that time has passed. An empty machine is returned to the cloud, or \
-kept with --keep. A drained controller hands leadership over to another.
+        after_help = "Running tasks may finish; with --within-s, tasks that still run are stopped \
+early enough to save a checkpoint before that time has passed. An empty machine is returned to \
+the cloud, or kept with --keep. A drained controller hands leadership over to another.
 
 Examples:
   beamhinge drain machine n-000007 --within-s 300 --note 'disk errors'
@@ -197,7 +198,7 @@
         #[arg(value_enum)]
         shell: clap_complete::Shell,
     },
-    /// Show which controllers and key are used, and the file that sets them
+    /// Show which controllers, key and configuration file are used
     #[command(after_help = "Example:\n  beamhinge config --context plant")]
     Config,
     #[command(hide = true)]
@@ -208,13 +209,14 @@
 
 #[derive(Args)]
 pub(crate) struct UpOptions {
-    /// Number of controllers: 1 or 3
+    /// Number of controllers, from 1 to 3
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=3))]
     pub(crate) nodes: u8,
     /// Number of machines present from the start
     #[arg(long, default_value_t = 2)]
     pub(crate) machines: u16,
-    /// Number of machines that can be rented in addition
+    /// Number of spot machines that can be rented in addition, rounded up to an even number; up
+    /// to half as many on-demand machines can be rented too
     #[arg(long, default_value_t = 6)]
     pub(crate) rentable: u16,
     /// Directory for state, logs and task output; kept across restarts of the cluster
@@ -267,7 +269,7 @@
     /// Place all tasks in one zone
     #[arg(long)]
     pub(crate) one_zone: bool,
-    /// Place at most half of the tasks in one zone
+    /// Place at most half of the tasks, rounded up, in one zone
     #[arg(long)]
     pub(crate) spread: bool,
     /// Do not use spot machines
@@ -338,7 +340,7 @@
     #[arg(value_enum)]
     pub(crate) kind: DrainKind,
     pub(crate) name: String,
-    /// Time by which tasks that have not ended are stopped, seconds
+    /// Seconds from now by which tasks that still run are stopped
     #[arg(long)]
     pub(crate) within_s: Option<f64>,
     /// Keep the machine when it is empty instead of returning it to the cloud
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -200,7 +200,7 @@
     }
 }
 
-/// Waits until a leader responds and returns the time that took; `None` if a signal arrived first.
+/// Waits until a leader responds and returns the elapsed time; `None` if a signal arrived first.
 fn wait_for_leader(
     client: &mut Client,
     cluster: &Cluster,
@@ -278,7 +278,7 @@
     Ok(())
 }
 
-/// Restarts controllers that exited unexpectedly, [`RESTART_DELAY`] after their exit.
+/// Restarts controllers that exited unexpectedly, [`RESTART_DELAY`] after the exit was noticed.
 fn restart_exited(
     cluster: &mut Cluster,
     exited: &mut Vec<(usize, Instant)>,
--- a/crates/dev-cluster/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -47,7 +47,7 @@
     /// Number of owned machines, all of one type.
     pub machines: usize,
     /// Number of spot machines that can be rented in each zone, in addition to the owned ones; half
-    /// as many on-demand machines can be rented.
+    /// as many on-demand machines, rounded down, can be rented too.
     pub rentable: u32,
     /// CPUs of a machine.
     pub cpus: f64,
--- a/crates/testbed/src/ageing.rs
+++ b/crates/testbed/src/ageing.rs
@@ -42,7 +42,7 @@
 ///
 /// For an hour one urgent job a second arrives, which is 1.6 times the capacity of the machines,
 /// then for hours as much urgent work as they can do. In addition a few lower-priority jobs arrive,
-/// some of which need a whole machine. The leader's process crashes in the middle.
+/// some of which need a whole machine. The leader's process crashes after two hours.
 fn night_scenario(seed: u64, hours: f64, ageing: PriorityAging) -> String {
     // One job a second; for a quick run a quarter as many jobs with four times as many tasks.
     let interval_s = if hours < 10.0 { 4 } else { 1 };
--- a/crates/testbed/src/configuration.rs
+++ b/crates/testbed/src/configuration.rs
@@ -73,9 +73,9 @@
         text.push_str("at 62 calm\n");
     }
     text.push_str("at 75 op last POST /v1/configuration ");
-    // Requests the limit of the settings again, so that all jobs can finish whichever changes were
-    // made. Version 999 is never in force, so the request is refused and limits may stay low: the
-    // day need not settle.
+    // Tries to restore the limit of the settings, so that all jobs can finish whichever changes
+    // were made. The request is based on version 999, which is never in force, so it is refused and
+    // the limit may stay low: the day need not settle.
     text.push_str(
         "{\"seen\":999,\"teams\":{\"one\":\"restore\"}}\nend 90\nunsettled limits stay low\n",
     );
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -36,7 +36,8 @@
     /// Log level of the controllers: error, info or debug; for a single day only
     #[arg(long, value_name = "LEVEL", requires = "day")]
     log: Option<String>,
-    /// Days with combined faults: the gap, and pairs and triples of faults triggered by events
+    /// Simulate days with combined faults: the cancellation gap (the key-value store refuses the
+    /// leader's requests, then is down), and pairs and triples of faults triggered by events
     #[arg(long, conflicts_with = "file")]
     meetings: bool,
     /// Disable a guard, or reintroduce an earlier bug, by its name; the days must detect it
--- a/crates/testbed/src/explain.rs
+++ b/crates/testbed/src/explain.rs
@@ -44,7 +44,8 @@
         })
     }
 
-    /// Submits a job of one task that runs for about a second, after `change`. Returns its name.
+    /// Submits a job of one task that runs for about a second, modified by `change`. Returns the
+    /// job's ID.
     fn submit_job(&mut self, change: impl FnOnce(&mut JobRequest)) -> Result<String, TestbedError> {
         self.last_job_number += 1;
         let mut job = JobRequest::new(format!("job-{:04}", self.last_job_number), "home");
--- a/crates/testbed/src/list.rs
+++ b/crates/testbed/src/list.rs
@@ -76,7 +76,7 @@
     total_s: f64,
 }
 
-/// Reads the whole list, page by page, while jobs are submitted before and behind the cursor.
+/// Reads the whole list, page by page, while other jobs are submitted.
 fn read_list(client: &mut Client) -> Result<Listing, TestbedError> {
     let mut listing = Listing {
         seen_jobs: BTreeSet::new(),
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -66,7 +66,8 @@
         #[arg(long)]
         open: bool,
     },
-    /// The operators' cluster size on this machine: real controllers, thousands of hollow workers
+    /// The operators' cluster size on this computer: real controllers, thousands of workers with
+    /// simulated tasks
     Scale(scale::Options),
     /// One process of a scale run
     #[command(hide = true)]
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -199,8 +199,8 @@
     let mut kill_times = Vec::new();
     thread::sleep(Duration::from_secs(2));
     for k in 0..kills {
-        // Every fourth kill takes down all controllers. Of the others, those with an even index take
-        // down the leader, if it is known, and the rest a random controller.
+        // Every fourth kill takes down all controllers. Of the others, those with an even index
+        // take down the leader, if it is known, and the rest a random controller.
         let all = k % 4 == 3;
         let leader = client
             .nodes()
--- a/crates/testbed/src/scale/figures.rs
+++ b/crates/testbed/src/scale/figures.rs
@@ -77,7 +77,8 @@
     pub state_changes_per_s: f64,
     pub state_requests_per_s: f64,
     pub lead_changes: u64,
-    /// The longest time without a task start, seconds, over the whole run after its first start.
+    /// The longest time without a task start between the first start and the end of the load,
+    /// seconds; the whole load if no task started.
     pub longest_without_start_s: f64,
     pub configuration: ConfigurationFigures,
     pub jobs: JobCounts,
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -12,7 +12,7 @@
 
 /// Interval between samples of all processes, seconds.
 const SAMPLE_INTERVAL_S: f64 = 1.0;
-/// Fraction of a core from which on the leader counts as busy.
+/// The leader counts as busy when it uses at least this fraction of a core.
 const BUSY_CORE_FRACTION: f64 = 0.8;
 /// Milliseconds per microsecond, the unit of the histograms.
 const MS_PER_US: f64 = 1e-3;
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -128,7 +128,7 @@
 /// `report out` and so on.
 pub(super) type Flows = BTreeMap<String, Flow>;
 
-/// What a user was told or did.
+/// Event of a job as its user sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum UserEvent {
     Accepted,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! The scale experiment: real controllers under load, on loopback and in real time.
+//! The scale experiment: controller processes under load, on loopback and in real time.
 //!
 //! Thousands of workers simulate their tasks with timers, and a few run them as processes. The
 //! workers, the emulated key-value store, the emulated cloud and the users each run in separate
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -27,8 +27,8 @@
 /// Time after which a submission or cancellation is no longer retried, seconds.
 const GIVE_UP_AFTER_S: f64 = 60.0;
 const POLL_INTERVAL_S: f64 = 5.0;
-/// An accepted job counts as forgotten when its user gets no response about it for this long,
-/// seconds.
+/// An accepted job counts as forgotten when its user gets no conclusive response about it for this
+/// long, seconds; errors that are retried don't count as responses.
 const FORGOTTEN_AFTER_S: f64 = 75.0;
 /// Number of connections from which users send requests.
 const CONNECTIONS: u64 = 512;
@@ -74,7 +74,7 @@
     in_flight: BTreeMap<CallId, InFlight>,
     next_call: u64,
     job_views: BTreeMap<u64, UserJobView>,
-    /// Accepted jobs that have not ended, and when their user last got a response.
+    /// Accepted jobs that have not ended, and when their user last got a conclusive response.
     last_response_at: BTreeMap<u64, Micros>,
     open_jobs: usize,
     rng: StdRng,
@@ -264,7 +264,8 @@
         self.on_final_answer(now, sent, request, status, &body);
     }
 
-    /// Reports accepted jobs whose user got no response for [`FORGOTTEN_AFTER_S`] as forgotten.
+    /// Reports accepted jobs whose user got no conclusive response for [`FORGOTTEN_AFTER_S`] as
+    /// forgotten.
     fn check_forgotten(&mut self, now: Micros) {
         let limit = (FORGOTTEN_AFTER_S * 1e6) as Micros;
         let forgotten: Vec<u64> = self
--- a/crates/testbed/src/scale/run/report.rs
+++ b/crates/testbed/src/scale/run/report.rs
@@ -9,7 +9,8 @@
 
 /// Typical delay between a job's submission and the start of its tasks, in report intervals.
 const START_DELAY_REPORTS: f64 = 1.5;
-/// Time after which the checker has all records and can process them in order, microseconds.
+/// Added to the current time at the end of a run so that the checker processes all pending
+/// records, microseconds; longer than the time for which it holds them for reordering.
 const REORDER_SLACK_US: u64 = 10_000_000;
 
 impl Run {
@@ -76,7 +77,8 @@
     }
 }
 
-/// The longest time between two seconds with task starts, or until the end of the run.
+/// Longest time between two seconds with task starts, or from the last start until `until`;
+/// `until` if nothing started.
 fn longest_gap_s(starts: &[(f64, f64)], until: f64) -> f64 {
     let mut times: Vec<f64> = starts
         .iter()
--- a/crates/testbed/src/scale/workload.rs
+++ b/crates/testbed/src/scale/workload.rs
@@ -150,7 +150,8 @@
         (self.run_s - URGENT_START_FRACTION * urgent_s) / (1.0 - URGENT_START_FRACTION)
     }
 
-    /// The job with this ID as the workers run it; `None` if the ID is not of this workload.
+    /// The job with this ID as the workers run it; `None` if the ID does not have the form
+    /// `job-NUMBER`.
     pub(super) fn job_plan(&self, id: &str, real: bool) -> Option<JobPlan> {
         let job = self.job(id.strip_prefix("job-")?.parse().ok()?);
         let command = real.then(|| format!("exec sleep {:.2}", job.run_s));
--- a/crates/testbed/tests/real.rs
+++ b/crates/testbed/tests/real.rs
@@ -68,8 +68,8 @@
     assert!(figures["healthy_returned"].as_u64() > Some(10), "{figures}");
 }
 
-/// A hundred hollow workers run beside real ones, and the leader is killed: the run must stay
-/// within its budgets and violate no rule.
+/// 100 workers run, of which 4 start tasks as processes and the others simulate them with timers.
+/// The leader is killed: the run must stay within its budgets and violate no rule.
 #[test]
 fn small_scale_run_stays_within_budgets_when_the_leader_is_killed() {
     let (code, figures) = run_experiment(&[
