--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -338,8 +338,8 @@
     values
         .iter()
         .map(|v| {
-            let part = if top > 0.0 { v / top } else { 0.0 };
-            BLOCKS[((part * 7.0).round() as usize).min(7)]
+            let fraction = if top > 0.0 { v / top } else { 0.0 };
+            BLOCKS[((fraction * 7.0).round() as usize).min(7)]
         })
         .collect()
 }
--- a/crates/testbed/src/admin_listener.rs
+++ b/crates/testbed/src/admin_listener.rs
@@ -322,13 +322,13 @@
             }
             readers.push(reader);
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let served = self.operator.summary().is_ok();
         self.checks.record(
             "other clients are served while slow readers are connected",
             served,
         );
-        let wait_s = began.elapsed().as_secs_f64();
+        let wait_s = started_at.elapsed().as_secs_f64();
         self.checks.record(
             "slow readers do not delay other clients",
             wait_s < MAX_WAIT_BESIDE_SLOW_READERS_S,
--- a/crates/testbed/src/ageing.rs
+++ b/crates/testbed/src/ageing.rs
@@ -192,7 +192,7 @@
 }
 
 /// Simulates all nights in parallel, each with and without aging.
-fn play_nights(
+fn simulate_nights(
     seeds: std::ops::Range<u64>,
     hours: f64,
     ageing: PriorityAging,
@@ -280,13 +280,13 @@
     if quick {
         (ageing.best_effort_s, ageing.standard_s) = (900.0, 300.0);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     if let Some(path) = &options.write {
         std::fs::write(path, night_scenario(seed, hours, ageing))?;
     }
     let policy = AgingPolicy::new(ageing);
     let (mut nights, mut failed) = (Vec::new(), Vec::new());
-    for night in play_nights(seed..seed + options.nights, hours, ageing)? {
+    for night in simulate_nights(seed..seed + options.nights, hours, ageing)? {
         let figures = Figures::new(&night, &policy)?;
         failed.extend(failures(&night, &figures));
         let Comparison {
@@ -315,6 +315,6 @@
     }
     Ok(
         json!({"ok": failed.is_empty(), "experiment": "ageing", "seed": seed, "hours": hours,
-        "nights": nights, "failed": failed, "real_s": began.elapsed().as_secs_f64().round()}),
+        "nights": nights, "failed": failed, "real_s": started_at.elapsed().as_secs_f64().round()}),
     )
 }
--- a/crates/testbed/src/configuration.rs
+++ b/crates/testbed/src/configuration.rs
@@ -90,11 +90,11 @@
         if n >= options.days {
             return;
         }
-        let played = scenario::play(&day_scenario(seed * 10_000 + n, options), Faults::default());
+        let result = scenario::play(&day_scenario(seed * 10_000 + n, options), Faults::default());
         let mut results = results
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        match played {
+        match result {
             Ok(outcome) => {
                 results.0.extend(outcome.in_force_s);
                 results.1.extend(
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -193,9 +193,9 @@
     }
     let started_at = Instant::now();
     let mut totals = Totals::new();
-    for played in play_all(&plan, injected_faults, options.jobs) {
-        let day = &plan[played.index];
-        let outcome = played
+    for simulated_day in simulate_all(&plan, injected_faults, options.jobs) {
+        let day = &plan[simulated_day.index];
+        let outcome = simulated_day
             .outcome
             .map_err(|e| TestbedError::Other(format!("{}: {e}", day.name)))?;
         let failed = if options.meetings {
@@ -204,7 +204,7 @@
             days::faulty(&outcome)
         };
         totals.add(day, &outcome, failed);
-        print_day(day, &outcome, failed, played.wall_time_s);
+        print_day(day, &outcome, failed, simulated_day.wall_time_s);
     }
     if let (Some(path), Some(name)) = (&options.reduce, totals.failed.first()) {
         if let Some(day) = plan.iter().find(|d| d.name == *name) {
@@ -297,19 +297,20 @@
     options: &Options,
 ) -> Result<Value, TestbedError> {
     let started_at = Instant::now();
-    let played = fingerprints::play(&fingerprints::fixed(), injected_faults, options.jobs)
-        .map_err(|e| TestbedError::Other(e.to_string()))?;
-    print!("{}", fingerprints::write(&played));
+    let day_fingerprints =
+        fingerprints::play(&fingerprints::fixed(), injected_faults, options.jobs)
+            .map_err(|e| TestbedError::Other(e.to_string()))?;
+    print!("{}", fingerprints::write(&day_fingerprints));
     if options.record {
-        std::fs::write(record, fingerprints::write(&played))?;
+        std::fs::write(record, fingerprints::write(&day_fingerprints))?;
     }
     let recorded = fingerprints::read(&std::fs::read_to_string(record)?)
         .map_err(|e| TestbedError::Other(e.to_string()))?;
-    let differences_found = fingerprints::differences(&recorded, &played);
+    let differences_found = fingerprints::differences(&recorded, &day_fingerprints);
     Ok(json!({
         "ok": differences_found.is_empty(),
         "experiment": "fingerprint",
-        "days": played.len(),
+        "days": day_fingerprints.len(),
         "differ": differences_found,
         "recorded": options.record,
         "real_s": started_at.elapsed().as_secs_f64().round(),
@@ -343,7 +344,7 @@
 
 /// Simulates all days, several in parallel; they share no state. Returns them in the order of the
 /// plan.
-fn play_all(plan: &[Day], injected_faults: Faults, jobs: usize) -> Vec<SimulatedDay> {
+fn simulate_all(plan: &[Day], injected_faults: Faults, jobs: usize) -> Vec<SimulatedDay> {
     let (next, done) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs.clamp(1, 64).min(plan.len().max(1)) {
@@ -351,18 +352,18 @@
                 let n = next.fetch_add(1, Ordering::Relaxed) as usize;
                 let Some(day) = plan.get(n) else { return };
                 let started_at = Instant::now();
-                let played = SimulatedDay {
+                let simulated_day = SimulatedDay {
                     index: n,
                     outcome: scenario::play(&day.text, injected_faults),
                     wall_time_s: started_at.elapsed().as_secs_f64(),
                 };
                 if let Ok(mut done) = done.lock() {
-                    done.push(played);
+                    done.push(simulated_day);
                 }
             });
         }
     });
-    let mut played: Vec<SimulatedDay> = done.into_inner().unwrap_or_default();
-    played.sort_by_key(|day| day.index);
-    played
+    let mut simulated_days: Vec<SimulatedDay> = done.into_inner().unwrap_or_default();
+    simulated_days.sort_by_key(|day| day.index);
+    simulated_days
 }
--- a/crates/testbed/src/list.rs
+++ b/crates/testbed/src/list.rs
@@ -86,7 +86,7 @@
         total_s: 0.0,
     };
     let mut after = String::new();
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
         let page_requested = Instant::now();
         let page = client.jobs(&[
@@ -107,7 +107,7 @@
         let Some(next) = page.next else { break };
         after = next;
     }
-    listing.total_s = began.elapsed().as_secs_f64();
+    listing.total_s = started_at.elapsed().as_secs_f64();
     Ok(listing)
 }
 
@@ -137,9 +137,9 @@
     std::fs::write(folder.0.join("state.log"), state_log(jobs, open)?)?;
     let mut plan = context::plan(context, &folder.0);
     (plan.nodes, plan.kept) = (1, true);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let cluster = context::start(plan, Box::new(|_| {}))?;
-    let startup_s = began.elapsed().as_secs_f64();
+    let startup_s = started_at.elapsed().as_secs_f64();
     let pid = cluster.processes().first().copied().unwrap_or(0);
     let before_mb = context::memory_mb(pid).0;
     let mut client = context::client(&cluster, 20.0);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -98,7 +98,7 @@
     /// A file or socket operation failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A scenario could not be played.
+    /// A scenario could not be simulated.
     #[error(transparent)]
     Scenario(#[from] beamhinge_sim::scenario::ScenarioError),
     /// Any other error, as text.
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -169,10 +169,11 @@
         self.started_at_end = started;
     }
 
-    /// Start of the steady phase, seconds after `began`; 0 if it has not started.
-    pub(super) fn steady_from_s(&self, began: Instant) -> f64 {
-        self.steady_from
-            .map_or(0.0, |at| at.saturating_duration_since(began).as_secs_f64())
+    /// Start of the steady phase, seconds after `load_started_at`; 0 if it has not started.
+    pub(super) fn steady_from_s(&self, load_started_at: Instant) -> f64 {
+        self.steady_from.map_or(0.0, |at| {
+            at.saturating_duration_since(load_started_at).as_secs_f64()
+        })
     }
 
     /// Number of tasks on machines, by the last reports of the workers.
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -360,7 +360,7 @@
         &mut self,
         _now: Time,
         _wall: WallMs,
-        _door: usize,
+        _listener: usize,
         _id: RequestId,
         _request: Request,
         _out: &mut Vec<Effect>,
--- a/crates/testbed/src/scale/workload.rs
+++ b/crates/testbed/src/scale/workload.rs
@@ -60,13 +60,13 @@
     pub running: f64,
 }
 
-fn mean((least, most): (u32, u32)) -> f64 {
-    f64::from(least + most) / 2.0
+fn mean((min, max): (u32, u32)) -> f64 {
+    f64::from(min + max) / 2.0
 }
 
 impl Workload {
     fn bulk_tasks(&self) -> (u32, u32) {
-        let tasks = |part: f64| (part * self.starts_per_s).round().max(1.0) as u32;
+        let tasks = |fraction: f64| (fraction * self.starts_per_s).round().max(1.0) as u32;
         (tasks(BULK_TASKS.0), tasks(BULK_TASKS.1))
     }
 
@@ -90,8 +90,8 @@
 
     /// Mean time between jobs, seconds.
     pub(super) fn job_interval_s(&self) -> f64 {
-        let part = self.urgent_job_fraction();
-        let tasks = part * mean(URGENT_TASKS) + (1.0 - part) * mean(self.bulk_tasks());
+        let fraction = self.urgent_job_fraction();
+        let tasks = fraction * mean(URGENT_TASKS) + (1.0 - fraction) * mean(self.bulk_tasks());
         tasks / self.starts_per_s
     }
 
