--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -183,7 +183,7 @@
     /// Show a live overview of the cluster
     #[command(after_help = "Example:\n  beamhinge top --every-s 5")]
     Top {
-        /// Refresh interval, seconds
+        /// Refresh interval, seconds; limited to between 0.2 and 60
         #[arg(long, default_value_t = 1.0)]
         every_s: f64,
     },
--- a/crates/cli/src/verbs/watch.rs
+++ b/crates/cli/src/verbs/watch.rs
@@ -74,7 +74,8 @@
     }
 }
 
-/// Shows the overview; on a terminal, refreshes it every `every_s` seconds.
+/// Shows the overview. On a terminal, refreshes it every `every_s` seconds, limited to between 0.2
+/// and 60.
 pub(super) fn top(client: &mut Client, every_s: f64, output: Output) -> Result<(), Failure> {
     if output == Output::Json || !io::stdout().is_terminal() {
         return show::print_value(output, &client.summary()?, |s| show::summary(s, &[], &[]));
