--- a/crates/testbed/src/configuration.rs
+++ b/crates/testbed/src/configuration.rs
@@ -73,9 +73,9 @@
         text.push_str("at 62 calm\n");
     }
     text.push_str("at 75 op last POST /v1/configuration ");
-    // Requests the limit of the settings again, so that all jobs can finish whichever changes were
-    // made. Version 999 is never in force, so the request is refused and limits may stay low: the
-    // day need not settle.
+    // Tries to restore the limit of the settings, so that all jobs can finish whichever changes
+    // were made. The request is based on version 999, which is never in force, so it is refused and
+    // the limit may stay low: the day need not settle.
     text.push_str(
         "{\"seen\":999,\"teams\":{\"one\":\"restore\"}}\nend 90\nunsettled limits stay low\n",
     );
@@ -90,11 +90,11 @@
         if n >= options.days {
             return;
         }
-        let played = scenario::play(&day_scenario(seed * 10_000 + n, options), Faults::default());
+        let result = scenario::play(&day_scenario(seed * 10_000 + n, options), Faults::default());
         let mut results = results
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        match played {
+        match result {
             Ok(outcome) => {
                 results.0.extend(outcome.in_force_s);
                 results.1.extend(
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -66,7 +66,8 @@
         #[arg(long)]
         open: bool,
     },
-    /// The operators' cluster size on this machine: real controllers, thousands of hollow workers
+    /// The operators' cluster size on this computer: real controllers, thousands of workers with
+    /// simulated tasks
     Scale(scale::Options),
     /// One process of a scale run
     #[command(hide = true)]
@@ -97,7 +98,7 @@
     /// A file or socket operation failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A scenario could not be played.
+    /// A scenario could not be simulated.
     #[error(transparent)]
     Scenario(#[from] beamhinge_sim::scenario::ScenarioError),
     /// Any other error, as text.
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -12,7 +12,7 @@
 
 /// Interval between samples of all processes, seconds.
 const SAMPLE_INTERVAL_S: f64 = 1.0;
-/// Fraction of a core from which on the leader counts as busy.
+/// The leader counts as busy when it uses at least this fraction of a core.
 const BUSY_CORE_FRACTION: f64 = 0.8;
 /// Milliseconds per microsecond, the unit of the histograms.
 const MS_PER_US: f64 = 1e-3;
@@ -169,10 +169,11 @@
         self.started_at_end = started;
     }
 
-    /// Start of the steady phase, seconds after `began`; 0 if it has not started.
-    pub(super) fn steady_from_s(&self, began: Instant) -> f64 {
-        self.steady_from
-            .map_or(0.0, |at| at.saturating_duration_since(began).as_secs_f64())
+    /// Start of the steady phase, seconds after `load_started_at`; 0 if it has not started.
+    pub(super) fn steady_from_s(&self, load_started_at: Instant) -> f64 {
+        self.steady_from.map_or(0.0, |at| {
+            at.saturating_duration_since(load_started_at).as_secs_f64()
+        })
     }
 
     /// Number of tasks on machines, by the last reports of the workers.
--- a/crates/testbed/src/scale/workload.rs
+++ b/crates/testbed/src/scale/workload.rs
@@ -60,13 +60,13 @@
     pub running: f64,
 }
 
-fn mean((least, most): (u32, u32)) -> f64 {
-    f64::from(least + most) / 2.0
+fn mean((min, max): (u32, u32)) -> f64 {
+    f64::from(min + max) / 2.0
 }
 
 impl Workload {
     fn bulk_tasks(&self) -> (u32, u32) {
-        let tasks = |part: f64| (part * self.starts_per_s).round().max(1.0) as u32;
+        let tasks = |fraction: f64| (fraction * self.starts_per_s).round().max(1.0) as u32;
         (tasks(BULK_TASKS.0), tasks(BULK_TASKS.1))
     }
 
@@ -90,8 +90,8 @@
 
     /// Mean time between jobs, seconds.
     pub(super) fn job_interval_s(&self) -> f64 {
-        let part = self.urgent_job_fraction();
-        let tasks = part * mean(URGENT_TASKS) + (1.0 - part) * mean(self.bulk_tasks());
+        let fraction = self.urgent_job_fraction();
+        let tasks = fraction * mean(URGENT_TASKS) + (1.0 - fraction) * mean(self.bulk_tasks());
         tasks / self.starts_per_s
     }
 
@@ -150,7 +150,8 @@
         (self.run_s - URGENT_START_FRACTION * urgent_s) / (1.0 - URGENT_START_FRACTION)
     }
 
-    /// The job with this ID as the workers run it; `None` if the ID is not of this workload.
+    /// The job with this ID as the workers run it; `None` if the ID does not have the form
+    /// `job-NUMBER`.
     pub(super) fn job_plan(&self, id: &str, real: bool) -> Option<JobPlan> {
         let job = self.job(id.strip_prefix("job-")?.parse().ok()?);
         let command = real.then(|| format!("exec sleep {:.2}", job.run_s));
