--- a/crates/admin-api/src/reasons.rs
+++ b/crates/admin-api/src/reasons.rs
@@ -138,7 +138,7 @@
         /// Name of the key that set the directive.
         by: String,
     },
-    /// Other jobs precede this one in the queue.
+    /// Other jobs precede this one in the queue and get the next free capacity.
     Behind {
         /// Number of jobs ahead in the queue.
         jobs: u32,
--- a/crates/emulator/src/cloud.rs
+++ b/crates/emulator/src/cloud.rs
@@ -35,8 +35,8 @@
     pub created: Micros,
     /// When it has booted; `Micros::MAX` if its boot is stuck.
     pub up: Micros,
-    /// When it failed, that is, stopped without being released. From then on the list reports it
-    /// as failed. `None` if it has not failed.
+    /// From when on the list reports it as failed, since it stopped without being released;
+    /// `None` if it has not failed.
     pub failed_at: Option<Micros>,
 }
 
--- a/crates/emulator/src/user/tests.rs
+++ b/crates/emulator/src/user/tests.rs
@@ -47,8 +47,8 @@
     );
 }
 
-/// Found on simulated day meet-41-189: a poll that was delayed by an outage was answered 1 ms
-/// after the cancellation that the same user had sent to another controller in the meantime.
+/// A poll that was delayed by an outage was answered 1 ms after the cancellation that the same
+/// user had sent to another controller in the meantime.
 #[test]
 fn older_answer_violates_a_rule_only_if_requested_after_the_final_state() {
     for (asked, violates) in [(4, false), (5, true), (9, true)] {
--- a/crates/sim/src/cluster.rs
+++ b/crates/sim/src/cluster.rs
@@ -175,7 +175,7 @@
         WallMs(WALL_START_MS + self.now / 1_000)
     }
 
-    /// Duration of the workers' session lease, seconds.
+    /// Duration of a worker's lease, seconds.
     fn lease_s(&self) -> f64 {
         self.settings[0].params.workers.lease_s
     }
--- a/crates/sim/src/cluster/checks.rs
+++ b/crates/sim/src/cluster/checks.rs
@@ -139,7 +139,7 @@
 
 impl Sim {
     /// Records a fault of controllers or links, or of a service that they need, which ends at
-    /// `until`: it explains losses until two leases after its end.
+    /// `until`: it explains losses until two worker leases after its end.
     pub fn explain_until(&mut self, until: Micros) {
         let two_leases = (self.lease_s() * 2e6) as Micros;
         let explained = &mut self.checks.explained_until;
--- a/crates/sim/src/effective_quotas.rs
+++ b/crates/sim/src/effective_quotas.rs
@@ -44,7 +44,7 @@
         !self.history.is_empty()
     }
 
-    /// Number of changes of the limits.
+    /// Number of configuration changes that were committed.
     #[must_use]
     pub fn changes(&self) -> usize {
         self.history.len().saturating_sub(1)
--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -87,7 +87,8 @@
     }
 }
 
-/// A request of an operator, retried while the controllers are unavailable.
+/// A request of an operator. It is retried after the answer 503, and while no controller can
+/// receive it or its connection is reset.
 #[derive(Clone, Debug)]
 pub struct OperatorRequest {
     /// The name under which its answer is stored.
--- a/crates/sim/src/scenario/actions.rs
+++ b/crates/sim/src/scenario/actions.rs
@@ -101,8 +101,8 @@
 fn message_fault(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let now = sim.now;
     match words.arg(0)? {
-        // copies PART most=SECONDS for=SECONDS: a copy of reports, frames, commands and
-        // requests that change something arrives late.
+        // copies PART most=SECONDS for=SECONDS: of this part of the reports, frames, commands
+        // and requests that change something, a copy arrives late.
         "copies" => {
             sim.faults.duplication = Duplication {
                 probability: words.probability(now)?,
--- a/crates/sim/tests/found.rs
+++ b/crates/sim/tests/found.rs
@@ -1,5 +1,5 @@
-//! Minimised days that once found a fault: with the fault reintroduced they fail, and with the
-//! present program they pass.
+//! Minimised days that once found a fault: with the fault reintroduced they fail, which shows
+//! that the check can fail, and with the present program they pass.
 
 use beamhinge_controller::faults::Faults;
 use beamhinge_sim::{combined_faults, days, scenario};
@@ -46,8 +46,8 @@
 }
 
 /// Machines that hung for longer than an unreachable machine is kept, and resumed while the
-/// call that returned them was on its way, were counted as healthy machines returned (day
-/// 79-44). A machine that is returned long after it resumed still counts.
+/// call that returned them was in flight, were counted as healthy machines returned. A machine
+/// that is returned long after it resumed still counts.
 #[test]
 fn machine_that_resumes_while_being_returned_is_not_counted_as_healthy() {
     let day = include_str!("found/hung_machines_resume_while_returned.txt");
@@ -59,8 +59,8 @@
     );
 }
 
-/// Tasks were preempted all over the fleet by their CPUs alone, and no task started in their
-/// place: 198,469 of them on one day (docs/incidents/guests-at-fleet-size.md).
+/// Victims were chosen all over the fleet by their CPUs alone, so that no task started in their
+/// place: 198,469 tasks were preempted on one day (docs/incidents/guests-at-fleet-size.md).
 #[test]
 fn scattered_preemptions_without_a_start_do_not_occur() {
     let faults = Faults {
@@ -72,8 +72,7 @@
 
 /// The answer to a leadership acquisition was lost after the leadership block had been read:
 /// the controller found itself named as the leader, did not recognise its own acquisition,
-/// renewed the lease, and no controller led any more (first seen on day meet-4-57; day
-/// meet-31-14 reaches the case).
+/// renewed the lease, and no controller led any more.
 #[test]
 fn leadership_acquisition_with_lost_answer_is_recognised() {
     let faults = Faults {
@@ -87,8 +86,7 @@
 }
 
 /// A leader that the state service had refused for a long time found its machines idle while
-/// its own link to them was down, and returned these healthy machines (days meet-302-6 and
-/// meet-302-750).
+/// its own link to them was down, and returned these healthy machines.
 #[test]
 fn idle_machines_are_not_returned_while_the_leaders_link_is_down() {
     let faults = Faults {
@@ -118,7 +116,8 @@
             });
         }
     });
-    // Without the serving deadline at least one of these days violates a rule.
+    // These days can find a fault: without the serving deadline at least one of them lets a
+    // cancelled task run too long.
     let without = Faults {
         no_serving_deadline: true,
         ..Faults::default()
--- a/crates/sim/tests/hold_model.rs
+++ b/crates/sim/tests/hold_model.rs
@@ -3,16 +3,16 @@
 //! and leases. Two small models are each searched exhaustively: every order of the steps of
 //! two controllers, the key-value store, a worker and a user.
 //!
-//! The model does not use the production types: `Leader`, the mirror and `Placement` use
-//! microseconds and string names, so that no two of their states are equal and a search
-//! would never return to a known state. The scenarios test the production types. The model
+//! The model does not use the production types for leader election, the replica cache and
+//! placement: they use microseconds and string names, so that no two of their states are equal
+//! and a search would never return to a known state. The scenarios test the production types. The model
 //! shows that the rules which these follow are sufficient, and which rules are necessary: the
 //! search must find each injected defect.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::Hash;
 
-/// Duration of a worker's session lease, steps.
+/// Duration of a worker's lease, steps.
 const LEASE_STEPS: u8 = 3;
 /// Serving deadline: how long a leader answers after its last exchange with the key-value store,
 /// steps.
@@ -41,8 +41,9 @@
     /// A task's absence from a report counts although the worker has not shown this controller's
     /// fencing token.
     proof_before_token: bool,
-    /// After a leadership acquisition, a worker is presumed dead by this controller's own answers
-    /// alone.
+    /// After a leadership acquisition, a worker is presumed dead once this controller has not
+    /// answered it for a lease. Without the defect, the serving deadline and a lease must also
+    /// have passed since the acquisition, since an earlier leader may have answered the worker.
     silence_from_local_replies: bool,
     /// A report that is not newer than the last one is accepted.
     stale_reports_accepted: bool,
@@ -167,7 +168,8 @@
     }
 
     /// Handles the reply to a request that was sent, and processed by the key-value store, `age`
-    /// steps ago, so that its content has that age. `jobs` says whether it includes the jobs.
+    /// steps ago, so that its content has that age. `includes_jobs` says whether it includes the
+    /// jobs.
     fn reply(w: &mut World, i: usize, age: u8, includes_jobs: bool, defects: Defects) {
         let cancellation_known = w.cancellation_age.is_some_and(|elapsed| elapsed > age);
         let is_leader = w.controllers[i].token == w.block || w.acquisition_age <= age;
@@ -575,8 +577,8 @@
                 && (c.token_shown
                     || defects.silence_from_local_replies
                     || c.acquisition_age > MAX_ACQUISITION_AGE);
-            // With this defect, a lease must have passed since the leadership acquisition, so that
-            // the controller's last answer is old and not merely missing.
+            // With `silence_from_local_replies`, a lease must have passed since the leadership
+            // acquisition, so that the controller's last answer is old and not merely missing.
             let presumed_dead = presumed_dead
                 && (!defects.silence_from_local_replies
                     || c.token_shown
