--- a/crates/sim/src/cluster/controllers.rs
+++ b/crates/sim/src/cluster/controllers.rs
@@ -46,7 +46,8 @@
         }
         self.generations[controller] += 1;
         let text = format!("{OPERATOR_CONFIG}{}", self.operator_config);
-        let operator = OperatorSettings::parse("the operators' file", &text).expect("sound");
+        let operator = OperatorSettings::parse("the operators' file", &text)
+            .expect("valid operators' settings");
         let nonce = self.rng.gen_range(1..1u64 << 50);
         let now = Time::from_micros(self.now);
         let settings = self.settings[controller].clone();
--- a/crates/sim/tests/hold_model.rs
+++ b/crates/sim/tests/hold_model.rs
@@ -163,30 +163,30 @@
         }
     }
 
-    pub(super) fn violates_invariant(w: &World) -> bool {
-        w.task_runs && w.cancellation_age.is_some_and(|age| age > CANCEL_STEPS)
+    pub(super) fn violates_invariant(world: &World) -> bool {
+        world.task_runs && world.cancellation_age.is_some_and(|age| age > CANCEL_STEPS)
     }
 
     /// Handles the reply to a request that was sent, and processed by the key-value store, `age`
     /// steps ago, so that its content has that age. `includes_jobs` says whether it includes the
     /// jobs.
-    fn reply(w: &mut World, i: usize, age: u8, includes_jobs: bool, defects: Defects) {
-        let cancellation_known = w.cancellation_age.is_some_and(|elapsed| elapsed > age);
-        let is_leader = w.controllers[i].token == w.block || w.acquisition_age <= age;
+    fn reply(world: &mut World, i: usize, age: u8, includes_jobs: bool, defects: Defects) {
+        let cancellation_known = world.cancellation_age.is_some_and(|elapsed| elapsed > age);
+        let is_leader = world.controllers[i].token == world.block || world.acquisition_age <= age;
         let content_age = if defects.deadline_from_reply { 0 } else { age };
-        let c = &mut w.controllers[i];
+        let controller = &mut world.controllers[i];
         if includes_jobs {
-            c.jobs_age = c.jobs_age.min(content_age);
-            c.knows_cancellation |= cancellation_known;
+            controller.jobs_age = controller.jobs_age.min(content_age);
+            controller.knows_cancellation |= cancellation_known;
         }
-        match is_leader && c.token > 0 {
-            true => c.leadership_age = c.leadership_age.min(content_age),
+        match is_leader && controller.token > 0 {
+            true => controller.leadership_age = controller.leadership_age.min(content_age),
             false => {
-                *c = Controller {
+                *controller = Controller {
                     token: 0,
                     leadership_age: SERVING_DEADLINE_STEPS + 1,
                     pages_read: false,
-                    ..*c
+                    ..*controller
                 }
             }
         }
@@ -195,85 +195,94 @@
     /// Every possible next step and the state after it.
     // The function is long because it lists the steps of the model, one entry for each.
     #[allow(clippy::too_many_lines)]
-    pub(super) fn next(w: &World, defects: Defects) -> Vec<(&'static str, World)> {
+    pub(super) fn next(world: &World, defects: Defects) -> Vec<(&'static str, World)> {
         let mut out = Vec::new();
-        if !w.task_runs {
+        if !world.task_runs {
             return out;
         }
         let mut add = |step, change: &dyn Fn(&mut World)| {
-            let mut successor = w.clone();
+            let mut successor = world.clone();
             change(&mut successor);
             out.push((step, successor));
         };
-        add("time passes", &|w| {
-            w.lease_age = increase_age(w.lease_age, LEASE_STEPS);
-            w.task_runs &= w.lease_age <= LEASE_STEPS;
-            w.acquisition_age = increase_age(w.acquisition_age, MAX_REPLY_AGE);
-            w.cancellation_age = w
+        add("time passes", &|world| {
+            world.lease_age = increase_age(world.lease_age, LEASE_STEPS);
+            world.task_runs &= world.lease_age <= LEASE_STEPS;
+            world.acquisition_age = increase_age(world.acquisition_age, MAX_REPLY_AGE);
+            world.cancellation_age = world
                 .cancellation_age
                 .map(|age| increase_age(age, CANCEL_STEPS));
-            for c in &mut w.controllers {
-                (c.leadership_age, c.jobs_age) = (
-                    increase_age(c.leadership_age, SERVING_DEADLINE_STEPS),
-                    increase_age(c.jobs_age, SERVING_DEADLINE_STEPS),
+            for controller in &mut world.controllers {
+                (controller.leadership_age, controller.jobs_age) = (
+                    increase_age(controller.leadership_age, SERVING_DEADLINE_STEPS),
+                    increase_age(controller.jobs_age, SERVING_DEADLINE_STEPS),
                 );
             }
-            w.answer = w
+            world.answer = world
                 .answer
                 .map(|a| (a.0, a.1, a.2 + 1))
                 .filter(|a| a.2 <= MAX_ANSWER_AGE);
         });
-        if w.cancellation_age.is_none() {
-            add("the user is told of the cancellation", &|w| {
-                w.cancellation_age = Some(0)
+        if world.cancellation_age.is_none() {
+            add("the user is told of the cancellation", &|world| {
+                world.cancellation_age = Some(0)
             });
         }
         for i in 0..2 {
-            let c = w.controllers[i];
+            let controller = world.controllers[i];
             for age in 0..=MAX_REPLY_AGE {
                 let step = ["an exchange", "a late reply", "a very late reply"];
-                add(step[usize::from(age)], &|w| reply(w, i, age, true, defects));
-                if c.token > 0 {
+                add(step[usize::from(age)], &|world| {
+                    reply(world, i, age, true, defects)
+                });
+                if controller.token > 0 {
                     let step = "a reply without the jobs";
-                    add(step, &|w| reply(w, i, age, false, defects));
+                    add(step, &|world| reply(world, i, age, false, defects));
                 }
             }
-            if c.token == 0 && w.block < MAX_TOKENS {
-                add("leadership acquisition", &|w| {
-                    (w.block, w.acquisition_age) = (w.block + 1, 0);
-                    let c = &mut w.controllers[i];
-                    (c.token, c.leadership_age, c.pages_read) = (w.block, 0, false);
+            if controller.token == 0 && world.block < MAX_TOKENS {
+                add("leadership acquisition", &|world| {
+                    (world.block, world.acquisition_age) = (world.block + 1, 0);
+                    let controller = &mut world.controllers[i];
+                    (
+                        controller.token,
+                        controller.leadership_age,
+                        controller.pages_read,
+                    ) = (world.block, 0, false);
                 });
             }
-            if c.token > 0 && !c.pages_read && c.jobs_age == 0 {
-                add("the stored pages are read", &|w| {
-                    w.controllers[i].pages_read = true
+            if controller.token > 0 && !controller.pages_read && controller.jobs_age == 0 {
+                add("the stored pages are read", &|world| {
+                    world.controllers[i].pages_read = true
                 });
             }
-            if c.token > 0 {
-                add("the controller restarts", &|w| w.controllers[i] = FOLLOWER);
+            if controller.token > 0 {
+                add("the controller restarts", &|world| {
+                    world.controllers[i] = FOLLOWER
+                });
             }
-            let may_answer = (c.leadership_age <= SERVING_DEADLINE_STEPS
-                && (c.jobs_age <= SERVING_DEADLINE_STEPS || defects.serving_deadline_from_lease))
+            let may_answer = (controller.leadership_age <= SERVING_DEADLINE_STEPS
+                && (controller.jobs_age <= SERVING_DEADLINE_STEPS
+                    || defects.serving_deadline_from_lease))
                 || defects.no_serving_deadline;
-            if c.token > 0 && may_answer && w.answer.is_none() {
-                let stops_task = c.knows_cancellation
+            if controller.token > 0 && may_answer && world.answer.is_none() {
+                let stops_task = controller.knows_cancellation
                     && (!defects.late_cancellation_stops
-                        || c.pages_read && w.worker_token == c.token);
-                add("a report is answered", &|w| {
-                    w.answer = Some((c.token, stops_task, 0))
+                        || controller.pages_read && world.worker_token == controller.token);
+                add("a report is answered", &|world| {
+                    world.answer = Some((controller.token, stops_task, 0))
                 });
             }
         }
-        if let Some((token, stop, age)) = w.answer {
-            add("the answer arrives", &|w| {
-                w.answer = None;
-                if token >= w.worker_token {
-                    (w.worker_token, w.lease_age) = (token, age);
-                    w.task_runs &= !stop;
+        if let Some((token, stop, age)) = world.answer {
+            add("the answer arrives", &|world| {
+                world.answer = None;
+                if token >= world.worker_token {
+                    (world.worker_token, world.lease_age) = (token, age);
+                    world.task_runs &= !stop;
                 }
             });
-            add("the answer is lost", &|w| w.answer = None);
+            add("the answer is lost", &|world| world.answer = None);
         }
         out
     }
@@ -282,7 +291,7 @@
 fn check_cancellation(defects: Defects) -> Result<usize, Vec<&'static str>> {
     explore(
         cancellation::initial(),
-        |w| cancellation::next(w, defects),
+        |world| cancellation::next(world, defects),
         cancellation::violates_invariant,
     )
 }
@@ -441,37 +450,38 @@
     }
 
     /// Whether the task is on the worker and elsewhere at the same time, or on two other workers.
-    pub(super) fn violates_invariant(w: &World) -> bool {
-        w.elsewhere > 1 || w.on_worker && w.elsewhere > 0
+    pub(super) fn violates_invariant(world: &World) -> bool {
+        world.elsewhere > 1 || world.on_worker && world.elsewhere > 0
     }
 
     /// Handles a report; returns whether the answer contains the `run` command.
-    fn accept_report(c: &mut Controller, r: Report, defects: Defects) -> bool {
-        let is_newer = c.last_report < r.number
+    fn accept_report(controller: &mut Controller, report: Report, defects: Defects) -> bool {
+        let is_newer = controller.last_report < report.number
             || defects.stale_reports_accepted
             || defects.lower_incarnation_is_newer
-                && r.number.0 != c.last_report.0
-                && c.last_report.0 > 0;
+                && report.number.0 != controller.last_report.0
+                && controller.last_report.0 > 0;
         if !is_newer {
             return false;
         }
-        let token_matches = r.worker_token == c.token;
-        let new_incarnation = c.last_report.0 > 0
-            && (c.last_report.0 < r.number.0
-                || defects.lower_incarnation_is_newer && c.last_report.0 != r.number.0);
-        (c.last_report, c.answer_age) = (r.number, 0);
-        c.token_shown |= token_matches;
-        c.entry = match c.entry {
+        let token_matches = report.worker_token == controller.token;
+        let new_incarnation = controller.last_report.0 > 0
+            && (controller.last_report.0 < report.number.0
+                || defects.lower_incarnation_is_newer
+                    && controller.last_report.0 != report.number.0);
+        (controller.last_report, controller.answer_age) = (report.number, 0);
+        controller.token_shown |= token_matches;
+        controller.entry = match controller.entry {
             Entry::Elsewhere => Entry::Elsewhere,
-            _ if r.lists => Entry::OnWorker,
+            _ if report.lists => Entry::OnWorker,
             Entry::Sent(_) if token_matches && new_incarnation => Entry::Free,
-            Entry::Sent(number) if token_matches && r.number > number => Entry::Committed,
+            Entry::Sent(number) if token_matches && report.number > number => Entry::Committed,
             Entry::OnWorker if token_matches || defects.proof_before_token => Entry::Free,
             other => other,
         };
-        let run = token_matches && c.entry == Entry::Committed;
+        let run = token_matches && controller.entry == Entry::Committed;
         if run {
-            c.entry = Entry::Sent(r.number);
+            controller.entry = Entry::Sent(report.number);
         }
         run
     }
@@ -479,61 +489,63 @@
     /// Every possible next step and the state after it.
     // The function is long because it lists the steps of the model, one entry for each.
     #[allow(clippy::too_many_lines)]
-    pub(super) fn next(w: &World, defects: Defects) -> Vec<(&'static str, World)> {
+    pub(super) fn next(world: &World, defects: Defects) -> Vec<(&'static str, World)> {
         let mut out = Vec::new();
         let mut add = |step, change: &dyn Fn(&mut World)| {
-            let mut successor = w.clone();
+            let mut successor = world.clone();
             change(&mut successor);
             out.push((step, successor));
         };
-        add("time passes", &|w| {
-            w.lease_age = increase_age(w.lease_age, LEASE_STEPS);
-            if w.lease_age > LEASE_STEPS {
-                (w.on_worker, w.lease_age, w.number.0) = (false, 0, w.number.0 + 1);
+        add("time passes", &|world| {
+            world.lease_age = increase_age(world.lease_age, LEASE_STEPS);
+            if world.lease_age > LEASE_STEPS {
+                (world.on_worker, world.lease_age, world.number.0) = (false, 0, world.number.0 + 1);
             }
-            for c in &mut w.controllers {
-                (c.leadership_age, c.acquisition_age) = (
-                    increase_age(c.leadership_age, SERVING_DEADLINE_STEPS),
-                    increase_age(c.acquisition_age, MAX_ACQUISITION_AGE),
+            for controller in &mut world.controllers {
+                (controller.leadership_age, controller.acquisition_age) = (
+                    increase_age(controller.leadership_age, SERVING_DEADLINE_STEPS),
+                    increase_age(controller.acquisition_age, MAX_ACQUISITION_AGE),
                 );
-                c.answer_age = increase_age(c.answer_age, LEASE_STEPS);
+                controller.answer_age = increase_age(controller.answer_age, LEASE_STEPS);
             }
             let aged = |a: (u8, bool, bool, u8, u8)| (a.0, a.1, a.2, a.3, a.4 + 1);
-            w.answer = w.answer.map(aged).filter(|a| a.4 <= MAX_ANSWER_AGE);
+            world.answer = world.answer.map(aged).filter(|a| a.4 <= MAX_ANSWER_AGE);
         });
-        if w.copy.is_none() && w.number.1 < MAX_REPORTS {
-            add("a report is delayed", &|w| {
-                w.number.1 += 1;
-                w.copy = Some(Report {
-                    worker_token: w.worker_token,
-                    number: w.number,
-                    lists: w.on_worker,
+        if world.copy.is_none() && world.number.1 < MAX_REPORTS {
+            add("a report is delayed", &|world| {
+                world.number.1 += 1;
+                world.copy = Some(Report {
+                    worker_token: world.worker_token,
+                    number: world.number,
+                    lists: world.on_worker,
                 });
             });
         }
         for i in 0..2 {
-            let c = w.controllers[i];
-            if c.token > 0 {
+            let controller = world.controllers[i];
+            if controller.token > 0 {
                 add(
                     "an exchange",
-                    &|w| match w.controllers[i].token == w.block {
-                        true => w.controllers[i].leadership_age = 0,
-                        false => w.controllers[i] = FOLLOWER,
+                    &|world| match world.controllers[i].token == world.block {
+                        true => world.controllers[i].leadership_age = 0,
+                        false => world.controllers[i] = FOLLOWER,
                     },
                 );
-                add("the controller restarts", &|w| w.controllers[i] = FOLLOWER);
-            } else if w.block < MAX_ACQUISITIONS {
+                add("the controller restarts", &|world| {
+                    world.controllers[i] = FOLLOWER
+                });
+            } else if world.block < MAX_ACQUISITIONS {
                 add(
                     "leadership acquisition and read of the stored pages",
-                    &|w| {
-                        w.block += 1;
-                        let entry = if w.elsewhere > 0 {
+                    &|world| {
+                        world.block += 1;
+                        let entry = if world.elsewhere > 0 {
                             Entry::Elsewhere
                         } else {
                             Entry::OnWorker
                         };
-                        w.controllers[i] = Controller {
-                            token: w.block,
+                        world.controllers[i] = Controller {
+                            token: world.block,
                             leadership_age: 0,
                             entry,
                             ..FOLLOWER
@@ -541,72 +553,79 @@
                     },
                 );
             }
-            let may_answer = c.token > 0 && c.leadership_age <= SERVING_DEADLINE_STEPS;
-            if may_answer && w.answer.is_none() && w.number.1 < MAX_REPORTS {
+            let may_answer =
+                controller.token > 0 && controller.leadership_age <= SERVING_DEADLINE_STEPS;
+            if may_answer && world.answer.is_none() && world.number.1 < MAX_REPORTS {
                 for stop in [false, true] {
-                    for is_copied in [false, w.copy.is_none()] {
+                    for is_copied in [false, world.copy.is_none()] {
                         let step = ["a report", "a report and a stop"][usize::from(stop)];
-                        add(step, &|w| {
-                            w.number.1 += 1;
-                            let r = Report {
-                                worker_token: w.worker_token,
-                                number: w.number,
-                                lists: w.on_worker,
+                        add(step, &|world| {
+                            world.number.1 += 1;
+                            let report = Report {
+                                worker_token: world.worker_token,
+                                number: world.number,
+                                lists: world.on_worker,
                             };
-                            let c = &mut w.controllers[i];
-                            let run = accept_report(c, r, defects);
-                            let kill =
-                                stop && c.entry == Entry::OnWorker && r.worker_token == c.token;
+                            let controller = &mut world.controllers[i];
+                            let run = accept_report(controller, report, defects);
+                            let kill = stop
+                                && controller.entry == Entry::OnWorker
+                                && report.worker_token == controller.token;
                             if kill && defects.stop_counts_as_end {
-                                c.entry = Entry::Free;
+                                controller.entry = Entry::Free;
                             }
-                            w.answer = Some((c.token, run, kill, w.number.0, 0));
+                            world.answer = Some((controller.token, run, kill, world.number.0, 0));
                             if is_copied {
-                                w.copy = Some(r);
+                                world.copy = Some(report);
                             }
                         });
                     }
                 }
             }
-            if let (Some(r), true) = (w.copy, may_answer) {
-                add("a copy of a report", &|w| {
-                    accept_report(&mut w.controllers[i], r, defects);
+            if let (Some(report), true) = (world.copy, may_answer) {
+                add("a copy of a report", &|world| {
+                    accept_report(&mut world.controllers[i], report, defects);
                 });
             }
-            let presumed_dead = c.answer_age > LEASE_STEPS
-                && (c.token_shown
+            let presumed_dead = controller.answer_age > LEASE_STEPS
+                && (controller.token_shown
                     || defects.silence_from_local_replies
-                    || c.acquisition_age > MAX_ACQUISITION_AGE);
+                    || controller.acquisition_age > MAX_ACQUISITION_AGE);
             // With `silence_from_local_replies`, a lease must have passed since the leadership
             // acquisition, so that the controller's last answer is old and not merely missing.
             let presumed_dead = presumed_dead
                 && (!defects.silence_from_local_replies
-                    || c.token_shown
-                    || c.acquisition_age > LEASE_STEPS);
-            if c.token > 0 && presumed_dead && matches!(c.entry, Entry::OnWorker | Entry::Sent(_)) {
-                add("the unreachable worker is presumed dead", &|w| {
-                    w.controllers[i].entry = Entry::Free
+                    || controller.token_shown
+                    || controller.acquisition_age > LEASE_STEPS);
+            if controller.token > 0
+                && presumed_dead
+                && matches!(controller.entry, Entry::OnWorker | Entry::Sent(_))
+            {
+                add("the unreachable worker is presumed dead", &|world| {
+                    world.controllers[i].entry = Entry::Free
                 });
             }
-            let may_be_placed = c.token > 0 && c.entry == Entry::Free;
-            if may_be_placed && (c.token == w.block || defects.placements_without_block) {
-                add("the task is placed elsewhere", &|w| {
-                    w.elsewhere += 1;
-                    w.controllers[i].entry = Entry::Elsewhere;
+            let may_be_placed = controller.token > 0 && controller.entry == Entry::Free;
+            if may_be_placed
+                && (controller.token == world.block || defects.placements_without_block)
+            {
+                add("the task is placed elsewhere", &|world| {
+                    world.elsewhere += 1;
+                    world.controllers[i].entry = Entry::Elsewhere;
                 });
             }
         }
-        if let Some((token, run, kill, incarnation, age)) = w.answer {
-            add("the answer arrives", &|w| {
-                w.answer = None;
-                if token >= w.worker_token && incarnation == w.number.0 {
-                    (w.worker_token, w.lease_age) = (token, age);
-                    w.on_worker = (w.on_worker || run) && !kill;
+        if let Some((token, run, kill, incarnation, age)) = world.answer {
+            add("the answer arrives", &|world| {
+                world.answer = None;
+                if token >= world.worker_token && incarnation == world.number.0 {
+                    (world.worker_token, world.lease_age) = (token, age);
+                    world.on_worker = (world.on_worker || run) && !kill;
                 }
             });
-            add("the answer is lost", &|w| w.answer = None);
+            add("the answer is lost", &|world| world.answer = None);
         }
-        out.retain(|(_, w)| w.number.0 <= 2);
+        out.retain(|(_, world)| world.number.0 <= 2);
         out
     }
 }
@@ -614,7 +633,7 @@
 fn check_absence_proof(defects: Defects) -> Result<usize, Vec<&'static str>> {
     explore(
         absence_proof::initial(),
-        |w| absence_proof::next(w, defects),
+        |world| absence_proof::next(world, defects),
         absence_proof::violates_invariant,
     )
 }
