--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -74,7 +74,8 @@
     CloudDown(f64),
     /// The state service answers 503 for this number of seconds.
     StateDown(f64),
-    /// A machine hangs: its worker sends no reports and its tasks make no progress.
+    /// A machine hangs: its worker sends no reports and ignores the answers to earlier ones, and
+    /// its tasks make no progress.
     Hang {
         /// Number of the machine.
         machine: u64,
