--- a/crates/sim/src/days/generator.rs
+++ b/crates/sim/src/days/generator.rs
@@ -68,9 +68,9 @@
     }
 
     /// Adds work of a team without a guarantee, of some of these kinds: one huge job array, very
-    /// many single tasks, best-effort jobs on the large machines, jobs of which a part fails on
-    /// every machine, and users who poll often. `cpus` is the total of all machines, `large` the
-    /// number of large machines.
+    /// many single tasks, and best-effort jobs on the large machines. Also adds urgent jobs, of
+    /// which a part fails on every machine, and users who poll often. `cpus` is the total of all
+    /// machines, `large` the number of large machines.
     pub(super) fn unguaranteed_work(&mut self, cpus: f64, large: f64) {
         let at = self.between(10.0, self.end_s * 0.5);
         let first = self.reserve_jobs(10_000);
