--- a/crates/sim/tests/hold_model.rs
+++ b/crates/sim/tests/hold_model.rs
@@ -5,9 +5,9 @@
 //!
 //! The model does not use the production types for leader election, the replica cache and
 //! placement: they use microseconds and string names, so that no two of their states are equal
-//! and a search would never return to a known state. The scenarios test the production types. The model
-//! shows that the rules which these follow are sufficient, and which rules are necessary: the
-//! search must find each injected defect.
+//! and a search would never return to a known state. The scenarios test the production types.
+//! The model shows that the rules which these follow are sufficient, and which rules are
+//! necessary: the search must find each injected defect.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::Hash;
@@ -42,8 +42,9 @@
     /// fencing token.
     proof_before_token: bool,
     /// After a leadership acquisition, a worker is presumed dead once this controller has not
-    /// answered it for a lease. Without the defect, the serving deadline and a lease must also
-    /// have passed since the acquisition, since an earlier leader may have answered the worker.
+    /// answered it for a lease. Without the defect, the worker must also have shown this
+    /// controller's fencing token, or the serving deadline and a lease must have passed since the
+    /// acquisition, because an earlier leader may have answered the worker.
     silence_from_local_replies: bool,
     /// A report that is not newer than the last one is accepted.
     stale_reports_accepted: bool,
