--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -55,22 +55,22 @@
 /// Returns the kind of a call, by destination and path; `None` for calls that are not timed.
 fn call_kind(destination: &Destination, method: Method, path: &str) -> Option<&'static str> {
     Some(match destination {
-        Destination::State if path == "/commit" => "state_commit",
+        Destination::KeyValueStore if path == "/commit" => "state_commit",
         // The store chooses how long a watch waits, so its duration does not measure store speed.
-        Destination::State if path.starts_with("/watch") => {
+        Destination::KeyValueStore if path.starts_with("/watch") => {
             if path.ends_with("waitMs=0") {
                 "state_refresh"
             } else {
                 return None;
             }
         }
-        Destination::State if path.starts_with("/holds") => "state_lease",
-        Destination::State => "state_scan",
+        Destination::KeyValueStore if path.starts_with("/holds") => "state_lease",
+        Destination::KeyValueStore => "state_scan",
         Destination::Cloud if method == Method::Post && path == "/hosts" => "cloud_rent",
         Destination::Cloud if method == Method::Post => "cloud_release",
         Destination::Cloud => "cloud_list",
         Destination::Worker(_) => "worker_do",
-        Destination::Node { .. } => "node",
+        Destination::Controller { .. } => "node",
     })
 }
 
--- a/crates/controller/src/metrics/tests.rs
+++ b/crates/controller/src/metrics/tests.rs
@@ -38,25 +38,25 @@
 fn calls() -> Vec<(Destination, Method, &'static str)> {
     let worker = "127.0.0.1:9000".parse().expect("an address");
     vec![
-        (Destination::State, Method::Post, "/commit"),
+        (Destination::KeyValueStore, Method::Post, "/commit"),
         (
-            Destination::State,
+            Destination::KeyValueStore,
             Method::Get,
             "/watch?under=c/&since=1&waitMs=0",
         ),
         (
-            Destination::State,
+            Destination::KeyValueStore,
             Method::Get,
             "/watch?under=c/&since=1&waitMs=5",
         ),
-        (Destination::State, Method::Post, "/holds/7/renew"),
-        (Destination::State, Method::Get, "/store?under=c/"),
+        (Destination::KeyValueStore, Method::Post, "/holds/7/renew"),
+        (Destination::KeyValueStore, Method::Get, "/store?under=c/"),
         (Destination::Cloud, Method::Post, "/hosts"),
         (Destination::Cloud, Method::Post, "/hosts/release"),
         (Destination::Cloud, Method::Get, "/hosts?most=500"),
         (Destination::Worker(worker), Method::Post, "/do"),
         (
-            Destination::Node {
+            Destination::Controller {
                 address: worker,
                 caller: 1,
             },
--- a/crates/controller/src/node/worker_calls.rs
+++ b/crates/controller/src/node/worker_calls.rs
@@ -94,7 +94,7 @@
         let max_probes = MAX_PROBES_IN_FLIGHT - self.worker_calls.len();
         let is_recent = |at: &Time| now.since(*at) < PROBE_INTERVAL_S;
         let calls: Vec<_> = scheduler
-            .unreachable_machines_with_tasks(now)
+            .probe_calls(now)
             .filter(|call| !self.probed_at.get(&call.machine).is_some_and(is_recent))
             .take(max_probes)
             .collect();
--- a/crates/controller/src/scheduler/reconciliation/direct_calls.rs
+++ b/crates/controller/src/scheduler/reconciliation/direct_calls.rs
@@ -73,10 +73,7 @@
     /// Probe calls to unreachable machines with tasks, which the caller probes in turn. Such a
     /// machine may be unable to reach any controller and yet be reachable itself. The calls repeat
     /// the kills of tasks that are to be stopped there.
-    pub fn unreachable_machines_with_tasks(
-        &self,
-        now: Time,
-    ) -> impl Iterator<Item = DirectCall> + '_ {
+    pub fn probe_calls(&self, now: Time) -> impl Iterator<Item = DirectCall> + '_ {
         self.machines
             .iter()
             .filter(move |(_, machine)| self.is_unreachable(now, machine))
--- a/crates/controller/src/scheduler/reconciliation/tests.rs
+++ b/crates/controller/src/scheduler/reconciliation/tests.rs
@@ -421,10 +421,7 @@
     scheduler.on_report(at(NOW), &report(7, 9, &[]), &[], &job_store);
     let after_timeout = at(NOW + scheduler.report_timeout_s() + 0.1);
     assert!(
-        scheduler
-            .unreachable_machines_with_tasks(after_timeout)
-            .next()
-            .is_none(),
+        scheduler.probe_calls(after_timeout).next().is_none(),
         "the machine has no tasks"
     );
     let task = TaskId {
@@ -436,15 +433,10 @@
     let machine = scheduler.machines.get_mut(&machine_id()).expect("known");
     machine.resident.allocations.insert(task, allocation);
     assert!(
-        scheduler
-            .unreachable_machines_with_tasks(at(NOW + 1.0))
-            .next()
-            .is_none(),
+        scheduler.probe_calls(at(NOW + 1.0)).next().is_none(),
         "the machine is reachable"
     );
-    let calls: Vec<_> = scheduler
-        .unreachable_machines_with_tasks(after_timeout)
-        .collect();
+    let calls: Vec<_> = scheduler.probe_calls(after_timeout).collect();
     let [call] = calls.as_slice() else {
         panic!("{calls:?}")
     };
@@ -569,10 +561,7 @@
         scheduler.machines.insert(machine_id(), machine);
         scheduler.loaded = loaded;
         assert!(
-            scheduler
-                .unreachable_machines_with_tasks(at(NOW + 60.0))
-                .next()
-                .is_none(),
+            scheduler.probe_calls(at(NOW + 60.0)).next().is_none(),
             "the endpoint of the machine is unknown"
         );
         let incoming = report(5, fencing_token, if listed { &["job-1/0"] } else { &[] });
@@ -585,7 +574,7 @@
                 && !machine.acknowledgement.has_reported_current_token,
             "the machine stays unreachable"
         );
-        let calls: Vec<_> = scheduler.unreachable_machines_with_tasks(at(NOW)).collect();
+        let calls: Vec<_> = scheduler.probe_calls(at(NOW)).collect();
         assert_eq!(calls.len(), usize::from(listed));
         assert!(calls
             .iter()
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -398,7 +398,7 @@
             .insert(id, InFlightRequest { tag, sent_at: now });
         Effect::Call {
             id,
-            destination: Destination::State,
+            destination: Destination::KeyValueStore,
             method: request.method,
             path: request.path,
             body: request.body,
--- a/crates/controller/src/store/tests.rs
+++ b/crates/controller/src/store/tests.rs
@@ -122,7 +122,7 @@
     assert_eq!(out.len(), 8);
     for call in out {
         let Effect::Call {
-            destination: Destination::State,
+            destination: Destination::KeyValueStore,
             method,
             path,
             body,
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Destination {
     /// The key-value store.
-    State,
+    KeyValueStore,
     /// The cloud API.
     Cloud,
     /// The worker on a machine.
     Worker(SocketAddrV4),
     /// A controller that a worker or a user calls.
-    Node {
+    Controller {
         /// The controller's public address.
         address: SocketAddrV4,
         /// Identifies the caller; each caller uses a separate connection.
--- a/crates/emulator/src/worker_pool.rs
+++ b/crates/emulator/src/worker_pool.rs
@@ -199,7 +199,7 @@
         let address = self.controllers[report.controller % self.controllers.len()];
         out.push(Effect::Call {
             id,
-            destination: Destination::Node {
+            destination: Destination::Controller {
                 address,
                 caller: machine,
             },
--- a/crates/sim/src/cluster/controllers.rs
+++ b/crates/sim/src/cluster/controllers.rs
@@ -184,13 +184,13 @@
                     body,
                 };
                 match destination {
-                    Destination::State => self.send_to_state(call, self.now + hop),
+                    Destination::KeyValueStore => self.send_to_state(call, self.now + hop),
                     Destination::Cloud => self.send_to_cloud(call, self.now + hop),
                     Destination::Worker(address) => {
                         let machine = machine_at_port(address.port());
                         self.send_to_worker(call, machine, self.now + hop);
                     }
-                    Destination::Node { .. } => {}
+                    Destination::Controller { .. } => {}
                 }
             }
             Effect::Answer {
--- a/crates/sim/src/fingerprint.rs
+++ b/crates/sim/src/fingerprint.rs
@@ -105,13 +105,13 @@
 
     fn destination(&mut self, destination: &Destination) {
         match destination {
-            Destination::State => self.tag(0),
+            Destination::KeyValueStore => self.tag(0),
             Destination::Cloud => self.tag(1),
             Destination::Worker(address) => {
                 self.tag(2);
                 self.bytes(address.to_string().as_bytes());
             }
-            Destination::Node { address, caller } => {
+            Destination::Controller { address, caller } => {
                 self.tag(3);
                 self.bytes(address.to_string().as_bytes());
                 self.number(*caller);
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -180,7 +180,7 @@
         let caller = self.rng.gen_range(0..CONNECTIONS);
         self.flows
             .request_sent(request_name(request.kind), (method, &path), body.len());
-        let destination = Destination::Node { address, caller };
+        let destination = Destination::Controller { address, caller };
         out.push(Effect::Call {
             id,
             destination,
--- a/crates/testbed/src/scale/role/workers.rs
+++ b/crates/testbed/src/scale/role/workers.rs
@@ -185,7 +185,7 @@
                 timeout_s,
             } = &call
             {
-                if let Destination::Node { address, caller } = destination {
+                if let Destination::Controller { address, caller } = destination {
                     self.reports.insert(
                         *id,
                         PendingReport {
--- a/crates/transport/src/output.rs
+++ b/crates/transport/src/output.rs
@@ -105,9 +105,9 @@
     /// Returns the address of a destination.
     pub(crate) fn address(&self, destination: Destination) -> SocketAddrV4 {
         match destination {
-            Destination::State => self.network.external.state,
+            Destination::KeyValueStore => self.network.external.state,
             Destination::Cloud => self.network.external.cloud,
-            Destination::Worker(address) | Destination::Node { address, .. } => address,
+            Destination::Worker(address) | Destination::Controller { address, .. } => address,
         }
     }
 
@@ -141,10 +141,10 @@
             return idle_slot;
         }
         let limit = match destination {
-            Destination::State => MAX_STATE_CONNECTIONS,
+            Destination::KeyValueStore => MAX_STATE_CONNECTIONS,
             Destination::Cloud => MAX_CLOUD_CONNECTIONS,
             Destination::Worker(_) => MAX_WORKER_CONNECTIONS,
-            Destination::Node { .. } => 1,
+            Destination::Controller { .. } => 1,
         };
         if open_count >= limit {
             return None;
