--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -266,7 +266,7 @@
     }
 
     /// Stores a value directly, as if another program had written it.
-    pub fn plant(&mut self, key: &str, value: Value) {
+    pub fn preset_key(&mut self, key: &str, value: Value) {
         self.revision += 1;
         let entry = Entry {
             value: value.clone(),
--- a/crates/emulator/src/user.rs
+++ b/crates/emulator/src/user.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct UserAnswer<'a> {
     /// When the request was sent.
-    pub asked: Micros,
+    pub sent_at: Micros,
     /// When the answer was received.
     pub received: Micros,
     /// The kind of the answered request.
@@ -64,7 +64,7 @@
     /// When an answer first reported it as cancelled; `None` if none did.
     pub cancelled: Option<Micros>,
     /// When an answer first reported it as done or cancelled; `None` if none did.
-    pub over: Option<Micros>,
+    pub final_at: Option<Micros>,
     /// Whether the user requested its cancellation.
     pub cancel_requested: bool,
     /// The state in the last answer.
@@ -75,7 +75,7 @@
     pub submitted: bool,
     /// Longest time after the first answer with a final state at which an answer with an older
     /// state was received. Such an answer is allowed if its request was sent before that.
-    pub late_older: Micros,
+    pub max_stale_answer_delay: Micros,
 }
 
 fn is_final(state: &str) -> bool {
@@ -125,11 +125,13 @@
         self.accepted = true;
         let is_final_state = is_final(state);
         // Two different final states are a violation, whenever the request was sent.
-        let must_match_final_state =
-            is_final_state || self.over.is_some_and(|final_at| answer.asked >= final_at);
+        let must_match_final_state = is_final_state
+            || self
+                .final_at
+                .is_some_and(|final_at| answer.sent_at >= final_at);
         if !is_final_state {
-            let delay = self.over.map_or(0, |final_at| received - final_at);
-            self.late_older = self.late_older.max(delay);
+            let delay = self.final_at.map_or(0, |final_at| received - final_at);
+            self.max_stale_answer_delay = self.max_stale_answer_delay.max(delay);
         }
         let regressed = (must_match_final_state && self.done && state != "done")
             || (must_match_final_state && self.cancelled.is_some() && state != "cancelled")
@@ -146,7 +148,7 @@
             self.cancelled.get_or_insert(received);
         }
         if is_final_state {
-            self.over.get_or_insert(received);
+            self.final_at.get_or_insert(received);
         }
     }
 }
--- a/crates/emulator/src/user/tests.rs
+++ b/crates/emulator/src/user/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 fn answer<'a>(
-    (received, asked): (Micros, Micros),
+    (received, sent_at): (Micros, Micros),
     request: UserRequest,
     (status, state): (u16, &'a str),
     complete: bool,
 ) -> UserAnswer<'a> {
     UserAnswer {
-        asked,
+        sent_at,
         received,
         request,
         status,
@@ -51,7 +51,7 @@
 /// after the cancellation that the same user had sent to another controller in the meantime.
 #[test]
 fn older_answer_violates_a_rule_only_if_requested_after_the_final_state() {
-    for (asked, violates) in [(4, false), (5, true), (9, true)] {
+    for (sent_at, violates) in [(4, false), (5, true), (9, true)] {
         let mut view = UserJobView {
             submitted: true,
             cancel_requested: true,
@@ -63,8 +63,8 @@
         };
         violations_of((2, 1), UserRequest::Submit, (201, "pending"), false);
         violations_of((5, 3), UserRequest::Cancel, (200, "cancelled"), false);
-        let found = violations_of((10, asked), UserRequest::Poll, (200, "running"), false);
-        assert_eq!(found == ["went_back"], violates, "{asked}");
+        let found = violations_of((10, sent_at), UserRequest::Poll, (200, "running"), false);
+        assert_eq!(found == ["went_back"], violates, "{sent_at}");
         let found = violations_of((11, 4), UserRequest::Poll, (200, "done"), true);
         assert_eq!(found, ["went_back"], "only one final state is right");
         let found = violations_of((13, 12), UserRequest::Poll, (200, "running"), false);
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -165,7 +165,7 @@
 
     /// The time until which the worker's reports are lost.
     #[must_use]
-    pub fn silent_until(&self) -> Micros {
+    pub fn reports_lost_until(&self) -> Micros {
         self.cut_until.max(self.outbound_cut_until)
     }
 
--- a/crates/sim/src/cluster/checks.rs
+++ b/crates/sim/src/cluster/checks.rs
@@ -77,7 +77,7 @@
     pub late_starts: u64,
     /// The longest time that a cancelled job's task stayed on a machine, as a fraction of the
     /// time that is allowed.
-    pub cancelled_left: f64,
+    pub max_cancelled_run_fraction: f64,
     pub(super) contents: MachineContents,
     /// Tasks that succeeded, by job. Results are stored outside the machines.
     finished: BTreeMap<String, BTreeSet<String>>,
@@ -274,7 +274,8 @@
             .collect();
         if let Some(first) = cancelled.iter().map(|(at, _)| *at).min() {
             let left = (self.now - first) as f64 / cancel as f64;
-            self.checks.cancelled_left = self.checks.cancelled_left.max(left);
+            self.checks.max_cancelled_run_fraction =
+                self.checks.max_cancelled_run_fraction.max(left);
         }
         for (at, task_id) in cancelled {
             if self.now > at + cancel {
--- a/crates/sim/src/cluster/delivery.rs
+++ b/crates/sim/src/cluster/delivery.rs
@@ -156,7 +156,7 @@
         let block = self.state.get(LEADERSHIP_BLOCK);
         if block != self.leadership_block.as_ref() {
             self.leadership_block = block.cloned();
-            self.trigger(Trigger::Takeover);
+            self.trigger(Trigger::LeadershipAcquired);
             self.deliver_kept_reports();
         }
         self.watch_at(self.now);
--- a/crates/sim/src/cluster/figures.rs
+++ b/crates/sim/src/cluster/figures.rs
@@ -43,7 +43,7 @@
     /// Whether users wait for answers that must come, or have yet to poll once more after the
     /// last fault.
     #[must_use]
-    pub fn questions_open(&self) -> bool {
+    pub fn requests_open(&self) -> bool {
         let Some(healed) = self.healed else {
             return false;
         };
@@ -65,7 +65,7 @@
     /// Whether some job is meant to run without end, such as a service: its machines are not
     /// idle cost.
     #[must_use]
-    pub fn services_run(&self) -> bool {
+    pub fn endless_jobs_accepted(&self) -> bool {
         let open = |id: &String| {
             let view = self.users.views.get(id);
             view.is_some_and(|v| v.accepted && v.cancelled.is_none())
--- a/crates/sim/src/cluster/machines.rs
+++ b/crates/sim/src/cluster/machines.rs
@@ -34,7 +34,7 @@
             return;
         };
         let (serial, interval) = (report.serial, (worker.report_s * 1e6) as Micros);
-        let lost = self.now < worker.faults.silent_until();
+        let lost = self.now < worker.faults.reports_lost_until();
         let controller = report.controller % self.controllers.len();
         self.push(self.now + interval, Event::ReportDue { machine });
         self.push(
--- a/crates/sim/src/cluster/users.rs
+++ b/crates/sim/src/cluster/users.rs
@@ -37,7 +37,7 @@
     /// Jobs with an unanswered request since the last fault ended, with the time of the first.
     pub(super) open: BTreeMap<String, Micros>,
     /// The longest time that a request was unanswered after the last fault.
-    pub longest_open: Micros,
+    pub longest_unanswered: Micros,
     /// Factor by which users poll more often.
     pub poll_storm: Temporary<f64>,
     /// Shortest interval between polls of a job, seconds.
@@ -195,7 +195,7 @@
             self.close_request(job);
         }
         let answer = UserAnswer {
-            asked: call.sent,
+            sent_at: call.sent,
             received: self.now,
             request: call.request,
             status,
@@ -203,10 +203,10 @@
             complete,
         };
         let view = self.users.views.entry(job.clone()).or_default();
-        let previous = (view.accepted, view.over, view.cancelled);
+        let previous = (view.accepted, view.final_at, view.cancelled);
         let assessment = view.on_answer(&answer);
         let cancelled = view.cancelled != previous.2;
-        let state_changed = (view.accepted, view.over) != (previous.0, previous.1);
+        let state_changed = (view.accepted, view.final_at) != (previous.0, previous.1);
         if view.accepted && self.users.invalid_jobs.contains(job) {
             self.users.invalid_jobs_accepted.insert(job.clone());
         }
@@ -229,7 +229,7 @@
         let opened = self.users.open.remove(job);
         if let (Some(opened), Some(healed)) = (opened, self.healed) {
             let open = self.now - opened.max(healed);
-            self.users.longest_open = self.users.longest_open.max(open);
+            self.users.longest_unanswered = self.users.longest_unanswered.max(open);
         }
     }
 
--- a/crates/sim/src/days.rs
+++ b/crates/sim/src/days.rs
@@ -11,7 +11,7 @@
 mod verdict;
 
 pub use bench_file::from_toml;
-pub use verdict::{faulty, faulty_under_combined_faults};
+pub use verdict::{combined_faults_day_failed, day_failed};
 
 use crate::scenario::{self, ScenarioError};
 use beamhinge_controller::faults::Faults;
@@ -224,7 +224,7 @@
     let mut lines: Vec<String> = text.lines().map(String::from).collect();
     let fails = |lines: &[String]| -> Result<bool, ScenarioError> {
         let outcome = scenario::play(&(lines.join("\n") + "\n"), regressions)?;
-        Ok(faulty(&outcome))
+        Ok(day_failed(&outcome))
     };
     let mut index = 0;
     while index < lines.len() && tries > 0 {
--- a/crates/sim/src/days/verdict.rs
+++ b/crates/sim/src/days/verdict.rs
@@ -16,14 +16,14 @@
 
 /// Whether a day failed.
 #[must_use]
-pub fn faulty(outcome: &Outcome) -> bool {
-    faulty_under_combined_faults(outcome) || wastes_preemptions(outcome) || starts_late(outcome)
+pub fn day_failed(outcome: &Outcome) -> bool {
+    combined_faults_day_failed(outcome) || wastes_preemptions(outcome) || starts_late(outcome)
 }
 
 /// Whether a day of combined faults failed. Late starts do not count, since the faults may last
 /// longer than the time in which the largest jobs must start.
 #[must_use]
-pub fn faulty_under_combined_faults(outcome: &Outcome) -> bool {
+pub fn combined_faults_day_failed(outcome: &Outcome) -> bool {
     !outcome.violations.is_empty()
         || !outcome.unfinished.is_empty()
         || outcome.idle_machines > 0
--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trigger {
     /// A new leader wrote the leadership block.
-    Takeover,
+    LeadershipAcquired,
     /// A user is told that a job is cancelled.
     Cancelled,
     /// A worker receives its first answer with a new fencing token.
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -82,7 +82,7 @@
                 script.settles = false;
                 set_protocol_fault(sim, line.get(1).copied().unwrap_or(""))?;
             }
-            "preset-key" => sim.state.plant(Words(line).arg(1)?, json!({"v": 999})),
+            "preset-key" => sim.state.preset_key(Words(line).arg(1)?, json!({"v": 999})),
             "pages" => plant_pages(sim, lines.number("pages", 0.0) as u64),
             "ignored-job" => sim.users.ignored_job = line.get(1).map(|j| (*j).to_string()),
             "unsettled" => script.settles = false,
@@ -131,7 +131,7 @@
         let machine = format!("n-{:06}", 900_000 + n);
         let rows = json!({ machine: { "job-999999": [[n % 50, n]] } });
         sim.state
-            .plant(&format!("p/1-{n}"), json!({"v": 2, "a": 7, "m": rows}));
+            .preset_key(&format!("p/1-{n}"), json!({"v": 2, "a": 7, "m": rows}));
     }
 }
 
--- a/crates/sim/src/scenario/actions.rs
+++ b/crates/sim/src/scenario/actions.rs
@@ -82,7 +82,7 @@
 /// cancelled; `heard`, a worker accepts its first answer with a new fencing token.
 fn arm(sim: &mut Sim, words: Words) -> Result<(), ScenarioError> {
     let trigger = match words.arg(1)? {
-        "take" => Trigger::Takeover,
+        "take" => Trigger::LeadershipAcquired,
         "cancelled" => Trigger::Cancelled,
         "heard" => Trigger::NewToken,
         other => return Err(ScenarioError::UnknownTrigger(other.to_string())),
--- a/crates/sim/src/scenario/expectations.rs
+++ b/crates/sim/src/scenario/expectations.rs
@@ -158,7 +158,7 @@
             "unexplained-at-most" => Figure::AtMost(|o| o.losses.unexplained as f64),
             "settled-within" => Figure::AtMost(|o| o.settled_s),
             "late-starts-at-most" => Figure::AtMost(|o| o.late_starts as f64),
-            "outdated-answers-within" => Figure::AtMost(|o| o.late_older_s),
+            "outdated-answers-within" => Figure::AtMost(|o| o.max_outdated_answer_s),
             "starvation-at-most" => Figure::AtMost(|o| o.longest_starvation_s),
             "answered-within" => Figure::AtMost(|o| o.unanswered_s),
             "largest-start-within" => {
--- a/crates/sim/src/scenario/outcome.rs
+++ b/crates/sim/src/scenario/outcome.rs
@@ -36,7 +36,7 @@
     pub late_starts: u64,
     /// The longest time after a user was told a job's end at which an older answer to an
     /// earlier query still arrived, seconds; no rule bounds it.
-    pub late_older_s: f64,
+    pub max_outdated_answer_s: f64,
     /// Machines that were still rented when no work was left.
     pub idle_machines: usize,
     /// Seconds from the last fault until all was done.
@@ -60,7 +60,7 @@
     pub largest_wait: Option<(String, f64)>,
     /// The longest time that a task was on a machine after its user was told that its job is
     /// cancelled, as a part of `cancel_s`.
-    pub cancelled_left: f64,
+    pub max_cancelled_run_fraction: f64,
     /// The longest time that a query about an accepted job was unanswered after the last
     /// fault, seconds.
     pub unanswered_s: f64,
@@ -134,13 +134,17 @@
     let seconds = |us: Micros| us as f64 / 1e6;
     let (checks, users) = (&sim.checks, &sim.users);
     outcome.largest_wait = sim.largest_wait();
-    outcome.cancelled_left = checks.cancelled_left;
+    outcome.max_cancelled_run_fraction = checks.max_cancelled_run_fraction;
     outcome.late_starts = checks.late_starts;
     let rollouts = checks.quotas.rollout_times.iter();
     outcome.in_force_s = rollouts.map(|us| seconds(*us)).collect();
-    let older = users.views.values().map(|view| view.late_older).max();
-    outcome.late_older_s = seconds(older.unwrap_or(0));
-    outcome.unanswered_s = seconds(users.longest_open);
+    let older = users
+        .views
+        .values()
+        .map(|view| view.max_stale_answer_delay)
+        .max();
+    outcome.max_outdated_answer_s = seconds(older.unwrap_or(0));
+    outcome.unanswered_s = seconds(users.longest_unanswered);
     outcome.losses = checks.losses.clone();
     outcome.started = checks.started;
     outcome.peak_machines = sim.cloud.peak_instances;
@@ -202,7 +206,7 @@
     outcome.settled_s = (sim.now - began) as f64 / 1e6;
     outcome.unfinished = sim.unfinished().into_iter().map(String::from).collect();
     // Continues until every query about an accepted job is answered or its rule is violated.
-    while sim.questions_open() {
+    while sim.requests_open() {
         play_on(sim);
     }
     let starvation = &sim.checks.starvation;
@@ -227,10 +231,10 @@
 /// Checks that all rented machines are returned after all jobs are done.
 fn return_machines(sim: &mut Sim, outcome: &mut Outcome) {
     let until = sim.now + IDLE_S * SECOND;
-    while sim.now < until && sim.rented_machines() > 0 && !sim.services_run() {
+    while sim.now < until && sim.rented_machines() > 0 && !sim.endless_jobs_accepted() {
         play_on(sim);
     }
-    if !sim.services_run() {
+    if !sim.endless_jobs_accepted() {
         outcome.idle_machines = sim.rented_machines();
     }
     if outcome.idle_machines > 0 {
--- a/crates/sim/tests/found.rs
+++ b/crates/sim/tests/found.rs
@@ -8,14 +8,14 @@
 fn play_with_and_without(text: &str, faults: Faults) -> (bool, scenario::Outcome) {
     let with = scenario::play(text, faults).expect("a scenario");
     let without = scenario::play(text, Faults::default()).expect("a scenario");
-    (days::faulty(&with), without)
+    (days::day_failed(&with), without)
 }
 
 /// Asserts that the day fails with the fault and passes without it.
 fn assert_fails_only_with(faults: Faults, text: &str) {
     let (found, sound) = play_with_and_without(text, faults);
     assert!(found);
-    assert!(!days::faulty(&sound), "{sound:?}");
+    assert!(!days::day_failed(&sound), "{sound:?}");
 }
 
 /// Half of a fleet was returned while a zone was cut off (docs/incidents/silent-fleet.md).
@@ -52,7 +52,7 @@
 fn machine_that_resumes_while_being_returned_is_not_counted_as_healthy() {
     let day = include_str!("found/hung_machines_resume_while_returned.txt");
     let sound = scenario::play(day, Faults::default()).expect("a scenario");
-    assert!(!days::faulty(&sound), "{sound:?}");
+    assert!(!days::day_failed(&sound), "{sound:?}");
     assert!(
         sound.losses.faulty_returned > 0,
         "the day no longer returns faulty machines: {sound:?}"
--- a/crates/sim/tests/large_fleet.rs
+++ b/crates/sim/tests/large_fleet.rs
@@ -10,7 +10,7 @@
     let text = include_str!("large_fleet/leader_ends.txt");
     let outcome = scenario::play(text, Faults::default()).expect("a scenario");
     assert!(
-        !days::faulty(&outcome) && outcome.failures.is_empty(),
+        !days::day_failed(&outcome) && outcome.failures.is_empty(),
         "{outcome:?}"
     );
     assert!(
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -98,9 +98,9 @@
     largest_wait_s: f64,
     /// Longest time that a task of a cancelled job stayed on a machine, as a fraction of
     /// `cancel_s`.
-    cancelled_left: f64,
+    max_cancelled_run_fraction: f64,
     unanswered_s: f64,
-    late_older_s: f64,
+    max_outdated_answer_s: f64,
     starvation_s: f64,
     settled_s: f64,
     /// Names of the days that failed.
@@ -123,9 +123,9 @@
                 fraction: 1.0,
             },
             largest_wait_s: 0.0,
-            cancelled_left: 0.0,
+            max_cancelled_run_fraction: 0.0,
             unanswered_s: 0.0,
-            late_older_s: 0.0,
+            max_outdated_answer_s: 0.0,
             starvation_s: 0.0,
             settled_s: 0.0,
             failed: Vec::new(),
@@ -144,9 +144,13 @@
         self.preempted += outcome.preempted;
         self.wasted_preemptions += outcome.wasted_preemptions;
         self.settled_s = self.settled_s.max(outcome.settled_s);
-        self.cancelled_left = self.cancelled_left.max(outcome.cancelled_left);
+        self.max_cancelled_run_fraction = self
+            .max_cancelled_run_fraction
+            .max(outcome.max_cancelled_run_fraction);
         self.unanswered_s = self.unanswered_s.max(outcome.unanswered_s);
-        self.late_older_s = self.late_older_s.max(outcome.late_older_s);
+        self.max_outdated_answer_s = self
+            .max_outdated_answer_s
+            .max(outcome.max_outdated_answer_s);
         self.starvation_s = self.starvation_s.max(outcome.longest_starvation_s);
         self.largest_wait_s = self.largest_wait_s.max(largest_wait_s(outcome));
         let least = least_served(outcome);
@@ -198,9 +202,9 @@
             .outcome
             .map_err(|e| TestbedError::Other(format!("{}: {e}", day.name)))?;
         let failed = if options.meetings {
-            days::faulty_under_combined_faults(&outcome)
+            days::combined_faults_day_failed(&outcome)
         } else {
-            days::faulty(&outcome)
+            days::day_failed(&outcome)
         };
         totals.add(day, &outcome, failed);
         print_day(day, &outcome, failed, played.wall_time_s);
@@ -277,9 +281,9 @@
         "stopped_for_nobody": totals.wasted_preemptions,
         "least_served": [totals.least_served.name, totals.least_served.fraction],
         "largest_began_within_s": totals.largest_wait_s,
-        "cancelled_gone_by_part_of_cancel_s": totals.cancelled_left,
+        "cancelled_gone_by_part_of_cancel_s": totals.max_cancelled_run_fraction,
         "longest_unanswered_s": totals.unanswered_s,
-        "older_answer_after_s": totals.late_older_s,
+        "older_answer_after_s": totals.max_outdated_answer_s,
         "waited_beside_room_s": totals.starvation_s,
         "starts_after_cancelled": totals.late_starts,
         "longest_settle_s": totals.settled_s,
--- a/crates/testbed/src/scale/role/users.rs
+++ b/crates/testbed/src/scale/role/users.rs
@@ -300,20 +300,20 @@
         let Some(view) = self.job_views.get_mut(&request.job) else {
             return;
         };
-        let before = (view.accepted, view.over, view.done);
+        let before = (view.accepted, view.final_at, view.done);
         // The checker verifies that all tasks have ended, from the records of the machines.
         let Assessment {
             violations: rule_violations,
             follow_up: next_step,
         } = view.on_answer(&UserAnswer {
-            asked: sent,
+            sent_at: sent,
             received: now,
             request: request.kind,
             status,
             state,
             complete: true,
         });
-        let after = (view.accepted, view.over, view.done);
+        let after = (view.accepted, view.final_at, view.done);
         for rule in rule_violations {
             self.record(request.job, UserEvent::RuleViolation(rule.to_string()));
         }
