--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -129,8 +129,8 @@
     let program = std::env::current_exe().map_err(UpError::CurrentExe)?;
     let plan = cluster_plan(options, &dir, program);
     let endpoints = Endpoints {
-        operators: (0..plan.nodes).map(|n| plan.operators_of(n)).collect(),
-        users: (0..plan.nodes).map(|n| plan.users_of(n)).collect(),
+        operators: (0..plan.nodes).map(|n| plan.admin_address(n)).collect(),
+        users: (0..plan.nodes).map(|n| plan.user_address(n)).collect(),
     };
     let mut cluster = Cluster::start(plan, Box::new(|_| {}))?;
     let mut client = Client::new(&endpoints.operators, None, TIMEOUTS, |_| {});
@@ -190,7 +190,7 @@
         dir: dir.into(),
         port: options.port,
         kept: true,
-        keeper: Some(vec![program.display().to_string(), "task".into()]),
+        task_runner: Some(vec![program.display().to_string(), "task".into()]),
         controller: (program, vec!["controller".into()]),
         teams: vec![team(TEAM, 8.0, 0.0), team("guests", 0.0, 8.0)],
         protocol_faults: ProtocolFaults::default(),
@@ -215,7 +215,7 @@
             return Ok(Some(started.elapsed()));
         }
         if started.elapsed() > Duration::from_secs(FIRST_LEADER_TIMEOUT_S) {
-            let log = cluster.log_of(0);
+            let log = cluster.log_path(0);
             return Err(UpError::NoLeader(FIRST_LEADER_TIMEOUT_S, log));
         }
     }
@@ -284,7 +284,7 @@
     exited: &mut Vec<(usize, Instant)>,
 ) -> Result<(), UpError> {
     for node in cluster.reap_exited() {
-        let log = cluster.log_of(node).display().to_string();
+        let log = cluster.log_path(node).display().to_string();
         eprintln!(
             "beamhinge: a controller exited unexpectedly and will be restarted; see the log {log}"
         );
@@ -297,7 +297,7 @@
         .collect();
     exited.retain(|(_, exited_at)| exited_at.elapsed() <= RESTART_DELAY);
     for node in due {
-        cluster.start_node(node)?;
+        cluster.start_controller(node)?;
     }
     Ok(())
 }
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -60,7 +60,7 @@
 
     /// Sets the media type of requests.
     #[must_use]
-    pub fn speaking(mut self, content: Content) -> Connection {
+    pub fn with_content(mut self, content: Content) -> Connection {
         self.content = content;
         self
     }
--- a/crates/dev-cluster/src/controllers.rs
+++ b/crates/dev-cluster/src/controllers.rs
@@ -82,7 +82,7 @@
             return Ok(());
         }
         let (dir, label) = (&self.program.dir, &self.labels[controller]);
-        let log = self.log_of(controller);
+        let log = self.log_path(controller);
         let file = open_log(&log).map_err(|e| ClusterError::File(log.clone(), e))?;
         let (program, arguments) = &self.program.program;
         let child = Command::new(program)
@@ -138,7 +138,7 @@
 
     /// Path of a controller's log file.
     #[must_use]
-    pub fn log_of(&self, controller: usize) -> PathBuf {
+    pub fn log_path(&self, controller: usize) -> PathBuf {
         self.program
             .dir
             .join(format!("{}.log", self.labels[controller]))
--- a/crates/dev-cluster/src/deployment.rs
+++ b/crates/dev-cluster/src/deployment.rs
@@ -7,7 +7,7 @@
 
 /// The zone and addresses of one controller.
 #[derive(Clone, Debug)]
-pub struct NodePlace {
+pub struct ControllerAddresses {
     /// Its label, a single letter.
     pub label: String,
     /// Its zone.
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// The controllers.
-    pub nodes: Vec<NodePlace>,
+    pub nodes: Vec<ControllerAddresses>,
     /// All zones.
     pub zones: Vec<String>,
     /// All teams.
--- a/crates/dev-cluster/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod deployment;
 
 use crate::controllers::{ControllerFiles, ControllerProgram, Controllers};
-use crate::deployment::{Deployment, Links, NodePlace, PlatformLimits, TeamPlan};
+use crate::deployment::{ControllerAddresses, Deployment, Links, PlatformLimits, TeamPlan};
 use beamhinge_core::settings;
 use beamhinge_emulator::cloud::{CapacityPool, InstanceType};
 use beamhinge_emulator::platform::{Platform, PlatformConfig, PlatformFault};
@@ -63,7 +63,7 @@
     pub controller: (PathBuf, Vec<String>),
     /// Program and first arguments that run the command lines of tasks; if `None`, tasks are
     /// timers.
-    pub keeper: Option<Vec<String>>,
+    pub task_runner: Option<Vec<String>>,
     /// All teams.
     pub teams: Vec<TeamPlan>,
     /// Protocol violations that the emulators commit deliberately.
@@ -128,17 +128,17 @@
 
     /// Address on which a controller serves operators.
     #[must_use]
-    pub fn operators_of(&self, controller: usize) -> SocketAddrV4 {
+    pub fn admin_address(&self, controller: usize) -> SocketAddrV4 {
         self.address_of(controller, 0)
     }
 
     /// Address on which a controller serves users and workers.
     #[must_use]
-    pub fn users_of(&self, controller: usize) -> SocketAddrV4 {
+    pub fn user_address(&self, controller: usize) -> SocketAddrV4 {
         self.address_of(controller, 1)
     }
 
-    fn peers_of(&self, controller: usize) -> SocketAddrV4 {
+    fn peer_address(&self, controller: usize) -> SocketAddrV4 {
         self.address_of(controller, 2)
     }
 
@@ -155,12 +155,12 @@
     }
 
     fn deployment(&self) -> Deployment {
-        let place = |controller: usize| NodePlace {
+        let place = |controller: usize| ControllerAddresses {
             label: controller_label(controller).to_string(),
             zone: ZONES[controller % 2].to_string(),
-            users: self.users_of(controller),
-            peers: self.peers_of(controller),
-            operators: self.operators_of(controller),
+            users: self.user_address(controller),
+            peers: self.peer_address(controller),
+            operators: self.admin_address(controller),
         };
         Deployment {
             nodes: (0..self.nodes).map(place).collect(),
@@ -173,7 +173,7 @@
     }
 
     fn links(&self) -> Links {
-        let peers = (0..self.nodes).map(|n| self.peers_of(n)).collect();
+        let peers = (0..self.nodes).map(|n| self.peer_address(n)).collect();
         Links {
             state: self.state(),
             cloud: self.cloud(),
@@ -208,7 +208,7 @@
             (0..2).map(move |z| (CapacityPool::new(MACHINE_TYPE, zone(z), spot), n))
         };
         PlatformConfig {
-            controllers: (0..self.nodes).map(|n| self.users_of(n)).collect(),
+            controllers: (0..self.nodes).map(|n| self.user_address(n)).collect(),
             worker_addresses: (0..MAX_WORKERS)
                 .map(|w| loopback(self.port + 42 + w))
                 .collect(),
@@ -232,9 +232,9 @@
                 .collect(),
             state_log: self.kept.then(|| self.dir.join("state.log")),
             processes: self
-                .keeper
+                .task_runner
                 .clone()
-                .map(|keeper| Processes::new(Some(self.dir.join("output")), keeper)),
+                .map(|task_runner| Processes::new(Some(self.dir.join("output")), task_runner)),
             protocol_faults: self.protocol_faults,
             seed: self.seed,
             faults: None,
@@ -263,7 +263,7 @@
             faults,
         };
         for controller in 0..cluster.plan.nodes {
-            cluster.start_node(controller)?;
+            cluster.start_controller(controller)?;
         }
         Ok(cluster)
     }
@@ -278,12 +278,12 @@
     ///
     /// # Errors
     /// If its log cannot be opened or its program cannot be started.
-    pub fn start_node(&mut self, controller: usize) -> Result<(), ClusterError> {
+    pub fn start_controller(&mut self, controller: usize) -> Result<(), ClusterError> {
         self.controllers.start(controller)
     }
 
     /// Kills a controller without a shutdown, as a power failure would.
-    pub fn kill_node(&mut self, controller: usize) {
+    pub fn kill_controller(&mut self, controller: usize) {
         self.controllers.kill(controller);
     }
 
@@ -300,8 +300,8 @@
 
     /// Path of a controller's log file.
     #[must_use]
-    pub fn log_of(&self, controller: usize) -> PathBuf {
-        self.controllers.log_of(controller)
+    pub fn log_path(&self, controller: usize) -> PathBuf {
+        self.controllers.log_path(controller)
     }
 
     /// Process ids of the running controllers.
@@ -313,7 +313,7 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        (0..self.plan.nodes).for_each(|controller| self.kill_node(controller));
+        (0..self.plan.nodes).for_each(|controller| self.kill_controller(controller));
         self.running.store(false, Ordering::Relaxed);
         if let Some(thread) = self.platform.take() {
             let _ = thread.join();
--- a/crates/testbed/src/admin_listener.rs
+++ b/crates/testbed/src/admin_listener.rs
@@ -340,10 +340,10 @@
     /// Checks that a restart invalidates old signatures and that the client signs again by itself.
     fn check_restart(&mut self, signed: &SignedSubmission) -> Result<(), TestbedError> {
         for node in 0..2 {
-            self.cluster.kill_node(node);
+            self.cluster.kill_controller(node);
         }
         for node in 0..2 {
-            self.cluster.start_node(node)?;
+            self.cluster.start_controller(node)?;
         }
         let recovered = self.operator.job("job-0001").is_ok();
         self.checks
@@ -358,7 +358,7 @@
         let rejected = is_rejected(response, 401, "other_instance");
         self.checks
             .record("a signature from before the restart is invalid", rejected);
-        let log = std::fs::read_to_string(self.cluster.log_of(0)).unwrap_or_default();
+        let log = std::fs::read_to_string(self.cluster.log_path(0)).unwrap_or_default();
         let secret_absent = !log.contains(&secret(OPERATOR_SECRET)) && !log.is_empty();
         self.checks
             .record("the log contains no secret", secret_absent);
--- a/crates/testbed/src/context.rs
+++ b/crates/testbed/src/context.rs
@@ -55,7 +55,7 @@
 const PORT_BLOCK_COUNT: u32 = 200;
 
 /// Returns the first port of a block of 100 free ports.
-pub(crate) fn free_ports() -> u16 {
+pub(crate) fn find_free_port_block() -> u16 {
     let start = std::process::id() % PORT_BLOCK_COUNT;
     let bases = (0..PORT_BLOCK_COUNT)
         .map(|i| FIRST_BLOCK_PORT + ((start + i * 7) % PORT_BLOCK_COUNT) as u16 * 100);
@@ -78,10 +78,10 @@
         cpus: 16.0,
         boot_s: 1.0,
         dir: dir.to_path_buf(),
-        port: free_ports(),
+        port: find_free_port_block(),
         kept: false,
         controller: context.controller.clone(),
-        keeper: None,
+        task_runner: None,
         teams: vec![team("home", 0.0), team("small", 4.0)],
         protocol_faults: ProtocolFaults::default(),
         operators: "rps = 2000\nconnections = 64\nwaiting = 512\n".into(),
@@ -97,7 +97,7 @@
     match client.summary() {
         Ok(_) => Ok(cluster),
         Err(e) => {
-            let log = std::fs::read_to_string(cluster.log_of(0)).unwrap_or_default();
+            let log = std::fs::read_to_string(cluster.log_path(0)).unwrap_or_default();
             let end: Vec<&str> = log.lines().rev().take(5).collect();
             Err(TestbedError::Other(format!(
                 "{e}; the first controller's last lines: {end:?}"
@@ -108,15 +108,15 @@
 
 pub(crate) fn admin_listeners(cluster: &Cluster) -> Vec<SocketAddrV4> {
     (0..cluster.plan().nodes)
-        .map(|n| cluster.plan().operators_of(n))
+        .map(|n| cluster.plan().admin_address(n))
         .collect()
 }
 
 pub(crate) fn client(cluster: &Cluster, total_s: f64) -> Client {
-    client_of(&admin_listeners(cluster), total_s)
+    new_client(&admin_listeners(cluster), total_s)
 }
 
-pub(crate) fn client_of(admin_listeners: &[SocketAddrV4], total_s: f64) -> Client {
+pub(crate) fn new_client(admin_listeners: &[SocketAddrV4], total_s: f64) -> Client {
     let timeouts = Timeouts {
         total: Duration::from_secs_f64(total_s),
         per_attempt: Duration::from_secs_f64(total_s.min(3.0)),
--- a/crates/testbed/src/explain.rs
+++ b/crates/testbed/src/explain.rs
@@ -101,7 +101,7 @@
         machines: 1,
         rentable: 0,
         cpus: 4.0,
-        keeper: Some(Vec::new()),
+        task_runner: Some(Vec::new()),
         ..context::plan(context, dir)
     }
 }
@@ -313,10 +313,10 @@
         seconds: 6.0,
     });
     for node in 0..test_cluster.cluster.plan().nodes {
-        test_cluster.cluster.kill_node(node);
+        test_cluster.cluster.kill_controller(node);
     }
     for node in 0..test_cluster.cluster.plan().nodes {
-        test_cluster.cluster.start_node(node)?;
+        test_cluster.cluster.start_controller(node)?;
     }
     let reason_text = test_cluster.wait_for_reason(&job, "inherited", "");
     Ok((reason_text, test_cluster.wait_until_done(&job)))
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -166,7 +166,7 @@
     let plan = cluster.plan();
     let addresses = Addresses {
         operators: context::admin_listeners(&cluster),
-        users: (0..plan.nodes).map(|n| plan.users_of(n)).collect(),
+        users: (0..plan.nodes).map(|n| plan.user_address(n)).collect(),
     };
     let stop = Arc::new(AtomicBool::new(false));
     let threads = start_clients(&size, context.seed, &observations, &addresses, &stop);
@@ -224,10 +224,10 @@
             k + 1
         );
         kill_times.push((observations.now(), all));
-        victims.iter().for_each(|v| cluster.kill_node(*v));
+        victims.iter().for_each(|v| cluster.kill_controller(*v));
         thread::sleep(Duration::from_secs_f64(rng.gen_range(0.1..1.5)));
         for v in victims {
-            cluster.start_node(v)?;
+            cluster.start_controller(v)?;
         }
         thread::sleep(Duration::from_secs_f64(rng.gen_range(2.0..4.5)));
     }
@@ -295,7 +295,7 @@
         observations: Arc<Observations>,
         addresses: Addresses,
     ) -> TestClient {
-        let client = context::client_of(&addresses.operators, 60.0);
+        let client = context::new_client(&addresses.operators, 60.0);
         let rng = StdRng::seed_from_u64(seed);
         TestClient {
             observations,
@@ -371,7 +371,7 @@
         admin_listeners.rotate_left(1);
         let (observations, same_job) = (self.observations.clone(), job.to_string());
         let second_request = thread::spawn(move || {
-            let mut client = context::client_of(&admin_listeners, 60.0);
+            let mut client = context::new_client(&admin_listeners, 60.0);
             cancel(&mut client, &observations, &same_job);
         });
         cancel(&mut self.client, &self.observations, job);
@@ -409,7 +409,7 @@
             Some(c) => c,
             None => Connection::open(self.addresses.users[node], deadline)
                 .ok()?
-                .speaking(Content::Cbor),
+                .with_content(Content::Cbor),
         };
         let path = format!("/api/jobs/{job}");
         let response = connection
--- a/crates/testbed/src/scale/config_changes.rs
+++ b/crates/testbed/src/scale/config_changes.rs
@@ -65,7 +65,7 @@
                 let (running, tally, admin_listeners) =
                     (running.clone(), tally.clone(), admin_listeners.to_vec());
                 std::thread::spawn(move || {
-                    let client = context::client_of(&admin_listeners, ANSWER_TIMEOUT_S);
+                    let client = context::new_client(&admin_listeners, ANSWER_TIMEOUT_S);
                     let rng = StdRng::seed_from_u64(seed.wrapping_add(n));
                     Operator { client, rng, tally }.run(&running);
                 })
--- a/crates/testbed/src/scale/layout.rs
+++ b/crates/testbed/src/scale/layout.rs
@@ -3,7 +3,7 @@
 
 use super::size::Size;
 use super::workload::team_name;
-use beamhinge_dev_cluster::deployment::{Deployment, Links, NodePlace, TeamPlan};
+use beamhinge_dev_cluster::deployment::{ControllerAddresses, Deployment, Links, TeamPlan};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 
 /// Most workers of one process; one thread can't serve more.
@@ -154,7 +154,7 @@
 
     pub(super) fn deployment(&self) -> Deployment {
         let size = &self.size;
-        let node_place = |node: usize| NodePlace {
+        let controller_addresses = |node: usize| ControllerAddresses {
             label: char::from(b'a' + node as u8).to_string(),
             zone: size.zone_name(self.zone_of_controller(node)),
             operators: loopback(0, 0, 2, self.base_port + node as u16),
@@ -168,7 +168,7 @@
             cpus_max: share * LIMIT_FACTOR,
         };
         Deployment {
-            nodes: (0..size.controllers).map(node_place).collect(),
+            nodes: (0..size.controllers).map(controller_addresses).collect(),
             zones: self.zones(),
             teams: (0..size.teams).map(team).collect(),
             limits: size.platform,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -155,7 +155,7 @@
             seconds,
             real_workers,
             faults,
-            base_port: context::free_ports(),
+            base_port: context::find_free_port_block(),
         }
     }
 }
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -221,7 +221,7 @@
         let deadline = Instant::now() + Duration::from_secs_f64(READY_TIMEOUT_S);
         while self.leader.is_none() || self.machines.len() < self.plan.size.workers {
             if Instant::now() > deadline {
-                let log = std::fs::read_to_string(self.controllers.log_of(0)).unwrap_or_default();
+                let log = std::fs::read_to_string(self.controllers.log_path(0)).unwrap_or_default();
                 let end: Vec<&str> = log.lines().rev().take(5).collect();
                 return Err(TestbedError::Other(format!(
                     "no leader, or machines still missing, after {READY_TIMEOUT_S} s; \
