--- a/crates/admin-api/src/directives.rs
+++ b/crates/admin-api/src/directives.rs
@@ -102,8 +102,9 @@
     pub target: Target,
     /// Wall-clock time at which it was set, milliseconds since the Unix epoch.
     pub since_ms: u64,
-    /// For drains: time limit after which the remaining tasks are told to checkpoint and stop,
-    /// seconds. `None`: they run to completion.
+    /// For drains: time limit for the remaining tasks, seconds since `since_ms`. Each task is told
+    /// to checkpoint and stop earlier than this, by the checkpoint duration of its job plus one
+    /// report interval. `None`: the tasks run to completion.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub within_s: Option<f64>,
     /// For drains: what happens to a machine once it has no tasks left.
--- a/crates/admin-api/src/messages/jobs.rs
+++ b/crates/admin-api/src/messages/jobs.rs
@@ -93,7 +93,7 @@
     /// Whether all tasks must run in the same zone.
     #[serde(default)]
     pub one_zone: bool,
-    /// Whether each task must run on a different machine.
+    /// Whether at most half of the tasks, rounded up, may run in the same zone.
     #[serde(default)]
     pub spread: bool,
     /// Whether spot machines are allowed.
@@ -340,7 +340,7 @@
     pub zone: Option<String>,
     /// Whether all tasks must run in the same zone.
     pub one_zone: bool,
-    /// Whether each task must run on a different machine.
+    /// Whether at most half of the tasks, rounded up, may run in the same zone.
     pub spread: bool,
     /// Whether spot machines are allowed.
     pub spot: bool,
